--- a/bergamotswitch-core/src/entry/desk/replies.rs
+++ b/bergamotswitch-core/src/entry/desk/replies.rs
@@ -35,14 +35,14 @@
                 let retry_after = Duration::from_millis(retry_after_ms.into());
                 self.refused_by(now, &host, attempt, reason, retry_after, actions);
             }
-            OwnerReply::KeyKnown { attempt, holder } => {
+            OwnerReply::KeyHeld { attempt, holder } => {
                 self.key_known(now, attempt, holder, actions);
             }
             OwnerReply::Preempt { permit, attempt } => {
                 self.preempt(now, permit, attempt, actions);
             }
             OwnerReply::Audit { shard, permits } => self.audit(host, shard, permits, actions),
-            OwnerReply::WhoFollows { shard, round } => {
+            OwnerReply::ConfirmOwner { shard, round } => {
                 self.say_following(host, shard, round, actions);
             }
             // Membership looks for the next owner.
@@ -60,7 +60,7 @@
         actions: &mut Vec<EntryAction>,
     ) {
         if self.owners.get(&shard) == Some(&host) {
-            let message = OwnerMessage::Following { shard, round };
+            let message = OwnerMessage::OwnerConfirmed { shard, round };
             actions.push(EntryAction::Send(host, message));
         }
     }
--- a/bergamotswitch-core/src/entry/desk/takeover.rs
+++ b/bergamotswitch-core/src/entry/desk/takeover.rs
@@ -93,7 +93,7 @@
             parts.push(&[]);
         }
         for part in parts {
-            let message = OwnerMessage::Retell {
+            let message = OwnerMessage::Resync {
                 shard: shard.clone(),
                 held: held.clone(),
                 claims: part.to_vec(),
--- a/bergamotswitch-core/src/node/key_guard.rs
+++ b/bergamotswitch-core/src/node/key_guard.rs
@@ -200,14 +200,14 @@
                 guard.held.insert(held.ask.attempt, held);
                 return None;
             }
-            OwnerMessage::Following { round, .. } => {
+            OwnerMessage::OwnerConfirmed { round, .. } => {
                 guard.note_follower(host, round);
                 return None;
             }
             OwnerMessage::Withdraw { attempt, .. } => {
                 guard.held.remove(&attempt);
             }
-            OwnerMessage::Retell { .. } => {
+            OwnerMessage::Resync { .. } => {
                 guard.told.insert(host.clone());
             }
             _ => {}
@@ -286,7 +286,7 @@
         let asked = witnesses.candidates.into_iter().filter(|host| *host != me);
         for host in asked {
             let shard = shard.clone();
-            self.send_reply(now, host, OwnerReply::WhoFollows { shard, round });
+            self.send_reply(now, host, OwnerReply::ConfirmOwner { shard, round });
         }
     }
 
--- a/bergamotswitch-core/src/permit.rs
+++ b/bergamotswitch-core/src/permit.rs
@@ -192,7 +192,7 @@
         release: Release,
     },
     /// What the entry host holds, told to a new owner before the first ask.
-    Retell {
+    Resync {
         /// The shard.
         shard: PoolShard,
         /// Work in flight.
@@ -208,7 +208,7 @@
         permits: Vec<PermitId>,
     },
     /// The host takes the asking host for the shard's owner, and no other.
-    Following {
+    OwnerConfirmed {
         /// The shard.
         shard: PoolShard,
         /// The number of the question.
@@ -262,7 +262,7 @@
         retry_after_ms: u32,
     },
     /// The key is held by another run; ask there.
-    KeyKnown {
+    KeyHeld {
         /// The attempt that asked.
         attempt: AttemptId,
         /// Who holds the key.
@@ -289,7 +289,7 @@
         shard: PoolShard,
     },
     /// Does the asked host take this one for the shard's owner?
-    WhoFollows {
+    ConfirmOwner {
         /// The shard.
         shard: PoolShard,
         /// The number of the question.
@@ -304,8 +304,8 @@
             OwnerMessage::Ask(ask) => &ask.shard,
             OwnerMessage::Withdraw { shard, .. }
             | OwnerMessage::Release { shard, .. }
-            | OwnerMessage::Retell { shard, .. }
-            | OwnerMessage::Following { shard, .. }
+            | OwnerMessage::Resync { shard, .. }
+            | OwnerMessage::OwnerConfirmed { shard, .. }
             | OwnerMessage::QuotaLevels { shard, .. }
             | OwnerMessage::QuotaUse { shard, .. }
             | OwnerMessage::FailedTargets { shard, .. }
--- a/bergamotswitch-core/src/pool_owner/dispatch.rs
+++ b/bergamotswitch-core/src/pool_owner/dispatch.rs
@@ -130,7 +130,7 @@
         if let Some(KeyVerdict::HeldBy(holder)) = claim.map(|claim| self.keys.check(now, claim)) {
             self.counts.keys_known += 1;
             let attempt = *attempt;
-            let reply = OwnerReply::KeyKnown { attempt, holder };
+            let reply = OwnerReply::KeyHeld { attempt, holder };
             actions.push(OwnerAction::Reply(queued.host, reply));
         }
     }
--- a/bergamotswitch-core/src/pool_owner/owner.rs
+++ b/bergamotswitch-core/src/pool_owner/owner.rs
@@ -192,7 +192,7 @@
     /// Take note of a host that asks or tells what it holds: it follows this
     /// owner. A release may come long after it has turned to another one.
     fn note_follower(&mut self, now: Moment, host: &HostName, message: &OwnerMessage) {
-        if matches!(message, OwnerMessage::Ask(_) | OwnerMessage::Retell { .. }) {
+        if matches!(message, OwnerMessage::Ask(_) | OwnerMessage::Resync { .. }) {
             self.followers.note(now, host);
         }
     }
@@ -217,7 +217,7 @@
                 }
             }
             OwnerMessage::Release { release, .. } => self.on_release(now, &release, actions),
-            OwnerMessage::Retell { held, claims, .. } => {
+            OwnerMessage::Resync { held, claims, .. } => {
                 self.on_retell(now, host, held, &claims, actions);
             }
             OwnerMessage::NotHeld { permits, .. } => {
@@ -231,7 +231,7 @@
                 self.on_failed_targets(now, &targets, actions);
             }
             // Taken by the guard of the keys.
-            OwnerMessage::Following { .. } => {}
+            OwnerMessage::OwnerConfirmed { .. } => {}
         }
     }
 
--- a/bergamotswitch-core/src/pool_owner/refusing.rs
+++ b/bergamotswitch-core/src/pool_owner/refusing.rs
@@ -74,7 +74,7 @@
         actions: &mut Vec<OwnerAction>,
     ) {
         self.counts.keys_known += 1;
-        let reply = OwnerReply::KeyKnown { attempt, holder };
+        let reply = OwnerReply::KeyHeld { attempt, holder };
         actions.push(OwnerAction::Reply(host, reply));
     }
 
--- a/bergamotswitch-core/tests/entry_lifecycle.rs
+++ b/bergamotswitch-core/tests/entry_lifecycle.rs
@@ -199,7 +199,7 @@
     let waiting = first_attempt(desk.accept(submission()));
     let actions = desk.event(EntryEvent::OwnerIs(shard(), name("owner-2")));
     match &actions[0] {
-        EntryAction::Send(host, OwnerMessage::Retell { held, claims, .. }) => {
+        EntryAction::Send(host, OwnerMessage::Resync { held, claims, .. }) => {
             assert_eq!(host.as_str(), "owner-2");
             assert_eq!(held[0].permit, permit.id);
             assert_eq!(claims[0].holder, run_of("entry-1", 1));
@@ -237,7 +237,7 @@
     desk.accept(copy);
     let actions = desk.event(EntryEvent::OwnerIs(shard(), name("owner-2")));
     match &actions[0] {
-        EntryAction::Send(_, OwnerMessage::Retell { claims, .. }) => assert_eq!(claims, &[]),
+        EntryAction::Send(_, OwnerMessage::Resync { claims, .. }) => assert_eq!(claims, &[]),
         other => panic!("not retold: {other:?}"),
     }
     let claim = asks(&actions)[0].claim.clone();
@@ -325,14 +325,14 @@
     assert_eq!(desk.submit(again).0, Reception::Forward(elsewhere.clone()));
 
     let attempt = first_attempt(desk.accept(alert("k")));
-    let known = |holder| OwnerReply::KeyKnown { attempt, holder };
+    let known = |holder| OwnerReply::KeyHeld { attempt, holder };
     assert_eq!(desk.reply(known(run_of("entry-1", 1))), vec![]);
     let forward = EntryAction::Forward(attempt.request, elsewhere.clone());
     assert_eq!(desk.reply(known(elsewhere)), vec![forward]);
 
     let attempt = first_attempt(desk.accept(alert("k2")));
     let holder = run_of("entry-1", 9);
-    let actions = desk.reply(OwnerReply::KeyKnown { attempt, holder });
+    let actions = desk.reply(OwnerReply::KeyHeld { attempt, holder });
     let lost = (RefusalReason::Lost, RunClaim::Unknown);
     assert_eq!(refusals(&actions), vec![lost]);
 }
--- a/bergamotswitch-core/tests/entry_world/owners.rs
+++ b/bergamotswitch-core/tests/entry_world/owners.rs
@@ -14,9 +14,9 @@
             OwnerMessage::Release { release, .. } => {
                 here.granted.remove(&release.attempt);
             }
-            OwnerMessage::Retell { .. }
+            OwnerMessage::Resync { .. }
             | OwnerMessage::NotHeld { .. }
-            | OwnerMessage::Following { .. }
+            | OwnerMessage::OwnerConfirmed { .. }
             | OwnerMessage::QuotaLevels { .. }
             | OwnerMessage::QuotaUse { .. }
             | OwnerMessage::FailedTargets { .. } => {}
@@ -29,7 +29,7 @@
             let holder = self.keys.entry(claim.key).or_insert(claim.holder.clone());
             if *holder != claim.holder {
                 let holder = holder.clone();
-                let known = OwnerReply::KeyKnown { attempt, holder };
+                let known = OwnerReply::KeyHeld { attempt, holder };
                 self.transit.push(Letter::ToHost(host, owner, known));
                 return;
             }
--- a/bergamotswitch-core/tests/node_cold_path.rs
+++ b/bergamotswitch-core/tests/node_cold_path.rs
@@ -161,7 +161,7 @@
     // The key of a request that waits comes with its ask.
     let retold = node.count(|action| match action {
         NodeAction::Send(to, LinkMessage::ToOwner(message)) if *to == owner => match message {
-            OwnerMessage::Retell { .. } => true,
+            OwnerMessage::Resync { .. } => true,
             OwnerMessage::Ask(ask) => ask.claim.is_some(),
             _ => false,
         },
--- a/bergamotswitch-core/tests/owner_failover.rs
+++ b/bergamotswitch-core/tests/owner_failover.rs
@@ -14,7 +14,7 @@
 }
 
 fn retell(bench: &mut OwnerBench, claims: Vec<KeyClaim>) -> Vec<OwnerAction> {
-    bench.message(OwnerMessage::Retell {
+    bench.message(OwnerMessage::Resync {
         shard: shard(),
         held: Vec::new(),
         claims,
@@ -22,7 +22,7 @@
 }
 
 fn known(asked: &Ask, host: &str, run: u128) -> OwnerReply {
-    OwnerReply::KeyKnown {
+    OwnerReply::KeyHeld {
         attempt: asked.attempt,
         holder: run_of(host, run),
     }
@@ -38,7 +38,7 @@
     let first = with_claim(ask(1, 0, "a"), 5, holder.clone(), false);
     let permit = bench.granted(&first);
     let second = with_claim(ask(2, 0, "a"), 5, run_of("other", 8), false);
-    let known = OwnerReply::KeyKnown {
+    let known = OwnerReply::KeyHeld {
         attempt: second.attempt,
         holder: holder.clone(),
     };
@@ -77,7 +77,7 @@
     bench.message(withdrawal(attempt_of(ENTRY_RUN, 1)));
     let other = with_claim(ask(3, 0, "a"), 5, run_of("other", 8), false);
     let attempt = other.attempt;
-    let known = OwnerReply::KeyKnown { attempt, holder };
+    let known = OwnerReply::KeyHeld { attempt, holder };
     assert_eq!(replies(&bench.ask(&other)), [known]);
     let actions = bench.release(&permit, ReleaseOutcome::Unused);
     assert_eq!(granted_requests(&actions), [2]);
@@ -134,7 +134,7 @@
     let permit = old.granted(&first);
     let mut bench = OwnerBench::new(OwnerOptions::default());
     for _ in 0..2 {
-        bench.message(OwnerMessage::Retell {
+        bench.message(OwnerMessage::Resync {
             shard: shard(),
             held: vec![held(permit.clone(), &first)],
             claims: Vec::new(),
--- a/bergamotswitch-core/tests/owner_invariants.rs
+++ b/bergamotswitch-core/tests/owner_invariants.rs
@@ -70,7 +70,7 @@
         for reply in replies(actions) {
             match reply {
                 OwnerReply::Granted { permit, .. } => self.take_permit(permit),
-                OwnerReply::Refused { attempt, .. } | OwnerReply::KeyKnown { attempt, .. } => {
+                OwnerReply::Refused { attempt, .. } | OwnerReply::KeyHeld { attempt, .. } => {
                     let known = self.waiting.remove(&attempt);
                     assert!(known.is_some(), "an answer to no waiting ask");
                     self.answered += 1;
--- a/bergamotswitch-core/tests/target_restart.rs
+++ b/bergamotswitch-core/tests/target_restart.rs
@@ -76,7 +76,7 @@
     assert!(granted_requests(&actions).is_empty(), "{actions:?}");
     assert!(matches!(
         actions[..],
-        [OwnerAction::Reply(_, OwnerReply::KeyKnown { .. })]
+        [OwnerAction::Reply(_, OwnerReply::KeyHeld { .. })]
     ));
 }
 
--- a/bergamotswitch-net/src/link/counters.rs
+++ b/bergamotswitch-net/src/link/counters.rs
@@ -45,11 +45,11 @@
     /// A permit given back.
     Release = "release", LinkMessage::ToOwner(OwnerMessage::Release { .. }),
     /// What an entry host holds.
-    Retell = "retell", LinkMessage::ToOwner(OwnerMessage::Retell { .. }),
+    Retell = "retell", LinkMessage::ToOwner(OwnerMessage::Resync { .. }),
     /// The answer to an audit.
     NotHeld = "not-held", LinkMessage::ToOwner(OwnerMessage::NotHeld { .. }),
     /// A host's word that it follows an owner.
-    Following = "following", LinkMessage::ToOwner(OwnerMessage::Following { .. }),
+    Following = "following", LinkMessage::ToOwner(OwnerMessage::OwnerConfirmed { .. }),
     /// What a former owner had left in its quotas' buckets.
     QuotaLevels = "quota-levels", LinkMessage::ToOwner(OwnerMessage::QuotaLevels { .. }),
     /// Targets that fail an owner.
@@ -61,7 +61,7 @@
     /// A refused wish.
     Refused = "refused", LinkMessage::FromOwner(OwnerReply::Refused { .. }),
     /// A key held elsewhere.
-    KeyKnown = "key-known", LinkMessage::FromOwner(OwnerReply::KeyKnown { .. }),
+    KeyKnown = "key-known", LinkMessage::FromOwner(OwnerReply::KeyHeld { .. }),
     /// An order to stop an attempt.
     Preempt = "preempt", LinkMessage::FromOwner(OwnerReply::Preempt { .. }),
     /// A question for permits not held.
@@ -69,7 +69,7 @@
     /// Not the owner.
     NotOwner = "not-owner", LinkMessage::FromOwner(OwnerReply::NotOwner { .. }),
     /// An owner's question who follows it.
-    WhoFollows = "who-follows", LinkMessage::FromOwner(OwnerReply::WhoFollows { .. }),
+    WhoFollows = "who-follows", LinkMessage::FromOwner(OwnerReply::ConfirmOwner { .. }),
     /// The revisions seen.
     Marks = "marks", LinkMessage::Revision(RevisionMessage::Marks(_)),
     /// A change of a value.
--- a/bergamotswitch/examples/slopes/frames.rs
+++ b/bergamotswitch/examples/slopes/frames.rs
@@ -117,7 +117,7 @@
     });
     sheet.slope("audit, by permits", &points);
     let points = at_sizes(&sizes, |count| {
-        to_owner(OwnerMessage::Retell {
+        to_owner(OwnerMessage::Resync {
             shard: home(),
             held: (0..count as u64).map(held).collect(),
             claims: Vec::new(),
@@ -125,7 +125,7 @@
     });
     sheet.slope("retell, by requests in flight", &points);
     let points = at_sizes(&sizes, |count| {
-        to_owner(OwnerMessage::Retell {
+        to_owner(OwnerMessage::Resync {
             shard: home(),
             held: Vec::new(),
             claims: (0..count as u64).map(claim).collect(),
