--- a/bergamotswitch-core/src/entry/desk/takeover.rs
+++ b/bergamotswitch-core/src/entry/desk/takeover.rs
@@ -7,7 +7,7 @@
 use crate::entry::attempt::{AttemptStage, RunningAttempt, WaitingLife};
 use crate::entry::ledger::{LiveEntry, RequestRecord};
 use crate::host::HostName;
-use crate::permit::{HeldWork, KeyClaim, OwnerMessage};
+use crate::permit::{InFlightWork, KeyClaim, OwnerMessage};
 use crate::pool::PoolShard;
 use crate::refusal::RefusalReason;
 
@@ -69,7 +69,7 @@
     /// copy would be a second run. Many keys go in several messages; each names all work, so that an
     /// owner may add messages up or let the later one replace the earlier.
     fn retell(&self, shard: &PoolShard, host: &HostName, actions: &mut Vec<EntryAction>) {
-        let held: Vec<HeldWork> = self
+        let held: Vec<InFlightWork> = self
             .ledger
             .iter()
             .filter(|entry| entry.record.shard == *shard)
@@ -122,9 +122,9 @@
         }
     }
 
-    fn held_work(&self, record: &RequestRecord, running: &RunningAttempt) -> HeldWork {
+    fn held_work(&self, record: &RequestRecord, running: &RunningAttempt) -> InFlightWork {
         let submission = &record.submission;
-        HeldWork {
+        InFlightWork {
             permit: running.permit.id,
             attempt: running.permit.attempt,
             target: running.permit.target.clone(),
--- a/bergamotswitch-core/src/permit.rs
+++ b/bergamotswitch-core/src/permit.rs
@@ -130,10 +130,10 @@
     pub outcome: ReleaseOutcome,
 }
 
-/// A `HeldWork` tells a new owner of work in flight under an earlier owner's
+/// A `InFlightWork` tells a new owner of work in flight under an earlier owner's
 /// permit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeldWork {
+pub struct InFlightWork {
     /// The permit under which it runs.
     pub permit: PermitId,
     /// The attempt.
@@ -196,7 +196,7 @@
         /// The shard.
         shard: PoolShard,
         /// Work in flight.
-        held: Vec<HeldWork>,
+        held: Vec<InFlightWork>,
         /// Keys of requests that must not run twice, kept or in flight.
         claims: Vec<KeyClaim>,
     },
--- a/bergamotswitch-core/src/pool_owner/release.rs
+++ b/bergamotswitch-core/src/pool_owner/release.rs
@@ -5,7 +5,7 @@
 use crate::clock::Moment;
 use crate::host::{HostName, Incarnation};
 use crate::incident::Incident;
-use crate::permit::{HeldWork, KeyClaim, OwnerReply, PermitId, Release, ReleaseOutcome, Usage};
+use crate::permit::{InFlightWork, KeyClaim, OwnerReply, PermitId, Release, ReleaseOutcome, Usage};
 use crate::request::AttemptId;
 use crate::target::TargetName;
 
@@ -58,7 +58,7 @@
         &mut self,
         now: Moment,
         host: HostName,
-        held: Vec<HeldWork>,
+        held: Vec<InFlightWork>,
         claims: &[KeyClaim],
         actions: &mut Vec<OwnerAction>,
     ) {
@@ -91,7 +91,7 @@
         }
     }
 
-    fn take_over(&mut self, now: Moment, host: HostName, work: HeldWork) {
+    fn take_over(&mut self, now: Moment, host: HostName, work: InFlightWork) {
         if self.permits.get(&work.permit).is_some() {
             return;
         }
--- a/bergamotswitch-core/tests/owner_bench/mod.rs
+++ b/bergamotswitch-core/tests/owner_bench/mod.rs
@@ -8,8 +8,8 @@
 pub use bergamotswitch_core::host::{HostIncarnation, Incarnation};
 pub use bergamotswitch_core::name::PoolName;
 pub use bergamotswitch_core::permit::{
-    Ask, HeldWork, KeyClaim, OwnerMessage, OwnerReply, Permit, PermitId, Release, ReleaseOutcome,
-    Usage,
+    Ask, InFlightWork, KeyClaim, OwnerMessage, OwnerReply, Permit, PermitId, Release,
+    ReleaseOutcome, Usage,
 };
 pub use bergamotswitch_core::pool::PoolShard;
 pub use bergamotswitch_core::pool_owner::{
@@ -162,8 +162,8 @@
     }
 }
 
-pub fn held(permit: Permit, ask: &Ask) -> HeldWork {
-    HeldWork {
+pub fn held(permit: Permit, ask: &Ask) -> InFlightWork {
+    InFlightWork {
         permit: permit.id,
         attempt: ask.attempt,
         target: permit.target,
--- a/bergamotswitch/examples/slopes/frames.rs
+++ b/bergamotswitch/examples/slopes/frames.rs
@@ -3,7 +3,7 @@
 use bergamotswitch_core::host::Incarnation;
 use bergamotswitch_core::link::{Heartbeat, LinkMessage};
 use bergamotswitch_core::permit::{
-    HeldWork, OwnerMessage, OwnerReply, Permit, PermitId, Release, ReleaseOutcome, Usage,
+    InFlightWork, OwnerMessage, OwnerReply, Permit, PermitId, Release, ReleaseOutcome, Usage,
 };
 use bergamotswitch_core::refusal::RefusalReason;
 use bergamotswitch_core::revision::{Revision, RevisionMark, RevisionMessage};
@@ -44,9 +44,9 @@
     }
 }
 
-fn held(sequence: u64) -> HeldWork {
+fn held(sequence: u64) -> InFlightWork {
     let ask = ask(LATE + sequence, 17);
-    HeldWork {
+    InFlightWork {
         permit: permit_id(sequence),
         attempt: ask.attempt,
         target: name("drafting-lm-412"),
