--- a/bergamotswitch-core/src/entry/desk/asking.rs
+++ b/bergamotswitch-core/src/entry/desk/asking.rs
@@ -90,7 +90,7 @@
             avoid: record.avoid.clone(),
             preemptible: self.is_preemptible(record),
             claim: self.claim_of(record),
-            patience_ms: patience_of(record),
+            first_answer_ms: patience_of(record),
             quota_units: match record.dispatches {
                 0 => submission.terms.quota_units,
                 // What it took from the quota is taken already.
--- a/bergamotswitch-core/src/permit.rs
+++ b/bergamotswitch-core/src/permit.rs
@@ -60,7 +60,7 @@
     pub claim: Option<KeyClaim>,
     /// The time from its acceptance within which its answer should begin, in
     /// milliseconds; until its deadline where absent.
-    pub patience_ms: Option<u32>,
+    pub first_answer_ms: Option<u32>,
     /// The units that it takes from its account's quota.
     pub quota_units: u32,
 }
--- a/bergamotswitch-core/src/pool_owner/queue.rs
+++ b/bergamotswitch-core/src/pool_owner/queue.rs
@@ -54,7 +54,7 @@
             domains,
             avoid,
             long,
-            aim_ms: ask.patience_ms,
+            aim_ms: ask.first_answer_ms,
         }
     }
 
--- a/bergamotswitch-core/src/pool_owner/refusing.rs
+++ b/bergamotswitch-core/src/pool_owner/refusing.rs
@@ -38,7 +38,7 @@
         if let Some(queued) = self.queue.remove(attempt) {
             self.settle_unused(&queued.ask);
             self.queue.note_fate(self.now, queued.ask.tier, false);
-            let retry_after = match queued.ask.patience_ms {
+            let retry_after = match queued.ask.first_answer_ms {
                 Some(_) => queued.plan.come_back_in(self.now, attempt).max(retry_after),
                 None => retry_after,
             };
--- a/bergamotswitch-core/src/pool_owner/slot_dispatch.rs
+++ b/bergamotswitch-core/src/pool_owner/slot_dispatch.rs
@@ -79,7 +79,7 @@
 
     /// Get whether a run at the chosen target should not end in time.
     fn is_late_at(&self, now: Moment, queued: &QueuedAsk, route: &Route, times: AskTimes) -> bool {
-        if queued.ask.patience_ms.is_none() {
+        if queued.ask.first_answer_ms.is_none() {
             return self.is_too_late(now, queued, route);
         }
         let load = self.targets.get(&route.target);
--- a/bergamotswitch-core/src/pool_owner/wait_plan.rs
+++ b/bergamotswitch-core/src/pool_owner/wait_plan.rs
@@ -54,7 +54,7 @@
     pub fn new(now: Moment, ask: &Ask, first: Duration, run: Duration) -> Self {
         let left = Duration::from_millis(u64::from(ask.deadline_ms));
         let run_until = now.plus(left);
-        let Some(patience_ms) = ask.patience_ms else {
+        let Some(first_answer_ms) = ask.first_answer_ms else {
             return WaitPlan {
                 fresh_until: Moment::NEVER,
                 aim_at: Moment::NEVER,
@@ -63,7 +63,7 @@
                 order: run_until,
             };
         };
-        let patience = Duration::from_millis(u64::from(patience_ms));
+        let patience = Duration::from_millis(u64::from(first_answer_ms));
         let waited = Duration::from_millis(u64::from(ask.waited_ms));
         // An ask that comes anew, to another owner or after a pause, has waited
         // before; its bounds stay where they were.
--- a/bergamotswitch-core/tests/burst_load/mod.rs
+++ b/bergamotswitch-core/tests/burst_load/mod.rs
@@ -148,7 +148,7 @@
         let account = format!("account-{}", sequence.wrapping_mul(7) % ACCOUNTS);
         let mut ask = ask(sequence, tier as u8, &account);
         ask.cost = kind.cost;
-        ask.patience_ms = Some(kind.aim_ms);
+        ask.first_answer_ms = Some(kind.aim_ms);
         ask.deadline_ms = kind.deadline_ms;
         self.tell(now, OwnerMessage::Ask(Box::new(ask)));
     }
--- a/bergamotswitch-core/tests/node_bench/mod.rs
+++ b/bergamotswitch-core/tests/node_bench/mod.rs
@@ -70,7 +70,7 @@
     let submission = submission();
     Ask {
         quota_units: 0,
-        patience_ms: None,
+        first_answer_ms: None,
         attempt: AttemptId {
             request,
             attempt: 0,
--- a/bergamotswitch-core/tests/owner_bench/mod.rs
+++ b/bergamotswitch-core/tests/owner_bench/mod.rs
@@ -71,7 +71,7 @@
 pub fn ask(sequence: u64, tier: u8, account: &str) -> Ask {
     Ask {
         quota_units: 0,
-        patience_ms: None,
+        first_answer_ms: None,
         attempt: attempt_of(ENTRY_RUN, sequence),
         shard: shard(),
         tier: Tier(tier),
--- a/bergamotswitch-core/tests/slot_routing.rs
+++ b/bergamotswitch-core/tests/slot_routing.rs
@@ -14,7 +14,7 @@
 
 fn call(sequence: u64, output: u32) -> Ask {
     let mut call = with_cost(ask(sequence, 1, "a"), 500, output);
-    call.patience_ms = Some(AIM_MS);
+    call.first_answer_ms = Some(AIM_MS);
     call.deadline_ms = 10_000;
     call
 }
--- a/bergamotswitch-net/tests/link_codec.rs
+++ b/bergamotswitch-net/tests/link_codec.rs
@@ -64,7 +64,7 @@
     });
     LinkMessage::ToOwner(OwnerMessage::Ask(Box::new(Ask {
         quota_units: 0,
-        patience_ms: None,
+        first_answer_ms: None,
         attempt: attempt(),
         shard: shard(),
         tier: Tier(0),
--- a/bergamotswitch/examples/slopes/world.rs
+++ b/bergamotswitch/examples/slopes/world.rs
@@ -224,7 +224,7 @@
 pub fn ask(sequence: u64, account_index: usize) -> Ask {
     Ask {
         quota_units: 0,
-        patience_ms: None,
+        first_answer_ms: None,
         attempt: attempt(run_of(1).incarnation, sequence),
         shard: shard(None),
         tier: Tier((sequence % 3) as u8),
