--- a/bergamotswitch-core/src/address.rs
+++ b/bergamotswitch-core/src/address.rs
@@ -24,16 +24,16 @@
 /// short: the first host that comes back should be found soon.
 const EMPTY_LIFETIME_MS: u64 = 1_000;
 
-/// A `CallerMark` tells the callers of one client account apart; it stays
+/// A `CallerHash` tells the callers of one client account apart; it stays
 /// the same for one caller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct CallerMark(pub u64);
+pub struct CallerHash(pub u64);
 
-impl CallerMark {
+impl CallerHash {
     /// Get the mark of the caller that says this of itself, or comes from
     /// this network address.
     pub fn of(text: &str) -> Self {
-        CallerMark(xxh3_64(text.as_bytes()))
+        CallerHash(xxh3_64(text.as_bytes()))
     }
 }
 
@@ -43,7 +43,7 @@
     /// The caller's client account.
     pub account: AccountName,
     /// Which of the account's callers asks.
-    pub caller: CallerMark,
+    pub caller: CallerHash,
     /// The failure domain near the caller, where it says so.
     pub domain: Option<DomainName>,
 }
--- a/bergamotswitch-core/tests/address_answers.rs
+++ b/bergamotswitch-core/tests/address_answers.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashSet};
 
-use bergamotswitch_core::address::{AddressBook, AddressQuery, CallerMark, HostHealth};
+use bergamotswitch_core::address::{AddressBook, AddressQuery, CallerHash, HostHealth};
 use bergamotswitch_core::client_account::AccountName;
 use bergamotswitch_core::failure_domain::DomainName;
 use bergamotswitch_core::host::{EntryHost, HostName, Incarnation, Standing};
@@ -47,7 +47,7 @@
 fn query(account: usize, domain: Option<&str>) -> AddressQuery {
     AddressQuery {
         account: AccountName::try_from(format!("account-{account}")).unwrap(),
-        caller: CallerMark::default(),
+        caller: CallerHash::default(),
         domain: domain.map(|name| DomainName::try_from(name).unwrap()),
     }
 }
@@ -233,7 +233,7 @@
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
     for caller in 0..800 {
         let mut query = query(1, Some("north"));
-        query.caller = CallerMark::of(&format!("10.0.0.{caller}"));
+        query.caller = CallerHash::of(&format!("10.0.0.{caller}"));
         let host = first(&query, &hosts);
         assert_eq!(host, first(&query, &hosts), "a caller stays put");
         *counts.entry(host).or_default() += 1;
--- a/bergamotswitch-core/tests/node_handover.rs
+++ b/bergamotswitch-core/tests/node_handover.rs
@@ -4,7 +4,7 @@
 mod entry_support;
 mod node_bench;
 
-use bergamotswitch_core::address::{AddressQuery, CallerMark};
+use bergamotswitch_core::address::{AddressQuery, CallerHash};
 use bergamotswitch_core::rendezvous;
 use entry_support::*;
 use node_bench::net::*;
@@ -100,7 +100,7 @@
     for number in 0..20 {
         let query = AddressQuery {
             account: name(&format!("account-{number}")),
-            caller: CallerMark::default(),
+            caller: CallerHash::default(),
             domain: None,
         };
         assert_eq!(node.core.address(&query).hosts[0].host, "h1");
--- a/bergamotswitch-core/tests/node_limits.rs
+++ b/bergamotswitch-core/tests/node_limits.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use bergamotswitch_core::address::{AddressQuery, CallerMark};
+use bergamotswitch_core::address::{AddressQuery, CallerHash};
 use bergamotswitch_core::entry::NotSentReason;
 use bergamotswitch_core::incident::Incident;
 use bergamotswitch_core::publication::FleetLimits;
@@ -62,7 +62,7 @@
     AddressQuery {
         account: name(account),
         domain: None,
-        caller: CallerMark::default(),
+        caller: CallerHash::default(),
     }
 }
 
--- a/bergamotswitch-net/src/caller/lookup.rs
+++ b/bergamotswitch-net/src/caller/lookup.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use bergamotswitch_core::address::{AddressQuery, CallerMark};
+use bergamotswitch_core::address::{AddressQuery, CallerHash};
 use bergamotswitch_core::client_account::AccountName;
 use bergamotswitch_core::entry::{OutcomeQuery, OutcomeView};
 use bergamotswitch_core::error::Findings;
@@ -67,16 +67,16 @@
 
 /// Get what tells this caller from others: its own word, or else the network
 /// address that it comes from. Callers behind one address need the word.
-fn caller_mark(req: &Request) -> CallerMark {
+fn caller_mark(req: &Request) -> CallerHash {
     if let Some(word) = req.query::<String>("caller") {
-        return CallerMark::of(&word);
+        return CallerHash::of(&word);
     }
     let address = req.remote_addr();
     let ip = address
         .as_ipv4()
         .map(|address| address.ip().to_string())
         .or_else(|| address.as_ipv6().map(|address| address.ip().to_string()));
-    CallerMark::of(&ip.unwrap_or_default())
+    CallerHash::of(&ip.unwrap_or_default())
 }
 
 impl OutcomeCall {
--- a/bergamotswitch/examples/slopes/fleet_view.rs
+++ b/bergamotswitch/examples/slopes/fleet_view.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use bergamotswitch_core::address::{AddressQuery, CallerMark};
+use bergamotswitch_core::address::{AddressQuery, CallerHash};
 use bergamotswitch_core::host::Incarnation;
 
 use crate::fleet::{BenchFleet, FleetNode, LATE};
@@ -26,7 +26,7 @@
     pub fn address_micros(&self, index: usize) -> f64 {
         let query = AddressQuery {
             account: name(account(7)),
-            caller: CallerMark::default(),
+            caller: CallerHash::default(),
             domain: Some(name(domain_of(index))),
         };
         let node = self.nodes[index].as_ref().expect("a host that runs");
--- a/bergamotswitch/examples/slopes/values.rs
+++ b/bergamotswitch/examples/slopes/values.rs
@@ -1,6 +1,6 @@
 //! Measures published values and address answers.
 
-use bergamotswitch_core::address::{AddressBook, AddressQuery, CallerMark, HostHealth};
+use bergamotswitch_core::address::{AddressBook, AddressQuery, CallerHash, HostHealth};
 use bergamotswitch_core::publication::{Publication, check_cross};
 use bergamotswitch_core::rules::RequestFacts;
 
@@ -94,7 +94,7 @@
         let book = AddressBook::new(&publication);
         let query = AddressQuery {
             account: name(account(7)),
-            caller: CallerMark::default(),
+            caller: CallerHash::default(),
             domain: Some(name(domain_of(3))),
         };
         let health = health(&publication);
