--- a/bergamotswitch-core/src/node/mod.rs
+++ b/bergamotswitch-core/src/node/mod.rs
@@ -29,7 +29,7 @@
 use crate::roster::{RosterAction, RosterMessage};
 use crate::rules::Tier;
 use crate::target::{LoadReport, PoolTarget, TargetName};
-use crate::target_list::TargetNews;
+use crate::target_list::TargetUpdate;
 
 pub use self::core::{NodeCore, NodeOptions, RosterSetup};
 pub use self::exposure::NodeCounts;
@@ -56,7 +56,7 @@
     /// The platform did not answer.
     ReadFailed(ValueName),
     /// The store told of registered targets.
-    Targets(TargetNews),
+    Targets(TargetUpdate),
     /// Another host told what it knows of the fleet.
     Gossip(Box<RosterMessage>),
     /// The seeds of the settings have changed.
--- a/bergamotswitch-core/src/node/news.rs
+++ b/bergamotswitch-core/src/node/news.rs
@@ -10,7 +10,7 @@
     HOSTS_VALUE, PublishedValue, ROUTES_VALUE, RevisionEvent, TARGETS_VALUE, value_name,
 };
 use crate::roster::{MemberFlags, RosterAction, RosterMessage};
-use crate::target_list::TargetNews;
+use crate::target_list::TargetUpdate;
 
 impl NodeCore {
     /// Get when news is due without an event.
@@ -74,7 +74,7 @@
         self.tell_book(now, RevisionEvent::ReadFailed(name));
     }
 
-    pub(super) fn on_target_news(&mut self, now: Moment, news: TargetNews) {
+    pub(super) fn on_target_news(&mut self, now: Moment, news: TargetUpdate) {
         match self.register.take(now, news) {
             true => self.publish_targets(now),
             false => {
--- a/bergamotswitch-core/src/target_list.rs
+++ b/bergamotswitch-core/src/target_list.rs
@@ -54,16 +54,16 @@
     /// The entry is as given.
     Set(TargetEntry),
     /// The entry is gone.
-    Gone(TargetName),
+    Removed(TargetName),
     /// What lies in the entry's place is no registration.
     Unreadable(TargetName),
 }
 
-/// A `TargetNews` is what a read or a watch of the store brought.
+/// A `TargetUpdate` is what a read or a watch of the store brought.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum TargetNews {
+pub enum TargetUpdate {
     /// All entries as of a revision.
-    Whole {
+    Snapshot {
         /// The entries.
         entries: Vec<TargetEntry>,
         /// The names in whose place something lies that is no registration.
@@ -142,18 +142,18 @@
     }
 
     /// Take in news; get whether the list has changed.
-    pub fn take(&mut self, now: Moment, news: TargetNews) -> bool {
+    pub fn take(&mut self, now: Moment, news: TargetUpdate) -> bool {
         if std::mem::take(&mut self.failing) {
             self.hold_until = now.plus(LAPSE_HOLD);
         }
         let before = self.list();
         match news {
-            TargetNews::Whole {
+            TargetUpdate::Snapshot {
                 entries,
                 unreadable,
                 as_of,
             } => self.take_whole(now, entries, unreadable, as_of),
-            TargetNews::Changes { changes, as_of } => self.take_changes(now, changes, as_of),
+            TargetUpdate::Changes { changes, as_of } => self.take_changes(now, changes, as_of),
         }
         self.list() != before
     }
@@ -224,7 +224,7 @@
             }
             match change {
                 TargetChange::Set(entry) => self.set(entry),
-                TargetChange::Gone(name) => self.lapse(now, &name),
+                TargetChange::Removed(name) => self.lapse(now, &name),
                 TargetChange::Unreadable(name) => self.set_unreadable(name),
             }
         }
--- a/bergamotswitch-core/tests/target_register.rs
+++ b/bergamotswitch-core/tests/target_register.rs
@@ -2,7 +2,7 @@
 
 use bergamotswitch_core::clock::Moment;
 use bergamotswitch_core::host::Standing;
-use bergamotswitch_core::target_list::{TargetChange, TargetEntry, TargetNews, TargetRegister};
+use bergamotswitch_core::target_list::{TargetChange, TargetEntry, TargetRegister, TargetUpdate};
 
 fn entry(name: &str) -> TargetEntry {
     TargetEntry {
@@ -17,18 +17,18 @@
     }
 }
 
-fn whole(names: &[&str], as_of: u64) -> TargetNews {
-    TargetNews::Whole {
+fn whole(names: &[&str], as_of: u64) -> TargetUpdate {
+    TargetUpdate::Snapshot {
         entries: names.iter().map(|name| entry(name)).collect(),
         unreadable: Vec::new(),
         as_of,
     }
 }
 
-fn gone(name: &str, revision: u64) -> TargetNews {
+fn gone(name: &str, revision: u64) -> TargetUpdate {
     let name = name.to_owned().try_into().expect("name");
-    TargetNews::Changes {
-        changes: vec![(revision, TargetChange::Gone(name))],
+    TargetUpdate::Changes {
+        changes: vec![(revision, TargetChange::Removed(name))],
         as_of: revision,
     }
 }
@@ -51,7 +51,7 @@
     assert_eq!(names(&register), ["b"]);
     // An answer that was overtaken changes nothing.
     assert!(!register.take(at(3), whole(&["a", "b"], 11)));
-    let late = TargetNews::Changes {
+    let late = TargetUpdate::Changes {
         changes: vec![(9, TargetChange::Set(entry("c")))],
         as_of: 12,
     };
@@ -71,7 +71,7 @@
     assert!(!register.take(at(5_000), whole(&[], 14)));
     assert_eq!(names(&register), ["a", "b"]);
     // One is back, the other one is not.
-    let back = TargetNews::Changes {
+    let back = TargetUpdate::Changes {
         changes: vec![(15, TargetChange::Set(entry("a")))],
         as_of: 15,
     };
@@ -104,8 +104,8 @@
     }
 }
 
-fn changed(change: TargetChange, revision: u64) -> TargetNews {
-    TargetNews::Changes {
+fn changed(change: TargetChange, revision: u64) -> TargetUpdate {
+    TargetUpdate::Changes {
         changes: vec![(revision, change)],
         as_of: revision,
     }
@@ -146,7 +146,7 @@
     register.take(at(0), whole(&["a", "b"], 10));
     assert!(register.take(at(1), changed(unreadable("a"), 11)));
     assert_eq!(names(&register), ["b"]);
-    let all = TargetNews::Whole {
+    let all = TargetUpdate::Snapshot {
         entries: Vec::new(),
         unreadable: vec!["b".to_owned().try_into().expect("name")],
         as_of: 12,
--- a/bergamotswitch-net/src/input.rs
+++ b/bergamotswitch-net/src/input.rs
@@ -10,7 +10,7 @@
 use bergamotswitch_core::roster::RosterMessage;
 use bergamotswitch_core::settings::HostSettings;
 use bergamotswitch_core::target::{LoadReport, TargetName};
-use bergamotswitch_core::target_list::TargetNews;
+use bergamotswitch_core::target_list::TargetUpdate;
 use bergamotswitch_core::{request::PrefixHash, rules::Tier};
 use bytes::Bytes;
 use tokio::sync::{mpsc, oneshot};
@@ -85,7 +85,7 @@
     /// The platform's news.
     Platform(PlatformEvent),
     /// The store told of registered targets.
-    Targets(TargetNews),
+    Targets(TargetUpdate),
     /// Another host told what it knows of the fleet.
     Gossip(Box<RosterMessage>),
     /// The settings file has changed.
--- a/bergamotswitch-net/src/store_source/mod.rs
+++ b/bergamotswitch-net/src/store_source/mod.rs
@@ -15,7 +15,7 @@
 use bergamotswitch_core::revision::{
     PublishedValue, ROUTES_VALUE, Revision, TARGETS_VALUE, ValueName,
 };
-use bergamotswitch_core::target_list::{TargetChange, TargetNews};
+use bergamotswitch_core::target_list::{TargetChange, TargetUpdate};
 use bergamotswitch_platform::store::{StoreChange, StoreItem};
 use bergamotswitch_platform::{config, registration};
 use tokio::sync::Mutex;
@@ -126,7 +126,7 @@
     NodeInput::Platform(PlatformEvent::Failed(name.clone()))
 }
 
-fn target_news(news: StoreNews, unread: &mut UnreadEntries) -> TargetNews {
+fn target_news(news: StoreNews, unread: &mut UnreadEntries) -> TargetUpdate {
     match news {
         StoreNews::Whole { items, as_of } => {
             let mut entries = Vec::with_capacity(items.len());
@@ -137,13 +137,13 @@
                     Err(name) => unreadable.extend(name),
                 }
             }
-            TargetNews::Whole {
+            TargetUpdate::Snapshot {
                 entries,
                 unreadable,
                 as_of,
             }
         }
-        StoreNews::Changes { changes, as_of } => TargetNews::Changes {
+        StoreNews::Changes { changes, as_of } => TargetUpdate::Changes {
             changes: changes
                 .iter()
                 .filter_map(|change| change_of(change, unread))
@@ -165,7 +165,7 @@
         StoreChange::Removed { key, revision } => {
             unread.forget(key);
             let name = registration::target_name(key)?;
-            Some((*revision, TargetChange::Gone(name)))
+            Some((*revision, TargetChange::Removed(name)))
         }
     }
 }
