--- a/bergamotswitch-core/src/node/news.rs
+++ b/bergamotswitch-core/src/node/news.rs
@@ -24,7 +24,7 @@
 
     /// Do what is due, and tell the others this host's state.
     pub(super) fn review_news(&mut self, now: Moment) {
-        if self.register.drop_lapsed(now) {
+        if self.register.drop_expired(now) {
             self.publish_targets(now);
         }
         let flags = MemberFlags {
@@ -69,13 +69,13 @@
 
     pub(super) fn on_read_failed(&mut self, now: Moment, name: ValueName) {
         if name.as_str() == TARGETS_VALUE {
-            self.register.note_failure();
+            self.register.record_failure();
         }
         self.tell_book(now, RevisionEvent::ReadFailed(name));
     }
 
     pub(super) fn on_target_news(&mut self, now: Moment, news: TargetUpdate) {
-        match self.register.take(now, news) {
+        match self.register.apply(now, news) {
             true => self.publish_targets(now),
             false => {
                 let name = value_name(TARGETS_VALUE);
--- a/bergamotswitch-core/src/target_list.rs
+++ b/bergamotswitch-core/src/target_list.rs
@@ -137,12 +137,12 @@
     }
 
     /// Note that a call failed.
-    pub fn note_failure(&mut self) {
+    pub fn record_failure(&mut self) {
         self.failing = true;
     }
 
     /// Take in news; get whether the list has changed.
-    pub fn take(&mut self, now: Moment, news: TargetUpdate) -> bool {
+    pub fn apply(&mut self, now: Moment, news: TargetUpdate) -> bool {
         if std::mem::take(&mut self.failing) {
             self.hold_until = now.plus(LAPSE_HOLD);
         }
@@ -159,7 +159,7 @@
     }
 
     /// Drop lapsed entries whose time is over; get whether there were any.
-    pub fn drop_lapsed(&mut self, now: Moment) -> bool {
+    pub fn drop_expired(&mut self, now: Moment) -> bool {
         if self.lapsed.is_empty() || now < self.hold_until {
             return false;
         }
@@ -168,7 +168,7 @@
         true
     }
 
-    /// Get when [`TargetRegister::drop_lapsed`] is due.
+    /// Get when [`TargetRegister::drop_expired`] is due.
     pub fn next_due(&self) -> Moment {
         match self.lapsed.is_empty() {
             true => Moment::NEVER,
--- a/bergamotswitch-core/tests/target_register.rs
+++ b/bergamotswitch-core/tests/target_register.rs
@@ -45,17 +45,17 @@
 #[test]
 fn reads_and_changes() {
     let mut register = TargetRegister::default();
-    assert!(register.take(at(0), whole(&["a", "b"], 10)));
-    assert!(!register.take(at(1), whole(&["a", "b"], 12)));
-    assert!(register.take(at(2), gone("a", 13)));
+    assert!(register.apply(at(0), whole(&["a", "b"], 10)));
+    assert!(!register.apply(at(1), whole(&["a", "b"], 12)));
+    assert!(register.apply(at(2), gone("a", 13)));
     assert_eq!(names(&register), ["b"]);
     // An answer that was overtaken changes nothing.
-    assert!(!register.take(at(3), whole(&["a", "b"], 11)));
+    assert!(!register.apply(at(3), whole(&["a", "b"], 11)));
     let late = TargetUpdate::Changes {
         changes: vec![(9, TargetChange::Set(entry("c")))],
         as_of: 12,
     };
-    assert!(!register.take(at(4), late));
+    assert!(!register.apply(at(4), late));
     assert_eq!(names(&register), ["b"]);
 }
 
@@ -66,19 +66,19 @@
 #[test]
 fn lapsed_entries() {
     let mut register = TargetRegister::default();
-    register.take(at(0), whole(&["a", "b"], 10));
-    register.note_failure();
-    assert!(!register.take(at(5_000), whole(&[], 14)));
+    register.apply(at(0), whole(&["a", "b"], 10));
+    register.record_failure();
+    assert!(!register.apply(at(5_000), whole(&[], 14)));
     assert_eq!(names(&register), ["a", "b"]);
     // One is back, the other one is not.
     let back = TargetUpdate::Changes {
         changes: vec![(15, TargetChange::Set(entry("a")))],
         as_of: 15,
     };
-    register.take(at(6_000), back);
+    register.apply(at(6_000), back);
     let before = register.revision();
-    assert!(!register.drop_lapsed(at(7_000)));
-    assert!(register.drop_lapsed(at(7_300)));
+    assert!(!register.drop_expired(at(7_000)));
+    assert!(register.drop_expired(at(7_300)));
     assert_eq!(names(&register), ["a"]);
     assert!(register.revision() > before);
 }
@@ -87,11 +87,11 @@
 #[test]
 fn adopted_list() {
     let mut reader = TargetRegister::default();
-    reader.take(at(0), whole(&["a", "b"], 10));
+    reader.apply(at(0), whole(&["a", "b"], 10));
     let mut other = TargetRegister::default();
     other.adopt(reader.revision(), &reader.list());
     assert_eq!(names(&other), ["a", "b"]);
-    other.take(at(1), gone("a", 11));
+    other.apply(at(1), gone("a", 11));
     other.adopt(reader.revision(), &reader.list());
     assert_eq!(names(&other), ["b"]);
 }
@@ -126,13 +126,13 @@
 #[test]
 fn late_registration() {
     let mut register = TargetRegister::default();
-    register.take(at(0), changed(TargetChange::Set(started("a", 100, 80)), 10));
-    register.take(at(1), changed(TargetChange::Set(started("a", 200, 81)), 11));
-    assert!(!register.take(at(2), changed(TargetChange::Set(started("a", 100, 80)), 12)));
+    register.apply(at(0), changed(TargetChange::Set(started("a", 100, 80)), 10));
+    register.apply(at(1), changed(TargetChange::Set(started("a", 200, 81)), 11));
+    assert!(!register.apply(at(2), changed(TargetChange::Set(started("a", 100, 80)), 12)));
     assert_eq!(ports(&register), [81]);
     assert_eq!(register.list().targets[0].started_at_ms, Some(200));
     // A count of writes that begins anew is no sign of age, a start is.
-    assert!(register.take(at(3), changed(TargetChange::Set(started("a", 300, 82)), 13)));
+    assert!(register.apply(at(3), changed(TargetChange::Set(started("a", 300, 82)), 13)));
     assert_eq!(ports(&register), [82]);
 }
 
@@ -143,8 +143,8 @@
 #[test]
 fn overwritten_entry() {
     let mut register = TargetRegister::default();
-    register.take(at(0), whole(&["a", "b"], 10));
-    assert!(register.take(at(1), changed(unreadable("a"), 11)));
+    register.apply(at(0), whole(&["a", "b"], 10));
+    assert!(register.apply(at(1), changed(unreadable("a"), 11)));
     assert_eq!(names(&register), ["b"]);
     let all = TargetUpdate::Snapshot {
         entries: Vec::new(),
@@ -152,11 +152,11 @@
         as_of: 12,
     };
     // Just after an outage, when entries that are gone are still counted on.
-    register.note_failure();
-    assert!(register.take(at(2), all));
+    register.record_failure();
+    assert!(register.apply(at(2), all));
     assert!(names(&register).is_empty());
     // Its target writes again.
-    register.take(at(3), changed(TargetChange::Set(entry("a")), 13));
+    register.apply(at(3), changed(TargetChange::Set(entry("a")), 13));
     assert_eq!(names(&register), ["a"]);
 }
 
@@ -167,16 +167,16 @@
 #[test]
 fn start_kept() {
     let mut register = TargetRegister::default();
-    register.take(at(0), changed(TargetChange::Set(started("a", 200, 81)), 10));
-    register.take(at(1), changed(unreadable("a"), 11));
-    register.take(at(2), changed(TargetChange::Set(started("a", 100, 80)), 12));
+    register.apply(at(0), changed(TargetChange::Set(started("a", 200, 81)), 10));
+    register.apply(at(1), changed(unreadable("a"), 11));
+    register.apply(at(2), changed(TargetChange::Set(started("a", 100, 80)), 12));
     assert!(names(&register).is_empty());
-    register.take(at(3), changed(TargetChange::Set(started("a", 200, 81)), 13));
+    register.apply(at(3), changed(TargetChange::Set(started("a", 200, 81)), 13));
     assert_eq!(ports(&register), [81]);
     // One that told its start always does: this is another writer.
-    register.take(at(4), changed(TargetChange::Set(entry("a")), 14));
+    register.apply(at(4), changed(TargetChange::Set(entry("a")), 14));
     assert!(names(&register).is_empty());
-    register.take(at(5), gone("a", 15));
-    register.take(at(6), changed(TargetChange::Set(entry("a")), 16));
+    register.apply(at(5), gone("a", 15));
+    register.apply(at(6), changed(TargetChange::Set(entry("a")), 16));
     assert_eq!(names(&register), ["a"]);
 }
