--- a/bergamotswitch-core/src/incident.rs
+++ b/bergamotswitch-core/src/incident.rs
@@ -60,7 +60,7 @@
     /// The host has stopped.
     HostStopped = 103, Info, "host stopped";
     /// The process was paused.
-    PauseNoticed = 104, Warn, "process was paused, checking everything again";
+    PauseDetected = 104, Warn, "process was paused, checking everything again";
     /// Changed settings are in force.
     SettingsReloaded = 105, Info, "settings reloaded";
     /// Changed settings cannot be used.
@@ -68,7 +68,7 @@
     /// Log lines were left out.
     LinesDropped = 107, Warn, "log lines left out";
     /// A stopping host takes no further callers.
-    DoorShut = 108, Info, "no further callers taken";
+    AdmissionClosed = 108, Info, "no further callers taken";
     /// The time that a planned stop may last is nearly over.
     GraceEnding = 109, Warn, "grace nearly over, requests still open";
     /// A request was refused.
@@ -90,7 +90,7 @@
     /// This host now acts as owner.
     OwnershipTaken = 300, Warn, "acting as owner of shard";
     /// This host no longer acts as owner.
-    OwnershipLeft = 301, Info, "no longer owner of shard";
+    OwnershipReleased = 301, Info, "no longer owner of shard";
     /// An owner takes work off a target that fails or has slowed.
     TargetBackedOff = 302, Warn, "target backed off";
     /// A leaked permit was taken back by audit.
@@ -110,7 +110,7 @@
     /// The service cannot be read.
     ServiceUnreachable = 503, Warn, "configuration service unreachable";
     /// Started without a peer that could vouch for the revisions.
-    StartedAlone = 504, Warn, "started alone, service may be stale";
+    StartedWithoutPeer = 504, Warn, "started alone, service may be stale";
     /// Keys are not relied on any more.
     KeysUnconfirmed = 505, Warn, "newest routes not confirmed in time, keys not relied on";
     /// Keys are relied on again.
@@ -128,5 +128,5 @@
     /// A target's answer was not whole or not its own.
     AnswerRejected = 701, Error, "answer not whole or crossed";
     /// A stream that has begun pauses for so long that its target may be gone.
-    StreamPaused = 702, Info, "stream pauses";
+    StreamStalled = 702, Info, "stream pauses";
 }
--- a/bergamotswitch-core/src/node/carry_out.rs
+++ b/bergamotswitch-core/src/node/carry_out.rs
@@ -146,7 +146,7 @@
     fn on_act(&mut self, now: Moment, shard: PoolShard, act: bool) {
         let incident = match act {
             true => Incident::OwnershipTaken,
-            false => Incident::OwnershipLeft,
+            false => Incident::OwnershipReleased,
         };
         let text = format!("shard={shard}");
         self.actions.push(NodeAction::Note(incident, text));
--- a/bergamotswitch-core/src/node/core.rs
+++ b/bergamotswitch-core/src/node/core.rs
@@ -251,7 +251,7 @@
         }
         let text = format!("slept_ms={}", gap.as_millis());
         self.actions
-            .push(NodeAction::Note(Incident::PauseNoticed, text));
+            .push(NodeAction::Note(Incident::PauseDetected, text));
         self.wake_roster(now);
         self.tell_membership(now, MembershipEvent::Woke(gap));
         self.key_guards.restart(now);
--- a/bergamotswitch-core/src/revision/book.rs
+++ b/bergamotswitch-core/src/revision/book.rs
@@ -358,7 +358,7 @@
         }
         self.alone_noted = true;
         if let Some(name) = self.opts.values.first() {
-            let note = RevisionAction::Note(Incident::StartedAlone, name.clone());
+            let note = RevisionAction::Note(Incident::StartedWithoutPeer, name.clone());
             actions.push(note);
         }
     }
--- a/bergamotswitch-core/tests/fleet_world/mod.rs
+++ b/bergamotswitch-core/tests/fleet_world/mod.rs
@@ -318,14 +318,16 @@
 
     fn note(&mut self, host: usize, incident: Incident, text: &str) {
         match incident {
-            Incident::OwnershipTaken | Incident::OwnershipLeft | Incident::DegradedAdmission => {
+            Incident::OwnershipTaken
+            | Incident::OwnershipReleased
+            | Incident::DegradedAdmission => {
                 let order = (host, text.to_owned());
                 self.turn(order.clone());
                 if incident == Incident::OwnershipTaken {
                     self.count("takeovers");
                     self.acting.insert(order.clone());
                 }
-                if incident == Incident::OwnershipLeft {
+                if incident == Incident::OwnershipReleased {
                     self.acting.remove(&order);
                 }
                 if incident == Incident::DegradedAdmission {
@@ -333,7 +335,7 @@
                 }
             }
             Incident::RequestLost => self.count("lost requests"),
-            Incident::PauseNoticed => self.count("pauses noticed"),
+            Incident::PauseDetected => self.count("pauses noticed"),
             Incident::RevisionRefused => self.count("revisions refused"),
             Incident::RevisionStale => self.count("stale reads"),
             _ => {}
--- a/bergamotswitch-core/tests/revision_adoption.rs
+++ b/bergamotswitch-core/tests/revision_adoption.rs
@@ -36,7 +36,7 @@
     assert_eq!(net.forces(RULES_VALUE), (1, 1));
     assert!(net.nodes[&host(0)].book.standing().alone);
     assert!(net.nodes[&host(0)].book.is_caught_up(net.now));
-    assert_eq!(net.noted(Incident::StartedAlone), 1);
+    assert_eq!(net.noted(Incident::StartedWithoutPeer), 1);
 }
 
 #[test]
--- a/bergamotswitch-net/src/node/drive/stopping.rs
+++ b/bergamotswitch-net/src/node/drive/stopping.rs
@@ -51,7 +51,7 @@
                 if let CallerDoor::Api(_) = self.callers {
                     self.handle(NodeEvent::DoorShut);
                 }
-                self.note_stop(Incident::DoorShut, &times);
+                self.note_stop(Incident::AdmissionClosed, &times);
             }
             StopPhase::Over(times) => {
                 self.take_waiting();
--- a/bergamotswitch-net/src/target_client/routed_call.rs
+++ b/bergamotswitch-net/src/target_client/routed_call.rs
@@ -300,7 +300,7 @@
                 Ok(Some(Err(_))) => break "stream cut off",
                 Err(_) if has_begun => {
                     self.context
-                        .note(Incident::StreamPaused, "no event in time");
+                        .note(Incident::StreamStalled, "no event in time");
                     report.step(AttemptEvent::Silent);
                 }
                 Err(_) => break "silent stream",
