--- a/bergamotswitch-core/src/address.rs
+++ b/bergamotswitch-core/src/address.rs
@@ -194,14 +194,14 @@
 
 fn caller_address(health: &HostHealth) -> CallerAddress {
     let host = &health.host;
-    let run = health.incarnation.map(|incarnation| HostIncarnation {
+    let incarnation = health.incarnation.map(|incarnation| HostIncarnation {
         host: host.name.clone(),
         incarnation,
     });
     CallerAddress {
         host: host.name.to_string(),
         address: host.caller_address,
-        incarnation: run.map(|run| run.to_string()),
+        incarnation: incarnation.map(|incarnation| incarnation.to_string()),
     }
 }
 
--- a/bergamotswitch-core/src/host.rs
+++ b/bergamotswitch-core/src/host.rs
@@ -58,17 +58,17 @@
     pub incarnation: Incarnation,
 }
 
-/// A `TokenError` says that a text is no host incarnation.
+/// A `HostIncarnationError` says that a text is no host incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TokenError;
+pub struct HostIncarnationError;
 
-impl fmt::Display for TokenError {
+impl fmt::Display for HostIncarnationError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "an incarnation is written host~32 hex digits")
     }
 }
 
-impl std::error::Error for TokenError {}
+impl std::error::Error for HostIncarnationError {}
 
 impl fmt::Display for HostIncarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -77,17 +77,17 @@
 }
 
 impl TryFrom<&str> for HostIncarnation {
-    type Error = TokenError;
+    type Error = HostIncarnationError;
 
-    fn try_from(text: &str) -> Result<Self, TokenError> {
-        let (name, digits) = text.split_once('~').ok_or(TokenError)?;
+    fn try_from(text: &str) -> Result<Self, HostIncarnationError> {
+        let (name, digits) = text.split_once('~').ok_or(HostIncarnationError)?;
         // The parser below would also take a sign in a digit's place.
         let all_digits = digits.bytes().all(|byte| byte.is_ascii_hexdigit());
         if digits.len() != 32 || !all_digits {
-            return Err(TokenError);
+            return Err(HostIncarnationError);
         }
-        let host = HostName::try_from(name).map_err(|_| TokenError)?;
-        let number = u128::from_str_radix(digits, 16).map_err(|_| TokenError)?;
+        let host = HostName::try_from(name).map_err(|_| HostIncarnationError)?;
+        let number = u128::from_str_radix(digits, 16).map_err(|_| HostIncarnationError)?;
         Ok(HostIncarnation {
             host,
             incarnation: Incarnation(number),
