--- a/bergamotswitch-core/src/address.rs
+++ b/bergamotswitch-core/src/address.rs
@@ -1,11 +1,11 @@
-//! Provides address answers: which host a caller should use.
+//! Provides host discovery: the choice of the hosts to which a caller connects.
 //!
-//! No balancer stands before the hosts, so the answers are what spreads
-//! callers. Each caller is sent to the same host while it is well, whichever
-//! host answers, so that a keyed retry with a fresh answer meets the host that
-//! holds the request. Callers of one client account are spread: warm prefixes
-//! are kept by a shard's owner, so nothing is gained where they meet, and an
-//! account of many callers would crowd one host.
+//! There is no load balancer in front of the hosts, so these answers distribute
+//! the callers. Every host gives a caller the same answer as long as the chosen
+//! host is healthy, so that a retry with an idempotency key reaches the host
+//! that holds the request. The callers of one client account are distributed
+//! over the hosts: prefix affinity is decided by a shard's owner, so sending
+//! them to one host gains nothing and could overload it.
 
 use std::cmp::Reverse;
 use std::collections::HashSet;
@@ -20,81 +20,80 @@
 use crate::publication::{DomainBook, FleetLimits, Publication};
 use crate::rendezvous;
 
-/// How long an answer without a host may be kept, in milliseconds. It is
-/// short: the first host that comes back should be found soon.
+/// How long a caller may cache an answer that names no host, in milliseconds.
+/// Short, so that callers soon find the first host that recovers.
 const EMPTY_LIFETIME_MS: u64 = 1_000;
 
-/// A `CallerHash` tells the callers of one client account apart; it stays
-/// the same for one caller.
+/// A `CallerHash` identifies one caller within its client account. It is the
+/// same for every query of that caller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct CallerHash(pub u64);
 
 impl CallerHash {
-    /// Get the mark of the caller that says this of itself, or comes from
-    /// this network address.
+    /// Get the hash of a caller's own identifier or of its network address.
     pub fn of(text: &str) -> Self {
         CallerHash(xxh3_64(text.as_bytes()))
     }
 }
 
-/// An `AddressQuery` is a caller's question which host to use.
+/// An `AddressQuery` is a caller's request for hosts to connect to.
 #[derive(Clone, Debug)]
 pub struct AddressQuery {
     /// The caller's client account.
     pub account: AccountName,
-    /// Which of the account's callers asks.
+    /// The caller within that account.
     pub caller: CallerHash,
-    /// The failure domain near the caller, where it says so.
+    /// The failure domain nearest to the caller, if the caller gave one.
     pub domain: Option<DomainName>,
 }
 
-/// A `CallerAddress` is one host that a caller may use.
+/// A `CallerAddress` is a host in an [`AddressAnswer`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerAddress {
     /// The host's name.
     pub host: String,
-    /// Where to connect.
+    /// The address to connect to.
     pub address: SocketAddr,
-    /// Its run (`host~hex`), where the answering host knows it.
+    /// The host's incarnation as `host~hex`, if the answering host knows it.
     pub incarnation: Option<String>,
 }
 
-/// An `AddressAnswer` tells a caller which host to use.
+/// An `AddressAnswer` lists the hosts that a caller may connect to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AddressAnswer {
     /// The hosts, best first.
     pub hosts: Vec<CallerAddress>,
-    /// How long the answer may be kept, in milliseconds.
+    /// How long the caller may cache the answer, in milliseconds.
     pub lifetime_ms: u64,
 }
 
-/// A `HostHealth` is what the answering host knows of one host, itself
-/// included.
+/// A `HostHealth` is the state of one host as seen by the answering host,
+/// which also has one for itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HostHealth {
-    /// The host, as in the host list.
+    /// The host's entry in the host list.
     pub host: EntryHost,
-    /// Its run, where it is known.
+    /// The host's incarnation, if known.
     pub incarnation: Option<Incarnation>,
-    /// Whether it can be reached; unknown where this host does not watch it.
+    /// Whether the host is reachable; `None` if it is not monitored here.
     pub reachable: Option<bool>,
-    /// Whether it said that it is stopping.
+    /// Whether the host announced a planned stop.
     pub stopping: bool,
-    /// Its load in thousandths of what it can carry; 0 where unknown.
+    /// The host's load in thousandths of its capacity; 0 if unknown.
     pub load_permille: u16,
 }
 
 impl HostHealth {
-    /// Get whether a caller may be sent there. A host that is not watched
-    /// counts as reachable: a host watches few others, and one that sent
-    /// callers only to those would crowd them.
+    /// Get whether callers may be sent to the host. An unmonitored host counts
+    /// as reachable: each host monitors only a few others, and answers that
+    /// named only those would overload them.
     pub(crate) fn is_usable(&self) -> bool {
         let live = self.host.standing == Standing::Live;
         live && !self.stopping && self.reachable != Some(false)
     }
 }
 
-/// A `Distance` is how far a host stands from a caller.
+/// A `Distance` is how far a host is from a caller, nearest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Distance {
     SameDomain,
@@ -102,7 +101,7 @@
     Elsewhere,
 }
 
-/// A `HostRank` orders the hosts for one caller, the best first.
+/// A `HostRank` is the sort key of a host for one caller, best first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct HostRank {
     overloaded: bool,
@@ -110,7 +109,7 @@
     score: Reverse<u64>,
 }
 
-/// An `AddressBook` decides which hosts a caller is told to use.
+/// An `AddressBook` chooses the hosts for callers under the published values.
 #[derive(Clone, Copy, Debug)]
 pub struct AddressBook<'p> {
     domains: &'p DomainBook,
@@ -118,7 +117,7 @@
 }
 
 impl<'p> AddressBook<'p> {
-    /// Get the book under the published values.
+    /// Get the address book for a set of published values.
     pub fn new(publication: &'p Publication) -> Self {
         AddressBook {
             domains: &publication.domains,
@@ -126,12 +125,12 @@
         }
     }
 
-    /// Get the answer to a caller, given what is known of the hosts.
+    /// Get the answer to a query, given the state of all hosts.
     ///
-    /// Leaving, stopping and unreachable hosts are never named. Overloaded
-    /// ones come last, then nearness decides, then the rendezvous hash of
-    /// account, caller, its failure domain and host: when a host goes, only
-    /// its own callers move.
+    /// Hosts that are leaving, stopping or unreachable are left out. The others
+    /// are ordered by overload (overloaded hosts last), by distance, and by the
+    /// rendezvous hash of client account, caller, the caller's failure domain
+    /// and host. When a host leaves, only the callers assigned to it move.
     pub fn answer(&self, query: &AddressQuery, hosts: &[HostHealth]) -> AddressAnswer {
         let mut usable: Vec<&HostHealth> = hosts.iter().filter(|host| host.is_usable()).collect();
         let key = rendezvous_key(query);
@@ -157,7 +156,7 @@
 
     fn distance(&self, caller: Option<&DomainName>, host: &DomainName) -> Distance {
         let Some(caller) = caller else {
-            // A caller that does not say where it is has no near host.
+            // Without the caller's failure domain, all hosts are equally far.
             return Distance::Elsewhere;
         };
         if caller == host {
@@ -170,9 +169,9 @@
     }
 }
 
-/// Get the first `count` hosts of `ranked`, but as many failure domains as
-/// possible: alternatives that fail together with the first are none. The
-/// order of the ranks stays.
+/// Get `count` hosts of `ranked` that cover as many failure domains as
+/// possible, in the order of their ranks. A host in the same failure domain as
+/// the first is no fallback for it.
 fn spread_over_domains<'h>(ranked: &[&'h HostHealth], count: usize) -> Vec<&'h HostHealth> {
     let mut seen = HashSet::new();
     let (first_of_domain, further): (Vec<usize>, Vec<usize>) =
@@ -183,8 +182,8 @@
     chosen.into_iter().map(|index| ranked[index]).collect()
 }
 
-/// Get the key for which the hosts are ranked. No name holds a zero byte, so
-/// two different keys never run together.
+/// Get the rendezvous key of a query. Names contain no zero byte, so different
+/// queries never produce the same key.
 fn rendezvous_key(query: &AddressQuery) -> Vec<u8> {
     let domain = query.domain.as_ref().map_or("", DomainName::as_str);
     let mut key = [query.account.as_str(), domain, ""].join("\0").into_bytes();
@@ -205,9 +204,10 @@
     }
 }
 
-/// Get the caller addresses of up to `most` hosts, those of the caller's own
-/// failure domain first. Where there are more, half of the places are for
-/// hosts elsewhere: when a whole domain dies, its callers still hold others.
+/// Get the caller addresses of up to `most` hosts, those in the caller's own
+/// failure domain first. If there are more than `most`, up to half of the
+/// addresses are in other failure domains, so that callers still have usable
+/// addresses when their own domain fails.
 pub fn near_first(
     hosts: &[EntryHost],
     domain: Option<&DomainName>,
--- a/bergamotswitch-core/src/client_account.rs
+++ b/bergamotswitch-core/src/client_account.rs
@@ -1,4 +1,4 @@
-//! Provides client accounts: who sends requests, and by which key.
+//! Provides client accounts and the hashes of their bearer keys.
 
 use std::fmt;
 
@@ -9,12 +9,12 @@
 pub use crate::name::AccountName;
 
 /// A `KeyHash` is the SHA-256 of a bearer key, written as 64 hex digits. The
-/// configuration carries it in place of the key, which it never shows.
+/// configuration holds this hash, never the key itself.
 #[derive(Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct KeyHash([u8; 32]);
 
-/// A `KeyHashError` says that a text is no key hash.
+/// A `KeyHashError` is returned for a text that is not a key hash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyHashError;
 
@@ -33,12 +33,12 @@
     }
 
     /// Get whether this is the hash of `key`, in constant time: a comparison
-    /// that stops at the first difference tells a guesser how far it got.
+    /// that stops at the first difference would leak the length of the match.
     pub fn matches(&self, key: &str) -> bool {
         self.same(&KeyHash::of(key))
     }
 
-    /// Get whether both are the same hash, in constant time.
+    /// Get whether both hashes are equal, in constant time.
     pub fn same(&self, other: &KeyHash) -> bool {
         self.0.ct_eq(&other.0).into()
     }
@@ -54,7 +54,7 @@
     type Error = KeyHashError;
 
     fn try_from(text: String) -> Result<Self, KeyHashError> {
-        // `from_str_radix` takes a sign, so the digits are checked first.
+        // `from_str_radix` also accepts a leading sign.
         let all_digits = text.bytes().all(|byte| byte.is_ascii_hexdigit());
         if text.len() != 64 || !all_digits {
             return Err(KeyHashError);
@@ -74,12 +74,13 @@
     }
 }
 
-/// A `ClientAccount` is one party that sends requests.
+/// A `ClientAccount` is a customer that sends requests, identified by its
+/// bearer key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClientAccount {
     /// The account's name.
     pub name: AccountName,
-    /// The hash of its bearer key.
+    /// The hash of the account's bearer key.
     pub key_hash: KeyHash,
 }
--- a/bergamotswitch-core/src/contract.rs
+++ b/bergamotswitch-core/src/contract.rs
@@ -1,20 +1,22 @@
-//! Provides target contracts: what a target promises to honour.
+//! Provides target contracts: the optional capabilities of a target.
 
 use serde::{Deserialize, Serialize};
 
-/// A `TargetContract` says what a target honours. Every promise defaults to
-/// absent: what a contract does not say may not be relied on.
+/// A `TargetContract` lists the optional capabilities that a target supports.
+/// Each one defaults to unsupported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TargetContract {
-    /// It refuses an order that carries an older fencing number.
+    /// Whether the target rejects commands with an outdated fencing token.
     pub checks_fencing: bool,
-    /// It resumes a stream by its id and offset without a second run.
+    /// Whether the target resumes a stream by its id and offset without running
+    /// the request again.
     pub resumes: bool,
-    /// It stops a stream on request.
+    /// Whether the target cancels a stream on request.
     pub cancels: bool,
-    /// A refusal (429 or 503) proves that the request was not run.
+    /// Whether a 429 or 503 from the target proves that the request was not
+    /// executed.
     pub refusal_means_not_run: bool,
-    /// It exports and imports KV cache.
+    /// Whether the target exports and imports KV cache.
     pub moves_cache: bool,
 }
--- a/bergamotswitch-core/src/error.rs
+++ b/bergamotswitch-core/src/error.rs
@@ -1,16 +1,16 @@
-//! Provides findings: faults of an input, each with its place, reported
-//! together.
+//! Provides validation findings: all errors in an input document, each with
+//! its location.
 
 use std::fmt;
 
-/// A `Finding` is one fault of an input.
+/// A `Finding` is one validation error in an input document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// The JSON pointer (RFC 6901) of the faulty place, under the input's name.
+    /// The location of the error: the input's name and a JSON pointer (RFC 6901).
     pub place: String,
-    /// What stands there.
+    /// The value found there.
     pub found: String,
-    /// What may stand there.
+    /// The values allowed there.
     pub allowed: String,
 }
 
@@ -24,17 +24,18 @@
     }
 }
 
-/// A `Findings` is all faults of an input, in the order of their places.
+/// A `Findings` is the list of all validation errors in an input document, in
+/// the order in which they were added.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Findings(Vec<Finding>);
 
 impl Findings {
-    /// Get an empty collection.
+    /// Get an empty list.
     pub fn new() -> Self {
         Findings::default()
     }
 
-    /// Add a fault.
+    /// Add a finding.
     pub fn add(
         &mut self,
         place: impl Into<String>,
@@ -48,31 +49,31 @@
         });
     }
 
-    /// Add all faults of `other`.
+    /// Add all findings of `other`.
     pub fn append(&mut self, other: Findings) {
         self.0.extend(other.0);
     }
 
-    /// Get whether nothing was found.
+    /// Get whether there are no findings.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Get the number of faults.
+    /// Get the number of findings.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Get the faults.
+    /// Get an iterator over the findings.
     pub fn iter(&self) -> std::slice::Iter<'_, Finding> {
         self.0.iter()
     }
 
-    /// Get `value` where nothing was found.
+    /// Get `value` if there are no findings.
     ///
     /// # Errors
     ///
-    /// Returns the findings where there are any.
+    /// Returns the findings if there are any.
     pub fn into_result<T>(self, value: T) -> Result<T, Findings> {
         match self.is_empty() {
             true => Ok(value),
--- a/bergamotswitch-core/src/host.rs
+++ b/bergamotswitch-core/src/host.rs
@@ -1,4 +1,4 @@
-//! Provides entry hosts: the machines that run this system's processes.
+//! Provides entry hosts, their incarnations and the host list.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,14 +8,14 @@
 use crate::failure_domain::DomainName;
 pub use crate::name::HostName;
 
-/// An `Incarnation` is the random 128-bit number that a process draws at its
-/// start. A restarted process has another one, so a fact that names an
-/// incarnation can never be taken for a fact of its successor.
+/// An `Incarnation` is a random 128-bit number that a process draws at its
+/// start. It tells a restarted process from its predecessor, so that a message
+/// about one is never applied to the other.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation(pub u128);
 
-/// JSON has no numbers of 128 bits: there it is hex text, between hosts the
-/// number itself.
+/// JSON numbers cannot hold 128 bits, so human-readable formats use hex text;
+/// messages between hosts carry the number.
 impl Serialize for Incarnation {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         match serializer.is_human_readable() {
@@ -48,17 +48,18 @@
     }
 }
 
-/// A `HostIncarnation` is one run of one entry host. Its text form,
-/// `name~hex`, is what a caller keeps and brings back with a resubmission.
+/// A `HostIncarnation` is one incarnation of an entry host. Its text form,
+/// `name~hex`, is given to callers, who send it back with a resubmission.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct HostIncarnation {
     /// The host.
     pub host: HostName,
-    /// The run of it.
+    /// The host's incarnation.
     pub incarnation: Incarnation,
 }
 
-/// A `HostIncarnationError` says that a text is no host incarnation.
+/// A `HostIncarnationError` is returned for a text that is not a
+/// [`HostIncarnation`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HostIncarnationError;
 
@@ -81,7 +82,7 @@
 
     fn try_from(text: &str) -> Result<Self, HostIncarnationError> {
         let (name, digits) = text.split_once('~').ok_or(HostIncarnationError)?;
-        // The parser below would also take a sign in a digit's place.
+        // `from_str_radix` also accepts a leading sign.
         let all_digits = digits.bytes().all(|byte| byte.is_ascii_hexdigit());
         if digits.len() != 32 || !all_digits {
             return Err(HostIncarnationError);
@@ -95,56 +96,57 @@
     }
 }
 
-/// A `Standing` says whether the host list still counts on a host or target.
+/// A `Standing` says whether a host or target is in service or being drained.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Standing {
     /// In service.
     #[default]
     Live,
-    /// Leaving: it gets no new work.
+    /// Draining: it gets no new work.
     Leaving,
 }
 
-/// An `EntryHost` is one entry of the host list: where an entry host listens.
+/// An `EntryHost` is an entry host's record in the host list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntryHost {
     /// The host's name.
     pub name: HostName,
-    /// The failure domain in which the host stands.
+    /// The failure domain that contains the host.
     pub domain: DomainName,
-    /// Where callers connect (HTTP).
+    /// The address to which callers connect (HTTP).
     pub caller_address: SocketAddr,
-    /// Where the other entry hosts connect (h2 links).
+    /// The address to which other entry hosts connect (HTTP/2 links).
     pub link_address: SocketAddr,
-    /// Its share of a processor, in thousandths of a core; 0 where unknown.
+    /// The host's CPU share, in thousandths of a core; 0 if unknown.
     #[serde(default)]
     pub capacity: u32,
-    /// Whether the host is leaving.
+    /// Whether the host is in service or draining.
     #[serde(default)]
     pub standing: Standing,
 }
 
-/// A `TargetStanding` is one target's entry of the host list.
+/// A `TargetStanding` is a target's record in the host list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetStanding {
-    /// The target's name, as in the published pools.
+    /// The target's name in the published pools.
     pub name: crate::name::TargetName,
-    /// Whether the target is leaving.
+    /// Whether the target is in service or draining.
     #[serde(default)]
     pub standing: Standing,
 }
 
-/// A `HostList` is the platform's list of live and leaving machines. It lags.
+/// A `HostList` is the platform's list of live and draining machines. It may be
+/// out of date.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HostList {
     /// The entry hosts.
     pub hosts: Vec<EntryHost>,
-    /// The targets. A target of the pools that is absent here counts as live:
-    /// the list lags behind the configuration.
+    /// The targets. A pool's target that is missing here counts as live, because
+    /// the list may be older than the configuration.
     #[serde(default)]
     pub targets: Vec<TargetStanding>,
 }
