--- a/bergamotswitch-core/src/link.rs
+++ b/bergamotswitch-core/src/link.rs
@@ -17,13 +17,13 @@
 pub const MESSAGE_SET: u16 = 3;
 
 /// The set that began with the hand-over of quotas.
-const QUOTA_SET: u16 = 1;
+const QUOTA_LEVELS_SET: u16 = 1;
 
 /// The set that began with the telling of failed targets.
-const FAILED_SET: u16 = 2;
+const FAILED_TARGETS_SET: u16 = 2;
 
 /// The set that began with the telling of quotas' uses.
-const USE_SET: u16 = 3;
+const QUOTA_USE_SET: u16 = 3;
 
 /// The largest message in bytes: a published value has up to a megabyte, and
 /// a peer must not make a host allocate without bound.
@@ -60,9 +60,9 @@
     /// Get the set with which the message was added.
     pub fn message_set(&self) -> u16 {
         match self {
-            LinkMessage::ToOwner(OwnerMessage::QuotaLevels { .. }) => QUOTA_SET,
-            LinkMessage::ToOwner(OwnerMessage::FailedTargets { .. }) => FAILED_SET,
-            LinkMessage::ToOwner(OwnerMessage::QuotaUse { .. }) => USE_SET,
+            LinkMessage::ToOwner(OwnerMessage::QuotaLevels { .. }) => QUOTA_LEVELS_SET,
+            LinkMessage::ToOwner(OwnerMessage::FailedTargets { .. }) => FAILED_TARGETS_SET,
+            LinkMessage::ToOwner(OwnerMessage::QuotaUse { .. }) => QUOTA_USE_SET,
             _ => 0,
         }
     }
