--- a/bergamotswitch-core/src/incident.rs
+++ b/bergamotswitch-core/src/incident.rs
@@ -1,33 +1,33 @@
-//! Provides incidents: the numbered events that a host logs. The catalogue
-//! stands in `docs/EVENTS.md`; a test keeps both alike.
+//! Provides incidents: the numbered events that a host logs. A test compares
+//! them with the catalogue in `docs/EVENTS.md`.
 
 macro_rules! incidents {
     ($($(#[$doc:meta])* $variant:ident = $number:literal, $level:ident, $text:literal;)*) => {
-        /// An `Incident` is a numbered event worth a line in the log.
+        /// An `Incident` is a kind of log event, identified by a fixed number.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub enum Incident {
             $($(#[$doc])* $variant,)*
         }
 
         impl Incident {
-            /// Every incident, by number.
+            /// All incidents, in the order of their numbers.
             pub const ALL: &'static [Incident] = &[$(Incident::$variant,)*];
 
-            /// Get the number.
+            /// Get the incident's number, which operators' tools rely on.
             pub const fn number(self) -> u16 {
                 match self {
                     $(Incident::$variant => $number,)*
                 }
             }
 
-            /// Get the level.
+            /// Get the level at which the incident is logged.
             pub const fn level(self) -> Level {
                 match self {
                     $(Incident::$variant => Level::$level,)*
                 }
             }
 
-            /// Get the message.
+            /// Get the text of the log line.
             pub const fn text(self) -> &'static str {
                 match self {
                     $(Incident::$variant => $text,)*
@@ -37,96 +37,97 @@
     };
 }
 
-/// A `Level` is how much an incident matters.
+/// A `Level` is the severity of an incident.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Level {
-    /// A step worth following.
+    /// A normal step of operation.
     Info,
-    /// Something works less well.
+    /// Operation is degraded.
     Warn,
-    /// A promise is at risk.
+    /// A guarantee of the service is at risk.
     Error,
 }
 
-// 1xx daemon, 2xx requests, 3xx pool owner, 4xx membership, 5xx published
+// 1xx process, 2xx requests, 3xx pool owner, 4xx membership, 5xx published
 // values, 6xx links, 7xx targets.
 incidents! {
     /// The host has started.
     HostStarted = 100, Info, "host started";
-    /// A planned stop has begun.
-    StopBegun = 101, Info, "planned stop begun";
-    /// A further stop signal changes nothing.
-    StopRepeated = 102, Warn, "stop already under way, signal changes nothing";
+    /// A planned stop has started.
+    StopBegun = 101, Info, "planned stop started";
+    /// A stop signal arrived during a planned stop and was ignored.
+    StopRepeated = 102, Warn, "planned stop already in progress, signal ignored";
     /// The host has stopped.
     HostStopped = 103, Info, "host stopped";
-    /// The process was paused.
-    PauseDetected = 104, Warn, "process was paused, checking everything again";
+    /// The process did not run for a while, so its state may be stale.
+    PauseDetected = 104, Warn, "process pause detected, earlier state treated as stale";
     /// Changed settings are in force.
     SettingsReloaded = 105, Info, "settings reloaded";
-    /// Changed settings cannot be used.
-    SettingsRefused = 106, Error, "changed settings refused, the earlier ones stay";
-    /// Log lines were left out.
-    LinesDropped = 107, Warn, "log lines left out";
-    /// A stopping host takes no further callers.
-    AdmissionClosed = 108, Info, "no further callers taken";
-    /// The time that a planned stop may last is nearly over.
-    GraceEnding = 109, Warn, "grace nearly over, requests still open";
+    /// Changed settings are invalid; the previous settings stay in force.
+    SettingsRefused = 106, Error, "changed settings rejected, previous settings kept";
+    /// Log lines were dropped because more arrived than the log accepts.
+    LinesDropped = 107, Warn, "log lines dropped";
+    /// A stopping host no longer accepts callers.
+    AdmissionClosed = 108, Info, "no longer accepting callers";
+    /// The grace period of a planned stop is nearly over and requests are open.
+    GraceEnding = 109, Warn, "grace period nearly over, requests still open";
     /// A request was refused.
     RequestRefused = 200, Info, "request refused";
-    /// A request that must not run twice was lost.
+    /// A request that must not run twice was lost and may have run.
     RequestLost = 201, Error, "request lost, may have run";
-    /// An attempt is followed by another one.
+    /// A failed attempt is followed by a retry.
     AttemptRetried = 202, Info, "attempt retried";
-    /// A stream goes on over a new connection.
+    /// A stream was resumed over a new connection.
     StreamResumed = 203, Warn, "stream resumed over a new connection";
-    /// A resubmission was attached to its request.
+    /// A resubmission was attached to the original request.
     ResubmissionAttached = 204, Info, "resubmission attached to its request";
-    /// The host admits by itself, with its fraction of capacity.
+    /// No shard owner is reachable, so the host admits requests within its own
+    /// share of the capacity.
     DegradedAdmission = 205, Warn, "no owner reachable, admitting by own fraction";
-    /// A request of the gateway has ended.
+    /// A request to the gateway has ended.
     RequestEnded = 206, Info, "request ended";
-    /// A request was still open when the grace was nearly over.
-    RequestOpen = 207, Warn, "request still open, grace nearly over";
-    /// This host now acts as owner.
+    /// A request is still open although the grace period is nearly over.
+    RequestOpen = 207, Warn, "request still open, grace period nearly over";
+    /// The host has started to act as owner of a shard.
     OwnershipTaken = 300, Warn, "acting as owner of shard";
-    /// This host no longer acts as owner.
+    /// The host no longer acts as owner of a shard.
     OwnershipReleased = 301, Info, "no longer owner of shard";
-    /// An owner takes work off a target that fails or has slowed.
+    /// An owner reduces the load on a failing or slow target.
     TargetBackedOff = 302, Warn, "target backed off";
-    /// A leaked permit was taken back by audit.
+    /// An audit reclaimed a leaked permit.
     PermitReclaimed = 303, Warn, "permit reclaimed by audit";
-    /// A peer was heard again.
+    /// A peer is reachable again.
     PeerReachable = 400, Info, "peer reachable";
-    /// A peer is silent.
+    /// A peer has missed its heartbeats.
     PeerUnreachable = 401, Warn, "peer unreachable";
-    /// The hosts that are counted on have changed.
-    HostsChanged = 402, Info, "hosts counted on have changed";
-    /// A revision is in force.
+    /// The set of usable hosts has changed.
+    HostsChanged = 402, Info, "set of usable hosts changed";
+    /// A new revision of a published value is in force.
     RevisionAdopted = 500, Info, "revision in force";
-    /// A revision was refused, the last good one stays.
-    RevisionRefused = 501, Error, "revision refused, last good one stays";
-    /// A source offered a lower revision.
-    RevisionStale = 502, Warn, "source offers a lower revision";
-    /// The service cannot be read.
+    /// A revision was rejected; the last valid one stays in force.
+    RevisionRefused = 501, Error, "revision rejected, last valid one kept";
+    /// A source offered a revision older than the one in force.
+    RevisionStale = 502, Warn, "source offered a lower revision";
+    /// The configuration service cannot be read.
     ServiceUnreachable = 503, Warn, "configuration service unreachable";
-    /// Started without a peer that could vouch for the revisions.
-    StartedWithoutPeer = 504, Warn, "started alone, service may be stale";
-    /// Keys are not relied on any more.
-    KeysUnconfirmed = 505, Warn, "newest routes not confirmed in time, keys not relied on";
-    /// Keys are relied on again.
-    KeysConfirmed = 506, Info, "newest routes confirmed, keys relied on";
-    /// The store answers again.
+    /// No peer was available at the start to confirm the latest revisions.
+    StartedWithoutPeer = 504, Warn, "no peer to confirm revisions at start, service may be stale";
+    /// The routes, and with them the API keys, were not confirmed in time.
+    KeysUnconfirmed = 505, Warn, "latest routes not confirmed in time, keys not trusted";
+    /// The routes were confirmed again, so API keys are trusted.
+    KeysConfirmed = 506, Info, "latest routes confirmed, keys trusted again";
+    /// The configuration service is reachable again.
     ServiceReachable = 507, Info, "configuration service reachable again";
-    /// An item of the store cannot be read.
-    EntryUnreadable = 508, Error, "published item not readable, passed over";
-    /// A call to the store brought nothing.
+    /// A published item could not be parsed and was skipped.
+    EntryUnreadable = 508, Error, "published item unreadable, skipped";
+    /// A call to the configuration service failed.
     ServiceCallFailed = 509, Info, "call to the configuration service failed";
-    /// A peer was refused.
+    /// A connection from or to a peer was refused.
     PeerRefused = 600, Error, "peer refused";
-    /// A connection was silent and given up.
-    ConnectionSilent = 700, Warn, "connection silent, given up";
-    /// A target's answer was not whole or not its own.
-    AnswerRejected = 701, Error, "answer not whole or crossed";
-    /// A stream that has begun pauses for so long that its target may be gone.
-    StreamStalled = 702, Info, "stream pauses";
+    /// A connection was closed because the other side did not respond.
+    ConnectionSilent = 700, Warn, "connection unresponsive, closed";
+    /// An answer from a target was truncated, invalid or for another request.
+    AnswerRejected = 701, Error, "answer truncated, invalid or for another request";
+    /// A stream that has started received no event in time.
+    StreamStalled = 702, Info, "stream stalled";
 }
