--- a/bergamotswitch-core/src/lib.rs
+++ b/bergamotswitch-core/src/lib.rs
@@ -1,10 +1,11 @@
-//! Provides the decisions of bergamotswitch as state machines without
-//! sockets, clocks or threads.
+//! Provides the scheduling, membership and routing logic of bergamotswitch as
+//! state machines without sockets, clocks or threads.
 //!
-//! Each machine takes the time and one event and returns actions:
+//! Each state machine takes the current time and one event and returns actions:
 //! `fn handle(&mut self, now: Moment, event: Event) -> Vec<Action>`. The
-//! network crate turns sockets and timers into events and actions into I/O.
-//! This crate knows nothing of the other crates of the workspace.
+//! network crate turns socket and timer activity into events and performs the
+//! actions as I/O. This crate depends on no other crate of the workspace at run
+//! time.
 
 #![forbid(unsafe_code)]
 
--- a/bergamotswitch-core/src/link.rs
+++ b/bergamotswitch-core/src/link.rs
@@ -1,4 +1,4 @@
-//! Provides links: what travels between two entry hosts.
+//! Provides the messages on the links between entry hosts.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,58 +6,58 @@
 use crate::permit::{OwnerMessage, OwnerReply};
 use crate::revision::RevisionMessage;
 
-/// The version of the messages between hosts. A peer with another version is
-/// refused with a clear error: a guess at an unknown layout could grant a
-/// slot that nobody asked for.
+/// The version of the message encoding. A peer with another version is refused
+/// with an explicit error, because a message decoded with the wrong layout could
+/// grant a slot that was never requested.
 pub const LINK_VERSION: u16 = 2;
 
-/// The newest set of messages that this version knows. A message that is added
-/// begins a set; it is sent only to peers whose hello names that set, so that a
-/// fleet works while its hosts are replaced by newer ones.
+/// The newest message set that this release supports. Each added message opens a
+/// new set and is sent only to peers whose handshake announces that set, so that
+/// hosts of different releases work together during a rolling upgrade.
 pub const MESSAGE_SET: u16 = 3;
 
-/// The set that began with the hand-over of quotas.
+/// The message set that added [`OwnerMessage::QuotaLevels`].
 const QUOTA_LEVELS_SET: u16 = 1;
 
-/// The set that began with the telling of failed targets.
+/// The message set that added [`OwnerMessage::FailedTargets`].
 const FAILED_TARGETS_SET: u16 = 2;
 
-/// The set that began with the telling of quotas' uses.
+/// The message set that added [`OwnerMessage::QuotaUse`].
 const QUOTA_USE_SET: u16 = 3;
 
-/// The largest message in bytes: a published value has up to a megabyte, and
-/// a peer must not make a host allocate without bound.
+/// The maximum size of a message in bytes. It leaves room for a published value
+/// of up to a megabyte and bounds what a peer can make a host allocate.
 pub const MAX_MESSAGE_LEN: usize = 1_200_000;
 
-/// A `Heartbeat` proves that its sender runs and that the path works.
+/// A `Heartbeat` shows a peer that the sender is running and reachable.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The number of the heartbeat.
+    /// The heartbeat's sequence number.
     pub sequence: u64,
-    /// The highest sequence heard from the receiver: where it stands still
-    /// while heartbeats arrive, the path is cut one way.
+    /// The highest sequence number received from the other side. If it stops
+    /// increasing while heartbeats still arrive, only one direction works.
     pub heard: u64,
-    /// Whether the sender is stopping: it takes no candidacy and no callers.
+    /// Whether the sender is stopping and accepts neither ownership nor callers.
     pub stopping: bool,
-    /// How busy the sender is, in thousandths of what it can carry.
+    /// The sender's load, in thousandths of its capacity.
     pub load_permille: u16,
 }
 
 /// A `LinkMessage` is one message between two entry hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LinkMessage {
-    /// Proof of life.
+    /// A heartbeat.
     Heartbeat(Heartbeat),
-    /// To a shard's owner.
+    /// A message from an entry host to a shard's owner.
     ToOwner(OwnerMessage),
-    /// From a shard's owner.
+    /// A message from a shard's owner to an entry host.
     FromOwner(OwnerReply),
-    /// Published values.
+    /// A message about revisions of published values.
     Revision(RevisionMessage),
 }
 
 impl LinkMessage {
-    /// Get the set with which the message was added.
+    /// Get the message set that added this message, 0 for the original one.
     pub fn message_set(&self) -> u16 {
         match self {
             LinkMessage::ToOwner(OwnerMessage::QuotaLevels { .. }) => QUOTA_LEVELS_SET,
@@ -68,12 +68,12 @@
     }
 }
 
-/// A `LinkEvent` is what a host's links report.
+/// A `LinkEvent` is an event on a link to a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LinkEvent {
-    /// A link to the peer is up; its run is known from the handshake.
+    /// The link to the peer, identified in the handshake, is up.
     Up(HostIncarnation),
-    /// The link to the peer is gone.
+    /// The link to the peer is down.
     Down(HostIncarnation),
     /// The peer sent a message.
     Message(HostIncarnation, LinkMessage),
--- a/bergamotswitch-core/src/name.rs
+++ b/bergamotswitch-core/src/name.rs
@@ -1,22 +1,23 @@
-//! Provides the checked names of the things that the configuration lists.
+//! Provides validated name types for hosts, pools, targets and other items of
+//! the configuration.
 
 use std::fmt;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// The longest name in bytes. Names travel in every ask, so a bound on them
-/// is a bound on the control traffic.
+/// The maximum length of a name in bytes. Every slot request carries names, so
+/// this also bounds the size of the control traffic.
 pub const MAX_NAME_LEN: usize = 64;
 
-/// A `NameError` is the reason why a text is no name.
+/// A `NameError` is the reason why a text is not a valid name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NameError {
     /// The text is empty.
     Empty,
     /// The text is longer than [`MAX_NAME_LEN`] bytes.
     TooLong,
-    /// The text holds something else than ASCII letters, digits, `-`, `_`, `.`.
+    /// The text has a character other than ASCII letters, digits, `-`, `_`, `.`.
     BadCharacter(char),
 }
 
@@ -101,32 +102,33 @@
 }
 
 checked_names! {
-    /// A `HostName` is the name of one entry host.
+    /// A `HostName` is the name of an entry host.
     HostName
-    /// A `DomainName` is the name of one failure domain.
+    /// A `DomainName` is the name of a failure domain.
     DomainName
-    /// A `RegionName` is the name of a group of failure domains.
+    /// A `RegionName` is the name of a region, a group of failure domains.
     RegionName
-    /// A `TargetName` is the name of one engine or plain-service instance.
+    /// A `TargetName` is the name of a target, one instance of a model engine or
+    /// plain service.
     TargetName
-    /// A `PoolName` is the name of a group of like-served targets; callers
-    /// name it as `model` or as the service in the path.
+    /// A `PoolName` is the name of a target pool. Callers select the pool by
+    /// `model` or by the service in the path.
     PoolName
-    /// An `AccountName` is the name of one client account.
+    /// An `AccountName` is the name of a client account.
     AccountName
-    /// A `RuleName` is the name of one rule.
+    /// A `RuleName` is the name of a scheduling rule.
     RuleName
-    /// A `WorkKind` is the caller's word for what a request is for, such as
+    /// A `WorkKind` is the caller's label for the purpose of a request, such as
     /// `trajectory-report`.
     WorkKind
-    /// A `ModelName` is an engine's name of one model.
+    /// A `ModelName` is an engine's name for a model.
     ModelName
-    /// A `VersionName` is the name of one version of a model or adapter.
+    /// A `VersionName` is the name of a version of a model or adapter.
     VersionName
-    /// An `AdapterName` is an engine's name of one adapter.
+    /// An `AdapterName` is an engine's name for an adapter.
     AdapterName
-    /// An `EngineRole` is an engine's word for what it does with its model.
+    /// An `EngineRole` is an engine's label for the task it serves with its model.
     EngineRole
-    /// A `ValueName` is the name of one published value.
+    /// A `ValueName` is the name of a published value.
     ValueName
 }
--- a/bergamotswitch-core/src/permit.rs
+++ b/bergamotswitch-core/src/permit.rs
@@ -1,9 +1,9 @@
-//! Provides the messages by which entry hosts and a pool's owner share the
-//! pool's slots: asks, permits and releases.
+//! Provides the messages between entry hosts and the owner of a pool's shard:
+//! requests for slots (asks), permits and releases.
 //!
-//! A permit conveys capacity, never identity: a duplicated, late or lost
-//! permit can cost capacity but cannot run a request twice, because only the
-//! accepting host's own life-cycle state decides whether it dispatches.
+//! A permit grants capacity only. A duplicated, late or lost permit can waste a
+//! slot but cannot run a request twice, because a dispatch depends only on the
+//! request's state at the host that accepted it.
 
 use serde::{Deserialize, Serialize};
 
@@ -16,102 +16,105 @@
 use crate::rules::Tier;
 use crate::target::TargetName;
 
-/// A `KeyClaim` tells the owner of a keyed request that must not run twice.
+/// A `KeyClaim` registers at the owner the idempotency key of a request that
+/// must not run twice.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyClaim {
-    /// The xxh3-128 of client account and caller's key.
+    /// The xxh3-128 hash of the client account and the caller's key.
     pub key: u128,
-    /// The run of the host that holds the request.
+    /// The host incarnation that holds the request.
     pub holder: HostIncarnation,
     /// Whether the caller marked the request as a resubmission.
     pub resubmission: bool,
 }
 
-/// An `Ask` is an entry host's wish for one slot of a pool. Sending it again
-/// is idempotent: the owner knows it by its attempt.
+/// An `Ask` is an entry host's request for one slot of a pool shard. It may be
+/// sent repeatedly, because the owner identifies it by its attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ask {
-    /// The attempt that asks.
+    /// The attempt that needs the slot.
     pub attempt: AttemptId,
     /// The shard.
     pub shard: PoolShard,
-    /// The request's tier.
+    /// The request's priority tier.
     pub tier: Tier,
-    /// The client account, for the fair order inside the tier.
+    /// The client account, for fair queuing within the tier.
     pub account: AccountName,
-    /// The weight of the account's share, at least 1.
+    /// The account's weight in fair queuing, at least 1.
     pub share: u32,
     /// The estimated cost.
     pub cost: TokenCost,
-    /// The hashes of the prompt's beginnings, shortest first.
+    /// The hashes of the prompt's prefixes, shortest first.
     pub prefixes: Vec<PrefixHash>,
     /// The time left until the deadline, in milliseconds.
     pub deadline_ms: u32,
-    /// How long the request has waited already, in milliseconds: a new owner
-    /// keeps the order.
+    /// The time since the request was accepted, in milliseconds, so that a new
+    /// owner keeps the queue order.
     pub waited_ms: u32,
-    /// Where it may run; everywhere where empty.
+    /// The failure domains where the request may run; empty for all.
     pub domains: Vec<DomainName>,
-    /// Targets that this request already failed on.
+    /// The targets on which this request has already failed.
     pub avoid: Vec<TargetName>,
-    /// Whether the owner may have the stream stopped for a higher tier.
+    /// Whether the owner may preempt the request for one of a higher tier.
     pub preemptible: bool,
-    /// The key, where a second run must be prevented.
+    /// The claim on the idempotency key, if the request must not run twice.
     pub claim: Option<KeyClaim>,
-    /// The time from its acceptance within which its answer should begin, in
-    /// milliseconds; until its deadline where absent.
+    /// The time after acceptance within which the answer should begin, in
+    /// milliseconds; the deadline if absent.
     pub first_answer_ms: Option<u32>,
-    /// The units that it takes from its account's quota.
+    /// The units that the request takes from its account's quota.
     pub quota_units: u32,
 }
 
-/// A `PermitId` names a permit by the owner's run.
+/// A `PermitId` identifies a permit among those of all owner incarnations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PermitId {
     /// The owner's incarnation.
     pub owner: Incarnation,
-    /// The number of the permit at that owner.
+    /// The permit's sequence number at that owner.
     pub sequence: u64,
 }
 
-/// A `Permit` lets one attempt use one target.
+/// A `Permit` allows one attempt to use a slot of one target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Permit {
-    /// The permit's name.
+    /// The permit's id.
     pub id: PermitId,
-    /// The attempt that asked.
+    /// The attempt that requested the slot.
     pub attempt: AttemptId,
     /// The target to use.
     pub target: TargetName,
-    /// How long after its arrival it may be used, in milliseconds.
+    /// The time after arrival within which the permit may be used, in
+    /// milliseconds.
     pub lifetime_ms: u32,
 }
 
-/// A `Usage` is what an attempt was seen to use.
+/// A `Usage` is the resource usage observed for one attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Prompt tokens processed.
+    /// The number of prompt tokens processed.
     pub prefill: u32,
-    /// Prompt tokens taken from the target's prefix cache.
+    /// The number of prompt tokens served from the target's prefix cache.
     pub cached: u32,
-    /// Output tokens received.
+    /// The number of output tokens received.
     pub decode: u32,
-    /// From dispatch to the first token, in milliseconds.
+    /// The time from dispatch to the first token, in milliseconds.
     pub first_token_ms: u32,
-    /// From dispatch to the end, in milliseconds.
+    /// The time from dispatch to the end, in milliseconds.
     pub elapsed_ms: u32,
 }
 
-/// A `ReleaseOutcome` is how a permit was used.
+/// A `ReleaseOutcome` is the result of the attempt for which a permit was
+/// granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReleaseOutcome {
-    /// It was not used.
+    /// The permit was not used.
     Unused,
-    /// The answer is whole.
+    /// The answer is complete.
     Finished(Usage),
     /// The target could not be reached.
     Unreachable,
-    /// The target refused.
+    /// The target refused the request.
     Refused,
     /// The attempt failed after dispatch.
     Failed(Usage),
@@ -119,186 +122,192 @@
     Stopped(Usage),
 }
 
-/// A `Release` gives a permit back. Sending it again is idempotent.
+/// A `Release` returns a permit to its owner. It may be sent repeatedly.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Release {
     /// The permit.
     pub permit: PermitId,
-    /// The attempt it was for.
+    /// The attempt for which the permit was granted.
     pub attempt: AttemptId,
-    /// How it was used.
+    /// The result of the attempt.
     pub outcome: ReleaseOutcome,
 }
 
-/// A `InFlightWork` tells a new owner of work in flight under an earlier owner's
-/// permit.
+/// An `InFlightWork` reports to a new owner an attempt that is running under a
+/// previous owner's permit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InFlightWork {
-    /// The permit under which it runs.
+    /// The permit under which the attempt runs.
     pub permit: PermitId,
     /// The attempt.
     pub attempt: AttemptId,
-    /// The target it runs on.
+    /// The target on which the attempt runs.
     pub target: TargetName,
-    /// Its tier.
+    /// The request's priority tier.
     pub tier: Tier,
-    /// Its client account.
+    /// The request's client account.
     pub account: AccountName,
-    /// The weight of the account's share.
+    /// The account's weight in fair queuing.
     pub share: u32,
     /// The estimated cost.
     pub cost: TokenCost,
-    /// Whether it may be stopped for a higher tier.
+    /// Whether the attempt may be preempted for a request of a higher tier.
     pub preemptible: bool,
 }
 
-/// A `QuotaLevel` is what an account may use at once of its quota.
+/// A `QuotaLevel` is a number of units in an account's quota bucket.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaLevel {
     /// The client account.
     pub account: AccountName,
-    /// The units.
+    /// The number of units.
     pub units: u64,
 }
 
-/// A `FailedTarget` is a target that gets no normal work, as the sender saw it.
+/// A `FailedTarget` is a target that the sending owner has backed off.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailedTarget {
     /// The target.
     pub target: TargetName,
-    /// The start of its run in milliseconds, where it was told.
+    /// The target's reported start time in Unix milliseconds, if any.
     pub started_at_ms: Option<u64>,
-    /// How long the sender gives it before the next probe, in milliseconds.
+    /// The time until the sender's next probe of the target, in milliseconds.
     pub probe_in_ms: u32,
 }
 
-/// An `OwnerMessage` goes from an entry host to a shard's owner.
+/// An `OwnerMessage` is a message to a shard's owner from an entry host or from
+/// another owner of the shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OwnerMessage {
-    /// A wish for a slot.
+    /// Requests a slot.
     Ask(Box<Ask>),
-    /// The wish is withdrawn: the caller left or the deadline passed.
+    /// Cancels a slot request, because the caller disconnected or the deadline
+    /// passed.
     Withdraw {
         /// The shard.
         shard: PoolShard,
-        /// The attempt that asked.
+        /// The attempt that requested the slot.
         attempt: AttemptId,
     },
-    /// A permit given back.
+    /// Returns a permit.
     Release {
         /// The shard.
         shard: PoolShard,
         /// The release.
         release: Release,
     },
-    /// What the entry host holds, told to a new owner before the first ask.
+    /// Reports the entry host's permits and keys to a new owner, before the first
+    /// slot request.
     Resync {
         /// The shard.
         shard: PoolShard,
-        /// Work in flight.
+        /// The attempts in flight.
         held: Vec<InFlightWork>,
-        /// Keys of requests that must not run twice, kept or in flight.
+        /// The keys of requests that must not run twice and are in flight or
+        /// retained.
         claims: Vec<KeyClaim>,
     },
-    /// The answer to an audit: those of the asked permits that are not held.
+    /// Answers [`OwnerReply::Audit`] with the permits that the host does not hold.
     NotHeld {
         /// The shard.
         shard: PoolShard,
-        /// The permits.
+        /// The permits that are not held.
         permits: Vec<PermitId>,
     },
-    /// The host takes the asking host for the shard's owner, and no other.
+    /// Answers [`OwnerReply::ConfirmOwner`]: the sender treats the receiver, and
+    /// no other host, as the shard's owner.
     OwnerConfirmed {
         /// The shard.
         shard: PoolShard,
-        /// The number of the question.
+        /// The round number of the query.
         round: u64,
     },
-    /// What the sender, a former owner, had left in its quotas' buckets. It
-    /// keeps none of it.
+    /// Transfers the units left in the quota buckets of the sender, a former
+    /// owner, which keeps none of them.
     QuotaLevels {
         /// The shard.
         shard: PoolShard,
-        /// What is handed over.
+        /// The units transferred for each account.
         levels: Vec<QuotaLevel>,
     },
-    /// The targets that get no normal work from the sender, another owner.
+    /// Reports the targets that the sender, another owner, has backed off.
     FailedTargets {
         /// The shard.
         shard: PoolShard,
         /// The targets.
         targets: Vec<FailedTarget>,
     },
-    /// What calls at the sender have used of their accounts' quotas and what has
-    /// not come back since, told to a new owner before the first ask.
+    /// Reports to a new owner, before the first slot request, the quota units that
+    /// requests at the sender have used and that have not been refilled since.
     QuotaUse {
         /// The shard.
         shard: PoolShard,
-        /// How many hosts share the buckets in the sender's view: a new owner may
-        /// not know them all yet.
+        /// The number of hosts that share the buckets as known to the sender,
+        /// because a new owner may not know all of them yet.
         hosts: u32,
-        /// What is missing in the sender's share of each bucket.
+        /// The units missing from the sender's share of each bucket.
         used: Vec<QuotaLevel>,
     },
 }
 
-/// An `OwnerReply` goes from a shard's owner to an entry host.
+/// An `OwnerReply` is a message from a shard's owner to an entry host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OwnerReply {
-    /// A slot.
+    /// Grants a slot.
     Granted {
         /// The shard.
         shard: PoolShard,
         /// The permit.
         permit: Permit,
     },
-    /// No slot, and none will come.
+    /// Refuses the slot request for good.
     Refused {
-        /// The attempt that asked.
+        /// The attempt that requested the slot.
         attempt: AttemptId,
-        /// Why.
+        /// The reason.
         reason: RefusalReason,
-        /// When to come back, in milliseconds.
+        /// The time after which the caller may retry, in milliseconds.
         retry_after_ms: u32,
     },
-    /// The key is held by another run; ask there.
+    /// Redirects a slot request whose idempotency key is held by another host
+    /// incarnation.
     KeyHeld {
-        /// The attempt that asked.
+        /// The attempt that requested the slot.
         attempt: AttemptId,
-        /// Who holds the key.
+        /// The host incarnation that holds the key.
         holder: HostIncarnation,
     },
-    /// Stop the attempt for work of a higher tier.
+    /// Stops an attempt in favour of a request of a higher tier.
     Preempt {
         /// The permit.
         permit: PermitId,
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Which of these old permits are not held any more? A lost release
-    /// would otherwise leak its slot for good.
+    /// Asks which of these old permits the entry host no longer holds, so that a
+    /// lost release does not leak its slot.
     Audit {
         /// The shard.
         shard: PoolShard,
-        /// The permits.
+        /// The permits to check.
         permits: Vec<PermitId>,
     },
-    /// The asked host does not act as owner now.
+    /// Replies that the sender does not currently own the shard.
     NotOwner {
         /// The shard.
         shard: PoolShard,
     },
-    /// Does the asked host take this one for the shard's owner?
+    /// Asks whether the entry host treats the sender as the shard's owner.
     ConfirmOwner {
         /// The shard.
         shard: PoolShard,
-        /// The number of the question.
+        /// The round number of the query.
         round: u64,
     },
 }
 
 impl OwnerMessage {
-    /// Get the shard that the message is about.
+    /// Get the shard to which the message refers.
     pub fn shard(&self) -> &PoolShard {
         match self {
             OwnerMessage::Ask(ask) => &ask.shard,
