--- a/bergamotswitch-core/src/settings.rs
+++ b/bergamotswitch-core/src/settings.rs
@@ -228,9 +228,9 @@
     findings: &mut Findings,
 ) {
     let shared = caller_address.is_some() && caller_address == link_address;
-    let chosen = caller_address.is_some_and(|address| address.port() == 0);
+    let is_ephemeral = caller_address.is_some_and(|address| address.port() == 0);
     if shared
-        && !chosen
+        && !is_ephemeral
         && let Some(link) = node.field("link_address")
     {
         link.refuse(findings, "another address than caller_address");
--- a/bergamotswitch-core/src/target_list.rs
+++ b/bergamotswitch-core/src/target_list.rs
@@ -18,7 +18,7 @@
 /// those of live targets are back within two seconds of its return. Dropped at
 /// once, all targets of a healthy service would be gone for that time; one
 /// would see every request refused just after an outage.
-const LAPSE_HOLD: Duration = Duration::from_millis(2_200);
+const EXPIRY_GRACE: Duration = Duration::from_millis(2_200);
 
 /// Steps of the published revision for one revision of the store: the list as
 /// it was read, and the list once lapsed entries were dropped.
@@ -107,17 +107,17 @@
 pub struct TargetRegister {
     entries: BTreeMap<TargetName, TargetEntry>,
     /// Entries that are gone from the store and still counted on.
-    lapsed: BTreeMap<TargetName, TargetEntry>,
+    expired: BTreeMap<TargetName, TargetEntry>,
     /// The last start known of each name in whose place something lies that is
     /// no registration: an earlier start that is written late is not taken up.
     unreadable: BTreeMap<TargetName, Option<u64>>,
     /// The store's revision up to which the entries are complete.
     as_of: u64,
     /// Whether lapsed entries were dropped at this revision.
-    dropped: bool,
+    expired_dropped: bool,
     /// Whether a call failed since the last one that succeeded.
     failing: bool,
-    hold_until: Moment,
+    keep_expired_until: Moment,
 }
 
 impl TargetRegister {
@@ -128,8 +128,8 @@
             return;
         }
         self.as_of = as_of;
-        self.dropped = !revision.0.is_multiple_of(STEPS_PER_REVISION);
-        self.lapsed.clear();
+        self.expired_dropped = !revision.0.is_multiple_of(STEPS_PER_REVISION);
+        self.expired.clear();
         let entries = list.targets.iter();
         self.entries = entries
             .map(|entry| (entry.name.clone(), entry.clone()))
@@ -142,54 +142,54 @@
     }
 
     /// Take in news; get whether the list has changed.
-    pub fn apply(&mut self, now: Moment, news: TargetUpdate) -> bool {
+    pub fn apply(&mut self, now: Moment, update: TargetUpdate) -> bool {
         if std::mem::take(&mut self.failing) {
-            self.hold_until = now.plus(LAPSE_HOLD);
+            self.keep_expired_until = now.plus(EXPIRY_GRACE);
         }
         let before = self.list();
-        match news {
+        match update {
             TargetUpdate::Snapshot {
                 entries,
                 unreadable,
                 as_of,
-            } => self.take_whole(now, entries, unreadable, as_of),
-            TargetUpdate::Changes { changes, as_of } => self.take_changes(now, changes, as_of),
+            } => self.apply_snapshot(now, entries, unreadable, as_of),
+            TargetUpdate::Changes { changes, as_of } => self.apply_changes(now, changes, as_of),
         }
         self.list() != before
     }
 
     /// Drop lapsed entries whose time is over; get whether there were any.
     pub fn drop_expired(&mut self, now: Moment) -> bool {
-        if self.lapsed.is_empty() || now < self.hold_until {
+        if self.expired.is_empty() || now < self.keep_expired_until {
             return false;
         }
-        self.lapsed.clear();
-        self.dropped = true;
+        self.expired.clear();
+        self.expired_dropped = true;
         true
     }
 
     /// Get when [`TargetRegister::drop_expired`] is due.
     pub fn next_due(&self) -> Moment {
-        match self.lapsed.is_empty() {
+        match self.expired.is_empty() {
             true => Moment::NEVER,
-            false => self.hold_until,
+            false => self.keep_expired_until,
         }
     }
 
     /// Get the revision under which the list is published.
     pub fn revision(&self) -> Revision {
-        Revision(self.as_of * STEPS_PER_REVISION + u64::from(self.dropped))
+        Revision(self.as_of * STEPS_PER_REVISION + u64::from(self.expired_dropped))
     }
 
     /// Get the list, lapsed entries included.
     pub fn list(&self) -> TargetList {
-        let entries = self.entries.values().chain(self.lapsed.values());
+        let entries = self.entries.values().chain(self.expired.values());
         TargetList {
             targets: entries.cloned().collect(),
         }
     }
 
-    fn take_whole(
+    fn apply_snapshot(
         &mut self,
         now: Moment,
         entries: Vec<TargetEntry>,
@@ -211,20 +211,20 @@
         let absent = self.entries.keys().filter(|name| !present.contains(*name));
         let absent: Vec<TargetName> = absent.cloned().collect();
         for name in absent {
-            self.lapse(now, &name);
+            self.expire(now, &name);
         }
         self.unreadable.retain(|name, _| present.contains(name));
         self.advance(as_of);
     }
 
-    fn take_changes(&mut self, now: Moment, changes: Vec<(u64, TargetChange)>, as_of: u64) {
+    fn apply_changes(&mut self, now: Moment, changes: Vec<(u64, TargetChange)>, as_of: u64) {
         for (revision, change) in changes {
             if revision <= self.as_of {
                 continue;
             }
             match change {
                 TargetChange::Set(entry) => self.set(entry),
-                TargetChange::Removed(name) => self.lapse(now, &name),
+                TargetChange::Removed(name) => self.expire(now, &name),
                 TargetChange::Unreadable(name) => self.set_unreadable(name),
             }
         }
@@ -240,7 +240,7 @@
             (Some(known), Some(started)) if started < known => return,
             _ => {}
         }
-        self.lapsed.remove(&entry.name);
+        self.expired.remove(&entry.name);
         self.unreadable.remove(&entry.name);
         self.entries.insert(entry.name.clone(), entry);
     }
@@ -250,32 +250,32 @@
     fn set_unreadable(&mut self, name: TargetName) {
         let known = self.last_start(&name);
         self.entries.remove(&name);
-        self.lapsed.remove(&name);
+        self.expired.remove(&name);
         self.unreadable.insert(name, known);
     }
 
     fn last_start(&self, name: &TargetName) -> Option<u64> {
-        let entry = self.entries.get(name).or_else(|| self.lapsed.get(name));
+        let entry = self.entries.get(name).or_else(|| self.expired.get(name));
         match entry {
             Some(entry) => entry.started_at_ms,
             None => self.unreadable.get(name).copied().flatten(),
         }
     }
 
-    fn lapse(&mut self, now: Moment, name: &TargetName) {
+    fn expire(&mut self, now: Moment, name: &TargetName) {
         self.unreadable.remove(name);
         let Some(entry) = self.entries.remove(name) else {
             return;
         };
-        if now < self.hold_until {
-            self.lapsed.insert(name.clone(), entry);
+        if now < self.keep_expired_until {
+            self.expired.insert(name.clone(), entry);
         }
     }
 
     fn advance(&mut self, as_of: u64) {
         if as_of > self.as_of {
             self.as_of = as_of;
-            self.dropped = false;
+            self.expired_dropped = false;
         }
     }
 }
--- a/bergamotswitch-core/tests/address_answers.rs
+++ b/bergamotswitch-core/tests/address_answers.rs
@@ -70,7 +70,7 @@
 }
 
 /// Get the host of that name.
-fn found<'a>(hosts: &'a [HostHealth], name: &str) -> &'a HostHealth {
+fn host_named<'a>(hosts: &'a [HostHealth], name: &str) -> &'a HostHealth {
     let found = hosts.iter().find(|h| h.host.name.as_str() == name);
     found.unwrap()
 }
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn steady_callers() {
+fn stable_assignment() {
     // Symptom: keyed retries meet hosts that don't know their request.
     // Sequence: one host leaves, and all accounts are dealt anew. Cause: an
     // account's host was its hash modulo the number of hosts.
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn same_answer() {
+fn answer_independent_of_host() {
     // Symptom: a caller's retry goes elsewhere because another host answered.
     // Sequence: the hosts watch different peers and list them in different
     // orders. Cause: an answer that depends on who is watched.
@@ -159,7 +159,7 @@
         assert!(named.iter().all(|name| usable.contains(name)));
         let distinct: HashSet<&String> = named.iter().collect();
         assert_eq!(distinct.len(), named.len());
-        let load = |name: &String| found(&hosts, name).load_permille >= 900;
+        let load = |name: &String| host_named(&hosts, name).load_permille >= 900;
         assert!(
             named.is_sorted_by_key(load),
             "an overloaded host before another"
@@ -171,7 +171,7 @@
 fn near_first() {
     let mut hosts: Vec<HostHealth> = (0..6).map(host).collect();
     hosts.push(host_in(6, "abroad"));
-    let domain_of = |name: &String| found(&hosts, name).host.domain.to_string();
+    let domain_of = |name: &String| host_named(&hosts, name).host.domain.to_string();
     for account in 0..50 {
         let named = names(&query(account, Some("west")), &hosts);
         let domains: Vec<String> = named.iter().map(domain_of).collect();
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn overload_steering() {
+fn overloaded_host_last() {
     // Symptom: a host that is full gets yet more callers while others idle.
     // Sequence: a large account's host reaches its limit; its address stays
     // first in every answer. Cause: steadiness without regard to load.
@@ -219,8 +219,8 @@
     let book = AddressBook::new(&publication);
     let answer = book.answer(&query(1, None), &hosts);
     assert_eq!((answer.hosts.len(), answer.lifetime_ms), (1, 5_000));
-    let nobody = book.answer(&query(1, None), &[]);
-    assert_eq!((nobody.hosts.len(), nobody.lifetime_ms), (0, 1_000));
+    let empty = book.answer(&query(1, None), &[]);
+    assert_eq!((empty.hosts.len(), empty.lifetime_ms), (0, 1_000));
 }
 
 // Symptom: five accounts used four of eight hosts, a large one a single host,
--- a/bergamotswitch-core/tests/incarnation_text.rs
+++ b/bergamotswitch-core/tests/incarnation_text.rs
@@ -5,7 +5,7 @@
 const DIGITS: &str = "000000000000000000000000000000ff";
 
 #[test]
-fn there_and_back() {
+fn round_trip() {
     let run = HostIncarnation {
         host: HostName::try_from("mza-norte-1").expect("name"),
         incarnation: Incarnation(255),
--- a/bergamotswitch-core/tests/settings_check.rs
+++ b/bergamotswitch-core/tests/settings_check.rs
@@ -4,7 +4,7 @@
 use bergamotswitch_core::settings::{HostSettings, LogFormat, LogLevel};
 use serde_json::{Value, json};
 
-fn good_settings() -> Value {
+fn minimal_settings() -> Value {
     json!({"name": "h1", "domain": "north", "caller_address": "127.0.0.1:0",
         "link_address": "127.0.0.1:0", "configuration_services": ["127.0.0.1:7301"],
         "host_lists": ["127.0.0.1:7302"]})
@@ -18,8 +18,8 @@
 }
 
 #[test]
-fn good_file() {
-    let mut settings = good_settings();
+fn valid_settings() {
+    let mut settings = minimal_settings();
     let read = HostSettings::try_from_json(&settings.to_string()).unwrap();
     assert_eq!(read.log.format, LogFormat::Text);
     assert_eq!(read.log.level, LogLevel::Info);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn all_faults() {
+fn all_findings() {
     let settings = json!({"name": 4, "caller_address": "localhost:80",
         "link_address": "10.0.0.1", "configuration_services": ["10.0.0.1:0", "10.0.0.1:7"],
         "host_lists": "10.0.0.1:8", "log": {"format": "xml", "level": "loud", "file": "x"},
@@ -47,8 +47,8 @@
 
 #[test]
 fn missing_fields() {
-    for field in good_settings().as_object().unwrap().keys() {
-        let mut settings = good_settings();
+    for field in minimal_settings().as_object().unwrap().keys() {
+        let mut settings = minimal_settings();
         settings.as_object_mut().unwrap().remove(field);
         assert_eq!(places(&settings), [format!("settings:/{field}")]);
     }
@@ -58,7 +58,7 @@
 fn shared_address() {
     // Symptom: a host fails at its start with "address in use". Sequence:
     // both listeners are given one address. Cause: nobody compared them.
-    let mut settings = good_settings();
+    let mut settings = minimal_settings();
     settings["caller_address"] = json!("127.0.0.1:7101");
     settings["link_address"] = json!("127.0.0.1:7101");
     settings["host_lists"] = json!(["10.0.0.1:7", "10.0.0.1:7"]);
@@ -69,13 +69,13 @@
 }
 
 #[test]
-fn other_host_list() {
+fn host_list_mismatch() {
     let list = |domain: &str, port: u16| {
         let list = json!({"hosts": [{"name": "h1", "domain": domain,
             "caller_address": format!("10.0.0.1:{port}"), "link_address": "10.0.0.1:7201"}]});
         serde_json::from_value::<HostList>(list).unwrap()
     };
-    let mut settings = good_settings();
+    let mut settings = minimal_settings();
     settings["caller_address"] = json!("0.0.0.0:7101");
     let settings = HostSettings::try_from_json(&settings.to_string()).unwrap();
     let places = |hosts: &HostList| -> Vec<String> {
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn no_json() {
+fn invalid_json() {
     let findings = HostSettings::try_from_json("{\"name\": ").unwrap_err();
     assert_eq!(findings.len(), 1);
     let findings = HostSettings::try_from_json("[]").unwrap_err();
--- a/bergamotswitch-core/tests/target_register.rs
+++ b/bergamotswitch-core/tests/target_register.rs
@@ -17,7 +17,7 @@
     }
 }
 
-fn whole(names: &[&str], as_of: u64) -> TargetUpdate {
+fn snapshot(names: &[&str], as_of: u64) -> TargetUpdate {
     TargetUpdate::Snapshot {
         entries: names.iter().map(|name| entry(name)).collect(),
         unreadable: Vec::new(),
@@ -25,7 +25,7 @@
     }
 }
 
-fn gone(name: &str, revision: u64) -> TargetUpdate {
+fn removed(name: &str, revision: u64) -> TargetUpdate {
     let name = name.to_owned().try_into().expect("name");
     TargetUpdate::Changes {
         changes: vec![(revision, TargetChange::Removed(name))],
@@ -45,17 +45,17 @@
 #[test]
 fn reads_and_changes() {
     let mut register = TargetRegister::default();
-    assert!(register.apply(at(0), whole(&["a", "b"], 10)));
-    assert!(!register.apply(at(1), whole(&["a", "b"], 12)));
-    assert!(register.apply(at(2), gone("a", 13)));
+    assert!(register.apply(at(0), snapshot(&["a", "b"], 10)));
+    assert!(!register.apply(at(1), snapshot(&["a", "b"], 12)));
+    assert!(register.apply(at(2), removed("a", 13)));
     assert_eq!(names(&register), ["b"]);
     // An answer that was overtaken changes nothing.
-    assert!(!register.apply(at(3), whole(&["a", "b"], 11)));
-    let late = TargetUpdate::Changes {
+    assert!(!register.apply(at(3), snapshot(&["a", "b"], 11)));
+    let late_update = TargetUpdate::Changes {
         changes: vec![(9, TargetChange::Set(entry("c")))],
         as_of: 12,
     };
-    assert!(!register.apply(at(4), late));
+    assert!(!register.apply(at(4), late_update));
     assert_eq!(names(&register), ["b"]);
 }
 
@@ -64,18 +64,18 @@
 // all targets lapse; they are back within two seconds of its return. Cause: a
 // lapsed entry was taken for a target that is gone.
 #[test]
-fn lapsed_entries() {
+fn expired_entries() {
     let mut register = TargetRegister::default();
-    register.apply(at(0), whole(&["a", "b"], 10));
+    register.apply(at(0), snapshot(&["a", "b"], 10));
     register.record_failure();
-    assert!(!register.apply(at(5_000), whole(&[], 14)));
+    assert!(!register.apply(at(5_000), snapshot(&[], 14)));
     assert_eq!(names(&register), ["a", "b"]);
     // One is back, the other one is not.
-    let back = TargetUpdate::Changes {
+    let recovered = TargetUpdate::Changes {
         changes: vec![(15, TargetChange::Set(entry("a")))],
         as_of: 15,
     };
-    register.apply(at(6_000), back);
+    register.apply(at(6_000), recovered);
     let before = register.revision();
     assert!(!register.drop_expired(at(7_000)));
     assert!(register.drop_expired(at(7_300)));
@@ -87,11 +87,11 @@
 #[test]
 fn adopted_list() {
     let mut reader = TargetRegister::default();
-    reader.apply(at(0), whole(&["a", "b"], 10));
+    reader.apply(at(0), snapshot(&["a", "b"], 10));
     let mut other = TargetRegister::default();
     other.adopt(reader.revision(), &reader.list());
     assert_eq!(names(&other), ["a", "b"]);
-    other.apply(at(1), gone("a", 11));
+    other.apply(at(1), removed("a", 11));
     other.adopt(reader.revision(), &reader.list());
     assert_eq!(names(&other), ["b"]);
 }
@@ -143,17 +143,17 @@
 #[test]
 fn overwritten_entry() {
     let mut register = TargetRegister::default();
-    register.apply(at(0), whole(&["a", "b"], 10));
+    register.apply(at(0), snapshot(&["a", "b"], 10));
     assert!(register.apply(at(1), changed(unreadable("a"), 11)));
     assert_eq!(names(&register), ["b"]);
-    let all = TargetUpdate::Snapshot {
+    let update = TargetUpdate::Snapshot {
         entries: Vec::new(),
         unreadable: vec!["b".to_owned().try_into().expect("name")],
         as_of: 12,
     };
     // Just after an outage, when entries that are gone are still counted on.
     register.record_failure();
-    assert!(register.apply(at(2), all));
+    assert!(register.apply(at(2), update));
     assert!(names(&register).is_empty());
     // Its target writes again.
     register.apply(at(3), changed(TargetChange::Set(entry("a")), 13));
@@ -165,7 +165,7 @@
 // a former run, or one without a start, takes its place. Cause: the start was
 // forgotten with the entry.
 #[test]
-fn start_kept() {
+fn start_time_kept() {
     let mut register = TargetRegister::default();
     register.apply(at(0), changed(TargetChange::Set(started("a", 200, 81)), 10));
     register.apply(at(1), changed(unreadable("a"), 11));
@@ -176,7 +176,7 @@
     // One that told its start always does: this is another writer.
     register.apply(at(4), changed(TargetChange::Set(entry("a")), 14));
     assert!(names(&register).is_empty());
-    register.apply(at(5), gone("a", 15));
+    register.apply(at(5), removed("a", 15));
     register.apply(at(6), changed(TargetChange::Set(entry("a")), 16));
     assert_eq!(names(&register), ["a"]);
 }
--- a/bergamotswitch-core/tests/target_restart.rs
+++ b/bergamotswitch-core/tests/target_restart.rs
@@ -7,7 +7,7 @@
 /// As many as a target gets of which nothing is known yet.
 const SLOTS: u32 = 2;
 
-fn run(started_at_ms: u64) -> PoolTarget {
+fn target_started_at(started_at_ms: u64) -> PoolTarget {
     PoolTarget {
         slots: Some(SLOTS),
         started_at_ms: Some(started_at_ms),
@@ -16,7 +16,7 @@
 }
 
 fn bench() -> OwnerBench {
-    OwnerBench::with_targets(OwnerOptions::default(), &[run(100)])
+    OwnerBench::with_targets(OwnerOptions::default(), &[target_started_at(100)])
 }
 
 fn fill(bench: &mut OwnerBench, from: u64) -> Vec<Permit> {
@@ -27,7 +27,7 @@
 }
 
 fn restart(bench: &mut OwnerBench, started_at_ms: u64) -> Vec<OwnerAction> {
-    bench.event(OwnerEvent::Targets(vec![run(started_at_ms)]))
+    bench.event(OwnerEvent::Targets(vec![target_started_at(started_at_ms)]))
 }
 
 // Symptom: a target is ready and gets nothing, while callers are refused.
@@ -35,7 +35,7 @@
 // registers again under its name. Cause: the places of its former run stood
 // taken until each request reached its deadline.
 #[test]
-fn places_free() {
+fn slots_freed() {
     let mut bench = bench();
     let permits = fill(&mut bench, 1);
     assert!(granted_requests(&bench.ask(&ask(9, 1, "a"))).is_empty());
@@ -54,7 +54,7 @@
 // while it dies and is backed off; it starts again. Cause: the back-off of its
 // former run.
 #[test]
-fn back_off_void() {
+fn back_off_cleared() {
     let mut bench = bench();
     let permit = bench.granted(&ask(1, 1, "a"));
     bench.release(&permit, ReleaseOutcome::Unreachable);
@@ -66,7 +66,7 @@
 // again while it runs there; the caller sends it once more, at another host.
 // Cause: the key went with the permit.
 #[test]
-fn keys_stay() {
+fn key_claim_kept() {
     let mut bench = bench();
     let call = with_claim(ask(1, 1, "a"), 77, run_of("entry", 7), false);
     bench.granted(&call);
@@ -87,10 +87,10 @@
     fill(&mut bench, 1);
     bench.ask(&ask(9, 1, "a"));
     assert!(granted_requests(&restart(&mut bench, 50)).is_empty());
-    let silent = PoolTarget {
+    let without_start = PoolTarget {
         started_at_ms: None,
-        ..run(0)
+        ..target_started_at(0)
     };
-    let actions = bench.event(OwnerEvent::Targets(vec![silent]));
+    let actions = bench.event(OwnerEvent::Targets(vec![without_start]));
     assert!(granted_requests(&actions).is_empty());
 }
