--- a/bergamotswitch-core/src/pool.rs
+++ b/bergamotswitch-core/src/pool.rs
@@ -1,4 +1,4 @@
-//! Provides pools: groups of targets that serve the same model or service.
+//! Provides target pools and the shards into which they are divided.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,14 +6,14 @@
 pub use crate::name::PoolName;
 use crate::target::PoolTarget;
 
-/// A `PoolKind` says how a pool's targets are spoken to.
+/// A `PoolKind` is the protocol that a pool's targets speak.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PoolKind {
-    /// Model engines: chat and text completions in streams.
+    /// Model engines that serve streamed chat and text completions.
     #[default]
     Engine,
-    /// Plain services: one call, one answer.
+    /// Plain services that answer each request with a single response.
     Plain,
 }
 
@@ -21,24 +21,24 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetPool {
-    /// The pool's name; for engines the name of the model.
+    /// The pool's name; for engines, the name of the model.
     pub name: PoolName,
-    /// How its targets are spoken to.
+    /// The protocol that the pool's targets speak.
     #[serde(default)]
     pub kind: PoolKind,
-    /// Whether each failure domain's targets form a shard of their own.
+    /// Whether the targets of each failure domain form a separate shard.
     #[serde(default)]
     pub shard_by_domain: bool,
-    /// Its targets.
+    /// The pool's targets.
     pub targets: Vec<PoolTarget>,
 }
 
-/// A `PoolShard` is the part of a pool that one owner host orders.
+/// A `PoolShard` is the part of a pool that is scheduled by one owner host.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PoolShard {
     /// The pool.
     pub pool: PoolName,
-    /// The failure domain whose targets the shard holds; all where absent.
+    /// The failure domain of the shard's targets; all domains if absent.
     pub domain: Option<DomainName>,
 }
 
--- a/bergamotswitch-core/src/settings.rs
+++ b/bergamotswitch-core/src/settings.rs
@@ -1,4 +1,4 @@
-//! Provides host settings: what a process is told locally at its start.
+//! Provides host settings, the local configuration of a process.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -15,36 +15,36 @@
 use crate::publication::repeats::refuse_repeated_addresses;
 use crate::publication::{LinkKey, PeerAddress};
 
-/// A `LogFormat` is how log lines are written.
+/// A `LogFormat` is the format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// A `LogLevel` is the least grave event that is logged.
+/// A `LogLevel` is the lowest severity that is logged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogLevel {
-    /// Only promises at risk.
+    /// Only events that put a guarantee of the service at risk.
     Error,
-    /// Also what works less well.
+    /// Also degraded operation.
     Warn,
-    /// Also the steps worth following.
+    /// Also normal steps of operation.
     #[default]
     Info,
-    /// Also what helps to find a fault.
+    /// Also details for troubleshooting.
     Debug,
-    /// Everything.
+    /// All events.
     Trace,
 }
 
 impl LogLevel {
-    /// Get the level's name.
+    /// Get the level's name in the settings.
     pub const fn as_str(self) -> &'static str {
         match self {
             LogLevel::Error => "error",
@@ -56,89 +56,93 @@
     }
 }
 
-/// A `LogOutput` is where log lines go.
+/// A `LogOutput` is the destination of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogOutput {
-    /// Standard error, line by line.
+    /// Standard error, written line by line.
     #[default]
     Stderr,
-    /// Standard output, from a bounded buffer that never holds up the loop.
+    /// Standard output, written from a bounded buffer so that logging never blocks
+    /// the event loop.
     Stdout,
 }
 
-/// A `LogSettings` says what is logged, and how.
+/// A `LogSettings` is the configuration of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct LogSettings {
-    /// Where lines go.
+    /// The destination of log lines.
     pub output: LogOutput,
-    /// How lines are written.
+    /// The format of log lines.
     pub format: LogFormat,
-    /// What is logged.
+    /// The lowest severity that is logged.
     pub level: LogLevel,
 }
 
-/// A `HostSettings` is what a process is told locally; all else is published.
+/// A `HostSettings` is the local configuration of a process. The rest of its
+/// configuration is published to all hosts.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct HostSettings {
-    /// The host's name, as in the host list.
+    /// The host's name in the host list.
     pub name: HostName,
-    /// The failure domain in which it stands.
+    /// The failure domain that contains the host.
     pub domain: DomainName,
-    /// Where it listens for callers; port 0 lets the system choose.
+    /// The listen address for callers; port 0 for an ephemeral port.
     pub caller_address: SocketAddr,
-    /// Where it listens for other hosts; port 0 lets the system choose.
+    /// The listen address for other hosts; port 0 for an ephemeral port.
     pub link_address: SocketAddr,
-    /// The instances of the configuration service.
+    /// The addresses of the configuration service's instances.
     pub configuration_services: Vec<SocketAddr>,
-    /// The instances of the host list.
+    /// The addresses of the host list's instances.
     pub host_lists: Vec<SocketAddr>,
-    /// How long a planned stop may last before the process is killed, in
-    /// seconds; absent where nothing kills it.
+    /// The grace period after which a stopping process is killed, in seconds;
+    /// absent if nothing kills it.
     pub grace_s: Option<f64>,
-    /// Where it serves as a gateway, which reads no services of the above.
+    /// The settings of a gateway, which uses neither the configuration service nor
+    /// the host list; absent if the host is not a gateway.
     pub gateway: Option<GatewaySettings>,
-    /// What is logged.
+    /// The configuration of the log.
     pub log: LogSettings,
 }
 
-/// A `GatewaySettings` is what a process is told that serves the users'
-/// platform.
+/// A `GatewaySettings` is the local configuration of a process that runs as a
+/// gateway on the users' platform.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct GatewaySettings {
-    /// Where it tells whether it is ready.
+    /// The listen address of the readiness probe.
     pub readiness_address: SocketAddr,
-    /// Where it tells where to connect.
+    /// The listen address for callers that look up the hosts.
     pub directory_address: SocketAddr,
-    /// Where it shows its metrics.
+    /// The listen address of the metrics endpoint.
     pub metrics_address: SocketAddr,
-    /// Where the platform's store is.
+    /// The address of the platform's key-value store.
     pub store_address: SocketAddr,
-    /// Hosts to ask first for the others; they may be down.
+    /// The hosts contacted first to discover the others; they may be down.
     pub seeds: Vec<SocketAddr>,
-    /// The secret that the hosts share.
+    /// The shared secret that authenticates the links between hosts.
     #[serde(skip)]
     pub link_key: String,
-    /// Its share of a processor, in cores.
+    /// The CPU share of the process, in cores.
     pub cores: f64,
-    /// Its memory, in megabytes.
+    /// The memory of the process, in megabytes.
     pub memory_mb: u64,
-    /// How long a revoked key may still work, in milliseconds; no bound where
-    /// absent.
+    /// The time for which a revoked API key may still be accepted, in
+    /// milliseconds; unbounded if absent.
     pub revoke_ms: Option<u64>,
-    /// The retries of a pool for each request to it.
+    /// The retry budget of a pool, in retries per request.
     pub retry_ratio: f64,
-    /// The retries that all hosts together may make beyond that in one window.
+    /// The retries that all hosts together may make beyond the ratio in one
+    /// window.
     pub retry_slack: f64,
-    /// The window over which retries are judged, in seconds.
+    /// The length of the retry budget's window, in seconds.
     pub retry_window_s: f64,
-    /// The window over which quotas are judged, in seconds.
+    /// The length of the window over which quotas are enforced, in seconds.
     pub quota_window_s: f64,
-    /// How much more than its quota an account may use in one window.
+    /// The fraction by which an account may exceed its quota in one window.
     pub quota_overage: f64,
 }
 
-/// The name under which findings place the settings.
+/// The name of the settings in the locations of findings.
 const SETTINGS_INPUT: &str = "settings";
 
 impl HostSettings {
@@ -146,19 +150,20 @@
     ///
     /// # Errors
     ///
-    /// Returns every fault with its place.
+    /// Returns all validation errors with their locations.
     pub fn try_from_json(text: &str) -> Result<Self, Findings> {
         read_text(SETTINGS_INPUT, text)
     }
 
-    /// Get how long a planned stop may last before the process is killed;
-    /// absent where nothing kills it.
+    /// Get the grace period after which a stopping process is killed, or `None` if
+    /// nothing kills it.
     pub fn grace(&self) -> Option<Duration> {
         self.grace_s.map(Duration::from_secs_f64)
     }
 
-    /// Get what the host list says otherwise than these settings. It lags, so
-    /// a host starts all the same; callers and peers go by the list.
+    /// Get the differences between the host list and these settings. The list may
+    /// be out of date, so they do not keep a host from starting, but callers and
+    /// peers use the values in the list.
     pub fn check_listed(&self, hosts: &HostList) -> Findings {
         let mut findings = Findings::new();
         let place = |field: &str| format!("{SETTINGS_INPUT}:/{field}");
@@ -175,7 +180,8 @@
             ("link_address", self.link_address, listed.link_address),
         ];
         for (field, own, listed) in ports {
-            // The IP numbers may differ: a host may listen on all of its own.
+            // The IP addresses may differ, as a host may listen on a wildcard
+            // address.
             if own.port() != 0 && own.port() != listed.port() {
                 let allowed = format!("port {}, as in the host list", listed.port());
                 findings.add(place(field), own.to_string(), allowed);
@@ -220,7 +226,7 @@
     }
 }
 
-/// One address can't be listened on twice; a chosen port differs each time.
+/// Refuse one address for both listeners, unless its port is ephemeral.
 fn refuse_shared_address(
     node: &JsonNode<'_>,
     caller_address: Option<SocketAddr>,
@@ -248,20 +254,21 @@
     list.into_iter().map(|address| address.0).collect()
 }
 
-/// The allowed shares of a processor, in cores.
+/// The allowed CPU shares, in cores.
 const CORE_RANGE: RangeInclusive<f64> = 0.01..=1024.0;
-/// The allowed memory, in megabytes.
+/// The allowed memory sizes, in megabytes.
 const MEMORY_RANGE: RangeInclusive<u64> = 16..=1_048_576;
-/// The allowed times in which a revoked key may still work, in milliseconds.
+/// The allowed times for which a revoked key may still be accepted, in
+/// milliseconds.
 const REVOKE_RANGE: RangeInclusive<u64> = 1_000..=3_600_000;
-/// The allowed retries for each request.
+/// The allowed values of `retry_ratio` and `quota_overage`.
 const RATIO_RANGE: RangeInclusive<f64> = 0.0..=10.0;
-/// The allowed retries of all hosts beyond that.
+/// The allowed values of `retry_slack`.
 const SLACK_RANGE: RangeInclusive<f64> = 0.0..=1_000_000.0;
-/// The allowed lengths of a planned stop, in seconds.
+/// The allowed grace periods of a planned stop, in seconds.
 const GRACE_RANGE: RangeInclusive<f64> = 1.0..=3_600.0;
 
-/// The allowed windows of quotas, in seconds.
+/// The allowed lengths of the windows for retries and quotas, in seconds.
 const WINDOW_RANGE: RangeInclusive<f64> = 0.5..=3_600.0;
 
 impl ReadJson for GatewaySettings {
--- a/bergamotswitch-core/src/target.rs
+++ b/bergamotswitch-core/src/target.rs
@@ -1,4 +1,4 @@
-//! Provides targets: the engines and plain services that run requests.
+//! Provides targets, the model engines and plain services that run requests.
 
 use std::net::SocketAddr;
 
@@ -8,38 +8,38 @@
 use crate::failure_domain::DomainName;
 pub use crate::name::TargetName;
 
-/// A `PoolTarget` is one instance that runs requests of its pool.
+/// A `PoolTarget` is one instance that runs the requests to a pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PoolTarget {
-    /// The target's name, unique over all pools.
+    /// The target's name, unique across all pools.
     pub name: TargetName,
-    /// The failure domain in which the target stands.
+    /// The failure domain that contains the target.
     pub domain: DomainName,
-    /// Where the target listens (HTTP/1.1).
+    /// The address at which the target listens (HTTP/1.1).
     pub address: SocketAddr,
-    /// What the target honours.
+    /// The optional capabilities that the target supports.
     #[serde(default)]
     pub contract: TargetContract,
-    /// A first guess at its speed in output tokens per second over all its
-    /// streams; measurement replaces it. Hardware generations differ.
+    /// The target's initial speed estimate in output tokens per second over all
+    /// streams, used until measurements replace it.
     #[serde(default = "default_speed")]
     pub expected_speed: u32,
-    /// The most tokens (prompt and output) that it may hold at once.
+    /// The maximum number of tokens (prompt and output) in flight at the target.
     #[serde(default = "default_token_limit")]
     pub token_limit: u32,
-    /// The requests that it serves at once, where it says so.
+    /// The number of concurrent requests that the target reports to serve, if any.
     #[serde(default)]
     pub slots: Option<u32>,
-    /// When it started, where it says so: a later start is another run, of which
-    /// nothing is known.
+    /// The start time that the target reports, if any. After a later start, no
+    /// state of the earlier process applies.
     #[serde(default)]
     pub started_at_ms: Option<u64>,
 }
 
-/// The speed of a target that says none, in tokens per second.
+/// The default speed estimate of a target, in tokens per second.
 pub const DEFAULT_SPEED: u32 = 1_000;
-/// The token limit of a target that says none.
+/// The default token limit of a target.
 pub const DEFAULT_TOKEN_LIMIT: u32 = 65_536;
 
 const fn default_speed() -> u32 {
@@ -50,15 +50,16 @@
     DEFAULT_TOKEN_LIMIT
 }
 
-/// A `LoadReport` is what a target says of its own load. It is old on arrival.
+/// A `LoadReport` is a target's report of its own load, which is already out of
+/// date on arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests in its batch.
+    /// The number of requests in the target's batch.
     pub running: u32,
-    /// Requests queued inside it.
+    /// The number of requests queued inside the target.
     pub waiting: u32,
-    /// Tokens (prompt and output still expected) of both.
+    /// The tokens of these requests (prompt and expected output).
     pub outstanding_tokens: u64,
-    /// The age of the report on arrival, in milliseconds, as far as known.
+    /// The known age of the report on arrival, in milliseconds.
     pub age_ms: u32,
 }
--- a/bergamotswitch-core/src/target_list.rs
+++ b/bergamotswitch-core/src/target_list.rs
@@ -1,5 +1,5 @@
-//! Provides the list of targets as registered at the platform's store, and
-//! the register that keeps it up to date from reads and changes.
+//! Provides the list of targets registered in the platform's store, and the
+//! register that keeps it up to date from snapshots and changes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,65 +13,65 @@
 use crate::name::{DomainName, PoolName, TargetName};
 use crate::revision::{Revision, TARGETS_VALUE};
 
-/// How long after the store's return entries that are gone are still counted
-/// on. Entries lapse while the store is away because no heartbeat reaches it;
-/// those of live targets are back within two seconds of its return. Dropped at
-/// once, all targets of a healthy service would be gone for that time; one
-/// would see every request refused just after an outage.
+/// How long after an outage of the store entries that it has removed are kept.
+/// During an outage no heartbeat reaches the store, so the entries of live targets
+/// expire; these targets register again within two seconds after the outage.
+/// Without this period, all requests would be refused until then.
 const EXPIRY_GRACE: Duration = Duration::from_millis(2_200);
 
-/// Steps of the published revision for one revision of the store: the list as
-/// it was read, and the list once lapsed entries were dropped.
+/// The number of published revisions per revision of the store: one for the list
+/// as read, and one for the list after expired entries were dropped.
 const STEPS_PER_REVISION: u64 = 2;
 
-/// A `TargetEntry` is one registered target.
+/// A `TargetEntry` is the registration of a target in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetEntry {
-    /// The target's name. A target may start again under the name that it had.
+    /// The target's name, which it keeps across restarts.
     pub name: TargetName,
-    /// The pool that it serves.
+    /// The pool that the target serves.
     pub pool: PoolName,
-    /// The failure domain in which it stands.
+    /// The failure domain that contains the target.
     pub domain: DomainName,
-    /// Where it listens.
+    /// The address at which the target listens.
     pub address: SocketAddr,
-    /// The requests that it serves at once.
+    /// The number of requests that the target serves concurrently.
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether the target is in service or draining.
     pub standing: Standing,
-    /// How much longer it is slow after its start, in milliseconds.
+    /// The remaining warm-up time in which the target is slow, in milliseconds.
     pub warming_ms: u64,
-    /// When it started, in Unix milliseconds of its own clock, where it says so:
-    /// a later one under the same name is another run, which holds nothing of
-    /// the earlier one. Only compared with other starts of the same name.
+    /// The target's start time in Unix milliseconds of its own clock, if it
+    /// reports one. A later start under the same name is a new process that has
+    /// none of the earlier one's requests. Start times of different names are never
+    /// compared.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub started_at_ms: Option<u64>,
 }
 
-/// A `TargetChange` is one change of an entry.
+/// A `TargetChange` is one change of a target's entry in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TargetChange {
-    /// The entry is as given.
+    /// The entry was created or replaced.
     Set(TargetEntry),
-    /// The entry is gone.
+    /// The entry was removed.
     Removed(TargetName),
-    /// What lies in the entry's place is no registration.
+    /// The entry was overwritten with a value that is not a registration.
     Unreadable(TargetName),
 }
 
-/// A `TargetUpdate` is what a read or a watch of the store brought.
+/// A `TargetUpdate` is the result of a read or a watch of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TargetUpdate {
-    /// All entries as of a revision.
+    /// All entries at a revision of the store.
     Snapshot {
         /// The entries.
         entries: Vec<TargetEntry>,
-        /// The names in whose place something lies that is no registration.
+        /// The names of entries whose value is not a registration.
         unreadable: Vec<TargetName>,
         /// The store's revision.
         as_of: u64,
     },
-    /// The changes up to a revision, in order.
+    /// The changes up to a revision of the store, in order.
     Changes {
         /// The changes, each with its revision.
         changes: Vec<(u64, TargetChange)>,
@@ -80,7 +80,7 @@
     },
 }
 
-/// A `TargetList` is the published form of all entries.
+/// A `TargetList` is the published list of all targets.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetList {
     /// The entries.
@@ -92,7 +92,7 @@
     ///
     /// # Errors
     ///
-    /// Returns what the text lacks.
+    /// Returns the parse error as a finding.
     pub fn try_from_json(text: &str) -> Result<Self, Findings> {
         serde_json::from_str(text).map_err(|error| {
             let mut findings = Findings::new();
@@ -102,26 +102,26 @@
     }
 }
 
-/// A `TargetRegister` is a reading host's copy of the store's entries.
+/// A `TargetRegister` is a host's copy of the target entries in the store.
 #[derive(Debug, Default)]
 pub struct TargetRegister {
     entries: BTreeMap<TargetName, TargetEntry>,
-    /// Entries that are gone from the store and still counted on.
+    /// The entries that were removed from the store and are still kept.
     expired: BTreeMap<TargetName, TargetEntry>,
-    /// The last start known of each name in whose place something lies that is
-    /// no registration: an earlier start that is written late is not taken up.
+    /// The last known start time of each name whose entry is not a registration,
+    /// so that a late registration of an earlier process is still detected.
     unreadable: BTreeMap<TargetName, Option<u64>>,
     /// The store's revision up to which the entries are complete.
     as_of: u64,
-    /// Whether lapsed entries were dropped at this revision.
+    /// Whether expired entries were dropped at this revision.
     expired_dropped: bool,
-    /// Whether a call failed since the last one that succeeded.
+    /// Whether the last call to the store failed.
     failing: bool,
     keep_expired_until: Moment,
 }
 
 impl TargetRegister {
-    /// Take over a list that a peer read, where it is newer.
+    /// Replace the entries with a list that a peer has read, if it is newer.
     pub fn adopt(&mut self, revision: Revision, list: &TargetList) {
         let as_of = revision.0 / STEPS_PER_REVISION;
         if as_of <= self.as_of {
@@ -136,12 +136,12 @@
             .collect();
     }
 
-    /// Note that a call failed.
+    /// Record that a call to the store failed.
     pub fn record_failure(&mut self) {
         self.failing = true;
     }
 
-    /// Take in news; get whether the list has changed.
+    /// Apply an update of the store; get whether the list has changed.
     pub fn apply(&mut self, now: Moment, update: TargetUpdate) -> bool {
         if std::mem::take(&mut self.failing) {
             self.keep_expired_until = now.plus(EXPIRY_GRACE);
@@ -158,7 +158,8 @@
         self.list() != before
     }
 
-    /// Drop lapsed entries whose time is over; get whether there were any.
+    /// Drop the expired entries once their grace period is over; get whether there
+    /// were any.
     pub fn drop_expired(&mut self, now: Moment) -> bool {
         if self.expired.is_empty() || now < self.keep_expired_until {
             return false;
@@ -168,7 +169,7 @@
         true
     }
 
-    /// Get when [`TargetRegister::drop_expired`] is due.
+    /// Get the time at which [`TargetRegister::drop_expired`] is due.
     pub fn next_due(&self) -> Moment {
         match self.expired.is_empty() {
             true => Moment::NEVER,
@@ -181,7 +182,7 @@
         Revision(self.as_of * STEPS_PER_REVISION + u64::from(self.expired_dropped))
     }
 
-    /// Get the list, lapsed entries included.
+    /// Get the list, including expired entries that are still kept.
     pub fn list(&self) -> TargetList {
         let entries = self.entries.values().chain(self.expired.values());
         TargetList {
@@ -196,7 +197,7 @@
         unreadable: Vec<TargetName>,
         as_of: u64,
     ) {
-        // An answer that was overtaken must not undo later changes.
+        // A delayed snapshot must not undo later changes.
         if as_of < self.as_of {
             return;
         }
@@ -231,8 +232,8 @@
         self.advance(as_of.max(self.as_of));
     }
 
-    /// Take in a registration, unless an earlier run wrote it late: its address
-    /// and state are those of a process that is gone.
+    /// Apply a registration, unless it is a delayed one of an earlier process, whose
+    /// address and state are no longer valid.
     fn set(&mut self, entry: TargetEntry) {
         let known = self.last_start(&entry.name);
         match (known, entry.started_at_ms) {
@@ -245,8 +246,8 @@
         self.entries.insert(entry.name.clone(), entry);
     }
 
-    /// Count on a target no longer whose entry was written over. Other than one
-    /// that lapsed, it is not kept for a while: somebody wrote what stands there.
+    /// Remove a target whose entry was overwritten with another value. It is not
+    /// kept like an expired entry, because the store's content is deliberate.
     fn set_unreadable(&mut self, name: TargetName) {
         let known = self.last_start(&name);
         self.entries.remove(&name);
