--- a/bergamotswitch-core/tests/address_answers.rs
+++ b/bergamotswitch-core/tests/address_answers.rs
@@ -1,4 +1,4 @@
-//! Tests of which host a caller is told to use.
+//! Tests of the hosts returned by address queries.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// Makes host `index`; the hosts stand in turn in the first three domains.
+/// Make host `index`, assigned to one of the first three domains in turn.
 fn host(index: usize) -> HostHealth {
     host_in(index, DOMAINS[index % 3])
 }
@@ -62,14 +62,13 @@
     names(query, hosts).swap_remove(0)
 }
 
-/// Check that so many hosts have `mean` callers each, give or take.
+/// Check that there are `hosts` hosts, with `mean` callers each to within `off`.
 fn assert_even(counts: &BTreeMap<String, usize>, hosts: usize, mean: usize, off: usize) {
     assert_eq!(counts.len(), hosts);
     let near = |count: &usize| count.abs_diff(mean) < off;
     assert!(counts.values().all(near), "{counts:?}");
 }
 
-/// Get the host of that name.
 fn host_named<'a>(hosts: &'a [HostHealth], name: &str) -> &'a HostHealth {
     let found = hosts.iter().find(|h| h.host.name.as_str() == name);
     found.unwrap()
@@ -77,8 +76,8 @@
 
 #[test]
 fn even_spread() {
-    // 2800 accounts over 9 hosts: 311 each; a fair draw strays by about 17,
-    // so a host beyond 90 off is a skewed hash.
+    // 2800 accounts over 9 hosts are 311 each, with a standard deviation of about
+    // 17 for a uniform hash; a deviation of 90 means that the hash is skewed.
     let hosts: Vec<HostHealth> = (0..9).map(host).collect();
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
     for account in 0..2800 {
@@ -90,9 +89,8 @@
 
 #[test]
 fn stable_assignment() {
-    // Symptom: keyed retries meet hosts that don't know their request.
-    // Sequence: one host leaves, and all accounts are dealt anew. Cause: an
-    // account's host was its hash modulo the number of hosts.
+    // Guards against reassigning all accounts when one host leaves: retries with
+    // an idempotency key would reach hosts that do not hold the request.
     let before: Vec<HostHealth> = (0..8).map(host).collect();
     let mut after = before.clone();
     after[3].host.standing = Standing::Leaving;
@@ -114,9 +112,8 @@
 
 #[test]
 fn answer_independent_of_host() {
-    // Symptom: a caller's retry goes elsewhere because another host answered.
-    // Sequence: the hosts watch different peers and list them in different
-    // orders. Cause: an answer that depends on who is watched.
+    // Guards against an answer that depends on which peers the answering host
+    // monitors or on the order in which it lists them.
     type Input = (u8, Option<u8>, [u8; 8], u8);
     let known: Vec<HostHealth> = (0..8).map(host).collect();
     bergamotswitch_draw::for_each::<Input>(1000, |(account, domain, keys, watched)| {
@@ -136,9 +133,8 @@
 
 #[test]
 fn unusable_hosts() {
-    // Symptom: new callers arrive at a host that stops, and its stop never
-    // ends. Sequence: the host says that it stops; peers go on naming it.
-    // Cause: only the lagging host list was looked at.
+    // Guards against sending callers to stopping hosts that an outdated host list
+    // still shows as live, which would keep a planned stop from completing.
     type Input = (u8, [(bool, Option<bool>, bool, u16); 6]);
     bergamotswitch_draw::for_each::<Input>(2000, |(account, states)| {
         let mut hosts: Vec<HostHealth> = (0..6).map(host).collect();
@@ -162,7 +158,7 @@
         let load = |name: &String| host_named(&hosts, name).load_permille >= 900;
         assert!(
             named.is_sorted_by_key(load),
-            "an overloaded host before another"
+            "overloaded host ranked before another host"
         );
     });
 }
@@ -176,7 +172,7 @@
         let named = names(&query(account, Some("west")), &hosts);
         let domains: Vec<String> = named.iter().map(domain_of).collect();
         assert_eq!(domains[0], "west");
-        // The alternatives fail apart from each other and stay in the region.
+        // The fallbacks are in different failure domains of the same region.
         let distinct: HashSet<&String> = domains.iter().collect();
         assert_eq!(distinct.len(), 3);
         assert!(!distinct.contains(&"abroad".to_owned()));
@@ -185,9 +181,8 @@
 
 #[test]
 fn overloaded_host_last() {
-    // Symptom: a host that is full gets yet more callers while others idle.
-    // Sequence: a large account's host reaches its limit; its address stays
-    // first in every answer. Cause: steadiness without regard to load.
+    // Guards against sending more callers to an overloaded host while other hosts
+    // have capacity.
     let mut hosts: Vec<HostHealth> = (0..6).map(host).collect();
     let query = query(1, Some("north"));
     let usual = first(&query, &hosts);
@@ -223,10 +218,8 @@
     assert_eq!((empty.hosts.len(), empty.lifetime_ms), (0, 1_000));
 }
 
-// Symptom: five accounts used four of eight hosts, a large one a single host,
-// until that host called itself overloaded.
-// Sequence: the callers of one account ask from the same failure domain.
-// Cause: hosts were ranked for the account and the domain alone.
+// Guards against sending all callers of one account and failure domain to the
+// same host.
 #[test]
 fn callers_spread() {
     let hosts: Vec<HostHealth> = (0..8).map(|index| host_in(index, "north")).collect();
@@ -235,9 +228,9 @@
         let mut query = query(1, Some("north"));
         query.caller = CallerHash::of(&format!("10.0.0.{caller}"));
         let host = first(&query, &hosts);
-        assert_eq!(host, first(&query, &hosts), "a caller stays put");
+        assert_eq!(host, first(&query, &hosts), "caller moved to another host");
         *counts.entry(host).or_default() += 1;
     }
-    // 100 each; a fair draw strays by about 10.
+    // 100 each, with a standard deviation of about 10 for a uniform hash.
     assert_even(&counts, 8, 100, 50);
 }
--- a/bergamotswitch-core/tests/failed_targets.rs
+++ b/bergamotswitch-core/tests/failed_targets.rs
@@ -1,4 +1,4 @@
-//! Targets that cannot be reached, while owners change and hosts start anew.
+//! Tests of unreachable targets during owner changes and host restarts.
 
 mod quota_fleet;
 
@@ -6,28 +6,29 @@
 use bergamotswitch_core::refusal::RefusalReason;
 use quota_fleet::*;
 
-/// The targets, and the slots of each: those that work are busy, but not full.
+/// The number of targets and the slots of each; the healthy ones are busy, but
+/// not full.
 const TARGETS: (usize, u32) = (24, 5);
 const DEAD: std::ops::Range<usize> = 0..8;
 
-/// The time in which a new owner meets the dead targets that it does not know of.
+/// The time in which a new owner discovers the dead targets.
 const TAKEOVER_TIME: Duration = Duration::from_millis(1_500);
-/// The calls that may meet a dead target in that time: one probe of each target
-/// by an owner.
+/// The maximum number of calls that may reach a dead target in that time: one
+/// probe of each dead target per owner.
 const MAX_PROBES: usize = DEAD.end;
 
 fn send_load(fleet: &mut QuotaFleet) {
     fleet.send("free", 2);
 }
 
-/// Start a fleet whose runs go well but for those at its dead targets.
+/// Start a fleet in which only calls to dead targets fail.
 fn start() -> QuotaFleet {
     let entry = EntryOptions::default();
     let mut fleet = QuotaFleet::start_before(TARGETS, Duration::from_millis(5), entry);
     fleet.fails_every = u64::MAX;
     fleet.pass(Duration::from_secs(5), send_load);
     fleet.dead = DEAD.map(|index| format!("t{index}")).collect();
-    // The owner that follows tries all targets in turn, and finds the dead ones.
+    // The next owner tries all targets in turn and discovers the dead ones.
     let owner = fleet.owner();
     restart_host(&mut fleet, owner);
     fleet.pass(Duration::from_secs(10), send_load);
@@ -43,7 +44,7 @@
     fleet.pass(Duration::from_millis(700), send_load);
 }
 
-/// Get the calls that each target served which is dead or was.
+/// Get the number of calls served by each target that is or was dead.
 fn served(fleet: &QuotaFleet) -> Vec<usize> {
     let served = DEAD.map(|index| fleet.served_by(&format!("t{index}")));
     served.collect()
@@ -53,19 +54,17 @@
     fleet.refused("free", RefusalReason::RetriesExhausted)
 }
 
-/// Let time pass in which another host takes over, and get how many calls met
-/// the dead target.
+/// Get the number of calls that reach a dead target while another host takes
+/// over.
 fn failed_during_takeover(fleet: &mut QuotaFleet) -> usize {
     let before = fleet.unreached.len();
     fleet.pass(TAKEOVER_TIME, send_load);
     fleet.unreached.len() - before
 }
 
-// Symptom: after each change of owner a wave of calls reaches no target, and
-// some are refused as out of retries while targets stand idle. Sequence: a
-// target is dead for long; the shard's owner stops; the next one gives its first
-// permits for the dead target, where nobody waits. Cause: a stopping owner kept
-// to itself which targets fail.
+// Guards against a new owner that does not learn from the stopping one which
+// targets fail: its first permits would go to the dead targets, and calls would
+// run out of retries while healthy targets are idle.
 #[test]
 fn planned_stop() {
     let mut fleet = start();
@@ -77,14 +76,14 @@
     let failed_after_restart = failed_during_takeover(&mut fleet);
     println!("{failed_after_stop} and {failed_after_restart} calls met dead targets");
     assert!(failed_after_stop <= MAX_PROBES);
-    // It orders the shard at once, beside the one that followed it.
+    // The restarted host owns the shard at once, alongside its replacement.
     assert!(failed_after_restart <= MAX_PROBES * 2);
     assert_eq!(out_of_retries(&fleet), 0);
 }
 
-// Symptom: calls of hosts that have just started are refused as out of retries.
-// Sequence: all hosts are replaced in turn while a third of the targets is dead.
-// Cause: a target that was not reached cost a retry, and a new host has few.
+// Guards against charging the retry budget for an unreachable target: a host that
+// has just started has a small budget and would refuse calls in a rolling restart
+// while a third of the targets is dead.
 #[test]
 fn rolling_restart() {
     let mut fleet = start();
@@ -95,9 +94,8 @@
     assert_eq!(out_of_retries(&fleet), 0);
 }
 
-// Symptom: a target that is back gets nothing. Sequence: it answers again just
-// before its owner stops, which tells the next one that it fails. Cause guarded
-// against: an old report that keeps work from a sound target.
+// Guards against an outdated failure report that keeps work from a target which
+// recovered just before its owner stopped.
 #[test]
 fn recovered_target() {
     let mut fleet = start();
--- a/bergamotswitch-core/tests/incarnation_text.rs
+++ b/bergamotswitch-core/tests/incarnation_text.rs
@@ -1,4 +1,4 @@
-//! The text of a run, which callers keep and bring back.
+//! Tests of the text form of a host incarnation.
 
 use bergamotswitch_core::host::{HostIncarnation, HostName, Incarnation};
 
@@ -15,9 +15,8 @@
     assert_eq!(HostIncarnation::try_from(text.as_str()), Ok(run));
 }
 
-// Symptom: a token that no host ever gave out named a run.
-// Sequence: a caller sends 31 digits after a sign.
-// Cause: the number parser takes a leading sign.
+// Guards against accepting a sign and 31 digits, because the integer parser
+// allows a leading sign.
 #[test]
 fn sign_refused() {
     let signed = format!("mza-norte-1~+{}", &DIGITS[1..]);
--- a/bergamotswitch-core/tests/settings_check.rs
+++ b/bergamotswitch-core/tests/settings_check.rs
@@ -1,4 +1,4 @@
-//! Tests of the check of host settings.
+//! Tests of the parsing and validation of host settings.
 
 use bergamotswitch_core::host::HostList;
 use bergamotswitch_core::settings::{HostSettings, LogFormat, LogLevel};
@@ -56,8 +56,8 @@
 
 #[test]
 fn shared_address() {
-    // Symptom: a host fails at its start with "address in use". Sequence:
-    // both listeners are given one address. Cause: nobody compared them.
+    // Guards against settings that give both listeners the same address, with
+    // which a host would fail to start.
     let mut settings = minimal_settings();
     settings["caller_address"] = json!("127.0.0.1:7101");
     settings["link_address"] = json!("127.0.0.1:7101");
--- a/bergamotswitch-core/tests/target_register.rs
+++ b/bergamotswitch-core/tests/target_register.rs
@@ -1,4 +1,4 @@
-//! The list of registered targets over reads, changes and outages.
+//! Tests of the target register with snapshots, changes and store outages.
 
 use bergamotswitch_core::clock::Moment;
 use bergamotswitch_core::host::Standing;
@@ -49,7 +49,7 @@
     assert!(!register.apply(at(1), snapshot(&["a", "b"], 12)));
     assert!(register.apply(at(2), removed("a", 13)));
     assert_eq!(names(&register), ["b"]);
-    // An answer that was overtaken changes nothing.
+    // A delayed snapshot or change has no effect.
     assert!(!register.apply(at(3), snapshot(&["a", "b"], 11)));
     let late_update = TargetUpdate::Changes {
         changes: vec![(9, TargetChange::Set(entry("c")))],
@@ -59,10 +59,8 @@
     assert_eq!(names(&register), ["b"]);
 }
 
-// Symptom: every request is refused just after an outage of the store.
-// Sequence: no heartbeat reaches the store while it is away, so the entries of
-// all targets lapse; they are back within two seconds of its return. Cause: a
-// lapsed entry was taken for a target that is gone.
+// Guards against refusing all requests just after an outage of the store, when the
+// entries of live targets have expired and are not yet registered again.
 #[test]
 fn expired_entries() {
     let mut register = TargetRegister::default();
@@ -70,7 +68,7 @@
     register.record_failure();
     assert!(!register.apply(at(5_000), snapshot(&[], 14)));
     assert_eq!(names(&register), ["a", "b"]);
-    // One is back, the other one is not.
+    // One target registers again, the other does not.
     let recovered = TargetUpdate::Changes {
         changes: vec![(15, TargetChange::Set(entry("a")))],
         as_of: 15,
@@ -83,7 +81,7 @@
     assert!(register.revision() > before);
 }
 
-// A list that a peer read counts where it is newer, and never where it is not.
+// A list that a peer has read is adopted only if it is newer.
 #[test]
 fn adopted_list() {
     let mut reader = TargetRegister::default();
@@ -120,9 +118,8 @@
     targets.iter().map(|entry| entry.address.port()).collect()
 }
 
-// Symptom: calls go to an address at which nobody listens any more. Sequence: a
-// target starts again under its name and registers; a registration of its
-// former run arrives late. Cause: whatever came last was taken for newest.
+// Guards against a delayed registration of a restarted target's previous process:
+// calls would go to an address at which nothing listens.
 #[test]
 fn late_registration() {
     let mut register = TargetRegister::default();
@@ -131,15 +128,13 @@
     assert!(!register.apply(at(2), changed(TargetChange::Set(started("a", 100, 80)), 12)));
     assert_eq!(ports(&register), [81]);
     assert_eq!(register.list().targets[0].started_at_ms, Some(200));
-    // A count of writes that begins anew is no sign of age, a start is.
+    // A registration with a later start time is accepted.
     assert!(register.apply(at(3), changed(TargetChange::Set(started("a", 300, 82)), 13)));
     assert_eq!(ports(&register), [82]);
 }
 
-// Symptom: calls go on to a target whose entry somebody wrote over. Sequence:
-// the entry is good, then no registration; it is told by a change, or by a read
-// of all. Cause: what could not be read was passed over, and the entry from
-// before stayed.
+// Guards against keeping the previous entry of a target whose entry was
+// overwritten with an unreadable value, seen in a change or in a snapshot.
 #[test]
 fn overwritten_entry() {
     let mut register = TargetRegister::default();
@@ -151,19 +146,18 @@
         unreadable: vec!["b".to_owned().try_into().expect("name")],
         as_of: 12,
     };
-    // Just after an outage, when entries that are gone are still counted on.
+    // Just after an outage, when removed entries are still kept.
     register.record_failure();
     assert!(register.apply(at(2), update));
     assert!(names(&register).is_empty());
-    // Its target writes again.
+    // The target registers again.
     register.apply(at(3), changed(TargetChange::Set(entry("a")), 13));
     assert_eq!(names(&register), ["a"]);
 }
 
-// Symptom: the former run of a target is counted on again. Sequence: its entry
-// tells a start, is written over by another writer, and then a registration of
-// a former run, or one without a start, takes its place. Cause: the start was
-// forgotten with the entry.
+// Guards against losing a target's start time when its entry is overwritten: a
+// registration of an earlier process, or one without a start time, would then be
+// accepted.
 #[test]
 fn start_time_kept() {
     let mut register = TargetRegister::default();
@@ -173,7 +167,8 @@
     assert!(names(&register).is_empty());
     register.apply(at(3), changed(TargetChange::Set(started("a", 200, 81)), 13));
     assert_eq!(ports(&register), [81]);
-    // One that told its start always does: this is another writer.
+    // A target that has reported a start time always does, so this registration
+    // is from another writer.
     register.apply(at(4), changed(TargetChange::Set(entry("a")), 14));
     assert!(names(&register).is_empty());
     register.apply(at(5), removed("a", 15));
--- a/bergamotswitch-core/tests/target_restart.rs
+++ b/bergamotswitch-core/tests/target_restart.rs
@@ -1,10 +1,10 @@
-//! A target starts again under the name that it had.
+//! Tests of a target that restarts under the same name.
 
 mod owner_bench;
 
 use owner_bench::*;
 
-/// As many as a target gets of which nothing is known yet.
+/// The number of slots used at a target without measurements.
 const SLOTS: u32 = 2;
 
 fn target_started_at(started_at_ms: u64) -> PoolTarget {
@@ -30,19 +30,17 @@
     bench.event(OwnerEvent::Targets(vec![target_started_at(started_at_ms)]))
 }
 
-// Symptom: a target is ready and gets nothing, while callers are refused.
-// Sequence: it dies with its places full, where its hosts notice nothing, and
-// registers again under its name. Cause: the places of its former run stood
-// taken until each request reached its deadline.
+// Guards against slots of a target's previous process that stay occupied until
+// their requests reach their deadlines, while the restarted target is idle.
 #[test]
 fn slots_freed() {
     let mut bench = bench();
     let permits = fill(&mut bench, 1);
     assert!(granted_requests(&bench.ask(&ask(9, 1, "a"))).is_empty());
-    // The same run as before changes nothing.
+    // A registration with the same start time has no effect.
     assert!(granted_requests(&restart(&mut bench, 100)).is_empty());
     assert_eq!(granted_requests(&restart(&mut bench, 200)), [9]);
-    // What runs of before tell late counts for nothing now.
+    // Late releases of permits for the previous process have no effect.
     let usage = usage(cost_of(50, 50), 100);
     for permit in &permits {
         bench.release(permit, ReleaseOutcome::Finished(usage));
@@ -50,9 +48,8 @@
     assert_eq!(bench.target_view("t").permits, 1);
 }
 
-// Symptom: a fresh target gets no work for half a minute. Sequence: it fails
-// while it dies and is backed off; it starts again. Cause: the back-off of its
-// former run.
+// Guards against applying the backoff of a target's previous process to the
+// restarted target.
 #[test]
 fn back_off_cleared() {
     let mut bench = bench();
@@ -62,9 +59,8 @@
     assert_eq!(granted_requests(&restart(&mut bench, 200)), [2]);
 }
 
-// Symptom: a call that must not run twice does. Sequence: its target starts
-// again while it runs there; the caller sends it once more, at another host.
-// Cause: the key went with the permit.
+// Guards against dropping a key claim together with the permit of a restarted
+// target: a resubmission at another host would run the request a second time.
 #[test]
 fn key_claim_kept() {
     let mut bench = bench();
@@ -80,7 +76,7 @@
     ));
 }
 
-// An earlier start than the known one says nothing new, nor does none.
+// A registration with an earlier start time, or without one, has no effect.
 #[test]
 fn older_start() {
     let mut bench = bench();
