--- a/bergamotswitch-core/tests/incarnation_text.rs
+++ b/bergamotswitch-core/tests/incarnation_text.rs
@@ -1,11 +1,11 @@
-//! The text of a run, which callers keep and bring back.
+//! Tests of the text form of a host incarnation.
 
 use bergamotswitch_core::host::{HostIncarnation, HostName, Incarnation};
 
 const DIGITS: &str = "000000000000000000000000000000ff";
 
 #[test]
-fn there_and_back() {
+fn round_trip() {
     let run = HostIncarnation {
         host: HostName::try_from("mza-norte-1").expect("name"),
         incarnation: Incarnation(255),
@@ -15,9 +15,8 @@
     assert_eq!(HostIncarnation::try_from(text.as_str()), Ok(run));
 }
 
-// Symptom: a token that no host ever gave out named a run.
-// Sequence: a caller sends 31 digits after a sign.
-// Cause: the number parser takes a leading sign.
+// Guards against accepting a sign and 31 digits, because the integer parser
+// allows a leading sign.
 #[test]
 fn sign_refused() {
     let signed = format!("mza-norte-1~+{}", &DIGITS[1..]);
--- a/bergamotswitch-core/tests/target_restart.rs
+++ b/bergamotswitch-core/tests/target_restart.rs
@@ -1,13 +1,13 @@
-//! A target starts again under the name that it had.
+//! Tests of a target that restarts under the same name.
 
 mod owner_bench;
 
 use owner_bench::*;
 
-/// As many as a target gets of which nothing is known yet.
+/// The number of slots used at a target without measurements.
 const SLOTS: u32 = 2;
 
-fn run(started_at_ms: u64) -> PoolTarget {
+fn target_started_at(started_at_ms: u64) -> PoolTarget {
     PoolTarget {
         slots: Some(SLOTS),
         started_at_ms: Some(started_at_ms),
@@ -16,7 +16,7 @@
 }
 
 fn bench() -> OwnerBench {
-    OwnerBench::with_targets(OwnerOptions::default(), &[run(100)])
+    OwnerBench::with_targets(OwnerOptions::default(), &[target_started_at(100)])
 }
 
 fn fill(bench: &mut OwnerBench, from: u64) -> Vec<Permit> {
@@ -27,22 +27,20 @@
 }
 
 fn restart(bench: &mut OwnerBench, started_at_ms: u64) -> Vec<OwnerAction> {
-    bench.event(OwnerEvent::Targets(vec![run(started_at_ms)]))
+    bench.event(OwnerEvent::Targets(vec![target_started_at(started_at_ms)]))
 }
 
-// Symptom: a target is ready and gets nothing, while callers are refused.
-// Sequence: it dies with its places full, where its hosts notice nothing, and
-// registers again under its name. Cause: the places of its former run stood
-// taken until each request reached its deadline.
+// Guards against slots of a target's previous process that stay occupied until
+// their requests reach their deadlines, while the restarted target is idle.
 #[test]
-fn places_free() {
+fn slots_freed() {
     let mut bench = bench();
     let permits = fill(&mut bench, 1);
     assert!(granted_requests(&bench.ask(&ask(9, 1, "a"))).is_empty());
-    // The same run as before changes nothing.
+    // A registration with the same start time has no effect.
     assert!(granted_requests(&restart(&mut bench, 100)).is_empty());
     assert_eq!(granted_requests(&restart(&mut bench, 200)), [9]);
-    // What runs of before tell late counts for nothing now.
+    // Late releases of permits for the previous process have no effect.
     let usage = usage(cost_of(50, 50), 100);
     for permit in &permits {
         bench.release(permit, ReleaseOutcome::Finished(usage));
@@ -50,11 +48,10 @@
     assert_eq!(bench.target_view("t").permits, 1);
 }
 
-// Symptom: a fresh target gets no work for half a minute. Sequence: it fails
-// while it dies and is backed off; it starts again. Cause: the back-off of its
-// former run.
+// Guards against applying the backoff of a target's previous process to the
+// restarted target.
 #[test]
-fn back_off_void() {
+fn back_off_cleared() {
     let mut bench = bench();
     let permit = bench.granted(&ask(1, 1, "a"));
     bench.release(&permit, ReleaseOutcome::Unreachable);
@@ -62,11 +59,10 @@
     assert_eq!(granted_requests(&restart(&mut bench, 200)), [2]);
 }
 
-// Symptom: a call that must not run twice does. Sequence: its target starts
-// again while it runs there; the caller sends it once more, at another host.
-// Cause: the key went with the permit.
+// Guards against dropping a key claim together with the permit of a restarted
+// target: a resubmission at another host would run the request a second time.
 #[test]
-fn keys_stay() {
+fn key_claim_kept() {
     let mut bench = bench();
     let call = with_claim(ask(1, 1, "a"), 77, run_of("entry", 7), false);
     bench.granted(&call);
@@ -76,21 +72,21 @@
     assert!(granted_requests(&actions).is_empty(), "{actions:?}");
     assert!(matches!(
         actions[..],
-        [OwnerAction::Reply(_, OwnerReply::KeyKnown { .. })]
+        [OwnerAction::Reply(_, OwnerReply::KeyHeld { .. })]
     ));
 }
 
-// An earlier start than the known one says nothing new, nor does none.
+// A registration with an earlier start time, or without one, has no effect.
 #[test]
 fn older_start() {
     let mut bench = bench();
     fill(&mut bench, 1);
     bench.ask(&ask(9, 1, "a"));
     assert!(granted_requests(&restart(&mut bench, 50)).is_empty());
-    let silent = PoolTarget {
+    let without_start = PoolTarget {
         started_at_ms: None,
-        ..run(0)
+        ..target_started_at(0)
     };
-    let actions = bench.event(OwnerEvent::Targets(vec![silent]));
+    let actions = bench.event(OwnerEvent::Targets(vec![without_start]));
     assert!(granted_requests(&actions).is_empty());
 }
--- a/bergamotswitch/examples/slopes/frames.rs
+++ b/bergamotswitch/examples/slopes/frames.rs
@@ -3,7 +3,7 @@
 use bergamotswitch_core::host::Incarnation;
 use bergamotswitch_core::link::{Heartbeat, LinkMessage};
 use bergamotswitch_core::permit::{
-    HeldWork, OwnerMessage, OwnerReply, Permit, PermitId, Release, ReleaseOutcome, Usage,
+    InFlightWork, OwnerMessage, OwnerReply, Permit, PermitId, Release, ReleaseOutcome, Usage,
 };
 use bergamotswitch_core::refusal::RefusalReason;
 use bergamotswitch_core::revision::{Revision, RevisionMark, RevisionMessage};
@@ -44,9 +44,9 @@
     }
 }
 
-fn held(sequence: u64) -> HeldWork {
+fn held(sequence: u64) -> InFlightWork {
     let ask = ask(LATE + sequence, 17);
-    HeldWork {
+    InFlightWork {
         permit: permit_id(sequence),
         attempt: ask.attempt,
         target: name("drafting-lm-412"),
@@ -117,7 +117,7 @@
     });
     sheet.slope("audit, by permits", &points);
     let points = at_sizes(&sizes, |count| {
-        to_owner(OwnerMessage::Retell {
+        to_owner(OwnerMessage::Resync {
             shard: home(),
             held: (0..count as u64).map(held).collect(),
             claims: Vec::new(),
@@ -125,7 +125,7 @@
     });
     sheet.slope("retell, by requests in flight", &points);
     let points = at_sizes(&sizes, |count| {
-        to_owner(OwnerMessage::Retell {
+        to_owner(OwnerMessage::Resync {
             shard: home(),
             held: Vec::new(),
             claims: (0..count as u64).map(claim).collect(),
