--- a/bergamotswitch-core/src/membership/machine.rs
+++ b/bergamotswitch-core/src/membership/machine.rs
@@ -7,7 +7,7 @@
 use super::options::MembershipOptions;
 use super::peer::{Change, Peer, PeerView};
 use super::shard_view::{Denial, OwnerView};
-use super::{KeyWitnesses, MembershipAction, MembershipEvent};
+use super::{KeyQuorum, MembershipAction, MembershipEvent};
 use crate::clock::Moment;
 use crate::host::{EntryHost, HostIncarnation, HostList, HostName, Standing};
 use crate::incident::Incident;
@@ -84,7 +84,7 @@
         // Heartbeats and ticks are many and mostly change nothing.
         self.changed |= !matches!(
             event,
-            MembershipEvent::Heard(..) | MembershipEvent::Traffic(_) | MembershipEvent::Tick
+            MembershipEvent::Heartbeat(..) | MembershipEvent::Traffic(_) | MembershipEvent::Tick
         );
         match event {
             MembershipEvent::Hosts(list) => self.take_hosts(now, list, &mut actions),
@@ -95,7 +95,7 @@
             MembershipEvent::Using(shard, used) => self.take_using(shard, used),
             MembershipEvent::LinkUp(run) => self.take_link(now, run, &mut actions),
             MembershipEvent::LinkDown(run) => self.lose_link(now, &run),
-            MembershipEvent::Heard(host, beat) => self.hear(now, host, &beat, &mut actions),
+            MembershipEvent::Heartbeat(host, beat) => self.hear(now, host, &beat, &mut actions),
             // Only heartbeats prove both directions; other traffic may flow
             // one way for long.
             MembershipEvent::Traffic(_) => return actions,
@@ -106,7 +106,7 @@
                 self.begin_stop(now, &mut actions);
             }
             MembershipEvent::Tick => {}
-            MembershipEvent::Woke(slept) => self.distrust_after(now, slept, &mut actions),
+            MembershipEvent::Resumed(slept) => self.distrust_after(now, slept, &mut actions),
         }
         self.review(now, &mut actions);
         actions
@@ -140,7 +140,7 @@
     }
 
     /// Get the time between two heartbeats.
-    pub fn heartbeat(&self) -> Duration {
+    pub fn heartbeat_interval(&self) -> Duration {
         self.opts.heartbeat
     }
 
@@ -156,28 +156,28 @@
     }
 
     /// Get whether a host is silent.
-    pub fn is_silent(&self, host: &HostName) -> bool {
+    pub fn is_unreachable(&self, host: &HostName) -> bool {
         let peer = self.peers.get(host);
         peer.is_some_and(|peer| peer.reachable == Some(false))
     }
 
     /// Get the hosts whose word an owner of the shard needs before it runs what
     /// must not run twice.
-    pub fn key_witnesses(&self, shard: &PoolShard) -> KeyWitnesses {
+    pub fn key_quorum(&self, shard: &PoolShard) -> KeyQuorum {
         let candidates = self.candidates.get(shard).cloned().unwrap_or_default();
         let is_lost = |host: &EntryHost| {
             let peer = self.peers.get(&host.name);
             peer.is_some_and(|peer| peer.reachable == Some(false))
         };
         let awaited = self.live_hosts().filter(|host| !is_lost(host));
-        KeyWitnesses {
+        KeyQuorum {
             candidates,
             awaited: awaited.map(|host| host.name.clone()).collect(),
         }
     }
 
     /// Get the shards for which this host acts as owner.
-    pub fn acts_for(&self) -> Vec<PoolShard> {
+    pub fn acting_shards(&self) -> Vec<PoolShard> {
         self.acting.iter().cloned().collect()
     }
 
@@ -233,7 +233,7 @@
         if let Some(gone) = gone {
             self.denials.retain(|denial| denial.host != run.host);
             self.forget_owner(&run.host);
-            actions.push(MembershipAction::HostGone(run.host, gone));
+            actions.push(MembershipAction::HostTerminated(run.host, gone));
         }
     }
 
@@ -271,10 +271,7 @@
         self.changed |= peer.condition() != before;
         let answer = peer.answer(beat);
         if change == Some(Change::Reachable) {
-            actions.push(MembershipAction::Note(
-                Incident::PeerReachable,
-                host.clone(),
-            ));
+            actions.push(MembershipAction::Log(Incident::PeerReachable, host.clone()));
         }
         if let Some(heard) = answer {
             let beat = self.beat(0, heard);
--- a/bergamotswitch-core/src/membership/mod.rs
+++ b/bergamotswitch-core/src/membership/mod.rs
@@ -26,10 +26,10 @@
 use crate::link::Heartbeat;
 use crate::pool::PoolShard;
 
-/// A `KeyWitnesses` is the hosts whose word an owner needs before it runs what
+/// A `KeyQuorum` is the hosts whose word an owner needs before it runs what
 /// must not run twice.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KeyWitnesses {
+pub struct KeyQuorum {
     /// The shard's candidates, of which a majority has to follow the owner.
     pub candidates: Vec<HostName>,
     /// The live hosts that are not known to be unreachable, which have to tell
@@ -51,7 +51,7 @@
     /// A link went down.
     LinkDown(HostIncarnation),
     /// A peer's heartbeat came.
-    Heard(HostName, Heartbeat),
+    Heartbeat(HostName, Heartbeat),
     /// Some other message of the peer came.
     Traffic(HostName),
     /// The peer says that it does not act as the shard's owner.
@@ -63,7 +63,7 @@
     /// Time has passed.
     Tick,
     /// The process slept for this long.
-    Woke(Duration),
+    Resumed(Duration),
 }
 
 /// A `MembershipAction` is one thing that membership wants done.
@@ -77,12 +77,12 @@
     Send(HostName, Heartbeat),
     /// The acting owner of a shard in this host's view, after a change;
     /// `None`: no candidate is reachable.
-    OwnerIs(PoolShard, Option<HostName>),
+    OwnerChanged(PoolShard, Option<HostName>),
     /// Begin (or end) to act as owner of a shard.
     Act(PoolShard, bool),
     /// This run of a host is gone for good: its successor was seen, or the
     /// host list dropped it.
-    HostGone(HostName, Incarnation),
+    HostTerminated(HostName, Incarnation),
     /// Log a numbered event about a host.
-    Note(Incident, HostName),
+    Log(Incident, HostName),
 }
--- a/bergamotswitch-core/src/membership/options.rs
+++ b/bergamotswitch-core/src/membership/options.rs
@@ -14,9 +14,9 @@
 const SUSPECT_AFTER: Duration = Duration::from_secs(2);
 /// Longer than the suspicion time: a link that flaps at the pace of the
 /// suspicion never counts as steady.
-const YIELD_AFTER: Duration = Duration::from_secs(5);
+const FAILBACK_AFTER: Duration = Duration::from_secs(5);
 /// A process under a debugger or a slow migration stays away for less.
-const GONE_AFTER: Duration = Duration::from_secs(60);
+const TERMINATION_AFTER: Duration = Duration::from_secs(60);
 /// Long enough for a heartbeat to reach the next candidate and its users.
 const HANDOVER: Duration = Duration::from_secs(1);
 /// At this many watching hosts the heartbeats of users begin to stretch.
@@ -27,8 +27,8 @@
 pub struct MembershipOptions {
     pub(super) heartbeat: Duration,
     pub(super) suspect_after: Duration,
-    pub(super) yield_after: Duration,
-    pub(super) gone_after: Duration,
+    pub(super) failback_after: Duration,
+    pub(super) termination_after: Duration,
     pub(super) handover: Duration,
     pub(super) watchers_at_full_rate: usize,
 }
@@ -38,8 +38,8 @@
         MembershipOptions {
             heartbeat: HEARTBEAT,
             suspect_after: SUSPECT_AFTER,
-            yield_after: YIELD_AFTER,
-            gone_after: GONE_AFTER,
+            failback_after: FAILBACK_AFTER,
+            termination_after: TERMINATION_AFTER,
             handover: HANDOVER,
             watchers_at_full_rate: WATCHERS_AT_FULL_RATE,
         }
@@ -61,15 +61,15 @@
 
     /// Set how long an earlier candidate has to be reachable before work goes
     /// back to it.
-    pub fn with_yield_after(mut self, span: Duration) -> Self {
-        self.yield_after = span;
+    pub fn with_failback_after(mut self, span: Duration) -> Self {
+        self.failback_after = span;
         self
     }
 
     /// Set how long a host that the list dropped has to be unreachable before
     /// its run counts as gone.
-    pub fn with_gone_after(mut self, span: Duration) -> Self {
-        self.gone_after = span;
+    pub fn with_termination_after(mut self, span: Duration) -> Self {
+        self.termination_after = span;
         self
     }
 
@@ -86,8 +86,8 @@
         let suspect_after = Duration::from_millis(limits.suspect_after_ms);
         self.with_heartbeat(Duration::from_millis(limits.heartbeat_ms))
             .with_suspect_after(suspect_after)
-            .with_yield_after(YIELD_AFTER.max(suspect_after * 5 / 2))
-            .with_gone_after(GONE_AFTER.max(suspect_after * 2))
+            .with_failback_after(FAILBACK_AFTER.max(suspect_after * 5 / 2))
+            .with_termination_after(TERMINATION_AFTER.max(suspect_after * 2))
     }
 
     /// Get the time between two answered heartbeats of a mere user of a
--- a/bergamotswitch-core/src/membership/peer.rs
+++ b/bergamotswitch-core/src/membership/peer.rs
@@ -218,8 +218,8 @@
     /// Get when time alone next changes what this peer counts as.
     pub(super) fn settle_at(&self, now: Moment, opts: &MembershipOptions) -> Moment {
         let settled_at = match self.reachable {
-            Some(true) => self.since.plus(opts.yield_after),
-            Some(false) => self.since.plus(opts.gone_after),
+            Some(true) => self.since.plus(opts.failback_after),
+            Some(false) => self.since.plus(opts.termination_after),
             None => Moment::NEVER,
         };
         match settled_at > now {
--- a/bergamotswitch-core/src/membership/review.rs
+++ b/bergamotswitch-core/src/membership/review.rs
@@ -36,7 +36,7 @@
         for (host, peer) in &mut self.peers {
             if peer.review(now, &self.opts) == Some(Change::Unreachable) {
                 self.changed = true;
-                actions.push(MembershipAction::Note(
+                actions.push(MembershipAction::Log(
                     Incident::PeerUnreachable,
                     host.clone(),
                 ));
@@ -48,15 +48,15 @@
     /// Silence alone never makes a host gone: behind a partition its work goes
     /// on, and slots taken back from it would be used twice.
     fn drop_gone(&mut self, now: Moment, actions: &mut Vec<MembershipAction>) {
-        let gone_after = self.opts.gone_after;
+        let termination_after = self.opts.termination_after;
         let hosts = &self.hosts;
         self.peers.retain(|name, peer| {
             if !is_departed(hosts, name) {
                 return true;
             }
             match peer.incarnation {
-                Some(run) if peer.is_settled(false, now, gone_after) => {
-                    actions.push(MembershipAction::HostGone(name.clone(), run));
+                Some(run) if peer.is_settled(false, now, termination_after) => {
+                    actions.push(MembershipAction::HostTerminated(name.clone(), run));
                     false
                 }
                 Some(_) => true,
@@ -75,7 +75,7 @@
         match self.peers.get(host) {
             None => CandidateState::Unknown,
             Some(peer) if peer.stopping => CandidateState::Out,
-            Some(peer) if peer.is_settled(true, now, self.opts.yield_after) => {
+            Some(peer) if peer.is_settled(true, now, self.opts.failback_after) => {
                 CandidateState::Steady
             }
             Some(peer) => match peer.reachable {
@@ -180,7 +180,7 @@
             let after = self.choose_owner(now, shard, &before);
             if after != before && after != OwnerView::Unknown {
                 let host = after.host().cloned();
-                actions.push(MembershipAction::OwnerIs(shard.clone(), host));
+                actions.push(MembershipAction::OwnerChanged(shard.clone(), host));
             }
             owners.insert(shard.clone(), after);
         }
--- a/bergamotswitch-core/src/node/carry_out.rs
+++ b/bergamotswitch-core/src/node/carry_out.rs
@@ -98,16 +98,16 @@
                 let message = LinkMessage::Heartbeat(beat);
                 self.actions.push(NodeAction::Send(host, message));
             }
-            MembershipAction::OwnerIs(shard, owner) => self.on_owner(now, shard, owner),
+            MembershipAction::OwnerChanged(shard, owner) => self.on_owner(now, shard, owner),
             MembershipAction::Act(shard, act) => self.on_act(now, shard, act),
-            MembershipAction::HostGone(host, run) => {
+            MembershipAction::HostTerminated(host, run) => {
                 let actions = self
                     .shards
                     .on_all(now, |_| OwnerEvent::HostGone(host.clone(), run));
                 self.queue_owner(actions);
                 self.exposure.run_ended(now, &host);
             }
-            MembershipAction::Note(incident, host) => {
+            MembershipAction::Log(incident, host) => {
                 let text = format!("peer={host}");
                 self.actions.push(NodeAction::Note(incident, text));
             }
@@ -189,7 +189,7 @@
         if self.membership.is_stopping(former) {
             return Some(OwnerEvent::HandedOver);
         }
-        let is_silent = self.membership.is_silent(former);
+        let is_silent = self.membership.is_unreachable(former);
         is_silent.then_some(OwnerEvent::TakenOver)
     }
 
--- a/bergamotswitch-core/src/node/core.rs
+++ b/bergamotswitch-core/src/node/core.rs
@@ -253,7 +253,7 @@
         self.actions
             .push(NodeAction::Note(Incident::PauseNoticed, text));
         self.wake_roster(now);
-        self.tell_membership(now, MembershipEvent::Woke(gap));
+        self.tell_membership(now, MembershipEvent::Resumed(gap));
         self.key_guards.restart(now);
         self.tell_book(now, RevisionEvent::Woke(gap));
         self.tell_desk(now, EntryEvent::Woke(gap));
@@ -284,7 +284,7 @@
         // Peers hear of the stop before this: the heartbeats that tell it wait
         // in front of it.
         self.run_steps(now);
-        for shard in self.membership.acts_for() {
+        for shard in self.membership.acting_shards() {
             self.hand_over(now, &shard, STOP_HAND_OVER);
         }
         self.tell_desk(now, EntryEvent::Stop);
@@ -323,7 +323,7 @@
     fn on_message(&mut self, now: Moment, host: HostName, message: LinkMessage) {
         match message {
             LinkMessage::Heartbeat(beat) => {
-                self.tell_membership(now, MembershipEvent::Heard(host, beat));
+                self.tell_membership(now, MembershipEvent::Heartbeat(host, beat));
                 return;
             }
             LinkMessage::ToOwner(message) => self.on_owner_message(now, host.clone(), message),
--- a/bergamotswitch-core/src/node/hand_over.rs
+++ b/bergamotswitch-core/src/node/hand_over.rs
@@ -84,7 +84,7 @@
     /// that this one orders. A first candidate that has just started orders them
     /// at once, and knows of none.
     pub(super) fn tell_failed(&mut self, now: Moment, host: &HostName) {
-        for shard in self.membership.acts_for() {
+        for shard in self.membership.acting_shards() {
             self.send_failed(now, shard, host);
         }
     }
--- a/bergamotswitch-core/src/node/key_guard.rs
+++ b/bergamotswitch-core/src/node/key_guard.rs
@@ -16,7 +16,7 @@
 use super::core::NodeCore;
 use crate::clock::Moment;
 use crate::host::HostName;
-use crate::membership::KeyWitnesses;
+use crate::membership::KeyQuorum;
 use crate::permit::{Ask, OwnerMessage, OwnerReply};
 use crate::pool::{PoolKind, PoolShard};
 use crate::request::AttemptId;
@@ -102,7 +102,7 @@
     }
 
     /// Look at who follows now.
-    fn review(&mut self, now: Moment, beat: Duration, me: &HostName, witnesses: &KeyWitnesses) {
+    fn review(&mut self, now: Moment, beat: Duration, me: &HostName, witnesses: &KeyQuorum) {
         let valid = beat * VALID_BEATS;
         self.followers.retain(|_, at| now < at.plus(valid));
         let follows = |host: &&HostName| *host == me || self.followers.contains_key(*host);
@@ -232,7 +232,7 @@
         if guarded && self.shards.is_degraded_shard(message.shard()) {
             return None;
         }
-        let beat = self.membership.heartbeat();
+        let beat = self.membership.heartbeat_interval();
         self.key_guards.pass(now, host, message, beat)
     }
 
@@ -260,10 +260,10 @@
     /// Ask the candidates who follows, where that is due, and let those asks go
     /// on whose owner is sure by now.
     pub(super) fn review_guards(&mut self, now: Moment) {
-        let beat = self.membership.heartbeat();
+        let beat = self.membership.heartbeat_interval();
         let shards: Vec<PoolShard> = self.key_guards.guards.keys().cloned().collect();
         for shard in shards {
-            let witnesses = self.membership.key_witnesses(&shard);
+            let witnesses = self.membership.key_quorum(&shard);
             let Some(guard) = self.key_guards.guards.get_mut(&shard) else {
                 continue;
             };
@@ -275,13 +275,7 @@
         }
     }
 
-    fn ask_followers(
-        &mut self,
-        now: Moment,
-        shard: &PoolShard,
-        round: u64,
-        witnesses: KeyWitnesses,
-    ) {
+    fn ask_followers(&mut self, now: Moment, shard: &PoolShard, round: u64, witnesses: KeyQuorum) {
         let me = self.me.host.clone();
         let asked = witnesses.candidates.into_iter().filter(|host| *host != me);
         for host in asked {
--- a/bergamotswitch-core/src/node/view.rs
+++ b/bergamotswitch-core/src/node/view.rs
@@ -61,7 +61,7 @@
                 .map(ToString::to_string)
                 .collect(),
             desk: self.desk.view(),
-            owns: self.membership.acts_for(),
+            owns: self.membership.acting_shards(),
             shards: self.shards.views(),
             degraded: self.shards.degraded_count(),
             counts: self.exposure.counts,
--- a/bergamotswitch-core/tests/fleet/mod.rs
+++ b/bergamotswitch-core/tests/fleet/mod.rs
@@ -140,10 +140,10 @@
                     self.parcels
                         .insert((now.plus(LATENCY), self.counter), parcel);
                 }
-                MembershipAction::OwnerIs(..) => node.owner_changes += 1,
+                MembershipAction::OwnerChanged(..) => node.owner_changes += 1,
                 MembershipAction::Act(..) => node.act_changes += 1,
-                MembershipAction::HostGone(host, _) => node.gone.push(host),
-                note @ MembershipAction::Note(..) => node.notes.push(note),
+                MembershipAction::HostTerminated(host, _) => node.gone.push(host),
+                note @ MembershipAction::Log(..) => node.notes.push(note),
             }
         }
         self.note_wake(name);
@@ -186,7 +186,7 @@
 
     pub fn resume(&mut self, name: &HostName, slept: Duration) {
         self.nodes.get_mut(name).unwrap().paused = false;
-        self.tell(name, MembershipEvent::Woke(slept));
+        self.tell(name, MembershipEvent::Resumed(slept));
     }
 
     pub fn cut(&mut self, from: &HostName, to: &HostName) {
@@ -249,7 +249,7 @@
         };
         match open {
             true => {
-                let event = MembershipEvent::Heard(parcel.from, parcel.beat);
+                let event = MembershipEvent::Heartbeat(parcel.from, parcel.beat);
                 self.tell(&parcel.to, event);
             }
             // What reaches a paused process waits in its socket.
@@ -288,7 +288,7 @@
     }
 
     pub fn owners_of(&self, shard: &PoolShard) -> Vec<HostName> {
-        let acts = |node: &Node| node.machine.acts_for().contains(shard);
+        let acts = |node: &Node| node.machine.acting_shards().contains(shard);
         let owners = self.nodes.iter().filter(|(_, node)| acts(node));
         owners.map(|(name, _)| name.clone()).collect()
     }
--- a/bergamotswitch-core/tests/membership_faults.rs
+++ b/bergamotswitch-core/tests/membership_faults.rs
@@ -102,7 +102,7 @@
     assert_eq!(fleet.owners_of(&shard(0)), vec![order[0].clone()]);
     assert_viewed(&fleet, &order, &order[0]);
     let unreachable = |note: &MembershipAction| {
-        matches!(note, MembershipAction::Note(Incident::PeerUnreachable, _))
+        matches!(note, MembershipAction::Log(Incident::PeerUnreachable, _))
     };
     assert!(!fleet.nodes[&order[1]].notes.iter().any(unreachable));
 }
@@ -118,7 +118,7 @@
     fleet.run(secs(4));
     let changes = fleet.nodes[&order[1]].act_changes;
     fleet.resume(&order[1], secs(4));
-    assert!(fleet.nodes[&order[1]].machine.acts_for().is_empty());
+    assert!(fleet.nodes[&order[1]].machine.acting_shards().is_empty());
     assert_eq!(fleet.nodes[&order[1]].act_changes, changes + 1);
 }
 
--- a/bergamotswitch-core/tests/quota_fleet/setup.rs
+++ b/bergamotswitch-core/tests/quota_fleet/setup.rs
@@ -48,8 +48,8 @@
     let membership = MembershipOptions::default()
         .with_heartbeat(Duration::from_millis(200))
         .with_suspect_after(Duration::from_millis(700))
-        .with_yield_after(Duration::from_secs(2))
-        .with_gone_after(Duration::from_millis(1_500))
+        .with_failback_after(Duration::from_secs(2))
+        .with_termination_after(Duration::from_millis(1_500))
         .with_handover(Duration::from_millis(400));
     let values = [ROUTES_VALUE, TARGETS_VALUE].map(name::<ValueName>);
     NodeOptions {
--- a/bergamotswitch-net/src/node/gateway_setup.rs
+++ b/bergamotswitch-net/src/node/gateway_setup.rs
@@ -151,8 +151,8 @@
     MembershipOptions::default()
         .with_heartbeat(Duration::from_millis(HEARTBEAT_MS))
         .with_suspect_after(Duration::from_millis(SUSPECT_AFTER_MS))
-        .with_yield_after(YIELD_AFTER)
-        .with_gone_after(GONE_AFTER)
+        .with_failback_after(YIELD_AFTER)
+        .with_termination_after(GONE_AFTER)
         .with_handover(HANDOVER)
 }
 
