--- a/bergamotswitch-core/src/node/intake.rs
+++ b/bergamotswitch-core/src/node/intake.rs
@@ -45,7 +45,7 @@
     /// peers (or, without any, the service alone) vouched for the revisions.
     pub fn is_ready(&self, now: Moment) -> bool {
         let settled = self.roster.as_ref();
-        let settled = settled.is_none_or(|roster| roster.is_settled(now));
+        let settled = settled.is_none_or(|roster| roster.is_discovery_complete(now));
         settled && self.publication.missing().is_empty() && self.book.is_caught_up(now)
     }
 
--- a/bergamotswitch-core/src/node/news.rs
+++ b/bergamotswitch-core/src/node/news.rs
@@ -44,7 +44,7 @@
         let Some(roster) = &mut self.roster else {
             return;
         };
-        let answers = roster.hear(now, message);
+        let answers = roster.handle(now, message);
         self.send_gossip(answers);
         self.take_hosts(now);
     }
@@ -57,7 +57,7 @@
 
     pub(super) fn wake_roster(&mut self, now: Moment) {
         if let Some(roster) = &mut self.roster {
-            roster.woke(now);
+            roster.resume(now);
         }
     }
 
--- a/bergamotswitch-core/src/node/returns.rs
+++ b/bergamotswitch-core/src/node/returns.rs
@@ -71,7 +71,7 @@
         let hosts = roster.ready_hosts(now);
         let others = hosts.iter().filter(|host| host.name != self.me.host);
         let ready = others.count();
-        let left = roster.left_hosts().filter(|at| end.is_expected(now, *at));
+        let left = roster.leave_times().filter(|at| end.is_expected(now, *at));
         let mut returns: Vec<Moment> = left.map(|at| end.back_at(at)).collect();
         returns.push(end.back_at(end.begun_at));
         let enough = (ready + returns.len()) / FEW_PARTS + 1;
--- a/bergamotswitch-core/src/roster/machine.rs
+++ b/bergamotswitch-core/src/roster/machine.rs
@@ -114,7 +114,7 @@
 
     /// Count all others as heard of now: the process slept, and its own
     /// silence is no evidence against them.
-    pub fn woke(&mut self, now: Moment) {
+    pub fn resume(&mut self, now: Moment) {
         for member in self.members.values_mut() {
             member.hear(now);
         }
@@ -144,7 +144,7 @@
     }
 
     /// Take in a message; get the answer where one is of use.
-    pub fn hear(&mut self, now: Moment, message: RosterMessage) -> Vec<RosterAction> {
+    pub fn handle(&mut self, now: Moment, message: RosterMessage) -> Vec<RosterAction> {
         self.discount_sleep(now);
         let sender = message.sender;
         let to = sender.host.link_address;
@@ -186,7 +186,7 @@
     /// Get whether another host was heard of, or enough time has passed for
     /// there to be none. A host that takes callers before it knows how many
     /// there are would take a whole fleet's share of everything for its own.
-    pub fn is_settled(&self, now: Moment) -> bool {
+    pub fn is_discovery_complete(&self, now: Moment) -> bool {
         !self.members.is_empty() || now.since(Moment::START) >= self.opts.alone_after
     }
 
@@ -214,7 +214,7 @@
 
     /// Get when each other host that has stopped, and is not back, was first heard
     /// to stop. One that stops tells it, and falls silent as it ends.
-    pub fn left_hosts(&self) -> impl Iterator<Item = Moment> {
+    pub fn leave_times(&self) -> impl Iterator<Item = Moment> {
         self.members.values().filter_map(|member| member.left_at)
     }
 
--- a/bergamotswitch-core/tests/roster_rounds.rs
+++ b/bergamotswitch-core/tests/roster_rounds.rs
@@ -94,7 +94,7 @@
                     continue;
                 }
                 let roster = self.rosters.get_mut(&target).expect("listed");
-                for action in roster.hear(now, message) {
+                for action in roster.handle(now, message) {
                     sent.push((target, action.to, action.message));
                 }
             }
@@ -110,7 +110,7 @@
         roster.tick(now);
         let known = roster.hosts(now).hosts.len();
         for message in self.waiting.drain(..) {
-            roster.hear(now, message);
+            roster.handle(now, message);
         }
         known
     }
--- a/bergamotswitch-net/tests/roster_bytes.rs
+++ b/bergamotswitch-net/tests/roster_bytes.rs
@@ -59,7 +59,7 @@
         let now = Moment::from_millis(now_ms);
         for index in 1..count {
             // News of others is some rounds old when it arrives.
-            roster.hear(now, news(index, now_ms.saturating_sub(900)));
+            roster.handle(now, news(index, now_ms.saturating_sub(900)));
         }
         for action in roster.tick(now) {
             let config = bincode::config::standard();
