--- a/bergamotswitch-core/src/node/core.rs
+++ b/bergamotswitch-core/src/node/core.rs
@@ -22,7 +22,7 @@
 use crate::permit::{OwnerMessage, OwnerReply};
 use crate::pool_owner::{OwnerAction, OwnerEvent, OwnerOptions};
 use crate::publication::{FleetLimits, Publication};
-use crate::revision::{RevisionAction, RevisionBook, RevisionEvent, RevisionOptions};
+use crate::revision::{RevisionAction, RevisionEvent, RevisionOptions, RevisionReplica};
 use crate::roster::{Roster, RosterOptions};
 use crate::target_list::TargetRegister;
 
@@ -109,7 +109,7 @@
     pub(super) desk: EntryDesk,
     pub(super) shards: ShardSet,
     pub(super) membership: Membership,
-    pub(super) book: RevisionBook,
+    pub(super) book: RevisionReplica,
     pub(super) stopping: bool,
     pub(super) planned_end: Option<PlannedEnd>,
     /// When enough hosts take callers again, as the desk was told last.
@@ -138,7 +138,7 @@
             desk: EntryDesk::new(me.clone(), opts.entry.clone()),
             shards: ShardSet::new(me.clone(), opts.owner.clone()),
             membership: Membership::new(me.clone(), opts.membership.clone(), now),
-            book: RevisionBook::new(me.clone(), domain.clone(), opts.revision.clone(), now),
+            book: RevisionReplica::new(me.clone(), domain.clone(), opts.revision.clone(), now),
             publication: match opts.roster {
                 Some(_) => Publication::routed(opts.limits.clone().unwrap_or_default()),
                 None => Publication::default(),
@@ -255,7 +255,7 @@
         self.wake_roster(now);
         self.tell_membership(now, MembershipEvent::Resumed(gap));
         self.key_guards.restart(now);
-        self.tell_book(now, RevisionEvent::Woke(gap));
+        self.tell_book(now, RevisionEvent::Resumed(gap));
         self.tell_desk(now, EntryEvent::Woke(gap));
         self.run_steps(now);
     }
--- a/bergamotswitch-core/src/node/published.rs
+++ b/bergamotswitch-core/src/node/published.rs
@@ -21,9 +21,9 @@
                 let message = LinkMessage::Revision(message);
                 self.actions.push(NodeAction::Send(host, message));
             }
-            RevisionAction::Offer(value) => self.on_offer(now, value),
+            RevisionAction::Validate(value) => self.on_offer(now, value),
             RevisionAction::Link(host) => self.actions.push(NodeAction::Connect(host)),
-            RevisionAction::Note(incident, name) => {
+            RevisionAction::Log(incident, name) => {
                 let text = format!("value={name}");
                 self.actions.push(NodeAction::Note(incident, text));
             }
@@ -33,7 +33,9 @@
     fn on_offer(&mut self, now: Moment, value: PublishedValue) {
         let verdict = self.publication.apply(&value);
         let good = verdict.is_ok();
-        let actions = self.book.settle(now, &value.name, value.revision, verdict);
+        let actions = self
+            .book
+            .record_verdict(now, &value.name, value.revision, verdict);
         self.queue_revision(actions);
         if good {
             self.on_published(now, &value);
--- a/bergamotswitch-core/src/node/view.rs
+++ b/bergamotswitch-core/src/node/view.rs
@@ -9,7 +9,7 @@
 use crate::pool::PoolShard;
 use crate::pool_owner::ShardView;
 use crate::publication::check_cross;
-use crate::revision::RevisionStanding;
+use crate::revision::RevisionStatus;
 
 /// A `NodeView` is what one host knows, for operators.
 #[derive(Clone, Debug, Serialize)]
@@ -27,7 +27,7 @@
     /// Values that are needed before it serves and are not in force.
     pub missing: Vec<String>,
     /// Published values by revision.
-    pub revisions: RevisionStanding,
+    pub revisions: RevisionStatus,
     /// Faults between values that are each good alone.
     pub cross_findings: Vec<String>,
     /// Requests at this host.
@@ -55,7 +55,7 @@
             stopping: self.stopping,
             load_permille: self.load_permille,
             missing: missing.iter().map(|name| (*name).to_owned()).collect(),
-            revisions: self.book.standing(),
+            revisions: self.book.status(),
             cross_findings: check_cross(&self.publication)
                 .iter()
                 .map(ToString::to_string)
--- a/bergamotswitch-core/src/revision/confirmation.rs
+++ b/bergamotswitch-core/src/revision/confirmation.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::book::RevisionBook;
+use super::replica::RevisionReplica;
 use super::{Revision, RevisionAction, RevisionMessage, ValueName};
 use crate::clock::Moment;
 use crate::host::HostName;
@@ -71,7 +71,7 @@
     }
 }
 
-impl RevisionBook {
+impl RevisionReplica {
     /// Get how long ago the revision in force was known to be the newest;
     /// `None` where it never was.
     pub fn confirmed_age(&self, now: Moment, name: &ValueName) -> Option<Duration> {
--- a/bergamotswitch-core/src/revision/mod.rs
+++ b/bergamotswitch-core/src/revision/mod.rs
@@ -8,20 +8,20 @@
 //! host hangs from one that reads, and one whose relays are all silent reads
 //! for itself.
 
-mod book;
 mod confirmation;
 mod options;
 mod peers;
+mod propagation;
 mod relay;
+mod replica;
 mod service_reader;
-mod spreading;
-mod standing;
-mod value_book;
+mod status;
 mod value_patch;
+mod value_replica;
 
-pub use book::RevisionBook;
 pub use options::RevisionOptions;
-pub use standing::{RefusedRevision, RevisionStanding, ValueStanding};
+pub use replica::RevisionReplica;
+pub use status::{RefusedRevision, RevisionStatus, ValueStatus};
 
 use std::time::Duration;
 
@@ -151,7 +151,7 @@
     /// Time has passed.
     Tick,
     /// The process slept for this long.
-    Woke(Duration),
+    Resumed(Duration),
 }
 
 /// A `RevisionAction` is one thing that a host's published values want done.
@@ -166,11 +166,11 @@
     /// Send a message to a peer.
     Send(HostName, RevisionMessage),
     /// A higher revision arrived; the host checks it and answers with
-    /// `RevisionBook::settle`.
-    Offer(PublishedValue),
+    /// `RevisionReplica::record_verdict`.
+    Validate(PublishedValue),
     /// Keep a link to this peer for spreading values, as long as
-    /// `RevisionBook::wants_link` says so.
+    /// `RevisionReplica::wants_link` says so.
     Link(EntryHost),
     /// Log a numbered event about a value.
-    Note(Incident, ValueName),
+    Log(Incident, ValueName),
 }
--- a/bergamotswitch-core/src/revision/spreading.rs
+++ b/bergamotswitch-core/src/revision/propagation.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use super::book::{CatchUp, RevisionBook};
+use super::replica::{CatchUp, RevisionReplica};
 use super::{PublishedValue, Revision, RevisionAction, RevisionMark, RevisionMessage, ValueName};
 use crate::clock::Moment;
 use crate::host::HostName;
@@ -20,7 +20,7 @@
 /// peer, or several relays would each send up to a megabyte.
 const UNASKED_LEN: usize = 8 * 1024;
 
-impl RevisionBook {
+impl RevisionReplica {
     pub(super) fn take_message(
         &mut self,
         now: Moment,
@@ -95,7 +95,7 @@
         if !book.take(value.clone(), self.opts.kept_bases) {
             return;
         }
-        actions.push(RevisionAction::Offer(value));
+        actions.push(RevisionAction::Validate(value));
         let (best, seen) = (self.best_known(&name), self.seen(&name));
         match self.catch_ups.get_mut(&name) {
             Some(_) if best <= seen => {
--- a/bergamotswitch-core/src/revision/book.rs
+++ b/bergamotswitch-core/src/revision/replica.rs
@@ -8,8 +8,8 @@
 use super::peers::SpreadPeer;
 use super::relay::RelayPlan;
 use super::service_reader::{Jitter, ReadBudget, ServiceCall};
-use super::standing::RevisionStanding;
-use super::value_book::ValueBook;
+use super::status::RevisionStatus;
+use super::value_replica::ValueReplica;
 use super::{
     HOSTS_VALUE, LIMITS_VALUE, PublishedValue, Revision, RevisionAction, RevisionEvent,
     RevisionMark, ValueName,
@@ -37,13 +37,13 @@
     pub(super) since: Moment,
 }
 
-/// A `RevisionBook` is one host's published values.
+/// A `RevisionReplica` is one host's published values.
 #[derive(Debug)]
-pub struct RevisionBook {
+pub struct RevisionReplica {
     pub(super) me: HostName,
     pub(super) domain: DomainName,
     pub(super) opts: RevisionOptions,
-    pub(super) values: BTreeMap<ValueName, ValueBook>,
+    pub(super) values: BTreeMap<ValueName, ValueReplica>,
     pub(super) confirmations: Confirmations,
     pub(super) peers: BTreeMap<HostName, SpreadPeer>,
     pub(super) links: BTreeMap<HostName, EntryHost>,
@@ -70,7 +70,7 @@
     wake_at: Moment,
 }
 
-impl RevisionBook {
+impl RevisionReplica {
     /// Get the book of a host that has just started.
     pub fn new(
         me: HostIncarnation,
@@ -83,12 +83,12 @@
         let values = opts
             .values
             .iter()
-            .map(|name| (name.clone(), ValueBook::new(name.clone())));
+            .map(|name| (name.clone(), ValueReplica::new(name.clone())));
         let calls = opts
             .values
             .iter()
             .map(|name| (name.clone(), ServiceCall::default()));
-        RevisionBook {
+        RevisionReplica {
             me: me.host,
             domain,
             values: values.collect(),
@@ -144,14 +144,14 @@
             }
             RevisionEvent::Hosts(list) => self.take_hosts(list),
             RevisionEvent::Tick => {}
-            RevisionEvent::Woke(_) => self.distrust(now),
+            RevisionEvent::Resumed(_) => self.distrust(now),
         }
         self.review(now, &mut actions);
         actions
     }
 
     /// Take the host's check of an offered value.
-    pub fn settle(
+    pub fn record_verdict(
         &mut self,
         now: Moment,
         name: &ValueName,
@@ -164,11 +164,11 @@
         };
         let mut actions = Vec::new();
         let settled = match self.values.get_mut(name) {
-            Some(book) => book.settle(revision, verdict),
+            Some(book) => book.record_verdict(revision, verdict),
             None => false,
         };
         if settled {
-            actions.push(RevisionAction::Note(incident, name.clone()));
+            actions.push(RevisionAction::Log(incident, name.clone()));
         }
         self.review(now, &mut actions);
         actions
@@ -193,9 +193,9 @@
     }
 
     /// Get what this host reports of its values.
-    pub fn standing(&self) -> RevisionStanding {
-        RevisionStanding {
-            values: self.values.values().map(ValueBook::standing).collect(),
+    pub fn status(&self) -> RevisionStatus {
+        RevisionStatus {
+            values: self.values.values().map(ValueReplica::status).collect(),
             alone: !self.vouched,
             reads_issued: self.reads_issued,
             is_reader: self.plan.is_reader,
@@ -228,7 +228,7 @@
         // without a pause it would use up the read budget.
         if value.revision < call.beyond {
             if call.fail(now, &self.opts, &mut self.jitter) {
-                actions.push(RevisionAction::Note(Incident::RevisionStale, value.name));
+                actions.push(RevisionAction::Log(Incident::RevisionStale, value.name));
             }
             return;
         }
@@ -246,7 +246,7 @@
             None => return,
         };
         if call.fail(now, &self.opts, &mut self.jitter) {
-            actions.push(RevisionAction::Note(Incident::ServiceUnreachable, name));
+            actions.push(RevisionAction::Log(Incident::ServiceUnreachable, name));
         }
     }
 
@@ -358,7 +358,7 @@
         }
         self.alone_noted = true;
         if let Some(name) = self.opts.values.first() {
-            let note = RevisionAction::Note(Incident::StartedAlone, name.clone());
+            let note = RevisionAction::Log(Incident::StartedAlone, name.clone());
             actions.push(note);
         }
     }
--- a/bergamotswitch-core/src/revision/standing.rs
+++ b/bergamotswitch-core/src/revision/status.rs
@@ -13,9 +13,9 @@
     pub findings: Vec<String>,
 }
 
-/// A `ValueStanding` is what a host has of one value.
+/// A `ValueStatus` is what a host has of one value.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct ValueStanding {
+pub struct ValueStatus {
     /// The value's name.
     pub name: ValueName,
     /// The highest revision seen.
@@ -26,11 +26,11 @@
     pub refused: Option<RefusedRevision>,
 }
 
-/// A `RevisionStanding` is what a host has of all values.
+/// A `RevisionStatus` is what a host has of all values.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct RevisionStanding {
+pub struct RevisionStatus {
     /// The values.
-    pub values: Vec<ValueStanding>,
+    pub values: Vec<ValueStatus>,
     /// Whether no peer has vouched for the revisions since the start or the
     /// last pause: the service alone may be stale.
     pub alone: bool,
--- a/bergamotswitch-core/src/revision/value_book.rs
+++ b/bergamotswitch-core/src/revision/value_replica.rs
@@ -3,14 +3,14 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use super::standing::{RefusedRevision, ValueStanding};
+use super::status::{RefusedRevision, ValueStatus};
 use super::value_patch;
 use super::{PublishedValue, Revision, RevisionMessage, ValueName};
 use crate::error::Findings;
 
-/// A `ValueBook` is one published value as a host holds it.
+/// A `ValueReplica` is one published value as a host holds it.
 #[derive(Debug)]
-pub(super) struct ValueBook {
+pub(super) struct ValueReplica {
     name: ValueName,
     seen: Option<PublishedValue>,
     in_force: Option<Revision>,
@@ -22,10 +22,10 @@
     changes: BTreeMap<Revision, Option<RevisionMessage>>,
 }
 
-impl ValueBook {
+impl ValueReplica {
     /// Get a book without a value.
     pub(super) fn new(name: ValueName) -> Self {
-        ValueBook {
+        ValueReplica {
             name,
             seen: None,
             in_force: None,
@@ -78,7 +78,11 @@
     }
 
     /// Take the host's verdict and get whether it changes something.
-    pub(super) fn settle(&mut self, revision: Revision, verdict: Result<(), Findings>) -> bool {
+    pub(super) fn record_verdict(
+        &mut self,
+        revision: Revision,
+        verdict: Result<(), Findings>,
+    ) -> bool {
         if Some(revision) <= self.in_force || revision > self.seen() {
             return false;
         }
@@ -126,8 +130,8 @@
     }
 
     /// Get what a host reports of the value.
-    pub(super) fn standing(&self) -> ValueStanding {
-        ValueStanding {
+    pub(super) fn status(&self) -> ValueStatus {
+        ValueStatus {
             name: self.name.clone(),
             seen: self.seen.as_ref().map(|value| value.revision),
             in_force: self.in_force,
--- a/bergamotswitch-core/tests/fleet_start.rs
+++ b/bergamotswitch-core/tests/fleet_start.rs
@@ -4,7 +4,7 @@
 use bergamotswitch_core::failure_domain::DomainName;
 use bergamotswitch_core::host::{HostIncarnation, HostName, Incarnation};
 use bergamotswitch_core::revision::{
-    HOSTS_VALUE, LIMITS_VALUE, RevisionAction, RevisionBook, RevisionEvent, RevisionOptions,
+    HOSTS_VALUE, LIMITS_VALUE, RevisionAction, RevisionEvent, RevisionOptions, RevisionReplica,
 };
 
 fn first_reads() -> Vec<String> {
@@ -13,7 +13,7 @@
         incarnation: Incarnation(7),
     };
     let domain = DomainName::try_from("north").expect("name");
-    let mut book = RevisionBook::new(me, domain, RevisionOptions::default(), Moment::START);
+    let mut book = RevisionReplica::new(me, domain, RevisionOptions::default(), Moment::START);
     let actions = book.handle(Moment::START, RevisionEvent::Tick);
     let reads = actions.iter().filter_map(|action| match action {
         RevisionAction::Read(name) => Some(name.as_str().to_owned()),
--- a/bergamotswitch-core/tests/key_trust.rs
+++ b/bergamotswitch-core/tests/key_trust.rs
@@ -5,7 +5,7 @@
 use bergamotswitch_core::revision::ROUTES_VALUE;
 use spread::*;
 
-fn book() -> RevisionBook {
+fn book() -> RevisionReplica {
     let me = HostIncarnation {
         host: host(0),
         incarnation: Incarnation(1),
@@ -15,7 +15,7 @@
         .with_read_fallback(Duration::ZERO)
         .with_confirm_interval(Duration::from_millis(500));
     let domain = "domain-0".to_owned().try_into().unwrap();
-    RevisionBook::new(me, domain, opts, Moment::START)
+    RevisionReplica::new(me, domain, opts, Moment::START)
 }
 
 fn at(millis: u64) -> Moment {
@@ -33,17 +33,17 @@
 }
 
 /// Get a book that has read revision 5 by a call sent at 100 ms.
-fn book_after_read() -> RevisionBook {
+fn book_after_read() -> RevisionReplica {
     let mut book = book();
     book.handle(at(100), RevisionEvent::Tick);
     let value = published(ROUTES_VALUE, 5, "{}");
     book.handle(at(900), RevisionEvent::Read(value));
-    book.settle(at(900), &name(ROUTES_VALUE), Revision(5), Ok(()));
+    book.record_verdict(at(900), &name(ROUTES_VALUE), Revision(5), Ok(()));
     book.handle(at(900), RevisionEvent::PeerUp(host(1)));
     book
 }
 
-fn age_ms(book: &RevisionBook, now: Moment) -> Option<u128> {
+fn age_ms(book: &RevisionReplica, now: Moment) -> Option<u128> {
     let age = book.confirmed_age(now, &name(ROUTES_VALUE));
     age.map(|age| age.as_millis())
 }
@@ -94,7 +94,7 @@
     book.handle(at(50), RevisionEvent::PeerUp(host(1)));
     let whole = RevisionMessage::Whole(published(ROUTES_VALUE, 5, "{}"));
     book.handle(at(100), RevisionEvent::Peer(host(1), whole));
-    book.settle(at(100), &name(ROUTES_VALUE), Revision(5), Ok(()));
+    book.record_verdict(at(100), &name(ROUTES_VALUE), Revision(5), Ok(()));
     book.handle(at(1_000), confirmed(at(900), 5, 3_300));
     assert_eq!(age_ms(&book, at(1_000)), Some(3_400));
     // A younger word counts at once, also where it is older than the process.
--- a/bergamotswitch-core/tests/revision_adoption.rs
+++ b/bergamotswitch-core/tests/revision_adoption.rs
@@ -20,7 +20,7 @@
     net.add(8);
     net.run(secs(5));
     assert_eq!(net.force(&host(8), RULES_VALUE), 5);
-    assert!(!net.nodes[&host(8)].book.standing().alone);
+    assert!(!net.nodes[&host(8)].book.status().alone);
     assert_eq!(net.nodes[&host(8)].in_force[&rules.name].2, rules.body);
 }
 
@@ -34,7 +34,7 @@
     assert!(!net.nodes[&host(0)].book.is_caught_up(net.now));
     net.run(secs(9));
     assert_eq!(net.forces(RULES_VALUE), (1, 1));
-    assert!(net.nodes[&host(0)].book.standing().alone);
+    assert!(net.nodes[&host(0)].book.status().alone);
     assert!(net.nodes[&host(0)].book.is_caught_up(net.now));
     assert_eq!(net.noted(Incident::StartedAlone), 1);
 }
@@ -147,7 +147,7 @@
     assert_eq!(net.forces(RULES_VALUE), (1, 1));
     assert_eq!(net.noted(Incident::RevisionRefused), 16);
     for node in net.nodes.values() {
-        let values = node.book.standing().values;
+        let values = node.book.status().values;
         let rules = values.iter().find(|v| v.name == name(RULES_VALUE)).unwrap();
         let refused = rules.refused.as_ref().unwrap();
         assert_eq!(refused.revision, Revision(2));
@@ -158,7 +158,7 @@
     net.rules_then(3, secs(9));
     assert_eq!(net.forces(RULES_VALUE), (3, 3));
     for node in net.nodes.values() {
-        let values = node.book.standing().values;
+        let values = node.book.status().values;
         assert!(values.iter().all(|value| value.refused.is_none()));
     }
 }
@@ -182,14 +182,14 @@
     assert!(bytes < len * 16 * 3 / 2);
 }
 
-fn lone_book() -> RevisionBook {
+fn lone_book() -> RevisionReplica {
     let run = HostIncarnation {
         host: host(0),
         incarnation: Incarnation(1),
     };
     let domain = "domain-0".try_into().unwrap();
     let opts = RevisionOptions::default();
-    let mut book = RevisionBook::new(run, domain, opts, Moment::START);
+    let mut book = RevisionReplica::new(run, domain, opts, Moment::START);
     let list = serde_json::from_str(&hosts_body(0..2, 1)).unwrap();
     book.handle(Moment::START, RevisionEvent::Hosts(list));
     book.handle(Moment::START, RevisionEvent::PeerUp(host(1)));
@@ -230,9 +230,9 @@
         };
         let actions = book.handle(now, RevisionEvent::Peer(host(1), change));
         assert!(wants(&actions), "{actions:?}");
-        assert_eq!(book.standing().values[5].seen, Some(Revision(held)));
+        assert_eq!(book.status().values[5].seen, Some(Revision(held)));
         let actions = book.handle(now, RevisionEvent::Peer(host(1), whole(3, "{\"a\":2}")));
-        let offered = |action: &RevisionAction| matches!(action, RevisionAction::Offer(_));
+        let offered = |action: &RevisionAction| matches!(action, RevisionAction::Validate(_));
         assert!(actions.iter().any(offered));
     }
 }
@@ -256,12 +256,12 @@
                     let mark = mark(RULES_VALUE, revision);
                     RevisionEvent::Peer(host(1), RevisionMessage::Marks(vec![mark]))
                 }
-                3 => RevisionEvent::Woke(secs(5)),
+                3 => RevisionEvent::Resumed(secs(5)),
                 4 => RevisionEvent::ReadFailed(name(RULES_VALUE)),
                 _ => RevisionEvent::Tick,
             };
             for action in book.handle(now, event) {
-                let RevisionAction::Offer(value) = action else {
+                let RevisionAction::Validate(value) = action else {
                     continue;
                 };
                 // Each revision is offered once, each higher than the last.
@@ -274,7 +274,7 @@
                     findings.add("/a", "x", "y");
                 }
                 let verdict = findings.into_result(());
-                book.settle(now, &value.name, value.revision, verdict);
+                book.record_verdict(now, &value.name, value.revision, verdict);
             }
             let marks = book.in_force();
             let held = marks.first().map_or(0, |mark| mark.revision.0);
@@ -343,7 +343,7 @@
         let now = Moment::from_millis(10);
         book.handle(now, RevisionEvent::Peer(host(1), whole(1, &before)));
         let actions = book.handle(now, RevisionEvent::Peer(host(1), message));
-        let offered = RevisionAction::Offer(published(RULES_VALUE, 2, after));
+        let offered = RevisionAction::Validate(published(RULES_VALUE, 2, after));
         assert!(actions.contains(&offered), "{actions:?}");
     });
 }
--- a/bergamotswitch-core/tests/spread/mod.rs
+++ b/bergamotswitch-core/tests/spread/mod.rs
@@ -12,8 +12,8 @@
 };
 pub use bergamotswitch_core::incident::Incident;
 pub use bergamotswitch_core::revision::{
-    HOSTS_VALUE, PublishedValue, RULES_VALUE, Revision, RevisionAction, RevisionBook,
-    RevisionEvent, RevisionMessage, RevisionOptions, ValueName,
+    HOSTS_VALUE, PublishedValue, RULES_VALUE, Revision, RevisionAction, RevisionEvent,
+    RevisionMessage, RevisionOptions, RevisionReplica, ValueName,
 };
 
 const LATENCY: Duration = Duration::from_millis(1);
@@ -72,7 +72,7 @@
 }
 
 pub struct Node {
-    pub book: RevisionBook,
+    pub book: RevisionReplica,
     pub notes: Vec<(Incident, ValueName)>,
     pub in_force: BTreeMap<ValueName, (Revision, Moment, String)>,
     pub offers: Vec<(ValueName, Revision)>,
@@ -144,7 +144,7 @@
         };
         let domain = entry(index, self.domains).domain;
         let node = Node {
-            book: RevisionBook::new(run, domain, RevisionOptions::default(), self.now),
+            book: RevisionReplica::new(run, domain, RevisionOptions::default(), self.now),
             notes: Vec::new(),
             in_force: BTreeMap::new(),
             offers: Vec::new(),
@@ -219,11 +219,11 @@
                     let at = self.now.plus(LATENCY);
                     self.post(at, Parcel::Message(me.clone(), to, message));
                 }
-                RevisionAction::Offer(value) => self.check(me, value),
+                RevisionAction::Validate(value) => self.check(me, value),
                 RevisionAction::Link(entry) => {
                     node.dialing.insert(entry.name);
                 }
-                RevisionAction::Note(incident, value) => node.notes.push((incident, value)),
+                RevisionAction::Log(incident, value) => node.notes.push((incident, value)),
             }
         }
     }
@@ -265,7 +265,7 @@
         }
         let good = verdict.is_ok();
         let book = &mut node.book;
-        let actions = book.settle(self.now, &value.name, value.revision, verdict);
+        let actions = book.record_verdict(self.now, &value.name, value.revision, verdict);
         self.act(me, actions);
         if good && value.name.as_str() == HOSTS_VALUE {
             let list = serde_json::from_str(&value.body).unwrap();
@@ -309,7 +309,7 @@
 
     pub fn resume(&mut self, me: &HostName, slept: Duration) {
         self.nodes.get_mut(me).unwrap().paused = false;
-        self.tell(me, RevisionEvent::Woke(slept));
+        self.tell(me, RevisionEvent::Resumed(slept));
     }
 
     fn is_cut(&self, a: &HostName, b: &HostName) -> bool {
@@ -402,7 +402,7 @@
     }
 
     pub fn readers(&self) -> Vec<HostName> {
-        let reads = |node: &Node| node.book.standing().is_reader;
+        let reads = |node: &Node| node.book.status().is_reader;
         let readers = self.nodes.iter().filter(|(_, node)| reads(node));
         readers.map(|(me, _)| me.clone()).collect()
     }
