--- a/bergamotswitch-core/src/membership/candidates.rs
+++ b/bergamotswitch-core/src/membership/candidates.rs
@@ -8,7 +8,7 @@
 /// The candidates that stand in the shard's own failure domain. One place is
 /// left for a host elsewhere: where a domain's entry hosts share a rack that
 /// dies, its targets go on and still need an owner.
-const NEAR_COUNT: usize = CANDIDATE_COUNT - 1;
+const LOCAL_COUNT: usize = CANDIDATE_COUNT - 1;
 
 /// Get the hosts that may own a shard, first choice first.
 ///
@@ -21,14 +21,14 @@
     shard: &PoolShard,
     hosts: impl Iterator<Item = &'a EntryHost>,
 ) -> Vec<HostName> {
-    let is_near = |host: &&EntryHost| shard.domain.as_ref() == Some(&host.domain);
-    let (near, far): (Vec<&EntryHost>, Vec<&EntryHost>) = hosts.partition(is_near);
-    let mut ranked = rank(shard, &near);
-    let mut elsewhere = rank(shard, &far);
-    if !elsewhere.is_empty() {
-        ranked.truncate(NEAR_COUNT);
+    let is_local = |host: &&EntryHost| shard.domain.as_ref() == Some(&host.domain);
+    let (local, remote): (Vec<&EntryHost>, Vec<&EntryHost>) = hosts.partition(is_local);
+    let mut ranked = rank(shard, &local);
+    let mut remote_ranked = rank(shard, &remote);
+    if !remote_ranked.is_empty() {
+        ranked.truncate(LOCAL_COUNT);
     }
-    ranked.append(&mut elsewhere);
+    ranked.append(&mut remote_ranked);
     ranked.truncate(CANDIDATE_COUNT);
     ranked
 }
--- a/bergamotswitch-core/src/membership/machine.rs
+++ b/bergamotswitch-core/src/membership/machine.rs
@@ -5,7 +5,7 @@
 
 use super::candidates::candidates;
 use super::options::MembershipOptions;
-use super::peer::{Change, Peer, PeerView};
+use super::peer::{PathChange, Peer, PeerView};
 use super::shard_view::{Denial, OwnerView};
 use super::{KeyQuorum, MembershipAction, MembershipEvent};
 use crate::clock::Moment;
@@ -22,23 +22,23 @@
     pub(super) hosts: BTreeMap<HostName, EntryHost>,
     pub(super) live_count: usize,
     pub(super) shards: BTreeSet<PoolShard>,
-    pub(super) using: BTreeSet<PoolShard>,
+    pub(super) used_shards: BTreeSet<PoolShard>,
     pub(super) candidates: BTreeMap<PoolShard, Vec<HostName>>,
     pub(super) peers: BTreeMap<HostName, Peer>,
     pub(super) links: BTreeMap<HostName, EntryHost>,
     pub(super) denials: Vec<Denial>,
     pub(super) acting: BTreeSet<PoolShard>,
     /// The shards among them that an earlier candidate may have taken over while
-    /// this process slept.
-    pub(super) proving: BTreeSet<PoolShard>,
+    /// this process suspended.
+    pub(super) unconfirmed: BTreeSet<PoolShard>,
     pub(super) owners: BTreeMap<PoolShard, OwnerView>,
     pub(super) load_permille: u16,
-    pub(super) stop_asked: bool,
+    pub(super) stop_requested: bool,
     pub(super) stopping_since: Option<Moment>,
     /// Whether acting, owners and watches have to be looked at again.
     pub(super) changed: bool,
     /// When time alone changes them.
-    pub(super) settle_at: Moment,
+    pub(super) recheck_at: Moment,
     pub(super) wake_at: Moment,
 }
 
@@ -51,19 +51,19 @@
             hosts: BTreeMap::new(),
             live_count: 0,
             shards: BTreeSet::new(),
-            using: BTreeSet::new(),
+            used_shards: BTreeSet::new(),
             candidates: BTreeMap::new(),
             peers: BTreeMap::new(),
             links: BTreeMap::new(),
             denials: Vec::new(),
             acting: BTreeSet::new(),
-            proving: BTreeSet::new(),
+            unconfirmed: BTreeSet::new(),
             owners: BTreeMap::new(),
             load_permille: 0,
-            stop_asked: false,
+            stop_requested: false,
             stopping_since: None,
             changed: false,
-            settle_at: Moment::NEVER,
+            recheck_at: Moment::NEVER,
             wake_at: Moment::NEVER,
         }
     }
@@ -77,38 +77,42 @@
     /// Take one event and get what is to be done.
     pub fn handle(&mut self, now: Moment, event: MembershipEvent) -> Vec<MembershipAction> {
         let mut actions = Vec::new();
-        // A process that slept learns it here at the latest. Otherwise the
+        // A process that suspended learns it here at the latest. Otherwise the
         // first tick after the sleep would find every peer silent, and this
         // host would act for shards that others own.
-        self.distrust_after(now, now.since(self.wake_at), &mut actions);
+        self.invalidate_after_suspension(now, now.since(self.wake_at), &mut actions);
         // Heartbeats and ticks are many and mostly change nothing.
         self.changed |= !matches!(
             event,
             MembershipEvent::Heartbeat(..) | MembershipEvent::Traffic(_) | MembershipEvent::Tick
         );
         match event {
-            MembershipEvent::Hosts(list) => self.take_hosts(now, list, &mut actions),
+            MembershipEvent::Hosts(list) => self.handle_hosts(now, list, &mut actions),
             MembershipEvent::Shards(shards) => {
                 self.shards = shards.into_iter().collect();
                 self.rank_candidates();
             }
-            MembershipEvent::Using(shard, used) => self.take_using(shard, used),
-            MembershipEvent::LinkUp(run) => self.take_link(now, run, &mut actions),
-            MembershipEvent::LinkDown(run) => self.lose_link(now, &run),
-            MembershipEvent::Heartbeat(host, beat) => self.hear(now, host, &beat, &mut actions),
+            MembershipEvent::Using(shard, used) => self.handle_use(shard, used),
+            MembershipEvent::LinkUp(run) => self.handle_link_up(now, run, &mut actions),
+            MembershipEvent::LinkDown(run) => self.handle_link_down(now, &run),
+            MembershipEvent::Heartbeat(host, heartbeat) => {
+                self.handle_heartbeat(now, host, &heartbeat, &mut actions)
+            }
             // Only heartbeats prove both directions; other traffic may flow
             // one way for long.
             MembershipEvent::Traffic(_) => return actions,
-            MembershipEvent::NotOwner(host, shard) => self.take_denial(now, host, shard),
+            MembershipEvent::NotOwner(host, shard) => self.handle_denial(now, host, shard),
             MembershipEvent::Load(permille) => self.load_permille = permille,
             MembershipEvent::Stop => {
-                self.stop_asked = true;
+                self.stop_requested = true;
                 self.begin_stop(now, &mut actions);
             }
             MembershipEvent::Tick => {}
-            MembershipEvent::Resumed(slept) => self.distrust_after(now, slept, &mut actions),
+            MembershipEvent::Resumed(suspended) => {
+                self.invalidate_after_suspension(now, suspended, &mut actions)
+            }
         }
-        self.review(now, &mut actions);
+        self.reconcile(now, &mut actions);
         actions
     }
 
@@ -133,7 +137,7 @@
 
     /// Get the acting owner of a shard that this host uses or acts for.
     pub fn owner_of(&self, shard: &PoolShard) -> Option<&HostName> {
-        if self.acting.contains(shard) && !self.using.contains(shard) {
+        if self.acting.contains(shard) && !self.used_shards.contains(shard) {
             return Some(&self.me.host);
         }
         self.owners.get(shard).and_then(OwnerView::host)
@@ -181,7 +185,7 @@
         self.acting.iter().cloned().collect()
     }
 
-    fn take_hosts(&mut self, now: Moment, list: HostList, actions: &mut Vec<MembershipAction>) {
+    fn handle_hosts(&mut self, now: Moment, list: HostList, actions: &mut Vec<MembershipAction>) {
         self.hosts = list
             .hosts
             .into_iter()
@@ -192,28 +196,28 @@
             Some(host) => host.standing == Standing::Leaving,
             None => false,
         };
-        match leaving || self.stop_asked {
+        match leaving || self.stop_requested {
             true => self.begin_stop(now, actions),
             false => self.stopping_since = None,
         }
         self.rank_candidates();
     }
 
-    fn take_using(&mut self, shard: PoolShard, used: bool) {
+    fn handle_use(&mut self, shard: PoolShard, used: bool) {
         match used {
             true => {
                 let ranked = self.rank(&shard);
                 self.candidates.insert(shard.clone(), ranked);
-                self.using.insert(shard);
+                self.used_shards.insert(shard);
             }
             false => {
-                self.using.remove(&shard);
+                self.used_shards.remove(&shard);
                 self.owners.remove(&shard);
             }
         }
     }
 
-    fn take_link(
+    fn handle_link_up(
         &mut self,
         now: Moment,
         run: HostIncarnation,
@@ -229,18 +233,18 @@
         if peer.is_retired(run.incarnation) {
             return;
         }
-        let gone = peer.link_up(now, run.incarnation);
-        if let Some(gone) = gone {
+        let replaced = peer.link_up(now, run.incarnation);
+        if let Some(replaced) = replaced {
             self.denials.retain(|denial| denial.host != run.host);
-            self.forget_owner(&run.host);
-            actions.push(MembershipAction::HostTerminated(run.host, gone));
+            self.clear_owner(&run.host);
+            actions.push(MembershipAction::HostTerminated(run.host, replaced));
         }
     }
 
     /// Forget that a host owns shards, so that its new run is announced as a
     /// new owner: it knows nothing of the work and the keys that this host
     /// told the earlier one, and would give them out a second time.
-    fn forget_owner(&mut self, host: &HostName) {
+    fn clear_owner(&mut self, host: &HostName) {
         for owner in self.owners.values_mut() {
             if owner.host() == Some(host) {
                 *owner = OwnerView::Unknown;
@@ -248,40 +252,40 @@
         }
     }
 
-    fn lose_link(&mut self, now: Moment, run: &HostIncarnation) {
+    fn handle_link_down(&mut self, now: Moment, run: &HostIncarnation) {
         match self.peers.get_mut(&run.host) {
             Some(peer) if peer.incarnation == Some(run.incarnation) => peer.link_down(now),
             _ => {}
         }
     }
 
-    fn hear(
+    fn handle_heartbeat(
         &mut self,
         now: Moment,
         host: HostName,
-        beat: &Heartbeat,
+        heartbeat: &Heartbeat,
         actions: &mut Vec<MembershipAction>,
     ) {
         let peer = match self.peers.get_mut(&host) {
             Some(peer) => peer,
             None => return,
         };
-        let before = peer.condition();
-        let change = peer.hear(now, beat);
-        self.changed |= peer.condition() != before;
-        let answer = peer.answer(beat);
-        if change == Some(Change::Reachable) {
+        let before = peer.state();
+        let change = peer.record_heartbeat(now, heartbeat);
+        self.changed |= peer.state() != before;
+        let answer = peer.answer(heartbeat);
+        if change == Some(PathChange::Reachable) {
             actions.push(MembershipAction::Log(Incident::PeerReachable, host.clone()));
         }
         if let Some(heard) = answer {
-            let beat = self.beat(0, heard);
-            actions.push(MembershipAction::Send(host, beat));
+            let heartbeat = self.build_heartbeat(0, heard);
+            actions.push(MembershipAction::Send(host, heartbeat));
         }
     }
 
-    fn take_denial(&mut self, now: Moment, host: HostName, shard: PoolShard) {
+    fn handle_denial(&mut self, now: Moment, host: HostName, shard: PoolShard) {
         let mut denials = self.denials.iter();
-        let place = denials.position(|denial| denial.is_of(&host, &shard));
+        let place = denials.position(|denial| denial.matches(&host, &shard));
         let earlier = place.map(|place| self.denials.swap_remove(place));
         let denial = Denial::new(now, host, shard, earlier.as_ref(), &self.opts);
         self.denials.push(denial);
@@ -297,8 +301,8 @@
         self.rank_candidates();
         for (host, peer) in &self.peers {
             if peer.connected {
-                let beat = self.beat(0, peer.heard());
-                actions.push(MembershipAction::Send(host.clone(), beat));
+                let heartbeat = self.build_heartbeat(0, peer.heard());
+                actions.push(MembershipAction::Send(host.clone(), heartbeat));
             }
         }
     }
@@ -314,21 +318,21 @@
     /// first. After a sleep in which nobody can have taken over, it goes on
     /// until an earlier candidate answers: otherwise its shards would have no
     /// owner until all before it are found out anew.
-    fn distrust_after(
+    fn invalidate_after_suspension(
         &mut self,
         now: Moment,
-        slept: Duration,
+        suspended: Duration,
         actions: &mut Vec<MembershipAction>,
     ) {
-        if slept < self.opts.suspect_after / 2 {
+        if suspended < self.opts.suspect_after / 2 {
             return;
         }
         self.changed = true;
         for peer in self.peers.values_mut() {
-            peer.distrust(now);
+            peer.reset_path(now);
         }
-        if slept < self.opts.suspect_after {
-            self.proving.clone_from(&self.acting);
+        if suspended < self.opts.suspect_after {
+            self.unconfirmed.clone_from(&self.acting);
             return;
         }
         let (candidates, me) = (&self.candidates, &self.me.host);
@@ -357,12 +361,12 @@
     }
 
     fn rank_candidates(&mut self) {
-        let shards = self.shards.union(&self.using);
+        let shards = self.shards.union(&self.used_shards);
         let ranked = shards.map(|shard| (shard.clone(), self.rank(shard)));
         self.candidates = ranked.collect();
     }
 
-    fn beat(&self, sequence: u64, heard: u64) -> Heartbeat {
+    fn build_heartbeat(&self, sequence: u64, heard: u64) -> Heartbeat {
         Heartbeat {
             sequence,
             heard,
--- a/bergamotswitch-core/src/membership/mod.rs
+++ b/bergamotswitch-core/src/membership/mod.rs
@@ -12,7 +12,7 @@
 mod machine;
 mod options;
 mod peer;
-mod review;
+mod reconcile;
 mod shard_view;
 
 pub use machine::Membership;
@@ -62,7 +62,7 @@
     Stop,
     /// Time has passed.
     Tick,
-    /// The process slept for this long.
+    /// The process suspended for this long.
     Resumed(Duration),
 }
 
--- a/bergamotswitch-core/src/membership/peer.rs
+++ b/bergamotswitch-core/src/membership/peer.rs
@@ -30,9 +30,9 @@
     pub load_permille: u16,
 }
 
-/// A `WatchPace` is why a peer is watched, and so how often it is asked.
+/// A `WatchRate` is why a peer is watched, and so how often it is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum WatchPace {
+pub(super) enum WatchRate {
     /// This host uses a shard that the peer may own, or waits for the end of
     /// a peer that the list dropped.
     User,
@@ -40,25 +40,25 @@
     Candidate,
 }
 
-/// A `Change` is a change of a peer's reachability.
+/// A `PathChange` is a change of a peer's reachability.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Change {
+pub(super) enum PathChange {
     /// Both directions work again.
     Reachable,
     /// At least one direction does not work.
     Unreachable,
 }
 
-/// A `PeerCondition` is what owners and watches are chosen by.
+/// A `PeerState` is what owners and watches are chosen by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct PeerCondition {
+pub(super) struct PeerState {
     reachable: Option<bool>,
     stopping: bool,
 }
 
-/// A `BeatNumbers` is the counters of a heartbeat that is due.
+/// A `HeartbeatCounters` is the counters of a heartbeat that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct BeatNumbers {
+pub(super) struct HeartbeatCounters {
     pub(super) sequence: u64,
     pub(super) heard: u64,
 }
@@ -70,8 +70,8 @@
     retired: VecDeque<Incarnation>,
     pub(super) connected: bool,
     /// Whether no heartbeat came over the link yet.
-    unheard: bool,
-    pub(super) watched: Option<WatchPace>,
+    awaiting_first: bool,
+    pub(super) watched: Option<WatchRate>,
     pub(super) stopping: bool,
     pub(super) load_permille: u16,
     pub(super) reachable: Option<bool>,
@@ -90,20 +90,20 @@
 
 impl Peer {
     /// Begin, change or end the watch.
-    pub(super) fn watch(&mut self, now: Moment, pace: Option<WatchPace>) {
-        if self.watched.is_none() != pace.is_none() {
-            self.distrust(now);
+    pub(super) fn watch(&mut self, now: Moment, rate: Option<WatchRate>) {
+        if self.watched.is_none() != rate.is_none() {
+            self.reset_path(now);
         }
-        self.watched = pace;
+        self.watched = rate;
     }
 
-    /// Forget what was believed of the path: it has to be proved anew.
-    pub(super) fn distrust(&mut self, now: Moment) {
+    /// Forget what was believed of the path: it has to be confirmed anew.
+    pub(super) fn reset_path(&mut self, now: Moment) {
         self.reachable = None;
         self.since = now;
         self.unanswered_since = Some(now);
         self.sent_at = None;
-        // Heartbeats that waited in a socket while this process slept answer
+        // Heartbeats that waited in a socket while this process suspended answer
         // older ones; only an answer to a later one proves anything now.
         self.answered = self.sequence;
     }
@@ -116,10 +116,10 @@
     /// Take note of a link; get the run that is gone, if it is another one.
     pub(super) fn link_up(&mut self, now: Moment, run: Incarnation) -> Option<Incarnation> {
         self.connected = true;
-        self.unheard = true;
+        self.awaiting_first = true;
         self.sent_at = None;
         let earlier = self.incarnation.replace(run);
-        let gone = match earlier {
+        let replaced = match earlier {
             Some(earlier) if earlier != run => earlier,
             _ => return None,
         };
@@ -128,12 +128,12 @@
         self.answered = 0;
         self.heard = 0;
         self.stopping = false;
-        self.distrust(now);
-        self.retired.push_back(gone);
+        self.reset_path(now);
+        self.retired.push_back(replaced);
         if self.retired.len() > RETIRED_RUNS {
             self.retired.pop_front();
         }
-        Some(gone)
+        Some(replaced)
     }
 
     /// Take note that the link is gone.
@@ -143,40 +143,48 @@
     }
 
     /// Take note of the peer's heartbeat.
-    pub(super) fn hear(&mut self, now: Moment, beat: &Heartbeat) -> Option<Change> {
-        self.heard = self.heard.max(beat.sequence);
-        self.stopping = beat.stopping;
-        self.load_permille = beat.load_permille;
+    pub(super) fn record_heartbeat(
+        &mut self,
+        now: Moment,
+        heartbeat: &Heartbeat,
+    ) -> Option<PathChange> {
+        self.heard = self.heard.max(heartbeat.sequence);
+        self.stopping = heartbeat.stopping;
+        self.load_permille = heartbeat.load_permille;
         // Heartbeats that come while the peer's count of ours stands still
         // mean a path cut one way: the peer suspects this host, and would act
         // in its place while this host still counts on the peer. So only an
         // advance of the count proves the path, and both sides notice.
-        let advanced = beat.heard > self.answered && beat.heard <= self.sequence;
+        let advanced = heartbeat.heard > self.answered && heartbeat.heard <= self.sequence;
         if !advanced {
             return None;
         }
-        self.answered = beat.heard;
+        self.answered = heartbeat.heard;
         self.unanswered_since = None;
         if self.watched.is_none() || self.reachable == Some(true) {
             return None;
         }
-        let again = self.reachable == Some(false);
+        let recovered = self.reachable == Some(false);
         self.reachable = Some(true);
         self.since = now;
-        match again {
-            true => Some(Change::Reachable),
+        match recovered {
+            true => Some(PathChange::Reachable),
             false => None,
         }
     }
 
     /// Take note of the time.
-    pub(super) fn review(&mut self, now: Moment, opts: &MembershipOptions) -> Option<Change> {
+    pub(super) fn check_timeout(
+        &mut self,
+        now: Moment,
+        opts: &MembershipOptions,
+    ) -> Option<PathChange> {
         if now < self.suspect_at(opts) {
             return None;
         }
         self.reachable = Some(false);
         self.since = now;
-        Some(Change::Unreachable)
+        Some(PathChange::Unreachable)
     }
 
     fn suspect_at(&self, opts: &MembershipOptions) -> Moment {
@@ -194,8 +202,8 @@
         if !self.connected {
             return Moment::NEVER;
         }
-        let pace = match self.watched {
-            Some(pace) => pace,
+        let rate = match self.watched {
+            Some(rate) => rate,
             None => return Moment::NEVER,
         };
         let sent_at = match self.sent_at {
@@ -203,8 +211,8 @@
             None => return Moment::START,
         };
         let answered = self.unanswered_since.is_none();
-        match pace {
-            WatchPace::User if answered => sent_at.plus(user_interval),
+        match rate {
+            WatchRate::User if answered => sent_at.plus(user_interval),
             _ => sent_at.plus(opts.heartbeat),
         }
     }
@@ -216,40 +224,40 @@
     }
 
     /// Get when time alone next changes what this peer counts as.
-    pub(super) fn settle_at(&self, now: Moment, opts: &MembershipOptions) -> Moment {
-        let settled_at = match self.reachable {
+    pub(super) fn changes_at(&self, now: Moment, opts: &MembershipOptions) -> Moment {
+        let changes_at = match self.reachable {
             Some(true) => self.since.plus(opts.failback_after),
             Some(false) => self.since.plus(opts.termination_after),
             None => Moment::NEVER,
         };
-        match settled_at > now {
-            true => settled_at,
+        match changes_at > now {
+            true => changes_at,
             false => Moment::NEVER,
         }
     }
 
     /// Get what owners and watches are chosen by.
-    pub(super) fn condition(&self) -> PeerCondition {
-        PeerCondition {
+    pub(super) fn state(&self) -> PeerState {
+        PeerState {
             reachable: self.reachable,
             stopping: self.stopping,
         }
     }
 
     /// Get the heartbeat that is due, if one is.
-    pub(super) fn due(
+    pub(super) fn next_heartbeat(
         &mut self,
         now: Moment,
         opts: &MembershipOptions,
         user_interval: Duration,
-    ) -> Option<BeatNumbers> {
+    ) -> Option<HeartbeatCounters> {
         if now < self.due_at(opts, user_interval) {
             return None;
         }
         self.sequence += 1;
         self.sent_at = Some(now);
         self.unanswered_since.get_or_insert(now);
-        Some(BeatNumbers {
+        Some(HeartbeatCounters {
             sequence: self.sequence,
             heard: self.heard,
         })
@@ -260,10 +268,10 @@
     /// the first one over a link: without that answer no request could go to a
     /// new owner before the next heartbeat. An answer (sequence 0) is never
     /// answered: two hosts would go on forever.
-    pub(super) fn answer(&mut self, beat: &Heartbeat) -> Option<u64> {
-        let first = std::mem::take(&mut self.unheard);
-        let mutual = self.connected && self.watched == Some(WatchPace::Candidate) && !first;
-        match beat.sequence {
+    pub(super) fn answer(&mut self, heartbeat: &Heartbeat) -> Option<u64> {
+        let first = std::mem::take(&mut self.awaiting_first);
+        let mutual = self.connected && self.watched == Some(WatchRate::Candidate) && !first;
+        match heartbeat.sequence {
             0 => None,
             _ if mutual => None,
             _ => Some(self.heard),
@@ -276,7 +284,7 @@
     }
 
     /// Get whether the peer's reachability was `state` all the time for `span`.
-    pub(super) fn is_settled(&self, state: bool, now: Moment, span: Duration) -> bool {
+    pub(super) fn has_been(&self, state: bool, now: Moment, span: Duration) -> bool {
         self.reachable == Some(state) && now >= self.since.plus(span)
     }
 }
--- a/bergamotswitch-core/src/membership/review.rs
+++ b/bergamotswitch-core/src/membership/reconcile.rs
@@ -5,7 +5,7 @@
 
 use super::MembershipAction;
 use super::machine::Membership;
-use super::peer::{Change, WatchPace};
+use super::peer::{PathChange, WatchRate};
 use super::shard_view::{self, Candidate, CandidateState, OwnerView};
 use crate::clock::Moment;
 use crate::host::{EntryHost, HostName, Standing};
@@ -14,27 +14,27 @@
 use crate::pool::PoolShard;
 
 impl Membership {
-    pub(super) fn review(&mut self, now: Moment, actions: &mut Vec<MembershipAction>) {
-        self.review_peers(now, actions);
-        if self.changed || now >= self.settle_at {
+    pub(super) fn reconcile(&mut self, now: Moment, actions: &mut Vec<MembershipAction>) {
+        self.check_peers(now, actions);
+        if self.changed || now >= self.recheck_at {
             self.changed = false;
             self.denials.retain(|denial| now < denial.until);
-            self.drop_gone(now, actions);
-            self.review_acting(now, actions);
+            self.drop_terminated(now, actions);
+            self.update_acting(now, actions);
             // An owner that turns out to be silent brings the next candidate
             // into view: the watches follow the choice, and the next look
             // follows a change of the watches.
-            self.review_owners(now, actions);
-            self.review_watches(now, actions);
-            self.settle_at = self.find_settle(now);
+            self.update_owners(now, actions);
+            self.update_watches(now, actions);
+            self.recheck_at = self.find_recheck(now);
         }
         self.send_heartbeats(now, actions);
         self.wake_at = self.find_wake();
     }
 
-    fn review_peers(&mut self, now: Moment, actions: &mut Vec<MembershipAction>) {
+    fn check_peers(&mut self, now: Moment, actions: &mut Vec<MembershipAction>) {
         for (host, peer) in &mut self.peers {
-            if peer.review(now, &self.opts) == Some(Change::Unreachable) {
+            if peer.check_timeout(now, &self.opts) == Some(PathChange::Unreachable) {
                 self.changed = true;
                 actions.push(MembershipAction::Log(
                     Incident::PeerUnreachable,
@@ -47,15 +47,15 @@
     /// Drop hosts that the list no longer counts on and that stay silent.
     /// Silence alone never makes a host gone: behind a partition its work goes
     /// on, and slots taken back from it would be used twice.
-    fn drop_gone(&mut self, now: Moment, actions: &mut Vec<MembershipAction>) {
+    fn drop_terminated(&mut self, now: Moment, actions: &mut Vec<MembershipAction>) {
         let termination_after = self.opts.termination_after;
         let hosts = &self.hosts;
         self.peers.retain(|name, peer| {
-            if !is_departed(hosts, name) {
+            if !is_delisted(hosts, name) {
                 return true;
             }
             match peer.incarnation {
-                Some(run) if peer.is_settled(false, now, termination_after) => {
+                Some(run) if peer.has_been(false, now, termination_after) => {
                     actions.push(MembershipAction::HostTerminated(name.clone(), run));
                     false
                 }
@@ -68,19 +68,19 @@
     fn state_of(&self, now: Moment, shard: &PoolShard, host: &HostName) -> CandidateState {
         if *host == self.me.host {
             return match self.acting.contains(shard) {
-                true => CandidateState::Steady,
-                false => CandidateState::Out,
+                true => CandidateState::Stable,
+                false => CandidateState::Unavailable,
             };
         }
         match self.peers.get(host) {
             None => CandidateState::Unknown,
-            Some(peer) if peer.stopping => CandidateState::Out,
-            Some(peer) if peer.is_settled(true, now, self.opts.failback_after) => {
-                CandidateState::Steady
+            Some(peer) if peer.stopping => CandidateState::Unavailable,
+            Some(peer) if peer.has_been(true, now, self.opts.failback_after) => {
+                CandidateState::Stable
             }
             Some(peer) => match peer.reachable {
-                Some(true) => CandidateState::Fresh,
-                Some(false) => CandidateState::Out,
+                Some(true) => CandidateState::Reachable,
+                Some(false) => CandidateState::Unavailable,
                 None => CandidateState::Unknown,
             },
         }
@@ -96,7 +96,7 @@
             .iter()
             .map(|host| Candidate {
                 host,
-                state: self.asked_state(now, shard, host),
+                state: self.lookup_state(now, shard, host),
             })
             .collect()
     }
@@ -106,18 +106,18 @@
     /// to act in its place, as long as the path to it works: it would act itself
     /// as soon as it misses the one before, and then two hosts would order the
     /// shard, each without the other's keys.
-    fn asked_state(&self, now: Moment, shard: &PoolShard, host: &HostName) -> CandidateState {
+    fn lookup_state(&self, now: Moment, shard: &PoolShard, host: &HostName) -> CandidateState {
         let mut denials = self.denials.iter();
-        let denial = denials.find(|denial| denial.is_of(host, shard));
+        let denial = denials.find(|denial| denial.matches(host, shard));
         let denied = denial.and_then(|denial| denial.state(now, &self.opts));
         match (denied, self.state_of(now, shard, host)) {
-            (Some(denied), CandidateState::Fresh | CandidateState::Steady) => denied,
-            (Some(_), _) => CandidateState::Out,
+            (Some(denied), CandidateState::Reachable | CandidateState::Stable) => denied,
+            (Some(_), _) => CandidateState::Unavailable,
             (None, state) => state,
         }
     }
 
-    fn review_acting(&mut self, now: Moment, actions: &mut Vec<MembershipAction>) {
+    fn update_acting(&mut self, now: Moment, actions: &mut Vec<MembershipAction>) {
         let mut acting = BTreeSet::new();
         for shard in &self.shards {
             if self.should_act(now, shard) {
@@ -131,17 +131,17 @@
             actions.push(MembershipAction::Act(begun.clone(), true));
         }
         self.acting = acting;
-        let proved = self
-            .proving
+        let confirmed = self
+            .unconfirmed
             .iter()
-            .filter(|shard| !self.is_proving(now, shard));
-        for shard in proved.cloned().collect::<Vec<_>>() {
-            self.proving.remove(&shard);
+            .filter(|shard| !self.is_unconfirmed(now, shard));
+        for shard in confirmed.cloned().collect::<Vec<_>>() {
+            self.unconfirmed.remove(&shard);
         }
     }
 
     /// Get whether it is still open if an earlier candidate acts for a shard.
-    fn is_proving(&self, now: Moment, shard: &PoolShard) -> bool {
+    fn is_unconfirmed(&self, now: Moment, shard: &PoolShard) -> bool {
         let mut earlier = self.earlier_states(now, shard);
         self.acting.contains(shard) && earlier.any(|state| state == CandidateState::Unknown)
     }
@@ -167,15 +167,15 @@
             return false;
         }
         let mut earlier = self.earlier_states(now, shard);
-        match self.proving.contains(shard) {
+        match self.unconfirmed.contains(shard) {
             true => earlier.all(|state| !state.is_usable()),
             false => shard_view::may_act(earlier, acting),
         }
     }
 
-    fn review_owners(&mut self, now: Moment, actions: &mut Vec<MembershipAction>) {
+    fn update_owners(&mut self, now: Moment, actions: &mut Vec<MembershipAction>) {
         let mut owners = BTreeMap::new();
-        for shard in &self.using {
+        for shard in &self.used_shards {
             let before = self.owners.get(shard).cloned().unwrap_or_default();
             let after = self.choose_owner(now, shard, &before);
             if after != before && after != OwnerView::Unknown {
@@ -189,7 +189,7 @@
             let owner = self.owners.get(&denial.shard).and_then(OwnerView::host);
             let is_retry = denial.state(now, &self.opts) == Some(CandidateState::Retry);
             if is_retry && owner == Some(&denial.host) {
-                denial.ask_again();
+                denial.retry();
             }
         }
     }
@@ -197,27 +197,27 @@
     fn choose_owner(&self, now: Moment, shard: &PoolShard, before: &OwnerView) -> OwnerView {
         let hosts = match self.candidates.get(shard) {
             Some(hosts) => hosts,
-            None => return OwnerView::Nobody,
+            None => return OwnerView::NoHost,
         };
         let after = shard_view::choose(&self.view(now, shard, hosts), before);
         // This host knows of itself that it does not act, so it need not hold
         // on to that view until the next candidate is known.
         match after.host() == Some(&self.me.host) && !self.acting.contains(shard) {
-            true => OwnerView::Nobody,
+            true => OwnerView::NoHost,
             false => after,
         }
     }
 
-    fn review_watches(&mut self, now: Moment, actions: &mut Vec<MembershipAction>) {
+    fn update_watches(&mut self, now: Moment, actions: &mut Vec<MembershipAction>) {
         let wanted = self.wanted_watches(now);
         for (host, peer) in &mut self.peers {
-            let pace = wanted.get(host).copied();
-            self.changed |= peer.watched != pace;
-            peer.watch(now, pace);
+            let rate = wanted.get(host).copied();
+            self.changed |= peer.watched != rate;
+            peer.watch(now, rate);
         }
-        for (host, pace) in &wanted {
+        for (host, rate) in &wanted {
             let peer = self.peers.entry(host.clone()).or_default();
-            peer.watch(now, Some(*pace));
+            peer.watch(now, Some(*rate));
             let entry = match self.hosts.get(host) {
                 Some(entry) => entry,
                 None => continue,
@@ -241,14 +241,14 @@
         });
     }
 
-    fn wanted_watches(&self, now: Moment) -> BTreeMap<HostName, WatchPace> {
+    fn wanted_watches(&self, now: Moment) -> BTreeMap<HostName, WatchRate> {
         let mut wanted = BTreeMap::new();
         for (name, peer) in &self.peers {
-            if peer.incarnation.is_some() && is_departed(&self.hosts, name) {
-                wanted.insert(name.clone(), WatchPace::User);
+            if peer.incarnation.is_some() && is_delisted(&self.hosts, name) {
+                wanted.insert(name.clone(), WatchRate::User);
             }
         }
-        for shard in &self.using {
+        for shard in &self.used_shards {
             let hosts = match self.candidates.get(shard) {
                 Some(hosts) => hosts,
                 None => continue,
@@ -257,7 +257,7 @@
             let owner = hosts.iter().find(|host| Some(*host) == owner);
             let view = self.view(now, shard, hosts);
             for host in shard_view::watched_by_user(&view).into_iter().chain(owner) {
-                wanted.insert(host.clone(), WatchPace::User);
+                wanted.insert(host.clone(), WatchRate::User);
             }
         }
         for shard in &self.shards {
@@ -266,7 +266,7 @@
                 _ => continue,
             };
             for host in hosts {
-                wanted.insert(host.clone(), WatchPace::Candidate);
+                wanted.insert(host.clone(), WatchRate::Candidate);
             }
         }
         wanted.remove(&self.me.host);
@@ -277,17 +277,17 @@
         let user_interval = self.opts.user_interval(self.live_count);
         let stopping = self.stopping_since.is_some();
         for (host, peer) in &mut self.peers {
-            let numbers = match peer.due(now, &self.opts, user_interval) {
-                Some(numbers) => numbers,
+            let counters = match peer.next_heartbeat(now, &self.opts, user_interval) {
+                Some(counters) => counters,
                 None => continue,
             };
-            let beat = Heartbeat {
-                sequence: numbers.sequence,
-                heard: numbers.heard,
+            let heartbeat = Heartbeat {
+                sequence: counters.sequence,
+                heard: counters.heard,
                 stopping,
                 load_permille: self.load_permille,
             };
-            actions.push(MembershipAction::Send(host.clone(), beat));
+            actions.push(MembershipAction::Send(host.clone(), heartbeat));
         }
     }
 
@@ -297,14 +297,14 @@
             .peers
             .values()
             .map(|peer| peer.wake_at(&self.opts, user_interval));
-        wakes.min().unwrap_or(Moment::NEVER).min(self.settle_at)
+        wakes.min().unwrap_or(Moment::NEVER).min(self.recheck_at)
     }
 
-    fn find_settle(&self, now: Moment) -> Moment {
+    fn find_recheck(&self, now: Moment) -> Moment {
         let peers = self
             .peers
             .values()
-            .map(|peer| peer.settle_at(now, &self.opts));
+            .map(|peer| peer.changes_at(now, &self.opts));
         let denials = self.denials.iter();
         let denials = denials.map(|denial| denial.changes_at(now, &self.opts));
         let handover = self
@@ -317,7 +317,7 @@
 }
 
 /// Get whether the host list no longer counts on a host.
-fn is_departed(hosts: &BTreeMap<HostName, EntryHost>, name: &HostName) -> bool {
+fn is_delisted(hosts: &BTreeMap<HostName, EntryHost>, name: &HostName) -> bool {
     match hosts.get(name) {
         Some(host) => host.standing == Standing::Leaving,
         None => true,
--- a/bergamotswitch-core/src/membership/shard_view.rs
+++ b/bergamotswitch-core/src/membership/shard_view.rs
@@ -12,21 +12,21 @@
     Unknown,
     /// It cannot be reached, is stopping, or has said for long that it does not
     /// act.
-    Out,
+    Unavailable,
     /// It said a moment ago that it does not act.
     Denied,
     /// It said so some time ago, and may be asked again where nobody else is.
     Retry,
     /// It answers, but not for long.
-    Fresh,
+    Reachable,
     /// It has answered for so long that work may go back to it.
-    Steady,
+    Stable,
 }
 
 impl CandidateState {
     /// Get whether it answers.
     pub(super) fn is_usable(self) -> bool {
-        matches!(self, CandidateState::Fresh | CandidateState::Steady)
+        matches!(self, CandidateState::Reachable | CandidateState::Stable)
     }
 }
 
@@ -38,10 +38,10 @@
 }
 
 impl Candidate<'_> {
-    fn is_passed_over(&self) -> bool {
+    fn is_skipped(&self) -> bool {
         matches!(
             self.state,
-            CandidateState::Out | CandidateState::Denied | CandidateState::Retry
+            CandidateState::Unavailable | CandidateState::Denied | CandidateState::Retry
         )
     }
 
@@ -57,7 +57,7 @@
     #[default]
     Unknown,
     /// No candidate is reachable.
-    Nobody,
+    NoHost,
     /// This candidate acts.
     Host(HostName),
 }
@@ -80,20 +80,20 @@
 /// each move makes all users ask anew.
 pub(super) fn may_act(mut earlier: impl Iterator<Item = CandidateState>, acting: bool) -> bool {
     match acting {
-        true => earlier.all(|state| state != CandidateState::Steady),
-        false => earlier.all(|state| state == CandidateState::Out),
+        true => earlier.all(|state| state != CandidateState::Stable),
+        false => earlier.all(|state| state == CandidateState::Unavailable),
     }
 }
 
 /// Get the acting owner after a change, given the one before it.
 pub(super) fn choose(candidates: &[Candidate<'_>], current: &OwnerView) -> OwnerView {
-    let first = candidates.iter().find(|c| !c.is_passed_over());
+    let first = candidates.iter().find(|c| !c.is_skipped());
     let kept = candidates
         .iter()
         .find(|c| Some(c.host) == current.host() && c.is_usable());
     match (first, kept) {
         // Work goes back to an earlier candidate only when it is steady.
-        (Some(first), Some(_)) if first.state == CandidateState::Steady => {
+        (Some(first), Some(_)) if first.state == CandidateState::Stable => {
             OwnerView::Host(first.host.clone())
         }
         (_, Some(kept)) => OwnerView::Host(kept.host.clone()),
@@ -114,7 +114,7 @@
     ) {
         (Some(retry), _) => OwnerView::Host(retry.host.clone()),
         (None, Some(_)) => OwnerView::Unknown,
-        (None, None) => OwnerView::Nobody,
+        (None, None) => OwnerView::NoHost,
     }
 }
 
@@ -122,7 +122,7 @@
 /// first that is not out, so that a later one is asked only when needed and a
 /// return of an earlier one is seen.
 pub(super) fn watched_by_user<'a>(candidates: &[Candidate<'a>]) -> Vec<&'a HostName> {
-    let first = candidates.iter().position(|c| !c.is_passed_over());
+    let first = candidates.iter().position(|c| !c.is_skipped());
     let end = match first {
         Some(first) => first + 1,
         None => candidates.len(),
@@ -142,11 +142,11 @@
     /// Until when others are asked in its place.
     pub(super) until: Moment,
     /// Whether it is asked again and has not said so once more.
-    asked_again: bool,
+    retrying: bool,
 }
 
 /// Denials are asked about again after this many suspicion times.
-const DENIAL_SPANS: u32 = 2;
+const DENIAL_RETENTION: u32 = 2;
 
 impl Denial {
     /// Get a denial that came now, beside an earlier one of the same peer.
@@ -157,25 +157,25 @@
         earlier: Option<&Denial>,
         opts: &MembershipOptions,
     ) -> Self {
-        let span = opts.suspect_after.saturating_mul(DENIAL_SPANS);
+        let span = opts.suspect_after.saturating_mul(DENIAL_RETENTION);
         Denial {
             host,
             shard,
             since: earlier.map_or(now, |earlier| earlier.since),
             at: now,
             until: now.plus(span),
-            asked_again: false,
+            retrying: false,
         }
     }
 
     /// Get whether it is this host's word on this shard.
-    pub(super) fn is_of(&self, host: &HostName, shard: &crate::pool::PoolShard) -> bool {
+    pub(super) fn matches(&self, host: &HostName, shard: &crate::pool::PoolShard) -> bool {
         self.host == *host && self.shard == *shard
     }
 
     /// Note that the peer is asked again.
-    pub(super) fn ask_again(&mut self) {
-        self.asked_again = true;
+    pub(super) fn retry(&mut self) {
+        self.retrying = true;
     }
 
     /// Get what the peer counts as; `None` where it is asked again and has not
@@ -188,25 +188,25 @@
     /// it would leave that host on its own for two of them: its requests would
     /// wait, or run by its own fraction, while the shard has an owner.
     pub(super) fn state(&self, now: Moment, opts: &MembershipOptions) -> Option<CandidateState> {
-        if self.asked_again {
+        if self.retrying {
             return None;
         }
         let waits = now < self.since.plus(opts.suspect_after);
-        Some(match (waits, now < self.retry_at(opts)) {
+        Some(match (waits, now < self.retries_at(opts)) {
             (true, true) => CandidateState::Denied,
             (true, false) => CandidateState::Retry,
-            (false, _) => CandidateState::Out,
+            (false, _) => CandidateState::Unavailable,
         })
     }
 
-    fn retry_at(&self, opts: &MembershipOptions) -> Moment {
+    fn retries_at(&self, opts: &MembershipOptions) -> Moment {
         self.at.plus(opts.heartbeat)
     }
 
     /// Get when the state changes next.
     pub(super) fn changes_at(&self, now: Moment, opts: &MembershipOptions) -> Moment {
         let changes = [
-            self.retry_at(opts),
+            self.retries_at(opts),
             self.since.plus(opts.suspect_after),
             self.until,
         ];
--- a/bergamotswitch-core/src/revision/confirmation.rs
+++ b/bergamotswitch-core/src/revision/confirmation.rs
@@ -52,22 +52,22 @@
 #[derive(Debug)]
 pub(super) struct Confirmations {
     values: BTreeMap<ValueName, Confirmation>,
-    ask_at: Moment,
+    poll_at: Moment,
 }
 
 impl Default for Confirmations {
     fn default() -> Self {
         Confirmations {
             values: BTreeMap::new(),
-            ask_at: Moment::NEVER,
+            poll_at: Moment::NEVER,
         }
     }
 }
 
 impl Confirmations {
     /// Get when the relays are asked next.
-    pub(super) fn next_ask(&self) -> Moment {
-        self.ask_at
+    pub(super) fn next_poll(&self) -> Moment {
+        self.poll_at
     }
 }
 
@@ -88,15 +88,15 @@
     }
 
     /// Ask the relays, where it is time.
-    pub(super) fn ask_confirmed(&mut self, now: Moment, actions: &mut Vec<RevisionAction>) {
+    pub(super) fn poll_confirmed(&mut self, now: Moment, actions: &mut Vec<RevisionAction>) {
         let Some(interval) = self.opts.confirm_interval else {
             return;
         };
-        let asked = self.confirmations.ask_at;
-        if asked != Moment::NEVER && now < asked {
+        let poll_at = self.confirmations.poll_at;
+        if poll_at != Moment::NEVER && now < poll_at {
             return;
         }
-        self.confirmations.ask_at = now.plus(interval);
+        self.confirmations.poll_at = now.plus(interval);
         let Some(name) = self.opts.values.first().cloned() else {
             return;
         };
@@ -121,8 +121,8 @@
         let Some(age) = self.confirmed_age(now, &name) else {
             return;
         };
-        let book = self.values.get(&name);
-        let Some(revision) = book.and_then(|book| book.in_force()) else {
+        let replica = self.values.get(&name);
+        let Some(revision) = replica.and_then(|replica| replica.in_force()) else {
             return;
         };
         // Rounded up: a younger age than the true one could keep a revoked
@@ -138,7 +138,7 @@
     }
 
     /// Take in a peer's answer.
-    pub(super) fn take_confirmed(
+    pub(super) fn handle_confirmed(
         &mut self,
         name: &ValueName,
         asked_at: Moment,
@@ -150,8 +150,8 @@
         if self.seen(name) < revision {
             return;
         }
-        let at = ConfirmedAt::new(asked_at).before(age_ms);
-        self.confirm(name, at, revision);
+        let confirmed_at = ConfirmedAt::new(asked_at).before(age_ms);
+        self.confirm(name, confirmed_at, revision);
     }
 
     fn confirm(&mut self, name: &ValueName, at: ConfirmedAt, revision: Revision) {
--- a/bergamotswitch-core/src/revision/mod.rs
+++ b/bergamotswitch-core/src/revision/mod.rs
@@ -10,7 +10,7 @@
 
 mod confirmation;
 mod options;
-mod peers;
+mod peer;
 mod propagation;
 mod relay;
 mod replica;
--- a/bergamotswitch-core/src/revision/options.rs
+++ b/bergamotswitch-core/src/revision/options.rs
@@ -50,7 +50,7 @@
 
 impl Default for RevisionOptions {
     fn default() -> Self {
-        let pace = ReadPace::of(FleetLimits::default().reads_per_minute);
+        let rate = ReadRate::of(FleetLimits::default().reads_per_minute);
         let names = [
             HOSTS_VALUE,
             DOMAINS_VALUE,
@@ -69,8 +69,8 @@
             read_fallback: READ_FALLBACK,
             min_backoff: MIN_BACKOFF,
             max_backoff: MAX_BACKOFF,
-            read_interval: pace.interval,
-            read_burst: pace.burst,
+            read_interval: rate.interval,
+            read_burst: rate.burst,
             call_timeout: CALL_TIMEOUT,
             kept_bases: KEPT_BASES,
             confirm_interval: None,
@@ -79,18 +79,18 @@
 }
 
 /// A `ReadPace` is how a bound on the calls in any minute is spent.
-struct ReadPace {
+struct ReadRate {
     interval: Duration,
     burst: u32,
 }
 
-impl ReadPace {
+impl ReadRate {
     /// Get the pace that stays within `reads` in any minute: what the burst
     /// may take at once is not given back within the same minute.
     fn of(reads: u64) -> Self {
         let reads = u32::try_from(reads).unwrap_or(u32::MAX).max(1);
         let burst = (reads / 2).clamp(1, READ_BURST);
-        ReadPace {
+        ReadRate {
             interval: MINUTE / (reads - burst).max(1),
             burst,
         }
@@ -159,8 +159,8 @@
 
     /// Set what the published limits bound.
     pub fn with_limits(self, limits: &FleetLimits) -> Self {
-        let pace = ReadPace::of(limits.reads_per_minute);
-        self.with_read_budget(pace.interval, pace.burst)
+        let rate = ReadRate::of(limits.reads_per_minute);
+        self.with_read_budget(rate.interval, rate.burst)
     }
 
     /// Set the number of earlier revisions kept as bases of changes.
--- a/bergamotswitch-core/src/revision/peers.rs
+++ b/bergamotswitch-core/src/revision/peer.rs
@@ -19,30 +19,30 @@
 
 /// A `SpreadPeer` is a peer to which a link is up.
 #[derive(Clone, Debug)]
-pub(super) struct SpreadPeer {
+pub(super) struct ReplicaPeer {
     marks: BTreeMap<ValueName, PeerMark>,
     /// When it was last heard, if ever.
     pub(super) heard_at: Option<Moment>,
     /// Until when it is told of changes because it asked.
-    pub(super) asked_until: Moment,
+    pub(super) subscribed_until: Moment,
     /// When it is next asked itself.
-    pub(super) ask_at: Moment,
+    pub(super) poll_at: Moment,
     /// Whether it was told all that this host has.
-    pub(super) told_all: bool,
+    pub(super) sent_all: bool,
     /// The value that the next question names.
-    pub(super) turn: usize,
+    pub(super) next_mark: usize,
 }
 
-impl SpreadPeer {
+impl ReplicaPeer {
     /// Get a peer of which nothing is known.
     pub(super) fn new(now: Moment) -> Self {
-        SpreadPeer {
+        ReplicaPeer {
             marks: BTreeMap::new(),
             heard_at: None,
-            asked_until: Moment::START,
-            ask_at: now,
-            told_all: false,
-            turn: 0,
+            subscribed_until: Moment::START,
+            poll_at: now,
+            sent_all: false,
+            next_mark: 0,
         }
     }
 
@@ -60,7 +60,7 @@
     }
 
     /// Take note of what the peer says to have.
-    pub(super) fn take_mark(&mut self, now: Moment, mark: &RevisionMark) {
+    pub(super) fn record_mark(&mut self, now: Moment, mark: &RevisionMark) {
         let known = self.marks.entry(mark.name.clone()).or_default();
         let in_flight = known
             .sent_at
@@ -71,7 +71,7 @@
     }
 
     /// Take note of what was sent to the peer.
-    pub(super) fn sent(&mut self, now: Moment, name: &ValueName, revision: Revision) {
+    pub(super) fn record_sent(&mut self, now: Moment, name: &ValueName, revision: Revision) {
         let known = self.marks.entry(name.clone()).or_default();
         known.revision = revision;
         known.sent_at = Some(now);
@@ -80,17 +80,17 @@
     /// Take note that the peer is told of a revision; get whether it is news.
     pub(super) fn announce(&mut self, name: &ValueName, revision: Revision) -> bool {
         let known = self.marks.entry(name.clone()).or_default();
-        let news = known.revision < revision && known.announced < revision;
-        if news {
+        let is_new = known.revision < revision && known.announced < revision;
+        if is_new {
             known.announced = revision;
         }
-        news
+        is_new
     }
 
     /// Forget how fresh all this is, after a pause.
-    pub(super) fn distrust(&mut self, now: Moment) {
+    pub(super) fn invalidate(&mut self, now: Moment) {
         self.heard_at = None;
-        self.ask_at = now;
-        self.told_all = false;
+        self.poll_at = now;
+        self.sent_all = false;
     }
 }
--- a/bergamotswitch-core/src/revision/propagation.rs
+++ b/bergamotswitch-core/src/revision/propagation.rs
@@ -13,15 +13,15 @@
 use crate::host::HostName;
 
 /// Time for a change to come by its ordinary way before it is asked for.
-const GRACE: Duration = Duration::from_millis(100);
+const PROPAGATION_DELAY: Duration = Duration::from_millis(100);
 /// Time for an answer before the next peer is asked.
-const CATCH_UP_AFTER: Duration = Duration::from_millis(500);
+const CATCH_UP_INTERVAL: Duration = Duration::from_millis(500);
 /// A value up to this size is sent unasked; a larger one is fetched from one
 /// peer, or several relays would each send up to a megabyte.
-const UNASKED_LEN: usize = 8 * 1024;
+const MAX_UNREQUESTED_LEN: usize = 8 * 1024;
 
 impl RevisionReplica {
-    pub(super) fn take_message(
+    pub(super) fn handle_message(
         &mut self,
         now: Moment,
         host: HostName,
@@ -33,7 +33,7 @@
             None => return,
         }
         match message {
-            RevisionMessage::Marks(marks) => self.take_marks(now, host, marks, actions),
+            RevisionMessage::Marks(marks) => self.handle_marks(now, host, marks, actions),
             RevisionMessage::Change {
                 name,
                 from,
@@ -41,9 +41,9 @@
                 checksum,
                 patch,
             } => {
-                self.know(now, &host, &name, to);
+                self.record_revision(now, &host, &name, to);
                 let body = match self.values.get(&name) {
-                    Some(book) if book.seen() < to => book.apply(from, &patch, checksum),
+                    Some(replica) if replica.seen() < to => replica.apply(from, &patch, checksum),
                     _ => return,
                 };
                 match body {
@@ -53,11 +53,11 @@
                             revision: to,
                             body,
                         };
-                        self.take_value(now, value, actions);
+                        self.accept_value(now, value, actions);
                     }
                     // A gap, or another text under the same revision. The
                     // whole value puts both right.
-                    None => self.want(now, host, name, actions),
+                    None => self.request_whole(now, host, name, actions),
                 }
             }
             RevisionMessage::Want(name) => self.send_whole(now, &host, &name, actions),
@@ -70,29 +70,29 @@
                 revision,
                 age_ms,
             } => {
-                self.know(now, &host, &name, revision);
-                self.take_confirmed(&name, asked_at, revision, age_ms);
+                self.record_revision(now, &host, &name, revision);
+                self.handle_confirmed(&name, asked_at, revision, age_ms);
             }
             RevisionMessage::Whole(value) => {
-                self.know(now, &host, &value.name, value.revision);
-                self.take_value(now, value, actions);
+                self.record_revision(now, &host, &value.name, value.revision);
+                self.accept_value(now, value, actions);
             }
         }
     }
 
     /// Take a value from wherever it came, if it is a higher revision.
-    pub(super) fn take_value(
+    pub(super) fn accept_value(
         &mut self,
         now: Moment,
         value: PublishedValue,
         actions: &mut Vec<RevisionAction>,
     ) {
         let name = value.name.clone();
-        let book = match self.values.get_mut(&name) {
-            Some(book) => book,
+        let replica = match self.values.get_mut(&name) {
+            Some(replica) => replica,
             None => return,
         };
-        if !book.take(value.clone(), self.opts.kept_bases) {
+        if !replica.take(value.clone(), self.opts.kept_bases) {
             return;
         }
         actions.push(RevisionAction::Validate(value));
@@ -108,21 +108,21 @@
             }
             Some(_) | None => {}
         }
-        self.announce_at = self.announce_at.min(now.plus(GRACE));
-        let asking: Vec<HostName> = self
+        self.announce_at = self.announce_at.min(now.plus(PROPAGATION_DELAY));
+        let subscribers: Vec<HostName> = self
             .peers
             .iter()
-            .filter(|(host, peer)| peer.asked_until > now && !self.links.contains_key(*host))
+            .filter(|(host, peer)| peer.subscribed_until > now && !self.links.contains_key(*host))
             .map(|(host, _)| host.clone())
             .collect();
-        for host in asking {
+        for host in subscribers {
             self.push(now, &host, &name, actions);
         }
     }
 
     pub(super) fn seen(&self, name: &ValueName) -> Revision {
         match self.values.get(name) {
-            Some(book) => book.seen(),
+            Some(replica) => replica.seen(),
             None => Revision::default(),
         }
     }
@@ -132,7 +132,13 @@
         known.max().unwrap_or_default()
     }
 
-    fn know(&mut self, now: Moment, host: &HostName, name: &ValueName, revision: Revision) {
+    fn record_revision(
+        &mut self,
+        now: Moment,
+        host: &HostName,
+        name: &ValueName,
+        revision: Revision,
+    ) {
         if !self.values.contains_key(name) {
             return;
         }
@@ -141,37 +147,37 @@
             revision,
         };
         if let Some(peer) = self.peers.get_mut(host) {
-            peer.take_mark(now, &mark);
+            peer.record_mark(now, &mark);
         }
     }
 
     fn marks(&self) -> Vec<RevisionMark> {
         self.values
             .iter()
-            .map(|(name, book)| RevisionMark {
+            .map(|(name, replica)| RevisionMark {
                 name: name.clone(),
-                revision: book.seen(),
+                revision: replica.seen(),
             })
             .collect()
     }
 
-    fn take_marks(
+    fn handle_marks(
         &mut self,
         now: Moment,
         host: HostName,
         marks: Vec<RevisionMark>,
         actions: &mut Vec<RevisionAction>,
     ) {
-        self.vouched = true;
-        let asked = !marks.is_empty();
+        self.peer_confirmed = true;
+        let is_poll = !marks.is_empty();
         for mark in marks {
             if !self.values.contains_key(&mark.name) {
                 continue;
             }
-            self.know(now, &host, &mark.name, mark.revision);
+            self.record_revision(now, &host, &mark.name, mark.revision);
             if mark.revision > self.seen(&mark.name) {
                 let plan = CatchUp {
-                    at: now.plus(GRACE),
+                    at: now.plus(PROPAGATION_DELAY),
                     tries: 0,
                     lacks: mark.revision,
                     since: now,
@@ -181,7 +187,7 @@
                 self.push(now, &host, &mark.name, actions);
             }
         }
-        if asked && !self.links.contains_key(&host) {
+        if is_poll && !self.links.contains_key(&host) {
             self.answer(now, host, actions);
         }
     }
@@ -194,12 +200,12 @@
             Some(peer) => peer,
             None => return,
         };
-        peer.asked_until = now.plus(self.opts.silent_after);
-        let marks = match peer.told_all {
+        peer.subscribed_until = now.plus(self.opts.silent_after);
+        let marks = match peer.sent_all {
             true => Vec::new(),
             false => all,
         };
-        peer.told_all = true;
+        peer.sent_all = true;
         actions.push(RevisionAction::Send(host, RevisionMessage::Marks(marks)));
     }
 
@@ -211,23 +217,25 @@
         name: &ValueName,
         actions: &mut Vec<RevisionAction>,
     ) {
-        let (book, peer) = match (self.values.get_mut(name), self.peers.get_mut(host)) {
-            (Some(book), Some(peer)) => (book, peer),
+        let (replica, peer) = match (self.values.get_mut(name), self.peers.get_mut(host)) {
+            (Some(replica), Some(peer)) => (replica, peer),
             _ => return,
         };
-        let seen = book.seen();
+        let seen = replica.seen();
         let known = match peer.known(name) {
             Some(known) if known < seen => known,
             _ => return,
         };
-        let change = book.change_from(known);
-        let value = match book.value() {
+        let change = replica.change_from(known);
+        let value = match replica.value() {
             Some(value) => value,
             None => return,
         };
         let message = match change {
             Some(change) => change,
-            None if value.body.len() <= UNASKED_LEN => RevisionMessage::Whole(value.clone()),
+            None if value.body.len() <= MAX_UNREQUESTED_LEN => {
+                RevisionMessage::Whole(value.clone())
+            }
             None => {
                 peer.announce(name, seen);
                 let mark = RevisionMark {
@@ -239,29 +247,29 @@
                 return;
             }
         };
-        peer.sent(now, name, seen);
+        peer.record_sent(now, name, seen);
         actions.push(RevisionAction::Send(host.clone(), message));
     }
 
-    fn want(
+    fn request_whole(
         &mut self,
         now: Moment,
         host: HostName,
         name: ValueName,
         actions: &mut Vec<RevisionAction>,
     ) {
-        let at = now.plus(CATCH_UP_AFTER);
-        let earlier = self.catch_ups.get(&name);
+        let at = now.plus(CATCH_UP_INTERVAL);
+        let pending = self.catch_ups.get(&name);
         // Several relays send the same change over the same gap; one whole
         // value is enough.
-        if earlier.is_some_and(|plan| plan.tries > 0 && now < plan.at) {
+        if pending.is_some_and(|plan| plan.tries > 0 && now < plan.at) {
             return;
         }
         let plan = CatchUp {
             at,
             tries: 1,
-            lacks: earlier.map_or_else(|| self.best_known(&name), |plan| plan.lacks),
-            since: earlier.map_or(now, |plan| plan.since),
+            lacks: pending.map_or_else(|| self.best_known(&name), |plan| plan.lacks),
+            since: pending.map_or(now, |plan| plan.since),
         };
         self.catch_ups.insert(name.clone(), plan);
         actions.push(RevisionAction::Send(host, RevisionMessage::Want(name)));
@@ -274,36 +282,36 @@
         name: &ValueName,
         actions: &mut Vec<RevisionAction>,
     ) {
-        let value = match self.values.get(name).and_then(|book| book.value()) {
+        let value = match self.values.get(name).and_then(|replica| replica.value()) {
             Some(value) => value.clone(),
             None => return,
         };
         if let Some(peer) = self.peers.get_mut(host) {
-            peer.sent(now, name, value.revision);
+            peer.record_sent(now, name, value.revision);
         }
         let message = RevisionMessage::Whole(value);
         actions.push(RevisionAction::Send(host.clone(), message));
     }
 
     /// Ask the relays: with all marks at first, then with one after another.
-    pub(super) fn ask_relays(&mut self, now: Moment, actions: &mut Vec<RevisionAction>) {
+    pub(super) fn poll_relays(&mut self, now: Moment, actions: &mut Vec<RevisionAction>) {
         let marks = self.marks();
         for host in self.links.keys() {
             let peer = match self.peers.get_mut(host) {
-                Some(peer) if peer.ask_at <= now => peer,
+                Some(peer) if peer.poll_at <= now => peer,
                 _ => continue,
             };
-            peer.ask_at = now.plus(self.opts.keepalive);
+            peer.poll_at = now.plus(self.opts.keepalive);
             // What was sent to a silent peer may be lost, so the first
             // question that reaches it again names all values.
-            let asked = match peer.is_heard(now, self.opts.silent_after) {
+            let polled = match peer.is_heard(now, self.opts.silent_after) {
                 false => marks.clone(),
                 true => {
-                    peer.turn = (peer.turn + 1) % marks.len().max(1);
-                    marks.get(peer.turn).cloned().into_iter().collect()
+                    peer.next_mark = (peer.next_mark + 1) % marks.len().max(1);
+                    marks.get(peer.next_mark).cloned().into_iter().collect()
                 }
             };
-            let message = RevisionMessage::Marks(asked);
+            let message = RevisionMessage::Marks(polled);
             actions.push(RevisionAction::Send(host.clone(), message));
         }
     }
@@ -320,10 +328,10 @@
                 Some(peer) => peer,
                 None => continue,
             };
-            let mut news = marks.clone();
-            news.retain(|mark| peer.announce(&mark.name, mark.revision));
-            if !news.is_empty() {
-                let message = RevisionMessage::Marks(news);
+            let mut updates = marks.clone();
+            updates.retain(|mark| peer.announce(&mark.name, mark.revision));
+            if !updates.is_empty() {
+                let message = RevisionMessage::Marks(updates);
                 actions.push(RevisionAction::Send(host.clone(), message));
             }
         }
@@ -361,7 +369,7 @@
             };
             actions.push(RevisionAction::Send(host, message));
             let next = CatchUp {
-                at: now.plus(CATCH_UP_AFTER),
+                at: now.plus(CATCH_UP_INTERVAL),
                 tries: tries + 1,
                 ..plan
             };
@@ -370,12 +378,12 @@
     }
 
     /// Get when something is next to be sent to peers.
-    pub(super) fn next_spread(&self) -> Moment {
+    pub(super) fn next_send(&self) -> Moment {
         let asks = self
             .links
             .keys()
             .filter_map(|host| self.peers.get(host))
-            .map(|peer| peer.ask_at);
+            .map(|peer| peer.poll_at);
         let catch_ups = self.catch_ups.values().map(|plan| plan.at);
         let next = asks.chain(catch_ups).min().unwrap_or(Moment::NEVER);
         next.min(self.announce_at)
--- a/bergamotswitch-core/src/revision/relay.rs
+++ b/bergamotswitch-core/src/revision/relay.rs
@@ -30,11 +30,11 @@
     ) -> Self {
         let domains = ranked_domains(me, domain, hosts);
         let own = domains.get(domain).map(Vec::as_slice).unwrap_or_default();
-        let place = own.iter().position(|host| host == me).unwrap_or_default();
-        if place >= opts.readers_per_domain {
+        let position = own.iter().position(|host| host == me).unwrap_or_default();
+        if position >= opts.readers_per_domain {
             return RelayPlan {
                 is_reader: false,
-                relays: relays_of(place, own, opts),
+                relays: relays_of(position, own, opts),
             };
         }
         // Readers hear from all other readers: where the service is cut from
@@ -74,10 +74,10 @@
 
 /// Get the relays of the host at a place: all stand before it, so no two
 /// hosts can count on each other while neither reads.
-fn relays_of(place: usize, own: &[HostName], opts: &RevisionOptions) -> Vec<HostName> {
-    let first = place / opts.relay_fanout.max(2);
-    let first = first.min(place.saturating_sub(RELAYS_PER_HOST));
-    own[..place]
+fn relays_of(position: usize, own: &[HostName], opts: &RevisionOptions) -> Vec<HostName> {
+    let first = position / opts.relay_fanout.max(2);
+    let first = first.min(position.saturating_sub(RELAYS_PER_HOST));
+    own[..position]
         .iter()
         .skip(first)
         .take(RELAYS_PER_HOST)
--- a/bergamotswitch-core/src/revision/replica.rs
+++ b/bergamotswitch-core/src/revision/replica.rs
@@ -5,7 +5,7 @@
 
 use super::confirmation::Confirmations;
 use super::options::RevisionOptions;
-use super::peers::SpreadPeer;
+use super::peer::ReplicaPeer;
 use super::relay::RelayPlan;
 use super::service_reader::{Jitter, ReadBudget, ServiceCall};
 use super::status::RevisionStatus;
@@ -25,7 +25,7 @@
 /// within milliseconds. Without it such a host refused all callers meanwhile: 128
 /// calls in 34 s, and a single host for 2.9 s, where hosts stopped and started while
 /// changes came.
-const BEHIND_LIMIT: Duration = Duration::from_secs(1);
+const MAX_LAG: Duration = Duration::from_secs(1);
 
 /// A `CatchUp` is the plan to ask a peer for a value that it has seen.
 #[derive(Clone, Copy, Debug)]
@@ -45,28 +45,28 @@
     pub(super) opts: RevisionOptions,
     pub(super) values: BTreeMap<ValueName, ValueReplica>,
     pub(super) confirmations: Confirmations,
-    pub(super) peers: BTreeMap<HostName, SpreadPeer>,
+    pub(super) peers: BTreeMap<HostName, ReplicaPeer>,
     pub(super) links: BTreeMap<HostName, EntryHost>,
     pub(super) catch_ups: BTreeMap<ValueName, CatchUp>,
     /// When the relays are told of what they may lack.
     pub(super) announce_at: Moment,
-    pub(super) vouched: bool,
+    pub(super) peer_confirmed: bool,
     /// Whether it was caught up since its start, or since its last sleep.
-    has_been_current: bool,
+    was_caught_up: bool,
     pub(super) jitter: Jitter,
     hosts: BTreeMap<HostName, EntryHost>,
     plan: RelayPlan,
     backups: Vec<HostName>,
-    backup_turn: usize,
+    backup_round: usize,
     backup_at: Moment,
     calls: BTreeMap<ValueName, ServiceCall>,
     budget: ReadBudget,
     reads_issued: u64,
     /// Until when a starting host waits for a peer.
-    start_until: Moment,
-    alone_noted: bool,
+    startup_deadline: Moment,
+    alone_logged: bool,
     /// When a host without a relay reads for itself; never while it has one.
-    read_from: Moment,
+    fallback_read_at: Moment,
     wake_at: Moment,
 }
 
@@ -79,7 +79,7 @@
         now: Moment,
     ) -> Self {
         let mut jitter = Jitter::new(me.incarnation);
-        let patience = opts.read_fallback + jitter.part_of(opts.read_fallback);
+        let delay = opts.read_fallback + jitter.part_of(opts.read_fallback);
         let values = opts
             .values
             .iter()
@@ -99,19 +99,19 @@
             links: BTreeMap::new(),
             catch_ups: BTreeMap::new(),
             announce_at: Moment::NEVER,
-            vouched: false,
-            has_been_current: false,
+            peer_confirmed: false,
+            was_caught_up: false,
             jitter,
             hosts: BTreeMap::new(),
             plan: RelayPlan::default(),
             backups: Vec::new(),
-            backup_turn: 0,
+            backup_round: 0,
             backup_at: Moment::NEVER,
             budget: ReadBudget::default(),
             reads_issued: 0,
-            start_until: now.plus(patience),
-            alone_noted: false,
-            read_from: now.plus(patience),
+            startup_deadline: now.plus(delay),
+            alone_logged: false,
+            fallback_read_at: now.plus(delay),
             wake_at: now,
         }
     }
@@ -125,28 +125,28 @@
     pub fn handle(&mut self, now: Moment, event: RevisionEvent) -> Vec<RevisionAction> {
         let mut actions = Vec::new();
         match event {
-            RevisionEvent::Read(value) => self.take_read(now, value, &mut actions),
+            RevisionEvent::Read(value) => self.handle_read(now, value, &mut actions),
             RevisionEvent::Unchanged(name) => {
                 self.confirm_by_call(&name, self.seen(&name));
                 if let Some(call) = self.calls.get_mut(&name) {
                     call.succeed(now);
                 }
             }
-            RevisionEvent::ReadFailed(name) => self.take_failure(now, name, &mut actions),
+            RevisionEvent::ReadFailed(name) => self.handle_failure(now, name, &mut actions),
             RevisionEvent::Peer(host, message) => {
-                self.take_message(now, host, message, &mut actions);
+                self.handle_message(now, host, message, &mut actions);
             }
             RevisionEvent::PeerUp(host) => {
-                self.peers.insert(host, SpreadPeer::new(now));
+                self.peers.insert(host, ReplicaPeer::new(now));
             }
             RevisionEvent::PeerDown(host) => {
                 self.peers.remove(&host);
             }
-            RevisionEvent::Hosts(list) => self.take_hosts(list),
+            RevisionEvent::Hosts(list) => self.handle_hosts(list),
             RevisionEvent::Tick => {}
-            RevisionEvent::Resumed(_) => self.distrust(now),
+            RevisionEvent::Resumed(_) => self.invalidate(now),
         }
-        self.review(now, &mut actions);
+        self.reconcile(now, &mut actions);
         actions
     }
 
@@ -164,13 +164,13 @@
         };
         let mut actions = Vec::new();
         let settled = match self.values.get_mut(name) {
-            Some(book) => book.record_verdict(revision, verdict),
+            Some(replica) => replica.record_verdict(revision, verdict),
             None => false,
         };
         if settled {
             actions.push(RevisionAction::Log(incident, name.clone()));
         }
-        self.review(now, &mut actions);
+        self.reconcile(now, &mut actions);
         actions
     }
 
@@ -183,10 +183,10 @@
     pub fn in_force(&self) -> Vec<RevisionMark> {
         self.values
             .iter()
-            .filter_map(|(name, book)| {
+            .filter_map(|(name, replica)| {
                 Some(RevisionMark {
                     name: name.clone(),
-                    revision: book.in_force()?,
+                    revision: replica.in_force()?,
                 })
             })
             .collect()
@@ -196,7 +196,7 @@
     pub fn status(&self) -> RevisionStatus {
         RevisionStatus {
             values: self.values.values().map(ValueReplica::status).collect(),
-            alone: !self.vouched,
+            alone: !self.peer_confirmed,
             reads_issued: self.reads_issued,
             is_reader: self.plan.is_reader,
         }
@@ -212,14 +212,19 @@
     /// caught up before may be behind for a moment, as it is at each change that
     /// a peer tells of before it comes.
     pub fn is_caught_up(&self, now: Moment) -> bool {
-        if !self.vouched {
-            return now >= self.start_until;
+        if !self.peer_confirmed {
+            return now >= self.startup_deadline;
         }
-        let bears = |plan: &CatchUp| self.has_been_current && now.since(plan.since) < BEHIND_LIMIT;
-        self.catch_ups.values().all(bears)
+        let is_tolerated = |plan: &CatchUp| self.was_caught_up && now.since(plan.since) < MAX_LAG;
+        self.catch_ups.values().all(is_tolerated)
     }
 
-    fn take_read(&mut self, now: Moment, value: PublishedValue, actions: &mut Vec<RevisionAction>) {
+    fn handle_read(
+        &mut self,
+        now: Moment,
+        value: PublishedValue,
+        actions: &mut Vec<RevisionAction>,
+    ) {
         let call = match self.calls.get_mut(&value.name) {
             Some(call) => call,
             None => return,
@@ -237,10 +242,10 @@
         if let Some(call) = self.calls.get_mut(&value.name) {
             call.succeed(now);
         }
-        self.take_value(now, value, actions);
+        self.accept_value(now, value, actions);
     }
 
-    fn take_failure(&mut self, now: Moment, name: ValueName, actions: &mut Vec<RevisionAction>) {
+    fn handle_failure(&mut self, now: Moment, name: ValueName, actions: &mut Vec<RevisionAction>) {
         let call = match self.calls.get_mut(&name) {
             Some(call) => call,
             None => return,
@@ -250,7 +255,7 @@
         }
     }
 
-    fn take_hosts(&mut self, list: HostList) {
+    fn handle_hosts(&mut self, list: HostList) {
         self.hosts = list
             .hosts
             .into_iter()
@@ -264,36 +269,36 @@
 
     /// Forget what was believed to be fresh: after a pause the peers may be
     /// ahead, and calls may be lost with their connections.
-    fn distrust(&mut self, now: Moment) {
-        self.vouched = false;
-        self.has_been_current = false;
-        self.alone_noted = true;
-        let patience = self.opts.read_fallback;
-        self.start_until = now.plus(patience).plus(self.jitter.part_of(patience));
+    fn invalidate(&mut self, now: Moment) {
+        self.peer_confirmed = false;
+        self.was_caught_up = false;
+        self.alone_logged = true;
+        let delay = self.opts.read_fallback;
+        self.startup_deadline = now.plus(delay).plus(self.jitter.part_of(delay));
         for peer in self.peers.values_mut() {
-            peer.distrust(now);
+            peer.invalidate(now);
         }
         for call in self.calls.values_mut() {
             call.restart(now);
         }
     }
 
-    fn review(&mut self, now: Moment, actions: &mut Vec<RevisionAction>) {
-        self.review_relays(now);
-        self.review_links(actions);
-        self.ask_relays(now, actions);
+    fn reconcile(&mut self, now: Moment, actions: &mut Vec<RevisionAction>) {
+        self.update_relays(now);
+        self.update_links(actions);
+        self.poll_relays(now, actions);
         self.announce(now, actions);
         self.catch_up(now, actions);
-        self.ask_confirmed(now, actions);
-        self.note_alone(now, actions);
+        self.poll_confirmed(now, actions);
+        self.log_alone(now, actions);
         self.call_service(now, actions);
         // The first word of a peer may name one value alone.
-        let settled = self.vouched && now >= self.start_until;
-        self.has_been_current |= settled && self.catch_ups.is_empty();
+        let settled = self.peer_confirmed && now >= self.startup_deadline;
+        self.was_caught_up |= settled && self.catch_ups.is_empty();
         self.wake_at = self.find_wake(now);
     }
 
-    fn is_fed(&self, now: Moment) -> bool {
+    fn has_responsive_relay(&self, now: Moment) -> bool {
         let heard = |host: &HostName| match self.peers.get(host) {
             Some(peer) => peer.is_heard(now, self.opts.silent_after),
             None => false,
@@ -304,19 +309,19 @@
     /// Count on the relays while one answers. Backups only bring news: they
     /// may stand behind this host and wait for it, so a host with nothing but
     /// backups reads for itself.
-    fn review_relays(&mut self, now: Moment) {
-        if self.is_fed(now) {
-            self.read_from = Moment::NEVER;
+    fn update_relays(&mut self, now: Moment) {
+        if self.has_responsive_relay(now) {
+            self.fallback_read_at = Moment::NEVER;
             self.backup_at = Moment::NEVER;
             self.backups.clear();
             return;
         }
-        if self.read_from == Moment::NEVER {
-            let patience = self.opts.read_fallback;
-            self.read_from = now.plus(patience).plus(self.jitter.part_of(patience));
+        if self.fallback_read_at == Moment::NEVER {
+            let delay = self.opts.read_fallback;
+            self.fallback_read_at = now.plus(delay).plus(self.jitter.part_of(delay));
         }
         if self.backup_at == Moment::NEVER {
-            self.backup_at = self.read_from;
+            self.backup_at = self.fallback_read_at;
         }
         if now < self.backup_at {
             return;
@@ -331,13 +336,13 @@
         if ranked.is_empty() {
             return Vec::new();
         }
-        let turn = self.backup_turn;
-        self.backup_turn += 1;
-        let place = turn * 2 % ranked.len();
-        ranked.into_iter().cycle().skip(place).take(2).collect()
+        let round = self.backup_round;
+        self.backup_round += 1;
+        let position = round * 2 % ranked.len();
+        ranked.into_iter().cycle().skip(position).take(2).collect()
     }
 
-    fn review_links(&mut self, actions: &mut Vec<RevisionAction>) {
+    fn update_links(&mut self, actions: &mut Vec<RevisionAction>) {
         let mut links = BTreeMap::new();
         for host in self.plan.relays.iter().chain(&self.backups) {
             let entry = match self.hosts.get(host) {
@@ -352,14 +357,14 @@
         self.links = links;
     }
 
-    fn note_alone(&mut self, now: Moment, actions: &mut Vec<RevisionAction>) {
-        if self.vouched || self.alone_noted || now < self.start_until {
+    fn log_alone(&mut self, now: Moment, actions: &mut Vec<RevisionAction>) {
+        if self.peer_confirmed || self.alone_logged || now < self.startup_deadline {
             return;
         }
-        self.alone_noted = true;
+        self.alone_logged = true;
         if let Some(name) = self.opts.values.first() {
-            let note = RevisionAction::Log(Incident::StartedAlone, name.clone());
-            actions.push(note);
+            let log = RevisionAction::Log(Incident::StartedAlone, name.clone());
+            actions.push(log);
         }
     }
 
@@ -369,31 +374,31 @@
     }
 
     /// Get from when the value may be read.
-    fn reads_from(&self, name: &ValueName) -> Moment {
+    fn read_allowed_at(&self, name: &ValueName) -> Moment {
         // Without the host list and the links' key there is no peer to wait
         // for: every host of a fleet that starts together would refuse every
         // other one until each gave up and called itself alone.
-        let linking = [HOSTS_VALUE, LIMITS_VALUE].contains(&name.as_str());
-        let unseen = self.seen(name) == Revision::default();
-        if linking && unseen {
+        let bootstraps = [HOSTS_VALUE, LIMITS_VALUE].contains(&name.as_str());
+        let missing = self.seen(name) == Revision::default();
+        if bootstraps && missing {
             return Moment::START;
         }
-        let started = match self.vouched || self.alone_noted {
+        let startup_at = match self.peer_confirmed || self.alone_logged {
             true => Moment::START,
-            false => self.start_until,
+            false => self.startup_deadline,
         };
         match self.plan.is_reader {
-            true => started,
-            false => started.max(self.read_from),
+            true => startup_at,
+            false => startup_at.max(self.fallback_read_at),
         }
     }
 
     fn call_service(&mut self, now: Moment, actions: &mut Vec<RevisionAction>) {
-        for name in self.call_turns() {
+        for name in self.call_order() {
             if self.budget.allowed_at(&self.opts) > now {
                 return;
             }
-            if self.reads_from(&name) > now {
+            if self.read_allowed_at(&name) > now {
                 continue;
             }
             let seen = self.seen(&name);
@@ -414,23 +419,23 @@
     /// the read budget up; were they called by name then, the first ones would
     /// be due again before the last one's turn, and its change would come into
     /// force long after the service is back.
-    fn call_turns(&self) -> Vec<ValueName> {
+    fn call_order(&self) -> Vec<ValueName> {
         let mut names = self.opts.values.clone();
-        names.sort_by_key(|name| self.calls.get(name).map(ServiceCall::turn));
+        names.sort_by_key(|name| self.calls.get(name).map(ServiceCall::priority));
         names
     }
 
     fn next_call(&self) -> Moment {
         let allowed_at = self.budget.allowed_at(&self.opts);
         let due = self.calls.iter().map(|(name, call)| {
-            let due_at = call.due_at(&self.opts).max(self.reads_from(name));
+            let due_at = call.due_at(&self.opts).max(self.read_allowed_at(name));
             due_at.max(allowed_at)
         });
         due.min().unwrap_or(Moment::NEVER)
     }
 
     /// Get when the last relay that still counts falls silent.
-    fn unfed_at(&self) -> Moment {
+    fn relays_silent_at(&self) -> Moment {
         let heard = |host: &HostName| self.peers.get(host)?.heard_at;
         let last = self.plan.relays.iter().filter_map(heard).max();
         match last {
@@ -440,17 +445,17 @@
     }
 
     fn find_wake(&self, now: Moment) -> Moment {
-        let alone_at = match self.vouched || self.alone_noted {
+        let alone_at = match self.peer_confirmed || self.alone_logged {
             true => Moment::NEVER,
-            false => self.start_until,
+            false => self.startup_deadline,
         };
-        let unfed_at = Some(self.unfed_at()).filter(|at| *at > now);
+        let relays_silent_at = Some(self.relays_silent_at()).filter(|at| *at > now);
         self.next_call()
             .min(alone_at)
-            .min(unfed_at.unwrap_or(Moment::NEVER))
+            .min(relays_silent_at.unwrap_or(Moment::NEVER))
             .min(self.backup_at)
-            .min(self.confirmations.next_ask())
-            .min(self.next_spread())
+            .min(self.confirmations.next_poll())
+            .min(self.next_send())
             .max(now.plus(Duration::from_micros(1)))
     }
 }
--- a/bergamotswitch-core/src/revision/service_reader.rs
+++ b/bergamotswitch-core/src/revision/service_reader.rs
@@ -81,7 +81,7 @@
 
     /// Get the call's place among those that are due: first those that failed,
     /// then by how long they have been due.
-    pub(super) fn turn(&self) -> (bool, Moment) {
+    pub(super) fn priority(&self) -> (bool, Moment) {
         (self.failures == 0, self.due_at)
     }
 
--- a/bergamotswitch-core/src/revision/value_patch.rs
+++ b/bergamotswitch-core/src/revision/value_patch.rs
@@ -24,12 +24,12 @@
 }
 
 /// Get the patch that leads from one JSON text to another, as JSON text.
-pub(super) fn between(from: &str, to: &str) -> Option<String> {
+pub(super) fn diff(from: &str, to: &str) -> Option<String> {
     let from: Value = serde_json::from_str(from).ok()?;
     let to: Value = serde_json::from_str(to).ok()?;
-    let mut differ = Differ::default();
-    differ.compare(&from, &to);
-    serde_json::to_string(&Patch(differ.operations)).ok()
+    let mut diff = JsonDiff::default();
+    diff.compare(&from, &to);
+    serde_json::to_string(&Patch(diff.operations)).ok()
 }
 
 /// Get the canonical text that the patch leads to, where it applies and the
@@ -46,12 +46,12 @@
 }
 
 #[derive(Default)]
-struct Differ {
-    place: PointerBuf,
+struct JsonDiff {
+    pointer: PointerBuf,
     operations: Vec<PatchOperation>,
 }
 
-impl Differ {
+impl JsonDiff {
     fn compare(&mut self, from: &Value, to: &Value) {
         match (from, to) {
             _ if from == to => {}
@@ -63,17 +63,17 @@
 
     fn compare_objects(&mut self, from: &Map<String, Value>, to: &Map<String, Value>) {
         for key in from.keys().filter(|key| !to.contains_key(*key)) {
-            self.place.push_back(key);
+            self.pointer.push_back(key);
             self.remove();
-            self.place.pop_back();
+            self.pointer.pop_back();
         }
         for (key, value) in to {
-            self.place.push_back(key);
+            self.pointer.push_back(key);
             match from.get(key) {
                 Some(earlier) => self.compare(earlier, value),
                 None => self.add(value),
             }
-            self.place.pop_back();
+            self.pointer.pop_back();
         }
     }
 
@@ -87,7 +87,7 @@
         let to_set: HashSet<u64> = to_hashes.iter().copied().collect();
         let (mut old, mut new) = (0, 0);
         while old < from.len() || new < to.len() {
-            self.place.push_back(new);
+            self.pointer.push_back(new);
             let dropped = old < from.len() && !to_set.contains(&from_hashes[old]);
             let added = new < to.len() && !from_set.contains(&to_hashes[new]);
             let both = old < from.len() && new < to.len();
@@ -102,13 +102,13 @@
                 self.add(&to[new]);
                 new += 1;
             }
-            self.place.pop_back();
+            self.pointer.pop_back();
         }
     }
 
     fn add(&mut self, value: &Value) {
         self.operations.push(PatchOperation::Add(AddOperation {
-            path: self.place.clone(),
+            path: self.pointer.clone(),
             value: value.clone(),
         }));
     }
@@ -116,14 +116,14 @@
     fn remove(&mut self) {
         self.operations
             .push(PatchOperation::Remove(RemoveOperation {
-                path: self.place.clone(),
+                path: self.pointer.clone(),
             }));
     }
 
     fn replace(&mut self, value: &Value) {
         self.operations
             .push(PatchOperation::Replace(ReplaceOperation {
-                path: self.place.clone(),
+                path: self.pointer.clone(),
                 value: value.clone(),
             }));
     }
--- a/bergamotswitch-core/src/revision/value_replica.rs
+++ b/bergamotswitch-core/src/revision/value_replica.rs
@@ -115,7 +115,7 @@
     fn find_change(&self, from: Revision) -> Option<RevisionMessage> {
         let value = self.seen.as_ref()?;
         let base = self.bases.iter().find(|base| base.revision == from)?;
-        let patch = value_patch::between(&base.body, &value.body)?;
+        let patch = value_patch::diff(&base.body, &value.body)?;
         if patch.len() >= value.body.len() {
             return None;
         }
--- a/bergamotswitch-core/src/roster/machine.rs
+++ b/bergamotswitch-core/src/roster/machine.rs
@@ -20,7 +20,7 @@
 
 /// One round in so many also goes to a seed and to a silent host: without
 /// it, two halves of a fleet that a cut has parted would never meet again.
-const ROUNDS_PER_REUNION: u64 = 4;
+const ROUNDS_PER_REJOIN: u64 = 4;
 
 /// A `Roster` is the fleet's hosts as this host has heard of them.
 #[derive(Debug)]
@@ -37,7 +37,7 @@
     rounds: u64,
     draws: u64,
     seed: u64,
-    listed: HostList,
+    reported: HostList,
 }
 
 impl Roster {
@@ -57,7 +57,7 @@
             rounds: 0,
             draws: 0,
             seed,
-            listed: HostList::default(),
+            reported: HostList::default(),
         }
     }
 
@@ -76,7 +76,7 @@
     /// to a host that stops.
     pub fn set_flags(&mut self, now: Moment, flags: MemberFlags) {
         if flags != self.flags {
-            self.discount_sleep(now);
+            self.discount_suspension(now);
             self.flags = flags;
             self.round_at = now;
         }
@@ -95,20 +95,20 @@
     /// messages. What a round is late beyond its whole interval counts for nobody.
     /// A host that is always that late, for want of a processor, notices others'
     /// ends later, after twice the time at most.
-    fn discount_sleep(&mut self, now: Moment) {
-        let slept = now.since(self.awake_until());
-        if slept.is_zero() {
+    fn discount_suspension(&mut self, now: Moment) {
+        let suspended = now.since(self.next_round_deadline());
+        if suspended.is_zero() {
             return;
         }
         let silent_after = self.silent_after();
         for member in self.members.values_mut() {
-            member.excuse(now, slept, silent_after);
+            member.discount(now, suspended, silent_after);
         }
         self.round_at = now;
     }
 
     /// Get until when this host was surely awake, if it is late by now.
-    fn awake_until(&self) -> Moment {
+    fn next_round_deadline(&self) -> Moment {
         self.round_at.plus(self.opts.round_interval)
     }
 
@@ -116,7 +116,7 @@
     /// silence is no evidence against them.
     pub fn resume(&mut self, now: Moment) {
         for member in self.members.values_mut() {
-            member.hear(now);
+            member.record_heard(now);
         }
         self.round_at = now;
     }
@@ -126,15 +126,15 @@
         if now < self.round_at {
             return Vec::new();
         }
-        self.discount_sleep(now);
+        self.discount_suspension(now);
         self.round_at = now.plus(self.opts.round_interval);
         self.rounds += 1;
         let forget_after = self.opts.forget_after;
         self.members
             .retain(|_, member| now.since(member.heard_at) < forget_after);
-        let targets = self.round_targets(now);
+        let recipients = self.round_recipients(now);
         let message = self.message(now, Vec::new(), Vec::new());
-        targets
+        recipients
             .into_iter()
             .map(|to| RosterAction {
                 to,
@@ -145,24 +145,24 @@
 
     /// Take in a message; get the answer where one is of use.
     pub fn handle(&mut self, now: Moment, message: RosterMessage) -> Vec<RosterAction> {
-        self.discount_sleep(now);
+        self.discount_suspension(now);
         let sender = message.sender;
         let to = sender.host.link_address;
-        let base = sender.stamp;
-        let newcomer = !self.members.contains_key(&sender.host.name);
-        self.learn(now, sender);
+        let sender_stamp = sender.stamp;
+        let is_new = !self.members.contains_key(&sender.host.name);
+        self.merge_record(now, sender);
         for record in message.records {
-            self.learn(now, record);
+            self.merge_record(now, record);
         }
         let mut wants = Vec::new();
         for mark in message.marks {
-            if !self.take_mark(now, base, mark) {
+            if !self.merge_mark(now, sender_stamp, mark) {
                 wants.push(mark.id);
             }
         }
         wants.truncate(RECORDS_PER_MESSAGE);
         let records = self.records_of(now, &message.wants);
-        if wants.is_empty() && records.is_empty() && !newcomer {
+        if wants.is_empty() && records.is_empty() && !is_new {
             return Vec::new();
         }
         let message = self.message(now, records, wants);
@@ -173,9 +173,9 @@
     pub fn hosts(&self, now: Moment) -> HostList {
         let mut hosts: Vec<EntryHost> = self
             .live(now)
-            .map(|member| standing_host(&member.record))
+            .map(|member| host_with_standing(&member.record))
             .collect();
-        hosts.push(standing_host(&self.own_record(now)));
+        hosts.push(host_with_standing(&self.own_record(now)));
         hosts.sort_by(|first, second| first.name.cmp(&second.name));
         HostList {
             hosts,
@@ -194,10 +194,10 @@
     /// last call.
     pub fn changed_hosts(&mut self, now: Moment) -> Option<HostList> {
         let hosts = self.hosts(now);
-        if hosts == self.listed {
+        if hosts == self.reported {
             return None;
         }
-        self.listed = hosts.clone();
+        self.reported = hosts.clone();
         Some(hosts)
     }
 
@@ -215,7 +215,9 @@
     /// Get when each other host that has stopped, and is not back, was first heard
     /// to stop. One that stops tells it, and falls silent as it ends.
     pub fn leave_times(&self) -> impl Iterator<Item = Moment> {
-        self.members.values().filter_map(|member| member.left_at)
+        self.members
+            .values()
+            .filter_map(|member| member.leaving_since)
     }
 
     fn live(&self, now: Moment) -> impl Iterator<Item = &KnownMember> {
@@ -224,7 +226,7 @@
     }
 
     fn is_heard(&self, now: Moment, member: &KnownMember) -> bool {
-        now.min(self.awake_until()).since(member.heard_at) < self.silent_after()
+        now.min(self.next_round_deadline()).since(member.heard_at) < self.silent_after()
     }
 
     /// Get the time after which a silent host of this fleet is not counted on.
@@ -280,9 +282,9 @@
     }
 
     /// Take in a mark; get whether its host is known.
-    fn take_mark(&mut self, now: Moment, base: u64, mark: MemberMark) -> bool {
+    fn merge_mark(&mut self, now: Moment, sender_stamp: u64, mark: MemberMark) -> bool {
         if mark.id == MemberMark::id_of(&self.me.name) {
-            self.outgrow(now, base.wrapping_sub(mark.behind as u64));
+            self.raise_stamp(now, sender_stamp.wrapping_sub(mark.behind as u64));
             return true;
         }
         let Some(name) = self.names.get(&mark.id) else {
@@ -291,19 +293,19 @@
         let Some(member) = self.members.get_mut(name) else {
             return false;
         };
-        let stamp = base.wrapping_sub(mark.behind as u64);
+        let stamp = sender_stamp.wrapping_sub(mark.behind as u64);
         if stamp > member.record.stamp {
             member.record.stamp = stamp;
             member.record.flags = mark.flags;
-            member.hear(now);
-            member.note_leaving(now);
+            member.record_heard(now);
+            member.update_leaving(now);
         }
         true
     }
 
-    fn learn(&mut self, now: Moment, record: MemberRecord) {
+    fn merge_record(&mut self, now: Moment, record: MemberRecord) {
         if record.host.name == self.me.name {
-            self.outgrow(now, record.stamp);
+            self.raise_stamp(now, record.stamp);
             return;
         }
         let name = record.host.name.clone();
@@ -311,15 +313,15 @@
         if known.is_some_and(|known| known.record.stamp >= record.stamp) {
             return;
         }
-        let left_at = known.and_then(|known| known.left_at);
+        let leaving_since = known.and_then(|known| known.leaving_since);
         self.names.insert(MemberMark::id_of(&name), name.clone());
         let mut member = KnownMember {
             record,
             heard_at: now,
-            excused: Duration::ZERO,
-            left_at,
+            discounted: Duration::ZERO,
+            leaving_since,
         };
-        member.note_leaving(now);
+        member.update_leaving(now);
         self.members.insert(name, member);
     }
 
@@ -327,7 +329,7 @@
     /// restart with the time of day set back, others would take news of the
     /// new run for older than that of the former one and count this host as
     /// silent.
-    fn outgrow(&mut self, now: Moment, stamp: u64) {
+    fn raise_stamp(&mut self, now: Moment, stamp: u64) {
         let own = self.own_stamp(now);
         if stamp > own {
             self.stamp_base += stamp - own + 1;
@@ -337,25 +339,25 @@
 
     /// Get whom to tell in this round: some that are counted on, all seeds
     /// while there is nobody, and now and then a seed and a silent host.
-    fn round_targets(&mut self, now: Moment) -> Vec<SocketAddr> {
+    fn round_recipients(&mut self, now: Moment) -> Vec<SocketAddr> {
         let mut live: Vec<SocketAddr> = self.live(now).map(address_of).collect();
         if live.is_empty() {
             return self.other_seeds();
         }
-        let mut targets = Vec::new();
+        let mut recipients = Vec::new();
         for _ in 0..self.opts.fanout.min(live.len()) {
             let index = self.draw(live.len());
-            targets.push(live.swap_remove(index));
+            recipients.push(live.swap_remove(index));
         }
-        if self.rounds.is_multiple_of(ROUNDS_PER_REUNION) {
+        if self.rounds.is_multiple_of(ROUNDS_PER_REJOIN) {
             let silent = self.members.values();
             let silent = silent.filter(|member| !self.is_heard(now, member));
             let silent: Vec<SocketAddr> = silent.map(address_of).collect();
-            targets.extend(self.pick(silent));
+            recipients.extend(self.pick(silent));
             let seeds = self.other_seeds();
-            targets.extend(self.pick(seeds));
+            recipients.extend(self.pick(seeds));
         }
-        targets
+        recipients
     }
 
     fn other_seeds(&self) -> Vec<SocketAddr> {
@@ -382,7 +384,7 @@
     member.record.host.link_address
 }
 
-fn standing_host(record: &MemberRecord) -> EntryHost {
+fn host_with_standing(record: &MemberRecord) -> EntryHost {
     EntryHost {
         standing: match record.flags.leaving {
             true => Standing::Leaving,
