--- a/bergamotswitch-core/src/membership/candidates.rs
+++ b/bergamotswitch-core/src/membership/candidates.rs
@@ -1,22 +1,22 @@
-//! Provides the choice of the hosts that may own a shard.
+//! Provides the selection of the hosts that may own a shard.
 
 use super::options::CANDIDATE_COUNT;
 use crate::host::{EntryHost, HostName};
 use crate::pool::PoolShard;
 use crate::rendezvous;
 
-/// The candidates that stand in the shard's own failure domain. One place is
-/// left for a host elsewhere: where a domain's entry hosts share a rack that
-/// dies, its targets go on and still need an owner.
+/// The number of candidates taken from the shard's own failure domain. One slot
+/// is left for a host elsewhere, because the targets of a domain may keep
+/// running when all of its entry hosts fail together.
 const LOCAL_COUNT: usize = CANDIDATE_COUNT - 1;
 
-/// Get the hosts that may own a shard, first choice first.
+/// Get the hosts that may own a shard, in order of preference.
 ///
-/// The owner of one domain's targets stands in that domain as long as a host
-/// lives there. Ranked over all hosts alike, most owners would stand in
-/// another region than the targets and the hosts that ask: every request
-/// would wait for two trips between regions, and regions that lose each other
-/// would leave most shards without an owner.
+/// Candidates come first from the shard's own failure domain, so that the owner
+/// is close to the targets and to the hosts that use them. Ranked over all
+/// hosts alike, most owners would be in another region: each request would wait
+/// for two round trips between regions, and a partition between regions would
+/// leave most shards without an owner.
 pub(super) fn candidates<'a>(
     shard: &PoolShard,
     hosts: impl Iterator<Item = &'a EntryHost>,
@@ -33,9 +33,9 @@
     ranked
 }
 
-/// Rank strong hosts before weak ones: an owner hears of every request of its
-/// shard. Those within a factor of two of the strongest count alike, so that
-/// shards are spread over all of them.
+/// Rank hosts of high capacity before the others, since an owner handles every
+/// request of its shard. Hosts within a factor of two of the highest capacity
+/// count as equal, so that shards are spread over all of them.
 fn rank(shard: &PoolShard, hosts: &[&EntryHost]) -> Vec<HostName> {
     let most = hosts.iter().map(|host| host.capacity).max().unwrap_or(0);
     let is_strong = |host: &&&EntryHost| host.capacity * 2 > most || most == 0;
--- a/bergamotswitch-core/src/membership/machine.rs
+++ b/bergamotswitch-core/src/membership/machine.rs
@@ -14,7 +14,7 @@
 use crate::link::Heartbeat;
 use crate::pool::PoolShard;
 
-/// A `Membership` is one host's view of the hosts that it works with.
+/// A `Membership` is one host's view of its peers and of the owners of shards.
 #[derive(Debug)]
 pub struct Membership {
     pub(super) me: HostIncarnation,
@@ -28,22 +28,22 @@
     pub(super) links: BTreeMap<HostName, EntryHost>,
     pub(super) denials: Vec<Denial>,
     pub(super) acting: BTreeSet<PoolShard>,
-    /// The shards among them that an earlier candidate may have taken over while
-    /// this process suspended.
+    /// The shards in `acting` that an earlier candidate may have taken over
+    /// while this process was suspended.
     pub(super) unconfirmed: BTreeSet<PoolShard>,
     pub(super) owners: BTreeMap<PoolShard, OwnerView>,
     pub(super) load_permille: u16,
     pub(super) stop_requested: bool,
     pub(super) stopping_since: Option<Moment>,
-    /// Whether acting, owners and watches have to be looked at again.
+    /// Whether acting shards, owners and watches have to be recomputed.
     pub(super) changed: bool,
-    /// When time alone changes them.
+    /// When they have to be recomputed without an event.
     pub(super) recheck_at: Moment,
     pub(super) wake_at: Moment,
 }
 
 impl Membership {
-    /// Get the view of a host that has just started.
+    /// Create the view of a host that has just started.
     pub fn new(me: HostIncarnation, opts: MembershipOptions, _now: Moment) -> Self {
         Membership {
             me,
@@ -68,20 +68,21 @@
         }
     }
 
-    /// Put other time bounds in force; the next event looks at everything anew.
+    /// Set the options. Acting shards, owners and watches are recomputed at the
+    /// next event.
     pub fn set_opts(&mut self, opts: MembershipOptions) {
         self.changed |= opts != self.opts;
         self.opts = opts;
     }
 
-    /// Take one event and get what is to be done.
+    /// Handle one event and get the resulting actions.
     pub fn handle(&mut self, now: Moment, event: MembershipEvent) -> Vec<MembershipAction> {
         let mut actions = Vec::new();
-        // A process that suspended learns it here at the latest. Otherwise the
-        // first tick after the sleep would find every peer silent, and this
-        // host would act for shards that others own.
+        // Detect a suspension of this process at its first event afterwards.
+        // Otherwise the next tick would find every peer unreachable, and this
+        // host would take over shards that others own.
         self.invalidate_after_suspension(now, now.since(self.wake_at), &mut actions);
-        // Heartbeats and ticks are many and mostly change nothing.
+        // Most heartbeats and ticks change nothing.
         self.changed |= !matches!(
             event,
             MembershipEvent::Heartbeat(..) | MembershipEvent::Traffic(_) | MembershipEvent::Tick
@@ -98,8 +99,8 @@
             MembershipEvent::Heartbeat(host, heartbeat) => {
                 self.handle_heartbeat(now, host, &heartbeat, &mut actions)
             }
-            // Only heartbeats prove both directions; other traffic may flow
-            // one way for long.
+            // Only heartbeats confirm both directions of a path; other traffic
+            // may keep flowing one way.
             MembershipEvent::Traffic(_) => return actions,
             MembershipEvent::NotOwner(host, shard) => self.handle_denial(now, host, shard),
             MembershipEvent::Load(permille) => self.load_permille = permille,
@@ -116,12 +117,12 @@
         actions
     }
 
-    /// Get when the next tick is due.
+    /// Get the time of the next tick.
     pub fn next_wake(&self) -> Moment {
         self.wake_at
     }
 
-    /// Get what is known of each peer.
+    /// Get the state of each peer.
     pub fn peers(&self) -> Vec<PeerView> {
         self.peers
             .iter()
@@ -143,30 +144,30 @@
         self.owners.get(shard).and_then(OwnerView::host)
     }
 
-    /// Get the time between two heartbeats.
+    /// Get the interval between two heartbeats.
     pub fn heartbeat_interval(&self) -> Duration {
         self.opts.heartbeat
     }
 
-    /// Get the time without an answer after which another host may act in this
-    /// one's place.
+    /// Get the suspicion timeout: how long a peer may leave heartbeats
+    /// unanswered before another host may take over from it.
     pub fn suspect_after(&self) -> Duration {
         self.opts.suspect_after
     }
 
-    /// Get whether a host has said that it stops.
+    /// Get whether a host has announced that it is stopping.
     pub fn is_stopping(&self, host: &HostName) -> bool {
         self.peers.get(host).is_some_and(|peer| peer.stopping)
     }
 
-    /// Get whether a host is silent.
+    /// Get whether a watched host is unreachable.
     pub fn is_unreachable(&self, host: &HostName) -> bool {
         let peer = self.peers.get(host);
         peer.is_some_and(|peer| peer.reachable == Some(false))
     }
 
-    /// Get the hosts whose word an owner of the shard needs before it runs what
-    /// must not run twice.
+    /// Get the hosts that have to respond before an owner of the shard starts a
+    /// request with an idempotency key.
     pub fn key_quorum(&self, shard: &PoolShard) -> KeyQuorum {
         let candidates = self.candidates.get(shard).cloned().unwrap_or_default();
         let is_lost = |host: &EntryHost| {
@@ -227,9 +228,10 @@
             return;
         }
         let peer = self.peers.entry(run.host.clone()).or_default();
-        // A run that its successor has replaced may wake from a pause and
-        // link again. Taken for the newer one, it would make the successor
-        // count as gone, and the slots it uses would be given out twice.
+        // An incarnation that has been replaced may resume after a pause and
+        // connect again. If it were taken for the newer one, the live
+        // incarnation would be reported as terminated, and the slots it uses
+        // would be granted twice.
         if peer.is_retired(run.incarnation) {
             return;
         }
@@ -241,9 +243,10 @@
         }
     }
 
-    /// Forget that a host owns shards, so that its new run is announced as a
-    /// new owner: it knows nothing of the work and the keys that this host
-    /// told the earlier one, and would give them out a second time.
+    /// Clear the views in which a host owns shards, so that its new incarnation
+    /// is reported as a new owner. The new incarnation knows neither the
+    /// requests nor the keys that this host registered with the previous one,
+    /// and would grant them a second time.
     fn clear_owner(&mut self, host: &HostName) {
         for owner in self.owners.values_mut() {
             if owner.host() == Some(host) {
@@ -291,8 +294,9 @@
         self.denials.push(denial);
     }
 
-    /// Tell all linked peers at once: the next candidate takes over and users
-    /// turn to it before this host ceases to act.
+    /// Begin a planned stop and notify all linked peers at once, so that the
+    /// next candidate takes over and users switch to it before this host ceases
+    /// to act.
     fn begin_stop(&mut self, now: Moment, actions: &mut Vec<MembershipAction>) {
         if self.stopping_since.is_some() {
             return;
@@ -307,17 +311,17 @@
         }
     }
 
-    /// Distrust everything after a sleep long enough for others to suspect
+    /// Invalidate the view after a suspension long enough for others to suspect
     /// this host.
     ///
-    /// What goes wrong: a paused owner wakes and still counts as owner of
-    /// shards that another candidate took over, or finds all others silent
-    /// and takes over theirs; two owners would hand out the same slots. One
-    /// would notice it by targets that report more work than their owner
-    /// counts. So it proves each path anew, and ceases to act wherever it is not
-    /// first. After a sleep in which nobody can have taken over, it goes on
-    /// until an earlier candidate answers: otherwise its shards would have no
-    /// owner until all before it are found out anew.
+    /// A suspended owner would otherwise still act for shards that another
+    /// candidate took over, or find all peers unreachable and take over their
+    /// shards; two owners would grant the same slots. Each path has to be
+    /// confirmed again, and this host ceases to act wherever it is not the
+    /// first candidate. After a suspension shorter than the suspicion timeout
+    /// nobody can have taken over, so it keeps acting until an earlier
+    /// candidate answers; otherwise its shards would have no owner until all
+    /// earlier candidates are known again.
     fn invalidate_after_suspension(
         &mut self,
         now: Moment,
--- a/bergamotswitch-core/src/membership/mod.rs
+++ b/bergamotswitch-core/src/membership/mod.rs
@@ -1,12 +1,14 @@
-//! Provides membership: which hosts may own a shard, who watches whom, and
-//! which owner a host sees as acting.
+//! Provides membership: the candidates for the ownership of each shard, failure
+//! detection between hosts, and the acting owner of a shard as seen by one
+//! host.
 //!
-//! The first candidates of a shard, by rendezvous over the live hosts of the
-//! host list, watch each other; a host that uses a shard watches its
-//! candidates in order, as far as needed. A watch is a heartbeat that the peer
-//! answers, by its own next heartbeat or by one with the sequence 0. A path
-//! counts as working while the peer's answers name new heartbeats, so a path
-//! cut one way is noticed at both ends.
+//! The candidates of a shard are chosen by rendezvous hashing over the live
+//! hosts of the host list and watch each other. A host that uses a shard
+//! watches the candidates in order, up to the first that is available. A watch
+//! consists of heartbeats that the peer acknowledges, either in its own next
+//! heartbeat or in one with sequence 0. A path counts as working while the peer
+//! acknowledges new heartbeats, so a path that fails in one direction is
+//! detected at both ends.
 
 mod candidates;
 mod machine;
@@ -26,63 +28,63 @@
 use crate::link::Heartbeat;
 use crate::pool::PoolShard;
 
-/// A `KeyQuorum` is the hosts whose word an owner needs before it runs what
-/// must not run twice.
+/// A `KeyQuorum` is the set of hosts that have to respond before an owner
+/// starts a request with an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyQuorum {
     /// The shard's candidates, of which a majority has to follow the owner.
     pub candidates: Vec<HostName>,
-    /// The live hosts that are not known to be unreachable, which have to tell
-    /// their keys.
+    /// The live hosts not known to be unreachable, which have to report their
+    /// keys.
     pub awaited: Vec<HostName>,
 }
 
-/// A `MembershipEvent` is one thing that changes a host's view of the others.
+/// A `MembershipEvent` is an input of the membership state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipEvent {
     /// The host list changed.
     Hosts(HostList),
     /// The shards of the published pools changed.
     Shards(Vec<PoolShard>),
-    /// This host has (or no longer has) work for the shard.
+    /// This host has started (`true`) or stopped (`false`) using the shard.
     Using(PoolShard, bool),
     /// A link came up.
     LinkUp(HostIncarnation),
     /// A link went down.
     LinkDown(HostIncarnation),
-    /// A peer's heartbeat came.
+    /// A heartbeat of a peer arrived.
     Heartbeat(HostName, Heartbeat),
-    /// Some other message of the peer came.
+    /// Another message of a peer arrived.
     Traffic(HostName),
-    /// The peer says that it does not act as the shard's owner.
+    /// A peer reported that it does not act as the shard's owner.
     NotOwner(HostName, PoolShard),
-    /// This host's load, in thousandths of what it can carry.
+    /// This host's load, in thousandths of its capacity.
     Load(u16),
-    /// A planned stop begins.
+    /// A planned stop of this host begins.
     Stop,
-    /// Time has passed.
+    /// The timer fired.
     Tick,
-    /// The process suspended for this long.
+    /// The process was suspended for this long.
     Resumed(Duration),
 }
 
-/// A `MembershipAction` is one thing that membership wants done.
+/// A `MembershipAction` is an output of the membership state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipAction {
-    /// Keep a link to this host.
+    /// Open and keep a link to this host.
     Connect(EntryHost),
-    /// Drop the link to this host.
+    /// Close the link to this host.
     Disconnect(HostName),
     /// Send a heartbeat.
     Send(HostName, Heartbeat),
-    /// The acting owner of a shard in this host's view, after a change;
-    /// `None`: no candidate is reachable.
+    /// The acting owner of a shard, as seen by this host, has changed; `None`
+    /// if no candidate is reachable.
     OwnerChanged(PoolShard, Option<HostName>),
-    /// Begin (or end) to act as owner of a shard.
+    /// Begin (`true`) or cease (`false`) to act as owner of a shard.
     Act(PoolShard, bool),
-    /// This run of a host is gone for good: its successor was seen, or the
-    /// host list dropped it.
+    /// This incarnation of a host has terminated: a newer one connected, or the
+    /// host was removed from the host list and is unreachable.
     HostTerminated(HostName, Incarnation),
-    /// Log a numbered event about a host.
+    /// Log an event about a host.
     Log(Incident, HostName),
 }
--- a/bergamotswitch-core/src/membership/peer.rs
+++ b/bergamotswitch-core/src/membership/peer.rs
@@ -1,5 +1,5 @@
-//! Provides what a host knows of one peer: its run, and whether both
-//! directions of the path work.
+//! Provides the state of one peer: its incarnation, and whether both directions
+//! of the path to it work.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,85 +11,89 @@
 use crate::host::{HostName, Incarnation};
 use crate::link::Heartbeat;
 
-/// Earlier runs that are remembered, so that a link of one of them, paused
-/// and late, is not taken for a newer run.
+/// The number of earlier incarnations that are remembered, so that a delayed
+/// link of one of them is not taken for a newer incarnation.
 const RETIRED_RUNS: usize = 4;
 
-/// A `PeerView` is what a host knows of one peer, for operators.
+/// A `PeerView` is the state of one peer as reported to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct PeerView {
-    /// The peer.
+    /// The name of the peer.
     pub host: HostName,
-    /// The last run of it that was linked.
+    /// The last incarnation of the peer that connected.
     pub incarnation: Option<Incarnation>,
-    /// Whether both directions work; absent where not watched or not known.
+    /// Whether both directions of the path work; absent if the peer is not
+    /// watched or its state is not known yet.
     pub reachable: Option<bool>,
-    /// Whether it said that it is stopping.
+    /// Whether the peer has announced that it is stopping.
     pub stopping: bool,
-    /// How busy it said to be, in thousandths of what it can carry.
+    /// The load that the peer reported, in thousandths of its capacity.
     pub load_permille: u16,
 }
 
-/// A `WatchRate` is why a peer is watched, and so how often it is asked.
+/// A `WatchRate` is the reason for watching a peer, which determines the
+/// heartbeat interval.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum WatchRate {
-    /// This host uses a shard that the peer may own, or waits for the end of
-    /// a peer that the list dropped.
+    /// This host uses a shard that the peer may own, or waits for the
+    /// termination of a peer that was removed from the host list.
     User,
-    /// Both are candidates of a shard.
+    /// Both hosts are candidates of the same shard.
     Candidate,
 }
 
-/// A `PathChange` is a change of a peer's reachability.
+/// A `PathChange` is a transition of a peer's reachability.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PathChange {
-    /// Both directions work again.
+    /// Both directions of the path work again.
     Reachable,
-    /// At least one direction does not work.
+    /// At least one direction of the path has failed.
     Unreachable,
 }
 
-/// A `PeerState` is what owners and watches are chosen by.
+/// A `PeerState` is the part of a peer's state that determines owners and
+/// watches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct PeerState {
     reachable: Option<bool>,
     stopping: bool,
 }
 
-/// A `HeartbeatCounters` is the counters of a heartbeat that is due.
+/// A `HeartbeatCounters` is the pair of counters in a heartbeat to be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct HeartbeatCounters {
     pub(super) sequence: u64,
     pub(super) heard: u64,
 }
 
-/// A `Peer` is what a host knows of one peer.
+/// A `Peer` is the state of one peer.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Peer {
     pub(super) incarnation: Option<Incarnation>,
     retired: VecDeque<Incarnation>,
     pub(super) connected: bool,
-    /// Whether no heartbeat came over the link yet.
+    /// Whether the first heartbeat over the current link is still outstanding.
     awaiting_first: bool,
     pub(super) watched: Option<WatchRate>,
     pub(super) stopping: bool,
     pub(super) load_permille: u16,
     pub(super) reachable: Option<bool>,
-    /// Since when `reachable` has its value.
+    /// When `reachable` last changed.
     pub(super) since: Moment,
-    /// When the oldest heartbeat without an answer was sent or due.
+    /// When the oldest unanswered heartbeat was sent, or when the link or the
+    /// watch changed since which no answer came.
     unanswered_since: Option<Moment>,
-    /// The last heartbeat sent to the peer.
+    /// When the last heartbeat was sent to the peer.
     sent_at: Option<Moment>,
     sequence: u64,
-    /// The highest sequence of this host that the peer said to have heard.
+    /// The highest sequence of this host that the peer has acknowledged.
     answered: u64,
-    /// The highest sequence heard from the peer.
+    /// The highest sequence received from the peer.
     heard: u64,
 }
 
 impl Peer {
-    /// Begin, change or end the watch.
+    /// Start, change or end the watch.
     pub(super) fn watch(&mut self, now: Moment, rate: Option<WatchRate>) {
         if self.watched.is_none() != rate.is_none() {
             self.reset_path(now);
@@ -97,23 +101,25 @@
         self.watched = rate;
     }
 
-    /// Forget what was believed of the path: it has to be confirmed anew.
+    /// Reset the reachability of the path, which has to be confirmed again.
     pub(super) fn reset_path(&mut self, now: Moment) {
         self.reachable = None;
         self.since = now;
         self.unanswered_since = Some(now);
         self.sent_at = None;
-        // Heartbeats that waited in a socket while this process suspended answer
-        // older ones; only an answer to a later one proves anything now.
+        // Heartbeats that were queued in a socket while this process was
+        // suspended acknowledge old sequences; only an acknowledgement of a
+        // later one counts.
         self.answered = self.sequence;
     }
 
-    /// Get whether the run is an earlier one, late.
+    /// Get whether an incarnation has already been replaced.
     pub(super) fn is_retired(&self, run: Incarnation) -> bool {
         self.retired.contains(&run)
     }
 
-    /// Take note of a link; get the run that is gone, if it is another one.
+    /// Record that a link came up. Get the incarnation that was replaced, if
+    /// there was another one.
     pub(super) fn link_up(&mut self, now: Moment, run: Incarnation) -> Option<Incarnation> {
         self.connected = true;
         self.awaiting_first = true;
@@ -123,7 +129,7 @@
             Some(earlier) if earlier != run => earlier,
             _ => return None,
         };
-        // The numbers of the earlier run say nothing of this one.
+        // The counters belong to the previous incarnation.
         self.sequence = 0;
         self.answered = 0;
         self.heard = 0;
@@ -136,13 +142,13 @@
         Some(replaced)
     }
 
-    /// Take note that the link is gone.
+    /// Record that the link went down.
     pub(super) fn link_down(&mut self, now: Moment) {
         self.connected = false;
         self.unanswered_since.get_or_insert(now);
     }
 
-    /// Take note of the peer's heartbeat.
+    /// Record a heartbeat of the peer.
     pub(super) fn record_heartbeat(
         &mut self,
         now: Moment,
@@ -151,10 +157,11 @@
         self.heard = self.heard.max(heartbeat.sequence);
         self.stopping = heartbeat.stopping;
         self.load_permille = heartbeat.load_permille;
-        // Heartbeats that come while the peer's count of ours stands still
-        // mean a path cut one way: the peer suspects this host, and would act
-        // in its place while this host still counts on the peer. So only an
-        // advance of the count proves the path, and both sides notice.
+        // Heartbeats that do not acknowledge new ones of this host indicate a
+        // path that has failed in one direction: the peer suspects this host
+        // and would act in its place while this host still relies on the peer.
+        // So only a new acknowledgement confirms the path, and both sides
+        // detect the failure.
         let advanced = heartbeat.heard > self.answered && heartbeat.heard <= self.sequence;
         if !advanced {
             return None;
@@ -173,7 +180,8 @@
         }
     }
 
-    /// Take note of the time.
+    /// Check the suspicion timeout and get the change, if the peer has become
+    /// unreachable.
     pub(super) fn check_timeout(
         &mut self,
         now: Moment,
@@ -217,13 +225,13 @@
         }
     }
 
-    /// Get when this peer next needs a look.
+    /// Get when the peer next needs a heartbeat or a check of the timeout.
     pub(super) fn wake_at(&self, opts: &MembershipOptions, user_interval: Duration) -> Moment {
         let due_at = self.due_at(opts, user_interval);
         self.suspect_at(opts).min(due_at)
     }
 
-    /// Get when time alone next changes what this peer counts as.
+    /// Get when the peer becomes stable or terminated if nothing else happens.
     pub(super) fn changes_at(&self, now: Moment, opts: &MembershipOptions) -> Moment {
         let changes_at = match self.reachable {
             Some(true) => self.since.plus(opts.failback_after),
@@ -236,7 +244,7 @@
         }
     }
 
-    /// Get what owners and watches are chosen by.
+    /// Get the state that determines owners and watches.
     pub(super) fn state(&self) -> PeerState {
         PeerState {
             reachable: self.reachable,
@@ -244,7 +252,8 @@
         }
     }
 
-    /// Get the heartbeat that is due, if one is.
+    /// Get the counters of the next heartbeat and record it as sent, if one is
+    /// due.
     pub(super) fn next_heartbeat(
         &mut self,
         now: Moment,
@@ -263,11 +272,11 @@
         })
     }
 
-    /// Get what an answer to the heartbeat has to say, if it needs one. A
-    /// peer that is itself sent heartbeats at the full rate needs none but for
-    /// the first one over a link: without that answer no request could go to a
-    /// new owner before the next heartbeat. An answer (sequence 0) is never
-    /// answered: two hosts would go on forever.
+    /// Get the sequence to acknowledge in an immediate answer to the heartbeat,
+    /// if one is needed. A peer that receives heartbeats at the regular
+    /// interval needs one only for the first heartbeat over a link; without it
+    /// no request could go to a new owner before the next heartbeat. An answer
+    /// (sequence 0) is never answered, which would loop forever.
     pub(super) fn answer(&mut self, heartbeat: &Heartbeat) -> Option<u64> {
         let first = std::mem::take(&mut self.awaiting_first);
         let mutual = self.connected && self.watched == Some(WatchRate::Candidate) && !first;
@@ -278,12 +287,13 @@
         }
     }
 
-    /// Get the highest sequence heard.
+    /// Get the highest sequence received.
     pub(super) fn heard(&self) -> u64 {
         self.heard
     }
 
-    /// Get whether the peer's reachability was `state` all the time for `span`.
+    /// Get whether the peer's reachability has been `state` for at least
+    /// `span`.
     pub(super) fn has_been(&self, state: bool, now: Moment, span: Duration) -> bool {
         self.reachable == Some(state) && now >= self.since.plus(span)
     }
--- a/bergamotswitch-core/src/membership/reconcile.rs
+++ b/bergamotswitch-core/src/membership/reconcile.rs
@@ -1,5 +1,6 @@
-//! Provides what follows from every event: who is reachable, for which shards
-//! this host acts, who owns the shards it uses, whom it watches.
+//! Provides the recomputation of the membership state after each event: the
+//! reachability of peers, the shards this host acts for, the owners of the
+//! shards it uses, and the peers it watches.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -21,9 +22,9 @@
             self.denials.retain(|denial| now < denial.until);
             self.drop_terminated(now, actions);
             self.update_acting(now, actions);
-            // An owner that turns out to be silent brings the next candidate
-            // into view: the watches follow the choice, and the next look
-            // follows a change of the watches.
+            // Watches depend on the chosen owners: when an owner is
+            // unreachable, the next candidate has to be watched. A change of
+            // the watches triggers another recomputation.
             self.update_owners(now, actions);
             self.update_watches(now, actions);
             self.recheck_at = self.find_recheck(now);
@@ -44,9 +45,10 @@
         }
     }
 
-    /// Drop hosts that the list no longer counts on and that stay silent.
-    /// Silence alone never makes a host gone: behind a partition its work goes
-    /// on, and slots taken back from it would be used twice.
+    /// Drop peers that were removed from the host list and have been
+    /// unreachable for long. Unreachability alone never counts as termination:
+    /// behind a partition a host's requests keep running, and slots reclaimed
+    /// from it would be used twice.
     fn drop_terminated(&mut self, now: Moment, actions: &mut Vec<MembershipAction>) {
         let termination_after = self.opts.termination_after;
         let hosts = &self.hosts;
@@ -101,11 +103,11 @@
             .collect()
     }
 
-    /// Get a candidate's state for one that looks for an owner: a candidate that
-    /// says that it does not act is passed over for a while. That is no reason
-    /// to act in its place, as long as the path to it works: it would act itself
-    /// as soon as it misses the one before, and then two hosts would order the
-    /// shard, each without the other's keys.
+    /// Get a candidate's state for the lookup of an owner. A candidate that
+    /// denied ownership is skipped for a while. A denial is no reason to act in
+    /// its place while the path to it works: it takes over itself once it
+    /// detects the failure of the earlier candidate, and two owners would then
+    /// dispatch for the shard, each without the other's keys.
     fn lookup_state(&self, now: Moment, shard: &PoolShard, host: &HostName) -> CandidateState {
         let mut denials = self.denials.iter();
         let denial = denials.find(|denial| denial.matches(host, shard));
@@ -140,13 +142,13 @@
         }
     }
 
-    /// Get whether it is still open if an earlier candidate acts for a shard.
+    /// Get whether an earlier candidate of a shard may be acting for it.
     fn is_unconfirmed(&self, now: Moment, shard: &PoolShard) -> bool {
         let mut earlier = self.earlier_states(now, shard);
         self.acting.contains(shard) && earlier.any(|state| state == CandidateState::Unknown)
     }
 
-    /// Get the states of the candidates before this host.
+    /// Get the states of the candidates ranked before this host.
     fn earlier_states(
         &self,
         now: Moment,
@@ -200,8 +202,8 @@
             None => return OwnerView::NoHost,
         };
         let after = shard_view::choose(&self.view(now, shard, hosts), before);
-        // This host knows of itself that it does not act, so it need not hold
-        // on to that view until the next candidate is known.
+        // This host knows that it does not act, so it need not keep that view
+        // until the state of the next candidate is known.
         match after.host() == Some(&self.me.host) && !self.acting.contains(shard) {
             true => OwnerView::NoHost,
             false => after,
@@ -227,8 +229,8 @@
                 actions.push(MembershipAction::Connect(entry.clone()));
             }
         }
-        // A stopping host keeps its links: its peers still have to hear that
-        // it stops, and they end with the process.
+        // A stopping host keeps its links, since its peers still have to be
+        // notified. The links close with the process.
         if self.stopping_since.is_some() {
             return;
         }
@@ -316,7 +318,7 @@
     }
 }
 
-/// Get whether the host list no longer counts on a host.
+/// Get whether a host is missing from the host list or marked as leaving.
 fn is_delisted(hosts: &BTreeMap<HostName, EntryHost>, name: &HostName) -> bool {
     match hosts.get(name) {
         Some(host) => host.standing == Standing::Leaving,
--- a/bergamotswitch-core/src/membership/shard_view.rs
+++ b/bergamotswitch-core/src/membership/shard_view.rs
@@ -1,36 +1,39 @@
-//! Provides what a host thinks of one shard's candidates: who may act, who
-//! acts in its view, and whom it has to watch for that.
+//! Provides one host's view of the candidates of a shard: whether a candidate
+//! may act, which one acts, and which ones to watch.
 
 use super::options::MembershipOptions;
 use crate::clock::Moment;
 use crate::host::HostName;
 
-/// A `CandidateState` is what a host knows of one candidate of a shard.
+/// A `CandidateState` is the state of one candidate of a shard as seen by a
+/// host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CandidateState {
-    /// Not yet known.
+    /// The state is not known yet.
     Unknown,
-    /// It cannot be reached, is stopping, or has said for long that it does not
-    /// act.
+    /// The candidate is unreachable, is stopping, or has denied ownership for
+    /// long.
     Unavailable,
-    /// It said a moment ago that it does not act.
+    /// The candidate has just denied ownership.
     Denied,
-    /// It said so some time ago, and may be asked again where nobody else is.
+    /// The candidate denied ownership some time ago and may be tried again if
+    /// there is no other one.
     Retry,
-    /// It answers, but not for long.
+    /// The candidate is reachable, but not for long enough to be stable.
     Reachable,
-    /// It has answered for so long that work may go back to it.
+    /// The candidate has been reachable for long enough that ownership may fail
+    /// back to it.
     Stable,
 }
 
 impl CandidateState {
-    /// Get whether it answers.
+    /// Get whether the candidate is reachable.
     pub(super) fn is_usable(self) -> bool {
         matches!(self, CandidateState::Reachable | CandidateState::Stable)
     }
 }
 
-/// A `Candidate` is one candidate of a shard in the view of a host.
+/// A `Candidate` is one candidate of a shard as seen by a host.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate<'a> {
     pub(super) host: &'a HostName,
@@ -50,20 +53,20 @@
     }
 }
 
-/// An `OwnerView` is the acting owner in a host's view.
+/// An `OwnerView` is the acting owner of a shard as seen by a host.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) enum OwnerView {
-    /// Nothing is known yet.
+    /// The owner is not known yet.
     #[default]
     Unknown,
     /// No candidate is reachable.
     NoHost,
-    /// This candidate acts.
+    /// This candidate is the acting owner.
     Host(HostName),
 }
 
 impl OwnerView {
-    /// Get the host, if there is one.
+    /// Get the acting owner, if there is one.
     pub(super) fn host(&self) -> Option<&HostName> {
         match self {
             OwnerView::Host(host) => Some(host),
@@ -72,12 +75,13 @@
     }
 }
 
-/// Get whether a candidate acts, given those before it.
+/// Get whether a candidate acts, given the states of the candidates ranked
+/// before it.
 ///
-/// Taking over asks for more than going on does: all before it have to be
-/// out, and it goes on until one of them was reachable for long. With one
-/// bound for both, a flapping link would move the owner at its own pace, and
-/// each move makes all users ask anew.
+/// To take over, all earlier candidates have to be unavailable; once acting,
+/// the candidate goes on until one of them is stable. If both used the same
+/// condition, a flapping link would move ownership each time, and each move
+/// makes all users resubmit their requests to the new owner.
 pub(super) fn may_act(mut earlier: impl Iterator<Item = CandidateState>, acting: bool) -> bool {
     match acting {
         true => earlier.all(|state| state != CandidateState::Stable),
@@ -85,27 +89,28 @@
     }
 }
 
-/// Get the acting owner after a change, given the one before it.
+/// Get the acting owner, given the previous one.
 pub(super) fn choose(candidates: &[Candidate<'_>], current: &OwnerView) -> OwnerView {
     let first = candidates.iter().find(|c| !c.is_skipped());
     let kept = candidates
         .iter()
         .find(|c| Some(c.host) == current.host() && c.is_usable());
     match (first, kept) {
-        // Work goes back to an earlier candidate only when it is steady.
+        // Ownership fails back to an earlier candidate only once that is
+        // stable.
         (Some(first), Some(_)) if first.state == CandidateState::Stable => {
             OwnerView::Host(first.host.clone())
         }
         (_, Some(kept)) => OwnerView::Host(kept.host.clone()),
         (Some(first), None) if first.is_usable() => OwnerView::Host(first.host.clone()),
-        // The next one is being asked: that takes at most the suspicion time.
+        // The state of the next candidate is known after the suspicion timeout
+        // at the latest.
         (Some(_), None) => current.clone(),
         (None, None) => choose_denied(candidates),
     }
 }
 
-/// Get the owner's view where no candidate is left but such as said that they
-/// do not act.
+/// Get the owner where every remaining candidate has denied ownership.
 fn choose_denied(candidates: &[Candidate<'_>]) -> OwnerView {
     let in_state = |state| candidates.iter().find(move |c| c.state == state);
     match (
@@ -119,8 +124,8 @@
 }
 
 /// Get the candidates that a user of the shard has to watch: all up to the
-/// first that is not out, so that a later one is asked only when needed and a
-/// return of an earlier one is seen.
+/// first that is not skipped. Later ones are contacted only when needed, and
+/// the recovery of an earlier one is detected.
 pub(super) fn watched_by_user<'a>(candidates: &[Candidate<'a>]) -> Vec<&'a HostName> {
     let first = candidates.iter().position(|c| !c.is_skipped());
     let end = match first {
@@ -130,26 +135,27 @@
     candidates[..end].iter().map(|c| c.host).collect()
 }
 
-/// A `Denial` is a peer's word that it does not act for a shard.
+/// A `Denial` is a peer's report that it does not act for a shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Denial {
     pub(super) host: HostName,
     pub(super) shard: crate::pool::PoolShard,
-    /// When the peer said so first.
+    /// When the peer first denied ownership.
     since: Moment,
-    /// When the peer said so last.
+    /// When the peer last denied ownership.
     at: Moment,
-    /// Until when others are asked in its place.
+    /// When the denial expires.
     pub(super) until: Moment,
-    /// Whether it is asked again and has not said so once more.
+    /// Whether the peer is being tried again and has not denied ownership
+    /// since.
     retrying: bool,
 }
 
-/// Denials are asked about again after this many suspicion times.
+/// A denial expires after this many suspicion timeouts.
 const DENIAL_RETENTION: u32 = 2;
 
 impl Denial {
-    /// Get a denial that came now, beside an earlier one of the same peer.
+    /// Create a denial received now, given an earlier one of the same peer.
     pub(super) fn new(
         now: Moment,
         host: HostName,
@@ -168,25 +174,26 @@
         }
     }
 
-    /// Get whether it is this host's word on this shard.
+    /// Get whether this is the denial of the given host for the given shard.
     pub(super) fn matches(&self, host: &HostName, shard: &crate::pool::PoolShard) -> bool {
         self.host == *host && self.shard == *shard
     }
 
-    /// Note that the peer is asked again.
+    /// Record that the peer is being tried again.
     pub(super) fn retry(&mut self) {
         self.retrying = true;
     }
 
-    /// Get what the peer counts as; `None` where it is asked again and has not
-    /// denied since.
+    /// Get the state of the peer; `None` if it is being tried again and has not
+    /// denied ownership since.
     ///
-    /// Hosts notice an owner's death, or each other's start, some hundred
-    /// milliseconds apart. Whoever notices first asks the next candidate, which
-    /// does not act yet. Where no other is left to ask, it is therefore asked
-    /// again with each heartbeat for one suspicion time. Taken for out at once,
-    /// it would leave that host on its own for two of them: its requests would
-    /// wait, or run by its own fraction, while the shard has an owner.
+    /// Hosts detect the failure of an owner, or each other's start, at slightly
+    /// different times. The first to detect it contacts the next candidate,
+    /// which does not act yet. If there is no other candidate, that one is
+    /// therefore retried at each heartbeat for one suspicion timeout. If it
+    /// counted as unavailable at once, the host would have no owner for two
+    /// timeouts: its requests would wait, or run by its own fraction of the
+    /// quota, while the shard has an owner.
     pub(super) fn state(&self, now: Moment, opts: &MembershipOptions) -> Option<CandidateState> {
         if self.retrying {
             return None;
--- a/bergamotswitch-core/src/rendezvous.rs
+++ b/bergamotswitch-core/src/rendezvous.rs
@@ -1,17 +1,18 @@
-//! Provides rendezvous hashing: every host that knows the same list ranks its
-//! hosts for a key alike, and a host that joins or leaves moves only the keys
-//! that it wins or held.
+//! Provides rendezvous hashing: hosts that know the same host list compute the
+//! same ranking for a key, and a host that joins or leaves moves only the keys
+//! that it is or was ranked first for.
 
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::host::HostName;
 use crate::pool::PoolShard;
 
-/// Separates the parts of a key; no name contains it, so two different keys
-/// never hash alike by a shift of letters between their parts.
+/// Separates the parts of a key. No name contains it, so different keys cannot
+/// be concatenated to the same bytes.
 const SEPARATOR: &[u8] = &[0];
 
-/// Get the score of a host for the key; the highest score ranks first.
+/// Get the score of a host for a key. The host with the highest score ranks
+/// first.
 pub fn score(key: &[u8], host: &HostName) -> u64 {
     let mut hasher = Xxh3::new();
     hasher.update(key);
@@ -20,16 +21,18 @@
     hasher.digest()
 }
 
-/// Get the hosts in the order of their scores for the key, best first.
+/// Get the hosts ranked by their scores for a key, highest first.
 pub fn rank_by_key<'a>(key: &[u8], hosts: impl Iterator<Item = &'a HostName>) -> Vec<HostName> {
     let mut scored: Vec<(u64, &HostName)> = hosts.map(|host| (score(key, host), host)).collect();
-    // Equal scores fall back to the name, so that every host decides alike.
+    // Equal scores are ordered by name, so that the ranking is the same on
+    // every host.
     scored.sort_by(|a, b| b.0.cmp(&a.0).then_with(|| a.1.cmp(b.1)));
     scored.dedup_by(|a, b| a.1 == b.1);
     scored.into_iter().map(|(_, host)| host.clone()).collect()
 }
 
-/// Get the hosts in the order in which they are to own the shard, best first.
+/// Get the hosts ranked by their preference as owner of the shard, highest
+/// first.
 pub fn rank<'a>(shard: &PoolShard, hosts: impl Iterator<Item = &'a HostName>) -> Vec<HostName> {
     let mut key = shard.pool.as_str().as_bytes().to_vec();
     if let Some(domain) = &shard.domain {
