--- a/bergamotswitch-core/src/membership/peer.rs
+++ b/bergamotswitch-core/src/membership/peer.rs
@@ -80,8 +80,8 @@
     pub(super) reachable: Option<bool>,
     /// When `reachable` last changed.
     pub(super) since: Moment,
-    /// When the oldest unanswered heartbeat was sent, or when the link or the
-    /// watch changed since which no answer came.
+    /// Since when an answer is outstanding: when the oldest unanswered
+    /// heartbeat was sent, or when the link or the watch changed.
     unanswered_since: Option<Moment>,
     /// When the last heartbeat was sent to the peer.
     sent_at: Option<Moment>,
--- a/bergamotswitch-core/src/membership/shard_view.rs
+++ b/bergamotswitch-core/src/membership/shard_view.rs
@@ -80,8 +80,8 @@
 ///
 /// To take over, all earlier candidates have to be unavailable; once acting,
 /// the candidate goes on until one of them is stable. If both used the same
-/// condition, a flapping link would move ownership each time, and each move
-/// makes all users resubmit their requests to the new owner.
+/// condition, a flapping link would move ownership each time, and after each
+/// move all users have to request their permits again.
 pub(super) fn may_act(mut earlier: impl Iterator<Item = CandidateState>, acting: bool) -> bool {
     match acting {
         true => earlier.all(|state| state != CandidateState::Stable),
@@ -192,8 +192,8 @@
     /// which does not act yet. If there is no other candidate, that one is
     /// therefore retried at each heartbeat for one suspicion timeout. If it
     /// counted as unavailable at once, the host would have no owner for two
-    /// timeouts: its requests would wait, or run by its own fraction of the
-    /// quota, while the shard has an owner.
+    /// timeouts: its requests would wait, or run on its own fraction of the
+    /// capacity, while the shard has an owner.
     pub(super) fn state(&self, now: Moment, opts: &MembershipOptions) -> Option<CandidateState> {
         if self.retrying {
             return None;
--- a/bergamotswitch-core/src/revision/confirmation.rs
+++ b/bergamotswitch-core/src/revision/confirmation.rs
@@ -1,11 +1,12 @@
-//! Provides since when a host knows its revision of a value to be the newest.
+//! Provides the age of a host's knowledge that its revision of a value is the
+//! newest.
 //!
-//! A revoked key must cease to work on every host within a bound, also on one
-//! that nothing reaches. So each host keeps the moment up to which it knows
-//! that nothing newer was published, and stops relying on keys when that lies
-//! too far back. It never guesses: a read confirms the moment at which it was
-//! sent, and a peer's word the moment of the question less the age that the
-//! peer gives, however long the answer took.
+//! A revoked key must stop working on every host within a bound, even on a host
+//! that is cut off. So each host keeps the time up to which it knows that
+//! nothing newer was published, and stops relying on keys when that time lies
+//! too far back. The time is always a lower bound: a read confirms the time at
+//! which it was sent, and a peer's answer confirms the time of the query less
+//! the age in the answer, whatever the latency.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,21 +16,21 @@
 use crate::clock::Moment;
 use crate::host::HostName;
 
-/// A `Confirmation` is the latest moment at which a revision was the newest.
+/// A `Confirmation` is the latest time at which a revision was known to be the
+/// newest.
 #[derive(Clone, Copy, Debug)]
 struct Confirmation {
     at: ConfirmedAt,
     revision: Revision,
 }
 
-/// A `ConfirmedAt` is a moment that may lie before the start of this process,
-/// in microseconds since that.
+/// A `ConfirmedAt` is a time in microseconds relative to the start of this
+/// process; it may be negative.
 ///
-/// A host that has just started hears from its peers of moments before its
-/// start. Taken for the start itself, as [`Moment`] would have it, they would
-/// look as young as the process, and a key that was revoked long ago would work
-/// there for as long as keys are relied on without news. One would notice it by
-/// calls with a revoked key that run on hosts started while the store is away.
+/// A host that has just started receives from its peers confirmations that date
+/// from before its start. With [`Moment`], which cannot be negative, they would
+/// count as confirmations at its start, and a key revoked long ago would work
+/// there until the confirmation expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ConfirmedAt(i64);
 
@@ -48,7 +49,7 @@
     }
 }
 
-/// A `Confirmations` is the confirmations of all values.
+/// A `Confirmations` is the set of confirmations of all values.
 #[derive(Debug)]
 pub(super) struct Confirmations {
     values: BTreeMap<ValueName, Confirmation>,
@@ -65,7 +66,7 @@
 }
 
 impl Confirmations {
-    /// Get when the relays are asked next.
+    /// Get when the relays are polled next.
     pub(super) fn next_poll(&self) -> Moment {
         self.poll_at
     }
@@ -73,21 +74,21 @@
 
 impl RevisionReplica {
     /// Get how long ago the revision in force was known to be the newest;
-    /// `None` where it never was.
+    /// `None` if it never was.
     pub fn confirmed_age(&self, now: Moment, name: &ValueName) -> Option<Duration> {
         let confirmation = self.confirmations.values.get(name)?;
         let in_force = self.values.get(name)?.in_force()?;
         (in_force >= confirmation.revision).then(|| confirmation.at.age(now))
     }
 
-    /// Take note that the store answered the call in flight.
+    /// Record that the service answered the pending call for a value.
     pub(super) fn confirm_by_call(&mut self, name: &ValueName, revision: Revision) {
         if let Some(sent_at) = self.call_sent_at(name) {
             self.confirm(name, ConfirmedAt::new(sent_at), revision);
         }
     }
 
-    /// Ask the relays, where it is time.
+    /// Query the relays for their confirmations, if that is due.
     pub(super) fn poll_confirmed(&mut self, now: Moment, actions: &mut Vec<RevisionAction>) {
         let Some(interval) = self.opts.confirm_interval else {
             return;
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Answer a peer's question with what this host knows for sure.
+    /// Answer a peer's query with this host's own confirmation, if it has one.
     pub(super) fn answer_confirmed(
         &self,
         now: Moment,
@@ -125,8 +126,8 @@
         let Some(revision) = replica.and_then(|replica| replica.in_force()) else {
             return;
         };
-        // Rounded up: a younger age than the true one could keep a revoked
-        // key at work.
+        // Rounded up, since an age below the true one could keep a revoked key
+        // working.
         let age_ms = u32::try_from(age.as_millis() + 1).unwrap_or(u32::MAX);
         let message = RevisionMessage::Confirmed {
             name,
@@ -137,7 +138,7 @@
         actions.push(RevisionAction::Send(host, message));
     }
 
-    /// Take in a peer's answer.
+    /// Record a peer's answer.
     pub(super) fn handle_confirmed(
         &mut self,
         name: &ValueName,
@@ -145,8 +146,8 @@
         revision: Revision,
         age_ms: u32,
     ) {
-        // The peer may act by a newer revision, which this host does not have
-        // yet: then nothing is confirmed of the one here.
+        // A peer with a newer revision confirms nothing about the one held
+        // here.
         if self.seen(name) < revision {
             return;
         }
--- a/bergamotswitch-core/src/revision/mod.rs
+++ b/bergamotswitch-core/src/revision/mod.rs
@@ -1,12 +1,12 @@
-//! Provides published values and their revisions: adoption that never goes
-//! back, and the messages by which hosts spread changes.
+//! Provides published values and their revisions: adoption of monotonically
+//! increasing revisions, and the messages that propagate changes between hosts.
 //!
-//! The first hosts of each failure domain, by rendezvous over the host list,
-//! read the service; all others hear of changes from relays of their domain.
-//! A host counts on a relay only while the relay answers, and each relay
-//! stands before it in one order that all hosts of the domain share: so every
-//! host hangs from one that reads, and one whose relays are all silent reads
-//! for itself.
+//! In each failure domain, the first hosts by rendezvous hashing over the host
+//! list read the configuration service; all others receive changes from relays
+//! of their domain. Every host's relays precede it in one ranking shared by the
+//! whole domain, so each host is connected to a reader through its relays. A
+//! host relies on a relay only while the relay answers, and reads the service
+//! itself when all of its relays are silent.
 
 mod confirmation;
 mod options;
@@ -33,77 +33,79 @@
 
 pub use crate::name::ValueName;
 
-/// A `Revision` counts the publications of one value from 1; 0 stands for
-/// none. A host never goes back
-/// to a lower one, whatever the service or a peer says.
+/// A `Revision` is the number of a publication of one value, starting at 1; 0
+/// stands for none. A host never goes back to a lower revision, whatever the
+/// service or a peer sends.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Revision(pub u64);
 
-/// A `PublishedValue` is one value of the configuration service, whole. The
+/// A `PublishedValue` is one complete value of the configuration service. The
 /// body is JSON text.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PublishedValue {
-    /// The value's name.
+    /// The name of the value.
     pub name: ValueName,
-    /// Its revision.
+    /// The revision of the value.
     pub revision: Revision,
-    /// Its JSON text.
+    /// The JSON text of the value.
     pub body: String,
 }
 
-/// A `RevisionMark` says which revision of a value a host has seen.
+/// A `RevisionMark` is the highest revision of a value that a host has
+/// received.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RevisionMark {
-    /// The value's name.
+    /// The name of the value.
     pub name: ValueName,
-    /// The highest revision seen.
+    /// The highest revision received.
     pub revision: Revision,
 }
 
-/// A `RevisionMessage` spreads published values between hosts.
+/// A `RevisionMessage` is a message that propagates published values between
+/// hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RevisionMessage {
-    /// What the sender has seen (revision 0: nothing yet); sent on connect and
-    /// now and then. Without marks it is the answer that keeps a link counted
-    /// on, and is not answered itself.
+    /// The revisions that the sender has received (0: none), sent on connect
+    /// and periodically. A message without marks is a keepalive answer and is
+    /// not answered itself.
     Marks(Vec<RevisionMark>),
     /// A change from one revision to a later one, as JSON Patch (RFC 6902).
     Change {
-        /// The value's name.
+        /// The name of the value.
         name: ValueName,
         /// The revision that the patch applies to.
         from: Revision,
-        /// The revision it leads to.
+        /// The revision that the patch leads to.
         to: Revision,
-        /// The xxh3 of the resulting JSON text's canonical form.
+        /// The xxh3 hash of the canonical form of the resulting JSON text.
         checksum: u64,
         /// The patch as JSON text.
         patch: String,
     },
-    /// The sender needs this value whole.
+    /// A request for the complete value.
     Want(ValueName),
-    /// A value, whole.
+    /// A complete value.
     Whole(PublishedValue),
-    /// The sender asks since when the receiver knows its revision of a value
-    /// to be the newest.
+    /// A query for how long ago the receiver knew its revision of a value to be
+    /// the newest.
     AskConfirmed {
-        /// The value's name.
+        /// The name of the value.
         name: ValueName,
-        /// The sender's time of the question.
+        /// The sender's time of the query.
         asked_at: Moment,
     },
-    /// The answer.
+    /// The answer to `AskConfirmed`.
     Confirmed {
-        /// The value's name.
+        /// The name of the value.
         name: ValueName,
-        /// The time of the question, as it was asked.
+        /// The time of the query, copied from it.
         asked_at: Moment,
-        /// The revision that the sender acts by.
+        /// The revision in force on the sender.
         revision: Revision,
-        /// How long ago it was known to be the newest, in milliseconds, when
-        /// the answer was given.
+        /// How long before the answer that revision was known to be the newest,
+        /// in milliseconds.
         age_ms: u32,
     },
 }
@@ -120,25 +122,29 @@
 pub const LIMITS_VALUE: &str = "limits";
 /// The name of the published routes of a gateway.
 pub const ROUTES_VALUE: &str = "routes";
-/// The name of the list of targets that registered at the platform.
+/// The name of the list of targets registered at the platform.
 pub const TARGETS_VALUE: &str = "targets";
-/// The name under which the host list spreads; it comes from a service of
-/// its own.
+/// The name of the host list, which is read from a service of its own.
 pub const HOSTS_VALUE: &str = "hosts";
 
 /// Get the name of a value from its constant.
+///
+/// # Panics
+///
+/// Panics if the constant is not a valid name.
 pub fn value_name(constant: &'static str) -> ValueName {
     ValueName::try_from(constant).expect("the constant is a name")
 }
 
-/// A `RevisionEvent` is one thing that happens to a host's published values.
+/// A `RevisionEvent` is an input of a [`RevisionReplica`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RevisionEvent {
-    /// The service (or the host list) answered a read or a watch.
+    /// The service (or the host list service) returned a value for a read or a
+    /// watch.
     Read(PublishedValue),
     /// A watch ended without a change.
     Unchanged(ValueName),
-    /// The service did not answer.
+    /// A read or a watch failed.
     ReadFailed(ValueName),
     /// A peer sent a message.
     Peer(HostName, RevisionMessage),
@@ -146,31 +152,30 @@
     PeerUp(HostName),
     /// The link to a peer went down.
     PeerDown(HostName),
-    /// The host list changed: who reads may change.
+    /// The host list changed, and with it possibly the readers and relays.
     Hosts(HostList),
-    /// Time has passed.
+    /// The timer fired.
     Tick,
-    /// The process slept for this long.
+    /// The process was suspended for this long.
     Resumed(Duration),
 }
 
-/// A `RevisionAction` is one thing that a host's published values want done.
+/// A `RevisionAction` is an output of a [`RevisionReplica`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RevisionAction {
-    /// Read the value once, now. It takes the place of an earlier call for the
-    /// value.
+    /// Read the value once, now. Replaces an earlier call for the value.
     Read(ValueName),
-    /// Watch the value beyond this revision: one call that waits. It takes the
-    /// place of an earlier call for the value.
+    /// Wait for a revision of the value beyond this one (long poll). Replaces
+    /// an earlier call for the value.
     Watch(ValueName, Revision),
     /// Send a message to a peer.
     Send(HostName, RevisionMessage),
-    /// A higher revision arrived; the host checks it and answers with
+    /// Validate a higher revision that arrived, and report the result by
     /// `RevisionReplica::record_verdict`.
     Validate(PublishedValue),
-    /// Keep a link to this peer for spreading values, as long as
-    /// `RevisionReplica::wants_link` says so.
+    /// Open a link to this peer for propagating values, and keep it as long as
+    /// `RevisionReplica::wants_link` returns true.
     Link(EntryHost),
-    /// Log a numbered event about a value.
+    /// Log an event about a value.
     Log(Incident, ValueName),
 }
--- a/bergamotswitch-core/src/revision/options.rs
+++ b/bergamotswitch-core/src/revision/options.rs
@@ -1,4 +1,4 @@
-//! Provides the options of a revision book.
+//! Provides the options of a revision replica.
 
 use std::time::Duration;
 
@@ -9,28 +9,29 @@
     value_name,
 };
 
-/// Two, so that the death of one reader delays nothing.
+/// Two, so that the failure of one reader does not delay changes.
 const READERS_PER_DOMAIN: usize = 2;
-/// With eight, 48 hosts of a domain hang from its readers in three steps, and
-/// no host serves more than sixteen others.
+/// With eight, 48 hosts of a domain are at most three hops from its readers,
+/// and no host serves more than sixteen others.
 const RELAY_FANOUT: usize = 8;
-/// Well below the nine seconds in which a change has to be in force.
+/// Well below the nine seconds within which a change has to be in force.
 const KEEPALIVE: Duration = Duration::from_secs(2);
 const SILENT_AFTER: Duration = Duration::from_secs(5);
 const READ_FALLBACK: Duration = Duration::from_secs(2);
-/// The longest pause between failed reads: a service that comes back is read
+/// The longest delay between failed reads, so that a recovered service is read
 /// within the nine seconds.
 const MAX_BACKOFF: Duration = Duration::from_secs(6);
 const MIN_BACKOFF: Duration = Duration::from_millis(500);
-/// A host that starts reads each value and then watches it.
+/// Enough for a starting host to read and then watch each value.
 const READ_BURST: u32 = 12;
 const MINUTE: Duration = Duration::from_secs(60);
-/// Longer than any wait of a watch.
+/// Longer than any watch waits.
 const CALL_TIMEOUT: Duration = Duration::from_secs(90);
-/// Bases of changes for peers that are a few revisions behind.
+/// The number of earlier revisions kept, as bases of patches for peers that are
+/// a few revisions behind.
 const KEPT_BASES: usize = 4;
 
-/// A `RevisionOptions` is the set of bounds of a revision book.
+/// A `RevisionOptions` is the set of timeouts and limits of a revision replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RevisionOptions {
     pub(super) values: Vec<ValueName>,
@@ -78,15 +79,16 @@
     }
 }
 
-/// A `ReadPace` is how a bound on the calls in any minute is spent.
+/// A `ReadRate` is a token bucket rate derived from a limit of calls in any
+/// minute.
 struct ReadRate {
     interval: Duration,
     burst: u32,
 }
 
 impl ReadRate {
-    /// Get the pace that stays within `reads` in any minute: what the burst
-    /// may take at once is not given back within the same minute.
+    /// Get the rate that stays within `reads` in any minute: the burst is
+    /// subtracted from the refill of the same minute.
     fn of(reads: u64) -> Self {
         let reads = u32::try_from(reads).unwrap_or(u32::MAX).max(1);
         let burst = (reads / 2).clamp(1, READ_BURST);
@@ -98,7 +100,7 @@
 }
 
 impl RevisionOptions {
-    /// Set the values that are followed.
+    /// Set the values to follow.
     pub fn with_values(mut self, values: Vec<ValueName>) -> Self {
         self.values = values;
         self
@@ -115,55 +117,57 @@
         self
     }
 
-    /// Set how many hosts hang from one relay.
+    /// Set the number of hosts that one relay serves.
     pub fn with_relay_fanout(mut self, count: usize) -> Self {
         self.relay_fanout = count.max(1);
         self
     }
 
-    /// Set the time between two questions to a relay, and the time without an
-    /// answer after which it is not counted on.
+    /// Set the interval at which relays are polled, and the time without an
+    /// answer after which a relay is silent.
     pub fn with_keepalive(mut self, keepalive: Duration, silent_after: Duration) -> Self {
         self.keepalive = keepalive;
         self.silent_after = silent_after;
         self
     }
 
-    /// Set how long a host without a relay waits, and at a start waits for
-    /// peers, before it reads for itself. Up to as much jitter is added.
+    /// Set how long a host without a relay waits, and a starting host waits for
+    /// peers, before it reads the service itself. Jitter of up to the same
+    /// length is added.
     pub fn with_read_fallback(mut self, span: Duration) -> Self {
         self.read_fallback = span;
         self
     }
 
-    /// Set the shortest and longest pause after a failed read, before jitter.
+    /// Set the shortest and the longest backoff after a failed read, before
+    /// jitter.
     pub fn with_backoff(mut self, shortest: Duration, longest: Duration) -> Self {
         self.min_backoff = shortest;
         self.max_backoff = longest;
         self
     }
 
-    /// Set the read budget: one read each `interval`, and `burst` at once.
+    /// Set the read budget: one read per `interval`, with bursts of `burst`.
     pub fn with_read_budget(mut self, interval: Duration, burst: u32) -> Self {
         self.read_interval = interval;
         self.read_burst = burst.max(1);
         self
     }
 
-    /// Set how often relays are asked since when their revisions are known to
-    /// be the newest; they are not asked by default.
+    /// Set the interval at which relays are queried for how long ago their
+    /// revisions were known to be the newest. By default they are not queried.
     pub fn with_confirm_interval(mut self, span: Duration) -> Self {
         self.confirm_interval = Some(span);
         self
     }
 
-    /// Set what the published limits bound.
+    /// Set the read budget from the published limits.
     pub fn with_limits(self, limits: &FleetLimits) -> Self {
         let rate = ReadRate::of(limits.reads_per_minute);
         self.with_read_budget(rate.interval, rate.burst)
     }
 
-    /// Set the number of earlier revisions kept as bases of changes.
+    /// Set the number of earlier revisions kept as bases of patches.
     pub fn with_kept_bases(mut self, count: usize) -> Self {
         self.kept_bases = count;
         self
--- a/bergamotswitch-core/src/revision/peer.rs
+++ b/bergamotswitch-core/src/revision/peer.rs
@@ -1,4 +1,4 @@
-//! Provides what a host knows of the peers with which it spreads values.
+//! Provides the state of the peers with which a host exchanges values.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,8 +6,8 @@
 use super::{Revision, RevisionMark, ValueName};
 use crate::clock::Moment;
 
-/// Marks that a peer sent before a value reached it are out of date; what was
-/// sent is sent again only after this long.
+/// Marks that a peer sent before it received a value are out of date, so a
+/// value is sent again only after this time.
 const RESEND_AFTER: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -17,24 +17,24 @@
     sent_at: Option<Moment>,
 }
 
-/// A `SpreadPeer` is a peer to which a link is up.
+/// A `ReplicaPeer` is the state of a peer with a link that is up.
 #[derive(Clone, Debug)]
 pub(super) struct ReplicaPeer {
     marks: BTreeMap<ValueName, PeerMark>,
-    /// When it was last heard, if ever.
+    /// When the last message of the peer arrived.
     pub(super) heard_at: Option<Moment>,
-    /// Until when it is told of changes because it asked.
+    /// Until when changes are sent to the peer, because it polled this host.
     pub(super) subscribed_until: Moment,
-    /// When it is next asked itself.
+    /// When the peer is polled next.
     pub(super) poll_at: Moment,
-    /// Whether it was told all that this host has.
+    /// Whether the peer was sent the marks of all values.
     pub(super) sent_all: bool,
-    /// The value that the next question names.
+    /// The index of the value named in the next poll.
     pub(super) next_mark: usize,
 }
 
 impl ReplicaPeer {
-    /// Get a peer of which nothing is known.
+    /// Create the state of a newly linked peer.
     pub(super) fn new(now: Moment) -> Self {
         ReplicaPeer {
             marks: BTreeMap::new(),
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Get whether the peer was heard not longer ago than `span`.
+    /// Get whether a message of the peer arrived within the last `span`.
     pub(super) fn is_heard(&self, now: Moment, span: Duration) -> bool {
         match self.heard_at {
             Some(heard_at) => now.since(heard_at) < span,
@@ -54,12 +54,12 @@
         }
     }
 
-    /// Get the revision that the peer is known to have, if it said so.
+    /// Get the revision that the peer has, as far as known.
     pub(super) fn known(&self, name: &ValueName) -> Option<Revision> {
         self.marks.get(name).map(|mark| mark.revision)
     }
 
-    /// Take note of what the peer says to have.
+    /// Record a revision that the peer reported.
     pub(super) fn record_mark(&mut self, now: Moment, mark: &RevisionMark) {
         let known = self.marks.entry(mark.name.clone()).or_default();
         let in_flight = known
@@ -70,14 +70,15 @@
         }
     }
 
-    /// Take note of what was sent to the peer.
+    /// Record that a revision was sent to the peer.
     pub(super) fn record_sent(&mut self, now: Moment, name: &ValueName, revision: Revision) {
         let known = self.marks.entry(name.clone()).or_default();
         known.revision = revision;
         known.sent_at = Some(now);
     }
 
-    /// Take note that the peer is told of a revision; get whether it is news.
+    /// Record that a revision is announced to the peer. Get whether the
+    /// announcement is needed.
     pub(super) fn announce(&mut self, name: &ValueName, revision: Revision) -> bool {
         let known = self.marks.entry(name.clone()).or_default();
         let is_new = known.revision < revision && known.announced < revision;
@@ -87,7 +88,7 @@
         is_new
     }
 
-    /// Forget how fresh all this is, after a pause.
+    /// Invalidate the state after a suspension.
     pub(super) fn invalidate(&mut self, now: Moment) {
         self.heard_at = None;
         self.poll_at = now;
--- a/bergamotswitch-core/src/revision/propagation.rs
+++ b/bergamotswitch-core/src/revision/propagation.rs
@@ -1,9 +1,9 @@
-//! Provides the spreading of values between hosts.
+//! Provides the propagation of values between hosts.
 //!
-//! Hosts that asked are sent each change at once. Relays and other readers
-//! mostly know it already, so they are told its revision a little later, and
-//! send what they have where they lack it: the change itself travels each link
-//! downwards, its mark alone upwards.
+//! Each change is sent at once to the hosts that poll this one. Relays and
+//! other readers usually have it already, so only its revision is announced to
+//! them, with a delay, and they request the change if they lack it. A change
+//! thus travels each link downstream, and only its mark upstream.
 
 use std::time::Duration;
 
@@ -12,12 +12,13 @@
 use crate::clock::Moment;
 use crate::host::HostName;
 
-/// Time for a change to come by its ordinary way before it is asked for.
+/// The time for a change to arrive by regular propagation before it is
+/// requested.
 const PROPAGATION_DELAY: Duration = Duration::from_millis(100);
-/// Time for an answer before the next peer is asked.
+/// The time to wait for an answer before the next peer is asked.
 const CATCH_UP_INTERVAL: Duration = Duration::from_millis(500);
-/// A value up to this size is sent unasked; a larger one is fetched from one
-/// peer, or several relays would each send up to a megabyte.
+/// The largest value that is sent without a request. A larger one is fetched
+/// from one peer; otherwise several relays would each send it.
 const MAX_UNREQUESTED_LEN: usize = 8 * 1024;
 
 impl RevisionReplica {
@@ -55,8 +56,8 @@
                         };
                         self.accept_value(now, value, actions);
                     }
-                    // A gap, or another text under the same revision. The
-                    // whole value puts both right.
+                    // A gap in the revisions, or a different text under the
+                    // same revision. The complete value resolves both.
                     None => self.request_whole(now, host, name, actions),
                 }
             }
@@ -80,7 +81,8 @@
         }
     }
 
-    /// Take a value from wherever it came, if it is a higher revision.
+    /// Accept a value from the service or a peer, if its revision is higher
+    /// than the one held.
     pub(super) fn accept_value(
         &mut self,
         now: Moment,
@@ -101,7 +103,8 @@
             Some(_) if best <= seen => {
                 self.catch_ups.remove(&name);
             }
-            // What it lacked has come; what it lacks now counts anew.
+            // The missing revision arrived; the lag is counted from now for the
+            // next one.
             Some(plan) if plan.lacks <= seen => {
                 plan.lacks = best;
                 plan.since = now;
@@ -192,8 +195,8 @@
         }
     }
 
-    /// Answer a peer that counts on this host. The answer without marks is
-    /// not answered again: two hosts would go on forever.
+    /// Answer the poll of a peer. An answer without marks is not answered
+    /// again, which would loop forever.
     fn answer(&mut self, now: Moment, host: HostName, actions: &mut Vec<RevisionAction>) {
         let all = self.marks();
         let peer = match self.peers.get_mut(&host) {
@@ -209,7 +212,7 @@
         actions.push(RevisionAction::Send(host, RevisionMessage::Marks(marks)));
     }
 
-    /// Send a peer that is behind what it lacks, in its shortest form.
+    /// Send a peer that is behind the missing change in its shortest form.
     fn push(
         &mut self,
         now: Moment,
@@ -260,7 +263,7 @@
     ) {
         let at = now.plus(CATCH_UP_INTERVAL);
         let pending = self.catch_ups.get(&name);
-        // Several relays send the same change over the same gap; one whole
+        // Several relays send the same change across the same gap; one complete
         // value is enough.
         if pending.is_some_and(|plan| plan.tries > 0 && now < plan.at) {
             return;
@@ -293,7 +296,8 @@
         actions.push(RevisionAction::Send(host.clone(), message));
     }
 
-    /// Ask the relays: with all marks at first, then with one after another.
+    /// Poll the relays: first with the marks of all values, then with one mark
+    /// at a time.
     pub(super) fn poll_relays(&mut self, now: Moment, actions: &mut Vec<RevisionAction>) {
         let marks = self.marks();
         for host in self.links.keys() {
@@ -302,8 +306,8 @@
                 _ => continue,
             };
             peer.poll_at = now.plus(self.opts.keepalive);
-            // What was sent to a silent peer may be lost, so the first
-            // question that reaches it again names all values.
+            // Messages to a silent peer may have been lost, so the marks of all
+            // values are sent until it answers.
             let polled = match peer.is_heard(now, self.opts.silent_after) {
                 false => marks.clone(),
                 true => {
@@ -316,7 +320,7 @@
         }
     }
 
-    /// Tell relays and other readers of revisions that they may lack.
+    /// Announce to relays and other readers the revisions that they may lack.
     pub(super) fn announce(&mut self, now: Moment, actions: &mut Vec<RevisionAction>) {
         if now < self.announce_at {
             return;
@@ -337,8 +341,9 @@
         }
     }
 
-    /// Ask a peer that is ahead: first by this host's mark, which a change
-    /// answers, then for the whole value.
+    /// Request missing values from peers that are ahead: first by sending this
+    /// host's mark, which is answered with a patch, then by requesting the
+    /// complete value.
     pub(super) fn catch_up(&mut self, now: Moment, actions: &mut Vec<RevisionAction>) {
         let due: Vec<(ValueName, CatchUp)> = self
             .catch_ups
@@ -377,7 +382,7 @@
         }
     }
 
-    /// Get when something is next to be sent to peers.
+    /// Get when the next message to a peer is due.
     pub(super) fn next_send(&self) -> Moment {
         let asks = self
             .links
--- a/bergamotswitch-core/src/revision/relay.rs
+++ b/bergamotswitch-core/src/revision/relay.rs
@@ -1,4 +1,5 @@
-//! Provides who reads the service and who hears of changes from whom.
+//! Provides the selection of the hosts that read the service, and of each
+//! host's relays.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,21 +8,23 @@
 use crate::name::DomainName;
 use crate::rendezvous;
 
-/// The relays that a host hears from; two, so that one may die unnoticed.
+/// The number of relays per host; two, so that the failure of one delays
+/// nothing.
 const RELAYS_PER_HOST: usize = 2;
 
-/// A `RelayPlan` is a host's place in the spreading of values.
+/// A `RelayPlan` is the role of a host in the propagation of values.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct RelayPlan {
-    /// Whether the host reads for its domain.
+    /// Whether the host reads the service for its domain.
     pub(super) is_reader: bool,
-    /// The hosts from which it hears: its relays, or the other readers.
+    /// The hosts that this host receives changes from: its relays, or the other
+    /// readers if it is a reader itself.
     pub(super) relays: Vec<HostName>,
 }
 
 impl RelayPlan {
-    /// Get the place of `me`. A host that the list lacks yet takes the place
-    /// that it will have.
+    /// Create the plan of `me`. A host that is not in the host list yet gets
+    /// the position that it will have there.
     pub(super) fn new(
         me: &HostName,
         domain: &DomainName,
@@ -37,8 +40,9 @@
                 relays: relays_of(position, own, opts),
             };
         }
-        // Readers hear from all other readers: where the service is cut from
-        // all but one, its change is two steps away from every domain.
+        // Readers receive changes from all other readers, so that a change
+        // reaches every domain in two hops if the service is reachable from
+        // only one reader.
         let readers = domains
             .values()
             .flat_map(|hosts| hosts.iter().take(opts.readers_per_domain));
@@ -72,8 +76,8 @@
         .collect()
 }
 
-/// Get the relays of the host at a place: all stand before it, so no two
-/// hosts can count on each other while neither reads.
+/// Get the relays of the host at a position. All of them precede it, so that no
+/// two hosts can rely on each other while neither reads the service.
 fn relays_of(position: usize, own: &[HostName], opts: &RevisionOptions) -> Vec<HostName> {
     let first = position / opts.relay_fanout.max(2);
     let first = first.min(position.saturating_sub(RELAYS_PER_HOST));
--- a/bergamotswitch-core/src/revision/replica.rs
+++ b/bergamotswitch-core/src/revision/replica.rs
@@ -1,4 +1,4 @@
-//! Provides the state machine of published values.
+//! Provides the state machine that replicates published values.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,24 +20,24 @@
 use crate::host::{EntryHost, HostIncarnation, HostList, HostName};
 use crate::incident::Incident;
 
-/// How long a host that serves may know of a newer revision without having it:
-/// half of the two seconds in which a change has to be in force. Mostly it comes
-/// within milliseconds. Without it such a host refused all callers meanwhile: 128
-/// calls in 34 s, and a single host for 2.9 s, where hosts stopped and started while
-/// changes came.
+/// How long a serving host may lag behind a newer revision that it knows of:
+/// half of the two seconds within which a change has to be in force. Usually
+/// the change arrives within milliseconds; without this tolerance the host
+/// would refuse all callers until then.
 const MAX_LAG: Duration = Duration::from_secs(1);
 
-/// A `CatchUp` is the plan to ask a peer for a value that it has seen.
+/// A `CatchUp` is the plan to request a value from a peer that has a newer
+/// revision.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CatchUp {
     pub(super) at: Moment,
     pub(super) tries: usize,
-    /// The revision that the host lacks, and since when it is known.
+    /// The missing revision, and since when this host has known of it.
     pub(super) lacks: Revision,
     pub(super) since: Moment,
 }
 
-/// A `RevisionReplica` is one host's published values.
+/// A `RevisionReplica` is one host's replica of the published values.
 #[derive(Debug)]
 pub struct RevisionReplica {
     pub(super) me: HostName,
@@ -48,10 +48,11 @@
     pub(super) peers: BTreeMap<HostName, ReplicaPeer>,
     pub(super) links: BTreeMap<HostName, EntryHost>,
     pub(super) catch_ups: BTreeMap<ValueName, CatchUp>,
-    /// When the relays are told of what they may lack.
+    /// When revisions are announced to the relays.
     pub(super) announce_at: Moment,
     pub(super) peer_confirmed: bool,
-    /// Whether it was caught up since its start, or since its last sleep.
+    /// Whether the host has been caught up since its start or its last
+    /// suspension.
     was_caught_up: bool,
     pub(super) jitter: Jitter,
     hosts: BTreeMap<HostName, EntryHost>,
@@ -65,13 +66,14 @@
     /// Until when a starting host waits for a peer.
     startup_deadline: Moment,
     alone_logged: bool,
-    /// When a host without a relay reads for itself; never while it has one.
+    /// When a host without a relay reads the service itself; never while it has
+    /// a relay.
     fallback_read_at: Moment,
     wake_at: Moment,
 }
 
 impl RevisionReplica {
-    /// Get the book of a host that has just started.
+    /// Create the replica of a host that has just started.
     pub fn new(
         me: HostIncarnation,
         domain: DomainName,
@@ -116,12 +118,12 @@
         }
     }
 
-    /// Put other bounds in force. The values that are followed stay.
+    /// Set the options, except for the set of values, which stays.
     pub fn set_opts(&mut self, opts: RevisionOptions) {
         self.opts = opts;
     }
 
-    /// Take one event and get what is to be done.
+    /// Handle one event and get the resulting actions.
     pub fn handle(&mut self, now: Moment, event: RevisionEvent) -> Vec<RevisionAction> {
         let mut actions = Vec::new();
         match event {
@@ -150,7 +152,7 @@
         actions
     }
 
-    /// Take the host's check of an offered value.
+    /// Record the result of the validation of a value.
     pub fn record_verdict(
         &mut self,
         now: Moment,
@@ -174,7 +176,7 @@
         actions
     }
 
-    /// Get when the next tick is due.
+    /// Get the time of the next tick.
     pub fn next_wake(&self) -> Moment {
         self.wake_at
     }
@@ -192,7 +194,7 @@
             .collect()
     }
 
-    /// Get what this host reports of its values.
+    /// Get the status of the values for reporting.
     pub fn status(&self) -> RevisionStatus {
         RevisionStatus {
             values: self.values.values().map(ValueReplica::status).collect(),
@@ -202,15 +204,15 @@
         }
     }
 
-    /// Get whether the link to a peer is still wanted for spreading values.
+    /// Get whether a link to a peer is needed for propagating values.
     pub fn wants_link(&self, host: &HostName) -> bool {
         self.links.contains_key(host)
     }
 
-    /// Get whether the host may serve: a peer vouched for its revisions and
-    /// none is known to be ahead, or no peer answered in time. A host that was
-    /// caught up before may be behind for a moment, as it is at each change that
-    /// a peer tells of before it comes.
+    /// Get whether the host may serve: a peer has confirmed its revisions and
+    /// no peer is known to be ahead, or no peer answered in time. A host that
+    /// was caught up before may lag for a moment, as it does whenever a peer
+    /// announces a change before the change arrives.
     pub fn is_caught_up(&self, now: Moment) -> bool {
         if !self.peer_confirmed {
             return now >= self.startup_deadline;
@@ -229,8 +231,8 @@
             Some(call) => call,
             None => return,
         };
-        // A replica that is behind answers at once, again and again; asked
-        // without a pause it would use up the read budget.
+        // A stale replica of the service answers at once, every time. Calls
+        // without a backoff would use up the read budget.
         if value.revision < call.beyond {
             if call.fail(now, &self.opts, &mut self.jitter) {
                 actions.push(RevisionAction::Log(Incident::RevisionStale, value.name));
@@ -262,13 +264,13 @@
             .map(|host| (host.name.clone(), host))
             .collect();
         self.plan = RelayPlan::new(&self.me, &self.domain, &self.hosts, &self.opts);
-        // A host that is gone must not stand in for a relay.
+        // A host that has left the list must not serve as a backup relay.
         let hosts = &self.hosts;
         self.backups.retain(|host| hosts.contains_key(host));
     }
 
-    /// Forget what was believed to be fresh: after a pause the peers may be
-    /// ahead, and calls may be lost with their connections.
+    /// Invalidate the state after a suspension: the peers may be ahead, and
+    /// pending calls may be lost with their connections.
     fn invalidate(&mut self, now: Moment) {
         self.peer_confirmed = false;
         self.was_caught_up = false;
@@ -292,7 +294,7 @@
         self.poll_confirmed(now, actions);
         self.log_alone(now, actions);
         self.call_service(now, actions);
-        // The first word of a peer may name one value alone.
+        // The first message of a peer may contain the mark of only one value.
         let settled = self.peer_confirmed && now >= self.startup_deadline;
         self.was_caught_up |= settled && self.catch_ups.is_empty();
         self.wake_at = self.find_wake(now);
@@ -306,9 +308,9 @@
         self.plan.relays.iter().any(heard)
     }
 
-    /// Count on the relays while one answers. Backups only bring news: they
-    /// may stand behind this host and wait for it, so a host with nothing but
-    /// backups reads for itself.
+    /// Rely on the relays while one of them answers. Backup relays only deliver
+    /// changes: they may depend on this host themselves, so a host with only
+    /// backups also reads the service.
     fn update_relays(&mut self, now: Moment) {
         if self.has_responsive_relay(now) {
             self.fallback_read_at = Moment::NEVER;
@@ -368,16 +370,16 @@
         }
     }
 
-    /// Get when the call in flight for a value was sent.
+    /// Get when the pending call for a value was sent.
     pub(super) fn call_sent_at(&self, name: &ValueName) -> Option<Moment> {
         self.calls.get(name)?.pending_since
     }
 
-    /// Get from when the value may be read.
+    /// Get the time from which the value may be read.
     fn read_allowed_at(&self, name: &ValueName) -> Moment {
-        // Without the host list and the links' key there is no peer to wait
-        // for: every host of a fleet that starts together would refuse every
-        // other one until each gave up and called itself alone.
+        // Without the host list and the link key in the limits there is no peer
+        // to wait for: hosts that start together would reject each other's
+        // links until each timed out and started alone.
         let bootstraps = [HOSTS_VALUE, LIMITS_VALUE].contains(&name.as_str());
         let missing = self.seen(name) == Revision::default();
         if bootstraps && missing {
@@ -415,10 +417,10 @@
         }
     }
 
-    /// Get the values in the order in which they are called. An outage uses
-    /// the read budget up; were they called by name then, the first ones would
-    /// be due again before the last one's turn, and its change would come into
-    /// force long after the service is back.
+    /// Get the values in the order in which they are called. An outage uses up
+    /// the read budget; if the values were called by name, the first ones would
+    /// be due again before the last one was called, and its change would take
+    /// effect long after the service recovers.
     fn call_order(&self) -> Vec<ValueName> {
         let mut names = self.opts.values.clone();
         names.sort_by_key(|name| self.calls.get(name).map(ServiceCall::priority));
@@ -434,7 +436,7 @@
         due.min().unwrap_or(Moment::NEVER)
     }
 
-    /// Get when the last relay that still counts falls silent.
+    /// Get when the last relay that still answers becomes silent.
     fn relays_silent_at(&self) -> Moment {
         let heard = |host: &HostName| self.peers.get(host)?.heard_at;
         let last = self.plan.relays.iter().filter_map(heard).max();
--- a/bergamotswitch-core/src/revision/service_reader.rs
+++ b/bergamotswitch-core/src/revision/service_reader.rs
@@ -1,4 +1,5 @@
-//! Provides a host's calls to the service: their budget, their backoff.
+//! Provides a host's calls to the configuration service, with their budget and
+//! backoff.
 
 use std::time::Duration;
 
@@ -9,12 +10,13 @@
 use crate::clock::Moment;
 use crate::host::Incarnation;
 
-/// A service that ends its watches at once is not asked faster than this.
+/// The shortest interval between watches, if the service ends them at once.
 const REWATCH_AFTER: Duration = Duration::from_millis(100);
-/// The doublings after which a backoff grows no more.
+/// The number of doublings after which the backoff stops growing.
 const MAX_DOUBLINGS: u32 = 8;
 
-/// A `Jitter` is a source of spread, different for each run of a host.
+/// A `Jitter` is a deterministic source of jitter, seeded by the incarnation of
+/// a host.
 #[derive(Clone, Debug)]
 pub(super) struct Jitter {
     seed: u128,
@@ -22,7 +24,7 @@
 }
 
 impl Jitter {
-    /// Get the source of a run.
+    /// Create the source for an incarnation.
     pub(super) fn new(run: Incarnation) -> Self {
         Jitter {
             seed: run.0,
@@ -30,7 +32,7 @@
         }
     }
 
-    /// Get some part of `span`.
+    /// Get a duration below `span`.
     pub(super) fn part_of(&mut self, span: Duration) -> Duration {
         self.counter += 1;
         let mut bytes = self.seed.to_le_bytes().to_vec();
@@ -40,8 +42,8 @@
     }
 }
 
-/// A `ReadBudget` is a token bucket, kept as the moment at which it would be
-/// full again.
+/// A `ReadBudget` is a token bucket, represented by the time at which it will
+/// be full.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ReadBudget {
     full_at: Moment,
@@ -54,24 +56,25 @@
         Moment::START.plus(self.full_at.since(Moment::START.plus(spare)))
     }
 
-    /// Spend one read.
+    /// Consume one token.
     pub(super) fn spend(&mut self, now: Moment, opts: &RevisionOptions) {
         self.full_at = self.full_at.max(now).plus(opts.read_interval);
     }
 }
 
-/// A `ServiceCall` is a host's calls for one value.
+/// A `ServiceCall` is the state of a host's calls for one value.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServiceCall {
     pub(super) pending_since: Option<Moment>,
     due_at: Moment,
     failures: u32,
-    /// The revision that the call was to go beyond.
+    /// The revision held when the call was made; the call waits for a later
+    /// one.
     pub(super) beyond: Revision,
 }
 
 impl ServiceCall {
-    /// Get when the next call is due, or the pending one counts as lost.
+    /// Get when the next call is due, or when the pending one counts as lost.
     pub(super) fn due_at(&self, opts: &RevisionOptions) -> Moment {
         match self.pending_since {
             Some(since) => since.plus(opts.call_timeout),
@@ -79,13 +82,13 @@
         }
     }
 
-    /// Get the call's place among those that are due: first those that failed,
-    /// then by how long they have been due.
+    /// Get the sort key among the calls that are due: failed ones first, then
+    /// by due time.
     pub(super) fn priority(&self) -> (bool, Moment) {
         (self.failures == 0, self.due_at)
     }
 
-    /// Take note that a call was made.
+    /// Record that a call was made.
     pub(super) fn begin(&mut self, now: Moment, beyond: Revision) {
         self.pending_since = Some(now);
         self.beyond = beyond;
@@ -97,15 +100,15 @@
         self.due_at = now;
     }
 
-    /// Take note that the service answered.
+    /// Record that the service answered.
     pub(super) fn succeed(&mut self, now: Moment) {
         self.pending_since = None;
         self.failures = 0;
         self.due_at = now.plus(REWATCH_AFTER);
     }
 
-    /// Take note that the service did not answer or is behind; get whether it
-    /// is the first time in a row.
+    /// Record that the call failed or returned a stale revision. Get whether
+    /// this is the first failure in a row.
     pub(super) fn fail(
         &mut self,
         now: Moment,
@@ -113,8 +116,8 @@
         jitter: &mut Jitter,
     ) -> bool {
         self.pending_since = None;
-        // All readers find a service down at one moment. Without jitter they
-        // would all come back at one moment too, again and again.
+        // All readers detect an outage at the same time. Without jitter they
+        // would also retry at the same time.
         let doubled = opts.min_backoff * 2u32.pow(self.failures.min(MAX_DOUBLINGS));
         let backoff = doubled.min(opts.max_backoff);
         let half = backoff / 2;
--- a/bergamotswitch-core/src/revision/status.rs
+++ b/bergamotswitch-core/src/revision/status.rs
@@ -1,40 +1,41 @@
-//! Provides what a host reports of its published values.
+//! Provides the reported status of published values.
 
 use serde::Serialize;
 
 use super::{Revision, ValueName};
 
-/// A `RefusedRevision` is a revision that was checked and refused.
+/// A `RefusedRevision` is a revision that failed validation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct RefusedRevision {
-    /// The revision.
+    /// The number of the revision.
     pub revision: Revision,
-    /// What was found, with the places.
+    /// The findings of the validation, with their locations.
     pub findings: Vec<String>,
 }
 
-/// A `ValueStatus` is what a host has of one value.
+/// A `ValueStatus` is the status of one value on a host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ValueStatus {
-    /// The value's name.
+    /// The name of the value.
     pub name: ValueName,
-    /// The highest revision seen.
+    /// The highest revision received.
     pub seen: Option<Revision>,
     /// The revision in force.
     pub in_force: Option<Revision>,
-    /// The last revision refused, while no later one is in force.
+    /// The last revision that failed validation, unless a later one is in
+    /// force.
     pub refused: Option<RefusedRevision>,
 }
 
-/// A `RevisionStatus` is what a host has of all values.
+/// A `RevisionStatus` is the status of all values on a host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct RevisionStatus {
-    /// The values.
+    /// The status of each value.
     pub values: Vec<ValueStatus>,
-    /// Whether no peer has vouched for the revisions since the start or the
-    /// last pause: the service alone may be stale.
+    /// Whether no peer has confirmed the revisions since the start or the last
+    /// suspension, in which case they may be stale.
     pub alone: bool,
-    /// The reads and watches issued since the start.
+    /// The number of reads and watches since the start.
     pub reads_issued: u64,
     /// Whether this host reads the service for its failure domain.
     pub is_reader: bool,
--- a/bergamotswitch-core/src/revision/value_patch.rs
+++ b/bergamotswitch-core/src/revision/value_patch.rs
@@ -1,9 +1,9 @@
-//! Provides the difference of two JSON texts as JSON Patch.
+//! Provides the difference between two JSON texts as a JSON Patch.
 //!
-//! `json_patch::diff` compares arrays place by place: a host that leaves the
-//! middle of the host list changes every entry behind it, and the patch is
-//! larger than the list. So arrays are aligned here by their equal elements;
-//! the patch's form and its application are the library's.
+//! `json_patch::diff` compares arrays by index: removing an entry from the
+//! middle of the host list would change every later entry, and the patch would
+//! be larger than the list. So arrays are aligned here by their equal elements.
+//! The patch format and its application come from `json_patch`.
 
 use std::collections::HashSet;
 
@@ -12,7 +12,7 @@
 use serde_json::{Map, Value};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Get the canonical text of a JSON text: keys in order, no blanks.
+/// Get the canonical form of a JSON text: sorted keys, no whitespace.
 pub(super) fn canonical(text: &str) -> Option<String> {
     let value: Value = serde_json::from_str(text).ok()?;
     serde_json::to_string(&value).ok()
@@ -23,7 +23,7 @@
     xxh3_64(canonical.as_bytes())
 }
 
-/// Get the patch that leads from one JSON text to another, as JSON text.
+/// Get the patch from one JSON text to another, as JSON text.
 pub(super) fn diff(from: &str, to: &str) -> Option<String> {
     let from: Value = serde_json::from_str(from).ok()?;
     let to: Value = serde_json::from_str(to).ok()?;
@@ -32,8 +32,8 @@
     serde_json::to_string(&Patch(diff.operations)).ok()
 }
 
-/// Get the canonical text that the patch leads to, where it applies and the
-/// result has the checksum.
+/// Get the canonical text that results from a patch; `None` if the patch does
+/// not apply or the checksum does not match.
 pub(super) fn apply(from: &str, patch: &str, expected: u64) -> Option<String> {
     let mut value: Value = serde_json::from_str(from).ok()?;
     let patch: Patch = serde_json::from_str(patch).ok()?;
@@ -77,9 +77,9 @@
         }
     }
 
-    /// Walk both arrays at once. Each step mends the place that it stands at,
-    /// so the result is right whatever step is chosen; an element that the
-    /// other side lacks decides which step is short.
+    /// Walk both arrays in parallel. Each step makes the element at the current
+    /// index right, so the result is correct whichever step is taken; checking
+    /// which elements the other array lacks only keeps the patch short.
     fn compare_arrays(&mut self, from: &[Value], to: &[Value]) {
         let from_hashes: Vec<u64> = from.iter().map(hash).collect();
         let to_hashes: Vec<u64> = to.iter().map(hash).collect();
--- a/bergamotswitch-core/src/revision/value_replica.rs
+++ b/bergamotswitch-core/src/revision/value_replica.rs
@@ -1,5 +1,5 @@
-//! Provides one published value as a host holds it: what it has seen, what is
-//! in force, and the changes that lead to it.
+//! Provides a host's replica of one published value: the revision received, the
+//! revision in force, and patches from earlier revisions.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,7 +8,7 @@
 use super::{PublishedValue, Revision, RevisionMessage, ValueName};
 use crate::error::Findings;
 
-/// A `ValueReplica` is one published value as a host holds it.
+/// A `ValueReplica` is a host's replica of one published value.
 #[derive(Debug)]
 pub(super) struct ValueReplica {
     name: ValueName,
@@ -17,13 +17,13 @@
     refused: Option<RefusedRevision>,
     /// Earlier values, the latest last.
     bases: VecDeque<PublishedValue>,
-    /// Changes to the value seen, by the revision they start from. `None`:
-    /// the change would be no smaller than the value.
+    /// Changes that lead to the current value, by the revision they start from;
+    /// `None` if the change would be no smaller than the value.
     changes: BTreeMap<Revision, Option<RevisionMessage>>,
 }
 
 impl ValueReplica {
-    /// Get a book without a value.
+    /// Create a replica without a value.
     pub(super) fn new(name: ValueName) -> Self {
         ValueReplica {
             name,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Get the highest revision seen, 0 where none was.
+    /// Get the highest revision received, 0 if there is none.
     pub(super) fn seen(&self) -> Revision {
         match &self.seen {
             Some(value) => value.revision,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Get the value seen.
+    /// Get the value of the highest revision received.
     pub(super) fn value(&self) -> Option<&PublishedValue> {
         self.seen.as_ref()
     }
@@ -53,17 +53,17 @@
         self.in_force
     }
 
-    /// Get the text that the patch leads to from the value seen.
+    /// Get the text that results from applying the patch to the current value.
     pub(super) fn apply(&self, from: Revision, patch: &str, checksum: u64) -> Option<String> {
         let value = self.seen.as_ref().filter(|value| value.revision == from)?;
         value_patch::apply(&value.body, patch, checksum)
     }
 
-    /// Take a value and get whether it is a higher revision.
+    /// Store a value if its revision is higher. Get whether it was stored.
     pub(super) fn take(&mut self, value: PublishedValue, kept_bases: usize) -> bool {
-        // A stale replica, a host that slept or a fresh one offers a lower
-        // revision. Taken, a rule that operators withdrew would be in force
-        // again; so the revision seen only grows.
+        // A stale service replica, or a host that was suspended or has just
+        // started, may offer a lower revision. Accepting it would put withdrawn
+        // rules back in force.
         if value.revision <= self.seen() {
             return false;
         }
@@ -77,7 +77,7 @@
         true
     }
 
-    /// Take the host's verdict and get whether it changes something.
+    /// Record the result of a validation. Get whether it changes the status.
     pub(super) fn record_verdict(
         &mut self,
         revision: Revision,
@@ -102,8 +102,8 @@
         true
     }
 
-    /// Get the change from an earlier revision, where it is kept and the
-    /// change is smaller than the value.
+    /// Get the change from an earlier revision, if that is kept and the change
+    /// is smaller than the value.
     pub(super) fn change_from(&mut self, from: Revision) -> Option<RevisionMessage> {
         if !self.changes.contains_key(&from) {
             let change = self.find_change(from);
@@ -129,7 +129,7 @@
         })
     }
 
-    /// Get what a host reports of the value.
+    /// Get the status of the value for reporting.
     pub(super) fn status(&self) -> ValueStatus {
         ValueStatus {
             name: self.name.clone(),
--- a/bergamotswitch-core/src/roster/machine.rs
+++ b/bergamotswitch-core/src/roster/machine.rs
@@ -11,18 +11,18 @@
 use crate::clock::Moment;
 use crate::host::{EntryHost, HostList, HostName, Standing};
 
-/// The most marks in one message: with the sender's record they stay within
-/// one unfragmented datagram.
+/// The maximum number of marks in one message. With the sender's record they
+/// fit into one unfragmented datagram.
 const MARKS_PER_MESSAGE: usize = 100;
 
-/// The most records in one message, for the same reason.
+/// The maximum number of records in one message, for the same reason.
 const RECORDS_PER_MESSAGE: usize = 8;
 
-/// One round in so many also goes to a seed and to a silent host: without
-/// it, two halves of a fleet that a cut has parted would never meet again.
+/// Every so many rounds, messages also go to a seed and to a silent host, so
+/// that two halves of a fleet find each other again after a partition.
 const ROUNDS_PER_REJOIN: u64 = 4;
 
-/// A `Roster` is the fleet's hosts as this host has heard of them.
+/// A `Roster` is the set of hosts in the fleet as known to this host by gossip.
 #[derive(Debug)]
 pub struct Roster {
     me: EntryHost,
@@ -31,7 +31,7 @@
     seeds: Vec<SocketAddr>,
     members: BTreeMap<HostName, KnownMember>,
     names: BTreeMap<u32, HostName>,
-    /// What is added to the time since the start to give the own stamp.
+    /// Added to the time since the process's start to get this host's stamp.
     stamp_base: u64,
     round_at: Moment,
     rounds: u64,
@@ -41,9 +41,9 @@
 }
 
 impl Roster {
-    /// Get the roster of a host that has just started. `stamp_base` is the
-    /// time of day in milliseconds at the process's start; `seed` spreads the
-    /// choice of whom to tell.
+    /// Create the roster of a host that has just started. `stamp_base` is the
+    /// time of day in milliseconds at the process's start; `seed` seeds the
+    /// random choice of recipients.
     pub fn new(me: EntryHost, seeds: Vec<SocketAddr>, stamp_base: u64, seed: u64) -> Self {
         Roster {
             me,
@@ -72,8 +72,8 @@
         self.seeds = seeds;
     }
 
-    /// Set the own state. A change is told at once: callers must not be sent
-    /// to a host that stops.
+    /// Set this host's flags. A change is sent at once, so that callers are not
+    /// directed to a stopping host.
     pub fn set_flags(&mut self, now: Moment, flags: MemberFlags) {
         if flags != self.flags {
             self.discount_suspension(now);
@@ -82,19 +82,21 @@
         }
     }
 
-    /// Get when the next round is due.
+    /// Get the time of the next round.
     pub fn next_wake(&self) -> Moment {
         self.round_at
     }
 
-    /// Count no silence of the others from when a round was due and did not come.
+    /// Exclude from the silence of the other hosts the time by which this
+    /// host's round is overdue.
     ///
-    /// A process that stands still for a second hears nobody. Taken for the
-    /// others' silence, it would be alone when it wakes: one would see it act as
-    /// owner beside the owner, and refuse what waits there, until their next
-    /// messages. What a round is late beyond its whole interval counts for nobody.
-    /// A host that is always that late, for want of a processor, notices others'
-    /// ends later, after twice the time at most.
+    /// A process that gets no CPU for a second receives no messages. If that
+    /// counted as silence of the others, it would consider itself alone when it
+    /// resumes: it would act as a second owner and refuse waiting requests
+    /// until their next messages arrive. Only the delay beyond one round
+    /// interval is excluded. A host whose rounds are always late, for lack of
+    /// CPU time, detects failures of others later, after at most twice the
+    /// timeout.
     fn discount_suspension(&mut self, now: Moment) {
         let suspended = now.since(self.next_round_deadline());
         if suspended.is_zero() {
@@ -107,13 +109,14 @@
         self.round_at = now;
     }
 
-    /// Get until when this host was surely awake, if it is late by now.
+    /// Get the time by which the next round should have run; past it, this host
+    /// counts as suspended.
     fn next_round_deadline(&self) -> Moment {
         self.round_at.plus(self.opts.round_interval)
     }
 
-    /// Count all others as heard of now: the process slept, and its own
-    /// silence is no evidence against them.
+    /// Reset the silence of all other hosts after a suspension of this process,
+    /// which is no evidence against them.
     pub fn resume(&mut self, now: Moment) {
         for member in self.members.values_mut() {
             member.record_heard(now);
@@ -121,7 +124,7 @@
         self.round_at = now;
     }
 
-    /// Begin a round where one is due.
+    /// Run a round, if one is due, and get the messages to send.
     pub fn tick(&mut self, now: Moment) -> Vec<RosterAction> {
         if now < self.round_at {
             return Vec::new();
@@ -143,7 +146,7 @@
             .collect()
     }
 
-    /// Take in a message; get the answer where one is of use.
+    /// Handle a message and get the answer, if one is needed.
     pub fn handle(&mut self, now: Moment, message: RosterMessage) -> Vec<RosterAction> {
         self.discount_suspension(now);
         let sender = message.sender;
@@ -169,7 +172,7 @@
         vec![RosterAction { to, message }]
     }
 
-    /// Get the hosts that are counted on, this one among them.
+    /// Get the hosts that are live, including this one.
     pub fn hosts(&self, now: Moment) -> HostList {
         let mut hosts: Vec<EntryHost> = self
             .live(now)
@@ -183,15 +186,14 @@
         }
     }
 
-    /// Get whether another host was heard of, or enough time has passed for
-    /// there to be none. A host that takes callers before it knows how many
-    /// there are would take a whole fleet's share of everything for its own.
+    /// Get whether another host is known, or enough time has passed to conclude
+    /// that there is none. A host that accepted callers before it knows the
+    /// fleet size would use the whole fleet's quotas alone.
     pub fn is_discovery_complete(&self, now: Moment) -> bool {
         !self.members.is_empty() || now.since(Moment::START) >= self.opts.alone_after
     }
 
-    /// Get the hosts that are counted on where they have changed since the
-    /// last call.
+    /// Get the live hosts, if they have changed since the last call.
     pub fn changed_hosts(&mut self, now: Moment) -> Option<HostList> {
         let hosts = self.hosts(now);
         if hosts == self.reported {
@@ -201,7 +203,7 @@
         Some(hosts)
     }
 
-    /// Get the hosts that take callers, this one among them where it does.
+    /// Get the hosts that accept callers, including this one if it does.
     pub fn ready_hosts(&self, now: Moment) -> Vec<EntryHost> {
         let own = self.own_record(now);
         let others = self.live(now).map(|member| &member.record);
@@ -212,8 +214,9 @@
             .collect()
     }
 
-    /// Get when each other host that has stopped, and is not back, was first heard
-    /// to stop. One that stops tells it, and falls silent as it ends.
+    /// Get, for each other host that has left and not returned, when it was
+    /// first reported as leaving. A stopping host announces that it is leaving
+    /// and falls silent when it ends.
     pub fn leave_times(&self) -> impl Iterator<Item = Moment> {
         self.members
             .values()
@@ -229,7 +232,7 @@
         now.min(self.next_round_deadline()).since(member.heard_at) < self.silent_after()
     }
 
-    /// Get the time after which a silent host of this fleet is not counted on.
+    /// Get the time after which a silent host does not count as live.
     fn silent_after(&self) -> Duration {
         self.opts.silent_after(self.members.len() + 1)
     }
@@ -281,7 +284,7 @@
         known.take(RECORDS_PER_MESSAGE).collect()
     }
 
-    /// Take in a mark; get whether its host is known.
+    /// Merge a mark. Get whether its host is known.
     fn merge_mark(&mut self, now: Moment, sender_stamp: u64, mark: MemberMark) -> bool {
         if mark.id == MemberMark::id_of(&self.me.name) {
             self.raise_stamp(now, sender_stamp.wrapping_sub(mark.behind as u64));
@@ -325,10 +328,10 @@
         self.members.insert(name, member);
     }
 
-    /// Keep the own stamp above what others hold of this host. After a
-    /// restart with the time of day set back, others would take news of the
-    /// new run for older than that of the former one and count this host as
-    /// silent.
+    /// Keep this host's stamp above the one that others hold. After a restart
+    /// with the clock set back, others would ignore updates of the new
+    /// incarnation as older than those of the previous one, and consider this
+    /// host silent.
     fn raise_stamp(&mut self, now: Moment, stamp: u64) {
         let own = self.own_stamp(now);
         if stamp > own {
@@ -337,8 +340,8 @@
         }
     }
 
-    /// Get whom to tell in this round: some that are counted on, all seeds
-    /// while there is nobody, and now and then a seed and a silent host.
+    /// Get the recipients of this round: some live hosts, or all seeds if there
+    /// are none; every few rounds also a seed and a silent host.
     fn round_recipients(&mut self, now: Moment) -> Vec<SocketAddr> {
         let mut live: Vec<SocketAddr> = self.live(now).map(address_of).collect();
         if live.is_empty() {
@@ -370,7 +373,7 @@
         addresses.get(index).copied()
     }
 
-    /// Get a number below `count`; 0 where there is none.
+    /// Get a pseudo-random number below `count`, or 0 if `count` is 0.
     fn draw(&mut self, count: usize) -> usize {
         self.draws += 1;
         let mut bytes = self.seed.to_le_bytes().to_vec();
--- a/bergamotswitch-core/src/roster/message.rs
+++ b/bergamotswitch-core/src/roster/message.rs
@@ -1,40 +1,40 @@
-//! Provides the messages by which hosts hear of each other.
+//! Provides the gossip messages of the roster.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::host::{EntryHost, HostName};
 
-/// A `MemberFlags` is what changes about a host while it runs.
+/// A `MemberFlags` is the state of a host that changes while it runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberFlags {
-    /// Whether it takes callers.
+    /// Whether the host accepts callers.
     pub ready: bool,
-    /// Whether it is stopping.
+    /// Whether the host is stopping.
     pub leaving: bool,
 }
 
-/// A `MemberRecord` is all that is told of a host.
+/// A `MemberRecord` is the full information about a host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// The host.
+    /// The address and attributes of the host.
     pub host: EntryHost,
-    /// The host's own time when it said so, in milliseconds. It only grows,
-    /// over restarts too, and so tells newer news from older.
+    /// The host's own time of the record in milliseconds. It increases
+    /// monotonically, also across restarts, and so orders updates.
     pub stamp: u64,
-    /// Its state then.
+    /// The host's flags at that time.
     pub flags: MemberFlags,
 }
 
-/// A `MemberMark` is how fresh the sender's news of a host is.
+/// A `MemberMark` is the version and state of a host as known to the sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberMark {
     /// The short id of the host's name.
     pub id: u32,
-    /// The stamp, as the difference to the sender's own: the numbers stay
-    /// short on the wire.
+    /// The difference between the sender's stamp and the host's stamp, which
+    /// takes fewer bytes on the wire than the stamp.
     pub behind: i64,
-    /// The host's state then.
+    /// The host's flags at that time.
     pub flags: MemberFlags,
 }
 
@@ -48,12 +48,12 @@
 /// A `RosterMessage` is one datagram between two hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RosterMessage {
-    /// The sender.
+    /// The record of the sender.
     pub sender: MemberRecord,
-    /// What the sender knows of others.
+    /// The marks of other hosts that the sender considers live.
     pub marks: Vec<MemberMark>,
-    /// Records that the receiver asked for or lacks.
+    /// The records that the receiver requested.
     pub records: Vec<MemberRecord>,
-    /// The ids whose records the sender lacks.
+    /// The ids of the hosts whose records the sender requests.
     pub wants: Vec<u32>,
 }
--- a/bergamotswitch-core/src/roster/mod.rs
+++ b/bergamotswitch-core/src/roster/mod.rs
@@ -1,13 +1,12 @@
-//! Provides the roster: the fleet's hosts as this host has heard of them.
+//! Provides the roster: the hosts of the fleet as known to one host by gossip.
 //!
-//! No list of hosts is published. A host knows a few seeds, which may be down
-//! or long gone; all else it hears from other hosts. Each host sends, at a
-//! steady pace, what it knows to a few others in small datagrams: its own
-//! record whole, of the others a mark each, which says how fresh its news of
-//! them is. A host that meets a mark of someone it doesn't know asks for the
-//! record. So the messages of a host stay as many as the fleet grows, and as
-//! long from a hundred hosts on; no two hosts need a connection for it, and news
-//! reaches all in a few rounds.
+//! No host list is published. A host is configured with a few seeds, which may
+//! be down, and learns of all other hosts by gossip. At a fixed interval each
+//! host sends a small datagram to a few others, with its own record and a mark,
+//! which is a version, for each other host it knows. A host that receives a
+//! mark of an unknown host requests its record. The number of messages per host
+//! does not depend on the size of the fleet, their size is bounded, no two
+//! hosts need a connection, and an update reaches all hosts in a few rounds.
 
 mod known_member;
 mod machine;
@@ -20,11 +19,11 @@
 
 use std::net::SocketAddr;
 
-/// A `RosterAction` is a message that the roster wants sent.
+/// A `RosterAction` is a message to be sent by the roster.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RosterAction {
-    /// Where to.
+    /// The address of the recipient.
     pub to: SocketAddr,
-    /// The message.
+    /// The message to send.
     pub message: RosterMessage,
 }
--- a/bergamotswitch-core/src/roster/options.rs
+++ b/bergamotswitch-core/src/roster/options.rs
@@ -2,31 +2,29 @@
 
 use std::time::Duration;
 
-/// The time between two rounds. News reaches all of 81 hosts in about four
-/// rounds of two messages each.
+/// The interval between two rounds. An update reaches all of 81 hosts in about
+/// four rounds of two messages each.
 const ROUND_INTERVAL: Duration = Duration::from_millis(300);
 
-/// The hosts told in each round.
+/// The number of recipients in each round.
 const FANOUT: usize = 2;
 
-/// The time without newer news of a host after which it is not counted on: a
-/// part for all fleets, and one for each doubling of the fleet, since news needs
-/// so many more rounds. That gives 2.3 s for 8 hosts, 4 s for 81 and 5.1 s for
-/// 380. With 2 s for all, hosts of a fleet of 81 were dropped and taken up again
-/// all the time although they ran.
+/// The time without an update after which a host does not count as live: a
+/// base, plus a part for each doubling of the fleet, since updates need more
+/// rounds in a larger one.
 const SILENT_BASE: Duration = Duration::from_millis(800);
 const SILENT_PER_DOUBLING: Duration = Duration::from_millis(500);
 
-/// The time after which a silent host is forgotten. Until then it is told
-/// now and then, so that two halves of a fleet find each other again after a
-/// cut even where all seeds are gone.
+/// The time after which a silent host is forgotten. Until then it is contacted
+/// now and then, so that two halves of a fleet find each other after a
+/// partition even if all seeds are down.
 const FORGET_AFTER: Duration = Duration::from_secs(600);
 
-/// The time from its start after which a host that heard of no other takes
-/// itself for alone: five rounds to all seeds.
+/// The time from its start after which a host that knows no other one considers
+/// itself alone: five rounds to all seeds.
 const ALONE_AFTER: Duration = Duration::from_millis(1_500);
 
-/// A `RosterOptions` is the set of bounds of a roster.
+/// A `RosterOptions` is the set of timeouts and limits of a roster.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RosterOptions {
     pub(super) round_interval: Duration,
@@ -51,13 +49,14 @@
 }
 
 impl RosterOptions {
-    /// Set the time between two rounds.
+    /// Set the interval between two rounds.
     pub fn with_round_interval(mut self, span: Duration) -> Self {
         self.round_interval = span;
         self
     }
 
-    /// Get the time after which a silent host of so many is not counted on.
+    /// Get the time after which a silent host does not count as live, in a
+    /// fleet of `hosts` hosts.
     pub(super) fn silent_after(&self, hosts: usize) -> Duration {
         let doublings = (hosts.max(1) as f64).log2();
         self.silent_base + self.silent_per_doubling.mul_f64(doublings)
