--- a/bergamotswitch-core/tests/key_trust.rs
+++ b/bergamotswitch-core/tests/confirmation_age.rs
@@ -1,11 +1,11 @@
 //! Since when a host knows its routes to be the newest.
 
-mod spread;
+mod replica_net;
 
 use bergamotswitch_core::revision::ROUTES_VALUE;
-use spread::*;
+use replica_net::*;
 
-fn book() -> RevisionReplica {
+fn routes_replica() -> RevisionReplica {
     let me = HostIncarnation {
         host: host(0),
         incarnation: Incarnation(1),
@@ -33,18 +33,18 @@
 }
 
 /// Get a book that has read revision 5 by a call sent at 100 ms.
-fn book_after_read() -> RevisionReplica {
-    let mut book = book();
-    book.handle(at(100), RevisionEvent::Tick);
+fn replica_after_read() -> RevisionReplica {
+    let mut replica = routes_replica();
+    replica.handle(at(100), RevisionEvent::Tick);
     let value = published(ROUTES_VALUE, 5, "{}");
-    book.handle(at(900), RevisionEvent::Read(value));
-    book.record_verdict(at(900), &name(ROUTES_VALUE), Revision(5), Ok(()));
-    book.handle(at(900), RevisionEvent::PeerUp(host(1)));
-    book
+    replica.handle(at(900), RevisionEvent::Read(value));
+    replica.record_verdict(at(900), &name(ROUTES_VALUE), Revision(5), Ok(()));
+    replica.handle(at(900), RevisionEvent::PeerUp(host(1)));
+    replica
 }
 
-fn age_ms(book: &RevisionReplica, now: Moment) -> Option<u128> {
-    let age = book.confirmed_age(now, &name(ROUTES_VALUE));
+fn age_ms(replica: &RevisionReplica, now: Moment) -> Option<u128> {
+    let age = replica.confirmed_age(now, &name(ROUTES_VALUE));
     age.map(|age| age.as_millis())
 }
 
@@ -53,34 +53,34 @@
 // Cause: the age was counted from the answer's arrival.
 #[test]
 fn slow_answer() {
-    let book = book_after_read();
-    assert_eq!(age_ms(&book, at(1_000)), Some(900));
+    let replica = replica_after_read();
+    assert_eq!(age_ms(&replica, at(1_000)), Some(900));
 }
 
 // The same by way of a peer: what counts is the time of the question, less the
 // age that the peer tells, however late the answer comes.
 #[test]
 fn slow_peer() {
-    let mut book = book_after_read();
-    book.handle(at(4_000), confirmed(at(1_500), 5, 300));
-    assert_eq!(age_ms(&book, at(4_000)), Some(2_800));
+    let mut replica = replica_after_read();
+    replica.handle(at(4_000), confirmed(at(1_500), 5, 300));
+    assert_eq!(age_ms(&replica, at(4_000)), Some(2_800));
     // An older word changes nothing.
-    book.handle(at(4_100), confirmed(at(1_000), 5, 300));
-    assert_eq!(age_ms(&book, at(4_100)), Some(2_900));
+    replica.handle(at(4_100), confirmed(at(1_000), 5, 300));
+    assert_eq!(age_ms(&replica, at(4_100)), Some(2_900));
 }
 
 // A peer that acts by newer routes confirms nothing of those that are here.
 #[test]
 fn newer_peer() {
-    let mut book = book_after_read();
-    book.handle(at(2_000), confirmed(at(1_900), 6, 0));
-    assert_eq!(age_ms(&book, at(2_000)), Some(1_900));
+    let mut replica = replica_after_read();
+    replica.handle(at(2_000), confirmed(at(1_900), 6, 0));
+    assert_eq!(age_ms(&replica, at(2_000)), Some(1_900));
 }
 
 #[test]
 fn never_read() {
-    let book = book();
-    assert_eq!(age_ms(&book, at(5_000)), None);
+    let replica = routes_replica();
+    assert_eq!(age_ms(&replica, at(5_000)), None);
 }
 
 // Symptom: a host that has just started serves calls with a key that was taken
@@ -90,14 +90,14 @@
 // they tell lies before its own start, and was taken for the start.
 #[test]
 fn before_own_start() {
-    let mut book = book();
-    book.handle(at(50), RevisionEvent::PeerUp(host(1)));
+    let mut replica = routes_replica();
+    replica.handle(at(50), RevisionEvent::PeerUp(host(1)));
     let whole = RevisionMessage::Whole(published(ROUTES_VALUE, 5, "{}"));
-    book.handle(at(100), RevisionEvent::Peer(host(1), whole));
-    book.record_verdict(at(100), &name(ROUTES_VALUE), Revision(5), Ok(()));
-    book.handle(at(1_000), confirmed(at(900), 5, 3_300));
-    assert_eq!(age_ms(&book, at(1_000)), Some(3_400));
+    replica.handle(at(100), RevisionEvent::Peer(host(1), whole));
+    replica.record_verdict(at(100), &name(ROUTES_VALUE), Revision(5), Ok(()));
+    replica.handle(at(1_000), confirmed(at(900), 5, 3_300));
+    assert_eq!(age_ms(&replica, at(1_000)), Some(3_400));
     // A younger word counts at once, also where it is older than the process.
-    book.handle(at(1_200), confirmed(at(1_100), 5, 1_500));
-    assert_eq!(age_ms(&book, at(1_200)), Some(1_600));
+    replica.handle(at(1_200), confirmed(at(1_100), 5, 1_500));
+    assert_eq!(age_ms(&replica, at(1_200)), Some(1_600));
 }
--- a/bergamotswitch-core/tests/link_return.rs
+++ b/bergamotswitch-core/tests/link_reconnect.rs
@@ -13,7 +13,7 @@
 /// Shorter than what makes a host suspect another one.
 const OUTAGE: Duration = Duration::from_millis(200);
 /// Within this time the owner knows again what its entry hosts hold.
-const PROMPTLY: Duration = Duration::from_millis(200);
+const SYNC_TIME: Duration = Duration::from_millis(200);
 
 fn permits(net: &NodeNet, owner: usize) -> usize {
     let node = &net.nodes[owner];
@@ -42,15 +42,15 @@
     for _ in 0..SLOTS {
         net.nodes[entry].submit(submission());
     }
-    net.pass(PROMPTLY);
+    net.pass(SYNC_TIME);
     assert_eq!(permits(&net, owner), SLOTS);
     net.cut(entry, owner);
     finish(&mut net, entry);
     net.pass(OUTAGE);
-    assert_eq!(permits(&net, owner), SLOTS, "nothing got through");
+    assert_eq!(permits(&net, owner), SLOTS, "no release arrived");
     net.heal(entry, owner);
-    net.pass(PROMPTLY);
-    assert_eq!(net.owners(), [owner], "nobody took over");
+    net.pass(SYNC_TIME);
+    assert_eq!(net.owners(), [owner], "the owner has not changed");
     assert_eq!(permits(&net, owner), 0);
 }
 
@@ -58,7 +58,7 @@
 // which they are asked for again. Sequence: their asks are sent into a link that
 // has closed. Cause: as above.
 #[test]
-fn lost_asks() {
+fn lost_requests() {
     let mut net = NodeNet::start();
     let owner = net.owners()[0];
     let entry = (owner + 1) % HOSTS.len();
@@ -67,7 +67,7 @@
     net.pass(OUTAGE);
     assert!(net.started.is_empty());
     net.heal(entry, owner);
-    net.pass(PROMPTLY);
+    net.pass(SYNC_TIME);
     assert_eq!(net.started.len(), 1);
 }
 
@@ -82,14 +82,14 @@
     for _ in 0..SLOTS + 1 {
         net.nodes[entry].submit(submission());
     }
-    net.pass(PROMPTLY);
+    net.pass(SYNC_TIME);
     net.cut(entry, owner);
     net.pass(OUTAGE);
     net.heal(entry, owner);
-    net.pass(PROMPTLY);
+    net.pass(SYNC_TIME);
     assert_eq!(permits(&net, owner), SLOTS);
     assert_eq!(net.started.len(), SLOTS);
     finish(&mut net, entry);
-    net.pass(PROMPTLY);
-    assert_eq!(net.started.len(), 1, "the one that waited");
+    net.pass(SYNC_TIME);
+    assert_eq!(net.started.len(), 1, "the queued request");
 }
--- a/bergamotswitch-core/tests/membership_faults.rs
+++ b/bergamotswitch-core/tests/membership_faults.rs
@@ -110,7 +110,7 @@
 // Guards against an owner that goes on, or ends without a word to the rest of its
 // host, after a sleep in which another one has taken over.
 #[test]
-fn sleeper_ends() {
+fn resumed_owner_ceases() {
     let (mut fleet, order) = settled(8);
     fleet.kill(&order[0]);
     fleet.run(secs(4));
@@ -124,7 +124,7 @@
 
 // Guards against a shard without an owner after a sleep that nobody noticed.
 #[test]
-fn short_sleep() {
+fn short_suspension() {
     let (mut fleet, order) = settled(8);
     fleet.kill(&order[0]);
     fleet.run(secs(4));
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn sleep_unannounced() {
+fn suspension_without_event() {
     // Symptom: after a pause every peer is reported silent.
     // Events: the process sleeps; the first event after it is a plain tick.
     // Cause: only an explicit wake-up event led to distrust.
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn parted_and_healed() {
+fn partition_healed() {
     // Symptom: two owners remain after a partition, or one side has none.
     // Events: the first candidate is cut off with some users, then the cut heals.
     // Cause: a candidate goes on though it reaches an earlier one again.
@@ -237,30 +237,30 @@
 }
 
 #[test]
-fn dropped_host_gone() {
+fn delisted_host_terminated() {
     // Symptom: slots of a host that was taken out are never freed.
     // Events: the host leaves the list, works on for a while, then dies.
     // Cause: only a successor under the same name ended a run.
     let (mut fleet, order) = settled(8);
-    let leaver = order[7].clone();
+    let leaving = order[7].clone();
     let mut shorter = list(0..8);
     for host in &mut shorter.hosts {
-        if host.name == leaver {
+        if host.name == leaving {
             host.standing = Standing::Leaving;
         }
     }
     fleet.tell_all(MembershipEvent::Hosts(shorter));
     fleet.run(secs(120));
     assert!(fleet.nodes[&order[0]].gone.is_empty());
-    fleet.kill(&leaver);
+    fleet.kill(&leaving);
     fleet.run(secs(40));
     assert!(fleet.nodes[&order[0]].gone.is_empty());
     fleet.run(secs(30));
-    assert_eq!(fleet.nodes[&order[0]].gone, vec![leaver]);
+    assert_eq!(fleet.nodes[&order[0]].gone, vec![leaving]);
 }
 
 #[test]
-fn old_run_late() {
+fn late_old_incarnation() {
     // Symptom: a live host counts as gone.
     // Events: a run pauses, is replaced, wakes up and links again.
     // Cause: any other run was taken for a newer one.
@@ -328,7 +328,7 @@
 // the next in line, asks it, and is told that it does not act.
 // Cause: whoever was told so acted itself, beside the next in line.
 #[test]
-fn early_notice() {
+fn early_detection() {
     let (mut fleet, order) = settled(3);
     let [owner, next, last] = order.as_slice() else {
         panic!("three hosts");
--- a/bergamotswitch-core/tests/spread/mod.rs
+++ b/bergamotswitch-core/tests/replica_net/mod.rs
@@ -18,8 +18,8 @@
 
 const LATENCY: Duration = Duration::from_millis(1);
 const SERVICE_TIME: Duration = Duration::from_millis(3);
-const WATCH_TIME: Duration = Duration::from_secs(30);
-const REDIAL: Duration = Duration::from_millis(200);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(30);
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(200);
 
 pub fn secs(count: u64) -> Duration {
     Duration::from_secs(count)
@@ -72,20 +72,20 @@
 }
 
 pub struct Node {
-    pub book: RevisionReplica,
-    pub notes: Vec<(Incident, ValueName)>,
+    pub replica: RevisionReplica,
+    pub logs: Vec<(Incident, ValueName)>,
     pub in_force: BTreeMap<ValueName, (Revision, Moment, String)>,
-    pub offers: Vec<(ValueName, Revision)>,
+    pub validations: Vec<(ValueName, Revision)>,
     pub reads: usize,
     pub messages: usize,
     pub bytes: usize,
     calls: BTreeMap<ValueName, u64>,
-    dialing: BTreeSet<HostName>,
+    wanted_links: BTreeSet<HostName>,
     paused: bool,
     wake_at: Moment,
 }
 
-enum Parcel {
+enum Packet {
     Message(HostName, HostName, RevisionMessage),
     Answer(HostName, u64, ValueName, Option<Revision>, bool),
 }
@@ -97,13 +97,13 @@
     pub service: BTreeMap<ValueName, PublishedValue>,
     pub service_up: bool,
     pub no_service: BTreeSet<HostName>,
-    pub sides: BTreeMap<HostName, usize>,
+    pub partitions: BTreeMap<HostName, usize>,
     pub domains: usize,
     links: BTreeSet<(HostName, HostName)>,
-    parcels: BTreeMap<(Moment, u64), Parcel>,
+    packets: BTreeMap<(Moment, u64), Packet>,
     wakes: BTreeSet<(Moment, HostName)>,
     counter: u64,
-    redial_at: Moment,
+    reconnect_at: Moment,
 }
 
 impl Net {
@@ -132,7 +132,7 @@
     }
 
     /// Publish rules, then let the hosts run on.
-    pub fn rules_then(&mut self, revision: u64, span: Duration) {
+    pub fn publish_rules(&mut self, revision: u64, span: Duration) {
         self.publish(RULES_VALUE, revision, rules_body(revision, 200));
         self.run(span);
     }
@@ -144,20 +144,20 @@
         };
         let domain = entry(index, self.domains).domain;
         let node = Node {
-            book: RevisionReplica::new(run, domain, RevisionOptions::default(), self.now),
-            notes: Vec::new(),
+            replica: RevisionReplica::new(run, domain, RevisionOptions::default(), self.now),
+            logs: Vec::new(),
             in_force: BTreeMap::new(),
-            offers: Vec::new(),
+            validations: Vec::new(),
             reads: 0,
             messages: 0,
             bytes: 0,
             calls: BTreeMap::new(),
-            dialing: BTreeSet::new(),
+            wanted_links: BTreeSet::new(),
             paused: false,
             wake_at: Moment::NEVER,
         };
         self.nodes.insert(host(index), node);
-        self.note_wake(&host(index));
+        self.schedule_wake(&host(index));
     }
 
     pub fn publish(&mut self, value: &str, revision: u64, body: String) {
@@ -168,46 +168,46 @@
 
     fn wake_watches(&mut self) {
         // Each waiting watch looks again.
-        let waits = |parcel: &Parcel| matches!(parcel, Parcel::Answer(_, _, _, Some(_), _));
-        let waiting = self.parcels.iter().filter(|(_, parcel)| waits(parcel));
+        let waits = |packet: &Packet| matches!(packet, Packet::Answer(_, _, _, Some(_), _));
+        let waiting = self.packets.iter().filter(|(_, packet)| waits(packet));
         let waiting: Vec<_> = waiting.map(|(key, _)| *key).collect();
         for key in waiting {
-            if let Some(Parcel::Answer(host, call, value, Some(beyond), false)) =
-                self.parcels.remove(&key)
+            if let Some(Packet::Answer(host, call, value, Some(beyond), false)) =
+                self.packets.remove(&key)
             {
                 let ready = self.service.get(&value).map(|v| v.revision) > Some(beyond);
                 let (at, ready) = match ready {
                     true => (self.now.plus(SERVICE_TIME), true),
                     false => (key.0, false),
                 };
-                let parcel = Parcel::Answer(host, call, value, Some(beyond), ready);
-                self.post(at, parcel);
+                let packet = Packet::Answer(host, call, value, Some(beyond), ready);
+                self.schedule(at, packet);
             }
         }
     }
 
-    fn post(&mut self, at: Moment, parcel: Parcel) {
+    fn schedule(&mut self, at: Moment, packet: Packet) {
         self.counter += 1;
-        self.parcels.insert((at, self.counter), parcel);
+        self.packets.insert((at, self.counter), packet);
     }
 
-    pub fn tell(&mut self, to: &HostName, event: RevisionEvent) {
+    pub fn handle(&mut self, to: &HostName, event: RevisionEvent) {
         let now = self.now;
-        let actions = self.nodes.get_mut(to).unwrap().book.handle(now, event);
-        self.act(to, actions);
-        self.note_wake(to);
+        let actions = self.nodes.get_mut(to).unwrap().replica.handle(now, event);
+        self.execute(to, actions);
+        self.schedule_wake(to);
     }
 
-    fn note_wake(&mut self, me: &HostName) {
+    fn schedule_wake(&mut self, me: &HostName) {
         let node = self.nodes.get_mut(me).unwrap();
         self.wakes.remove(&(node.wake_at, me.clone()));
-        node.wake_at = node.book.next_wake();
+        node.wake_at = node.replica.next_wake();
         if !node.paused {
             self.wakes.insert((node.wake_at, me.clone()));
         }
     }
 
-    fn act(&mut self, me: &HostName, actions: Vec<RevisionAction>) {
+    fn execute(&mut self, me: &HostName, actions: Vec<RevisionAction>) {
         for action in actions {
             let node = self.nodes.get_mut(me).unwrap();
             match action {
@@ -217,13 +217,13 @@
                     node.messages += 1;
                     node.bytes += serde_json::to_string(&message).unwrap().len();
                     let at = self.now.plus(LATENCY);
-                    self.post(at, Parcel::Message(me.clone(), to, message));
+                    self.schedule(at, Packet::Message(me.clone(), to, message));
                 }
-                RevisionAction::Validate(value) => self.check(me, value),
+                RevisionAction::Validate(value) => self.validate(me, value),
                 RevisionAction::Link(entry) => {
-                    node.dialing.insert(entry.name);
+                    node.wanted_links.insert(entry.name);
                 }
-                RevisionAction::Log(incident, value) => node.notes.push((incident, value)),
+                RevisionAction::Log(incident, value) => node.logs.push((incident, value)),
             }
         }
     }
@@ -236,12 +236,12 @@
         node.calls.insert(value.clone(), call);
         let current = self.service.get(&value).map(|v| v.revision);
         let wait = match beyond {
-            Some(beyond) if self.reaches_service(me) && current == Some(beyond) => WATCH_TIME,
+            Some(beyond) if self.reaches_service(me) && current == Some(beyond) => WATCH_TIMEOUT,
             _ => SERVICE_TIME,
         };
         let ready = wait == SERVICE_TIME;
         let at = self.now.plus(wait);
-        self.post(at, Parcel::Answer(me.clone(), call, value, beyond, ready));
+        self.schedule(at, Packet::Answer(me.clone(), call, value, beyond, ready));
     }
 
     fn reaches_service(&self, me: &HostName) -> bool {
@@ -249,9 +249,9 @@
     }
 
     /// The host's check: a value marked bad is refused.
-    fn check(&mut self, me: &HostName, value: PublishedValue) {
+    fn validate(&mut self, me: &HostName, value: PublishedValue) {
         let node = self.nodes.get_mut(me).unwrap();
-        node.offers.push((value.name.clone(), value.revision));
+        node.validations.push((value.name.clone(), value.revision));
         let mut findings = Findings::new();
         if value.body.contains("\"bad\":true") {
             findings.add("/bad", "true", "false");
@@ -264,12 +264,12 @@
             node.in_force.insert(value.name.clone(), held);
         }
         let good = verdict.is_ok();
-        let book = &mut node.book;
-        let actions = book.record_verdict(self.now, &value.name, value.revision, verdict);
-        self.act(me, actions);
+        let replica = &mut node.replica;
+        let actions = replica.record_verdict(self.now, &value.name, value.revision, verdict);
+        self.execute(me, actions);
         if good && value.name.as_str() == HOSTS_VALUE {
             let list = serde_json::from_str(&value.body).unwrap();
-            self.tell(me, RevisionEvent::Hosts(list));
+            self.handle(me, RevisionEvent::Hosts(list));
         }
     }
 
@@ -285,7 +285,7 @@
             (true, false, _) => RevisionEvent::Unchanged(value),
             _ => RevisionEvent::ReadFailed(value),
         };
-        self.tell(&me, event);
+        self.handle(&me, event);
     }
 
     pub fn kill(&mut self, me: &HostName) {
@@ -298,65 +298,65 @@
             }
             self.links.remove(&(a.clone(), b.clone()));
             let other = if a == *me { b } else { a };
-            self.tell(&other, RevisionEvent::PeerDown(me.clone()));
+            self.handle(&other, RevisionEvent::PeerDown(me.clone()));
         }
     }
 
     pub fn pause(&mut self, me: &HostName) {
         self.nodes.get_mut(me).unwrap().paused = true;
-        self.note_wake(me);
+        self.schedule_wake(me);
     }
 
     pub fn resume(&mut self, me: &HostName, slept: Duration) {
         self.nodes.get_mut(me).unwrap().paused = false;
-        self.tell(me, RevisionEvent::Resumed(slept));
+        self.handle(me, RevisionEvent::Resumed(slept));
     }
 
     fn is_cut(&self, a: &HostName, b: &HostName) -> bool {
-        self.sides.get(a) != self.sides.get(b)
+        self.partitions.get(a) != self.partitions.get(b)
     }
 
-    fn dial(&mut self) {
-        let mut fresh = BTreeSet::new();
+    fn connect(&mut self) {
+        let mut new_links = BTreeSet::new();
         for node in self.nodes.values_mut() {
-            let book = &node.book;
-            node.dialing.retain(|peer| book.wants_link(peer));
+            let replica = &node.replica;
+            node.wanted_links.retain(|peer| replica.wants_link(peer));
         }
         for (a, node) in &self.nodes {
-            for b in node.dialing.iter().filter(|b| !self.is_cut(a, b)) {
+            for b in node.wanted_links.iter().filter(|b| !self.is_cut(a, b)) {
                 let pair = (a.min(b).clone(), a.max(b).clone());
                 if self.nodes.contains_key(b) && !self.links.contains(&pair) {
-                    fresh.insert(pair);
+                    new_links.insert(pair);
                 }
             }
         }
-        for (a, b) in fresh {
+        for (a, b) in new_links {
             self.links.insert((a.clone(), b.clone()));
-            self.tell(&a, RevisionEvent::PeerUp(b.clone()));
-            self.tell(&b, RevisionEvent::PeerUp(a));
+            self.handle(&a, RevisionEvent::PeerUp(b.clone()));
+            self.handle(&b, RevisionEvent::PeerUp(a));
         }
     }
 
-    fn deliver(&mut self, parcel: Parcel) {
-        let to = match &parcel {
-            Parcel::Message(_, to, _) | Parcel::Answer(to, ..) => to.clone(),
+    fn deliver(&mut self, packet: Packet) {
+        let to = match &packet {
+            Packet::Message(_, to, _) | Packet::Answer(to, ..) => to.clone(),
         };
         match self.nodes.get(&to) {
             None => return,
             Some(node) if node.paused => {
                 let at = self.now.plus(Duration::from_millis(50));
-                return self.post(at, parcel);
+                return self.schedule(at, packet);
             }
             Some(_) => {}
         }
-        match parcel {
-            Parcel::Message(from, to, message) => {
+        match packet {
+            Packet::Message(from, to, message) => {
                 let pair = (from.clone().min(to.clone()), from.clone().max(to.clone()));
                 if self.links.contains(&pair) && !self.is_cut(&from, &to) {
-                    self.tell(&to, RevisionEvent::Peer(from, message));
+                    self.handle(&to, RevisionEvent::Peer(from, message));
                 }
             }
-            Parcel::Answer(me, call, value, _, ready) => self.answer(me, call, value, ready),
+            Packet::Answer(me, call, value, _, ready) => self.answer(me, call, value, ready),
         }
     }
 
@@ -365,44 +365,48 @@
         loop {
             let wake = self.wakes.first().cloned();
             let wake_at = wake.as_ref().map_or(Moment::NEVER, |wake| wake.0);
-            let parcel_at = self.parcels.keys().next().map_or(Moment::NEVER, |k| k.0);
-            let at = wake_at.min(parcel_at).min(self.redial_at);
+            let packet_at = self.packets.keys().next().map_or(Moment::NEVER, |k| k.0);
+            let at = wake_at.min(packet_at).min(self.reconnect_at);
             if at > end {
                 break;
             }
             self.now = self.now.max(at);
-            if self.redial_at == at {
-                self.redial_at = self.now.plus(REDIAL);
-                self.dial();
-            } else if parcel_at == at {
-                let parcel = self.parcels.pop_first().unwrap().1;
-                self.deliver(parcel);
+            if self.reconnect_at == at {
+                self.reconnect_at = self.now.plus(RECONNECT_INTERVAL);
+                self.connect();
+            } else if packet_at == at {
+                let packet = self.packets.pop_first().unwrap().1;
+                self.deliver(packet);
             } else if let Some((_, me)) = wake {
-                self.tell(&me, RevisionEvent::Tick);
+                self.handle(&me, RevisionEvent::Tick);
             }
         }
         self.now = end;
     }
 
-    pub fn force(&self, me: &HostName, value: &str) -> u64 {
+    pub fn in_force(&self, me: &HostName, value: &str) -> u64 {
         let held = self.nodes[me].in_force.get(&name(value));
         held.map_or(0, |held| held.0.0)
     }
 
     /// Get the least and highest revision in force over all hosts.
-    pub fn forces(&self, value: &str) -> (u64, u64) {
-        let all: Vec<_> = self.nodes.keys().map(|me| self.force(me, value)).collect();
+    pub fn in_force_range(&self, value: &str) -> (u64, u64) {
+        let all: Vec<_> = self
+            .nodes
+            .keys()
+            .map(|me| self.in_force(me, value))
+            .collect();
         (*all.iter().min().unwrap(), *all.iter().max().unwrap())
     }
 
     /// Get when the value last came into force somewhere.
-    pub fn last_at(&self, value: &str) -> Moment {
+    pub fn last_in_force_at(&self, value: &str) -> Moment {
         let held = |node: &Node| node.in_force[&name(value)].1;
         self.nodes.values().map(held).max().unwrap()
     }
 
     pub fn readers(&self) -> Vec<HostName> {
-        let reads = |node: &Node| node.book.status().is_reader;
+        let reads = |node: &Node| node.replica.status().is_reader;
         let readers = self.nodes.iter().filter(|(_, node)| reads(node));
         readers.map(|(me, _)| me.clone()).collect()
     }
@@ -413,8 +417,8 @@
         }
     }
 
-    pub fn noted(&self, incident: Incident) -> usize {
-        let notes = self.nodes.values().flat_map(|node| &node.notes);
-        notes.filter(|note| note.0 == incident).count()
+    pub fn log_count(&self, incident: Incident) -> usize {
+        let logs = self.nodes.values().flat_map(|node| &node.logs);
+        logs.filter(|log| log.0 == incident).count()
     }
 }
--- a/bergamotswitch-core/tests/revision_adoption.rs
+++ b/bergamotswitch-core/tests/revision_adoption.rs
@@ -1,9 +1,9 @@
 //! Tests of adoption: it never goes back, and bad revisions change nothing.
 
-mod spread;
+mod replica_net;
 
 use bergamotswitch_core::revision::{LIMITS_VALUE, RevisionMark};
-use spread::*;
+use replica_net::*;
 
 #[test]
 fn service_down() {
@@ -14,13 +14,13 @@
     let hosts = hosts_body(0..9, 2);
     net.publish(HOSTS_VALUE, 2, hosts);
     net.run(secs(5));
-    net.rules_then(5, secs(2));
+    net.publish_rules(5, secs(2));
     // The host list is a service of its own and stays up.
     let rules = net.service.remove(&name(RULES_VALUE)).unwrap();
     net.add(8);
     net.run(secs(5));
-    assert_eq!(net.force(&host(8), RULES_VALUE), 5);
-    assert!(!net.nodes[&host(8)].book.status().alone);
+    assert_eq!(net.in_force(&host(8), RULES_VALUE), 5);
+    assert!(!net.nodes[&host(8)].replica.status().alone);
     assert_eq!(net.nodes[&host(8)].in_force[&rules.name].2, rules.body);
 }
 
@@ -31,12 +31,12 @@
     // Cause: the service's word counted as much as a peer's.
     let mut net = Net::start(1, 1);
     net.run(Duration::from_secs(1));
-    assert!(!net.nodes[&host(0)].book.is_caught_up(net.now));
+    assert!(!net.nodes[&host(0)].replica.is_caught_up(net.now));
     net.run(secs(9));
-    assert_eq!(net.forces(RULES_VALUE), (1, 1));
-    assert!(net.nodes[&host(0)].book.status().alone);
-    assert!(net.nodes[&host(0)].book.is_caught_up(net.now));
-    assert_eq!(net.noted(Incident::StartedAlone), 1);
+    assert_eq!(net.in_force_range(RULES_VALUE), (1, 1));
+    assert!(net.nodes[&host(0)].replica.status().alone);
+    assert!(net.nodes[&host(0)].replica.is_caught_up(net.now));
+    assert_eq!(net.log_count(Incident::StartedAlone), 1);
 }
 
 #[test]
@@ -46,17 +46,17 @@
     // hosts sleep and wake.
     // Cause: the service's answer replaced what the host had.
     let mut net = Net::settled(8, 2);
-    net.rules_then(7, secs(5));
-    net.rules_then(3, secs(120));
-    let sleeper = net.readers()[0].clone();
-    net.pause(&sleeper);
+    net.publish_rules(7, secs(5));
+    net.publish_rules(3, secs(120));
+    let suspended = net.readers()[0].clone();
+    net.pause(&suspended);
     net.run(secs(60));
-    net.resume(&sleeper, secs(60));
+    net.resume(&suspended, secs(60));
     net.run(secs(20));
-    assert_eq!(net.forces(RULES_VALUE), (7, 7));
-    assert!(net.noted(Incident::RevisionStale) >= 1);
-    net.rules_then(8, secs(9));
-    assert_eq!(net.forces(RULES_VALUE), (8, 8));
+    assert_eq!(net.in_force_range(RULES_VALUE), (7, 7));
+    assert!(net.log_count(Incident::RevisionStale) >= 1);
+    net.publish_rules(8, secs(9));
+    assert_eq!(net.in_force_range(RULES_VALUE), (8, 8));
 }
 
 #[test]
@@ -65,19 +65,19 @@
     // Events: two replicas, one behind, answer in turn.
     // Cause: the last answer won.
     let mut net = Net::settled(8, 2);
-    net.rules_then(9, secs(5));
+    net.publish_rules(9, secs(5));
     net.reset_counts();
     for turn in 0..60 {
         let revision = if turn % 2 == 0 { 4 } else { 9 };
-        net.rules_then(revision, secs(1));
+        net.publish_rules(revision, secs(1));
     }
-    assert_eq!(net.forces(RULES_VALUE), (9, 9));
+    assert_eq!(net.in_force_range(RULES_VALUE), (9, 9));
     let most = net.nodes.values().map(|node| node.reads).max().unwrap();
     assert!(most <= 72, "{most} reads in a minute");
 }
 
 #[test]
-fn parted_and_healed() {
+fn partition_healed() {
     // Symptom: one half of the fleet keeps old rules.
     // Events: a partition; only one side reaches the service; it heals.
     // Cause: what was sent into the cut counted as received.
@@ -85,21 +85,21 @@
     for (hosts, turn) in [(8, 0), (128, 0)].into_iter().chain(turns) {
         let mut net = Net::settled(hosts, 4);
         for index in (0..hosts).filter(|index| index % 4 < 2) {
-            net.sides.insert(host(index), 1);
+            net.partitions.insert(host(index), 1);
             net.no_service.insert(host(index));
         }
-        net.rules_then(2, secs(9));
-        assert_eq!(net.forces(RULES_VALUE), (1, 2));
+        net.publish_rules(2, secs(9));
+        assert_eq!(net.in_force_range(RULES_VALUE), (1, 2));
         // Heal between two keepalives, not just before one, and at each turn
         // of the values that they name.
         net.run(Duration::from_millis(60_900 + 2000 * turn));
-        net.rules_then(3, secs(9));
-        assert_eq!(net.forces(RULES_VALUE), (1, 3));
-        net.sides.clear();
+        net.publish_rules(3, secs(9));
+        assert_eq!(net.in_force_range(RULES_VALUE), (1, 3));
+        net.partitions.clear();
         let healed = net.now;
         net.run(secs(9));
-        assert_eq!(net.forces(RULES_VALUE), (3, 3));
-        let took = net.last_at(RULES_VALUE).since(healed);
+        assert_eq!(net.in_force_range(RULES_VALUE), (3, 3));
+        let took = net.last_in_force_at(RULES_VALUE).since(healed);
         println!("{hosts} hosts, turn {turn}: {took:?} after healing");
     }
 }
@@ -110,7 +110,7 @@
     // Events: the service is stale; each host in turn is replaced.
     // Cause: the newest revision lived only in hosts that are gone.
     let mut net = Net::settled(8, 2);
-    net.rules_then(6, secs(5));
+    net.publish_rules(6, secs(5));
     net.publish(RULES_VALUE, 2, rules_body(2, 200));
     let mut names: Vec<usize> = (0..8).collect();
     for place in 0..8 {
@@ -122,14 +122,14 @@
         let list = hosts_body(names.clone(), 2);
         net.publish(HOSTS_VALUE, place as u64 + 2, list);
         net.run(secs(9));
-        assert_eq!(net.forces(RULES_VALUE), (6, 6));
-        assert_eq!(net.forces(HOSTS_VALUE).0, place as u64 + 2);
+        assert_eq!(net.in_force_range(RULES_VALUE), (6, 6));
+        assert_eq!(net.in_force_range(HOSTS_VALUE).0, place as u64 + 2);
     }
     // No fresh host ever held the stale revision in force.
     for node in net.nodes.values() {
-        let offers = node.offers.iter();
-        let rules = offers.filter(|offer| offer.0 == name(RULES_VALUE));
-        assert!(rules.clone().all(|offer| offer.1 == Revision(6)));
+        let validations = node.validations.iter();
+        let rules = validations.filter(|validation| validation.0 == name(RULES_VALUE));
+        assert!(rules.clone().all(|validation| validation.1 == Revision(6)));
         assert_eq!(rules.count(), 1);
     }
 }
@@ -144,10 +144,10 @@
     let bad = rules_body(2, 200).replace("\"bad\":false", "\"bad\":true");
     net.publish(RULES_VALUE, 2, bad);
     net.run(secs(9));
-    assert_eq!(net.forces(RULES_VALUE), (1, 1));
-    assert_eq!(net.noted(Incident::RevisionRefused), 16);
+    assert_eq!(net.in_force_range(RULES_VALUE), (1, 1));
+    assert_eq!(net.log_count(Incident::RevisionRefused), 16);
     for node in net.nodes.values() {
-        let values = node.book.status().values;
+        let values = node.replica.status().values;
         let rules = values.iter().find(|v| v.name == name(RULES_VALUE)).unwrap();
         let refused = rules.refused.as_ref().unwrap();
         assert_eq!(refused.revision, Revision(2));
@@ -155,10 +155,10 @@
         assert_eq!(rules.in_force, Some(Revision(1)));
         assert_eq!(rules.seen, Some(Revision(2)));
     }
-    net.rules_then(3, secs(9));
-    assert_eq!(net.forces(RULES_VALUE), (3, 3));
+    net.publish_rules(3, secs(9));
+    assert_eq!(net.in_force_range(RULES_VALUE), (3, 3));
     for node in net.nodes.values() {
-        let values = node.book.status().values;
+        let values = node.replica.status().values;
         assert!(values.iter().all(|value| value.refused.is_none()));
     }
 }
@@ -175,25 +175,25 @@
     let len = body.len();
     net.publish("pools", 2, body);
     net.run(secs(9));
-    assert_eq!(net.forces("pools"), (2, 2));
+    assert_eq!(net.in_force_range("pools"), (2, 2));
     let bytes: usize = net.nodes.values().map(|node| node.bytes).sum();
     println!("{:.2} copies a host", bytes as f64 / len as f64 / 16.0);
     // Quotes are escaped in the message, so a copy counts a little more.
     assert!(bytes < len * 16 * 3 / 2);
 }
 
-fn lone_book() -> RevisionReplica {
+fn single_replica() -> RevisionReplica {
     let run = HostIncarnation {
         host: host(0),
         incarnation: Incarnation(1),
     };
     let domain = "domain-0".try_into().unwrap();
     let opts = RevisionOptions::default();
-    let mut book = RevisionReplica::new(run, domain, opts, Moment::START);
+    let mut replica = RevisionReplica::new(run, domain, opts, Moment::START);
     let list = serde_json::from_str(&hosts_body(0..2, 1)).unwrap();
-    book.handle(Moment::START, RevisionEvent::Hosts(list));
-    book.handle(Moment::START, RevisionEvent::PeerUp(host(1)));
-    book
+    replica.handle(Moment::START, RevisionEvent::Hosts(list));
+    replica.handle(Moment::START, RevisionEvent::PeerUp(host(1)));
+    replica
 }
 
 fn mark(value: &str, revision: u64) -> RevisionMark {
@@ -218,9 +218,9 @@
     // Events: a change comes whose base is missing, or differs here.
     // Cause: a patch was applied to whatever was there.
     for (held, from) in [(1, 2), (2, 2)] {
-        let mut book = lone_book();
+        let mut replica = single_replica();
         let now = Moment::from_millis(10);
-        book.handle(now, RevisionEvent::Peer(host(1), whole(held, "{\"a\":1}")));
+        replica.handle(now, RevisionEvent::Peer(host(1), whole(held, "{\"a\":1}")));
         let change = RevisionMessage::Change {
             name: name(RULES_VALUE),
             from: Revision(from),
@@ -228,19 +228,19 @@
             checksum: 42,
             patch: r#"[{"op":"replace","path":"/a","value":2}]"#.into(),
         };
-        let actions = book.handle(now, RevisionEvent::Peer(host(1), change));
+        let actions = replica.handle(now, RevisionEvent::Peer(host(1), change));
         assert!(wants(&actions), "{actions:?}");
-        assert_eq!(book.status().values[5].seen, Some(Revision(held)));
-        let actions = book.handle(now, RevisionEvent::Peer(host(1), whole(3, "{\"a\":2}")));
-        let offered = |action: &RevisionAction| matches!(action, RevisionAction::Validate(_));
-        assert!(actions.iter().any(offered));
+        assert_eq!(replica.status().values[5].seen, Some(Revision(held)));
+        let actions = replica.handle(now, RevisionEvent::Peer(host(1), whole(3, "{\"a\":2}")));
+        let validated = |action: &RevisionAction| matches!(action, RevisionAction::Validate(_));
+        assert!(actions.iter().any(validated));
     }
 }
 
 #[test]
-fn never_back() {
+fn never_reverts() {
     bergamotswitch_draw::for_each::<Vec<(u8, u8, bool)>>(1000, |steps| {
-        let mut book = lone_book();
+        let mut replica = single_replica();
         let mut now = Moment::from_millis(1);
         let mut highest = 0;
         let mut in_force = 0;
@@ -260,7 +260,7 @@
                 4 => RevisionEvent::ReadFailed(name(RULES_VALUE)),
                 _ => RevisionEvent::Tick,
             };
-            for action in book.handle(now, event) {
+            for action in replica.handle(now, event) {
                 let RevisionAction::Validate(value) = action else {
                     continue;
                 };
@@ -274,12 +274,12 @@
                     findings.add("/a", "x", "y");
                 }
                 let verdict = findings.into_result(());
-                book.record_verdict(now, &value.name, value.revision, verdict);
+                replica.record_verdict(now, &value.name, value.revision, verdict);
             }
-            let marks = book.in_force();
+            let marks = replica.in_force();
             let held = marks.first().map_or(0, |mark| mark.revision.0);
             assert_eq!(held, in_force);
-            assert!(book.next_wake() > now);
+            assert!(replica.next_wake() > now);
         }
     });
 }
@@ -287,20 +287,20 @@
 /// Take two revisions at a book, and get what it sends a peer that has the
 /// first.
 fn change_between(value: &str, before: &str, after: &str) -> RevisionMessage {
-    let mut book = lone_book();
+    let mut replica = single_replica();
     let now = Moment::from_millis(10);
     for (revision, body) in [(1, before), (2, after)] {
         let value = published(value, revision, body);
-        book.handle(
+        replica.handle(
             now,
             RevisionEvent::Peer(host(1), RevisionMessage::Whole(value)),
         );
     }
     let mark = mark(value, 1);
     // The peer came back without what it had sent before.
-    book.handle(now, RevisionEvent::PeerUp(host(1)));
+    replica.handle(now, RevisionEvent::PeerUp(host(1)));
     let marks = RevisionMessage::Marks(vec![mark]);
-    let actions = book.handle(now, RevisionEvent::Peer(host(1), marks));
+    let actions = replica.handle(now, RevisionEvent::Peer(host(1), marks));
     let sent = actions.into_iter().filter_map(|action| match action {
         RevisionAction::Send(_, RevisionMessage::Marks(_)) => None,
         RevisionAction::Send(_, message) => Some(message),
@@ -339,32 +339,32 @@
         let after = texts(&after[..after.len().min(12)]);
         let message = change_between(RULES_VALUE, &before, &after);
         assert!(matches!(message, RevisionMessage::Change { .. }));
-        let mut book = lone_book();
+        let mut replica = single_replica();
         let now = Moment::from_millis(10);
-        book.handle(now, RevisionEvent::Peer(host(1), whole(1, &before)));
-        let actions = book.handle(now, RevisionEvent::Peer(host(1), message));
-        let offered = RevisionAction::Validate(published(RULES_VALUE, 2, after));
-        assert!(actions.contains(&offered), "{actions:?}");
+        replica.handle(now, RevisionEvent::Peer(host(1), whole(1, &before)));
+        let actions = replica.handle(now, RevisionEvent::Peer(host(1), message));
+        let validated = RevisionAction::Validate(published(RULES_VALUE, 2, after));
+        assert!(actions.contains(&validated), "{actions:?}");
     });
 }
 
 #[test]
-fn turns_after_outage() {
+fn call_order_after_outage() {
     // Symptom: rules come into force half a minute after the service is back.
     // Sequence: all reads fail for a while and use the budget up; the service
     // comes back. Cause: the reads took their turns in the order of the names,
     // and those of the first names were due again before the last one's turn.
     for outage in 20..80 {
-        let mut book = lone_book();
+        let mut replica = single_replica();
         let back = Moment::START.plus(secs(outage));
         let mut now = Moment::START;
-        let mut told = BTreeMap::new();
+        let mut answered = BTreeMap::new();
         for begun in [HOSTS_VALUE, LIMITS_VALUE] {
-            book.handle(now, RevisionEvent::ReadFailed(name(begun)));
+            replica.handle(now, RevisionEvent::ReadFailed(name(begun)));
         }
         while now < back.plus(secs(9)) {
             now = now.plus(Duration::from_millis(100));
-            let mut actions = book.handle(now, RevisionEvent::Tick);
+            let mut actions = replica.handle(now, RevisionEvent::Tick);
             while let Some(action) = actions.pop() {
                 let event = match action {
                     RevisionAction::Read(value) | RevisionAction::Watch(value, _) if now < back => {
@@ -372,10 +372,10 @@
                     }
                     // The first answer brings news, later watches wait.
                     RevisionAction::Read(value) | RevisionAction::Watch(value, _) => {
-                        if told.contains_key(&value) {
+                        if answered.contains_key(&value) {
                             continue;
                         }
-                        told.insert(value.clone(), now);
+                        answered.insert(value.clone(), now);
                         RevisionEvent::Read(PublishedValue {
                             name: value,
                             revision: Revision(1),
@@ -384,9 +384,9 @@
                     }
                     _ => continue,
                 };
-                actions.extend(book.handle(now, event));
+                actions.extend(replica.handle(now, event));
             }
         }
-        assert_eq!(told.len(), 6, "outage of {outage} s: {told:?}");
+        assert_eq!(answered.len(), 6, "outage of {outage} s: {answered:?}");
     }
 }
--- a/bergamotswitch-core/tests/behind_peers.rs
+++ b/bergamotswitch-core/tests/revision_lag.rs
@@ -1,13 +1,13 @@
 //! Whether a host serves while a peer has a newer revision of a value.
 
-mod spread;
+mod replica_net;
 
 use bergamotswitch_core::revision::RevisionMark;
-use spread::*;
+use replica_net::*;
 
 /// The time between two changes, and how many come in a row: no more than the
 /// readers may read at once.
-const CHANGE_PAUSE: Duration = Duration::from_millis(50);
+const CHANGE_INTERVAL: Duration = Duration::from_millis(50);
 const CHANGES: u64 = 10;
 /// How finely the hosts are looked at.
 const STEP: Duration = Duration::from_millis(5);
@@ -15,21 +15,21 @@
 const UNSENT: u64 = 1_000;
 
 fn caught_up(net: &Net, host: &HostName) -> bool {
-    net.nodes[host].book.is_caught_up(net.now)
+    net.nodes[host].replica.is_caught_up(net.now)
 }
 
 /// Get a host that hears of changes from others alone.
-fn follower(net: &Net) -> HostName {
+fn non_reader(net: &Net) -> HostName {
     let readers = net.readers();
     let mut hosts = net.nodes.keys();
     hosts
         .find(|host| !readers.contains(host))
         .cloned()
-        .expect("a follower")
+        .expect("a host that is not a reader")
 }
 
 /// Let the readers tell a host that they have a revision.
-fn tell(net: &mut Net, to: &HostName, revision: u64) {
+fn announce(net: &mut Net, to: &HostName, revision: u64) {
     let mark = RevisionMark {
         name: name(RULES_VALUE),
         revision: Revision(revision),
@@ -37,7 +37,7 @@
     for reader in net.readers() {
         // One that has no link to it is not heard.
         let message = RevisionMessage::Marks(vec![mark.clone()]);
-        net.tell(to, RevisionEvent::Peer(reader, message));
+        net.handle(to, RevisionEvent::Peer(reader, message));
     }
 }
 
@@ -50,13 +50,13 @@
 // have 128 calls refused as not ready; one host refuses from 24.9 to 27.8 s that has
 // served since 20.6 s.
 #[test]
-fn told_first() {
+fn announced_before_change() {
     let mut net = Net::settled(8, 2);
-    let me = follower(&net);
+    let me = non_reader(&net);
     for revision in 2..2 + CHANGES {
-        net.rules_then(revision, Duration::ZERO);
-        tell(&mut net, &me, revision);
-        let until = net.now.plus(CHANGE_PAUSE);
+        net.publish_rules(revision, Duration::ZERO);
+        announce(&mut net, &me, revision);
+        let until = net.now.plus(CHANGE_INTERVAL);
         while net.now < until {
             assert!(caught_up(&net, &me), "revision {revision}");
             net.run(STEP);
@@ -64,23 +64,23 @@
     }
     net.run(secs(2));
     let last = CHANGES + 1;
-    assert_eq!(net.forces(RULES_VALUE), (last, last));
+    assert_eq!(net.in_force_range(RULES_VALUE), (last, last));
 }
 
 // Symptom: a call runs by rules that were withdrawn seconds ago. Sequence: a host
 // knows that its peers have a newer revision, and does not get it. Cause: whoever
 // has served once was taken for caught up for ever.
 #[test]
-fn behind_for_long() {
+fn long_lag() {
     let mut net = Net::settled(8, 2);
-    let me = follower(&net);
-    let patience = Duration::from_millis(900);
+    let me = non_reader(&net);
+    let tolerated = Duration::from_millis(900);
     let begun = net.now;
     while net.now < begun.plus(secs(2)) {
-        tell(&mut net, &me, UNSENT);
+        announce(&mut net, &me, UNSENT);
         net.run(STEP);
         let waited = net.now.since(begun);
-        assert!(caught_up(&net, &me) || waited > patience, "{waited:?}");
+        assert!(caught_up(&net, &me) || waited > tolerated, "{waited:?}");
     }
     assert!(!caught_up(&net, &me));
 }
@@ -88,12 +88,12 @@
 // Symptom: as above. Sequence: a host slept, and others went on meanwhile. Cause:
 // that it was caught up before its sleep was relied on after it.
 #[test]
-fn behind_after_sleep() {
+fn lag_after_suspension() {
     let mut net = Net::settled(8, 2);
-    let me = follower(&net);
+    let me = non_reader(&net);
     net.pause(&me);
     net.run(secs(5));
     net.resume(&me, secs(5));
-    tell(&mut net, &me, UNSENT);
+    announce(&mut net, &me, UNSENT);
     assert!(!caught_up(&net, &me));
 }
--- a/bergamotswitch-core/tests/revision_readers.rs
+++ b/bergamotswitch-core/tests/revision_readers.rs
@@ -1,8 +1,8 @@
 //! Tests of who reads the service, what a change costs, and how long it takes.
 
-mod spread;
+mod replica_net;
 
-use spread::*;
+use replica_net::*;
 
 const BOUND: Duration = Duration::from_secs(9);
 
@@ -23,16 +23,16 @@
     );
     for (hosts, domains) in [(8, 3), (32, 3), (32, 8), (128, 8), (380, 8)] {
         let mut net = Net::settled(hosts, domains);
-        assert_eq!(net.forces(RULES_VALUE), (1, 1));
+        assert_eq!(net.in_force_range(RULES_VALUE), (1, 1));
         assert_eq!(net.readers().len(), 2 * domains);
         net.reset_counts();
         net.run(secs(60));
         let (reads, idle_messages, idle_bytes, idle_most) = sums(&net);
         net.reset_counts();
         let begun = net.now;
-        net.rules_then(2, secs(9));
-        let took = net.last_at(RULES_VALUE).since(begun);
-        assert_eq!(net.forces(RULES_VALUE), (2, 2));
+        net.publish_rules(2, secs(9));
+        let took = net.last_in_force_at(RULES_VALUE).since(begun);
+        assert_eq!(net.in_force_range(RULES_VALUE), (2, 2));
         let (_, messages, bytes, most) = sums(&net);
         // What goes on anyway in those nine seconds is no cost of the change.
         let messages = messages.saturating_sub(idle_messages * 9 / 60);
@@ -69,9 +69,12 @@
         let cut = net.nodes.keys().filter(|me| **me != last);
         net.no_service.extend(cut.cloned());
         let begun = net.now;
-        net.rules_then(2, BOUND);
-        assert_eq!(net.forces(RULES_VALUE), (2, 2));
-        println!("{hosts} hosts: {:?}", net.last_at(RULES_VALUE).since(begun));
+        net.publish_rules(2, BOUND);
+        assert_eq!(net.in_force_range(RULES_VALUE), (2, 2));
+        println!(
+            "{hosts} hosts: {:?}",
+            net.last_in_force_at(RULES_VALUE).since(begun)
+        );
     }
 }
 
@@ -86,12 +89,12 @@
     }
     net.reset_counts();
     let begun = net.now;
-    net.rules_then(2, BOUND);
-    assert_eq!(net.forces(RULES_VALUE), (2, 2));
+    net.publish_rules(2, BOUND);
+    assert_eq!(net.in_force_range(RULES_VALUE), (2, 2));
     let reading = net.nodes.values().filter(|node| node.reads > 0).count();
     println!(
         "{:?}, {reading} of 56 hosts read",
-        net.last_at(RULES_VALUE).since(begun)
+        net.last_in_force_at(RULES_VALUE).since(begun)
     );
     assert!(reading <= 4 * 6, "{reading}");
 }
@@ -106,10 +109,10 @@
     for reader in &readers {
         net.pause(reader);
     }
-    net.rules_then(2, BOUND);
+    net.publish_rules(2, BOUND);
     let awake = net.nodes.keys().filter(|me| !readers.contains(me));
     for me in awake {
-        assert_eq!(net.force(me, RULES_VALUE), 2);
+        assert_eq!(net.in_force(me, RULES_VALUE), 2);
     }
 }
 
@@ -131,7 +134,7 @@
     assert!(reads <= 16 * most);
     net.service_up = true;
     let begun = net.now;
-    net.rules_then(2, BOUND);
-    assert_eq!(net.forces(RULES_VALUE), (2, 2));
-    println!("back: {:?}", net.last_at(RULES_VALUE).since(begun));
+    net.publish_rules(2, BOUND);
+    assert_eq!(net.in_force_range(RULES_VALUE), (2, 2));
+    println!("back: {:?}", net.last_in_force_at(RULES_VALUE).since(begun));
 }
--- a/bergamotswitch-core/tests/roster_rounds.rs
+++ b/bergamotswitch-core/tests/roster_rounds.rs
@@ -28,30 +28,30 @@
 }
 
 /// A `Crowd` is many hosts with a network that loses nothing but what is cut.
-struct Crowd {
+struct Fleet {
     rosters: BTreeMap<usize, Roster>,
     cut: Box<dyn Fn(usize, usize) -> bool>,
     /// A host whose process stands still; what comes for it waits.
-    asleep: Option<usize>,
-    waiting: Vec<RosterMessage>,
+    suspended: Option<usize>,
+    queued: Vec<RosterMessage>,
     now_ms: u64,
     messages: usize,
 }
 
-impl Crowd {
+impl Fleet {
     fn new(count: usize) -> Self {
-        let mut crowd = Crowd {
+        let mut fleet = Fleet {
             rosters: BTreeMap::new(),
             cut: Box::new(|_, _| false),
-            asleep: None,
-            waiting: Vec::new(),
+            suspended: None,
+            queued: Vec::new(),
             now_ms: 0,
             messages: 0,
         };
         for index in 0..count {
-            crowd.start(index, DAY_START);
+            fleet.start(index, DAY_START);
         }
-        crowd
+        fleet
     }
 
     fn start(&mut self, index: usize, started_at: u64) {
@@ -76,26 +76,27 @@
             self.now_ms += STEP_MS;
             let now = self.now();
             let mut sent: Vec<(usize, SocketAddr, RosterMessage)> = Vec::new();
-            let asleep = self.asleep;
+            let suspended = self.suspended;
             let awake = self.rosters.iter_mut();
-            for (index, roster) in awake.filter(|(index, _)| Some(**index) != asleep) {
+            for (index, roster) in awake.filter(|(index, _)| Some(**index) != suspended) {
                 for action in roster.tick(now) {
                     sent.push((*index, action.to, action.message));
                 }
             }
             while let Some((from, to, message)) = sent.pop() {
                 self.messages += 1;
-                let target = self.rosters.keys().copied().find(|i| address(*i) == to);
-                let Some(target) = target.filter(|target| !(self.cut)(from, *target)) else {
+                let recipient = self.rosters.keys().copied().find(|i| address(*i) == to);
+                let Some(recipient) = recipient.filter(|recipient| !(self.cut)(from, *recipient))
+                else {
                     continue;
                 };
-                if Some(target) == asleep {
-                    self.waiting.push(message);
+                if Some(recipient) == suspended {
+                    self.queued.push(message);
                     continue;
                 }
-                let roster = self.rosters.get_mut(&target).expect("listed");
+                let roster = self.rosters.get_mut(&recipient).expect("listed");
                 for action in roster.handle(now, message) {
-                    sent.push((target, action.to, action.message));
+                    sent.push((recipient, action.to, action.message));
                 }
             }
         }
@@ -103,13 +104,13 @@
 
     /// Wake the host that sleeps, and get how many it then knows: its timer
     /// fires before its socket is read.
-    fn wake(&mut self) -> usize {
+    fn resume(&mut self) -> usize {
         let now = self.now();
-        let index = self.asleep.take().expect("somebody sleeps");
+        let index = self.suspended.take().expect("a suspended host");
         let roster = self.rosters.get_mut(&index).expect("listed");
         roster.tick(now);
         let known = roster.hosts(now).hosts.len();
-        for message in self.waiting.drain(..) {
+        for message in self.queued.drain(..) {
             roster.handle(now, message);
         }
         known
@@ -126,29 +127,29 @@
 
 #[test]
 fn large_fleet() {
-    let mut crowd = Crowd::new(81);
-    crowd.run(Duration::from_millis(2_500));
-    assert!(crowd.all_know(81));
+    let mut fleet = Fleet::new(81);
+    fleet.run(Duration::from_millis(2_500));
+    assert!(fleet.all_know(81));
     // What a host sends does not grow with the fleet: two messages a round,
     // and one round in four two more.
-    crowd.messages = 0;
-    crowd.run(Duration::from_secs(10));
-    let each = crowd.messages as f64 / 81.0 / 10.0;
+    fleet.messages = 0;
+    fleet.run(Duration::from_secs(10));
+    let each = fleet.messages as f64 / 81.0 / 10.0;
     assert!(each < 9.0, "{each} messages a second");
-    assert!(crowd.all_know(81));
+    assert!(fleet.all_know(81));
 }
 
 // Symptom: callers are sent to a host that is gone. Sequence: a host dies, the
 // seeds among them. Cause: whoever was heard of once was counted on.
 #[test]
 fn dead_hosts() {
-    let mut crowd = Crowd::new(20);
-    crowd.run(Duration::from_secs(3));
+    let mut fleet = Fleet::new(20);
+    fleet.run(Duration::from_secs(3));
     for index in 0..3 {
-        crowd.rosters.remove(&index);
+        fleet.rosters.remove(&index);
     }
-    crowd.run(Duration::from_secs(5));
-    assert!(crowd.all_know(17));
+    fleet.run(Duration::from_secs(5));
+    assert!(fleet.all_know(17));
 }
 
 // Symptom: two halves of a fleet stay apart after a cut. Sequence: a cut of a
@@ -156,18 +157,18 @@
 // were told anything.
 #[test]
 fn healed_cut() {
-    let mut crowd = Crowd::new(20);
-    crowd.run(Duration::from_secs(3));
-    crowd.cut = Box::new(|from, to| from % 2 != to % 2);
-    crowd.run(Duration::from_secs(30));
+    let mut fleet = Fleet::new(20);
+    fleet.run(Duration::from_secs(3));
+    fleet.cut = Box::new(|from, to| from % 2 != to % 2);
+    fleet.run(Duration::from_secs(30));
     for index in 0..3 {
-        crowd.rosters.remove(&index);
+        fleet.rosters.remove(&index);
     }
-    crowd.run(Duration::from_secs(30));
-    assert!(crowd.all_know(8) || crowd.all_know(9) || crowd.known(3) < 17);
-    crowd.cut = Box::new(|_, _| false);
-    crowd.run(Duration::from_secs(10));
-    assert!(crowd.all_know(17));
+    fleet.run(Duration::from_secs(30));
+    assert!(fleet.all_know(8) || fleet.all_know(9) || fleet.known(3) < 17);
+    fleet.cut = Box::new(|_, _| false);
+    fleet.run(Duration::from_secs(10));
+    assert!(fleet.all_know(17));
 }
 
 // Symptom: a restarted host counts as silent although it runs. Sequence: it
@@ -175,33 +176,33 @@
 // that of its former run.
 #[test]
 fn clock_set_back() {
-    let mut crowd = Crowd::new(8);
-    crowd.run(Duration::from_secs(5));
+    let mut fleet = Fleet::new(8);
+    fleet.run(Duration::from_secs(5));
     // Its own time begins anew with the process; here all share one, so the
     // new run begins as much earlier.
-    crowd.rosters.remove(&5);
-    crowd.start(5, DAY_START - 60_000);
-    crowd.run(Duration::from_secs(3));
-    assert!(crowd.all_know(8));
+    fleet.rosters.remove(&5);
+    fleet.start(5, DAY_START - 60_000);
+    fleet.run(Duration::from_secs(3));
+    assert!(fleet.all_know(8));
 }
 
 #[test]
-fn told_at_once() {
-    let mut crowd = Crowd::new(8);
-    crowd.run(Duration::from_secs(3));
-    let now = crowd.now();
+fn leaving_sent_at_once() {
+    let mut fleet = Fleet::new(8);
+    fleet.run(Duration::from_secs(3));
+    let now = fleet.now();
     let leaving = MemberFlags {
         ready: false,
         leaving: true,
     };
-    crowd
+    fleet
         .rosters
         .get_mut(&4)
         .expect("listed")
         .set_flags(now, leaving);
-    crowd.run(Duration::from_millis(900));
-    let now = crowd.now();
-    for (index, roster) in &crowd.rosters {
+    fleet.run(Duration::from_millis(900));
+    let now = fleet.now();
+    for (index, roster) in &fleet.rosters {
         let ready = roster.ready_hosts(now);
         assert_eq!(ready.len(), 7, "host {index}");
     }
@@ -212,14 +213,14 @@
 // of one host gets no processor for 1.8 s; it takes the others for gone, until
 // their next messages. Cause: the own silence was counted as theirs.
 #[test]
-fn short_sleep() {
+fn short_suspension() {
     for count in [2, 4, 8] {
-        let mut crowd = Crowd::new(count);
-        crowd.run(Duration::from_secs(3));
-        crowd.asleep = Some(1);
-        crowd.run(Duration::from_millis(1_800));
-        assert_eq!(crowd.known(1), count, "before it wakes");
-        assert_eq!(crowd.wake(), count, "once it is awake");
+        let mut fleet = Fleet::new(count);
+        fleet.run(Duration::from_secs(3));
+        fleet.suspended = Some(1);
+        fleet.run(Duration::from_millis(1_800));
+        assert_eq!(fleet.known(1), count, "while it is suspended");
+        assert_eq!(fleet.resume(), count, "after it has resumed");
     }
 }
 
@@ -228,20 +229,20 @@
 #[test]
 fn late_rounds() {
     // Twice the silence of eight hosts, and one round.
-    const NOTICED_WITHIN: Duration = Duration::from_millis(2 * 2_300);
+    const DETECTED_WITHIN: Duration = Duration::from_millis(2 * 2_300);
     for late_ms in [700, 1_200, 3_000] {
         let late = Duration::from_millis(late_ms);
-        let mut crowd = Crowd::new(8);
-        crowd.run(Duration::from_secs(3));
-        crowd.rosters.remove(&2);
-        let rounds = NOTICED_WITHIN.as_millis().div_ceil(late.as_millis()) + 1;
+        let mut fleet = Fleet::new(8);
+        fleet.run(Duration::from_secs(3));
+        fleet.rosters.remove(&2);
+        let rounds = DETECTED_WITHIN.as_millis().div_ceil(late.as_millis()) + 1;
         for _ in 0..rounds {
-            crowd.asleep = Some(1);
-            crowd.run(late);
-            crowd.wake();
-            crowd.run(Duration::from_millis(20));
+            fleet.suspended = Some(1);
+            fleet.run(late);
+            fleet.resume();
+            fleet.run(Duration::from_millis(20));
         }
-        assert_eq!(crowd.known(1), 7, "rounds {late_ms} ms late");
+        assert_eq!(fleet.known(1), 7, "rounds {late_ms} ms late");
     }
 }
 
@@ -250,14 +251,14 @@
 // host dies. Cause: what it slept must not hide that the others go on.
 #[test]
 fn slow_host() {
-    let mut crowd = Crowd::new(8);
-    crowd.run(Duration::from_secs(3));
-    crowd.rosters.remove(&2);
+    let mut fleet = Fleet::new(8);
+    fleet.run(Duration::from_secs(3));
+    fleet.rosters.remove(&2);
     for _ in 0..10 {
-        crowd.asleep = Some(1);
-        crowd.run(Duration::from_millis(800));
-        crowd.wake();
-        crowd.run(Duration::from_millis(20));
+        fleet.suspended = Some(1);
+        fleet.run(Duration::from_millis(800));
+        fleet.resume();
+        fleet.run(Duration::from_millis(20));
     }
-    assert_eq!(crowd.known(1), 7);
+    assert_eq!(fleet.known(1), 7);
 }
