--- a/bergamotswitch-core/src/revision/mod.rs
+++ b/bergamotswitch-core/src/revision/mod.rs
@@ -67,9 +67,9 @@
 /// hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RevisionMessage {
-    /// The revisions that the sender has received (0: none), sent on connect
-    /// and periodically. A message without marks is a keepalive answer and is
-    /// not answered itself.
+    /// The revisions that the sender has received (0: none), sent on connect,
+    /// periodically, and to announce or request a change. A message without
+    /// marks is a keepalive answer and is not answered itself.
     Marks(Vec<RevisionMark>),
     /// A change from one revision to a later one, as JSON Patch (RFC 6902).
     Change {
--- a/bergamotswitch-core/src/roster/mod.rs
+++ b/bergamotswitch-core/src/roster/mod.rs
@@ -1,12 +1,13 @@
 //! Provides the roster: the hosts of the fleet as known to one host by gossip.
 //!
-//! No host list is published. A host is configured with a few seeds, which may
-//! be down, and learns of all other hosts by gossip. At a fixed interval each
-//! host sends a small datagram to a few others, with its own record and a mark,
-//! which is a version, for each other host it knows. A host that receives a
-//! mark of an unknown host requests its record. The number of messages per host
-//! does not depend on the size of the fleet, their size is bounded, no two
-//! hosts need a connection, and an update reaches all hosts in a few rounds.
+//! The roster needs no published host list. A host is configured with a few
+//! seeds, which may be down, and learns of all other hosts by gossip. At a
+//! fixed interval each host sends a small datagram to a few others, with its
+//! own record and a mark, which is a version, for each other host it knows. A
+//! host that receives a mark of an unknown host requests its record. The number
+//! of messages per host does not depend on the size of the fleet, their size is
+//! bounded, no two hosts need a connection, and an update reaches all hosts in
+//! a few rounds.
 
 mod known_member;
 mod machine;
--- a/bergamotswitch-core/tests/confirmation_age.rs
+++ b/bergamotswitch-core/tests/confirmation_age.rs
@@ -1,4 +1,4 @@
-//! Since when a host knows its routes to be the newest.
+//! Tests of the age of a host's knowledge that its routes are the newest.
 
 mod replica_net;
 
@@ -32,7 +32,7 @@
     RevisionEvent::Peer(host(1), message)
 }
 
-/// Get a book that has read revision 5 by a call sent at 100 ms.
+/// Create a replica that has read revision 5 by a call sent at 100 ms.
 fn replica_after_read() -> RevisionReplica {
     let mut replica = routes_replica();
     replica.handle(at(100), RevisionEvent::Tick);
@@ -48,28 +48,27 @@
     age.map(|age| age.as_millis())
 }
 
-// Symptom: a key works longer after its revocation than it may. Sequence: the
-// answer to a read is delayed; the key is revoked after the store answered.
-// Cause: the age was counted from the answer's arrival.
+// Guards against a revoked key that works for too long because the age of a
+// delayed read is counted from the arrival of the answer.
 #[test]
 fn slow_answer() {
     let replica = replica_after_read();
     assert_eq!(age_ms(&replica, at(1_000)), Some(900));
 }
 
-// The same by way of a peer: what counts is the time of the question, less the
-// age that the peer tells, however late the answer comes.
+// Guards against the same fault with a delayed answer of a peer: the time of
+// the query counts, less the age in the answer.
 #[test]
 fn slow_peer() {
     let mut replica = replica_after_read();
     replica.handle(at(4_000), confirmed(at(1_500), 5, 300));
     assert_eq!(age_ms(&replica, at(4_000)), Some(2_800));
-    // An older word changes nothing.
+    // An older confirmation changes nothing.
     replica.handle(at(4_100), confirmed(at(1_000), 5, 300));
     assert_eq!(age_ms(&replica, at(4_100)), Some(2_900));
 }
 
-// A peer that acts by newer routes confirms nothing of those that are here.
+// A peer with newer routes confirms nothing about those held here.
 #[test]
 fn newer_peer() {
     let mut replica = replica_after_read();
@@ -83,11 +82,8 @@
     assert_eq!(age_ms(&replica, at(5_000)), None);
 }
 
-// Symptom: a host that has just started serves calls with a key that was taken
-// away four seconds before. Sequence: the store falls silent, the key is taken
-// away, its peers rely on keys no longer; the host starts, gets the earlier
-// routes from them and asks when they were the newest. Cause: the moment that
-// they tell lies before its own start, and was taken for the start.
+// Guards against a newly started host that accepts a revoked key because a
+// confirmation from before its start is counted as one at its start.
 #[test]
 fn before_own_start() {
     let mut replica = routes_replica();
@@ -97,7 +93,8 @@
     replica.record_verdict(at(100), &name(ROUTES_VALUE), Revision(5), Ok(()));
     replica.handle(at(1_000), confirmed(at(900), 5, 3_300));
     assert_eq!(age_ms(&replica, at(1_000)), Some(3_400));
-    // A younger word counts at once, also where it is older than the process.
+    // A more recent confirmation counts at once, even if it dates from before
+    // the start of the process.
     replica.handle(at(1_200), confirmed(at(1_100), 5, 1_500));
     assert_eq!(age_ms(&replica, at(1_200)), Some(1_600));
 }
--- a/bergamotswitch-core/tests/link_reconnect.rs
+++ b/bergamotswitch-core/tests/link_reconnect.rs
@@ -1,4 +1,5 @@
-//! A link between an entry host and an owner closes, and another one opens.
+//! Tests of a link between an entry host and an owner that closes and is opened
+//! again.
 
 mod entry_support;
 mod node_bench;
@@ -8,11 +9,11 @@
 use node_bench::net::*;
 use node_bench::*;
 
-/// The requests that the pool serves at once.
+/// The number of requests that the pool serves concurrently.
 const SLOTS: usize = 4;
-/// Shorter than what makes a host suspect another one.
+/// Shorter than the suspicion timeout.
 const OUTAGE: Duration = Duration::from_millis(200);
-/// Within this time the owner knows again what its entry hosts hold.
+/// The time within which the owner knows the permits of its entry hosts again.
 const SYNC_TIME: Duration = Duration::from_millis(200);
 
 fn permits(net: &NodeNet, owner: usize) -> usize {
@@ -20,7 +21,7 @@
     node.core.view(node.now).shards[0].in_flight
 }
 
-/// Let the runs that a host began end well.
+/// Finish the attempts that a host started.
 fn finish(net: &mut NodeNet, host: usize) {
     let started = std::mem::take(&mut net.started);
     for (_, attempt) in started.into_iter().filter(|(at, _)| *at == host) {
@@ -29,11 +30,8 @@
     }
 }
 
-// Symptom: callers wait for half a minute although targets are idle, after one
-// host has slept for some seconds. Sequence: its peers close its links while it
-// sleeps; its runs end, and what it gives back goes into closed links; it links
-// again to the owner that it followed before. Cause: nobody looked at what was
-// lost with the link; the owner counted those permits until their audit.
+// Guards against permits that stay in use until the owner's audit because their
+// release was sent into a closed link.
 #[test]
 fn lost_releases() {
     let mut net = NodeNet::start();
@@ -54,9 +52,8 @@
     assert_eq!(permits(&net, owner), 0);
 }
 
-// Symptom: as above, for calls that wait: they stand still for the time after
-// which they are asked for again. Sequence: their asks are sent into a link that
-// has closed. Cause: as above.
+// Guards against queued requests that wait for their retry because they were
+// sent into a closed link.
 #[test]
 fn lost_requests() {
     let mut net = NodeNet::start();
@@ -71,9 +68,8 @@
     assert_eq!(net.started.len(), 1);
 }
 
-// Symptom: none; what runs must not be taken for lost. Sequence: the link closes
-// and opens while all runs go on. A permit freed then would be a second run on a
-// slot that is taken.
+// Guards against running requests that are taken for lost when a link is
+// reopened: a permit freed then would put a second request on an occupied slot.
 #[test]
 fn kept_permits() {
     let mut net = NodeNet::start();
--- a/bergamotswitch-core/tests/membership_faults.rs
+++ b/bergamotswitch-core/tests/membership_faults.rs
@@ -1,4 +1,5 @@
-//! Tests of membership when hosts die, pause, part and are replaced.
+//! Tests of membership when hosts fail, are suspended, are partitioned and are
+//! replaced.
 
 mod fleet;
 
@@ -22,7 +23,7 @@
     name.as_str().trim_start_matches("host-").parse().unwrap()
 }
 
-/// Check that each of the hosts takes `owner` for the owner.
+/// Check that each of the hosts sees `owner` as the acting owner.
 fn assert_viewed(fleet: &Fleet, hosts: &[HostName], owner: &HostName) {
     for name in hosts {
         assert_eq!(fleet.view(name, &shard(0)), Some(owner.clone()));
@@ -38,9 +39,8 @@
 
 #[test]
 fn owner_killed() {
-    // Symptom: asks go unanswered after an owner's death.
-    // Events: the owner dies; its successor is started under the same name.
-    // Cause: nobody takes over, or the dead run's slots are never taken back.
+    // Guards against a shard without an owner after its owner was killed, and
+    // against slots of the killed incarnation that are never reclaimed.
     let (mut fleet, order) = settled(8);
     fleet.kill(&order[0]);
     fleet.run(secs(3));
@@ -60,15 +60,14 @@
 
 #[test]
 fn owner_paused() {
-    // Symptom: asks go unanswered although no link has failed.
-    // Events: the owner of a large fleet sleeps, its links stay open; later it
-    // wakes, still first of the candidates.
-    // Cause: an open link was taken for a live owner.
+    // Guards against an open link that counts as a live owner: the owner of a
+    // large fleet is suspended while its links stay open, and resumes later as
+    // the first candidate.
     let (mut fleet, order) = settled(128);
     fleet.pause(&order[0]);
     fleet.run(secs(3));
     assert!(fleet.owners_of(&shard(0)).contains(&order[1]));
-    // Users ask at a stretched pace, 2 s here, before they suspect.
+    // Users send heartbeats every 2 s here until one is unanswered.
     fleet.run(secs(2));
     assert_viewed(&fleet, &order[1..], &order[1]);
     fleet.resume(&order[0], secs(5));
@@ -82,11 +81,9 @@
 
 #[test]
 fn second_paused() {
-    // Symptom: a host that wakes acts for shards of others, or reports all
-    // others silent.
-    // Events: the acting second candidate sleeps for a minute, the first one
-    // comes back meanwhile; the sleeper wakes with its old facts.
-    // Cause: silence during its own sleep counted as silence of the others.
+    // Guards against a host that counts its own suspension as silence of its
+    // peers: the acting second candidate is suspended while the first one
+    // returns.
     let (mut fleet, order) = settled(8);
     fleet.kill(&order[0]);
     fleet.run(secs(4));
@@ -107,8 +104,8 @@
     assert!(!fleet.nodes[&order[1]].notes.iter().any(unreachable));
 }
 
-// Guards against an owner that goes on, or ends without a word to the rest of its
-// host, after a sleep in which another one has taken over.
+// Guards against an owner that keeps acting, or ceases without an action, after
+// a suspension during which another host took over.
 #[test]
 fn resumed_owner_ceases() {
     let (mut fleet, order) = settled(8);
@@ -122,7 +119,8 @@
     assert_eq!(fleet.nodes[&order[1]].act_changes, changes + 1);
 }
 
-// Guards against a shard without an owner after a sleep that nobody noticed.
+// Guards against a shard without an owner after a suspension too short to be
+// detected.
 #[test]
 fn short_suspension() {
     let (mut fleet, order) = settled(8);
@@ -141,9 +139,8 @@
 
 #[test]
 fn suspension_without_event() {
-    // Symptom: after a pause every peer is reported silent.
-    // Events: the process sleeps; the first event after it is a plain tick.
-    // Cause: only an explicit wake-up event led to distrust.
+    // Guards against peers reported as unreachable after a suspension that is
+    // not announced by an event.
     let (mut fleet, order) = settled(8);
     fleet.pause(&order[2]);
     fleet.run(secs(30));
@@ -157,10 +154,8 @@
 
 #[test]
 fn one_way_cut() {
-    // Symptom: two hosts disagree on whether they reach each other.
-    // Events: the path from the first to the second candidate fails, the
-    // other direction works.
-    // Cause: a host that hears the other took the path for whole.
+    // Guards against a path that counts as working at one end although one
+    // direction has failed.
     let (mut fleet, order) = settled(8);
     fleet.cut(&order[0], &order[1]);
     fleet.run(secs(4));
@@ -170,7 +165,7 @@
     };
     assert_eq!(reachable(&fleet, &order[0], &order[1]), Some(false));
     assert_eq!(reachable(&fleet, &order[1], &order[0]), Some(false));
-    // Hosts that reach the first candidate stay with it.
+    // Hosts that reach the first candidate keep it as owner.
     assert_eq!(fleet.view(&order[4], &shard(0)), Some(order[0].clone()));
     fleet.cuts.clear();
     fleet.run(secs(8));
@@ -180,9 +175,8 @@
 
 #[test]
 fn flapping_link() {
-    // Symptom: the owner changes every few seconds.
-    // Events: the path between the first two candidates comes and goes.
-    // Cause: taking over and giving back used the same time bound.
+    // Guards against an owner that changes with every flap of the link between
+    // the first two candidates.
     let (mut fleet, order) = settled(8);
     let before = fleet.nodes[&order[1]].act_changes;
     for _ in 0..20 {
@@ -200,9 +194,8 @@
 
 #[test]
 fn partition_healed() {
-    // Symptom: two owners remain after a partition, or one side has none.
-    // Events: the first candidate is cut off with some users, then the cut heals.
-    // Cause: a candidate goes on though it reaches an earlier one again.
+    // Guards against a second owner, or none, after a partition that cuts off
+    // the first candidate with some users has healed.
     let (mut fleet, order) = settled(8);
     let small = [order[0].clone(), order[5].clone(), order[6].clone()];
     fleet.part(|name| small.contains(name));
@@ -216,19 +209,18 @@
     assert_eq!(fleet.owners_of(&shard(0)), vec![order[0].clone()]);
     for name in &order {
         assert_eq!(fleet.view(name, &shard(0)), Some(order[0].clone()));
-        // A parted host still runs its work.
+        // A host behind a partition still runs its requests.
         assert!(fleet.nodes[name].gone.is_empty());
     }
 }
 
 #[test]
 fn planned_stop() {
-    // Symptom: asks go unanswered while an owner stops.
-    // Events: the owner is told to stop and ends a little later.
-    // Cause: it ceased to act before the next candidate knew.
+    // Guards against a stopping owner that ceases to act before the next
+    // candidate has taken over.
     let (mut fleet, order) = settled(8);
     fleet.tell(&order[0], MembershipEvent::Stop);
-    // Inside the handover both act, and users find the next one.
+    // During the handover both act, and users switch to the next candidate.
     fleet.run(Duration::from_millis(500));
     assert_both_own(&fleet, &order);
     assert_viewed(&fleet, &order, &order[1]);
@@ -238,9 +230,8 @@
 
 #[test]
 fn delisted_host_terminated() {
-    // Symptom: slots of a host that was taken out are never freed.
-    // Events: the host leaves the list, works on for a while, then dies.
-    // Cause: only a successor under the same name ended a run.
+    // Guards against slots that are never reclaimed from a host that was
+    // removed from the host list and terminated later.
     let (mut fleet, order) = settled(8);
     let leaving = order[7].clone();
     let mut shorter = list(0..8);
@@ -261,9 +252,8 @@
 
 #[test]
 fn late_old_incarnation() {
-    // Symptom: a live host counts as gone.
-    // Events: a run pauses, is replaced, wakes up and links again.
-    // Cause: any other run was taken for a newer one.
+    // Guards against a live host reported as terminated because an earlier
+    // incarnation resumes after a pause and connects again.
     let (mut fleet, order) = settled(8);
     let old = fleet.nodes[&order[0]].run.clone();
     let mut new = old.clone();
@@ -275,10 +265,8 @@
 
 #[test]
 fn all_replaced() {
-    // Symptom: a shard without an owner during a rolling replacement.
-    // Events: each host in turn is replaced by one of a new name; the list
-    // follows a second later.
-    // Cause: candidacy depended on hosts that no longer exist.
+    // Guards against a shard without an owner during a rolling replacement in
+    // which the host list is updated late.
     let (mut fleet, _) = settled(8);
     let mut names: Vec<usize> = (0..8).collect();
     for (place, fresh) in (100..108).enumerate() {
@@ -302,11 +290,8 @@
 
 #[test]
 fn quick_restart() {
-    // Symptom: a crew alert goes out twice although its host is well.
-    // Events: the shard's owner restarts faster than anyone suspects it; the
-    // alert comes again, unmarked, to another host.
-    // Cause: the owner's name is the same, so its users were told of no owner,
-    // and never told the new run which work and keys they hold.
+    // Guards against users that do not register their requests and keys with
+    // the new incarnation of an owner that restarts before anyone suspects it.
     let (mut fleet, order) = settled(4);
     let changes = |fleet: &Fleet| -> Vec<usize> {
         let users = order[1..].iter();
@@ -322,18 +307,16 @@
     assert_eq!(fleet.view(&order[1], &shard(0)), Some(order[0].clone()));
 }
 
-// Symptom: a call with one key runs twice, under two hosts that both order its
-// shard, for four seconds.
-// Events: the owner dies. One candidate notices some hundred milliseconds before
-// the next in line, asks it, and is told that it does not act.
-// Cause: whoever was told so acted itself, beside the next in line.
+// Guards against two owners that run a request with the same key: after the
+// owner's failure, a candidate that contacts the next one too early and gets a
+// denial must not act itself.
 #[test]
 fn early_detection() {
     let (mut fleet, order) = settled(3);
     let [owner, next, last] = order.as_slice() else {
         panic!("three hosts");
     };
-    // What the last one asks in this time, the next one turns down.
+    // What the last candidate sends in this time is denied by the next one.
     fleet.cut(last, owner);
     let mut asked = 0;
     for step in 0..100 {
--- a/bergamotswitch-core/tests/replica_net/mod.rs
+++ b/bergamotswitch-core/tests/replica_net/mod.rs
@@ -1,5 +1,5 @@
-//! A small network of revision books and a configuration service in virtual
-//! time.
+//! Provides a simulated network of revision replicas and a configuration
+//! service in virtual time.
 #![allow(dead_code)] // Each test file uses a part of it.
 
 pub use std::collections::{BTreeMap, BTreeSet};
@@ -60,7 +60,7 @@
     serde_json::to_string(&list).unwrap()
 }
 
-/// Rules of some size, of which each revision changes one.
+/// Get a rules value with many rules, of which each revision changes one.
 pub fn rules_body(revision: u64, rules: u64) -> String {
     let rules: Vec<_> = (0..rules)
         .map(|i| {
@@ -124,14 +124,14 @@
         net
     }
 
-    /// Start hosts and let them settle.
+    /// Start hosts and run until they are caught up.
     pub fn settled(count: usize, domains: usize) -> Self {
         let mut net = Net::start(count, domains);
         net.run(secs(20));
         net
     }
 
-    /// Publish rules, then let the hosts run on.
+    /// Publish rules, then run the network for `span`.
     pub fn publish_rules(&mut self, revision: u64, span: Duration) {
         self.publish(RULES_VALUE, revision, rules_body(revision, 200));
         self.run(span);
@@ -167,7 +167,7 @@
     }
 
     fn wake_watches(&mut self) {
-        // Each waiting watch looks again.
+        // Check each waiting watch against the new value.
         let waits = |packet: &Packet| matches!(packet, Packet::Answer(_, _, _, Some(_), _));
         let waiting = self.packets.iter().filter(|(_, packet)| waits(packet));
         let waiting: Vec<_> = waiting.map(|(key, _)| *key).collect();
@@ -248,7 +248,7 @@
         self.service_up && !self.no_service.contains(me)
     }
 
-    /// The host's check: a value marked bad is refused.
+    /// Validate a value; one marked bad is refused.
     fn validate(&mut self, me: &HostName, value: PublishedValue) {
         let node = self.nodes.get_mut(me).unwrap();
         node.validations.push((value.name.clone(), value.revision));
@@ -389,7 +389,7 @@
         held.map_or(0, |held| held.0.0)
     }
 
-    /// Get the least and highest revision in force over all hosts.
+    /// Get the lowest and the highest revision in force over all hosts.
     pub fn in_force_range(&self, value: &str) -> (u64, u64) {
         let all: Vec<_> = self
             .nodes
@@ -399,7 +399,7 @@
         (*all.iter().min().unwrap(), *all.iter().max().unwrap())
     }
 
-    /// Get when the value last came into force somewhere.
+    /// Get when a revision of the value last came into force on any host.
     pub fn last_in_force_at(&self, value: &str) -> Moment {
         let held = |node: &Node| node.in_force[&name(value)].1;
         self.nodes.values().map(held).max().unwrap()
--- a/bergamotswitch-core/tests/revision_adoption.rs
+++ b/bergamotswitch-core/tests/revision_adoption.rs
@@ -1,4 +1,5 @@
-//! Tests of adoption: it never goes back, and bad revisions change nothing.
+//! Tests of adoption: revisions never decrease, and invalid revisions change
+//! nothing.
 
 mod replica_net;
 
@@ -7,15 +8,14 @@
 
 #[test]
 fn service_down() {
-    // Symptom: hosts that start during an outage have no rules.
-    // Events: the service goes down; a host is replaced.
-    // Cause: a starting host knew only the service.
+    // Guards against a host that starts without rules during an outage of the
+    // service.
     let mut net = Net::settled(8, 2);
     let hosts = hosts_body(0..9, 2);
     net.publish(HOSTS_VALUE, 2, hosts);
     net.run(secs(5));
     net.publish_rules(5, secs(2));
-    // The host list is a service of its own and stays up.
+    // The host list comes from a service of its own, which stays up.
     let rules = net.service.remove(&name(RULES_VALUE)).unwrap();
     net.add(8);
     net.run(secs(5));
@@ -26,9 +26,8 @@
 
 #[test]
 fn started_alone() {
-    // Symptom: nobody can tell that a lone host may have stale rules.
-    // Events: one host starts, none of its peers answers.
-    // Cause: the service's word counted as much as a peer's.
+    // Guards against a host without peers that reports its revisions as
+    // confirmed by a peer.
     let mut net = Net::start(1, 1);
     net.run(Duration::from_secs(1));
     assert!(!net.nodes[&host(0)].replica.is_caught_up(net.now));
@@ -41,10 +40,8 @@
 
 #[test]
 fn service_stale() {
-    // Symptom: withdrawn rules are in force again.
-    // Events: the service falls back to an old revision, for long, while
-    // hosts sleep and wake.
-    // Cause: the service's answer replaced what the host had.
+    // Guards against withdrawn rules in force again after the service returns
+    // to an old revision, also on hosts that were suspended.
     let mut net = Net::settled(8, 2);
     net.publish_rules(7, secs(5));
     net.publish_rules(3, secs(120));
@@ -61,9 +58,8 @@
 
 #[test]
 fn service_flaps() {
-    // Symptom: rules change to and fro.
-    // Events: two replicas, one behind, answer in turn.
-    // Cause: the last answer won.
+    // Guards against rules that alternate between two revisions while a current
+    // and a stale replica of the service answer in turn.
     let mut net = Net::settled(8, 2);
     net.publish_rules(9, secs(5));
     net.reset_counts();
@@ -78,9 +74,8 @@
 
 #[test]
 fn partition_healed() {
-    // Symptom: one half of the fleet keeps old rules.
-    // Events: a partition; only one side reaches the service; it heals.
-    // Cause: what was sent into the cut counted as received.
+    // Guards against old rules in one half of the fleet after a partition,
+    // because changes sent during the partition counted as received.
     let turns = (0..6).map(|turn| (32, turn));
     for (hosts, turn) in [(8, 0), (128, 0)].into_iter().chain(turns) {
         let mut net = Net::settled(hosts, 4);
@@ -90,8 +85,8 @@
         }
         net.publish_rules(2, secs(9));
         assert_eq!(net.in_force_range(RULES_VALUE), (1, 2));
-        // Heal between two keepalives, not just before one, and at each turn
-        // of the values that they name.
+        // Heal between two keepalives rather than just before one, and at each
+        // position of the rotation of marks in the polls.
         net.run(Duration::from_millis(60_900 + 2000 * turn));
         net.publish_rules(3, secs(9));
         assert_eq!(net.in_force_range(RULES_VALUE), (1, 3));
@@ -106,9 +101,8 @@
 
 #[test]
 fn all_replaced() {
-    // Symptom: after a rolling replacement the fleet has old rules.
-    // Events: the service is stale; each host in turn is replaced.
-    // Cause: the newest revision lived only in hosts that are gone.
+    // Guards against old rules after a rolling replacement of all hosts while
+    // the service is stale.
     let mut net = Net::settled(8, 2);
     net.publish_rules(6, secs(5));
     net.publish(RULES_VALUE, 2, rules_body(2, 200));
@@ -125,7 +119,7 @@
         assert_eq!(net.in_force_range(RULES_VALUE), (6, 6));
         assert_eq!(net.in_force_range(HOSTS_VALUE).0, place as u64 + 2);
     }
-    // No fresh host ever held the stale revision in force.
+    // No new host ever had the stale revision in force.
     for node in net.nodes.values() {
         let validations = node.validations.iter();
         let rules = validations.filter(|validation| validation.0 == name(RULES_VALUE));
@@ -136,10 +130,8 @@
 
 #[test]
 fn bad_revision() {
-    // Symptom: a faulty publication is in force on some hosts.
-    // Events: a faulty revision, then a good one.
-    // Cause: hosts that only hear it from peers did not check it, or hosts
-    // that refused it did not pass it on.
+    // Guards against an invalid revision in force on hosts that receive it from
+    // peers, and against hosts that do not forward a revision they refused.
     let mut net = Net::settled(16, 2);
     let bad = rules_body(2, 200).replace("\"bad\":false", "\"bad\":true");
     net.publish(RULES_VALUE, 2, bad);
@@ -165,9 +157,8 @@
 
 #[test]
 fn large_value_once() {
-    // Symptom: a megabyte travels to each host several times.
-    // Events: a large value is rewritten whole, so no change is smaller.
-    // Cause: each relay sent it unasked.
+    // Guards against a large value sent to each host several times when it is
+    // rewritten completely.
     let mut net = Net::settled(16, 2);
     net.reset_counts();
     let texts: Vec<String> = (0..20_000).map(|i| format!("entry {i}")).collect();
@@ -178,7 +169,8 @@
     assert_eq!(net.in_force_range("pools"), (2, 2));
     let bytes: usize = net.nodes.values().map(|node| node.bytes).sum();
     println!("{:.2} copies a host", bytes as f64 / len as f64 / 16.0);
-    // Quotes are escaped in the message, so a copy counts a little more.
+    // Quotes are escaped in the message, so a copy counts as slightly more
+    // bytes.
     assert!(bytes < len * 16 * 3 / 2);
 }
 
@@ -214,9 +206,8 @@
 
 #[test]
 fn gap_and_mismatch() {
-    // Symptom: two hosts have different texts under one revision.
-    // Events: a change comes whose base is missing, or differs here.
-    // Cause: a patch was applied to whatever was there.
+    // Guards against different texts under one revision when the base of a
+    // patch is missing or differs.
     for (held, from) in [(1, 2), (2, 2)] {
         let mut replica = single_replica();
         let now = Moment::from_millis(10);
@@ -264,7 +255,8 @@
                 let RevisionAction::Validate(value) = action else {
                     continue;
                 };
-                // Each revision is offered once, each higher than the last.
+                // Each revision is validated once, and each is higher than the
+                // previous one.
                 assert!(value.revision.0 > highest);
                 highest = value.revision.0;
                 let mut findings = bergamotswitch_core::error::Findings::new();
@@ -284,8 +276,8 @@
     });
 }
 
-/// Take two revisions at a book, and get what it sends a peer that has the
-/// first.
+/// Feed two revisions to a replica, and get the message that it sends to a peer
+/// that has the first.
 fn change_between(value: &str, before: &str, after: &str) -> RevisionMessage {
     let mut replica = single_replica();
     let now = Moment::from_millis(10);
@@ -297,7 +289,7 @@
         );
     }
     let mark = mark(value, 1);
-    // The peer came back without what it had sent before.
+    // The peer reconnected and no longer has what it sent before.
     replica.handle(now, RevisionEvent::PeerUp(host(1)));
     let marks = RevisionMessage::Marks(vec![mark]);
     let actions = replica.handle(now, RevisionEvent::Peer(host(1), marks));
@@ -311,9 +303,8 @@
 
 #[test]
 fn host_list_change() {
-    // Symptom: each replaced host sends the whole host list round the fleet.
-    // Events: a host in the middle of a list of 380 goes, another one comes.
-    // Cause: arrays compared place by place differ in every later entry.
+    // Guards against a complete host list sent for each replaced host: removing
+    // an entry from the middle must not change all later ones in the patch.
     let before = hosts_body(0..380, 8);
     let after = hosts_body((0..380).filter(|index| *index != 100).chain([400]), 8);
     let message = change_between(HOSTS_VALUE, &before, &after);
@@ -350,10 +341,8 @@
 
 #[test]
 fn call_order_after_outage() {
-    // Symptom: rules come into force half a minute after the service is back.
-    // Sequence: all reads fail for a while and use the budget up; the service
-    // comes back. Cause: the reads took their turns in the order of the names,
-    // and those of the first names were due again before the last one's turn.
+    // Guards against rules that take effect long after an outage because the
+    // values called first are due again before the last one's turn.
     for outage in 20..80 {
         let mut replica = single_replica();
         let back = Moment::START.plus(secs(outage));
@@ -370,7 +359,8 @@
                     RevisionAction::Read(value) | RevisionAction::Watch(value, _) if now < back => {
                         RevisionEvent::ReadFailed(value)
                     }
-                    // The first answer brings news, later watches wait.
+                    // The first answer brings a new revision; later watches
+                    // wait.
                     RevisionAction::Read(value) | RevisionAction::Watch(value, _) => {
                         if answered.contains_key(&value) {
                             continue;
--- a/bergamotswitch-core/tests/revision_readers.rs
+++ b/bergamotswitch-core/tests/revision_readers.rs
@@ -1,4 +1,5 @@
-//! Tests of who reads the service, what a change costs, and how long it takes.
+//! Tests of which hosts read the service, and of the cost and delay of a
+//! change.
 
 mod replica_net;
 
@@ -34,7 +35,7 @@
         let took = net.last_in_force_at(RULES_VALUE).since(begun);
         assert_eq!(net.in_force_range(RULES_VALUE), (2, 2));
         let (_, messages, bytes, most) = sums(&net);
-        // What goes on anyway in those nine seconds is no cost of the change.
+        // Subtract the idle traffic of those nine seconds.
         let messages = messages.saturating_sub(idle_messages * 9 / 60);
         let bytes = bytes.saturating_sub(idle_bytes * 9 / 60);
         let most = most.saturating_sub(idle_most * 9 / 60);
@@ -48,7 +49,7 @@
             bytes as f64 / hosts as f64,
         );
         assert!(took < secs(1));
-        // Six values, a watch each half minute, two readers a domain.
+        // Six values, a watch every half minute, two readers per domain.
         assert!(reads <= 2 * domains * 6 * 2 + domains, "{reads}");
         assert!(idle_most / 60 < 1500, "{idle_most}");
         assert!(most < 16_000, "{most}");
@@ -60,9 +61,8 @@
 
 #[test]
 fn one_reader_left() {
-    // Symptom: a change reaches one failure domain only.
-    // Events: the service is cut off from all hosts but one reader.
-    // Cause: readers count on the service and never hear each other.
+    // Guards against a change that reaches only one failure domain when a
+    // single reader can reach the service.
     for hosts in [8, 32, 128] {
         let mut net = Net::settled(hosts, 3);
         let last = net.readers()[0].clone();
@@ -80,9 +80,8 @@
 
 #[test]
 fn readers_dead() {
-    // Symptom: a failure domain stays behind.
-    // Events: both readers of each domain die; the host list still has them.
-    // Cause: the others wait for relays that will never answer.
+    // Guards against a failure domain that keeps an old revision when both of
+    // its readers have failed but are still in the host list.
     let mut net = Net::settled(64, 4);
     for reader in net.readers() {
         net.kill(&reader);
@@ -101,9 +100,8 @@
 
 #[test]
 fn readers_silent() {
-    // Symptom: a change never arrives though no link has failed.
-    // Events: the readers of all domains are paused, their links stay open.
-    // Cause: an open link was taken for a live reader.
+    // Guards against an open link that counts as a live reader when all readers
+    // are suspended.
     let mut net = Net::settled(32, 2);
     let readers = net.readers();
     for reader in &readers {
@@ -118,9 +116,8 @@
 
 #[test]
 fn outage_load() {
-    // Symptom: a service that comes back falls over at once.
-    // Events: it is down for ten minutes and comes back.
-    // Cause: all hosts ask it at the same moments, without a budget.
+    // Guards against overload of a recovering service when all hosts read it at
+    // the same moments.
     let mut net = Net::settled(128, 8);
     net.service_up = false;
     net.run(secs(540));
@@ -129,7 +126,8 @@
     let reads: usize = net.nodes.values().map(|node| node.reads).sum();
     let most = net.nodes.values().map(|node| node.reads).max().unwrap();
     println!("down: {reads} reads a minute, most of one host {most}");
-    // One read a second and a burst of twelve; backoff alone gives more.
+    // One read per second and a burst of twelve; the backoff alone would allow
+    // more.
     assert!(most <= 60 + 12);
     assert!(reads <= 16 * most);
     net.service_up = true;
--- a/bergamotswitch-core/tests/roster_rounds.rs
+++ b/bergamotswitch-core/tests/roster_rounds.rs
@@ -1,4 +1,4 @@
-//! Hosts find each other by their rosters, in virtual time.
+//! Tests of host discovery by rosters, in virtual time.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -27,11 +27,11 @@
     }
 }
 
-/// A `Crowd` is many hosts with a network that loses nothing but what is cut.
+/// A `Fleet` is a set of hosts with a network that loses only what is cut.
 struct Fleet {
     rosters: BTreeMap<usize, Roster>,
     cut: Box<dyn Fn(usize, usize) -> bool>,
-    /// A host whose process stands still; what comes for it waits.
+    /// The host whose process is suspended; messages to it are queued.
     suspended: Option<usize>,
     queued: Vec<RosterMessage>,
     now_ms: u64,
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Wake the host that sleeps, and get how many it then knows: its timer
-    /// fires before its socket is read.
+    /// Resume the suspended host, and get how many hosts it knows before it
+    /// reads its socket: its timer fires first.
     fn resume(&mut self) -> usize {
         let now = self.now();
         let index = self.suspended.take().expect("a suspended host");
@@ -130,8 +130,8 @@
     let mut fleet = Fleet::new(81);
     fleet.run(Duration::from_millis(2_500));
     assert!(fleet.all_know(81));
-    // What a host sends does not grow with the fleet: two messages a round,
-    // and one round in four two more.
+    // The number of messages per host is independent of the fleet size: two per
+    // round, and two more in every fourth round.
     fleet.messages = 0;
     fleet.run(Duration::from_secs(10));
     let each = fleet.messages as f64 / 81.0 / 10.0;
@@ -139,8 +139,7 @@
     assert!(fleet.all_know(81));
 }
 
-// Symptom: callers are sent to a host that is gone. Sequence: a host dies, the
-// seeds among them. Cause: whoever was heard of once was counted on.
+// Guards against failed hosts, seeds among them, that still count as live.
 #[test]
 fn dead_hosts() {
     let mut fleet = Fleet::new(20);
@@ -152,9 +151,8 @@
     assert!(fleet.all_know(17));
 }
 
-// Symptom: two halves of a fleet stay apart after a cut. Sequence: a cut of a
-// minute; all seeds die meanwhile. Cause: only hosts that were heard lately
-// were told anything.
+// Guards against two halves of a fleet that stay apart after a partition during
+// which all seeds failed.
 #[test]
 fn healed_cut() {
     let mut fleet = Fleet::new(20);
@@ -171,15 +169,15 @@
     assert!(fleet.all_know(17));
 }
 
-// Symptom: a restarted host counts as silent although it runs. Sequence: it
-// restarts with its time of day set back. Cause: its news looked older than
-// that of its former run.
+// Guards against a restarted host that counts as silent because its clock was
+// set back.
 #[test]
 fn clock_set_back() {
     let mut fleet = Fleet::new(8);
     fleet.run(Duration::from_secs(5));
-    // Its own time begins anew with the process; here all share one, so the
-    // new run begins as much earlier.
+    // Its own time would start at zero with the new process. All hosts share
+    // one time here, so the start of the new incarnation is shifted back by the
+    // same amount.
     fleet.rosters.remove(&5);
     fleet.start(5, DAY_START - 60_000);
     fleet.run(Duration::from_secs(3));
@@ -208,10 +206,8 @@
     }
 }
 
-// Symptom: a host that stood still for a moment orders for itself beside the
-// owner, and calls within their quota are refused there. Sequence: the process
-// of one host gets no processor for 1.8 s; it takes the others for gone, until
-// their next messages. Cause: the own silence was counted as theirs.
+// Guards against a briefly suspended host that counts its own suspension as
+// silence of the others and considers itself alone.
 #[test]
 fn short_suspension() {
     for count in [2, 4, 8] {
@@ -224,11 +220,11 @@
     }
 }
 
-// Guards against a host that goes on to count on a dead one for as long as its own
+// Guards against a host that keeps counting on a failed one as long as its own
 // rounds are late.
 #[test]
 fn late_rounds() {
-    // Twice the silence of eight hosts, and one round.
+    // Twice the silence timeout for eight hosts, and one round.
     const DETECTED_WITHIN: Duration = Duration::from_millis(2 * 2_300);
     for late_ms in [700, 1_200, 3_000] {
         let late = Duration::from_millis(late_ms);
@@ -246,9 +242,8 @@
     }
 }
 
-// Symptom: callers are sent to a host that is gone by one that gets too little
-// of a processor. Sequence: each of its rounds comes half a second late; another
-// host dies. Cause: what it slept must not hide that the others go on.
+// Guards against a host with too little CPU time that never detects failures
+// because it discounts every late round.
 #[test]
 fn slow_host() {
     let mut fleet = Fleet::new(8);
