--- a/bergamotswitch/tests/soak.rs
+++ b/bergamotswitch/tests/soak.rs
@@ -74,7 +74,7 @@
 
 // Seeds that failed once, each with its cause. With five hosts:
 // 1: a host that was killed while the store was silent and a key was taken away
-//    took its peers' old word of the routes for a young one (`confirmation_age`).
+//    took its peers' old word of the routes for a young one (`key_trust`).
 #[test]
 fn kept_seeds() {
     assert_eq!(failed_seeds(1..2, HOSTS_BY_HAND, 1), Vec::<u64>::new());
