--- a/bergamotswitch-core/src/membership/machine.rs
+++ b/bergamotswitch-core/src/membership/machine.rs
@@ -288,8 +288,8 @@
 
     fn handle_denial(&mut self, now: Moment, host: HostName, shard: PoolShard) {
         let mut denials = self.denials.iter();
-        let place = denials.position(|denial| denial.matches(&host, &shard));
-        let earlier = place.map(|place| self.denials.swap_remove(place));
+        let index = denials.position(|denial| denial.matches(&host, &shard));
+        let earlier = index.map(|index| self.denials.swap_remove(index));
         let denial = Denial::new(now, host, shard, earlier.as_ref(), &self.opts);
         self.denials.push(denial);
     }
--- a/bergamotswitch-core/src/revision/peer.rs
+++ b/bergamotswitch-core/src/revision/peer.rs
@@ -29,8 +29,8 @@
     pub(super) poll_at: Moment,
     /// Whether the peer was sent the marks of all values.
     pub(super) sent_all: bool,
-    /// The index of the value named in the next poll.
-    pub(super) next_mark: usize,
+    /// The index of the value named in the last poll.
+    pub(super) polled_index: usize,
 }
 
 impl ReplicaPeer {
@@ -42,7 +42,7 @@
             subscribed_until: Moment::START,
             poll_at: now,
             sent_all: false,
-            next_mark: 0,
+            polled_index: 0,
         }
     }
 
--- a/bergamotswitch-core/src/revision/propagation.rs
+++ b/bergamotswitch-core/src/revision/propagation.rs
@@ -311,8 +311,8 @@
             let polled = match peer.is_heard(now, self.opts.silent_after) {
                 false => marks.clone(),
                 true => {
-                    peer.next_mark = (peer.next_mark + 1) % marks.len().max(1);
-                    marks.get(peer.next_mark).cloned().into_iter().collect()
+                    peer.polled_index = (peer.polled_index + 1) % marks.len().max(1);
+                    marks.get(peer.polled_index).cloned().into_iter().collect()
                 }
             };
             let message = RevisionMessage::Marks(polled);
@@ -384,13 +384,13 @@
 
     /// Get when the next message to a peer is due.
     pub(super) fn next_send(&self) -> Moment {
-        let asks = self
+        let polls = self
             .links
             .keys()
             .filter_map(|host| self.peers.get(host))
             .map(|peer| peer.poll_at);
         let catch_ups = self.catch_ups.values().map(|plan| plan.at);
-        let next = asks.chain(catch_ups).min().unwrap_or(Moment::NEVER);
+        let next = polls.chain(catch_ups).min().unwrap_or(Moment::NEVER);
         next.min(self.announce_at)
     }
 }
--- a/bergamotswitch-core/src/revision/replica.rs
+++ b/bergamotswitch-core/src/revision/replica.rs
@@ -165,11 +165,11 @@
             Err(_) => Incident::RevisionRefused,
         };
         let mut actions = Vec::new();
-        let settled = match self.values.get_mut(name) {
+        let recorded = match self.values.get_mut(name) {
             Some(replica) => replica.record_verdict(revision, verdict),
             None => false,
         };
-        if settled {
+        if recorded {
             actions.push(RevisionAction::Log(incident, name.clone()));
         }
         self.reconcile(now, &mut actions);
@@ -295,8 +295,8 @@
         self.log_alone(now, actions);
         self.call_service(now, actions);
         // The first message of a peer may contain the mark of only one value.
-        let settled = self.peer_confirmed && now >= self.startup_deadline;
-        self.was_caught_up |= settled && self.catch_ups.is_empty();
+        let startup_done = self.peer_confirmed && now >= self.startup_deadline;
+        self.was_caught_up |= startup_done && self.catch_ups.is_empty();
         self.wake_at = self.find_wake(now);
     }
 
--- a/bergamotswitch-core/tests/membership_faults.rs
+++ b/bergamotswitch-core/tests/membership_faults.rs
@@ -12,7 +12,7 @@
     rendezvous::rank(&shard(0), names.iter())
 }
 
-fn settled(count: usize) -> (Fleet, Vec<HostName>) {
+fn converged(count: usize) -> (Fleet, Vec<HostName>) {
     let mut fleet = Fleet::start(count, &[shard(0)]);
     fleet.tell_all(MembershipEvent::Using(shard(0), true));
     fleet.run(secs(10));
@@ -41,7 +41,7 @@
 fn owner_killed() {
     // Guards against a shard without an owner after its owner was killed, and
     // against slots of the killed incarnation that are never reclaimed.
-    let (mut fleet, order) = settled(8);
+    let (mut fleet, order) = converged(8);
     fleet.kill(&order[0]);
     fleet.run(secs(3));
     assert_eq!(fleet.owners_of(&shard(0)), vec![order[1].clone()]);
@@ -63,7 +63,7 @@
     // Guards against an open link that counts as a live owner: the owner of a
     // large fleet is suspended while its links stay open, and resumes later as
     // the first candidate.
-    let (mut fleet, order) = settled(128);
+    let (mut fleet, order) = converged(128);
     fleet.pause(&order[0]);
     fleet.run(secs(3));
     assert!(fleet.owners_of(&shard(0)).contains(&order[1]));
@@ -84,7 +84,7 @@
     // Guards against a host that counts its own suspension as silence of its
     // peers: the acting second candidate is suspended while the first one
     // returns.
-    let (mut fleet, order) = settled(8);
+    let (mut fleet, order) = converged(8);
     fleet.kill(&order[0]);
     fleet.run(secs(4));
     assert_eq!(fleet.owners_of(&shard(0)), vec![order[1].clone()]);
@@ -108,7 +108,7 @@
 // a suspension during which another host took over.
 #[test]
 fn resumed_owner_ceases() {
-    let (mut fleet, order) = settled(8);
+    let (mut fleet, order) = converged(8);
     fleet.kill(&order[0]);
     fleet.run(secs(4));
     fleet.pause(&order[1]);
@@ -123,7 +123,7 @@
 // detected.
 #[test]
 fn short_suspension() {
-    let (mut fleet, order) = settled(8);
+    let (mut fleet, order) = converged(8);
     fleet.kill(&order[0]);
     fleet.run(secs(4));
     let changes = fleet.nodes[&order[1]].act_changes;
@@ -141,7 +141,7 @@
 fn suspension_without_event() {
     // Guards against peers reported as unreachable after a suspension that is
     // not announced by an event.
-    let (mut fleet, order) = settled(8);
+    let (mut fleet, order) = converged(8);
     fleet.pause(&order[2]);
     fleet.run(secs(30));
     fleet.nodes.get_mut(&order[2]).unwrap().notes.clear();
@@ -156,7 +156,7 @@
 fn one_way_cut() {
     // Guards against a path that counts as working at one end although one
     // direction has failed.
-    let (mut fleet, order) = settled(8);
+    let (mut fleet, order) = converged(8);
     fleet.cut(&order[0], &order[1]);
     fleet.run(secs(4));
     let reachable = |fleet: &Fleet, at: &HostName, peer: &HostName| {
@@ -177,7 +177,7 @@
 fn flapping_link() {
     // Guards against an owner that changes with every flap of the link between
     // the first two candidates.
-    let (mut fleet, order) = settled(8);
+    let (mut fleet, order) = converged(8);
     let before = fleet.nodes[&order[1]].act_changes;
     for _ in 0..20 {
         fleet.cut(&order[0], &order[1]);
@@ -196,7 +196,7 @@
 fn partition_healed() {
     // Guards against a second owner, or none, after a partition that cuts off
     // the first candidate with some users has healed.
-    let (mut fleet, order) = settled(8);
+    let (mut fleet, order) = converged(8);
     let small = [order[0].clone(), order[5].clone(), order[6].clone()];
     fleet.part(|name| small.contains(name));
     fleet.run(secs(6));
@@ -218,7 +218,7 @@
 fn planned_stop() {
     // Guards against a stopping owner that ceases to act before the next
     // candidate has taken over.
-    let (mut fleet, order) = settled(8);
+    let (mut fleet, order) = converged(8);
     fleet.tell(&order[0], MembershipEvent::Stop);
     // During the handover both act, and users switch to the next candidate.
     fleet.run(Duration::from_millis(500));
@@ -232,7 +232,7 @@
 fn delisted_host_terminated() {
     // Guards against slots that are never reclaimed from a host that was
     // removed from the host list and terminated later.
-    let (mut fleet, order) = settled(8);
+    let (mut fleet, order) = converged(8);
     let leaving = order[7].clone();
     let mut shorter = list(0..8);
     for host in &mut shorter.hosts {
@@ -254,7 +254,7 @@
 fn late_old_incarnation() {
     // Guards against a live host reported as terminated because an earlier
     // incarnation resumes after a pause and connects again.
-    let (mut fleet, order) = settled(8);
+    let (mut fleet, order) = converged(8);
     let old = fleet.nodes[&order[0]].run.clone();
     let mut new = old.clone();
     new.incarnation = Incarnation(77);
@@ -267,14 +267,14 @@
 fn all_replaced() {
     // Guards against a shard without an owner during a rolling replacement in
     // which the host list is updated late.
-    let (mut fleet, _) = settled(8);
+    let (mut fleet, _) = converged(8);
     let mut names: Vec<usize> = (0..8).collect();
-    for (place, fresh) in (100..108).enumerate() {
-        let old = names[place];
+    for (index, added) in (100..108).enumerate() {
+        let old = names[index];
         fleet.tell(&host(old), MembershipEvent::Stop);
-        names[place] = fresh;
-        fleet.add(fresh, 1, &[shard(0)], list(names.clone()));
-        fleet.tell(&host(fresh), MembershipEvent::Using(shard(0), true));
+        names[index] = added;
+        fleet.add(added, 1, &[shard(0)], list(names.clone()));
+        fleet.tell(&host(added), MembershipEvent::Using(shard(0), true));
         fleet.run(secs(2));
         assert!(!fleet.owners_of(&shard(0)).is_empty());
         fleet.kill(&host(old));
@@ -292,7 +292,7 @@
 fn quick_restart() {
     // Guards against users that do not register their requests and keys with
     // the new incarnation of an owner that restarts before anyone suspects it.
-    let (mut fleet, order) = settled(4);
+    let (mut fleet, order) = converged(4);
     let changes = |fleet: &Fleet| -> Vec<usize> {
         let users = order[1..].iter();
         users.map(|name| fleet.nodes[name].owner_changes).collect()
@@ -312,7 +312,7 @@
 // denial must not act itself.
 #[test]
 fn early_detection() {
-    let (mut fleet, order) = settled(3);
+    let (mut fleet, order) = converged(3);
     let [owner, next, last] = order.as_slice() else {
         panic!("three hosts");
     };
--- a/bergamotswitch-core/tests/replica_net/mod.rs
+++ b/bergamotswitch-core/tests/replica_net/mod.rs
@@ -125,7 +125,7 @@
     }
 
     /// Start hosts and run until they are caught up.
-    pub fn settled(count: usize, domains: usize) -> Self {
+    pub fn converged(count: usize, domains: usize) -> Self {
         let mut net = Net::start(count, domains);
         net.run(secs(20));
         net
@@ -307,9 +307,9 @@
         self.schedule_wake(me);
     }
 
-    pub fn resume(&mut self, me: &HostName, slept: Duration) {
+    pub fn resume(&mut self, me: &HostName, suspended: Duration) {
         self.nodes.get_mut(me).unwrap().paused = false;
-        self.handle(me, RevisionEvent::Resumed(slept));
+        self.handle(me, RevisionEvent::Resumed(suspended));
     }
 
     fn is_cut(&self, a: &HostName, b: &HostName) -> bool {
--- a/bergamotswitch-core/tests/revision_adoption.rs
+++ b/bergamotswitch-core/tests/revision_adoption.rs
@@ -10,7 +10,7 @@
 fn service_down() {
     // Guards against a host that starts without rules during an outage of the
     // service.
-    let mut net = Net::settled(8, 2);
+    let mut net = Net::converged(8, 2);
     let hosts = hosts_body(0..9, 2);
     net.publish(HOSTS_VALUE, 2, hosts);
     net.run(secs(5));
@@ -42,7 +42,7 @@
 fn service_stale() {
     // Guards against withdrawn rules in force again after the service returns
     // to an old revision, also on hosts that were suspended.
-    let mut net = Net::settled(8, 2);
+    let mut net = Net::converged(8, 2);
     net.publish_rules(7, secs(5));
     net.publish_rules(3, secs(120));
     let suspended = net.readers()[0].clone();
@@ -60,7 +60,7 @@
 fn service_flaps() {
     // Guards against rules that alternate between two revisions while a current
     // and a stale replica of the service answer in turn.
-    let mut net = Net::settled(8, 2);
+    let mut net = Net::converged(8, 2);
     net.publish_rules(9, secs(5));
     net.reset_counts();
     for turn in 0..60 {
@@ -78,7 +78,7 @@
     // because changes sent during the partition counted as received.
     let turns = (0..6).map(|turn| (32, turn));
     for (hosts, turn) in [(8, 0), (128, 0)].into_iter().chain(turns) {
-        let mut net = Net::settled(hosts, 4);
+        let mut net = Net::converged(hosts, 4);
         for index in (0..hosts).filter(|index| index % 4 < 2) {
             net.partitions.insert(host(index), 1);
             net.no_service.insert(host(index));
@@ -103,21 +103,21 @@
 fn all_replaced() {
     // Guards against old rules after a rolling replacement of all hosts while
     // the service is stale.
-    let mut net = Net::settled(8, 2);
+    let mut net = Net::converged(8, 2);
     net.publish_rules(6, secs(5));
     net.publish(RULES_VALUE, 2, rules_body(2, 200));
     let mut names: Vec<usize> = (0..8).collect();
-    for place in 0..8 {
-        let fresh = 100 + place;
-        net.add(fresh);
+    for index in 0..8 {
+        let added = 100 + index;
+        net.add(added);
         net.run(secs(3));
-        net.kill(&host(names[place]));
-        names[place] = fresh;
+        net.kill(&host(names[index]));
+        names[index] = added;
         let list = hosts_body(names.clone(), 2);
-        net.publish(HOSTS_VALUE, place as u64 + 2, list);
+        net.publish(HOSTS_VALUE, index as u64 + 2, list);
         net.run(secs(9));
         assert_eq!(net.in_force_range(RULES_VALUE), (6, 6));
-        assert_eq!(net.in_force_range(HOSTS_VALUE).0, place as u64 + 2);
+        assert_eq!(net.in_force_range(HOSTS_VALUE).0, index as u64 + 2);
     }
     // No new host ever had the stale revision in force.
     for node in net.nodes.values() {
@@ -132,7 +132,7 @@
 fn bad_revision() {
     // Guards against an invalid revision in force on hosts that receive it from
     // peers, and against hosts that do not forward a revision they refused.
-    let mut net = Net::settled(16, 2);
+    let mut net = Net::converged(16, 2);
     let bad = rules_body(2, 200).replace("\"bad\":false", "\"bad\":true");
     net.publish(RULES_VALUE, 2, bad);
     net.run(secs(9));
@@ -159,7 +159,7 @@
 fn large_value_once() {
     // Guards against a large value sent to each host several times when it is
     // rewritten completely.
-    let mut net = Net::settled(16, 2);
+    let mut net = Net::converged(16, 2);
     net.reset_counts();
     let texts: Vec<String> = (0..20_000).map(|i| format!("entry {i}")).collect();
     let body = serde_json::to_string(&texts).unwrap();
--- a/bergamotswitch-core/tests/revision_lag.rs
+++ b/bergamotswitch-core/tests/revision_lag.rs
@@ -45,7 +45,7 @@
 // peer announces a change before the change arrives.
 #[test]
 fn announced_before_change() {
-    let mut net = Net::settled(8, 2);
+    let mut net = Net::converged(8, 2);
     let me = non_reader(&net);
     for revision in 2..2 + CHANGES {
         net.publish_rules(revision, Duration::ZERO);
@@ -65,7 +65,7 @@
 // known for long that its peers have a newer revision.
 #[test]
 fn long_lag() {
-    let mut net = Net::settled(8, 2);
+    let mut net = Net::converged(8, 2);
     let me = non_reader(&net);
     let tolerated = Duration::from_millis(900);
     let begun = net.now;
@@ -82,7 +82,7 @@
 // up before.
 #[test]
 fn lag_after_suspension() {
-    let mut net = Net::settled(8, 2);
+    let mut net = Net::converged(8, 2);
     let me = non_reader(&net);
     net.pause(&me);
     net.run(secs(5));
--- a/bergamotswitch-core/tests/revision_readers.rs
+++ b/bergamotswitch-core/tests/revision_readers.rs
@@ -23,7 +23,7 @@
         "hosts domains readers reads/min idle: msgs/s bytes/s(host) change: s msgs bytes(host)"
     );
     for (hosts, domains) in [(8, 3), (32, 3), (32, 8), (128, 8), (380, 8)] {
-        let mut net = Net::settled(hosts, domains);
+        let mut net = Net::converged(hosts, domains);
         assert_eq!(net.in_force_range(RULES_VALUE), (1, 1));
         assert_eq!(net.readers().len(), 2 * domains);
         net.reset_counts();
@@ -64,7 +64,7 @@
     // Guards against a change that reaches only one failure domain when a
     // single reader can reach the service.
     for hosts in [8, 32, 128] {
-        let mut net = Net::settled(hosts, 3);
+        let mut net = Net::converged(hosts, 3);
         let last = net.readers()[0].clone();
         let cut = net.nodes.keys().filter(|me| **me != last);
         net.no_service.extend(cut.cloned());
@@ -82,7 +82,7 @@
 fn readers_dead() {
     // Guards against a failure domain that keeps an old revision when both of
     // its readers have failed but are still in the host list.
-    let mut net = Net::settled(64, 4);
+    let mut net = Net::converged(64, 4);
     for reader in net.readers() {
         net.kill(&reader);
     }
@@ -102,7 +102,7 @@
 fn readers_silent() {
     // Guards against an open link that counts as a live reader when all readers
     // are suspended.
-    let mut net = Net::settled(32, 2);
+    let mut net = Net::converged(32, 2);
     let readers = net.readers();
     for reader in &readers {
         net.pause(reader);
@@ -118,7 +118,7 @@
 fn outage_load() {
     // Guards against overload of a recovering service when all hosts read it at
     // the same moments.
-    let mut net = Net::settled(128, 8);
+    let mut net = Net::converged(128, 8);
     net.service_up = false;
     net.run(secs(540));
     net.reset_counts();
