--- a/bergamotswitch-core/src/membership/shard_view.rs
+++ b/bergamotswitch-core/src/membership/shard_view.rs
@@ -1,36 +1,39 @@
-//! Provides what a host thinks of one shard's candidates: who may act, who
-//! acts in its view, and whom it has to watch for that.
+//! Provides one host's view of the candidates of a shard: whether a candidate
+//! may act, which one acts, and which ones to watch.
 
 use super::options::MembershipOptions;
 use crate::clock::Moment;
 use crate::host::HostName;
 
-/// A `CandidateState` is what a host knows of one candidate of a shard.
+/// A `CandidateState` is the state of one candidate of a shard as seen by a
+/// host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CandidateState {
-    /// Not yet known.
+    /// The state is not known yet.
     Unknown,
-    /// It cannot be reached, is stopping, or has said for long that it does not
-    /// act.
-    Out,
-    /// It said a moment ago that it does not act.
+    /// The candidate is unreachable, is stopping, or has denied ownership for
+    /// long.
+    Unavailable,
+    /// The candidate has just denied ownership.
     Denied,
-    /// It said so some time ago, and may be asked again where nobody else is.
+    /// The candidate denied ownership some time ago and may be tried again if
+    /// there is no other one.
     Retry,
-    /// It answers, but not for long.
-    Fresh,
-    /// It has answered for so long that work may go back to it.
-    Steady,
+    /// The candidate is reachable, but not for long enough to be stable.
+    Reachable,
+    /// The candidate has been reachable for long enough that ownership may fail
+    /// back to it.
+    Stable,
 }
 
 impl CandidateState {
-    /// Get whether it answers.
+    /// Get whether the candidate is reachable.
     pub(super) fn is_usable(self) -> bool {
-        matches!(self, CandidateState::Fresh | CandidateState::Steady)
+        matches!(self, CandidateState::Reachable | CandidateState::Stable)
     }
 }
 
-/// A `Candidate` is one candidate of a shard in the view of a host.
+/// A `Candidate` is one candidate of a shard as seen by a host.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate<'a> {
     pub(super) host: &'a HostName,
@@ -38,10 +41,10 @@
 }
 
 impl Candidate<'_> {
-    fn is_passed_over(&self) -> bool {
+    fn is_skipped(&self) -> bool {
         matches!(
             self.state,
-            CandidateState::Out | CandidateState::Denied | CandidateState::Retry
+            CandidateState::Unavailable | CandidateState::Denied | CandidateState::Retry
         )
     }
 
@@ -50,20 +53,20 @@
     }
 }
 
-/// An `OwnerView` is the acting owner in a host's view.
+/// An `OwnerView` is the acting owner of a shard as seen by a host.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) enum OwnerView {
-    /// Nothing is known yet.
+    /// The owner is not known yet.
     #[default]
     Unknown,
     /// No candidate is reachable.
-    Nobody,
-    /// This candidate acts.
+    NoHost,
+    /// This candidate is the acting owner.
     Host(HostName),
 }
 
 impl OwnerView {
-    /// Get the host, if there is one.
+    /// Get the acting owner, if there is one.
     pub(super) fn host(&self) -> Option<&HostName> {
         match self {
             OwnerView::Host(host) => Some(host),
@@ -72,40 +75,42 @@
     }
 }
 
-/// Get whether a candidate acts, given those before it.
+/// Get whether a candidate acts, given the states of the candidates ranked
+/// before it.
 ///
-/// Taking over asks for more than going on does: all before it have to be
-/// out, and it goes on until one of them was reachable for long. With one
-/// bound for both, a flapping link would move the owner at its own pace, and
-/// each move makes all users ask anew.
+/// To take over, all earlier candidates have to be unavailable; once acting,
+/// the candidate goes on until one of them is stable. If both used the same
+/// condition, a flapping link would move ownership each time, and after each
+/// move all users have to request their permits again.
 pub(super) fn may_act(mut earlier: impl Iterator<Item = CandidateState>, acting: bool) -> bool {
     match acting {
-        true => earlier.all(|state| state != CandidateState::Steady),
-        false => earlier.all(|state| state == CandidateState::Out),
+        true => earlier.all(|state| state != CandidateState::Stable),
+        false => earlier.all(|state| state == CandidateState::Unavailable),
     }
 }
 
-/// Get the acting owner after a change, given the one before it.
+/// Get the acting owner, given the previous one.
 pub(super) fn choose(candidates: &[Candidate<'_>], current: &OwnerView) -> OwnerView {
-    let first = candidates.iter().find(|c| !c.is_passed_over());
+    let first = candidates.iter().find(|c| !c.is_skipped());
     let kept = candidates
         .iter()
         .find(|c| Some(c.host) == current.host() && c.is_usable());
     match (first, kept) {
-        // Work goes back to an earlier candidate only when it is steady.
-        (Some(first), Some(_)) if first.state == CandidateState::Steady => {
+        // Ownership fails back to an earlier candidate only once that is
+        // stable.
+        (Some(first), Some(_)) if first.state == CandidateState::Stable => {
             OwnerView::Host(first.host.clone())
         }
         (_, Some(kept)) => OwnerView::Host(kept.host.clone()),
         (Some(first), None) if first.is_usable() => OwnerView::Host(first.host.clone()),
-        // The next one is being asked: that takes at most the suspicion time.
+        // The state of the next candidate is known after the suspicion timeout
+        // at the latest.
         (Some(_), None) => current.clone(),
         (None, None) => choose_denied(candidates),
     }
 }
 
-/// Get the owner's view where no candidate is left but such as said that they
-/// do not act.
+/// Get the owner where every remaining candidate has denied ownership.
 fn choose_denied(candidates: &[Candidate<'_>]) -> OwnerView {
     let in_state = |state| candidates.iter().find(move |c| c.state == state);
     match (
@@ -114,15 +119,15 @@
     ) {
         (Some(retry), _) => OwnerView::Host(retry.host.clone()),
         (None, Some(_)) => OwnerView::Unknown,
-        (None, None) => OwnerView::Nobody,
+        (None, None) => OwnerView::NoHost,
     }
 }
 
 /// Get the candidates that a user of the shard has to watch: all up to the
-/// first that is not out, so that a later one is asked only when needed and a
-/// return of an earlier one is seen.
+/// first that is not skipped. Later ones are contacted only when needed, and
+/// the recovery of an earlier one is detected.
 pub(super) fn watched_by_user<'a>(candidates: &[Candidate<'a>]) -> Vec<&'a HostName> {
-    let first = candidates.iter().position(|c| !c.is_passed_over());
+    let first = candidates.iter().position(|c| !c.is_skipped());
     let end = match first {
         Some(first) => first + 1,
         None => candidates.len(),
@@ -130,26 +135,27 @@
     candidates[..end].iter().map(|c| c.host).collect()
 }
 
-/// A `Denial` is a peer's word that it does not act for a shard.
+/// A `Denial` is a peer's report that it does not act for a shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Denial {
     pub(super) host: HostName,
     pub(super) shard: crate::pool::PoolShard,
-    /// When the peer said so first.
+    /// When the peer first denied ownership.
     since: Moment,
-    /// When the peer said so last.
+    /// When the peer last denied ownership.
     at: Moment,
-    /// Until when others are asked in its place.
+    /// When the denial expires.
     pub(super) until: Moment,
-    /// Whether it is asked again and has not said so once more.
-    asked_again: bool,
+    /// Whether the peer is being tried again and has not denied ownership
+    /// since.
+    retrying: bool,
 }
 
-/// Denials are asked about again after this many suspicion times.
-const DENIAL_SPANS: u32 = 2;
+/// A denial expires after this many suspicion timeouts.
+const DENIAL_RETENTION: u32 = 2;
 
 impl Denial {
-    /// Get a denial that came now, beside an earlier one of the same peer.
+    /// Create a denial received now, given an earlier one of the same peer.
     pub(super) fn new(
         now: Moment,
         host: HostName,
@@ -157,56 +163,57 @@
         earlier: Option<&Denial>,
         opts: &MembershipOptions,
     ) -> Self {
-        let span = opts.suspect_after.saturating_mul(DENIAL_SPANS);
+        let span = opts.suspect_after.saturating_mul(DENIAL_RETENTION);
         Denial {
             host,
             shard,
             since: earlier.map_or(now, |earlier| earlier.since),
             at: now,
             until: now.plus(span),
-            asked_again: false,
+            retrying: false,
         }
     }
 
-    /// Get whether it is this host's word on this shard.
-    pub(super) fn is_of(&self, host: &HostName, shard: &crate::pool::PoolShard) -> bool {
+    /// Get whether this is the denial of the given host for the given shard.
+    pub(super) fn matches(&self, host: &HostName, shard: &crate::pool::PoolShard) -> bool {
         self.host == *host && self.shard == *shard
     }
 
-    /// Note that the peer is asked again.
-    pub(super) fn ask_again(&mut self) {
-        self.asked_again = true;
+    /// Record that the peer is being tried again.
+    pub(super) fn retry(&mut self) {
+        self.retrying = true;
     }
 
-    /// Get what the peer counts as; `None` where it is asked again and has not
-    /// denied since.
+    /// Get the state of the peer; `None` if it is being tried again and has not
+    /// denied ownership since.
     ///
-    /// Hosts notice an owner's death, or each other's start, some hundred
-    /// milliseconds apart. Whoever notices first asks the next candidate, which
-    /// does not act yet. Where no other is left to ask, it is therefore asked
-    /// again with each heartbeat for one suspicion time. Taken for out at once,
-    /// it would leave that host on its own for two of them: its requests would
-    /// wait, or run by its own fraction, while the shard has an owner.
+    /// Hosts detect the failure of an owner, or each other's start, at slightly
+    /// different times. The first to detect it contacts the next candidate,
+    /// which does not act yet. If there is no other candidate, that one is
+    /// therefore retried at each heartbeat for one suspicion timeout. If it
+    /// counted as unavailable at once, the host would have no owner for two
+    /// timeouts: its requests would wait, or run on its own fraction of the
+    /// capacity, while the shard has an owner.
     pub(super) fn state(&self, now: Moment, opts: &MembershipOptions) -> Option<CandidateState> {
-        if self.asked_again {
+        if self.retrying {
             return None;
         }
         let waits = now < self.since.plus(opts.suspect_after);
-        Some(match (waits, now < self.retry_at(opts)) {
+        Some(match (waits, now < self.retries_at(opts)) {
             (true, true) => CandidateState::Denied,
             (true, false) => CandidateState::Retry,
-            (false, _) => CandidateState::Out,
+            (false, _) => CandidateState::Unavailable,
         })
     }
 
-    fn retry_at(&self, opts: &MembershipOptions) -> Moment {
+    fn retries_at(&self, opts: &MembershipOptions) -> Moment {
         self.at.plus(opts.heartbeat)
     }
 
     /// Get when the state changes next.
     pub(super) fn changes_at(&self, now: Moment, opts: &MembershipOptions) -> Moment {
         let changes = [
-            self.retry_at(opts),
+            self.retries_at(opts),
             self.since.plus(opts.suspect_after),
             self.until,
         ];
--- a/bergamotswitch-core/src/revision/value_book.rs
+++ b/bergamotswitch-core/src/revision/value_replica.rs
@@ -1,31 +1,31 @@
-//! Provides one published value as a host holds it: what it has seen, what is
-//! in force, and the changes that lead to it.
+//! Provides a host's replica of one published value: the revision received, the
+//! revision in force, and patches from earlier revisions.
 
 use std::collections::{BTreeMap, VecDeque};
 
-use super::standing::{RefusedRevision, ValueStanding};
+use super::status::{RefusedRevision, ValueStatus};
 use super::value_patch;
 use super::{PublishedValue, Revision, RevisionMessage, ValueName};
 use crate::error::Findings;
 
-/// A `ValueBook` is one published value as a host holds it.
+/// A `ValueReplica` is a host's replica of one published value.
 #[derive(Debug)]
-pub(super) struct ValueBook {
+pub(super) struct ValueReplica {
     name: ValueName,
     seen: Option<PublishedValue>,
     in_force: Option<Revision>,
     refused: Option<RefusedRevision>,
     /// Earlier values, the latest last.
     bases: VecDeque<PublishedValue>,
-    /// Changes to the value seen, by the revision they start from. `None`:
-    /// the change would be no smaller than the value.
+    /// Changes that lead to the current value, by the revision they start from;
+    /// `None` if the change would be no smaller than the value.
     changes: BTreeMap<Revision, Option<RevisionMessage>>,
 }
 
-impl ValueBook {
-    /// Get a book without a value.
+impl ValueReplica {
+    /// Create a replica without a value.
     pub(super) fn new(name: ValueName) -> Self {
-        ValueBook {
+        ValueReplica {
             name,
             seen: None,
             in_force: None,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Get the highest revision seen, 0 where none was.
+    /// Get the highest revision received, 0 if there is none.
     pub(super) fn seen(&self) -> Revision {
         match &self.seen {
             Some(value) => value.revision,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Get the value seen.
+    /// Get the value of the highest revision received.
     pub(super) fn value(&self) -> Option<&PublishedValue> {
         self.seen.as_ref()
     }
@@ -53,17 +53,17 @@
         self.in_force
     }
 
-    /// Get the text that the patch leads to from the value seen.
+    /// Get the text that results from applying the patch to the current value.
     pub(super) fn apply(&self, from: Revision, patch: &str, checksum: u64) -> Option<String> {
         let value = self.seen.as_ref().filter(|value| value.revision == from)?;
         value_patch::apply(&value.body, patch, checksum)
     }
 
-    /// Take a value and get whether it is a higher revision.
+    /// Store a value if its revision is higher. Get whether it was stored.
     pub(super) fn take(&mut self, value: PublishedValue, kept_bases: usize) -> bool {
-        // A stale replica, a host that slept or a fresh one offers a lower
-        // revision. Taken, a rule that operators withdrew would be in force
-        // again; so the revision seen only grows.
+        // A stale service replica, or a host that was suspended or has just
+        // started, may offer a lower revision. Accepting it would put withdrawn
+        // rules back in force.
         if value.revision <= self.seen() {
             return false;
         }
@@ -77,8 +77,12 @@
         true
     }
 
-    /// Take the host's verdict and get whether it changes something.
-    pub(super) fn settle(&mut self, revision: Revision, verdict: Result<(), Findings>) -> bool {
+    /// Record the result of a validation. Get whether it changes the status.
+    pub(super) fn record_verdict(
+        &mut self,
+        revision: Revision,
+        verdict: Result<(), Findings>,
+    ) -> bool {
         if Some(revision) <= self.in_force || revision > self.seen() {
             return false;
         }
@@ -98,8 +102,8 @@
         true
     }
 
-    /// Get the change from an earlier revision, where it is kept and the
-    /// change is smaller than the value.
+    /// Get the change from an earlier revision, if that is kept and the change
+    /// is smaller than the value.
     pub(super) fn change_from(&mut self, from: Revision) -> Option<RevisionMessage> {
         if !self.changes.contains_key(&from) {
             let change = self.find_change(from);
@@ -111,7 +115,7 @@
     fn find_change(&self, from: Revision) -> Option<RevisionMessage> {
         let value = self.seen.as_ref()?;
         let base = self.bases.iter().find(|base| base.revision == from)?;
-        let patch = value_patch::between(&base.body, &value.body)?;
+        let patch = value_patch::diff(&base.body, &value.body)?;
         if patch.len() >= value.body.len() {
             return None;
         }
@@ -125,9 +129,9 @@
         })
     }
 
-    /// Get what a host reports of the value.
-    pub(super) fn standing(&self) -> ValueStanding {
-        ValueStanding {
+    /// Get the status of the value for reporting.
+    pub(super) fn status(&self) -> ValueStatus {
+        ValueStatus {
             name: self.name.clone(),
             seen: self.seen.as_ref().map(|value| value.revision),
             in_force: self.in_force,
--- a/bergamotswitch-core/src/roster/known_member.rs
+++ b/bergamotswitch-core/src/roster/known_member.rs
@@ -1,45 +1,46 @@
-//! Provides what a roster knows of another host.
+//! Provides the state of another host in the roster.
 
 use std::time::Duration;
 
 use super::MemberRecord;
 use crate::clock::Moment;
 
-/// A `KnownMember` is what this host knows of another.
+/// A `KnownMember` is the state of another host as known to this one.
 #[derive(Debug)]
 pub(super) struct KnownMember {
     pub(super) record: MemberRecord,
-    /// When newer news of it came last.
+    /// When the last update about the host arrived.
     pub(super) heard_at: Moment,
-    /// How much of this host's own sleep counted for it since then.
-    pub(super) excused: Duration,
-    /// When it was first heard to stop; absent once it takes callers again.
-    pub(super) left_at: Option<Moment>,
+    /// How much of this host's own suspensions has been discounted since then.
+    pub(super) discounted: Duration,
+    /// When the host was first reported as leaving; absent once it accepts
+    /// callers again.
+    pub(super) leaving_since: Option<Moment>,
 }
 
 impl KnownMember {
-    /// Take in when it began to stop, from its state as told now.
-    pub(super) fn note_leaving(&mut self, now: Moment) {
+    /// Update `leaving_since` from the host's current flags.
+    pub(super) fn update_leaving(&mut self, now: Moment) {
         let flags = self.record.flags;
         match (flags.leaving, flags.ready) {
-            (true, _) => self.left_at = self.left_at.or(Some(now)),
-            (false, true) => self.left_at = None,
-            // It starts: it is not back yet.
+            (true, _) => self.leaving_since = self.leaving_since.or(Some(now)),
+            (false, true) => self.leaving_since = None,
+            // A starting host has not returned yet.
             (false, false) => {}
         }
     }
 
-    /// Take note of newer news of it.
-    pub(super) fn hear(&mut self, now: Moment) {
+    /// Record that an update arrived.
+    pub(super) fn record_heard(&mut self, now: Moment) {
         self.heard_at = now;
-        self.excused = Duration::ZERO;
+        self.discounted = Duration::ZERO;
     }
 
-    /// Leave out what this host slept of the time in which nothing was heard, for
-    /// `most` of it at most.
-    pub(super) fn excuse(&mut self, now: Moment, slept: Duration, most: Duration) {
-        let excused = slept.min(most.saturating_sub(self.excused));
-        self.excused += excused;
-        self.heard_at = self.heard_at.plus(excused).min(now);
+    /// Exclude a suspension of this host from the time without an update, up to
+    /// `limit` in total.
+    pub(super) fn discount(&mut self, now: Moment, suspended: Duration, limit: Duration) {
+        let discounted = suspended.min(limit.saturating_sub(self.discounted));
+        self.discounted += discounted;
+        self.heard_at = self.heard_at.plus(discounted).min(now);
     }
 }
--- a/bergamotswitch-core/tests/revision_readers.rs
+++ b/bergamotswitch-core/tests/revision_readers.rs
@@ -1,8 +1,9 @@
-//! Tests of who reads the service, what a change costs, and how long it takes.
+//! Tests of which hosts read the service, and of the cost and delay of a
+//! change.
 
-mod spread;
+mod replica_net;
 
-use spread::*;
+use replica_net::*;
 
 const BOUND: Duration = Duration::from_secs(9);
 
@@ -22,19 +23,19 @@
         "hosts domains readers reads/min idle: msgs/s bytes/s(host) change: s msgs bytes(host)"
     );
     for (hosts, domains) in [(8, 3), (32, 3), (32, 8), (128, 8), (380, 8)] {
-        let mut net = Net::settled(hosts, domains);
-        assert_eq!(net.forces(RULES_VALUE), (1, 1));
+        let mut net = Net::converged(hosts, domains);
+        assert_eq!(net.in_force_range(RULES_VALUE), (1, 1));
         assert_eq!(net.readers().len(), 2 * domains);
         net.reset_counts();
         net.run(secs(60));
         let (reads, idle_messages, idle_bytes, idle_most) = sums(&net);
         net.reset_counts();
         let begun = net.now;
-        net.rules_then(2, secs(9));
-        let took = net.last_at(RULES_VALUE).since(begun);
-        assert_eq!(net.forces(RULES_VALUE), (2, 2));
+        net.publish_rules(2, secs(9));
+        let took = net.last_in_force_at(RULES_VALUE).since(begun);
+        assert_eq!(net.in_force_range(RULES_VALUE), (2, 2));
         let (_, messages, bytes, most) = sums(&net);
-        // What goes on anyway in those nine seconds is no cost of the change.
+        // Subtract the idle traffic of those nine seconds.
         let messages = messages.saturating_sub(idle_messages * 9 / 60);
         let bytes = bytes.saturating_sub(idle_bytes * 9 / 60);
         let most = most.saturating_sub(idle_most * 9 / 60);
@@ -48,7 +49,7 @@
             bytes as f64 / hosts as f64,
         );
         assert!(took < secs(1));
-        // Six values, a watch each half minute, two readers a domain.
+        // Six values, a watch every half minute, two readers per domain.
         assert!(reads <= 2 * domains * 6 * 2 + domains, "{reads}");
         assert!(idle_most / 60 < 1500, "{idle_most}");
         assert!(most < 16_000, "{most}");
@@ -60,65 +61,64 @@
 
 #[test]
 fn one_reader_left() {
-    // Symptom: a change reaches one failure domain only.
-    // Events: the service is cut off from all hosts but one reader.
-    // Cause: readers count on the service and never hear each other.
+    // Guards against a change that reaches only one failure domain when a
+    // single reader can reach the service.
     for hosts in [8, 32, 128] {
-        let mut net = Net::settled(hosts, 3);
+        let mut net = Net::converged(hosts, 3);
         let last = net.readers()[0].clone();
         let cut = net.nodes.keys().filter(|me| **me != last);
         net.no_service.extend(cut.cloned());
         let begun = net.now;
-        net.rules_then(2, BOUND);
-        assert_eq!(net.forces(RULES_VALUE), (2, 2));
-        println!("{hosts} hosts: {:?}", net.last_at(RULES_VALUE).since(begun));
+        net.publish_rules(2, BOUND);
+        assert_eq!(net.in_force_range(RULES_VALUE), (2, 2));
+        println!(
+            "{hosts} hosts: {:?}",
+            net.last_in_force_at(RULES_VALUE).since(begun)
+        );
     }
 }
 
 #[test]
 fn readers_dead() {
-    // Symptom: a failure domain stays behind.
-    // Events: both readers of each domain die; the host list still has them.
-    // Cause: the others wait for relays that will never answer.
-    let mut net = Net::settled(64, 4);
+    // Guards against a failure domain that keeps an old revision when both of
+    // its readers have failed but are still in the host list.
+    let mut net = Net::converged(64, 4);
     for reader in net.readers() {
         net.kill(&reader);
     }
     net.reset_counts();
     let begun = net.now;
-    net.rules_then(2, BOUND);
-    assert_eq!(net.forces(RULES_VALUE), (2, 2));
+    net.publish_rules(2, BOUND);
+    assert_eq!(net.in_force_range(RULES_VALUE), (2, 2));
     let reading = net.nodes.values().filter(|node| node.reads > 0).count();
     println!(
         "{:?}, {reading} of 56 hosts read",
-        net.last_at(RULES_VALUE).since(begun)
+        net.last_in_force_at(RULES_VALUE).since(begun)
     );
     assert!(reading <= 4 * 6, "{reading}");
 }
 
 #[test]
 fn readers_silent() {
-    // Symptom: a change never arrives though no link has failed.
-    // Events: the readers of all domains are paused, their links stay open.
-    // Cause: an open link was taken for a live reader.
-    let mut net = Net::settled(32, 2);
+    // Guards against an open link that counts as a live reader when all readers
+    // are suspended.
+    let mut net = Net::converged(32, 2);
     let readers = net.readers();
     for reader in &readers {
         net.pause(reader);
     }
-    net.rules_then(2, BOUND);
+    net.publish_rules(2, BOUND);
     let awake = net.nodes.keys().filter(|me| !readers.contains(me));
     for me in awake {
-        assert_eq!(net.force(me, RULES_VALUE), 2);
+        assert_eq!(net.in_force(me, RULES_VALUE), 2);
     }
 }
 
 #[test]
 fn outage_load() {
-    // Symptom: a service that comes back falls over at once.
-    // Events: it is down for ten minutes and comes back.
-    // Cause: all hosts ask it at the same moments, without a budget.
-    let mut net = Net::settled(128, 8);
+    // Guards against overload of a recovering service when all hosts read it at
+    // the same moments.
+    let mut net = Net::converged(128, 8);
     net.service_up = false;
     net.run(secs(540));
     net.reset_counts();
@@ -126,12 +126,13 @@
     let reads: usize = net.nodes.values().map(|node| node.reads).sum();
     let most = net.nodes.values().map(|node| node.reads).max().unwrap();
     println!("down: {reads} reads a minute, most of one host {most}");
-    // One read a second and a burst of twelve; backoff alone gives more.
+    // One read per second and a burst of twelve; the backoff alone would allow
+    // more.
     assert!(most <= 60 + 12);
     assert!(reads <= 16 * most);
     net.service_up = true;
     let begun = net.now;
-    net.rules_then(2, BOUND);
-    assert_eq!(net.forces(RULES_VALUE), (2, 2));
-    println!("back: {:?}", net.last_at(RULES_VALUE).since(begun));
+    net.publish_rules(2, BOUND);
+    assert_eq!(net.in_force_range(RULES_VALUE), (2, 2));
+    println!("back: {:?}", net.last_in_force_at(RULES_VALUE).since(begun));
 }
