--- a/bergamotswitch-core/src/node/shards.rs
+++ b/bergamotswitch-core/src/node/shards.rs
@@ -253,7 +253,7 @@
         true => publication.hosts.hosts.len(),
         false => 1,
     };
-    let accounts = publication.routes.book().accounts.iter();
+    let accounts = publication.routes.config().accounts.iter();
     accounts
         .filter(|account| account.quota.rate > 0)
         .map(|account| (account.name.clone(), tolerance.rate(&account.quota, owners)))
--- a/bergamotswitch-core/src/publication/mod.rs
+++ b/bergamotswitch-core/src/publication/mod.rs
@@ -29,7 +29,7 @@
     ROUTES_VALUE, RULES_VALUE, TARGETS_VALUE,
 };
 use crate::route::RouteTable;
-use crate::rules::RuleBook;
+use crate::rules::RuleSet;
 use crate::target::TargetName;
 use crate::target_list::TargetList;
 
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Publication {
     /// The rules.
-    pub rules: RuleBook,
+    pub rules: RuleSet,
     /// The client accounts.
     pub accounts: AccountBook,
     /// The pools.
@@ -114,7 +114,7 @@
             ),
             (
                 ROUTES_VALUE,
-                self.routed && self.routes.book().routes.is_empty(),
+                self.routed && self.routes.config().routes.is_empty(),
             ),
             (POOLS_VALUE, self.pools.pools().is_empty()),
             (HOSTS_VALUE, self.hosts.hosts.is_empty()),
--- a/bergamotswitch-core/src/publication/registered_pools.rs
+++ b/bergamotswitch-core/src/publication/registered_pools.rs
@@ -4,7 +4,7 @@
 
 use crate::contract::TargetContract;
 use crate::pool::{PoolKind, PoolName, TargetPool};
-use crate::route::{PoolFacts, RouteTable};
+use crate::route::{PoolSpec, RouteTable};
 use crate::target::{DEFAULT_SPEED, PoolTarget};
 use crate::target_list::{TargetEntry, TargetList};
 
@@ -45,14 +45,14 @@
     PoolBook::new(pools.collect())
 }
 
-fn kind(facts: Option<&PoolFacts>) -> PoolKind {
+fn kind(facts: Option<&PoolSpec>) -> PoolKind {
     match facts.and_then(|facts| facts.engine) {
         Some(_) => PoolKind::Engine,
         None => PoolKind::Plain,
     }
 }
 
-fn target(entry: &TargetEntry, facts: &PoolFacts) -> PoolTarget {
+fn target(entry: &TargetEntry, facts: &PoolSpec) -> PoolTarget {
     let engine = facts.engine;
     PoolTarget {
         name: entry.name.clone(),
--- a/bergamotswitch-core/src/route/mod.rs
+++ b/bergamotswitch-core/src/route/mod.rs
@@ -12,10 +12,10 @@
 use crate::name::{PoolName, RuleName};
 use crate::rules::Tier;
 
-/// A `RouteWork` says what may be repeated of a route's calls.
+/// A `CallSemantics` says what may be repeated of a route's calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum RouteWork {
+pub enum CallSemantics {
     /// A call that may run more than once.
     Idempotent,
     /// A call that runs at most once.
@@ -27,15 +27,21 @@
     SingleStream,
 }
 
-impl RouteWork {
+impl CallSemantics {
     /// Get whether a second run would do no harm.
     pub fn may_rerun(self) -> bool {
-        matches!(self, RouteWork::Idempotent | RouteWork::ResumableStream)
+        matches!(
+            self,
+            CallSemantics::Idempotent | CallSemantics::ResumableStream
+        )
     }
 
     /// Get whether the answer is a stream of events.
     pub fn is_stream(self) -> bool {
-        matches!(self, RouteWork::ResumableStream | RouteWork::SingleStream)
+        matches!(
+            self,
+            CallSemantics::ResumableStream | CallSemantics::SingleStream
+        )
     }
 }
 
@@ -58,7 +64,7 @@
     /// What a call's path begins with; it begins and ends with a slash.
     pub path_prefix: String,
     /// What may be repeated.
-    pub work: RouteWork,
+    pub work: CallSemantics,
     /// The longest time from reception to the end of the answer, in
     /// milliseconds.
     pub timeout_ms: u64,
@@ -95,24 +101,24 @@
     }
 }
 
-/// An `EngineFacts` is what is known of a pool's engines before any was used.
+/// An `EngineSpec` is what is known of a pool's engines before any was used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EngineFacts {
+pub struct EngineSpec {
     /// The requests in one engine's batch.
     pub slots: u32,
     /// The tokens that one engine's memory holds.
     pub cache_tokens: u32,
 }
 
-/// A `PoolFacts` is what is published of a pool apart from its targets.
+/// A `PoolSpec` is what is published of a pool apart from its targets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PoolFacts {
+pub struct PoolSpec {
     /// The pool.
     pub name: PoolName,
     /// The connections that one target takes from all hosts together.
     pub connection_limit: u32,
     /// What its engines hold; absent where its targets are plain services.
-    pub engine: Option<EngineFacts>,
+    pub engine: Option<EngineSpec>,
 }
 
 /// A `CallerLimits` is what a gateway's callers may send, and how long they
@@ -141,9 +147,9 @@
     }
 }
 
-/// A `RouteBook` is the published routes with all that belongs to them.
+/// A `RouteConfig` is the published routes with all that belongs to them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RouteBook {
+pub struct RouteConfig {
     /// The operators' own number of the publication, for logs.
     pub version: u64,
     /// The routes.
@@ -151,7 +157,7 @@
     /// The client accounts; where there are none, calls need no key.
     pub accounts: Vec<KeyedAccount>,
     /// The pools.
-    pub pools: Vec<PoolFacts>,
+    pub pools: Vec<PoolSpec>,
     /// What callers may send.
     pub limits: CallerLimits,
 }
--- a/bergamotswitch-core/src/route/table.rs
+++ b/bergamotswitch-core/src/route/table.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use super::{KeyedAccount, PoolFacts, Route, RouteBook};
+use super::{KeyedAccount, PoolSpec, Route, RouteConfig};
 use crate::client_account::KeyHash;
 use crate::error::Findings;
 use crate::name::{AccountName, PoolName};
@@ -11,27 +11,27 @@
 /// A `RouteTable` finds the route of a call and the account of a key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RouteTable {
-    book: RouteBook,
+    config: RouteConfig,
     by_host: HashMap<String, HashMap<String, usize>>,
     by_key: HashMap<KeyHash, usize>,
 }
 
 impl RouteTable {
     /// Get the table of a book.
-    pub fn new(book: RouteBook) -> Self {
+    pub fn new(config: RouteConfig) -> Self {
         let mut by_host: HashMap<String, HashMap<String, usize>> = HashMap::new();
-        for (index, route) in book.routes.iter().enumerate() {
+        for (index, route) in config.routes.iter().enumerate() {
             let prefixes = by_host.entry(route.host.clone()).or_default();
             prefixes.insert(route.path_prefix.clone(), index);
         }
         let mut by_key = HashMap::new();
-        for (index, account) in book.accounts.iter().enumerate() {
+        for (index, account) in config.accounts.iter().enumerate() {
             for hash in &account.key_hashes {
                 by_key.insert(hash.clone(), index);
             }
         }
         RouteTable {
-            book,
+            config,
             by_host,
             by_key,
         }
@@ -43,8 +43,8 @@
     ///
     /// Returns what the text lacks.
     pub fn try_from_json(text: &str) -> Result<Self, Findings> {
-        match serde_json::from_str::<RouteBook>(text) {
-            Ok(book) => Ok(RouteTable::new(book)),
+        match serde_json::from_str::<RouteConfig>(text) {
+            Ok(config) => Ok(RouteTable::new(config)),
             Err(error) => {
                 let mut findings = Findings::new();
                 findings.add(format!("{ROUTES_VALUE}:"), error.to_string(), "routes");
@@ -54,8 +54,8 @@
     }
 
     /// Get the book.
-    pub fn book(&self) -> &RouteBook {
-        &self.book
+    pub fn config(&self) -> &RouteConfig {
+        &self.config
     }
 
     /// Get the route of a call: of those of its host name, the one with the
@@ -65,7 +65,7 @@
         let mut rest = path;
         while let Some(slash) = rest.rfind('/') {
             if let Some(index) = prefixes.get(&rest[..=slash]) {
-                return self.book.routes.get(*index);
+                return self.config.routes.get(*index);
             }
             rest = &rest[..slash];
         }
@@ -74,7 +74,7 @@
 
     /// Get whether calls to routes that are not public need a key.
     pub fn has_accounts(&self) -> bool {
-        !self.book.accounts.is_empty()
+        !self.config.accounts.is_empty()
     }
 
     /// Get the account that holds a key. The lookup is by the key's hash, of
@@ -82,17 +82,17 @@
     /// the keys.
     pub fn account_of_key(&self, key: &str) -> Option<&KeyedAccount> {
         let index = self.by_key.get(&KeyHash::of(key))?;
-        self.book.accounts.get(*index)
+        self.config.accounts.get(*index)
     }
 
     /// Get an account by its name.
     pub fn account(&self, name: &AccountName) -> Option<&KeyedAccount> {
-        let mut accounts = self.book.accounts.iter();
+        let mut accounts = self.config.accounts.iter();
         accounts.find(|account| account.name == *name)
     }
 
     /// Get what is published of a pool.
-    pub fn pool(&self, name: &PoolName) -> Option<&PoolFacts> {
-        self.book.pools.iter().find(|pool| pool.name == *name)
+    pub fn pool(&self, name: &PoolName) -> Option<&PoolSpec> {
+        self.config.pools.iter().find(|pool| pool.name == *name)
     }
 }
--- a/bergamotswitch-core/src/rules/mod.rs
+++ b/bergamotswitch-core/src/rules/mod.rs
@@ -95,18 +95,18 @@
     pub streaming: bool,
 }
 
-/// A `RuleBook` is the published rules in their order. It is made from the
+/// A `RuleSet` is the published rules in their order. It is made from the
 /// published JSON by `TryFrom`, which reports every fault.
 ///
 /// What a rule does not say is decided for the case that a second run does
 /// harm: a request is neither idempotent nor preemptible unless its rule says
 /// so, which means that it is sent again only where it provably did not run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct RuleBook {
+pub struct RuleSet {
     rules: Vec<Rule>,
 }
 
-impl RuleBook {
+impl RuleSet {
     /// Get the rules in their order.
     pub fn rules(&self) -> &[Rule] {
         &self.rules
--- a/bergamotswitch-core/src/rules/reading.rs
+++ b/bergamotswitch-core/src/rules/reading.rs
@@ -5,7 +5,7 @@
 
 use serde_json::Value;
 
-use super::{Rule, RuleBook, RuleCondition, RuleEffect, TIER_COUNT, Tier};
+use super::{Rule, RuleCondition, RuleEffect, RuleSet, TIER_COUNT, Tier};
 use crate::error::Findings;
 use crate::publication::json_node::{JsonNode, ReadJson, read_value};
 use crate::publication::object_reader::ObjectReader;
@@ -25,7 +25,7 @@
 /// The allowed bounds of prompt tokens.
 pub const PROMPT_TOKENS_RANGE: RangeInclusive<u64> = 0..=u32::MAX as u64;
 
-impl TryFrom<&Value> for RuleBook {
+impl TryFrom<&Value> for RuleSet {
     type Error = Findings;
 
     fn try_from(value: &Value) -> Result<Self, Findings> {
@@ -33,14 +33,14 @@
     }
 }
 
-impl ReadJson for RuleBook {
+impl ReadJson for RuleSet {
     fn read(node: &JsonNode<'_>, findings: &mut Findings) -> Option<Self> {
         let mut object = ObjectReader::open(node, findings)?;
         let rules = object.required("rules");
         object.finish();
         let elements = node.field("rules").map(|list| list.elements());
         refuse_repeated_names(&elements.unwrap_or_default(), findings);
-        Some(RuleBook { rules: rules? })
+        Some(RuleSet { rules: rules? })
     }
 }
 
--- a/bergamotswitch-core/tests/configuration_page.rs
+++ b/bergamotswitch-core/tests/configuration_page.rs
@@ -204,7 +204,7 @@
     let settings = HostSettings::try_from_json(&settings.to_string()).unwrap();
     let log = serde_json::to_value(settings.log).unwrap();
     let rules = json!({"rules": [{"name": "r", "then": {"tier": 0}}]});
-    let rules = bergamotswitch_core::rules::RuleBook::try_from(&rules).unwrap();
+    let rules = bergamotswitch_core::rules::RuleSet::try_from(&rules).unwrap();
     let then = &rules.rules()[0].then;
     let pools = json!({"pools": [{"name": "p", "targets":
         [{"name": "t", "domain": "d", "address": "127.0.0.1:1"}]}]});
--- a/bergamotswitch-core/tests/explain_request.rs
+++ b/bergamotswitch-core/tests/explain_request.rs
@@ -5,7 +5,7 @@
 use bergamotswitch_core::failure_domain::DomainName;
 use bergamotswitch_core::pool::PoolName;
 use bergamotswitch_core::publication::{PoolBook, Publication};
-use bergamotswitch_core::rules::{RequestFacts, RuleBook};
+use bergamotswitch_core::rules::{RequestFacts, RuleSet};
 use serde_json::{Value, json};
 
 fn publication(rules: Value) -> Publication {
@@ -18,7 +18,7 @@
     let pools = json!({"pools": [{"name": "p", "targets": targets}]});
     let hosts = json!({"hosts": [], "targets": [{"name": "e3", "standing": "leaving"}]});
     Publication {
-        rules: RuleBook::try_from(&json!({ "rules": rules })).unwrap(),
+        rules: RuleSet::try_from(&json!({ "rules": rules })).unwrap(),
         pools: PoolBook::try_from(&pools).unwrap(),
         hosts: serde_json::from_value(hosts).unwrap(),
         ..Publication::default()
--- a/bergamotswitch-core/tests/quota_fleet/values.rs
+++ b/bergamotswitch-core/tests/quota_fleet/values.rs
@@ -8,8 +8,8 @@
 use bergamotswitch_core::request::TokenCost;
 use bergamotswitch_core::revision::{PublishedValue, ROUTES_VALUE, Revision, ValueName};
 use bergamotswitch_core::route::{
-    AccountQuota, CallerLimits, EngineFacts, KeyedAccount, PoolFacts, PoolSplit, QuotaUnit, Route,
-    RouteBook, RouteWork,
+    AccountQuota, CallSemantics, CallerLimits, EngineSpec, KeyedAccount, PoolSpec, PoolSplit,
+    QuotaUnit, Route, RouteConfig,
 };
 use bergamotswitch_core::rules::{Tier, Verdict};
 use bergamotswitch_core::target_list::{TargetEntry, TargetList};
@@ -30,14 +30,14 @@
     }
 }
 
-fn routes() -> RouteBook {
-    RouteBook {
+fn routes() -> RouteConfig {
+    RouteConfig {
         version: 1,
         routes: vec![Route {
             name: name("draft"),
             host: "a.example".to_owned(),
             path_prefix: "/".to_owned(),
-            work: RouteWork::Idempotent,
+            work: CallSemantics::Idempotent,
             timeout_ms: 10_000,
             first_answer_ms: 800,
             max_runs: 2,
@@ -49,10 +49,10 @@
             }],
         }],
         accounts: vec![account("busy"), account("calm"), account("late")],
-        pools: vec![PoolFacts {
+        pools: vec![PoolSpec {
             name: name("llm"),
             connection_limit: 1_000,
-            engine: Some(EngineFacts {
+            engine: Some(EngineSpec {
                 slots: 500,
                 cache_tokens: 1_000_000_000,
             }),
--- a/bergamotswitch-core/tests/route_lookup.rs
+++ b/bergamotswitch-core/tests/route_lookup.rs
@@ -2,8 +2,8 @@
 
 use bergamotswitch_core::client_account::KeyHash;
 use bergamotswitch_core::route::{
-    AccountQuota, CallerLimits, KeyedAccount, PoolSplit, QuotaUnit, Route, RouteBook, RouteTable,
-    RouteWork,
+    AccountQuota, CallSemantics, CallerLimits, KeyedAccount, PoolSplit, QuotaUnit, Route,
+    RouteConfig, RouteTable,
 };
 use bergamotswitch_core::rules::Tier;
 
@@ -16,7 +16,7 @@
         name: name.to_owned().try_into().expect("name"),
         host: host.to_owned(),
         path_prefix: prefix.to_owned(),
-        work: RouteWork::Idempotent,
+        work: CallSemantics::Idempotent,
         timeout_ms: 1_000,
         first_answer_ms: 100,
         max_runs: 1,
@@ -38,7 +38,7 @@
             plain_tokens: 200,
         },
     };
-    RouteTable::new(RouteBook {
+    RouteTable::new(RouteConfig {
         version: 7,
         routes: vec![
             route("short", "a.example", "/draft/"),
@@ -85,7 +85,7 @@
 #[test]
 fn json_kept() {
     let table = table();
-    let text = serde_json::to_string(table.book()).expect("text");
+    let text = serde_json::to_string(table.config()).expect("text");
     assert_eq!(RouteTable::try_from_json(&text).expect("table"), table);
     assert!(RouteTable::try_from_json("{}").is_err());
 }
--- a/bergamotswitch-core/tests/rule_match.rs
+++ b/bergamotswitch-core/tests/rule_match.rs
@@ -3,7 +3,7 @@
 use bergamotswitch_core::client_account::AccountName;
 use bergamotswitch_core::failure_domain::DomainName;
 use bergamotswitch_core::pool::PoolName;
-use bergamotswitch_core::rules::{RequestFacts, RuleBook, WorkKind};
+use bergamotswitch_core::rules::{RequestFacts, RuleSet, WorkKind};
 use serde_json::{Value, json};
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
@@ -69,7 +69,7 @@
             return;
         }
         let rules: Vec<Value> = conditions.iter().enumerate().map(rule_of).collect();
-        let book = RuleBook::try_from(&json!({ "rules": rules })).unwrap();
+        let book = RuleSet::try_from(&json!({ "rules": rules })).unwrap();
         let name = |index: usize| NAMES[draw[index] as usize % 3];
         let work = WorkKind::try_from(name(2)).unwrap();
         let facts = RequestFacts {
@@ -109,7 +109,7 @@
     // Symptom: two crews at one strewn field. Sequence: a rule for alerts
     // gives a tier only; the first attempt breaks off after it ran; a retry
     // runs it again. Cause: a default that lets work run twice.
-    let book = RuleBook::try_from(&json!({"rules": [{"name": "r", "then": {"tier": 2}}]})).unwrap();
+    let book = RuleSet::try_from(&json!({"rules": [{"name": "r", "then": {"tier": 2}}]})).unwrap();
     let verdict = with_facts(|facts| book.decide(facts)).unwrap();
     assert!(!verdict.idempotent && !verdict.preemptible && !verdict.dispatch_once);
     assert_eq!((verdict.share, verdict.deadline.as_millis()), (1, 60_000));
@@ -117,7 +117,7 @@
 
 #[test]
 fn told_reasons() {
-    let book = RuleBook::try_from(&json!({"rules": [
+    let book = RuleSet::try_from(&json!({"rules": [
         {"name": "work", "when": {"work": ["dawn-report", "status"]}, "then": {"tier": 0}},
         {"name": "long", "when": {"min_prompt_tokens": 500}, "then": {"tier": 6}},
         {"name": "stream", "when": {"streaming": true}, "then": {"tier": 6}},
--- a/bergamotswitch-core/tests/stop_returns.rs
+++ b/bergamotswitch-core/tests/stop_returns.rs
@@ -15,7 +15,7 @@
 };
 use bergamotswitch_core::roster::{MemberFlags, MemberRecord, RosterMessage, RosterOptions};
 use bergamotswitch_core::route::{
-    CallerLimits, EngineFacts, PoolFacts, PoolSplit, Route, RouteBook, RouteWork,
+    CallSemantics, CallerLimits, EngineSpec, PoolSpec, PoolSplit, Route, RouteConfig,
 };
 use bergamotswitch_core::rules::{Tier, Verdict};
 use bergamotswitch_core::target_list::{TargetEntry, TargetList};
@@ -64,7 +64,7 @@
         name: name("rule"),
         host: "a.example".to_owned(),
         path_prefix: "/".to_owned(),
-        work: RouteWork::Idempotent,
+        work: CallSemantics::Idempotent,
         timeout_ms: 60_000,
         first_answer_ms: 800,
         max_runs: 2,
@@ -75,15 +75,15 @@
             weight: 1,
         }],
     };
-    let pool = PoolFacts {
+    let pool = PoolSpec {
         name: name("llm"),
         connection_limit: 1_000,
-        engine: Some(EngineFacts {
+        engine: Some(EngineSpec {
             slots: 8,
             cache_tokens: 1_000_000,
         }),
     };
-    let routes = RouteBook {
+    let routes = RouteConfig {
         version: 1,
         routes: vec![route],
         accounts: Vec::new(),
--- a/bergamotswitch-net/src/gateway/call.rs
+++ b/bergamotswitch-net/src/gateway/call.rs
@@ -10,7 +10,7 @@
 use bergamotswitch_core::publication::Publication;
 use bergamotswitch_core::refusal::{Refusal, RefusalReason};
 use bergamotswitch_core::request::TokenCost;
-use bergamotswitch_core::route::{KeyedAccount, Route, RouteWork};
+use bergamotswitch_core::route::{CallSemantics, KeyedAccount, Route};
 use bergamotswitch_core::rules::{Tier, Verdict};
 use bergamotswitch_platform::call::{CallTokens, CallerCall, body_length};
 use bergamotswitch_platform::{outgoing, refusal};
@@ -105,7 +105,7 @@
     let call =
         CallerCall::try_from(&parts).map_err(|_| CallStop::new(RefusalReason::BadRequest))?;
     let publication = desk.publication.borrow().clone();
-    if publication.routes.book().routes.is_empty() {
+    if publication.routes.config().routes.is_empty() {
         return Err(CallStop::later(RefusalReason::NotReady, NOT_READY_RETRY));
     }
     let entry = match Admission::try_new(&publication, &call) {
@@ -211,9 +211,9 @@
                 // Beyond, its answer would be late, and every place in the
                 // queue that it holds makes the next one late as well.
                 patience: Some(first_answer),
-                resumable: work == RouteWork::ResumableStream,
+                resumable: work == CallSemantics::ResumableStream,
                 ends_at_deadline: true,
-                ends_with_caller: work != RouteWork::NonIdempotent,
+                ends_with_caller: work != CallSemantics::NonIdempotent,
                 most_output: call.tokens.map(|tokens| tokens.most_output),
                 quota_units: self
                     .account
@@ -283,7 +283,7 @@
     body: Incoming,
     time_left: Duration,
 ) -> Result<(Bytes, Option<OwnedSemaphorePermit>), CallStop> {
-    let most = publication.routes.book().limits.max_body_bytes;
+    let most = publication.routes.config().limits.max_body_bytes;
     let length = body_length(&parts.headers);
     if length.is_some_and(|length| length > most) {
         return Err(CallStop::new(RefusalReason::TooLarge));
--- a/bergamotswitch-net/src/gateway/listener.rs
+++ b/bergamotswitch-net/src/gateway/listener.rs
@@ -76,7 +76,7 @@
     Handler: Fn(Arc<GatewayDesk>, Request<Incoming>) -> Answer + Copy + Send + Sync + 'static,
     Answer: Future<Output = Response<AnswerBody>> + Send + 'static,
 {
-    let limits = desk.publication.borrow().routes.book().limits;
+    let limits = desk.publication.borrow().routes.config().limits;
     let _alive = desk.alive.clone();
     let mut phase = desk.phase.clone();
     let service = service_fn(|request| {
