--- a/bergamotswitch-core/src/node/carry_out.rs
+++ b/bergamotswitch-core/src/node/carry_out.rs
@@ -28,11 +28,11 @@
             EntryAction::Conclude(id, conclusion) => {
                 self.actions.push(NodeAction::Conclude(id, conclusion));
             }
-            EntryAction::Forget(id) => self.actions.push(NodeAction::Forget(id)),
+            EntryAction::Forget(id) => self.actions.push(NodeAction::DropAnswer(id)),
             EntryAction::Forward(id, holder) => self.actions.push(NodeAction::Forward(id, holder)),
             EntryAction::Note(incident, id) => {
                 let text = format!("request={id}");
-                self.actions.push(NodeAction::Note(incident, text));
+                self.actions.push(NodeAction::LogIncident(incident, text));
             }
             EntryAction::CountRefusal(tier, reason) => {
                 self.actions.push(NodeAction::CountRefusal(tier, reason));
@@ -83,7 +83,7 @@
             OwnerAction::Note(incident, shard, target) => {
                 let target = target.map_or(String::new(), |target| format!(" target={target}"));
                 let text = format!("shard={shard}{target}");
-                self.actions.push(NodeAction::Note(incident, text));
+                self.actions.push(NodeAction::LogIncident(incident, text));
             }
         }
     }
@@ -109,7 +109,7 @@
             }
             MembershipAction::Note(incident, host) => {
                 let text = format!("peer={host}");
-                self.actions.push(NodeAction::Note(incident, text));
+                self.actions.push(NodeAction::LogIncident(incident, text));
             }
         }
     }
@@ -133,7 +133,7 @@
         if degraded {
             let text = format!("shard={shard}");
             self.actions
-                .push(NodeAction::Note(Incident::DegradedAdmission, text));
+                .push(NodeAction::LogIncident(Incident::DegradedAdmission, text));
         }
         self.shards
             .set_degraded(now, &shard, degraded, &self.publication);
@@ -149,7 +149,7 @@
             false => Incident::OwnershipLeft,
         };
         let text = format!("shard={shard}");
-        self.actions.push(NodeAction::Note(incident, text));
+        self.actions.push(NodeAction::LogIncident(incident, text));
         // Left to their re-ask interval, the requests that wait here would
         // stand still for seconds although another host may serve them.
         let mut asking = match act {
--- a/bergamotswitch-core/src/node/core.rs
+++ b/bergamotswitch-core/src/node/core.rs
@@ -188,9 +188,9 @@
     pub fn handle(&mut self, now: Moment, event: NodeEvent) -> Vec<NodeAction> {
         self.notice_pause(now);
         match event {
-            NodeEvent::CallerLeft(id) => self.tell_desk(now, EntryEvent::CallerLeft(id)),
+            NodeEvent::CallerDisconnected(id) => self.tell_desk(now, EntryEvent::CallerLeft(id)),
             NodeEvent::Attempt(id, event) => self.tell_desk(now, EntryEvent::Attempt(id, event)),
-            NodeEvent::Overlong(id) => self.tell_desk(now, EntryEvent::Overlong(id)),
+            NodeEvent::AnswerTooLong(id) => self.tell_desk(now, EntryEvent::Overlong(id)),
             NodeEvent::AnswerSize(id, bytes) => {
                 self.tell_desk(now, EntryEvent::AnswerSize(id, bytes));
             }
@@ -218,9 +218,9 @@
                 self.tell_membership(now, MembershipEvent::Load(permille));
             }
             NodeEvent::Stop => self.on_stop(now),
-            NodeEvent::WholeBy(at) => self.on_whole_by(now, at),
-            NodeEvent::DoorShut => self.tell_desk(now, EntryEvent::DoorShut),
-            NodeEvent::CutOff => self.tell_desk(now, EntryEvent::CutOff),
+            NodeEvent::AnswerDeadline(at) => self.on_whole_by(now, at),
+            NodeEvent::AdmissionClosed => self.tell_desk(now, EntryEvent::DoorShut),
+            NodeEvent::GraceExpired => self.tell_desk(now, EntryEvent::CutOff),
             NodeEvent::Tick => self.on_tick(now),
         }
         self.finish(now)
@@ -251,7 +251,7 @@
         }
         let text = format!("slept_ms={}", gap.as_millis());
         self.actions
-            .push(NodeAction::Note(Incident::PauseNoticed, text));
+            .push(NodeAction::LogIncident(Incident::PauseNoticed, text));
         self.wake_roster(now);
         self.tell_membership(now, MembershipEvent::Woke(gap));
         self.key_guards.restart(now);
@@ -273,8 +273,10 @@
 
     fn on_stop(&mut self, now: Moment) {
         if self.stopping {
-            self.actions
-                .push(NodeAction::Note(Incident::StopRepeated, String::new()));
+            self.actions.push(NodeAction::LogIncident(
+                Incident::StopRepeated,
+                String::new(),
+            ));
             return;
         }
         self.stopping = true;
--- a/bergamotswitch-core/src/node/mod.rs
+++ b/bergamotswitch-core/src/node/mod.rs
@@ -40,11 +40,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NodeEvent {
     /// The last caller that followed a request went away.
-    CallerLeft(RequestId),
+    CallerDisconnected(RequestId),
     /// An attempt makes progress.
     Attempt(AttemptId, AttemptEvent),
     /// The answer of a request in flight is longer than one may be.
-    Overlong(RequestId),
+    AnswerTooLong(RequestId),
     /// The answer of an ended request takes this memory, in bytes.
     AnswerSize(RequestId, u64),
     /// A link's news.
@@ -70,12 +70,12 @@
     /// A planned stop begins.
     Stop,
     /// In a planned stop that may not last, answers have to be whole by then.
-    WholeBy(Moment),
+    AnswerDeadline(Moment),
     /// The addresses under which callers come have lapsed: no new request is
     /// taken.
-    DoorShut,
+    AdmissionClosed,
     /// The planned stop may not last any longer: everything ends now.
-    CutOff,
+    GraceExpired,
     /// Time has passed.
     Tick,
 }
@@ -118,11 +118,11 @@
     /// Tell the caller the outcome.
     Conclude(RequestId, Conclusion),
     /// Drop the kept answer of an ended request.
-    Forget(RequestId),
+    DropAnswer(RequestId),
     /// Hand a request over to the run that holds its key.
     Forward(RequestId, HostIncarnation),
     /// Log a numbered event; the text names what it is about.
-    Note(Incident, String),
+    LogIncident(Incident, String),
     /// Count a refusal of a request that was accepted.
     CountRefusal(Tier, RefusalReason),
     /// Count the time from acceptance to the first dispatch.
--- a/bergamotswitch-core/src/node/published.rs
+++ b/bergamotswitch-core/src/node/published.rs
@@ -25,7 +25,7 @@
             RevisionAction::Link(host) => self.actions.push(NodeAction::Connect(host)),
             RevisionAction::Note(incident, name) => {
                 let text = format!("value={name}");
-                self.actions.push(NodeAction::Note(incident, text));
+                self.actions.push(NodeAction::LogIncident(incident, text));
             }
         }
     }
--- a/bergamotswitch-core/tests/fleet_world/calls.rs
+++ b/bergamotswitch-core/tests/fleet_world/calls.rs
@@ -86,7 +86,7 @@
             && self.hosts[host].held.is_none()
         {
             self.count("callers left");
-            self.tell(host, NodeEvent::CallerLeft(id));
+            self.tell(host, NodeEvent::CallerDisconnected(id));
         }
     }
 
--- a/bergamotswitch-core/tests/fleet_world/mod.rs
+++ b/bergamotswitch-core/tests/fleet_world/mod.rs
@@ -299,11 +299,11 @@
                 NodeAction::Conclude(id, conclusion) => {
                     self.conclude(host, id, &conclusion, cause);
                 }
-                NodeAction::Forget(id) => {
+                NodeAction::DropAnswer(id) => {
                     self.hosts[host].forgotten.insert(id);
                 }
                 NodeAction::Forward(id, holder) => self.hand_over(id, holder),
-                NodeAction::Note(incident, text) => self.note(host, incident, &text),
+                NodeAction::LogIncident(incident, text) => self.note(host, incident, &text),
                 NodeAction::CountRetry(_) => self.count("retries"),
                 NodeAction::WatchTargets(_)
                 | NodeAction::Gossip(_)
--- a/bergamotswitch-core/tests/node_cold_path.rs
+++ b/bergamotswitch-core/tests/node_cold_path.rs
@@ -104,7 +104,7 @@
     let busy = answered(&mut node, Duration::from_secs(3));
     let owners: Vec<&HostName> = busy.difference(&idle).collect();
     assert_eq!(owners.len(), 1, "one more host is watched: {busy:?}");
-    node.event(NodeEvent::CallerLeft(id));
+    node.event(NodeEvent::CallerDisconnected(id));
     let later = answered(&mut node, Duration::from_secs(50));
     assert_eq!(later, busy);
     answered(&mut node, Duration::from_secs(15));
--- a/bergamotswitch-core/tests/node_limits.rs
+++ b/bergamotswitch-core/tests/node_limits.rs
@@ -100,7 +100,12 @@
     node.link_up("peer");
     node.beat("peer", 0);
     node.pass(Duration::from_secs(5));
-    node.count(|action| matches!(action, NodeAction::Note(Incident::PeerUnreachable, _)))
+    node.count(|action| {
+        matches!(
+            action,
+            NodeAction::LogIncident(Incident::PeerUnreachable, _)
+        )
+    })
 }
 
 /// The calls of a minute in which every watch ends at once.
@@ -149,7 +154,7 @@
         node.answer(alert(key), 600_000);
     }
     node.pass(Duration::from_secs(5));
-    node.count(|action| matches!(action, NodeAction::Forget(_)))
+    node.count(|action| matches!(action, NodeAction::DropAnswer(_)))
 }
 
 fn keys_later(limits: &Value) -> u64 {
@@ -277,7 +282,7 @@
 fn overlong_may_have_run() {
     let mut node = bound(&json!({}), ALONE, json!({}));
     let attempt = node.start(submission());
-    node.event(NodeEvent::Overlong(attempt.request));
+    node.event(NodeEvent::AnswerTooLong(attempt.request));
     let ended = node.actions.iter().find_map(|action| match action {
         NodeAction::Conclude(_, Conclusion::Refused(refusal)) => Some(refusal.clone()),
         _ => None,
--- a/bergamotswitch-core/tests/quota_fleet/mod.rs
+++ b/bergamotswitch-core/tests/quota_fleet/mod.rs
@@ -456,7 +456,9 @@
                         call.refused_at = Some(self.now);
                     }
                 }
-                NodeAction::Note(incident, text) => self.note(index, incident.number(), &text),
+                NodeAction::LogIncident(incident, text) => {
+                    self.note(index, incident.number(), &text)
+                }
                 _ => {}
             }
         }
--- a/bergamotswitch-core/tests/stop_returns.rs
+++ b/bergamotswitch-core/tests/stop_returns.rs
@@ -221,7 +221,8 @@
     fn stop(&mut self) {
         self.core.handle(self.now, NodeEvent::Stop);
         let whole_by = self.now.plus(SPAN);
-        self.core.handle(self.now, NodeEvent::WholeBy(whole_by));
+        self.core
+            .handle(self.now, NodeEvent::AnswerDeadline(whole_by));
     }
 
     /// Get when a caller comes back that is turned away now.
@@ -326,7 +327,8 @@
     host.stop();
     let span = Duration::from_secs(4);
     let whole_by = host.now.plus(span);
-    host.core.handle(host.now, NodeEvent::WholeBy(whole_by));
+    host.core
+        .handle(host.now, NodeEvent::AnswerDeadline(whole_by));
     host.assert_back_at(left_at.plus(span + MARGIN));
 }
 
@@ -338,7 +340,7 @@
     host.pass(Duration::from_secs(1));
     host.core.handle(host.now, NodeEvent::Stop);
     host.core
-        .handle(host.now, NodeEvent::WholeBy(Moment::NEVER));
-    host.core.handle(host.now, NodeEvent::DoorShut);
+        .handle(host.now, NodeEvent::AnswerDeadline(Moment::NEVER));
+    host.core.handle(host.now, NodeEvent::AdmissionClosed);
     assert_eq!(host.turned_away(), AT_ONCE);
 }
--- a/bergamotswitch-net/src/node/drive.rs
+++ b/bergamotswitch-net/src/node/drive.rs
@@ -195,7 +195,7 @@
             }
             NodeInput::CallerLeft(id) => {
                 if self.open.leave(id) {
-                    self.handle(NodeEvent::CallerLeft(id));
+                    self.handle(NodeEvent::CallerDisconnected(id));
                 }
             }
             NodeInput::Outcome(query, reply) => {
@@ -249,7 +249,7 @@
                 // An answer that began anew meanwhile is another run's.
                 let overlong = |request: &OpenRequest| request.answer.is_overlong();
                 if self.open.get(id).is_some_and(overlong) {
-                    self.handle(NodeEvent::Overlong(id));
+                    self.handle(NodeEvent::AnswerTooLong(id));
                 }
             }
             NodeInput::Load(name, report) => self.handle(NodeEvent::Load(name, report)),
@@ -319,14 +319,14 @@
             } => self.start(attempt, &target, kind),
             NodeAction::Abort { attempt, cancel } => self.targets.abort(attempt, cancel),
             NodeAction::Conclude(id, conclusion) => self.conclude(id, conclusion),
-            NodeAction::Forget(id) => self.open.forget(id),
+            NodeAction::DropAnswer(id) => self.open.forget(id),
             NodeAction::Forward(id, holder) => {
                 if let Some(request) = self.open.get(id) {
                     request.answer.push(AnswerPart::Forward(holder));
                 }
                 self.open.end(id);
             }
-            NodeAction::Note(incident, text) => self.note(incident, &text),
+            NodeAction::LogIncident(incident, text) => self.note(incident, &text),
             NodeAction::CountRefusal(tier, reason) => self.metrics.refused(reason, Some(tier)),
             NodeAction::CountWait(tier, span) => self.metrics.queue_wait(tier, span),
             NodeAction::CountRetry(reason) => self.metrics.retried(reason),
@@ -406,7 +406,7 @@
         }
         self.stop = self.stop.with_grace(settings.grace());
         if let Some(times) = self.stop.times() {
-            self.handle(NodeEvent::WholeBy(times.whole_by()));
+            self.handle(NodeEvent::AnswerDeadline(times.whole_by()));
         }
         self.settings = settings;
         self.note(Incident::SettingsReloaded, "seeds, grace");
--- a/bergamotswitch-net/src/node/drive/stopping.rs
+++ b/bergamotswitch-net/src/node/drive/stopping.rs
@@ -31,7 +31,7 @@
         self.callers.lapse();
         self.handle(NodeEvent::Stop);
         if let Some(times) = self.stop.times() {
-            self.handle(NodeEvent::WholeBy(times.whole_by()));
+            self.handle(NodeEvent::AnswerDeadline(times.whole_by()));
         }
     }
 
@@ -49,7 +49,7 @@
                 // requests taken there until the host is idle, it would never
                 // be idle under load.
                 if let CallerDoor::Api(_) = self.callers {
-                    self.handle(NodeEvent::DoorShut);
+                    self.handle(NodeEvent::AdmissionClosed);
                 }
                 self.note_stop(Incident::DoorShut, &times);
             }
@@ -59,7 +59,7 @@
                 // A host that is late is killed while it ends its requests; what
                 // it held is in the log by then.
                 journal::hasten();
-                self.handle(NodeEvent::CutOff);
+                self.handle(NodeEvent::GraceExpired);
             }
         }
     }
