--- a/bergamotswitch-core/tests/key_guard.rs
+++ b/bergamotswitch-core/tests/key_guard.rs
@@ -1,12 +1,12 @@
 //! Calls that must not run twice, while it is in doubt who orders their shard.
 
 mod entry_support;
-mod node_bench;
+mod node_support;
 
 use bergamotswitch_core::refusal::RunClaim;
 use bergamotswitch_core::rendezvous;
 use entry_support::*;
-use node_bench::net::*;
+use node_support::net::*;
 
 /// Longer than a new owner takes to be sure that it is the only one.
 const SETTLE: Duration = Duration::from_secs(4);
@@ -32,21 +32,21 @@
     let mut net = NodeNet::start_with("plain");
     let [first, second, third] = candidates();
     cut(&mut net, first, second);
-    net.pass(Duration::from_secs(3));
+    net.advance(Duration::from_secs(3));
     assert_eq!(net.owners().len(), 2, "both order the shard");
     for round in 0..10 {
         for host in [first, second, third] {
             net.nodes[host].submit(alert(&format!("alert-{round}")));
         }
-        net.pass(Duration::from_millis(100));
+        net.advance(Duration::from_millis(100));
     }
-    net.pass(SETTLE);
+    net.advance(SETTLE);
     assert_eq!(net.started.len(), 4, "one run a target: {:?}", net.started);
     let at_second = net.started.iter().filter(|(host, _)| *host == second);
     assert_eq!(at_second.count(), 0);
     // Heals: what waited at the second one is known to the first.
     net.cuts.clear();
-    net.pass(Duration::from_secs(10));
+    net.advance(Duration::from_secs(10));
     assert_eq!(net.owners(), [first]);
     assert_eq!(net.started.len(), 4, "{:?}", net.started);
 }
@@ -61,12 +61,12 @@
     for (a, b) in [(0, 1), (0, 2), (1, 2)] {
         cut(&mut net, a, b);
     }
-    net.pass(Duration::from_secs(8));
+    net.advance(Duration::from_secs(8));
     for host in 0..HOSTS.len() {
         net.nodes[host].submit(alert("alert"));
         net.nodes[host].submit(submission());
     }
-    net.pass(DEADLINE + Duration::from_secs(1));
+    net.advance(DEADLINE + Duration::from_secs(1));
     // What may be repeated runs everywhere.
     assert_eq!(net.started.len(), HOSTS.len(), "{:?}", net.started);
     let refused = net
@@ -87,17 +87,17 @@
     let mut net = NodeNet::start_with("plain");
     let [first, second, third] = candidates();
     net.nodes[third].submit(alert("calm"));
-    net.pass(Duration::from_millis(50));
+    net.advance(Duration::from_millis(50));
     assert_eq!(net.started.len(), 1, "at once");
     cut(&mut net, first, second);
     cut(&mut net, first, third);
     net.nodes[third].submit(alert("after"));
-    net.pass(Duration::from_secs(6));
+    net.advance(Duration::from_secs(6));
     assert_eq!(net.started.len(), 2, "{:?}", net.started);
     // Its copy at the second host is known there.
     net.nodes[second].submit(alert("after"));
     net.nodes[second].submit(alert("calm"));
-    net.pass(Duration::from_secs(1));
+    net.advance(Duration::from_secs(1));
     assert_eq!(net.started.len(), 2, "{:?}", net.started);
 }
 
@@ -109,12 +109,12 @@
     let mut net = NodeNet::start_with("plain");
     let [first, second, _] = candidates();
     net.nodes[first].submit(alert("before"));
-    net.pass(Duration::from_millis(50));
+    net.advance(Duration::from_millis(50));
     net.freeze(first, Duration::from_secs(6));
     assert!(net.owners().contains(&second));
     net.nodes[first].submit(alert("woken"));
     net.nodes[second].submit(alert("meanwhile"));
-    net.pass(Duration::from_secs(9));
+    net.advance(Duration::from_secs(9));
     assert_eq!(net.owners(), [first]);
     assert_eq!(net.started.len(), 3, "{:?}", net.started);
 }
--- a/bergamotswitch-core/tests/link_return.rs
+++ b/bergamotswitch-core/tests/link_return.rs
@@ -1,12 +1,12 @@
 //! A link between an entry host and an owner closes, and another one opens.
 
 mod entry_support;
-mod node_bench;
+mod node_support;
 
 use bergamotswitch_core::entry::AttemptEvent;
 use entry_support::*;
-use node_bench::net::*;
-use node_bench::*;
+use node_support::net::*;
+use node_support::*;
 
 /// The requests that the pool serves at once.
 const SLOTS: usize = 4;
@@ -42,14 +42,14 @@
     for _ in 0..SLOTS {
         net.nodes[entry].submit(submission());
     }
-    net.pass(PROMPTLY);
+    net.advance(PROMPTLY);
     assert_eq!(permits(&net, owner), SLOTS);
     net.cut(entry, owner);
     finish(&mut net, entry);
-    net.pass(OUTAGE);
+    net.advance(OUTAGE);
     assert_eq!(permits(&net, owner), SLOTS, "nothing got through");
     net.heal(entry, owner);
-    net.pass(PROMPTLY);
+    net.advance(PROMPTLY);
     assert_eq!(net.owners(), [owner], "nobody took over");
     assert_eq!(permits(&net, owner), 0);
 }
@@ -64,10 +64,10 @@
     let entry = (owner + 1) % HOSTS.len();
     net.cut(entry, owner);
     net.nodes[entry].submit(submission());
-    net.pass(OUTAGE);
+    net.advance(OUTAGE);
     assert!(net.started.is_empty());
     net.heal(entry, owner);
-    net.pass(PROMPTLY);
+    net.advance(PROMPTLY);
     assert_eq!(net.started.len(), 1);
 }
 
@@ -82,14 +82,14 @@
     for _ in 0..SLOTS + 1 {
         net.nodes[entry].submit(submission());
     }
-    net.pass(PROMPTLY);
+    net.advance(PROMPTLY);
     net.cut(entry, owner);
-    net.pass(OUTAGE);
+    net.advance(OUTAGE);
     net.heal(entry, owner);
-    net.pass(PROMPTLY);
+    net.advance(PROMPTLY);
     assert_eq!(permits(&net, owner), SLOTS);
     assert_eq!(net.started.len(), SLOTS);
     finish(&mut net, entry);
-    net.pass(PROMPTLY);
+    net.advance(PROMPTLY);
     assert_eq!(net.started.len(), 1, "the one that waited");
 }
--- a/bergamotswitch-core/tests/many_shards.rs
+++ b/bergamotswitch-core/tests/many_shards.rs
@@ -1,12 +1,12 @@
 //! Reports of failed targets in a fleet of many shards.
 
 mod entry_support;
-mod node_bench;
+mod node_support;
 
 use bergamotswitch_core::permit::FailedTarget;
 use entry_support::*;
-use node_bench::net::*;
-use node_bench::*;
+use node_support::net::*;
+use node_support::*;
 
 /// As many shards as reports are kept of.
 const SHARDS: usize = 64;
@@ -53,11 +53,11 @@
     for host in others.clone() {
         for message in reports {
             net.nodes[host].message(HOSTS[owner], message.clone());
-            net.nodes[host].pass(STEP);
+            net.nodes[host].advance(STEP);
         }
         net.cut(owner, host);
     }
-    net.pass(TAKEOVER);
+    net.advance(TAKEOVER);
     is_backed_off(&net, owner)
 }
 
--- a/bergamotswitch-core/tests/node_cold_path.rs
+++ b/bergamotswitch-core/tests/node_cold_path.rs
@@ -1,12 +1,12 @@
 //! The first request of a shard waits for no dial and no heartbeat interval.
 
 mod entry_support;
-mod node_bench;
+mod node_support;
 
 use std::collections::BTreeSet;
 
 use entry_support::*;
-use node_bench::*;
+use node_support::*;
 
 /// So many that `me` is no candidate of the shards below.
 const HOSTS: &[&str] = &[
@@ -36,7 +36,7 @@
     answer(node);
     let end = node.now.plus(span);
     while node.now < end {
-        node.pass(Duration::from_millis(100));
+        node.advance(Duration::from_millis(100));
         watched.extend(answer(node));
     }
     watched
--- a/bergamotswitch-core/tests/node_counts.rs
+++ b/bergamotswitch-core/tests/node_counts.rs
@@ -1,12 +1,12 @@
 //! A host counts what it does while a shard's order is not whole.
 
 mod entry_support;
-mod node_bench;
+mod node_support;
 
 use bergamotswitch_core::node::NodeCounts;
 use bergamotswitch_core::rendezvous;
 use entry_support::*;
-use node_bench::*;
+use node_support::*;
 
 const HOSTS: &[&str] = &["h1", "h2", "h3", "h4", "h5"];
 
@@ -24,7 +24,7 @@
 #[test]
 fn degraded_counted() {
     let mut node = bystander();
-    node.pass(Duration::from_secs(10));
+    node.advance(Duration::from_secs(10));
     node.start(submission());
     node.start(alert("a"));
     let mut marked = alert("b");
@@ -55,7 +55,7 @@
     let tier = submission().verdict.tier;
     let waits = |action: &NodeAction| matches!(action, NodeAction::CountWait(found, span) if *found == tier && span.is_zero());
     assert_eq!(node.count(waits), 4, "one a target, at once");
-    node.pass(Duration::from_secs(40));
+    node.advance(Duration::from_secs(40));
     let reason = RefusalReason::DeadlinePassed;
     let refused = node.count(|action| *action == NodeAction::CountRefusal(tier, reason));
     let told = node.count(|action| {
--- a/bergamotswitch-core/tests/node_handover.rs
+++ b/bergamotswitch-core/tests/node_handover.rs
@@ -2,13 +2,13 @@
 //! busy one.
 
 mod entry_support;
-mod node_bench;
+mod node_support;
 
 use bergamotswitch_core::address::{AddressQuery, CallerMark};
 use bergamotswitch_core::rendezvous;
 use entry_support::*;
-use node_bench::net::*;
-use node_bench::*;
+use node_support::net::*;
+use node_support::*;
 
 // Symptom: requests wait for seconds while their shard's owner stops.
 // Sequence: requests of another host wait at the owner; it is stopped.
@@ -21,10 +21,10 @@
     for _ in 0..6 {
         net.nodes[user].submit(submission());
     }
-    net.pass(Duration::from_millis(100));
+    net.advance(Duration::from_millis(100));
     net.asked.clear();
     net.nodes[owner].event(NodeEvent::Stop);
-    net.pass(Duration::from_millis(100));
+    net.advance(Duration::from_millis(100));
     let next = net.owners().into_iter().find(|at| *at != owner);
     let next = next.expect("another owner at once");
     if next != user {
@@ -36,7 +36,7 @@
         view.queued.iter().map(|tier| tier.asks).sum::<usize>()
     };
     assert_eq!(queued(&net), 2, "what waited, waits there");
-    net.pass(Duration::from_millis(1_100));
+    net.advance(Duration::from_millis(1_100));
     assert_eq!(net.owners(), [next], "the stopping one has ceased");
 }
 
@@ -52,7 +52,7 @@
         panic!("{ranked:?}");
     };
     let mut node = named(me.as_str(), HOSTS, json!({"token_limit": 1}));
-    node.pass(Duration::from_secs(8));
+    node.advance(Duration::from_secs(8));
     assert_eq!(node.core.view(node.now).owns, [shard()]);
     for host in [first, asking] {
         node.link_up(host.as_str());
@@ -60,7 +60,7 @@
     for _ in 0..6 {
         node.submit(submission());
     }
-    let ask = OwnerMessage::Ask(Box::new(node_bench::ask_of(asking.as_str())));
+    let ask = OwnerMessage::Ask(Box::new(node_support::ask_of(asking.as_str())));
     node.message(asking.as_str(), LinkMessage::ToOwner(ask));
     let mut told = Vec::new();
     let owns = |node: &TestNode| !node.core.view(node.now).owns.is_empty();
@@ -82,7 +82,7 @@
                 _ => {}
             }
         }
-        node.pass(Duration::from_millis(100));
+        node.advance(Duration::from_millis(100));
     }
     assert!(!owns(&node), "an earlier candidate is back");
     assert!(told.iter().eq([asking]), "{told:?}");
@@ -106,7 +106,7 @@
         assert_eq!(node.core.address(&query).hosts[0].host, "h1");
     }
     node.actions.clear();
-    node.pass(Duration::from_secs(1));
+    node.advance(Duration::from_secs(1));
     let loads = |action: &NodeAction| match action {
         NodeAction::Send(_, LinkMessage::Heartbeat(beat)) => beat.load_permille == 950,
         _ => false,
--- a/bergamotswitch-core/tests/node_limits.rs
+++ b/bergamotswitch-core/tests/node_limits.rs
@@ -1,7 +1,7 @@
 //! Published limits bind a host's machines as soon as they are adopted.
 
 mod entry_support;
-mod node_bench;
+mod node_support;
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 use bergamotswitch_core::publication::FleetLimits;
 use bergamotswitch_core::refusal::RunClaim;
 use entry_support::*;
-use node_bench::*;
+use node_support::*;
 
 const ALONE: &[&str] = &["me"];
 const PAIR: &[&str] = &["me", "peer"];
@@ -91,7 +91,7 @@
 fn heartbeats(limits: &Value) -> u64 {
     let mut node = bound(limits, PAIR, json!({}));
     node.link_up("peer");
-    node.pass(Duration::from_secs(5));
+    node.advance(Duration::from_secs(5));
     node.count(|action| matches!(action, NodeAction::Send(_, LinkMessage::Heartbeat(_))))
 }
 
@@ -99,7 +99,7 @@
     let mut node = bound(limits, PAIR, json!({}));
     node.link_up("peer");
     node.beat("peer", 0);
-    node.pass(Duration::from_secs(5));
+    node.advance(Duration::from_secs(5));
     node.count(|action| {
         matches!(
             action,
@@ -112,7 +112,7 @@
 fn reads(limits: &Value) -> u64 {
     let mut node = bound(limits, ALONE, json!({}));
     // What was spent before the adoption is given back first.
-    node.pass(Duration::from_secs(80));
+    node.advance(Duration::from_secs(80));
     let mut calls = 0;
     let mut counted = false;
     for _ in 0..600 {
@@ -123,7 +123,7 @@
             }
         }
         counted = true;
-        node.pass(Duration::from_millis(100));
+        node.advance(Duration::from_millis(100));
     }
     calls
 }
@@ -143,7 +143,7 @@
             }
         }
         // A target that fails is backed off; time lets it be tried again.
-        node.pass(Duration::from_millis(1_500));
+        node.advance(Duration::from_millis(1_500));
     }
     node.count(|action| matches!(action, NodeAction::CountRetry(_)))
 }
@@ -153,14 +153,14 @@
     for key in ["a", "b"] {
         node.answer(alert(key), 600_000);
     }
-    node.pass(Duration::from_secs(5));
+    node.advance(Duration::from_secs(5));
     node.count(|action| matches!(action, NodeAction::DropAnswer(_)))
 }
 
 fn keys_later(limits: &Value) -> u64 {
     let mut node = bound(limits, ALONE, json!({}));
     node.answer(alert("a"), 100);
-    node.pass(Duration::from_secs(20));
+    node.advance(Duration::from_secs(20));
     keys(&node)
 }
 
--- a/bergamotswitch-core/tests/node_bench/mod.rs
+++ b/bergamotswitch-core/tests/node_support/mod.rs
@@ -94,7 +94,7 @@
     /// Get a host `me` that serves under the default limits.
     pub fn serving(hosts: &[&str], target: Value) -> Self {
         let mut node = named("me", hosts, target);
-        node.pass(START);
+        node.advance(START);
         assert!(node.core.is_ready(node.now));
         node.actions.clear();
         node
@@ -170,7 +170,7 @@
         self.message(peer, LinkMessage::Heartbeat(beat));
     }
 
-    pub fn pass(&mut self, span: Duration) {
+    pub fn advance(&mut self, span: Duration) {
         let end = self.now.plus(span);
         while self.core.next_wake() < end {
             self.now = self.now.max(self.core.next_wake());
--- a/bergamotswitch-core/tests/node_bench/net.rs
+++ b/bergamotswitch-core/tests/node_support/net.rs
@@ -43,17 +43,17 @@
             started: Vec::new(),
             concluded: Vec::new(),
         };
-        net.pass(Duration::from_secs(8));
+        net.advance(Duration::from_secs(8));
         net
     }
 
-    pub fn pass(&mut self, span: Duration) {
-        self.pass_but(None, span);
+    pub fn advance(&mut self, span: Duration) {
+        self.advance_except(None, span);
     }
 
     /// Let a host sleep while time passes for the others.
     pub fn freeze(&mut self, host: usize, span: Duration) {
-        self.pass_but(Some(host), span);
+        self.advance_except(Some(host), span);
         self.nodes[host].now = self.nodes[host].now.plus(span);
         let held = std::mem::take(&mut self.held);
         for (from, message) in held {
@@ -61,13 +61,13 @@
         }
     }
 
-    fn pass_but(&mut self, frozen: Option<usize>, span: Duration) {
+    fn advance_except(&mut self, frozen: Option<usize>, span: Duration) {
         self.frozen = frozen;
         let step = Duration::from_millis(50);
         for _ in 0..span.as_millis() / step.as_millis() {
             let nodes = self.nodes.iter_mut().enumerate();
             for (_, node) in nodes.filter(|(at, _)| Some(*at) != frozen) {
-                node.pass(step);
+                node.advance(step);
             }
             while self.deliver() {}
         }
