--- a/bergamotswitch-core/src/explain.rs
+++ b/bergamotswitch-core/src/explain.rs
@@ -21,9 +21,9 @@
     Leaving,
 }
 
-/// A `TargetOpinion` is whether a target may run a request.
+/// A `TargetEligibility` is whether a target may run a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct TargetOpinion {
+pub struct TargetEligibility {
     /// The target.
     pub target: TargetName,
     /// Its failure domain.
@@ -42,7 +42,7 @@
     /// What the matching rule decides.
     pub verdict: Option<Verdict>,
     /// What holds for each target of the pool.
-    pub targets: Vec<TargetOpinion>,
+    pub targets: Vec<TargetEligibility>,
 }
 
 impl RequestExplanation {
@@ -51,20 +51,20 @@
         let verdict = publication.rules.decide(facts);
         let pool = publication.pools.pool(facts.pool);
         let targets = pool.map(|pool| pool.targets.as_slice()).unwrap_or_default();
-        let opinions = targets
+        let eligibilities = targets
             .iter()
-            .map(|target| TargetOpinion::of(publication, verdict.as_ref(), target))
+            .map(|target| TargetEligibility::of(publication, verdict.as_ref(), target))
             .collect();
         RequestExplanation {
             pool_known: pool.is_some(),
             trace: publication.rules.explain(facts),
             verdict,
-            targets: opinions,
+            targets: eligibilities,
         }
     }
 }
 
-impl TargetOpinion {
+impl TargetEligibility {
     fn of(publication: &Publication, verdict: Option<&Verdict>, target: &PoolTarget) -> Self {
         let mut excluded = Vec::new();
         match verdict {
@@ -79,7 +79,7 @@
         if publication.target_is_leaving(&target.name) {
             excluded.push(Exclusion::Leaving);
         }
-        TargetOpinion {
+        TargetEligibility {
             target: target.name.clone(),
             domain: target.domain.clone(),
             excluded,
@@ -99,7 +99,7 @@
     }
 }
 
-impl fmt::Display for TargetOpinion {
+impl fmt::Display for TargetEligibility {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} ({}): ", self.target, self.domain)?;
         if self.excluded.is_empty() {
@@ -124,8 +124,8 @@
         if !self.pool_known {
             writeln!(f, "no pool has the name")?;
         }
-        for opinion in &self.targets {
-            writeln!(f, "{opinion}")?;
+        for target in &self.targets {
+            writeln!(f, "{target}")?;
         }
         Ok(())
     }
--- a/bergamotswitch-core/src/node/carry_out.rs
+++ b/bergamotswitch-core/src/node/actions.rs
@@ -15,7 +15,7 @@
 use crate::request::AttemptId;
 
 impl NodeCore {
-    pub(super) fn do_entry(&mut self, now: Moment, action: EntryAction) {
+    pub(super) fn perform_entry_action(&mut self, now: Moment, action: EntryAction) {
         match action {
             EntryAction::Send(host, message) if host == self.me.host => {
                 self.on_owner_message(now, host, message);
@@ -69,12 +69,12 @@
             // nothing was sent, the request waits on.
             None => {
                 let event = AttemptEvent::NotSent(NotSentReason::TargetGone);
-                self.tell_desk(now, EntryEvent::Attempt(attempt, event));
+                self.notify_entry(now, EntryEvent::Attempt(attempt, event));
             }
         }
     }
 
-    pub(super) fn do_owner(&mut self, now: Moment, action: OwnerAction) {
+    pub(super) fn perform_owner_action(&mut self, now: Moment, action: OwnerAction) {
         match action {
             OwnerAction::Reply(host, reply) => {
                 self.count_degraded(&reply);
@@ -88,24 +88,24 @@
         }
     }
 
-    pub(super) fn do_membership(&mut self, now: Moment, action: MembershipAction) {
+    pub(super) fn perform_membership_action(&mut self, now: Moment, action: MembershipAction) {
         match action {
             MembershipAction::Connect(host) => self.actions.push(NodeAction::Connect(host)),
             // The link may still spread published values.
-            MembershipAction::Disconnect(host) if self.book.wants_link(&host) => {}
+            MembershipAction::Disconnect(host) if self.revisions.wants_link(&host) => {}
             MembershipAction::Disconnect(host) => self.actions.push(NodeAction::Disconnect(host)),
             MembershipAction::Send(host, beat) => {
                 let message = LinkMessage::Heartbeat(beat);
                 self.actions.push(NodeAction::Send(host, message));
             }
-            MembershipAction::OwnerIs(shard, owner) => self.on_owner(now, shard, owner),
-            MembershipAction::Act(shard, act) => self.on_act(now, shard, act),
+            MembershipAction::OwnerIs(shard, owner) => self.on_owner_change(now, shard, owner),
+            MembershipAction::Act(shard, act) => self.on_acting_change(now, shard, act),
             MembershipAction::HostGone(host, run) => {
                 let actions = self
                     .shards
-                    .on_all(now, |_| OwnerEvent::HostGone(host.clone(), run));
+                    .notify_all(now, |_| OwnerEvent::HostGone(host.clone(), run));
                 self.queue_owner(actions);
-                self.exposure.run_ended(now, &host);
+                self.exposure.record_run_end(now, &host);
             }
             MembershipAction::Note(incident, host) => {
                 let text = format!("peer={host}");
@@ -120,15 +120,15 @@
     /// knows neither keys nor work. Without this, targets stand idle until the
     /// owner's audit of permits that were given back long ago, and a request
     /// sent again at another host could run twice after a quick restart.
-    pub(super) fn retell_linked(&mut self, now: Moment, host: &HostName) {
+    pub(super) fn resync_linked(&mut self, now: Moment, host: &HostName) {
         for shard in self.exposure.owned_by(host) {
-            self.tell_desk(now, EntryEvent::OwnerIs(shard, host.clone()));
+            self.notify_entry(now, EntryEvent::OwnerIs(shard, host.clone()));
         }
     }
 
     /// Without a reachable candidate this host admits by itself, with its
     /// fraction of the capacity and the same order of tiers.
-    fn on_owner(&mut self, now: Moment, shard: PoolShard, owner: Option<HostName>) {
+    fn on_owner_change(&mut self, now: Moment, shard: PoolShard, owner: Option<HostName>) {
         let degraded = owner.is_none();
         if degraded {
             let text = format!("shard={shard}");
@@ -138,12 +138,12 @@
         self.shards
             .set_degraded(now, &shard, degraded, &self.publication);
         let owner = owner.unwrap_or_else(|| self.me.host.clone());
-        self.exposure.owner_is(now, &shard, &owner);
-        self.tell_desk(now, EntryEvent::OwnerIs(shard, owner));
+        self.exposure.record_owner(now, &shard, &owner);
+        self.notify_entry(now, EntryEvent::OwnerIs(shard, owner));
         self.watch_targets();
     }
 
-    fn on_act(&mut self, now: Moment, shard: PoolShard, act: bool) {
+    fn on_acting_change(&mut self, now: Moment, shard: PoolShard, act: bool) {
         let incident = match act {
             true => Incident::OwnershipTaken,
             false => Incident::OwnershipLeft,
@@ -156,23 +156,23 @@
             true => Vec::new(),
             false => self.shards.asking_hosts(&shard),
         };
-        asking.extend(self.guard_acting(now, &shard, act));
+        asking.extend(self.update_guard(now, &shard, act));
         if !act {
             self.hand_over(now, &shard, 1.0);
         }
         self.shards.set_acting(now, &shard, act, &self.publication);
         if act {
-            self.take_in_reports(now, &shard);
+            self.apply_failure_reports(now, &shard);
         }
-        if act && let Some(event) = self.succession(&shard) {
-            let actions = self.shards.on_shard(now, &shard, event);
+        if act && let Some(event) = self.takeover_event(&shard) {
+            let actions = self.shards.notify_shard(now, &shard, event);
             self.queue_owner(actions);
         }
         if !act && self.stopping && self.membership.owner_of(&shard).is_none() {
             // That nobody else can own the shard was known before this host
             // ceased to, and is not told again. Without this its callers' work
             // would wait for permits until its deadline.
-            self.on_owner(now, shard.clone(), None);
+            self.on_owner_change(now, shard.clone(), None);
         }
         for host in asking {
             let shard = shard.clone();
@@ -184,7 +184,7 @@
     /// Get how this host has followed another owner to its end: that one stops
     /// or is silent. A host that has just started knows of no owner, and may find
     /// one beside it.
-    fn succession(&self, shard: &PoolShard) -> Option<OwnerEvent> {
+    fn takeover_event(&self, shard: &PoolShard) -> Option<OwnerEvent> {
         let former = self.exposure.last_owner(shard)?;
         if self.membership.is_stopping(former) {
             return Some(OwnerEvent::HandedOver);
@@ -194,7 +194,7 @@
     }
 
     pub(super) fn watch_targets(&mut self) {
-        if let Some(targets) = self.shards.changed_watch(&self.publication) {
+        if let Some(targets) = self.shards.updated_watch_list(&self.publication) {
             self.actions.push(NodeAction::WatchTargets(targets));
         }
     }
--- a/bergamotswitch-core/src/node/core.rs
+++ b/bergamotswitch-core/src/node/core.rs
@@ -5,10 +5,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::exposure::ExposureWatch;
-use super::hand_over::FailureReports;
+use super::exposure::ExposureTracker;
+use super::handover::FailureReports;
+use super::host_returns::PlannedStop;
 use super::key_guard::KeyGuards;
-use super::returns::PlannedEnd;
 use super::shard_use::ShardUse;
 use super::shards::ShardSet;
 use super::{NodeAction, NodeEvent};
@@ -33,11 +33,11 @@
 /// A gap between two events that is longer than this is a pause of the
 /// process: the loop ticks every [`TICK_INTERVAL`], twenty misses are no
 /// scheduling delay any more.
-pub const PAUSE_BOUND: Duration = Duration::from_secs(2);
+pub const PAUSE_THRESHOLD: Duration = Duration::from_secs(2);
 
 /// The part of the quotas' buckets that a stopping owner hands over at once. It
 /// keeps the rest for calls that are asked for until all have heard of its stop.
-const STOP_HAND_OVER: f64 = 0.5;
+const STOP_HANDOVER_FRACTION: f64 = 0.5;
 
 /// A `NodeOptions` holds the options of a host's machines.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -94,7 +94,7 @@
 }
 
 /// One piece of work between two machines of the same host.
-enum Step {
+enum QueuedAction {
     Entry(EntryAction),
     Owner(OwnerAction),
     Membership(MembershipAction),
@@ -106,24 +106,24 @@
     pub(super) me: HostIncarnation,
     pub(super) domain: DomainName,
     pub(super) publication: Publication,
-    pub(super) desk: EntryDesk,
+    pub(super) entry: EntryDesk,
     pub(super) shards: ShardSet,
     pub(super) membership: Membership,
-    pub(super) book: RevisionBook,
+    pub(super) revisions: RevisionBook,
     pub(super) stopping: bool,
-    pub(super) planned_end: Option<PlannedEnd>,
+    pub(super) planned_stop: Option<PlannedStop>,
     /// When enough hosts take callers again, as the desk was told last.
-    pub(super) back_at: Option<Moment>,
+    pub(super) hosts_back_at: Option<Moment>,
     pub(super) load_permille: u16,
     pub(super) opts: NodeOptions,
     pub(super) shard_use: ShardUse,
-    pub(super) exposure: ExposureWatch,
+    pub(super) exposure: ExposureTracker,
     pub(super) key_guards: KeyGuards,
     pub(super) failure_reports: FailureReports,
     pub(super) roster: Option<Roster>,
     pub(super) register: TargetRegister,
-    last_seen: Moment,
-    steps: VecDeque<Step>,
+    last_event_at: Moment,
+    queue: VecDeque<QueuedAction>,
     pub(super) actions: Vec<NodeAction>,
 }
 
@@ -135,10 +135,10 @@
             ..opts
         };
         NodeCore {
-            desk: EntryDesk::new(me.clone(), opts.entry.clone()),
+            entry: EntryDesk::new(me.clone(), opts.entry.clone()),
             shards: ShardSet::new(me.clone(), opts.owner.clone()),
             membership: Membership::new(me.clone(), opts.membership.clone(), now),
-            book: RevisionBook::new(me.clone(), domain.clone(), opts.revision.clone(), now),
+            revisions: RevisionBook::new(me.clone(), domain.clone(), opts.revision.clone(), now),
             publication: match opts.roster {
                 Some(_) => Publication::routed(opts.limits.clone().unwrap_or_default()),
                 None => Publication::default(),
@@ -150,16 +150,16 @@
             }),
             register: TargetRegister::default(),
             stopping: false,
-            planned_end: None,
-            back_at: None,
+            planned_stop: None,
+            hosts_back_at: None,
             load_permille: 0,
             opts,
             shard_use: ShardUse::default(),
-            exposure: ExposureWatch::default(),
+            exposure: ExposureTracker::default(),
             key_guards: KeyGuards::default(),
             failure_reports: FailureReports::default(),
-            last_seen: now,
-            steps: VecDeque::new(),
+            last_event_at: now,
+            queue: VecDeque::new(),
             actions: Vec::new(),
             me,
             domain,
@@ -174,53 +174,55 @@
     /// Get when [`NodeEvent::Tick`] is due at the latest.
     pub fn next_wake(&self) -> Moment {
         let machines = [
-            self.desk.next_wake(),
+            self.entry.next_wake(),
             self.shards.next_wake(),
             self.membership.next_wake(),
-            self.book.next_wake(),
+            self.revisions.next_wake(),
         ];
-        let latest = self.last_seen.plus(TICK_INTERVAL);
-        let latest = latest.min(self.next_news());
+        let latest = self.last_event_at.plus(TICK_INTERVAL);
+        let latest = latest.min(self.next_discovery());
         machines.into_iter().fold(latest, Moment::min)
     }
 
     /// Let one event happen and get what is to be done.
     pub fn handle(&mut self, now: Moment, event: NodeEvent) -> Vec<NodeAction> {
-        self.notice_pause(now);
+        self.detect_pause(now);
         match event {
-            NodeEvent::CallerDisconnected(id) => self.tell_desk(now, EntryEvent::CallerLeft(id)),
-            NodeEvent::Attempt(id, event) => self.tell_desk(now, EntryEvent::Attempt(id, event)),
-            NodeEvent::AnswerTooLong(id) => self.tell_desk(now, EntryEvent::Overlong(id)),
+            NodeEvent::CallerDisconnected(id) => self.notify_entry(now, EntryEvent::CallerLeft(id)),
+            NodeEvent::Attempt(id, event) => self.notify_entry(now, EntryEvent::Attempt(id, event)),
+            NodeEvent::AnswerTooLong(id) => self.notify_entry(now, EntryEvent::Overlong(id)),
             NodeEvent::AnswerSize(id, bytes) => {
-                self.tell_desk(now, EntryEvent::AnswerSize(id, bytes));
+                self.notify_entry(now, EntryEvent::AnswerSize(id, bytes));
             }
             NodeEvent::Link(event) => self.on_link(now, event),
-            NodeEvent::Read(value) => self.tell_book(now, RevisionEvent::Read(value)),
-            NodeEvent::Unchanged(name) => self.tell_book(now, RevisionEvent::Unchanged(name)),
+            NodeEvent::Read(value) => self.notify_revisions(now, RevisionEvent::Read(value)),
+            NodeEvent::Unchanged(name) => {
+                self.notify_revisions(now, RevisionEvent::Unchanged(name))
+            }
             NodeEvent::ReadFailed(name) => self.on_read_failed(now, name),
-            NodeEvent::Targets(news) => self.on_target_news(now, news),
+            NodeEvent::Targets(update) => self.on_target_update(now, update),
             NodeEvent::Gossip(message) => self.on_gossip(now, *message),
             NodeEvent::Seeds(seeds) => self.on_seeds(seeds),
             NodeEvent::Load(name, report) => {
-                let actions = self.shards.on_target(now, &name.clone(), |_| {
+                let actions = self.shards.notify_target(now, &name.clone(), |_| {
                     OwnerEvent::Load(name.clone(), report)
                 });
                 self.queue_owner(actions);
             }
             NodeEvent::Prefix(name, prefix, held) => {
-                let actions = self.shards.on_target(now, &name.clone(), |_| {
+                let actions = self.shards.notify_target(now, &name.clone(), |_| {
                     OwnerEvent::Prefix(name.clone(), prefix, held)
                 });
                 self.queue_owner(actions);
             }
             NodeEvent::HostLoad(permille) => {
                 self.load_permille = permille;
-                self.tell_membership(now, MembershipEvent::Load(permille));
+                self.notify_membership(now, MembershipEvent::Load(permille));
             }
             NodeEvent::Stop => self.on_stop(now),
-            NodeEvent::AnswerDeadline(at) => self.on_whole_by(now, at),
-            NodeEvent::AdmissionClosed => self.tell_desk(now, EntryEvent::DoorShut),
-            NodeEvent::GraceExpired => self.tell_desk(now, EntryEvent::CutOff),
+            NodeEvent::AnswerDeadline(at) => self.on_answer_deadline(now, at),
+            NodeEvent::AdmissionClosed => self.notify_entry(now, EntryEvent::DoorShut),
+            NodeEvent::GraceExpired => self.notify_entry(now, EntryEvent::CutOff),
             NodeEvent::Tick => self.on_tick(now),
         }
         self.finish(now)
@@ -228,9 +230,9 @@
 
     /// Carry out what is left between the machines and get the rest.
     pub(super) fn finish(&mut self, now: Moment) -> Vec<NodeAction> {
-        self.run_steps(now);
+        self.run_queue(now);
         self.track_use(now);
-        self.run_steps(now);
+        self.run_queue(now);
         std::mem::take(&mut self.actions)
     }
 
@@ -238,37 +240,37 @@
     /// peers' silence and its own ownership are all as old as the pause. One
     /// notices it by the gap since the last event, and tells every machine
     /// before anything else happens.
-    pub(super) fn notice_pause(&mut self, now: Moment) {
-        let gap = now.since(self.last_seen);
-        self.last_seen = now;
+    pub(super) fn detect_pause(&mut self, now: Moment) {
+        let gap = now.since(self.last_event_at);
+        self.last_event_at = now;
         // The sleep may have begun just after the last event, or a tick before
         // the next one was due.
         if gap + TICK_INTERVAL >= self.membership.suspect_after() {
-            self.shards.woke(now, gap);
+            self.shards.on_pause(now, gap);
         }
-        if gap <= PAUSE_BOUND {
+        if gap <= PAUSE_THRESHOLD {
             return;
         }
         let text = format!("slept_ms={}", gap.as_millis());
         self.actions
             .push(NodeAction::LogIncident(Incident::PauseNoticed, text));
-        self.wake_roster(now);
-        self.tell_membership(now, MembershipEvent::Woke(gap));
-        self.key_guards.restart(now);
-        self.tell_book(now, RevisionEvent::Woke(gap));
-        self.tell_desk(now, EntryEvent::Woke(gap));
-        self.run_steps(now);
+        self.notify_roster_of_pause(now);
+        self.notify_membership(now, MembershipEvent::Woke(gap));
+        self.key_guards.reset(now);
+        self.notify_revisions(now, RevisionEvent::Woke(gap));
+        self.notify_entry(now, EntryEvent::Woke(gap));
+        self.run_queue(now);
     }
 
     pub(super) fn on_tick(&mut self, now: Moment) {
-        self.review_news(now);
-        self.tell_membership(now, MembershipEvent::Tick);
-        self.tell_book(now, RevisionEvent::Tick);
-        let actions = self.shards.on_all(now, |_| OwnerEvent::Tick);
+        self.review_discovery(now);
+        self.notify_membership(now, MembershipEvent::Tick);
+        self.notify_revisions(now, RevisionEvent::Tick);
+        let actions = self.shards.notify_all(now, |_| OwnerEvent::Tick);
         self.queue_owner(actions);
         self.review_guards(now);
-        self.review_returns(now);
-        self.tell_desk(now, EntryEvent::Tick);
+        self.review_host_returns(now);
+        self.notify_entry(now, EntryEvent::Tick);
     }
 
     fn on_stop(&mut self, now: Moment) {
@@ -280,43 +282,43 @@
             return;
         }
         self.stopping = true;
-        self.tell_membership(now, MembershipEvent::Stop);
-        let actions = self.shards.on_all(now, |_| OwnerEvent::Stopping);
+        self.notify_membership(now, MembershipEvent::Stop);
+        let actions = self.shards.notify_all(now, |_| OwnerEvent::Stopping);
         self.queue_owner(actions);
         // Peers hear of the stop before this: the heartbeats that tell it wait
         // in front of it.
-        self.run_steps(now);
+        self.run_queue(now);
         for shard in self.membership.acts_for() {
-            self.hand_over(now, &shard, STOP_HAND_OVER);
+            self.hand_over(now, &shard, STOP_HANDOVER_FRACTION);
         }
-        self.tell_desk(now, EntryEvent::Stop);
+        self.notify_entry(now, EntryEvent::Stop);
     }
 
-    fn on_whole_by(&mut self, now: Moment, at: Moment) {
-        let begun_at = self.planned_end.map_or(now, |end| end.begun_at);
-        self.planned_end = Some(PlannedEnd {
-            begun_at,
-            whole_by: at,
+    fn on_answer_deadline(&mut self, now: Moment, at: Moment) {
+        let started_at = self.planned_stop.map_or(now, |stop| stop.started_at);
+        self.planned_stop = Some(PlannedStop {
+            started_at,
+            answers_due: at,
         });
         // What waits is turned away with the event below, and told when to come
         // back.
-        self.review_returns(now);
-        self.tell_desk(now, EntryEvent::WholeBy(at));
+        self.review_host_returns(now);
+        self.notify_entry(now, EntryEvent::WholeBy(at));
     }
 
     fn on_link(&mut self, now: Moment, event: LinkEvent) {
         match event {
             LinkEvent::Up(run) => {
                 let host = run.host.clone();
-                self.tell_membership(now, MembershipEvent::LinkUp(run));
-                self.retell_linked(now, &host);
-                self.tell_failed(now, &host);
-                self.tell_book(now, RevisionEvent::PeerUp(host));
+                self.notify_membership(now, MembershipEvent::LinkUp(run));
+                self.resync_linked(now, &host);
+                self.send_all_failed_targets(now, &host);
+                self.notify_revisions(now, RevisionEvent::PeerUp(host));
             }
             LinkEvent::Down(run) => {
                 let host = run.host.clone();
-                self.tell_membership(now, MembershipEvent::LinkDown(run));
-                self.tell_book(now, RevisionEvent::PeerDown(host));
+                self.notify_membership(now, MembershipEvent::LinkDown(run));
+                self.notify_revisions(now, RevisionEvent::PeerDown(host));
             }
             LinkEvent::Message(run, message) => self.on_message(now, run.host, message),
         }
@@ -325,21 +327,21 @@
     fn on_message(&mut self, now: Moment, host: HostName, message: LinkMessage) {
         match message {
             LinkMessage::Heartbeat(beat) => {
-                self.tell_membership(now, MembershipEvent::Heard(host, beat));
+                self.notify_membership(now, MembershipEvent::Heard(host, beat));
                 return;
             }
             LinkMessage::ToOwner(message) => self.on_owner_message(now, host.clone(), message),
             LinkMessage::FromOwner(OwnerReply::NotOwner { shard }) => {
-                self.tell_membership(now, MembershipEvent::NotOwner(host.clone(), shard));
+                self.notify_membership(now, MembershipEvent::NotOwner(host.clone(), shard));
             }
             LinkMessage::FromOwner(reply) => {
-                self.tell_desk(now, EntryEvent::Reply(host.clone(), reply));
+                self.notify_entry(now, EntryEvent::Reply(host.clone(), reply));
             }
             LinkMessage::Revision(message) => {
-                self.tell_book(now, RevisionEvent::Peer(host.clone(), message));
+                self.notify_revisions(now, RevisionEvent::Peer(host.clone(), message));
             }
         }
-        self.tell_membership(now, MembershipEvent::Traffic(host));
+        self.notify_membership(now, MembershipEvent::Traffic(host));
     }
 
     pub(super) fn on_owner_message(&mut self, now: Moment, host: HostName, message: OwnerMessage) {
@@ -351,14 +353,14 @@
                 return;
             };
             let event = OwnerEvent::Message(host, message);
-            let actions = self.shards.on_shard(now, &shard, event);
+            let actions = self.shards.notify_shard(now, &shard, event);
             self.queue_owner(actions);
             return;
         }
         match message {
             // This host may order the shard a moment later.
             OwnerMessage::FailedTargets { shard, targets } => {
-                self.failure_reports.note(now, shard, targets);
+                self.failure_reports.record(now, shard, targets);
             }
             _ => self.send_reply(now, host, OwnerReply::NotOwner { shard }),
         }
@@ -372,44 +374,48 @@
         }
         match reply {
             OwnerReply::NotOwner { .. } => {}
-            reply => self.tell_desk(now, EntryEvent::Reply(host, reply)),
+            reply => self.notify_entry(now, EntryEvent::Reply(host, reply)),
         }
     }
 
-    pub(super) fn tell_desk(&mut self, now: Moment, event: EntryEvent) {
-        let actions = self.desk.handle(now, event);
+    pub(super) fn notify_entry(&mut self, now: Moment, event: EntryEvent) {
+        let actions = self.entry.handle(now, event);
         self.queue_entry(actions);
     }
 
     pub(super) fn queue_entry(&mut self, actions: Vec<EntryAction>) {
-        self.steps.extend(actions.into_iter().map(Step::Entry));
+        self.queue
+            .extend(actions.into_iter().map(QueuedAction::Entry));
     }
 
-    pub(super) fn tell_membership(&mut self, now: Moment, event: MembershipEvent) {
+    pub(super) fn notify_membership(&mut self, now: Moment, event: MembershipEvent) {
         let actions = self.membership.handle(now, event);
-        self.steps.extend(actions.into_iter().map(Step::Membership));
+        self.queue
+            .extend(actions.into_iter().map(QueuedAction::Membership));
     }
 
-    pub(super) fn tell_book(&mut self, now: Moment, event: RevisionEvent) {
-        let actions = self.book.handle(now, event);
+    pub(super) fn notify_revisions(&mut self, now: Moment, event: RevisionEvent) {
+        let actions = self.revisions.handle(now, event);
         self.queue_revision(actions);
     }
 
     pub(super) fn queue_revision(&mut self, actions: Vec<RevisionAction>) {
-        self.steps.extend(actions.into_iter().map(Step::Revision));
+        self.queue
+            .extend(actions.into_iter().map(QueuedAction::Revision));
     }
 
     pub(super) fn queue_owner(&mut self, actions: Vec<OwnerAction>) {
-        self.steps.extend(actions.into_iter().map(Step::Owner));
+        self.queue
+            .extend(actions.into_iter().map(QueuedAction::Owner));
     }
 
-    fn run_steps(&mut self, now: Moment) {
-        while let Some(step) = self.steps.pop_front() {
-            match step {
-                Step::Entry(action) => self.do_entry(now, action),
-                Step::Owner(action) => self.do_owner(now, action),
-                Step::Membership(action) => self.do_membership(now, action),
-                Step::Revision(action) => self.do_revision(now, action),
+    fn run_queue(&mut self, now: Moment) {
+        while let Some(queued) = self.queue.pop_front() {
+            match queued {
+                QueuedAction::Entry(action) => self.perform_entry_action(now, action),
+                QueuedAction::Owner(action) => self.perform_owner_action(now, action),
+                QueuedAction::Membership(action) => self.perform_membership_action(now, action),
+                QueuedAction::Revision(action) => self.perform_revision_action(now, action),
             }
         }
     }
--- a/bergamotswitch-core/src/node/news.rs
+++ b/bergamotswitch-core/src/node/discovery.rs
@@ -14,7 +14,7 @@
 
 impl NodeCore {
     /// Get when news is due without an event.
-    pub(super) fn next_news(&self) -> Moment {
+    pub(super) fn next_discovery(&self) -> Moment {
         let round = self
             .roster
             .as_ref()
@@ -23,7 +23,7 @@
     }
 
     /// Do what is due, and tell the others this host's state.
-    pub(super) fn review_news(&mut self, now: Moment) {
+    pub(super) fn review_discovery(&mut self, now: Moment) {
         if self.register.drop_lapsed(now) {
             self.publish_targets(now);
         }
@@ -37,7 +37,7 @@
         roster.set_flags(now, flags);
         let sent = roster.tick(now);
         self.send_gossip(sent);
-        self.take_hosts(now);
+        self.apply_host_changes(now);
     }
 
     pub(super) fn on_gossip(&mut self, now: Moment, message: RosterMessage) {
@@ -46,7 +46,7 @@
         };
         let answers = roster.hear(now, message);
         self.send_gossip(answers);
-        self.take_hosts(now);
+        self.apply_host_changes(now);
     }
 
     pub(super) fn on_seeds(&mut self, seeds: Vec<std::net::SocketAddr>) {
@@ -55,7 +55,7 @@
         }
     }
 
-    pub(super) fn wake_roster(&mut self, now: Moment) {
+    pub(super) fn notify_roster_of_pause(&mut self, now: Moment) {
         if let Some(roster) = &mut self.roster {
             roster.woke(now);
         }
@@ -71,15 +71,15 @@
         if name.as_str() == TARGETS_VALUE {
             self.register.note_failure();
         }
-        self.tell_book(now, RevisionEvent::ReadFailed(name));
+        self.notify_revisions(now, RevisionEvent::ReadFailed(name));
     }
 
-    pub(super) fn on_target_news(&mut self, now: Moment, news: TargetNews) {
-        match self.register.take(now, news) {
+    pub(super) fn on_target_update(&mut self, now: Moment, update: TargetNews) {
+        match self.register.take(now, update) {
             true => self.publish_targets(now),
             false => {
                 let name = value_name(TARGETS_VALUE);
-                self.tell_book(now, RevisionEvent::Unchanged(name));
+                self.notify_revisions(now, RevisionEvent::Unchanged(name));
             }
         }
     }
@@ -90,7 +90,7 @@
         let Some(bound) = self.opts.key_trust else {
             return true;
         };
-        let age = self.book.confirmed_age(now, &value_name(ROUTES_VALUE));
+        let age = self.revisions.confirmed_age(now, &value_name(ROUTES_VALUE));
         age.is_some_and(|age| age <= bound)
     }
 
@@ -103,7 +103,7 @@
             revision: self.register.revision(),
             body,
         };
-        self.tell_book(now, RevisionEvent::Read(value));
+        self.notify_revisions(now, RevisionEvent::Read(value));
     }
 
     fn send_gossip(&mut self, sent: Vec<RosterAction>) {
@@ -112,7 +112,7 @@
     }
 
     /// Take up the hosts that are counted on, where they have changed.
-    fn take_hosts(&mut self, now: Moment) {
+    fn apply_host_changes(&mut self, now: Moment) {
         let Some(roster) = &mut self.roster else {
             return;
         };
@@ -123,8 +123,8 @@
             targets: std::mem::take(&mut self.publication.hosts.targets),
             ..hosts
         };
-        self.tell_hosts(now);
-        let actions = self.shards.retarget(now, &self.publication);
+        self.notify_hosts(now);
+        let actions = self.shards.apply_publication(now, &self.publication);
         self.queue_owner(actions);
         self.actions
             .push(NodeAction::Published(value_name(HOSTS_VALUE)));
--- a/bergamotswitch-core/src/node/exposure.rs
+++ b/bergamotswitch-core/src/node/exposure.rs
@@ -24,24 +24,24 @@
     pub unmarked_exposure: u64,
 }
 
-/// A `ShardOwnerSeen` is the owner of a shard in this host's view.
+/// A `ObservedOwner` is the owner of a shard in this host's view.
 #[derive(Debug)]
-struct ShardOwnerSeen {
+struct ObservedOwner {
     owner: HostName,
     /// When another host was the owner last.
     taken_over_at: Option<Moment>,
 }
 
-/// An `ExposureWatch` knows which shards changed hands a short time ago.
+/// An `ExposureTracker` knows which shards changed hands a short time ago.
 #[derive(Debug, Default)]
-pub(super) struct ExposureWatch {
-    shards: BTreeMap<PoolShard, ShardOwnerSeen>,
+pub(super) struct ExposureTracker {
+    shards: BTreeMap<PoolShard, ObservedOwner>,
     pub(super) counts: NodeCounts,
 }
 
-impl ExposureWatch {
+impl ExposureTracker {
     /// Take note of a shard's owner.
-    pub(super) fn owner_is(&mut self, now: Moment, shard: &PoolShard, owner: &HostName) {
+    pub(super) fn record_owner(&mut self, now: Moment, shard: &PoolShard, owner: &HostName) {
         match self.shards.get_mut(shard) {
             Some(seen) if seen.owner == *owner => {}
             Some(seen) => {
@@ -49,7 +49,7 @@
                 seen.taken_over_at = Some(now);
             }
             None => {
-                let seen = ShardOwnerSeen {
+                let seen = ObservedOwner {
                     owner: owner.clone(),
                     taken_over_at: None,
                 };
@@ -64,7 +64,7 @@
     }
 
     /// Take note that a host's run has ended: its next one knows no keys.
-    pub(super) fn run_ended(&mut self, now: Moment, host: &HostName) {
+    pub(super) fn record_run_end(&mut self, now: Moment, host: &HostName) {
         let owned = self.shards.values_mut().filter(|seen| seen.owner == *host);
         for seen in owned {
             seen.taken_over_at = Some(now);
@@ -79,7 +79,7 @@
 
     /// Get whether an order of the pool was taken over within `retention`: its
     /// owner may not know the keys that its predecessor knew.
-    fn is_new(&self, now: Moment, pool: &PoolName, retention: Duration) -> bool {
+    fn is_recently_taken_over(&self, now: Moment, pool: &PoolName, retention: Duration) -> bool {
         let mut shards = self.shards.iter().filter(|(shard, _)| shard.pool == *pool);
         shards.any(|(_, seen)| {
             let taken = seen.taken_over_at;
@@ -99,8 +99,10 @@
             return false;
         }
         let retention = Duration::from_millis(self.publication.limits.key_retention_ms);
-        let new = self.exposure.is_new(now, &submission.pool, retention);
-        new || self.shards.is_degraded(&submission.pool)
+        let recent = self
+            .exposure
+            .is_recently_taken_over(now, &submission.pool, retention);
+        recent || self.shards.is_degraded(&submission.pool)
     }
 
     /// Count a permit of a degraded order.
--- a/bergamotswitch-core/src/node/hand_over.rs
+++ b/bergamotswitch-core/src/node/handover.rs
@@ -15,10 +15,10 @@
 
 /// How long a report of failed targets is kept by a host that does not order
 /// their shard. One that has just started does so within a second.
-const KEPT: Duration = Duration::from_secs(5);
+const REPORT_RETENTION: Duration = Duration::from_secs(5);
 
 /// The most shards of which reports are kept.
-const MAX_SHARDS: usize = 64;
+const MAX_REPORTED_SHARDS: usize = 64;
 
 /// A `FailureReports` is what owners have told of failed targets to a host that
 /// did not order their shards yet.
@@ -29,17 +29,20 @@
 
 impl FailureReports {
     /// Take note of what an owner tells.
-    pub(super) fn note(&mut self, now: Moment, shard: PoolShard, targets: Vec<FailedTarget>) {
+    pub(super) fn record(&mut self, now: Moment, shard: PoolShard, targets: Vec<FailedTarget>) {
         let is_new = !self.shards.contains_key(&shard);
-        if is_new && self.shards.len() >= MAX_SHARDS {
+        if is_new && self.shards.len() >= MAX_REPORTED_SHARDS {
             self.drop_oldest();
         }
         self.shards.insert(shard, (now, targets));
     }
 
     fn drop_oldest(&mut self) {
-        let told = self.shards.iter().min_by_key(|(_, (told_at, _))| *told_at);
-        if let Some(shard) = told.map(|(shard, _)| shard.clone()) {
+        let oldest = self
+            .shards
+            .iter()
+            .min_by_key(|(_, (received_at, _))| *received_at);
+        if let Some(shard) = oldest.map(|(shard, _)| shard.clone()) {
             self.shards.remove(&shard);
         }
     }
@@ -47,16 +50,16 @@
     /// Take out what was told of a shard lately, with the time until the next
     /// probes as it is now.
     fn take(&mut self, now: Moment, shard: &PoolShard) -> Vec<FailedTarget> {
-        let Some((told_at, mut targets)) = self.shards.remove(shard) else {
+        let Some((received_at, mut targets)) = self.shards.remove(shard) else {
             return Vec::new();
         };
-        let age = now.since(told_at);
-        if age >= KEPT {
+        let age = now.since(received_at);
+        if age >= REPORT_RETENTION {
             return Vec::new();
         }
         let age_ms = age.as_millis() as u32;
-        for told in &mut targets {
-            told.probe_in_ms = told.probe_in_ms.saturating_sub(age_ms);
+        for target in &mut targets {
+            target.probe_in_ms = target.probe_in_ms.saturating_sub(age_ms);
         }
         targets
     }
@@ -67,13 +70,13 @@
     /// lies in the buckets of its quotas, and the targets that fail. The next
     /// one's buckets begin empty, and the first calls of accounts within their
     /// quota would be told that they are over it; dead targets look idle to it.
-    pub(super) fn hand_over(&mut self, now: Moment, shard: &PoolShard, part: f64) {
+    pub(super) fn hand_over(&mut self, now: Moment, shard: &PoolShard, fraction: f64) {
         let next = self.membership.owner_of(shard).cloned();
         let Some(next) = next.filter(|next| *next != self.me.host) else {
             return;
         };
-        self.send_failed(now, shard.clone(), &next);
-        let levels = self.shards.hand_over_quotas(now, shard, part);
+        self.send_failed_targets(now, shard.clone(), &next);
+        let levels = self.shards.hand_over_quotas(now, shard, fraction);
         if !levels.is_empty() {
             let shard = shard.clone();
             self.send_to_owner(&next, OwnerMessage::QuotaLevels { shard, levels });
@@ -83,21 +86,21 @@
     /// Tell a host that is linked anew of the targets that fail in the shards
     /// that this one orders. A first candidate that has just started orders them
     /// at once, and knows of none.
-    pub(super) fn tell_failed(&mut self, now: Moment, host: &HostName) {
+    pub(super) fn send_all_failed_targets(&mut self, now: Moment, host: &HostName) {
         for shard in self.membership.acts_for() {
-            self.send_failed(now, shard, host);
+            self.send_failed_targets(now, shard, host);
         }
     }
 
     /// Let the owner that this host has just become know what was reported.
-    pub(super) fn take_in_reports(&mut self, now: Moment, shard: &PoolShard) {
+    pub(super) fn apply_failure_reports(&mut self, now: Moment, shard: &PoolShard) {
         let targets = self.failure_reports.take(now, shard);
         let message = OwnerMessage::FailedTargets {
             shard: shard.clone(),
             targets,
         };
         let event = OwnerEvent::Message(self.me.host.clone(), message);
-        let actions = self.shards.on_shard(now, shard, event);
+        let actions = self.shards.notify_shard(now, shard, event);
         self.queue_owner(actions);
     }
 
@@ -106,7 +109,7 @@
         self.actions.push(NodeAction::Send(owner.clone(), message));
     }
 
-    fn send_failed(&mut self, now: Moment, shard: PoolShard, host: &HostName) {
+    fn send_failed_targets(&mut self, now: Moment, shard: PoolShard, host: &HostName) {
         let targets = self.shards.failed_targets(now, &shard);
         if !targets.is_empty() {
             let message = OwnerMessage::FailedTargets { shard, targets };
--- a/bergamotswitch-core/src/node/intake.rs
+++ b/bergamotswitch-core/src/node/intake.rs
@@ -10,17 +10,17 @@
 
 /// When a caller should come back whose key cannot be confirmed: the store or
 /// a peer that knows is asked about once a second.
-const KEY_RETRY: std::time::Duration = std::time::Duration::from_secs(1);
+const KEY_RETRY_AFTER: std::time::Duration = std::time::Duration::from_secs(1);
 
 impl NodeCore {
     /// Take a caller's request.
     pub fn submit(&mut self, now: Moment, submission: Submission) -> (Reception, Vec<NodeAction>) {
-        self.notice_pause(now);
+        self.detect_pause(now);
         if !self.is_ready(now) {
             // The desk was not asked: after a pause it may hold the request
             // that the caller, or the host that sent it here, asks after.
-            let asks_after = submission.resubmission || submission.holder.is_some();
-            let refusal = match asks_after {
+            let may_be_held = submission.resubmission || submission.holder.is_some();
+            let refusal = match may_be_held {
                 true => Refusal::may_have_run(RefusalReason::NotReady),
                 false => Refusal::before_acceptance(RefusalReason::NotReady),
             };
@@ -29,11 +29,11 @@
         }
         if submission.terms.keyed && !self.trusts_keys(now) {
             let refusal = Refusal::before_acceptance(RefusalReason::KeyUnconfirmed);
-            let refusal = refusal.with_retry_after(KEY_RETRY);
+            let refusal = refusal.with_retry_after(KEY_RETRY_AFTER);
             return (Reception::Refused(refusal), self.finish(now));
         }
         let exposed = self.is_exposed(now, &submission);
-        let (reception, actions) = self.desk.submit(now, submission);
+        let (reception, actions) = self.entry.submit(now, submission);
         if exposed && matches!(reception, Reception::Accepted(_)) {
             self.exposure.counts.unmarked_exposure += 1;
         }
@@ -46,17 +46,17 @@
     pub fn is_ready(&self, now: Moment) -> bool {
         let settled = self.roster.as_ref();
         let settled = settled.is_none_or(|roster| roster.is_settled(now));
-        settled && self.publication.missing().is_empty() && self.book.is_caught_up(now)
+        settled && self.publication.missing().is_empty() && self.revisions.is_caught_up(now)
     }
 
     /// Get whether nothing waits or runs.
     pub fn is_idle(&self) -> bool {
-        self.desk.is_idle()
+        self.entry.is_idle()
     }
 
     /// Get what this host knows of a request.
     pub fn outcome(&self, query: &OutcomeQuery) -> OutcomeView {
-        self.desk.outcome(query)
+        self.entry.outcome(query)
     }
 
     /// Get which host a caller should use.
--- a/bergamotswitch-core/src/node/key_guard.rs
+++ b/bergamotswitch-core/src/node/key_guard.rs
@@ -23,16 +23,16 @@
 
 /// How many heartbeats long the word of a host that it follows is relied on: two
 /// questions may be lost or late on a busy machine.
-const VALID_BEATS: u32 = 4;
+const ANSWER_VALID_BEATS: u32 = 4;
 
 /// How many heartbeats long a majority has to follow without a break: by then
 /// the word that its hosts gave to an earlier owner is relied on no longer.
-const SETTLE_BEATS: u32 = VALID_BEATS + 1;
+const QUORUM_STABLE_BEATS: u32 = ANSWER_VALID_BEATS + 1;
 
 /// How many heartbeats long a host is waited for that neither tells its keys nor
 /// counts as unreachable: after ten the last stand-in has given way, and four
 /// more are left for it to tell.
-const EXCUSE_BEATS: u32 = 14;
+const KEY_REPORT_TIMEOUT_BEATS: u32 = 14;
 
 /// A `HeldAsk` is an ask that waits for the owner to be sure.
 #[derive(Debug)]
@@ -45,34 +45,34 @@
 /// A `KeyGuard` is what the owner of one shard knows of who follows it.
 #[derive(Debug)]
 pub(super) struct KeyGuard {
-    began: Moment,
+    created_at: Moment,
     /// The number of the last question, and when this owner asked it.
     round: u64,
-    round_began: Option<Moment>,
+    round_started_at: Option<Moment>,
     /// The hosts that follow, by the time of the question that they answered.
     followers: BTreeMap<HostName, Moment>,
     /// The hosts that have told their keys since this owner began.
-    told: BTreeSet<HostName>,
+    reported: BTreeSet<HostName>,
     /// Since when a majority has followed without a break.
-    whole_since: Option<Moment>,
+    quorum_since: Option<Moment>,
     held: BTreeMap<AttemptId, HeldAsk>,
 }
 
 impl KeyGuard {
     fn new(now: Moment) -> Self {
         KeyGuard {
-            began: now,
+            created_at: now,
             round: 0,
-            round_began: None,
+            round_started_at: None,
             followers: BTreeMap::new(),
-            told: BTreeSet::new(),
-            whole_since: None,
+            reported: BTreeSet::new(),
+            quorum_since: None,
             held: BTreeMap::new(),
         }
     }
 
     /// Begin anew, after a pause in which another host may have taken over.
-    fn restart(&mut self, now: Moment) {
+    fn reset(&mut self, now: Moment) {
         let held = std::mem::take(&mut self.held);
         *self = KeyGuard {
             round: self.round,
@@ -82,47 +82,49 @@
     }
 
     /// Take note that a host follows, as it answered to a question.
-    fn note_follower(&mut self, host: &HostName, round: u64) {
-        if let Some(began) = self.round_began
+    fn record_follower(&mut self, host: &HostName, round: u64) {
+        if let Some(started_at) = self.round_started_at
             && round == self.round
         {
-            self.followers.insert(host.clone(), began);
+            self.followers.insert(host.clone(), started_at);
         }
     }
 
     /// Begin the next question, where it is due; get its number.
     fn next_round(&mut self, now: Moment, beat: Duration) -> Option<u64> {
-        let is_due = self.round_began.is_none_or(|began| now >= began.plus(beat));
+        let is_due = self
+            .round_started_at
+            .is_none_or(|started_at| now >= started_at.plus(beat));
         if !is_due {
             return None;
         }
         self.round += 1;
-        self.round_began = Some(now);
+        self.round_started_at = Some(now);
         Some(self.round)
     }
 
     /// Look at who follows now.
     fn review(&mut self, now: Moment, beat: Duration, me: &HostName, witnesses: &KeyWitnesses) {
-        let valid = beat * VALID_BEATS;
+        let valid = beat * ANSWER_VALID_BEATS;
         self.followers.retain(|_, at| now < at.plus(valid));
         let follows = |host: &&HostName| *host == me || self.followers.contains_key(*host);
         let following = witnesses.candidates.iter().filter(follows).count();
         let majority = following * 2 > witnesses.candidates.len();
-        let excused = now >= self.began.plus(beat * EXCUSE_BEATS);
+        let timed_out = now >= self.created_at.plus(beat * KEY_REPORT_TIMEOUT_BEATS);
         let mut others = witnesses.awaited.iter().filter(|host| *host != me);
-        let told = excused || others.all(|host| self.told.contains(host));
-        match majority && told {
+        let reported = timed_out || others.all(|host| self.reported.contains(host));
+        match majority && reported {
             true => {
-                self.whole_since.get_or_insert(now);
+                self.quorum_since.get_or_insert(now);
             }
-            false => self.whole_since = None,
+            false => self.quorum_since = None,
         }
     }
 
-    fn is_sure(&self, now: Moment, beat: Duration) -> bool {
+    fn has_stable_quorum(&self, now: Moment, beat: Duration) -> bool {
         let settled = self
-            .whole_since
-            .map(|since| since.plus(beat * SETTLE_BEATS));
+            .quorum_since
+            .map(|since| since.plus(beat * QUORUM_STABLE_BEATS));
         settled.is_some_and(|settled| now >= settled)
     }
 
@@ -172,15 +174,15 @@
     }
 
     /// Begin all guards anew.
-    pub(super) fn restart(&mut self, now: Moment) {
+    pub(super) fn reset(&mut self, now: Moment) {
         for guard in self.guards.values_mut() {
-            guard.restart(now);
+            guard.reset(now);
         }
     }
 
     /// Take note of an owner's message; get it back where it goes on to the
     /// owner now.
-    fn pass(
+    fn filter(
         &mut self,
         now: Moment,
         host: &HostName,
@@ -191,7 +193,9 @@
             return Some(message);
         };
         match message {
-            OwnerMessage::Ask(ask) if ask.claim.is_some() && !guard.is_sure(now, beat) => {
+            OwnerMessage::Ask(ask)
+                if ask.claim.is_some() && !guard.has_stable_quorum(now, beat) =>
+            {
                 let held = HeldAsk {
                     host: host.clone(),
                     since: now,
@@ -201,14 +205,14 @@
                 return None;
             }
             OwnerMessage::Following { round, .. } => {
-                guard.note_follower(host, round);
+                guard.record_follower(host, round);
                 return None;
             }
             OwnerMessage::Withdraw { attempt, .. } => {
                 guard.held.remove(&attempt);
             }
             OwnerMessage::Retell { .. } => {
-                guard.told.insert(host.clone());
+                guard.reported.insert(host.clone());
             }
             _ => {}
         }
@@ -233,7 +237,7 @@
             return None;
         }
         let beat = self.membership.heartbeat();
-        self.key_guards.pass(now, host, message, beat)
+        self.key_guards.filter(now, host, message, beat)
     }
 
     /// Get whether a shard's keyed work waits for an owner that is sure. Calls
@@ -247,7 +251,7 @@
 
     /// Begin or end to guard a shard that this host begins or ceases to order;
     /// get the hosts whose asks waited.
-    pub(super) fn guard_acting(
+    pub(super) fn update_guard(
         &mut self,
         now: Moment,
         shard: &PoolShard,
@@ -269,13 +273,13 @@
             };
             guard.review(now, beat, &self.me.host, &witnesses);
             if let Some(round) = guard.next_round(now, beat) {
-                self.ask_followers(now, &shard, round, witnesses);
+                self.poll_followers(now, &shard, round, witnesses);
             }
             self.release_held(now, &shard, beat);
         }
     }
 
-    fn ask_followers(
+    fn poll_followers(
         &mut self,
         now: Moment,
         shard: &PoolShard,
@@ -292,7 +296,7 @@
 
     fn release_held(&mut self, now: Moment, shard: &PoolShard, beat: Duration) {
         let guard = self.key_guards.guards.get_mut(shard);
-        let Some(guard) = guard.filter(|guard| guard.is_sure(now, beat)) else {
+        let Some(guard) = guard.filter(|guard| guard.has_stable_quorum(now, beat)) else {
             return;
         };
         for (host, ask) in guard.release(now) {
--- a/bergamotswitch-core/src/node/mod.rs
+++ b/bergamotswitch-core/src/node/mod.rs
@@ -1,15 +1,15 @@
 //! Provides a whole host's decisions: the entry desk, the shards it owns,
 //! membership and published values, joined without sockets or clocks.
 
-mod carry_out;
+mod actions;
 mod core;
+mod discovery;
 mod exposure;
-mod hand_over;
+mod handover;
+mod host_returns;
 mod intake;
 mod key_guard;
-mod news;
 mod published;
-mod returns;
 mod shard_use;
 mod shards;
 mod view;
--- a/bergamotswitch-core/src/node/published.rs
+++ b/bergamotswitch-core/src/node/published.rs
@@ -13,7 +13,7 @@
 };
 
 impl NodeCore {
-    pub(super) fn do_revision(&mut self, now: Moment, action: RevisionAction) {
+    pub(super) fn perform_revision_action(&mut self, now: Moment, action: RevisionAction) {
         match action {
             RevisionAction::Read(name) => self.actions.push(NodeAction::Read(name)),
             RevisionAction::Watch(name, after) => self.actions.push(NodeAction::Watch(name, after)),
@@ -32,10 +32,12 @@
 
     fn on_offer(&mut self, now: Moment, value: PublishedValue) {
         let verdict = self.publication.apply(&value);
-        let good = verdict.is_ok();
-        let actions = self.book.settle(now, &value.name, value.revision, verdict);
+        let accepted = verdict.is_ok();
+        let actions = self
+            .revisions
+            .settle(now, &value.name, value.revision, verdict);
         self.queue_revision(actions);
-        if good {
+        if accepted {
             self.on_published(now, &value);
         }
     }
@@ -43,7 +45,7 @@
     fn on_published(&mut self, now: Moment, value: &PublishedValue) {
         let name = value.name.clone();
         if name.as_str() == HOSTS_VALUE {
-            self.tell_hosts(now);
+            self.notify_hosts(now);
         }
         if name.as_str() == TARGETS_VALUE {
             self.register
@@ -53,19 +55,19 @@
             let shards = self.publication.pools.shards();
             self.shard_use
                 .warm(now, &self.publication.pools, &self.domain);
-            self.tell_membership(now, MembershipEvent::Shards(shards));
+            self.notify_membership(now, MembershipEvent::Shards(shards));
             let pools = self.publication.pools.pools().to_vec();
-            self.tell_desk(now, EntryEvent::Pools(pools));
-            self.tell_leaving(now);
+            self.notify_entry(now, EntryEvent::Pools(pools));
+            self.notify_leaving(now);
         }
         if name.as_str() == ROUTES_VALUE {
             let rates = self.shards.quota_rates(&self.publication);
-            self.tell_desk(now, EntryEvent::Quotas(rates));
+            self.notify_entry(now, EntryEvent::Quotas(rates));
         }
         if name.as_str() == LIMITS_VALUE {
             self.apply_limits(now);
         }
-        let actions = self.shards.retarget(now, &self.publication);
+        let actions = self.shards.apply_publication(now, &self.publication);
         self.queue_owner(actions);
         self.watch_targets();
         self.actions.push(NodeAction::Published(name));
@@ -76,26 +78,26 @@
     fn apply_limits(&mut self, now: Moment) {
         let limits = &self.publication.limits;
         self.opts = std::mem::take(&mut self.opts).with_limits(limits);
-        self.desk.set_opts(self.opts.entry.clone());
+        self.entry.set_opts(self.opts.entry.clone());
         self.shards.set_opts(&self.opts.owner);
         self.membership.set_opts(self.opts.membership.clone());
-        self.book.set_opts(self.opts.revision.clone());
+        self.revisions.set_opts(self.opts.revision.clone());
         self.on_tick(now);
     }
 
     /// Tell the machines which hosts there are.
-    pub(super) fn tell_hosts(&mut self, now: Moment) {
+    pub(super) fn notify_hosts(&mut self, now: Moment) {
         let hosts = self.publication.hosts.clone();
-        self.tell_desk(now, EntryEvent::Hosts(hosts.hosts.len()));
-        self.tell_membership(now, MembershipEvent::Hosts(hosts.clone()));
-        self.tell_book(now, RevisionEvent::Hosts(hosts));
-        self.tell_leaving(now);
+        self.notify_entry(now, EntryEvent::Hosts(hosts.hosts.len()));
+        self.notify_membership(now, MembershipEvent::Hosts(hosts.clone()));
+        self.notify_revisions(now, RevisionEvent::Hosts(hosts));
+        self.notify_leaving(now);
     }
 
-    fn tell_leaving(&mut self, now: Moment) {
+    fn notify_leaving(&mut self, now: Moment) {
         for (target, standing) in self.publication.target_standings() {
             let leaving = standing == Standing::Leaving;
-            self.tell_desk(now, EntryEvent::TargetLeaving(target, leaving));
+            self.notify_entry(now, EntryEvent::TargetLeaving(target, leaving));
         }
     }
 }
--- a/bergamotswitch-core/src/node/shard_use.rs
+++ b/bergamotswitch-core/src/node/shard_use.rs
@@ -13,7 +13,7 @@
 /// How long a shard stays in use after its last work. A caller's next request
 /// mostly comes within it; without it each pause would end with a dial and an
 /// exchange of heartbeats.
-const KEPT_IN_USE: Duration = Duration::from_secs(60);
+const IDLE_RETENTION: Duration = Duration::from_secs(60);
 
 /// The most shards whose owners are watched before any work. With nine models
 /// in eight failure domains a host warms the nine of its own domain, of 72.
@@ -46,7 +46,7 @@
     pub(super) fn review(&mut self, now: Moment, working: Vec<PoolShard>) -> Vec<UseChange> {
         let mut changes = Vec::new();
         for shard in working.iter().chain(&self.warm) {
-            let until = now.plus(KEPT_IN_USE);
+            let until = now.plus(IDLE_RETENTION);
             match self.used_until.get_mut(shard) {
                 Some(known) => *known = until,
                 None => {
@@ -84,10 +84,10 @@
 impl NodeCore {
     /// Tell membership which shards this host has use for, on change.
     pub(super) fn track_use(&mut self, now: Moment) {
-        let working = self.desk.used_shards();
+        let working = self.entry.used_shards();
         for change in self.shard_use.review(now, working) {
             let event = MembershipEvent::Using(change.shard, change.used);
-            self.tell_membership(now, event);
+            self.notify_membership(now, event);
         }
     }
 }
--- a/bergamotswitch-core/src/node/shards.rs
+++ b/bergamotswitch-core/src/node/shards.rs
@@ -59,7 +59,7 @@
         wakes.fold(Moment::NEVER, Moment::min)
     }
 
-    pub(super) fn on_shard(
+    pub(super) fn notify_shard(
         &mut self,
         now: Moment,
         shard: &PoolShard,
@@ -69,7 +69,7 @@
         found.map_or_else(Vec::new, |owned| owned.owner.handle(now, event))
     }
 
-    pub(super) fn on_all(
+    pub(super) fn notify_all(
         &mut self,
         now: Moment,
         event: impl Fn(&PoolShard) -> OwnerEvent,
@@ -83,20 +83,20 @@
     }
 
     /// Tell the shards that hold `target`; an owner ignores foreign targets.
-    pub(super) fn on_target(
+    pub(super) fn notify_target(
         &mut self,
         now: Moment,
         target: &TargetName,
         event: impl Fn(&PoolShard) -> OwnerEvent,
     ) -> Vec<OwnerAction> {
         match self.watched.iter().any(|watched| watched.name == *target) {
-            true => self.on_all(now, event),
+            true => self.notify_all(now, event),
             false => Vec::new(),
         }
     }
 
     /// Tell every owner that this process has slept.
-    pub(super) fn woke(&mut self, now: Moment, slept: Duration) {
+    pub(super) fn on_pause(&mut self, now: Moment, slept: Duration) {
         for owned in self.owned.iter_mut().filter(|owned| !owned.degraded) {
             owned.owner.woke(now, slept);
         }
@@ -120,11 +120,13 @@
         &mut self,
         now: Moment,
         shard: &PoolShard,
-        part: f64,
+        fraction: f64,
     ) -> Vec<QuotaLevel> {
         let mut owned = self.owned.iter_mut().filter(|owned| !owned.degraded);
         let found = owned.find(|owned| owned.shard == *shard);
-        found.map_or_else(Vec::new, |owned| owned.owner.hand_over_quotas(now, part))
+        found.map_or_else(Vec::new, |owned| {
+            owned.owner.hand_over_quotas(now, fraction)
+        })
     }
 
     /// Get the shard's targets that get no normal work now.
@@ -191,7 +193,11 @@
     }
 
     /// Tell every owner its targets after a publication.
-    pub(super) fn retarget(&mut self, now: Moment, publication: &Publication) -> Vec<OwnerAction> {
+    pub(super) fn apply_publication(
+        &mut self,
+        now: Moment,
+        publication: &Publication,
+    ) -> Vec<OwnerAction> {
         let mut actions = Vec::new();
         for owned in &mut self.owned {
             let targets = shard_targets(&owned.shard, owned.degraded, publication);
@@ -212,7 +218,10 @@
     }
 
     /// Get the engines to poll, where they changed.
-    pub(super) fn changed_watch(&mut self, publication: &Publication) -> Option<Vec<PoolTarget>> {
+    pub(super) fn updated_watch_list(
+        &mut self,
+        publication: &Publication,
+    ) -> Option<Vec<PoolTarget>> {
         let mut watched = Vec::new();
         for owned in &self.owned {
             let pool = publication.pools.pool(&owned.shard.pool);
--- a/bergamotswitch-core/src/node/view.rs
+++ b/bergamotswitch-core/src/node/view.rs
@@ -55,12 +55,12 @@
             stopping: self.stopping,
             load_permille: self.load_permille,
             missing: missing.iter().map(|name| (*name).to_owned()).collect(),
-            revisions: self.book.standing(),
+            revisions: self.revisions.standing(),
             cross_findings: check_cross(&self.publication)
                 .iter()
                 .map(ToString::to_string)
                 .collect(),
-            desk: self.desk.view(),
+            desk: self.entry.view(),
             owns: self.membership.acts_for(),
             shards: self.shards.views(),
             degraded: self.shards.degraded_count(),
--- a/bergamotswitch-core/src/rules/mod.rs
+++ b/bergamotswitch-core/src/rules/mod.rs
@@ -1,7 +1,7 @@
 //! Provides the ordered when-then rules; the first match decides a request's
 //! tier, its account's share and where it may run.
 
-mod reading;
+mod parse;
 mod rule;
 mod trace;
 
@@ -11,7 +11,7 @@
 
 use crate::failure_domain::DomainName;
 pub use crate::name::{RuleName, WorkKind};
-pub use reading::{
+pub use parse::{
     DEADLINE_RANGE, DEFAULT_DEADLINE_MS, DEFAULT_SHARE, PROMPT_TOKENS_RANGE, SHARE_RANGE,
     TIER_RANGE,
 };
@@ -116,7 +116,7 @@
     pub fn decide(&self, facts: &RequestFacts<'_>) -> Option<Verdict> {
         self.rules
             .iter()
-            .find(|rule| rule.when.failed_part(facts).is_none())
+            .find(|rule| rule.when.first_failed_part(facts).is_none())
             .map(Rule::verdict)
     }
 
--- a/bergamotswitch-core/src/rules/reading.rs
+++ b/bergamotswitch-core/src/rules/parse.rs
@@ -134,7 +134,7 @@
             preemptible: preemptible?,
             deadline: Duration::from_millis(deadline_ms),
         };
-        check_marks(node, &effect, findings);
+        check_flags(node, &effect, findings);
         Some(effect)
     }
 }
@@ -148,7 +148,7 @@
 
 /// Note marks that contradict each other. Which of the two would win is not
 /// for a guess: the loser is a second run or a lost request.
-fn check_marks(node: &JsonNode<'_>, effect: &RuleEffect, findings: &mut Findings) {
+fn check_flags(node: &JsonNode<'_>, effect: &RuleEffect, findings: &mut Findings) {
     if effect.dispatch_once && effect.idempotent {
         findings.add(
             format!("{}/idempotent", node.place()),
--- a/bergamotswitch-core/src/rules/rule.rs
+++ b/bergamotswitch-core/src/rules/rule.rs
@@ -93,7 +93,7 @@
     }
 
     /// Get the first part that a request fails; `None` where it matches.
-    pub(super) fn failed_part(&self, facts: &RequestFacts<'_>) -> Option<ConditionPart> {
+    pub(super) fn first_failed_part(&self, facts: &RequestFacts<'_>) -> Option<ConditionPart> {
         ConditionPart::ALL
             .into_iter()
             .find(|part| !self.part_holds(*part, facts))
@@ -102,14 +102,14 @@
     fn part_holds(&self, part: ConditionPart, facts: &RequestFacts<'_>) -> bool {
         let tokens = facts.prompt_tokens;
         match part {
-            ConditionPart::Pools => lists(&self.pools, Some(facts.pool)),
-            ConditionPart::Accounts => lists(&self.accounts, Some(facts.account)),
-            ConditionPart::Work => lists(&self.work, facts.work),
+            ConditionPart::Pools => matches_list(&self.pools, Some(facts.pool)),
+            ConditionPart::Accounts => matches_list(&self.accounts, Some(facts.account)),
+            ConditionPart::Work => matches_list(&self.work, facts.work),
             ConditionPart::Paths => match &self.paths {
                 Some(paths) => paths.iter().any(|path| facts.path.starts_with(path)),
                 None => true,
             },
-            ConditionPart::Domains => lists(&self.domains, Some(facts.domain)),
+            ConditionPart::Domains => matches_list(&self.domains, Some(facts.domain)),
             ConditionPart::MinPromptTokens => self.min_prompt_tokens.is_none_or(|n| tokens >= n),
             ConditionPart::MaxPromptTokens => self.max_prompt_tokens.is_none_or(|n| tokens <= n),
             ConditionPart::Streaming => self.streaming.is_none_or(|s| s == facts.streaming),
@@ -117,7 +117,7 @@
     }
 }
 
-fn lists<T: PartialEq>(wanted: &Option<Vec<T>>, found: Option<&T>) -> bool {
+fn matches_list<T: PartialEq>(wanted: &Option<Vec<T>>, found: Option<&T>) -> bool {
     match (wanted, found) {
         (None, _) => true,
         (Some(wanted), Some(found)) => wanted.contains(found),
@@ -151,12 +151,12 @@
             self.share,
             self.deadline.as_millis()
         )?;
-        let marks = [
+        let flags = [
             (self.dispatch_once, ", dispatched once"),
             (self.idempotent, ", idempotent"),
             (self.preemptible, ", preemptible"),
         ];
-        for (_, text) in marks.iter().filter(|(holds, _)| *holds) {
+        for (_, text) in flags.iter().filter(|(holds, _)| *holds) {
             f.write_str(text)?;
         }
         if self.domains.is_empty() {
--- a/bergamotswitch-core/src/rules/trace.rs
+++ b/bergamotswitch-core/src/rules/trace.rs
@@ -47,7 +47,7 @@
 
 impl RuleStep {
     pub(super) fn of(rule: &Rule, facts: &RequestFacts<'_>) -> Self {
-        let failed = rule.when.failed_part(facts);
+        let failed = rule.when.first_failed_part(facts);
         RuleStep {
             rule: rule.name.clone(),
             failed: failed.map(|part| FailedCondition::of(part, &rule.when, facts)),
@@ -58,33 +58,41 @@
 impl FailedCondition {
     fn of(part: ConditionPart, when: &RuleCondition, facts: &RequestFacts<'_>) -> Self {
         match part {
-            ConditionPart::Pools => failed("pools", facts.pool, any_of(&when.pools)),
-            ConditionPart::Accounts => failed("accounts", facts.account, any_of(&when.accounts)),
+            ConditionPart::Pools => failed_condition("pools", facts.pool, any_of(&when.pools)),
+            ConditionPart::Accounts => {
+                failed_condition("accounts", facts.account, any_of(&when.accounts))
+            }
             ConditionPart::Work => match facts.work {
-                Some(work) => failed("work", work, any_of(&when.work)),
-                None => failed("work", &"nothing", any_of(&when.work)),
+                Some(work) => failed_condition("work", work, any_of(&when.work)),
+                None => failed_condition("work", &"nothing", any_of(&when.work)),
             },
-            ConditionPart::Paths => failed("paths", &facts.path, any_of(&when.paths)),
-            ConditionPart::Domains => failed("domains", facts.domain, any_of(&when.domains)),
-            ConditionPart::MinPromptTokens => failed(
+            ConditionPart::Paths => failed_condition("paths", &facts.path, any_of(&when.paths)),
+            ConditionPart::Domains => {
+                failed_condition("domains", facts.domain, any_of(&when.domains))
+            }
+            ConditionPart::MinPromptTokens => failed_condition(
                 "min_prompt_tokens",
                 &facts.prompt_tokens,
                 bound("at least", when.min_prompt_tokens),
             ),
-            ConditionPart::MaxPromptTokens => failed(
+            ConditionPart::MaxPromptTokens => failed_condition(
                 "max_prompt_tokens",
                 &facts.prompt_tokens,
                 bound("at most", when.max_prompt_tokens),
             ),
             ConditionPart::Streaming => {
                 let wanted = !facts.streaming;
-                failed("streaming", &facts.streaming, wanted.to_string())
+                failed_condition("streaming", &facts.streaming, wanted.to_string())
             }
         }
     }
 }
 
-fn failed(condition: &'static str, found: &dyn fmt::Display, wanted: String) -> FailedCondition {
+fn failed_condition(
+    condition: &'static str,
+    found: &dyn fmt::Display,
+    wanted: String,
+) -> FailedCondition {
     FailedCondition {
         condition,
         found: found.to_string(),
