--- a/bergamotswitch-core/src/explain.rs
+++ b/bergamotswitch-core/src/explain.rs
@@ -1,4 +1,5 @@
-//! Provides explanations: what would become of a request, and why.
+//! Provides explanations of the routing decision for a request: the rules evaluated,
+//! the rule that matched, and the targets that are eligible.
 
 use std::fmt;
 
@@ -9,44 +10,46 @@
 use crate::rules::{RequestFacts, RuleTrace, Verdict};
 use crate::target::{PoolTarget, TargetName};
 
-/// An `Exclusion` is why a target may not run a request.
+/// An `Exclusion` is a reason why a target is not eligible for a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Exclusion {
     /// No rule matches the request.
     NoRule,
-    /// The rule does not let it run in the target's failure domain.
+    /// The matching rule does not allow the target's failure domain.
     DomainNotAllowed(DomainName),
-    /// The target is leaving.
+    /// The target is draining.
     Leaving,
 }
 
-/// A `TargetEligibility` is whether a target may run a request.
+/// A `TargetEligibility` is whether a target is eligible for a request, with the
+/// reasons if it is not.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct TargetEligibility {
-    /// The target.
+    /// The name of the target.
     pub target: TargetName,
-    /// Its failure domain.
+    /// The failure domain of the target.
     pub domain: DomainName,
-    /// Why not; empty where it may.
+    /// The reasons for exclusion; empty if the target is eligible.
     pub excluded: Vec<Exclusion>,
 }
 
-/// A `RequestExplanation` is what would become of a request, and why.
+/// A `RequestExplanation` is how a request would be handled under the published
+/// configuration, and why.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct RequestExplanation {
-    /// Whether the pool is published.
+    /// Whether the requested pool is published.
     pub pool_known: bool,
-    /// What each rule says, up to the first match.
+    /// The result of each rule, up to and including the first match.
     pub trace: RuleTrace,
-    /// What the matching rule decides.
+    /// The decision of the matching rule; `None` if no rule matches.
     pub verdict: Option<Verdict>,
-    /// What holds for each target of the pool.
+    /// The eligibility of each target of the pool.
     pub targets: Vec<TargetEligibility>,
 }
 
 impl RequestExplanation {
-    /// Get the explanation of a request under the published values.
+    /// Get the explanation of a request under the given publication.
     pub fn of(publication: &Publication, facts: &RequestFacts<'_>) -> Self {
         let verdict = publication.rules.decide(facts);
         let pool = publication.pools.pool(facts.pool);
--- a/bergamotswitch-core/src/node/actions.rs
+++ b/bergamotswitch-core/src/node/actions.rs
@@ -1,5 +1,6 @@
-//! Provides the carrying out of what one machine of a host wants of another
-//! one or of the world.
+//! Provides the execution of the actions returned by a host's state machines: each is
+//! either passed to another state machine of the same host or turned into a
+//! [`NodeAction`].
 
 use super::NodeAction;
 use super::core::NodeCore;
@@ -65,8 +66,8 @@
                 target: Box::new(placed.target.clone()),
                 kind: placed.pool.kind,
             }),
-            // The owner has a newer or older list of targets than this host:
-            // nothing was sent, the request waits on.
+            // The owner and this host may use different revisions of the target list.
+            // Nothing was sent, so the request keeps waiting.
             None => {
                 let event = AttemptEvent::NotSent(NotSentReason::TargetGone);
                 self.notify_entry(now, EntryEvent::Attempt(attempt, event));
@@ -91,7 +92,7 @@
     pub(super) fn perform_membership_action(&mut self, now: Moment, action: MembershipAction) {
         match action {
             MembershipAction::Connect(host) => self.actions.push(NodeAction::Connect(host)),
-            // The link may still spread published values.
+            // Keep a link that the distribution of published values still needs.
             MembershipAction::Disconnect(host) if self.revisions.wants_link(&host) => {}
             MembershipAction::Disconnect(host) => self.actions.push(NodeAction::Disconnect(host)),
             MembershipAction::Send(host, beat) => {
@@ -114,20 +115,23 @@
         }
     }
 
-    /// Tell an owner that is linked anew what this host holds, and ask again for
-    /// what waits. To membership it is the same host, which announces no change,
-    /// but what was sent over the former link may be lost, and a new run of it
-    /// knows neither keys nor work. Without this, targets stand idle until the
-    /// owner's audit of permits that were given back long ago, and a request
-    /// sent again at another host could run twice after a quick restart.
+    /// Resend this host's permits, keys and pending asks to an owner whose link was
+    /// re-established.
+    ///
+    /// Messages sent over the previous link may be lost, and a restarted owner has no
+    /// state. Membership reports no change for a reconnect of the same host. Without
+    /// the resend, slots of released permits stay occupied until the owner's next
+    /// permit audit, and a request resubmitted at another host could run twice after a
+    /// quick restart of the owner.
     pub(super) fn resync_linked(&mut self, now: Moment, host: &HostName) {
         for shard in self.exposure.owned_by(host) {
             self.notify_entry(now, EntryEvent::OwnerIs(shard, host.clone()));
         }
     }
 
-    /// Without a reachable candidate this host admits by itself, with its
-    /// fraction of the capacity and the same order of tiers.
+    /// Apply a change of a shard's owner. If no candidate is reachable, this host
+    /// admits requests itself, in degraded mode: with its fraction of the capacity and
+    /// the same tier order.
     fn on_owner_change(&mut self, now: Moment, shard: PoolShard, owner: Option<HostName>) {
         let degraded = owner.is_none();
         if degraded {
@@ -150,8 +154,8 @@
         };
         let text = format!("shard={shard}");
         self.actions.push(NodeAction::LogIncident(incident, text));
-        // Left to their re-ask interval, the requests that wait here would
-        // stand still for seconds although another host may serve them.
+        // Notify the hosts with queued asks, so that they ask the next owner at once
+        // rather than after their re-ask interval of some seconds.
         let mut asking = match act {
             true => Vec::new(),
             false => self.shards.asking_hosts(&shard),
@@ -169,9 +173,9 @@
             self.queue_owner(actions);
         }
         if !act && self.stopping && self.membership.owner_of(&shard).is_none() {
-            // That nobody else can own the shard was known before this host
-            // ceased to, and is not told again. Without this its callers' work
-            // would wait for permits until its deadline.
+            // Membership already reported that the shard has no other owner and does
+            // not report it again. Fall back to degraded admission now, or pending
+            // requests would wait for permits until their deadline.
             self.on_owner_change(now, shard.clone(), None);
         }
         for host in asking {
@@ -181,9 +185,9 @@
         self.watch_targets();
     }
 
-    /// Get how this host has followed another owner to its end: that one stops
-    /// or is silent. A host that has just started knows of no owner, and may find
-    /// one beside it.
+    /// Get the event for a host that takes over a shard from an owner that is stopping
+    /// or unreachable. `None` on the first owner that this host knows of: after a
+    /// start, another host may still be acting as owner.
     fn takeover_event(&self, shard: &PoolShard) -> Option<OwnerEvent> {
         let former = self.exposure.last_owner(shard)?;
         if self.membership.is_stopping(former) {
--- a/bergamotswitch-core/src/node/core.rs
+++ b/bergamotswitch-core/src/node/core.rs
@@ -1,5 +1,5 @@
-//! Provides the join of a host's machines: what one of them wants of another
-//! is carried out here, what it wants of the world becomes a [`NodeAction`].
+//! Provides the event loop of a host's state machines: an action of one state machine
+//! is delivered to another one, or returned to the caller as a [`NodeAction`].
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -26,60 +26,61 @@
 use crate::roster::{Roster, RosterOptions};
 use crate::target_list::TargetRegister;
 
-/// The longest time between two looks at the clock. Every timer of the
-/// machines is coarser.
+/// The longest interval between two ticks. All timers of the state machines are
+/// coarser.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A gap between two events that is longer than this is a pause of the
-/// process: the loop ticks every [`TICK_INTERVAL`], twenty misses are no
-/// scheduling delay any more.
+/// The gap between two events above which the process counts as paused. The loop ticks
+/// every [`TICK_INTERVAL`], so a gap of twenty ticks is no scheduling delay.
 pub const PAUSE_THRESHOLD: Duration = Duration::from_secs(2);
 
-/// The part of the quotas' buckets that a stopping owner hands over at once. It
-/// keeps the rest for calls that are asked for until all have heard of its stop.
+/// The fraction of each quota's token bucket that a stopping owner hands over
+/// immediately. The rest serves asks that arrive until all hosts have learned of the
+/// stop.
 const STOP_HANDOVER_FRACTION: f64 = 0.5;
 
-/// A `NodeOptions` holds the options of a host's machines.
+/// A `NodeOptions` holds the options of a host's state machines.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NodeOptions {
-    /// The entry side's.
+    /// The options of the entry desk.
     pub entry: EntryOptions,
-    /// The owner side's.
+    /// The options of shard owners.
     pub owner: OwnerOptions,
-    /// Membership's.
+    /// The options of membership.
     pub membership: MembershipOptions,
-    /// The published values'.
+    /// The options of the distribution of published values.
     pub revision: RevisionOptions,
-    /// How long a key may be relied on after its account was last known to
-    /// hold it; for good where absent.
+    /// How long API keys stay valid after the routes were last confirmed to be current;
+    /// unlimited if absent.
     pub key_trust: Option<Duration>,
-    /// How the host finds the others where no host list is published.
+    /// How the host discovers its peers if no host list is published.
     pub roster: Option<RosterSetup>,
-    /// The limits where none are published.
+    /// The fleet limits that apply while none are published.
     pub limits: Option<FleetLimits>,
 }
 
-/// A `RosterSetup` is what a host needs to find the others by itself.
+/// A `RosterSetup` is the configuration with which a host discovers its peers by
+/// gossip.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RosterSetup {
-    /// This host, as others are told of it.
+    /// This host's entry, as announced to the other hosts.
     pub host: EntryHost,
-    /// Where to ask first.
+    /// The seed addresses that are contacted first.
     pub seeds: Vec<SocketAddr>,
-    /// The time of day at the process's start, in milliseconds.
+    /// The wall-clock time at which the process started, in milliseconds.
     pub started_at_ms: u64,
-    /// The bounds.
+    /// The options of the roster.
     pub options: RosterOptions,
 }
 
 impl NodeOptions {
-    /// Set the bounds of membership.
+    /// Set the options of membership.
     pub fn with_membership(mut self, opts: MembershipOptions) -> Self {
         self.membership = opts;
         self
     }
 
-    /// Set what the published limits bound.
+    /// Apply published fleet limits to the options they affect.
     pub fn with_limits(self, limits: &FleetLimits) -> Self {
         NodeOptions {
             entry: self.entry.with_limits(limits),
@@ -93,7 +94,7 @@
     }
 }
 
-/// One piece of work between two machines of the same host.
+/// An action of one state machine that waits for its execution.
 enum QueuedAction {
     Entry(EntryAction),
     Owner(OwnerAction),
@@ -101,7 +102,8 @@
     Revision(RevisionAction),
 }
 
-/// A `NodeCore` is all decisions of one host.
+/// A `NodeCore` is the decision logic of one host, without I/O: it takes events and
+/// returns actions.
 pub struct NodeCore {
     pub(super) me: HostIncarnation,
     pub(super) domain: DomainName,
@@ -112,7 +114,8 @@
     pub(super) revisions: RevisionBook,
     pub(super) stopping: bool,
     pub(super) planned_stop: Option<PlannedStop>,
-    /// When enough hosts take callers again, as the desk was told last.
+    /// When enough hosts are expected to accept requests again, as last reported to the
+    /// entry desk.
     pub(super) hosts_back_at: Option<Moment>,
     pub(super) load_permille: u16,
     pub(super) opts: NodeOptions,
@@ -128,7 +131,7 @@
 }
 
 impl NodeCore {
-    /// Get a host that knows nothing yet.
+    /// Get a host without any published values or peers.
     pub fn new(me: HostIncarnation, domain: DomainName, opts: NodeOptions, now: Moment) -> Self {
         let opts = NodeOptions {
             entry: opts.entry.with_domain(domain.clone()),
@@ -171,7 +174,7 @@
         &self.publication
     }
 
-    /// Get when [`NodeEvent::Tick`] is due at the latest.
+    /// Get the latest time at which the next [`NodeEvent::Tick`] is due.
     pub fn next_wake(&self) -> Moment {
         let machines = [
             self.entry.next_wake(),
@@ -184,7 +187,7 @@
         machines.into_iter().fold(latest, Moment::min)
     }
 
-    /// Let one event happen and get what is to be done.
+    /// Handle an event and get the actions to perform.
     pub fn handle(&mut self, now: Moment, event: NodeEvent) -> Vec<NodeAction> {
         self.detect_pause(now);
         match event {
@@ -228,7 +231,7 @@
         self.finish(now)
     }
 
-    /// Carry out what is left between the machines and get the rest.
+    /// Run the queued internal actions and get the actions to perform outside.
     pub(super) fn finish(&mut self, now: Moment) -> Vec<NodeAction> {
         self.run_queue(now);
         self.track_use(now);
@@ -236,15 +239,16 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// A process that was paused still believes old facts: its permits, its
-    /// peers' silence and its own ownership are all as old as the pause. One
-    /// notices it by the gap since the last event, and tells every machine
-    /// before anything else happens.
+    /// Detect a pause of the process by the time since the last event, and notify every
+    /// state machine before the current event is handled.
+    ///
+    /// After a pause the host's permits, view of its peers and ownership may be out of
+    /// date.
     pub(super) fn detect_pause(&mut self, now: Moment) {
         let gap = now.since(self.last_event_at);
         self.last_event_at = now;
-        // The sleep may have begun just after the last event, or a tick before
-        // the next one was due.
+        // The length of the pause is known only to within one tick: a gap one tick
+        // short of the suspicion time counts as well.
         if gap + TICK_INTERVAL >= self.membership.suspect_after() {
             self.shards.on_pause(now, gap);
         }
@@ -285,8 +289,7 @@
         self.notify_membership(now, MembershipEvent::Stop);
         let actions = self.shards.notify_all(now, |_| OwnerEvent::Stopping);
         self.queue_owner(actions);
-        // Peers hear of the stop before this: the heartbeats that tell it wait
-        // in front of it.
+        // Send the heartbeats that announce the stop before the handover messages.
         self.run_queue(now);
         for shard in self.membership.acts_for() {
             self.hand_over(now, &shard, STOP_HANDOVER_FRACTION);
@@ -300,8 +303,8 @@
             started_at,
             answers_due: at,
         });
-        // What waits is turned away with the event below, and told when to come
-        // back.
+        // Update the expected return of other hosts first: the entry desk refuses
+        // waiting requests on the event below, and sets their retry time from it.
         self.review_host_returns(now);
         self.notify_entry(now, EntryEvent::WholeBy(at));
     }
@@ -346,8 +349,8 @@
 
     pub(super) fn on_owner_message(&mut self, now: Moment, host: HostName, message: OwnerMessage) {
         let shard = message.shard().clone();
-        // Only the own desk may use a degraded owner: it has but this host's
-        // fraction of the capacity to give.
+        // Only this host's entry desk may use a degraded owner, which has only this
+        // host's fraction of the capacity.
         if self.shards.serves(&shard, host == self.me.host) {
             let Some(message) = self.guard_message(now, &host, message) else {
                 return;
@@ -358,7 +361,7 @@
             return;
         }
         match message {
-            // This host may order the shard a moment later.
+            // Keep the report: this host may become the shard's owner shortly.
             OwnerMessage::FailedTargets { shard, targets } => {
                 self.failure_reports.record(now, shard, targets);
             }
--- a/bergamotswitch-core/src/node/discovery.rs
+++ b/bergamotswitch-core/src/node/discovery.rs
@@ -1,5 +1,5 @@
-//! Provides what a host hears of targets from the store and of hosts from
-//! other hosts, and how old its knowledge of keys is.
+//! Provides the discovery of targets from the store and of hosts by gossip, and the age
+//! check of API keys.
 
 use super::NodeAction;
 use super::core::NodeCore;
@@ -13,7 +13,7 @@
 use crate::target_list::TargetNews;
 
 impl NodeCore {
-    /// Get when news is due without an event.
+    /// Get when the next timer of the roster or the target register is due.
     pub(super) fn next_discovery(&self) -> Moment {
         let round = self
             .roster
@@ -22,7 +22,8 @@
         round.min(self.register.next_due())
     }
 
-    /// Do what is due, and tell the others this host's state.
+    /// Drop expired targets and run the gossip round that is due, with this host's
+    /// current state.
     pub(super) fn review_discovery(&mut self, now: Moment) {
         if self.register.drop_lapsed(now) {
             self.publish_targets(now);
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Get the hosts that take callers, as far as this one has heard.
+    /// Get the hosts that accept requests, as known to this host.
     pub fn ready_hosts(&self, now: Moment) -> Vec<EntryHost> {
         let roster = self.roster.as_ref();
         roster.map_or_else(Vec::new, |roster| roster.ready_hosts(now))
@@ -84,8 +85,8 @@
         }
     }
 
-    /// Get whether keys may be relied on: not where the newest routes may have
-    /// been published, without a key, too long ago for this host to have heard.
+    /// Get whether API keys may be accepted: the routes were confirmed to be current
+    /// recently enough that a revoked key would be known.
     pub fn trusts_keys(&self, now: Moment) -> bool {
         let Some(bound) = self.opts.key_trust else {
             return true;
@@ -111,7 +112,7 @@
             .extend(sent.into_iter().map(NodeAction::Gossip));
     }
 
-    /// Take up the hosts that are counted on, where they have changed.
+    /// Apply changes of the discovered hosts to the publication.
     fn apply_host_changes(&mut self, now: Moment) {
         let Some(roster) = &mut self.roster else {
             return;
--- a/bergamotswitch-core/src/node/exposure.rs
+++ b/bergamotswitch-core/src/node/exposure.rs
@@ -1,6 +1,5 @@
-//! Provides the counting of what a host does while the shard's order is not
-//! whole: admissions without an owner, and requests whose unmarked
-//! resubmission could run twice.
+//! Provides counters of degraded admissions, and of requests whose resubmission without
+//! the resubmission header could run twice.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,25 +13,26 @@
 use crate::permit::OwnerReply;
 use crate::pool::{PoolName, PoolShard};
 
-/// A `NodeCounts` is what a host has counted since its start.
+/// A `NodeCounts` is the counters of a host since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct NodeCounts {
-    /// Permits given by this host's own fraction, without an owner.
+    /// Permits granted in degraded mode from this host's fraction of the capacity,
+    /// without an owner.
     pub degraded_admissions: u64,
-    /// Keyed requests that must not run twice, accepted while an unmarked
-    /// resubmission of them could not have been recognized.
+    /// Accepted non-repeatable requests with an idempotency key for which a
+    /// resubmission at another host, not marked as one, could not have been recognized.
     pub unmarked_exposure: u64,
 }
 
-/// A `ObservedOwner` is the owner of a shard in this host's view.
+/// An `ObservedOwner` is the owner of a shard as this host sees it.
 #[derive(Debug)]
 struct ObservedOwner {
     owner: HostName,
-    /// When another host was the owner last.
+    /// When the shard was last taken over from another owner.
     taken_over_at: Option<Moment>,
 }
 
-/// An `ExposureTracker` knows which shards changed hands a short time ago.
+/// An `ExposureTracker` tracks shard owners and detects recent changes of ownership.
 #[derive(Debug, Default)]
 pub(super) struct ExposureTracker {
     shards: BTreeMap<PoolShard, ObservedOwner>,
@@ -40,7 +40,7 @@
 }
 
 impl ExposureTracker {
-    /// Take note of a shard's owner.
+    /// Record the current owner of a shard.
     pub(super) fn record_owner(&mut self, now: Moment, shard: &PoolShard, owner: &HostName) {
         match self.shards.get_mut(shard) {
             Some(seen) if seen.owner == *owner => {}
@@ -58,12 +58,13 @@
         }
     }
 
-    /// Get the last owner of a shard in this host's view.
+    /// Get the last known owner of a shard.
     pub(super) fn last_owner(&self, shard: &PoolShard) -> Option<&HostName> {
         self.shards.get(shard).map(|seen| &seen.owner)
     }
 
-    /// Take note that a host's run has ended: its next one knows no keys.
+    /// Record that a host's process has ended. A restarted owner has lost its keys,
+    /// which counts as a takeover of its shards.
     pub(super) fn record_run_end(&mut self, now: Moment, host: &HostName) {
         let owned = self.shards.values_mut().filter(|seen| seen.owner == *host);
         for seen in owned {
@@ -71,14 +72,14 @@
         }
     }
 
-    /// Get the shards that a host owns in this host's view.
+    /// Get the shards that a host owns as this host sees it.
     pub(super) fn owned_by(&self, host: &HostName) -> Vec<PoolShard> {
         let owned = self.shards.iter().filter(|(_, seen)| seen.owner == *host);
         owned.map(|(shard, _)| shard.clone()).collect()
     }
 
-    /// Get whether an order of the pool was taken over within `retention`: its
-    /// owner may not know the keys that its predecessor knew.
+    /// Get whether a shard of the pool was taken over within `retention`. Its new owner
+    /// may lack keys that the previous owner held.
     fn is_recently_taken_over(&self, now: Moment, pool: &PoolName, retention: Duration) -> bool {
         let mut shards = self.shards.iter().filter(|(shard, _)| shard.pool == *pool);
         shards.any(|(_, seen)| {
@@ -89,8 +90,8 @@
 }
 
 impl NodeCore {
-    /// Get whether an unmarked resubmission of a request, at another host, would
-    /// run it twice. A marked one is refused in this time.
+    /// Get whether a resubmission of the request at another host, not marked as one,
+    /// could run it twice. A marked resubmission is refused during that time.
     pub(super) fn is_exposed(&self, now: Moment, submission: &Submission) -> bool {
         let verdict = &submission.verdict;
         let guarded = verdict.dispatch_once || !verdict.idempotent;
@@ -105,7 +106,7 @@
         recent || self.shards.is_degraded(&submission.pool)
     }
 
-    /// Count a permit of a degraded order.
+    /// Count a granted permit if its shard is in degraded mode.
     pub(super) fn count_degraded(&mut self, reply: &OwnerReply) {
         if let OwnerReply::Granted { shard, .. } = reply
             && self.shards.is_degraded_shard(shard)
--- a/bergamotswitch-core/src/node/handover.rs
+++ b/bergamotswitch-core/src/node/handover.rs
@@ -1,5 +1,5 @@
-//! Provides what the owner of a shard hands over to the one that follows it, or
-//! that orders the shard beside it.
+//! Provides the handover of state from the owner of a shard to its successor, or to
+//! another host that also acts as owner.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,22 +13,23 @@
 use crate::pool::PoolShard;
 use crate::pool_owner::OwnerEvent;
 
-/// How long a report of failed targets is kept by a host that does not order
-/// their shard. One that has just started does so within a second.
+/// How long reports of failed targets are kept by a host that does not own their shard.
+/// A newly started owner takes over within a second.
 const REPORT_RETENTION: Duration = Duration::from_secs(5);
 
-/// The most shards of which reports are kept.
+/// The maximum number of shards for which reports are kept.
 const MAX_REPORTED_SHARDS: usize = 64;
 
-/// A `FailureReports` is what owners have told of failed targets to a host that
-/// did not order their shards yet.
+/// A `FailureReports` holds reports of failed targets for shards that this host does
+/// not own yet.
 #[derive(Debug, Default)]
 pub(super) struct FailureReports {
     shards: BTreeMap<PoolShard, (Moment, Vec<FailedTarget>)>,
 }
 
 impl FailureReports {
-    /// Take note of what an owner tells.
+    /// Record a report, replacing the earlier one of the shard. Evicts the oldest
+    /// report at the limit.
     pub(super) fn record(&mut self, now: Moment, shard: PoolShard, targets: Vec<FailedTarget>) {
         let is_new = !self.shards.contains_key(&shard);
         if is_new && self.shards.len() >= MAX_REPORTED_SHARDS {
@@ -47,8 +48,8 @@
         }
     }
 
-    /// Take out what was told of a shard lately, with the time until the next
-    /// probes as it is now.
+    /// Take the recent report of a shard, with the times until the next probes reduced
+    /// by the age of the report.
     fn take(&mut self, now: Moment, shard: &PoolShard) -> Vec<FailedTarget> {
         let Some((received_at, mut targets)) = self.shards.remove(shard) else {
             return Vec::new();
@@ -66,10 +67,12 @@
 }
 
 impl NodeCore {
-    /// Hand over to a shard's next owner what this one knows: this part of what
-    /// lies in the buckets of its quotas, and the targets that fail. The next
-    /// one's buckets begin empty, and the first calls of accounts within their
-    /// quota would be told that they are over it; dead targets look idle to it.
+    /// Hand over quota levels and failed targets to a shard's next owner. `fraction` is
+    /// the part of each quota's token bucket to transfer.
+    ///
+    /// Without this, the next owner would start with empty token buckets and refuse
+    /// calls of accounts within their quota, and would send work to failed targets,
+    /// which look idle to it.
     pub(super) fn hand_over(&mut self, now: Moment, shard: &PoolShard, fraction: f64) {
         let next = self.membership.owner_of(shard).cloned();
         let Some(next) = next.filter(|next| *next != self.me.host) else {
@@ -83,16 +86,16 @@
         }
     }
 
-    /// Tell a host that is linked anew of the targets that fail in the shards
-    /// that this one orders. A first candidate that has just started orders them
-    /// at once, and knows of none.
+    /// Send the failed targets of all shards that this host owns to a newly connected
+    /// host. A first candidate that has just started becomes owner at once and has no
+    /// failure state.
     pub(super) fn send_all_failed_targets(&mut self, now: Moment, host: &HostName) {
         for shard in self.membership.acts_for() {
             self.send_failed_targets(now, shard, host);
         }
     }
 
-    /// Let the owner that this host has just become know what was reported.
+    /// Apply the recorded failure report to the owner that this host has just become.
     pub(super) fn apply_failure_reports(&mut self, now: Moment, shard: &PoolShard) {
         let targets = self.failure_reports.take(now, shard);
         let message = OwnerMessage::FailedTargets {
--- a/bergamotswitch-core/src/node/host_returns.rs
+++ b/bergamotswitch-core/src/node/host_returns.rs
@@ -1,10 +1,9 @@
-//! Provides the moment at which enough hosts are expected to take callers again,
-//! while this one stops and few others do.
+//! Provides the estimate of when enough hosts will accept requests again, while this
+//! host and most others are stopping.
 //!
-//! Where a whole fleet stops within seconds, a caller that is turned away meets
-//! another stopping host, and uses up its few attempts within a second: one sees
-//! many refusals `stopping` of the same request, and callers that give up before
-//! the first host is back. Told when that will be, it comes back then.
+//! When a whole fleet restarts within seconds, a refused caller would meet another
+//! stopping host and use up its retries before the first host is back. The estimate
+//! becomes the retry time of refusals.
 
 use std::time::Duration;
 
@@ -12,30 +11,30 @@
 use crate::clock::Moment;
 use crate::entry::EntryEvent;
 
-/// Few hosts take callers where at most one in so many does: whoever is turned
-/// away then meets a host that takes callers in one try of four at best.
+/// The reciprocal of the fraction of hosts that must accept requests: enough do when
+/// they are more than one in this many.
 const READY_HOSTS_DIVISOR: usize = 4;
 
-/// From the moment by which a stopping host's answers are whole until its next
-/// process takes callers: the rest of its grace, its start, and the time until
-/// callers hear of it.
+/// The time from the answer deadline of a stopping host until its next process accepts
+/// requests: the rest of the grace period, the start, and the announcement to callers.
 const RESTART_MARGIN: Duration = Duration::from_secs(1);
 
-/// How many times the span of a stop a host that stopped is expected back. One
-/// that has not returned by then has left for good.
+/// A stopped host counts as removed when it has not returned within this multiple of
+/// the stop's duration.
 const RETURN_TIMEOUT_FACTOR: u32 = 2;
 
-/// A `PlannedStop` is what this host knows of its own planned stop.
+/// A `PlannedStop` is the time span of this host's own planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct PlannedStop {
     pub(super) started_at: Moment,
-    /// By when answers have to be whole; never where nothing kills the process.
+    /// The time by which answers have to be complete; `Moment::NEVER` if the stop has
+    /// no time limit.
     pub(super) answers_due: Moment,
 }
 
 impl PlannedStop {
-    /// Get when a host is expected back that began to stop then: the hosts of a
-    /// fleet are given the same grace.
+    /// Get the expected return of a host that began to stop at `stopped_at`, on the
+    /// assumption that all hosts have the same grace period.
     fn expected_return(&self, stopped_at: Moment) -> Moment {
         stopped_at.plus(self.span() + RESTART_MARGIN)
     }
@@ -44,15 +43,15 @@
         self.answers_due.since(self.started_at)
     }
 
-    /// Get whether a host that began to stop then is still expected.
+    /// Get whether a host that began to stop at `stopped_at` is still expected to
+    /// return.
     fn is_expected(&self, now: Moment, stopped_at: Moment) -> bool {
         now < stopped_at.plus(self.span() * RETURN_TIMEOUT_FACTOR + RESTART_MARGIN)
     }
 }
 
 impl NodeCore {
-    /// While this host stops, tell the desk when enough hosts are expected to
-    /// take callers again.
+    /// Update the entry desk's estimate of when enough hosts accept requests again.
     pub(super) fn review_host_returns(&mut self, now: Moment) {
         let hosts_back_at = self.enough_hosts_at(now);
         if hosts_back_at != self.hosts_back_at {
@@ -61,8 +60,8 @@
         }
     }
 
-    /// Get when enough hosts take callers again, as far as this one knows; `None`
-    /// where they do now, or nobody can tell.
+    /// Get when enough hosts are expected to accept requests again; `None` if they do
+    /// now, or if that is unknown.
     fn enough_hosts_at(&self, now: Moment) -> Option<Moment> {
         let stop = self
             .planned_stop
--- a/bergamotswitch-core/src/node/intake.rs
+++ b/bergamotswitch-core/src/node/intake.rs
@@ -1,4 +1,5 @@
-//! Provides the way in: submissions, outcomes and addresses.
+//! Provides the calls that a host answers directly: submission, outcome lookup, address
+//! resolution and readiness.
 
 use super::{NodeAction, NodeCore};
 use crate::address::{AddressAnswer, AddressBook, AddressQuery, HostHealth};
@@ -8,17 +9,17 @@
 use crate::membership::PeerView;
 use crate::refusal::{Refusal, RefusalReason};
 
-/// When a caller should come back whose key cannot be confirmed: the store or
-/// a peer that knows is asked about once a second.
+/// The retry time for callers whose API key can't be confirmed. The store or an
+/// informed peer is polled about once a second.
 const KEY_RETRY_AFTER: std::time::Duration = std::time::Duration::from_secs(1);
 
 impl NodeCore {
-    /// Take a caller's request.
+    /// Submit a request of a caller.
     pub fn submit(&mut self, now: Moment, submission: Submission) -> (Reception, Vec<NodeAction>) {
         self.detect_pause(now);
         if !self.is_ready(now) {
-            // The desk was not asked: after a pause it may hold the request
-            // that the caller, or the host that sent it here, asks after.
+            // The entry desk was not consulted: after a pause it may still hold the
+            // request that is resubmitted or forwarded here.
             let may_be_held = submission.resubmission || submission.holder.is_some();
             let refusal = match may_be_held {
                 true => Refusal::may_have_run(RefusalReason::NotReady),
@@ -41,25 +42,26 @@
         (reception, self.finish(now))
     }
 
-    /// Get whether the host may serve: every needed value is in force, and
-    /// peers (or, without any, the service alone) vouched for the revisions.
+    /// Get whether the host is ready to serve: all required values are in force and
+    /// their revisions are confirmed by peers, or by the configuration service if no
+    /// peer is known.
     pub fn is_ready(&self, now: Moment) -> bool {
         let settled = self.roster.as_ref();
         let settled = settled.is_none_or(|roster| roster.is_settled(now));
         settled && self.publication.missing().is_empty() && self.revisions.is_caught_up(now)
     }
 
-    /// Get whether nothing waits or runs.
+    /// Get whether no request is queued or running.
     pub fn is_idle(&self) -> bool {
         self.entry.is_idle()
     }
 
-    /// Get what this host knows of a request.
+    /// Get the outcome of a request as known to this host.
     pub fn outcome(&self, query: &OutcomeQuery) -> OutcomeView {
         self.entry.outcome(query)
     }
 
-    /// Get which host a caller should use.
+    /// Get the hosts that a caller should use.
     pub fn address(&self, query: &AddressQuery) -> AddressAnswer {
         let health: Vec<HostHealth> = self.host_health();
         AddressBook::new(&self.publication).answer(query, &health)
@@ -90,7 +92,7 @@
     }
 }
 
-/// Get what is known of another host; nothing where it is not watched.
+/// Get the health of another host; unknown if the host is not monitored.
 fn peer_health(host: &EntryHost, peer: Option<&PeerView>) -> HostHealth {
     HostHealth {
         host: host.clone(),
--- a/bergamotswitch-core/src/node/key_guard.rs
+++ b/bergamotswitch-core/src/node/key_guard.rs
@@ -1,14 +1,14 @@
-//! Provides what keeps an owner from running a call twice that another owner of
-//! the same shard knows: whether it may be sure to be the only one that knows
-//! the keys.
+//! Provides the quorum check of a shard's owner before it starts keyed requests that
+//! must not run twice.
 //!
-//! Two hosts may order one shard for some seconds: one was paused or cut off,
-//! came back, or was suspected wrongly. For most work that overshoots a limit at
-//! worst. A call of a plain service that must not run twice, and that its caller
-//! sends to two hosts with the same key, would run under each of them, and one
-//! would see two crews where one was called. So such calls wait until a
-//! majority of the shard's candidates has followed this owner for a while: each
-//! host follows one owner at a time, hence no second owner can have a majority.
+//! Two hosts may act as owner of one shard for some seconds, after a pause, a network
+//! partition or a wrong suspicion. For most work this only exceeds a limit. A
+//! non-repeatable call of a plain service, sent to both owners with the same
+//! idempotency key, would run once under each.
+//!
+//! The owner therefore holds such calls until a majority of the shard's candidates has
+//! followed it for a while. Each host follows one owner at a time, so no second owner
+//! can have a majority.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -21,20 +21,20 @@
 use crate::pool::{PoolKind, PoolShard};
 use crate::request::AttemptId;
 
-/// How many heartbeats long the word of a host that it follows is relied on: two
-/// questions may be lost or late on a busy machine.
+/// How long a follower's answer is valid, in heartbeat intervals. This tolerates two
+/// lost or late polls.
 const ANSWER_VALID_BEATS: u32 = 4;
 
-/// How many heartbeats long a majority has to follow without a break: by then
-/// the word that its hosts gave to an earlier owner is relied on no longer.
+/// How long a majority has to follow without interruption, in heartbeat intervals. By
+/// then, answers given to a previous owner have expired.
 const QUORUM_STABLE_BEATS: u32 = ANSWER_VALID_BEATS + 1;
 
-/// How many heartbeats long a host is waited for that neither tells its keys nor
-/// counts as unreachable: after ten the last stand-in has given way, and four
-/// more are left for it to tell.
+/// How long the owner waits for the key report of a host that does not count as
+/// unreachable, in heartbeat intervals. A previous temporary owner steps down within
+/// ten intervals; the rest is left for the report.
 const KEY_REPORT_TIMEOUT_BEATS: u32 = 14;
 
-/// A `HeldAsk` is an ask that waits for the owner to be sure.
+/// A `HeldAsk` is an ask that is held until the owner has a stable quorum.
 #[derive(Debug)]
 struct HeldAsk {
     host: HostName,
@@ -42,18 +42,19 @@
     since: Moment,
 }
 
-/// A `KeyGuard` is what the owner of one shard knows of who follows it.
+/// A `KeyGuard` is the quorum state of one owned shard.
 #[derive(Debug)]
 pub(super) struct KeyGuard {
     created_at: Moment,
-    /// The number of the last question, and when this owner asked it.
+    /// The number of the last poll.
     round: u64,
     round_started_at: Option<Moment>,
-    /// The hosts that follow, by the time of the question that they answered.
+    /// The hosts that follow this owner, with the start time of the last poll each one
+    /// answered.
     followers: BTreeMap<HostName, Moment>,
-    /// The hosts that have told their keys since this owner began.
+    /// The hosts that have reported their keys to this owner.
     reported: BTreeSet<HostName>,
-    /// Since when a majority has followed without a break.
+    /// The start of the current uninterrupted quorum.
     quorum_since: Option<Moment>,
     held: BTreeMap<AttemptId, HeldAsk>,
 }
@@ -71,7 +72,8 @@
         }
     }
 
-    /// Begin anew, after a pause in which another host may have taken over.
+    /// Reset the quorum after a pause in which another host may have taken over. Held
+    /// asks are kept.
     fn reset(&mut self, now: Moment) {
         let held = std::mem::take(&mut self.held);
         *self = KeyGuard {
@@ -81,7 +83,7 @@
         };
     }
 
-    /// Take note that a host follows, as it answered to a question.
+    /// Record a host as follower if it answered the current poll.
     fn record_follower(&mut self, host: &HostName, round: u64) {
         if let Some(started_at) = self.round_started_at
             && round == self.round
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Begin the next question, where it is due; get its number.
+    /// Start the next poll if it is due, and get its number.
     fn next_round(&mut self, now: Moment, beat: Duration) -> Option<u64> {
         let is_due = self
             .round_started_at
@@ -103,7 +105,7 @@
         Some(self.round)
     }
 
-    /// Look at who follows now.
+    /// Expire outdated answers and update the quorum.
     fn review(&mut self, now: Moment, beat: Duration, me: &HostName, witnesses: &KeyWitnesses) {
         let valid = beat * ANSWER_VALID_BEATS;
         self.followers.retain(|_, at| now < at.plus(valid));
@@ -128,7 +130,7 @@
         settled.is_some_and(|settled| now >= settled)
     }
 
-    /// Take out the asks that waited, as they would be sent now.
+    /// Take the held asks, with their remaining times as of now.
     fn release(&mut self, now: Moment) -> Vec<(HostName, Ask)> {
         let held = std::mem::take(&mut self.held);
         let fresh = held.into_values().filter_map(|held| held.aged(now));
@@ -137,8 +139,8 @@
 }
 
 impl HeldAsk {
-    /// Get the ask with the time taken off that it has waited; `None` where its
-    /// deadline has passed: its entry host has told its caller.
+    /// Get the ask with its holding time subtracted from the deadline; `None` if the
+    /// deadline has passed, which its entry host has reported to the caller.
     fn aged(self, now: Moment) -> Option<(HostName, Ask)> {
         let waited = u32::try_from(now.since(self.since).as_millis()).unwrap_or(u32::MAX);
         let left = self.ask.deadline_ms.checked_sub(waited)?;
@@ -151,14 +153,14 @@
     }
 }
 
-/// A `KeyGuards` is the guards of the shards that this host owns.
+/// A `KeyGuards` holds the quorum states of the shards that this host owns.
 #[derive(Debug, Default)]
 pub(super) struct KeyGuards {
     guards: BTreeMap<PoolShard, KeyGuard>,
 }
 
 impl KeyGuards {
-    /// Begin or end to guard a shard; get the hosts whose asks waited.
+    /// Start or stop guarding a shard, and get the hosts of the asks that were held.
     pub(super) fn set_acting(
         &mut self,
         now: Moment,
@@ -173,15 +175,14 @@
         held.into_values().map(|held| held.host).collect()
     }
 
-    /// Begin all guards anew.
+    /// Reset all guards.
     pub(super) fn reset(&mut self, now: Moment) {
         for guard in self.guards.values_mut() {
             guard.reset(now);
         }
     }
 
-    /// Take note of an owner's message; get it back where it goes on to the
-    /// owner now.
+    /// Process a message to the owner; returns it if the owner should handle it now.
     fn filter(
         &mut self,
         now: Moment,
@@ -221,7 +222,8 @@
 }
 
 impl NodeCore {
-    /// Take in a message to the owner of a shard that this host orders.
+    /// Process a message to the owner of a shard that this host owns; returns it if the
+    /// owner should handle it now.
     pub(super) fn guard_message(
         &mut self,
         now: Moment,
@@ -230,9 +232,9 @@
     ) -> Option<OwnerMessage> {
         let guarded = matches!(&message, OwnerMessage::Ask(ask) if ask.claim.is_some())
             && self.is_guarded(message.shard());
-        // A host that admits by its own fraction knows its own keys alone, as
-        // does each other one that does so. The call waits for an owner; it is
-        // asked for again, and refused truly as not run at its deadline.
+        // A host in degraded mode knows only its own keys, and several hosts may be
+        // degraded at once. The ask is dropped: the entry desk repeats it, or refuses
+        // the request as not run at its deadline.
         if guarded && self.shards.is_degraded_shard(message.shard()) {
             return None;
         }
@@ -240,17 +242,18 @@
         self.key_guards.filter(now, host, message, beat)
     }
 
-    /// Get whether a shard's keyed work waits for an owner that is sure. Calls
-    /// of plain services do: an alert is out at once and cannot be taken back.
-    /// A report that an engine generates goes on in each part of a parted fleet,
-    /// and its key guards it inside the part. At the gateway no caller has keys.
+    /// Get whether keyed requests of a shard are held until the owner has a quorum.
+    ///
+    /// This holds for plain services, whose effects can't be undone. Requests to
+    /// engines continue in every part of a partitioned fleet, and are deduplicated by
+    /// key within the part. Callers of a gateway have no idempotency keys.
     fn is_guarded(&self, shard: &PoolShard) -> bool {
         let pool = self.publication.pools.pool(&shard.pool);
         !self.publication.routed && pool.is_some_and(|pool| pool.kind == PoolKind::Plain)
     }
 
-    /// Begin or end to guard a shard that this host begins or ceases to order;
-    /// get the hosts whose asks waited.
+    /// Start or stop guarding a shard when this host becomes or ceases to be its owner;
+    /// get the hosts of the asks that were held.
     pub(super) fn update_guard(
         &mut self,
         now: Moment,
@@ -261,8 +264,8 @@
         self.key_guards.set_acting(now, shard, guarded)
     }
 
-    /// Ask the candidates who follows, where that is due, and let those asks go
-    /// on whose owner is sure by now.
+    /// Poll the candidates for the owner they follow where a poll is due, and release
+    /// the held asks of owners with a stable quorum.
     pub(super) fn review_guards(&mut self, now: Moment) {
         let beat = self.membership.heartbeat();
         let shards: Vec<PoolShard> = self.key_guards.guards.keys().cloned().collect();
--- a/bergamotswitch-core/src/node/mod.rs
+++ b/bergamotswitch-core/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! Provides a whole host's decisions: the entry desk, the shards it owns,
-//! membership and published values, joined without sockets or clocks.
+//! Provides the decision logic of a whole host: its entry desk, the shards it owns,
+//! membership and published values, combined without I/O or a clock.
 
 mod actions;
 mod core;
@@ -35,111 +35,112 @@
 pub use self::exposure::NodeCounts;
 pub use self::view::NodeView;
 
-/// A `NodeEvent` is one thing that happens to a host. Submissions come
-/// through [`NodeCore::submit`].
+/// A `NodeEvent` is an input to a host's decision logic. Requests are submitted with
+/// [`NodeCore::submit`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NodeEvent {
-    /// The last caller that followed a request went away.
+    /// The last caller that waited for a request has disconnected.
     CallerDisconnected(RequestId),
-    /// An attempt makes progress.
+    /// An attempt has progressed or ended.
     Attempt(AttemptId, AttemptEvent),
-    /// The answer of a request in flight is longer than one may be.
+    /// The answer of a running request exceeds the maximum size.
     AnswerTooLong(RequestId),
-    /// The answer of an ended request takes this memory, in bytes.
+    /// The stored answer of a completed request takes up this much memory, in bytes.
     AnswerSize(RequestId, u64),
-    /// A link's news.
+    /// A link changed state or received a message.
     Link(LinkEvent),
-    /// The platform answered a read or a watch.
+    /// A read or watch returned a value.
     Read(PublishedValue),
-    /// A watch ended without a change.
+    /// A watch ended without a change of the value.
     Unchanged(ValueName),
-    /// The platform did not answer.
+    /// A read or watch failed.
     ReadFailed(ValueName),
-    /// The store told of registered targets.
+    /// The store reported registered targets.
     Targets(TargetNews),
-    /// Another host told what it knows of the fleet.
+    /// A gossip message arrived from another host.
     Gossip(Box<RosterMessage>),
-    /// The seeds of the settings have changed.
+    /// The seed addresses in the settings have changed.
     Seeds(Vec<SocketAddr>),
-    /// A target's load report came.
+    /// A target reported its load.
     Load(TargetName, LoadReport),
-    /// A target's cache event came.
+    /// A target added (`true`) or removed (`false`) a prefix in its cache.
     Prefix(TargetName, PrefixHash, bool),
-    /// This host's load, in thousandths of what it can carry.
+    /// This host's load, in thousandths of its capacity.
     HostLoad(u16),
-    /// A planned stop begins.
+    /// A planned stop has been requested.
     Stop,
-    /// In a planned stop that may not last, answers have to be whole by then.
+    /// During a planned stop, answers have to be complete by this time.
     AnswerDeadline(Moment),
-    /// The addresses under which callers come have lapsed: no new request is
-    /// taken.
+    /// The callers' addresses of this host have expired during a planned stop: no new
+    /// request is accepted.
     AdmissionClosed,
-    /// The planned stop may not last any longer: everything ends now.
+    /// The grace period of the planned stop has ended: all requests are terminated.
     GraceExpired,
-    /// Time has passed.
+    /// Timers may be due.
     Tick,
 }
 
-/// A `NodeAction` is one thing that a host wants done.
+/// A `NodeAction` is an operation that a host's decision logic requests from its
+/// environment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NodeAction {
     /// Send a message to a peer.
     Send(HostName, LinkMessage),
-    /// Keep a link to this host.
+    /// Open a link to this host and keep it open.
     Connect(EntryHost),
-    /// Tell another host what this one knows of the fleet.
+    /// Send a gossip message.
     Gossip(RosterAction),
-    /// Drop the link to this host.
+    /// Close the link to this host.
     Disconnect(HostName),
-    /// Read a value once, now.
+    /// Read a value once.
     Read(ValueName),
-    /// Watch a value beyond this revision.
+    /// Watch a value for revisions after this one.
     Watch(ValueName, Revision),
-    /// The publication in force has changed.
+    /// Report a change of this value in the publication in force.
     Published(ValueName),
-    /// Poll the load and follow the cache of just these targets.
+    /// Poll the load and subscribe to the cache events of exactly these targets.
     WatchTargets(Vec<PoolTarget>),
-    /// Send a request's body to a target.
+    /// Start an attempt: send the request to a target.
     Start {
         /// The attempt.
         attempt: AttemptId,
-        /// Where to.
+        /// The target.
         target: Box<PoolTarget>,
-        /// How it is spoken to.
+        /// The kind of the target's pool, which determines the protocol.
         kind: PoolKind,
     },
-    /// Stop an attempt and, where asked, cancel it at its target.
+    /// Abort an attempt.
     Abort {
         /// The attempt.
         attempt: AttemptId,
-        /// Whether to cancel the stream at the target.
+        /// Whether to cancel the request at the target as well.
         cancel: bool,
     },
-    /// Tell the caller the outcome.
+    /// Report the outcome of a request to its callers.
     Conclude(RequestId, Conclusion),
-    /// Drop the kept answer of an ended request.
+    /// Drop the stored answer of a completed request.
     DropAnswer(RequestId),
-    /// Hand a request over to the run that holds its key.
+    /// Forward a request to the host incarnation that holds its key.
     Forward(RequestId, HostIncarnation),
-    /// Log a numbered event; the text names what it is about.
+    /// Log a numbered event; the text names its subject.
     LogIncident(Incident, String),
-    /// Count a refusal of a request that was accepted.
+    /// Count a refusal of an accepted request.
     CountRefusal(Tier, RefusalReason),
-    /// Count the time from acceptance to the first dispatch.
+    /// Record the time from acceptance to the first dispatch.
     CountWait(Tier, Duration),
     /// Count a retry.
     CountRetry(RetryReason),
-    /// Count prompt tokens processed for nothing.
+    /// Count prompt tokens that were processed without use.
     CountWaste(Tier, WasteCause, u32),
-    /// Count an ended request.
+    /// Count a completed request.
     CountEnd {
-        /// The tier.
+        /// The tier of the request.
         tier: Tier,
-        /// Whole and in time.
+        /// Whether the answer was complete and on time.
         good: bool,
-        /// From acceptance to the first token.
+        /// The time from acceptance to the first token, if there was one.
         first_token: Option<Duration>,
     },
-    /// The stop is complete: nothing waits or runs.
+    /// The planned stop is complete: no request is queued or running.
     Stopped,
 }
--- a/bergamotswitch-core/src/node/published.rs
+++ b/bergamotswitch-core/src/node/published.rs
@@ -1,4 +1,4 @@
-//! Provides the taking up of published values by a host's machines.
+//! Provides the application of published values to a host's state machines.
 
 use super::NodeAction;
 use super::core::NodeCore;
@@ -73,8 +73,7 @@
         self.actions.push(NodeAction::Published(name));
     }
 
-    /// Put the published limits in force in every machine. Left to a restart,
-    /// a limit that operators tighten in an overload would bind no host.
+    /// Apply the published limits to every state machine, without a restart.
     fn apply_limits(&mut self, now: Moment) {
         let limits = &self.publication.limits;
         self.opts = std::mem::take(&mut self.opts).with_limits(limits);
@@ -85,7 +84,7 @@
         self.on_tick(now);
     }
 
-    /// Tell the machines which hosts there are.
+    /// Notify the state machines of the current hosts.
     pub(super) fn notify_hosts(&mut self, now: Moment) {
         let hosts = self.publication.hosts.clone();
         self.notify_entry(now, EntryEvent::Hosts(hosts.hosts.len()));
--- a/bergamotswitch-core/src/node/shard_use.rs
+++ b/bergamotswitch-core/src/node/shard_use.rs
@@ -1,4 +1,4 @@
-//! Provides the memory of which shards a host has use for.
+//! Provides the tracking of the shards that a host uses.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,16 +10,14 @@
 use crate::pool::PoolShard;
 use crate::publication::PoolBook;
 
-/// How long a shard stays in use after its last work. A caller's next request
-/// mostly comes within it; without it each pause would end with a dial and an
-/// exchange of heartbeats.
+/// How long a shard stays in use after its last request. It avoids a reconnect and an
+/// exchange of heartbeats with its owner after short idle times.
 const IDLE_RETENTION: Duration = Duration::from_secs(60);
 
-/// The most shards whose owners are watched before any work. With nine models
-/// in eight failure domains a host warms the nine of its own domain, of 72.
+/// The maximum number of shards whose owners are monitored before the first request.
 const MAX_WARM_SHARDS: usize = 16;
 
-/// A `ShardUse` is the shards that a host has, had or expects work for.
+/// A `ShardUse` is the shards for which a host has, recently had, or expects requests.
 #[derive(Debug, Default)]
 pub(super) struct ShardUse {
     used_until: BTreeMap<PoolShard, Moment>,
@@ -27,11 +25,11 @@
 }
 
 impl ShardUse {
-    /// Expect work for the shards that callers of this failure domain use:
-    /// those of the domain, and those of pools with one order for all.
+    /// Set the shards to keep in use permanently: those of this failure domain, and
+    /// those of pools that have one shard for all domains.
     pub(super) fn warm(&mut self, now: Moment, pools: &PoolBook, domain: &DomainName) {
         let mut near = pools.shards();
-        // A shard that is no more has no owner to watch.
+        // End the use of removed shards, which have no owner to monitor.
         for (shard, until) in &mut self.used_until {
             if !near.contains(shard) {
                 *until = now;
@@ -42,7 +40,7 @@
         self.warm = near;
     }
 
-    /// Take note of the shards with work now; get what has changed.
+    /// Record the shards that have requests now, and get the changes of use.
     pub(super) fn review(&mut self, now: Moment, working: Vec<PoolShard>) -> Vec<UseChange> {
         let mut changes = Vec::new();
         for shard in working.iter().chain(&self.warm) {
@@ -65,7 +63,7 @@
     }
 }
 
-/// A `UseChange` is that a host begins or ceases to have use for a shard.
+/// A `UseChange` is the start or end of a shard's use.
 #[derive(Debug)]
 pub(super) struct UseChange {
     shard: PoolShard,
@@ -82,7 +80,7 @@
 }
 
 impl NodeCore {
-    /// Tell membership which shards this host has use for, on change.
+    /// Notify membership of changes in the shards that this host uses.
     pub(super) fn track_use(&mut self, now: Moment) {
         let working = self.entry.used_shards();
         for change in self.shard_use.review(now, working) {
--- a/bergamotswitch-core/src/node/shards.rs
+++ b/bergamotswitch-core/src/node/shards.rs
@@ -1,4 +1,5 @@
-//! Provides the shards that a host orders now, as owner or degraded.
+//! Provides the shards for which this host acts as owner, either for the fleet or in
+//! degraded mode.
 
 use std::time::Duration;
 
@@ -13,15 +14,15 @@
 use crate::publication::Publication;
 use crate::target::{PoolTarget, TargetName};
 
-/// An `OwnedShard` is one shard that this host orders now.
+/// An `OwnedShard` is a shard for which this host acts as owner.
 struct OwnedShard {
     shard: PoolShard,
     owner: ShardOwner,
-    /// Whether it serves this host only, with a fraction of the capacity.
+    /// Whether the owner serves only this host, with a fraction of the capacity.
     degraded: bool,
 }
 
-/// A `ShardSet` is the shards that this host orders now.
+/// A `ShardSet` is the set of shards for which this host acts as owner.
 pub(super) struct ShardSet {
     me: HostIncarnation,
     opts: OwnerOptions,
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Put other bounds in force for the shards ordered now and later.
+    /// Set the options of current and future owners.
     pub(super) fn set_opts(&mut self, opts: &OwnerOptions) {
         for owned in &mut self.owned {
             owned.owner.set_opts(opts.clone());
@@ -47,8 +48,8 @@
         self.opts = opts.clone();
     }
 
-    /// Get whether asks for the shard are taken: of everyone by its owner, of
-    /// this host alone by a degraded one.
+    /// Get whether asks for the shard are accepted. A degraded owner accepts only asks
+    /// of its own host (`own`).
     pub(super) fn serves(&self, shard: &PoolShard, own: bool) -> bool {
         let found = self.owned.iter().find(|owned| owned.shard == *shard);
         found.is_some_and(|owned| own || !owned.degraded)
@@ -82,7 +83,8 @@
         actions
     }
 
-    /// Tell the shards that hold `target`; an owner ignores foreign targets.
+    /// Notify all owners of an event of `target` if the target is watched. Owners
+    /// ignore targets that are not theirs.
     pub(super) fn notify_target(
         &mut self,
         now: Moment,
@@ -95,27 +97,27 @@
         }
     }
 
-    /// Tell every owner that this process has slept.
+    /// Notify all owners, except degraded ones, that the process was paused.
     pub(super) fn on_pause(&mut self, now: Moment, slept: Duration) {
         for owned in self.owned.iter_mut().filter(|owned| !owned.degraded) {
             owned.owner.woke(now, slept);
         }
     }
 
-    /// Get whether an order of the pool serves this host alone.
+    /// Get whether a shard of the pool is in degraded mode.
     pub(super) fn is_degraded(&self, pool: &PoolName) -> bool {
         let mut degraded = self.owned.iter().filter(|owned| owned.degraded);
         degraded.any(|owned| owned.shard.pool == *pool)
     }
 
-    /// Get whether the shard's order serves this host alone.
+    /// Get whether the shard is in degraded mode.
     pub(super) fn is_degraded_shard(&self, shard: &PoolShard) -> bool {
         let found = self.owned.iter().find(|owned| owned.shard == *shard);
         found.is_some_and(|owned| owned.degraded)
     }
 
-    /// Take this part of what lies in the buckets of the shard's quotas out of
-    /// them; nothing where its order serves this host alone.
+    /// Withdraw a fraction of the tokens in the quota buckets of the shard; none if the
+    /// shard is in degraded mode.
     pub(super) fn hand_over_quotas(
         &mut self,
         now: Moment,
@@ -129,19 +131,19 @@
         })
     }
 
-    /// Get the shard's targets that get no normal work now.
+    /// Get the failed targets of the shard, which receive no normal work.
     pub(super) fn failed_targets(&self, now: Moment, shard: &PoolShard) -> Vec<FailedTarget> {
         let found = self.owned.iter().find(|owned| owned.shard == *shard);
         found.map_or_else(Vec::new, |owned| owned.owner.failed_targets(now))
     }
 
-    /// Get the hosts with asks that wait for the shard.
+    /// Get the hosts with queued asks for the shard.
     pub(super) fn asking_hosts(&self, shard: &PoolShard) -> Vec<HostName> {
         let found = self.owned.iter().find(|owned| owned.shard == *shard);
         found.map_or_else(Vec::new, |owned| owned.owner.asking_hosts())
     }
 
-    /// Begin or end to order a shard for everyone.
+    /// Start or stop acting as owner of a shard for the fleet.
     pub(super) fn set_acting(
         &mut self,
         now: Moment,
@@ -155,7 +157,7 @@
         }
     }
 
-    /// Begin or end to order a shard for this host alone.
+    /// Start or stop acting as degraded owner of a shard.
     pub(super) fn set_degraded(
         &mut self,
         now: Moment,
@@ -177,11 +179,11 @@
         let me = self.me.clone();
         let mut owner = ShardOwner::new(me, shard.clone(), self.opts.clone(), now);
         let targets = shard_targets(shard, degraded, publication);
-        // A new owner has nothing queued, so new targets lead to no action.
+        // A new owner has an empty queue, so no actions result.
         owner.handle(now, OwnerEvent::Targets(targets));
         let rates = quota_rates(degraded, publication, &self.opts.quota_tolerance);
         owner.handle(now, OwnerEvent::Quotas(rates));
-        // A degraded owner has its host's fraction of the quotas already.
+        // A degraded owner's quotas are already divided by the number of hosts.
         if !degraded {
             owner.handle(now, OwnerEvent::Hosts(live_hosts(publication)));
         }
@@ -192,7 +194,7 @@
         });
     }
 
-    /// Tell every owner its targets after a publication.
+    /// Update the targets, quotas and hosts of all owners from the publication.
     pub(super) fn apply_publication(
         &mut self,
         now: Moment,
@@ -212,12 +214,12 @@
         actions
     }
 
-    /// Get the quotas that the owners keep.
+    /// Get the undivided quotas of all client accounts.
     pub(super) fn quota_rates(&self, publication: &Publication) -> Vec<(AccountName, QuotaRate)> {
         quota_rates(false, publication, &self.opts.quota_tolerance)
     }
 
-    /// Get the engines to poll, where they changed.
+    /// Get the engine targets to poll if they have changed.
     pub(super) fn updated_watch_list(
         &mut self,
         publication: &Publication,
@@ -251,8 +253,8 @@
     live.map(|host| host.name.clone()).collect()
 }
 
-/// Get the quotas that an owner keeps: whole, or this host's fraction of them
-/// where it orders for itself alone.
+/// Get the quota rates for an owner: the whole quotas, or this host's fraction of them
+/// in degraded mode.
 fn quota_rates(
     degraded: bool,
     publication: &Publication,
@@ -269,9 +271,9 @@
         .collect()
 }
 
-/// Get a shard's targets that may get new work. A degraded owner sees each
-/// target with its host's fraction of the tokens only: every host of a
-/// partition that lost all candidates admits at once.
+/// Get the targets of a shard that may receive new work. In degraded mode their token
+/// limits and slots are divided by the number of hosts, as every host may admit on its
+/// own at the same time.
 fn shard_targets(shard: &PoolShard, degraded: bool, publication: &Publication) -> Vec<PoolTarget> {
     let Some(pool) = publication.pools.pool(&shard.pool) else {
         return Vec::new();
--- a/bergamotswitch-core/src/node/view.rs
+++ b/bergamotswitch-core/src/node/view.rs
@@ -1,4 +1,4 @@
-//! Provides a host's view of the fleet for operators.
+//! Provides the state of a host as shown to operators.
 
 use serde::Serialize;
 
@@ -11,41 +11,42 @@
 use crate::publication::check_cross;
 use crate::revision::RevisionStanding;
 
-/// A `NodeView` is what one host knows, for operators.
+/// A `NodeView` is the state of one host as shown to operators.
 #[derive(Clone, Debug, Serialize)]
 pub struct NodeView {
-    /// The host's run, `host~hex`.
+    /// The host's incarnation, as `host~hex`.
     pub run: String,
-    /// Its failure domain.
+    /// The failure domain of the host.
     pub domain: String,
-    /// Whether it serves.
+    /// Whether the host is ready to serve requests.
     pub ready: bool,
-    /// Whether a planned stop is under way.
+    /// Whether a planned stop is in progress.
     pub stopping: bool,
-    /// How busy it is, in thousandths of what it can carry.
+    /// The host's load, in thousandths of its capacity.
     pub load_permille: u16,
-    /// Values that are needed before it serves and are not in force.
+    /// The values that are required for readiness and not in force.
     pub missing: Vec<String>,
-    /// Published values by revision.
+    /// The revisions of the published values.
     pub revisions: RevisionStanding,
-    /// Faults between values that are each good alone.
+    /// Inconsistencies between values that are each valid.
     pub cross_findings: Vec<String>,
-    /// Requests at this host.
+    /// The requests at this host.
     pub desk: DeskView,
-    /// Shards that this host owns.
+    /// The shards that this host owns.
     pub owns: Vec<PoolShard>,
-    /// The orders that it keeps, degraded ones among them.
+    /// The state of every shard for which this host acts as owner, including degraded
+    /// ones.
     pub shards: Vec<ShardView>,
-    /// How many of the orders are degraded.
+    /// The number of shards in degraded mode.
     pub degraded: usize,
-    /// What it counted while orders were not whole.
+    /// The counters of degraded admissions and unrecognizable resubmissions.
     pub counts: NodeCounts,
-    /// The peers that it watches.
+    /// The peers that this host monitors.
     pub peers: Vec<PeerView>,
 }
 
 impl NodeCore {
-    /// Get what this host knows.
+    /// Get the state of this host as shown to operators.
     pub fn view(&self, now: Moment) -> NodeView {
         let missing = self.publication.missing();
         NodeView {
--- a/bergamotswitch-core/src/route/account.rs
+++ b/bergamotswitch-core/src/route/account.rs
@@ -1,4 +1,4 @@
-//! Provides the client accounts of routes: their keys and quotas.
+//! Provides the client accounts of a gateway: their API keys and quotas.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,33 +6,32 @@
 use crate::name::AccountName;
 use crate::rules::Tier;
 
-/// A `QuotaUnit` is what a quota counts.
+/// A `QuotaUnit` is the unit in which a quota is counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum QuotaUnit {
     /// Calls.
     #[default]
     Calls,
-    /// Tokens: prompt and longest output of a call.
+    /// Tokens: those of the prompt plus the maximum output of a call.
     Tokens,
 }
 
-/// An `AccountQuota` is how much a client account may use on all hosts
-/// together.
+/// An `AccountQuota` is the rate limit of a client account across all hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountQuota {
-    /// What it counts.
+    /// The unit of the quota.
     pub unit: QuotaUnit,
-    /// Units a second; 0 for no bound.
+    /// Units per second; 0 for unlimited.
     pub rate: u64,
-    /// Units that may come at once beyond the rate.
+    /// Units that may be used at once beyond the rate.
     pub burst: u64,
-    /// The units of a call that says no tokens, where tokens are counted.
+    /// The units charged for a call that states no token count, if tokens are counted.
     pub plain_tokens: u32,
 }
 
 impl AccountQuota {
-    /// Get the units of a call with these tokens, where it says any.
+    /// Get the units to charge for a call with this token count, if it states one.
     pub fn units(&self, tokens: Option<u64>) -> u32 {
         match (self.unit, tokens) {
             (QuotaUnit::Calls, _) => 1,
@@ -42,15 +41,15 @@
     }
 }
 
-/// A `KeyedAccount` is a client account with its keys.
+/// A `KeyedAccount` is a client account with its API keys.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyedAccount {
-    /// The account.
+    /// The name of the account.
     pub name: AccountName,
-    /// The hashes of its keys. The keys themselves never travel on.
+    /// The hashes of its API keys. The keys themselves are not stored or forwarded.
     pub key_hashes: Vec<KeyHash>,
-    /// The tier of its calls; that of the route where absent.
+    /// The tier of its calls; the route's tier applies if absent.
     pub tier: Option<Tier>,
-    /// What it may use.
+    /// The quota of the account.
     pub quota: AccountQuota,
 }
--- a/bergamotswitch-core/src/route/mod.rs
+++ b/bergamotswitch-core/src/route/mod.rs
@@ -1,5 +1,5 @@
-//! Provides routes: how a gateway's callers reach pools by host name and path,
-//! which client accounts may use them, and what bounds their calls.
+//! Provides routes: the mapping of a gateway's calls from host name and path to pools,
+//! with the client accounts that may use them and the limits of calls.
 
 mod account;
 mod table;
@@ -12,7 +12,7 @@
 use crate::name::{PoolName, RuleName};
 use crate::rules::Tier;
 
-/// A `CallSemantics` says what may be repeated of a route's calls.
+/// A `CallSemantics` states how often a call of a route may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CallSemantics {
@@ -20,15 +20,14 @@
     Idempotent,
     /// A call that runs at most once.
     NonIdempotent,
-    /// A stream of events that another target may carry on after the last
-    /// event that was passed on.
+    /// An event stream that another target can resume after the last forwarded event.
     ResumableStream,
-    /// A stream of events that runs at most once.
+    /// An event stream that runs at most once.
     SingleStream,
 }
 
 impl CallSemantics {
-    /// Get whether a second run would do no harm.
+    /// Get whether the call may run a second time.
     pub fn may_rerun(self) -> bool {
         matches!(
             self,
@@ -36,7 +35,7 @@
         )
     }
 
-    /// Get whether the answer is a stream of events.
+    /// Get whether the answer is an event stream.
     pub fn is_stream(self) -> bool {
         matches!(
             self,
@@ -45,44 +44,44 @@
     }
 }
 
-/// A `PoolSplit` is the part of a route's calls that goes to one pool.
+/// A `PoolSplit` is the share of a route's calls that goes to one pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolSplit {
     /// The pool.
     pub pool: PoolName,
-    /// Its weight among the route's pools.
+    /// The weight of the pool among the pools of the route.
     pub weight: u32,
 }
 
-/// A `Route` leads the calls of one host name and path to pools.
+/// A `Route` maps calls to one host name and path prefix to pools.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// The route's name; verdicts and logs carry it as the rule's name.
+    /// The name of the route, used as rule name in verdicts and logs.
     pub name: RuleName,
-    /// The host name that callers send.
+    /// The host name in the request.
     pub host: String,
-    /// What a call's path begins with; it begins and ends with a slash.
+    /// The path prefix of the calls; it starts and ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Whether a call may run more than once.
     pub work: CallSemantics,
-    /// The longest time from reception to the end of the answer, in
+    /// The maximum time from receipt of the call to the end of the answer, in
     /// milliseconds.
     pub timeout_ms: u64,
-    /// The time in which an answer (of a stream: its first event) is on time,
-    /// in milliseconds.
+    /// The time within which the answer, or the first event of a stream, counts as on
+    /// time, in milliseconds.
     pub first_answer_ms: u64,
-    /// The most targets that may run one call.
+    /// The maximum number of targets that may run one call.
     pub max_runs: u16,
-    /// The tier of its calls, where the client account has none.
+    /// The tier of its calls, unless the client account has one.
     pub tier: Tier,
-    /// Whether calls need no key.
+    /// Whether calls need no API key.
     pub public: bool,
-    /// Where the calls go; at least one pool.
+    /// The pools that serve the calls; at least one.
     pub splits: Vec<PoolSplit>,
 }
 
 impl Route {
-    /// Get the pool for a call with this number, evenly spread by weight.
+    /// Get the pool for the call with this sequence number, distributed by weight.
     pub fn pool_for(&self, number: u64) -> Option<&PoolName> {
         let total: u64 = self
             .splits
@@ -101,42 +100,42 @@
     }
 }
 
-/// An `EngineSpec` is what is known of a pool's engines before any was used.
+/// An `EngineSpec` is the published capacity of a pool's engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineSpec {
-    /// The requests in one engine's batch.
+    /// The maximum batch size of one engine, in requests.
     pub slots: u32,
-    /// The tokens that one engine's memory holds.
+    /// The cache capacity of one engine, in tokens.
     pub cache_tokens: u32,
 }
 
-/// A `PoolSpec` is what is published of a pool apart from its targets.
+/// A `PoolSpec` is the published configuration of a pool, without its targets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolSpec {
     /// The pool.
     pub name: PoolName,
-    /// The connections that one target takes from all hosts together.
+    /// The maximum number of connections to one target from all hosts together.
     pub connection_limit: u32,
-    /// What its engines hold; absent where its targets are plain services.
+    /// The capacity of its engines; absent if the targets are plain services.
     pub engine: Option<EngineSpec>,
 }
 
-/// A `CallerLimits` is what a gateway's callers may send, and how long they
-/// may take.
+/// A `CallerLimits` is the size and time limits of a gateway's calls and client
+/// connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// The longest head of a call in bytes.
+    /// The maximum header size of a call, in bytes.
     pub max_header_bytes: u32,
-    /// The longest body of a call in bytes.
+    /// The maximum body size of a call, in bytes.
     pub max_body_bytes: u64,
-    /// How long a call's head may take, in milliseconds.
+    /// The timeout for receiving the header of a call, in milliseconds.
     pub header_timeout_ms: u64,
-    /// How long a connection may stay idle, in milliseconds.
+    /// The idle timeout of a connection, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
 impl Default for CallerLimits {
-    /// The bounds until routes are known: those that most servers ship with.
+    /// Get the limits that apply until routes are published: common server defaults.
     fn default() -> Self {
         CallerLimits {
             max_header_bytes: 16_384,
@@ -147,17 +146,18 @@
     }
 }
 
-/// A `RouteConfig` is the published routes with all that belongs to them.
+/// A `RouteConfig` is the published gateway configuration: routes, client accounts,
+/// pools and limits.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteConfig {
-    /// The operators' own number of the publication, for logs.
+    /// The operators' version number of the configuration, for logs.
     pub version: u64,
     /// The routes.
     pub routes: Vec<Route>,
-    /// The client accounts; where there are none, calls need no key.
+    /// The client accounts; if empty, calls need no API key.
     pub accounts: Vec<KeyedAccount>,
     /// The pools.
     pub pools: Vec<PoolSpec>,
-    /// What callers may send.
+    /// The limits of calls.
     pub limits: CallerLimits,
 }
--- a/bergamotswitch-core/src/route/table.rs
+++ b/bergamotswitch-core/src/route/table.rs
@@ -8,7 +8,8 @@
 use crate::name::{AccountName, PoolName};
 use crate::revision::ROUTES_VALUE;
 
-/// A `RouteTable` finds the route of a call and the account of a key.
+/// A `RouteTable` is an index of routes by host name and path, and of client accounts
+/// by API key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RouteTable {
     config: RouteConfig,
@@ -17,7 +18,7 @@
 }
 
 impl RouteTable {
-    /// Get the table of a book.
+    /// Get the table of a configuration.
     pub fn new(config: RouteConfig) -> Self {
         let mut by_host: HashMap<String, HashMap<String, usize>> = HashMap::new();
         for (index, route) in config.routes.iter().enumerate() {
@@ -37,11 +38,11 @@
         }
     }
 
-    /// Try to read a table from the published JSON text.
+    /// Try to parse a table from the published JSON text.
     ///
     /// # Errors
     ///
-    /// Returns what the text lacks.
+    /// Returns the faults of the text.
     pub fn try_from_json(text: &str) -> Result<Self, Findings> {
         match serde_json::from_str::<RouteConfig>(text) {
             Ok(config) => Ok(RouteTable::new(config)),
@@ -53,13 +54,13 @@
         }
     }
 
-    /// Get the book.
+    /// Get the configuration.
     pub fn config(&self) -> &RouteConfig {
         &self.config
     }
 
-    /// Get the route of a call: of those of its host name, the one with the
-    /// longest prefix that begins the path.
+    /// Get the route of a call: the one of its host name with the longest matching path
+    /// prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let prefixes = self.by_host.get(host)?;
         let mut rest = path;
@@ -72,14 +73,13 @@
         None
     }
 
-    /// Get whether calls to routes that are not public need a key.
+    /// Get whether calls to non-public routes need an API key.
     pub fn has_accounts(&self) -> bool {
         !self.config.accounts.is_empty()
     }
 
-    /// Get the account that holds a key. The lookup is by the key's hash, of
-    /// which a guesser can choose no part, so its duration tells nothing of
-    /// the keys.
+    /// Get the account that holds an API key. The lookup is by the hash of the key, so
+    /// its duration reveals nothing about the stored keys.
     pub fn account_of_key(&self, key: &str) -> Option<&KeyedAccount> {
         let index = self.by_key.get(&KeyHash::of(key))?;
         self.config.accounts.get(*index)
@@ -91,7 +91,7 @@
         accounts.find(|account| account.name == *name)
     }
 
-    /// Get what is published of a pool.
+    /// Get the published configuration of a pool.
     pub fn pool(&self, name: &PoolName) -> Option<&PoolSpec> {
         self.config.pools.iter().find(|pool| pool.name == *name)
     }
--- a/bergamotswitch-core/src/rules/mod.rs
+++ b/bergamotswitch-core/src/rules/mod.rs
@@ -1,5 +1,5 @@
-//! Provides the ordered when-then rules; the first match decides a request's
-//! tier, its account's share and where it may run.
+//! Provides the ordered rules for requests: the first matching rule determines the
+//! tier, the account's share and the allowed failure domains.
 
 mod parse;
 mod rule;
@@ -18,26 +18,25 @@
 pub use rule::{Rule, RuleCondition, RuleEffect};
 pub use trace::{FailedCondition, RuleStep, RuleTrace};
 
-/// A `Tier` is a request's rank. 0 is the most urgent; a request of a lower
-/// tier (a greater number) is shed before one of a higher tier.
+/// A `Tier` is the priority of a request. 0 is the most urgent; under overload,
+/// requests with greater tier numbers are shed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Tier(pub u8);
 
-/// The number of tiers that a configuration's rules may use.
+/// The number of tiers that published rules may use.
 pub const TIER_COUNT: usize = 8;
 
-/// The ranks of routes inside the rank of a client account that has its own.
+/// The number of route tiers within each account tier.
 const RANKS_PER_ACCOUNT: u8 = 4;
 
-/// The number of tiers that a gateway's calls may have.
+/// The number of tiers of a gateway's calls.
 pub const GATEWAY_TIER_COUNT: usize = 16;
 
 impl Tier {
-    /// Get the tier of a call whose account may have a rank of its own. That
-    /// one decides; among the calls of accounts of one rank, the route does.
-    /// Were the account's rank the whole tier, the longest and most urgent
-    /// calls of an account would find room last, behind all its short ones.
+    /// Get the tier of a gateway call. The account's tier takes precedence if it has
+    /// one; the route's tier orders the calls within it, so that urgent calls of an
+    /// account do not wait behind its other calls.
     pub fn of_call(account: Option<Tier>, route: Tier) -> Tier {
         let Some(account) = account else {
             return route;
@@ -48,26 +47,25 @@
     }
 }
 
-/// A `Verdict` is what the first matching rule says of a request.
+/// A `Verdict` is the decision of the first matching rule for a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Verdict {
-    /// The rule.
+    /// The name of the rule.
     pub rule: RuleName,
     /// The request's tier.
     pub tier: Tier,
-    /// The weight of the client account's share inside the tier, at least 1.
+    /// The weight of the client account's share within the tier, at least 1.
     pub share: u32,
-    /// The failure domains where the request may run, in no order; every one
-    /// where empty.
+    /// The failure domains where the request may run, in no order; all if empty.
     pub domains: Vec<DomainName>,
     /// Whether the request is dispatched at most once.
     pub dispatch_once: bool,
-    /// Whether a second run would do no harm.
+    /// Whether the request may run a second time.
     pub idempotent: bool,
-    /// Whether higher-tier work may stop the request's stream.
+    /// Whether requests of a higher tier may preempt the request's stream.
     pub preemptible: bool,
-    /// How long after its arrival the answer is of use, unless the caller
-    /// says less.
+    /// The default deadline, from the arrival of the request. The caller may set a
+    /// shorter one.
     #[serde(rename = "deadline_ms", serialize_with = "serialize_millis")]
     pub deadline: Duration,
 }
@@ -76,31 +74,31 @@
     serializer.serialize_u64(span.as_millis() as u64)
 }
 
-/// A `RequestFacts` is what rules may look at.
+/// A `RequestFacts` is the attributes of a request that rules can match.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestFacts<'a> {
     /// The pool.
     pub pool: &'a crate::pool::PoolName,
     /// The client account.
     pub account: &'a crate::client_account::AccountName,
-    /// The caller's word for what the request is for.
+    /// The kind of work as stated by the caller.
     pub work: Option<&'a WorkKind>,
     /// The path of the call, such as `/v1/chat/completions`.
     pub path: &'a str,
     /// The failure domain of the accepting host.
     pub domain: &'a DomainName,
-    /// The estimated prompt tokens.
+    /// The estimated number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Whether the caller wants a stream.
+    /// Whether the caller requests a streamed answer.
     pub streaming: bool,
 }
 
-/// A `RuleSet` is the published rules in their order. It is made from the
-/// published JSON by `TryFrom`, which reports every fault.
+/// A `RuleSet` is the ordered list of published rules. It is parsed from the published
+/// JSON by `TryFrom`, which reports every fault.
 ///
-/// What a rule does not say is decided for the case that a second run does
-/// harm: a request is neither idempotent nor preemptible unless its rule says
-/// so, which means that it is sent again only where it provably did not run.
+/// Defaults are safe for requests that must not run twice: a request is idempotent or
+/// preemptible only if its rule says so. Any other request is retried only if it
+/// provably did not run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RuleSet {
     rules: Vec<Rule>,
@@ -112,7 +110,7 @@
         &self.rules
     }
 
-    /// Get what the first matching rule says; `None` where no rule matches.
+    /// Get the decision of the first matching rule; `None` if no rule matches.
     pub fn decide(&self, facts: &RequestFacts<'_>) -> Option<Verdict> {
         self.rules
             .iter()
@@ -120,7 +118,7 @@
             .map(Rule::verdict)
     }
 
-    /// Get what each rule says of a request, up to the first match.
+    /// Get the result of each rule for a request, up to and including the first match.
     pub fn explain(&self, facts: &RequestFacts<'_>) -> RuleTrace {
         let mut trace = RuleTrace::default();
         for rule in &self.rules {
--- a/bergamotswitch-core/src/rules/parse.rs
+++ b/bergamotswitch-core/src/rules/parse.rs
@@ -1,4 +1,4 @@
-//! Provides the reading of published rules.
+//! Provides the parsing of published rules.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -16,13 +16,13 @@
 pub const TIER_RANGE: RangeInclusive<u64> = 0..=TIER_COUNT as u64 - 1;
 /// The allowed weights of an account's share.
 pub const SHARE_RANGE: RangeInclusive<u64> = 1..=1_000;
-/// The weight of an account's share where the rule says none.
+/// The default weight of an account's share.
 pub const DEFAULT_SHARE: u64 = 1;
-/// The allowed deadlines in milliseconds, up to a day.
+/// The allowed deadlines in milliseconds, up to one day.
 pub const DEADLINE_RANGE: RangeInclusive<u64> = 1..=86_400_000;
-/// The deadline in milliseconds where the rule says none.
+/// The default deadline in milliseconds.
 pub const DEFAULT_DEADLINE_MS: u64 = 60_000;
-/// The allowed bounds of prompt tokens.
+/// The allowed prompt token counts.
 pub const PROMPT_TOKENS_RANGE: RangeInclusive<u64> = 0..=u32::MAX as u64;
 
 impl TryFrom<&Value> for RuleSet {
@@ -146,8 +146,8 @@
     }
 }
 
-/// Note marks that contradict each other. Which of the two would win is not
-/// for a guess: the loser is a second run or a lost request.
+/// Add findings for flags that contradict each other. Neither takes precedence: a wrong
+/// choice would cause a second run or a lost request.
 fn check_flags(node: &JsonNode<'_>, effect: &RuleEffect, findings: &mut Findings) {
     if effect.dispatch_once && effect.idempotent {
         findings.add(
--- a/bergamotswitch-core/src/rules/rule.rs
+++ b/bergamotswitch-core/src/rules/rule.rs
@@ -1,4 +1,4 @@
-//! Provides one rule: its condition and its effect.
+//! Provides a single rule: its condition and its effect.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,59 +8,59 @@
 use crate::failure_domain::DomainName;
 use crate::pool::PoolName;
 
-/// A `Rule` is one when-then rule.
+/// A `Rule` is a condition with the effect on the requests that match it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rule {
-    /// The rule's name.
+    /// The name of the rule.
     pub name: RuleName,
-    /// When it matches.
+    /// The condition under which the rule matches.
     pub when: RuleCondition,
-    /// What it decides.
+    /// The effect on matching requests.
     pub then: RuleEffect,
 }
 
-/// A `RuleCondition` is what a rule asks of a request. An absent part matches
-/// every request; a list matches where one of its elements does.
+/// A `RuleCondition` is the condition of a rule. An absent part matches every request;
+/// a list matches if one of its elements does.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RuleCondition {
     /// The pools.
     pub pools: Option<Vec<PoolName>>,
     /// The client accounts.
     pub accounts: Option<Vec<AccountName>>,
-    /// The callers' words for what the request is for.
+    /// The kinds of work as stated by the caller.
     pub work: Option<Vec<WorkKind>>,
-    /// The beginnings of the path.
+    /// The path prefixes.
     pub paths: Option<Vec<String>>,
     /// The failure domains of the accepting host.
     pub domains: Option<Vec<DomainName>>,
-    /// The fewest prompt tokens.
+    /// The minimum number of prompt tokens.
     pub min_prompt_tokens: Option<u32>,
-    /// The most prompt tokens.
+    /// The maximum number of prompt tokens.
     pub max_prompt_tokens: Option<u32>,
-    /// Whether the caller wants a stream.
+    /// Whether the caller requests a streamed answer.
     pub streaming: Option<bool>,
 }
 
-/// A `RuleEffect` is what a rule decides.
+/// A `RuleEffect` is the effect of a rule on matching requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RuleEffect {
     /// The tier.
     pub tier: Tier,
-    /// The weight of the client account's share inside the tier.
+    /// The weight of the client account's share within the tier.
     pub share: u32,
-    /// Where the request may run; everywhere where empty.
+    /// The failure domains where the request may run; all if empty.
     pub domains: Vec<DomainName>,
-    /// Whether it is dispatched at most once.
+    /// Whether the request is dispatched at most once.
     pub dispatch_once: bool,
-    /// Whether a second run would do no harm.
+    /// Whether the request may run a second time.
     pub idempotent: bool,
-    /// Whether higher-tier work may stop its stream.
+    /// Whether requests of a higher tier may preempt the request's stream.
     pub preemptible: bool,
-    /// How long its answer is of use.
+    /// The default deadline, from the arrival of the request.
     pub deadline: Duration,
 }
 
-/// A `ConditionPart` names one part of a rule's condition.
+/// A `ConditionPart` identifies one part of a rule's condition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConditionPart {
     Pools,
@@ -87,12 +87,12 @@
 }
 
 impl RuleCondition {
-    /// Get whether every request matches.
+    /// Get whether the condition matches every request.
     pub fn matches_all(&self) -> bool {
         *self == RuleCondition::default()
     }
 
-    /// Get the first part that a request fails; `None` where it matches.
+    /// Get the first part that does not match a request; `None` if all match.
     pub(super) fn first_failed_part(&self, facts: &RequestFacts<'_>) -> Option<ConditionPart> {
         ConditionPart::ALL
             .into_iter()
@@ -126,7 +126,7 @@
 }
 
 impl Rule {
-    /// Get what the rule decides.
+    /// Get the verdict for matching requests.
     pub(super) fn verdict(&self) -> Verdict {
         Verdict {
             rule: self.name.clone(),
--- a/bergamotswitch-core/src/rules/trace.rs
+++ b/bergamotswitch-core/src/rules/trace.rs
@@ -1,4 +1,5 @@
-//! Provides the trace of a decision: which rules did not match, and why.
+//! Provides the trace of a rule decision: the rules that were evaluated, and why they
+//! did not match.
 
 use std::fmt;
 
@@ -7,35 +8,36 @@
 use super::rule::{ConditionPart, Rule};
 use super::{RequestFacts, RuleCondition, RuleName};
 
-/// A `RuleTrace` is what each rule said of a request, up to the first match.
+/// A `RuleTrace` is the result of each evaluated rule, up to and including the first
+/// match.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct RuleTrace {
-    /// The rules in their order.
+    /// The evaluated rules in their order.
     pub steps: Vec<RuleStep>,
 }
 
-/// A `RuleStep` is what one rule said of a request.
+/// A `RuleStep` is the result of evaluating one rule.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct RuleStep {
-    /// The rule.
+    /// The name of the rule.
     pub rule: RuleName,
-    /// The first condition that failed; none where the rule matched.
+    /// The first part of the condition that did not match; `None` if the rule matched.
     pub failed: Option<FailedCondition>,
 }
 
-/// A `FailedCondition` is a part of a rule's condition that a request fails.
+/// A `FailedCondition` is a part of a rule's condition that a request does not match.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct FailedCondition {
-    /// The field of the rule's `when`.
+    /// The name of the field in the rule's `when` object.
     pub condition: &'static str,
-    /// What the request has.
+    /// The value of the request.
     pub found: String,
-    /// What the rule wants.
+    /// The value that the rule requires.
     pub wanted: String,
 }
 
 impl RuleTrace {
-    /// Get the rule that matched.
+    /// Get the matching rule, if any.
     pub fn matched(&self) -> Option<&RuleName> {
         let last = self.steps.last()?;
         match last.failed {
