--- a/bergamotswitch-core/src/explain.rs
+++ b/bergamotswitch-core/src/explain.rs
@@ -125,7 +125,7 @@
             writeln!(f, "{verdict}")?;
         }
         if !self.pool_known {
-            writeln!(f, "no pool has the name")?;
+            writeln!(f, "no published pool has this name")?;
         }
         for target in &self.targets {
             writeln!(f, "{target}")?;
--- a/bergamotswitch-core/src/node/host_returns.rs
+++ b/bergamotswitch-core/src/node/host_returns.rs
@@ -70,11 +70,11 @@
         let hosts = roster.ready_hosts(now);
         let others = hosts.iter().filter(|host| host.name != self.me.host);
         let ready = others.count();
-        let left = roster.left_hosts().filter(|at| stop.is_expected(now, *at));
-        let mut returns: Vec<Moment> = left.map(|at| stop.expected_return(at)).collect();
+        let stopped = roster.left_hosts().filter(|at| stop.is_expected(now, *at));
+        let mut returns: Vec<Moment> = stopped.map(|at| stop.expected_return(at)).collect();
         returns.push(stop.expected_return(stop.started_at));
-        let enough = (ready + returns.len()) / READY_HOSTS_DIVISOR + 1;
-        let missing = enough.checked_sub(ready + 1)?;
+        let required = (ready + returns.len()) / READY_HOSTS_DIVISOR + 1;
+        let missing = required.checked_sub(ready + 1)?;
         returns.sort();
         returns.get(missing).copied().filter(|at| *at > now)
     }
--- a/bergamotswitch-core/src/rules/parse.rs
+++ b/bergamotswitch-core/src/rules/parse.rs
@@ -106,7 +106,7 @@
         match node.text() {
             Some(text) if text.starts_with('/') => Some(PathPrefix(text.to_owned())),
             _ => {
-                node.refuse(findings, "the beginning of a path, with its leading /");
+                node.refuse(findings, "a path prefix that starts with /");
                 None
             }
         }
@@ -152,15 +152,15 @@
     if effect.dispatch_once && effect.idempotent {
         findings.add(
             format!("{}/idempotent", node.place()),
-            "true beside dispatch_once",
-            "false: what is dispatched once is never run again",
+            "true together with dispatch_once",
+            "false: a request that is dispatched at most once never runs again",
         );
     }
     if effect.preemptible && !effect.idempotent {
         findings.add(
             format!("{}/preemptible", node.place()),
             "true without idempotent",
-            "false: a stopped stream runs again, which must do no harm",
+            "false: a preempted stream runs again, so it must be idempotent",
         );
     }
 }
--- a/bergamotswitch-core/tests/explain_request.rs
+++ b/bergamotswitch-core/tests/explain_request.rs
@@ -1,4 +1,4 @@
-//! Tests of the explanation of a request's fate.
+//! Tests of request explanations: the matching rule and the eligible targets.
 
 use bergamotswitch_core::client_account::AccountName;
 use bergamotswitch_core::explain::{Exclusion, RequestExplanation};
@@ -38,7 +38,7 @@
     RequestExplanation::of(publication, &facts)
 }
 
-/// Get why each target is excluded.
+/// Get the reasons for exclusion of each target.
 fn excluded(explanation: &RequestExplanation) -> Vec<Vec<Exclusion>> {
     let targets = explanation.targets.iter();
     targets.map(|target| target.excluded.clone()).collect()
@@ -55,12 +55,12 @@
         vec![Exclusion::Leaving],
     ];
     assert_eq!(excluded(&explanation), expected);
-    let told = "r: matches\n\
+    let displayed = "r: matches\n\
         rule r: tier 1, share 1, deadline 60000 ms, domains north\n\
         e1 (north): may run it\n\
         e2 (south): the rule does not allow failure domain south\n\
         e3 (north): the target is leaving\n";
-    assert_eq!(explanation.to_string(), told);
+    assert_eq!(explanation.to_string(), displayed);
     assert_eq!(
         serde_json::to_value(&explanation).unwrap()["verdict"]["deadline_ms"],
         json!(60_000)
@@ -69,11 +69,14 @@
 
 #[test]
 fn unknown_names() {
-    // Symptom: work runs where it must not. Sequence: a rule names a failure
-    // domain with a spelling fault. Cause: an unknown domain taken for "all".
+    // Guards against a misspelled failure domain in a rule allowing all domains.
     let rules = json!([{"name": "r", "then": {"tier": 1, "domains": ["nort"]}}]);
     let explanation = explain(&publication(rules.clone()), "p");
-    assert!(excluded(&explanation).iter().all(|why| !why.is_empty()));
+    assert!(
+        excluded(&explanation)
+            .iter()
+            .all(|reasons| !reasons.is_empty())
+    );
     let unknown = explain(&publication(rules), "q");
     assert!(!unknown.pool_known && unknown.targets.is_empty());
 }
@@ -83,6 +86,6 @@
     let rules = json!([{"name": "r", "when": {"pools": ["q"]}, "then": {"tier": 1}}]);
     let explanation = explain(&publication(rules), "p");
     assert_eq!(explanation.verdict, None);
-    let no_rule = |why: &Vec<Exclusion>| why.contains(&Exclusion::NoRule);
+    let no_rule = |reasons: &Vec<Exclusion>| reasons.contains(&Exclusion::NoRule);
     assert!(excluded(&explanation).iter().all(no_rule));
 }
--- a/bergamotswitch-core/tests/key_guard.rs
+++ b/bergamotswitch-core/tests/key_guard.rs
@@ -1,4 +1,5 @@
-//! Calls that must not run twice, while it is in doubt who orders their shard.
+//! Tests of keyed requests that must not run twice while the ownership of their shard
+//! is uncertain.
 
 mod entry_support;
 mod node_support;
@@ -8,10 +9,10 @@
 use entry_support::*;
 use node_support::net::*;
 
-/// Longer than a new owner takes to be sure that it is the only one.
+/// Longer than a new owner needs for a stable quorum.
 const SETTLE: Duration = Duration::from_secs(4);
 
-/// Get the hosts in the order in which they may own the shard.
+/// Get the hosts in their order as candidates for the shard.
 fn candidates() -> [usize; 3] {
     let names: Vec<HostName> = HOSTS.iter().map(|host| name(host)).collect();
     let ranked = rendezvous::rank(&shard(), names.iter());
@@ -22,18 +23,15 @@
     net.cuts.insert((a.min(b), a.max(b)));
 }
 
-// Symptom: ten alerts with one key each, sent to all hosts at once, ran twice in
-// all ten rounds.
-// Sequence: the path between two hosts fails, a third one reaches both; the
-// second candidate misses the first and orders the shard beside it.
-// Cause: each of them knew its own keys alone, and took that for all.
+// Guards against a second run of keyed requests while two candidates that can't reach
+// each other both act as owner.
 #[test]
 fn two_owners() {
     let mut net = NodeNet::start_with("plain");
     let [first, second, third] = candidates();
     cut(&mut net, first, second);
     net.advance(Duration::from_secs(3));
-    assert_eq!(net.owners().len(), 2, "both order the shard");
+    assert_eq!(net.owners().len(), 2, "both act as owner");
     for round in 0..10 {
         for host in [first, second, third] {
             net.nodes[host].submit(alert(&format!("alert-{round}")));
@@ -41,22 +39,26 @@
         net.advance(Duration::from_millis(100));
     }
     net.advance(SETTLE);
-    assert_eq!(net.started.len(), 4, "one run a target: {:?}", net.started);
+    assert_eq!(
+        net.started.len(),
+        4,
+        "one run per target: {:?}",
+        net.started
+    );
     let at_second = net.started.iter().filter(|(host, _)| *host == second);
     assert_eq!(at_second.count(), 0);
-    // Heals: what waited at the second one is known to the first.
+    // After the partition, requests held at the second owner are recognized by the
+    // first.
     net.cuts.clear();
     net.advance(Duration::from_secs(10));
     assert_eq!(net.owners(), [first]);
     assert_eq!(net.started.len(), 4, "{:?}", net.started);
 }
 
-// Symptom: an alert runs twice while no host reaches another. Sequence: all
-// paths fail; each host orders the shard, or admits by its own fraction.
-// Cause: as before. What cannot be known to run once does not run, and its
-// caller is told so.
+// Guards against a second run of keyed requests while no host reaches another: they are
+// refused as not run.
 #[test]
-fn lone_hosts() {
+fn isolated_hosts() {
     let mut net = NodeNet::start_with("plain");
     for (a, b) in [(0, 1), (0, 2), (1, 2)] {
         cut(&mut net, a, b);
@@ -67,7 +69,7 @@
         net.nodes[host].submit(submission());
     }
     net.advance(DEADLINE + Duration::from_secs(1));
-    // What may be repeated runs everywhere.
+    // Repeatable requests run on every host.
     assert_eq!(net.started.len(), HOSTS.len(), "{:?}", net.started);
     let refused = net
         .concluded
@@ -79,33 +81,30 @@
     assert_eq!(refused.count(), HOSTS.len(), "{:?}", net.concluded);
 }
 
-// An alert in good health waits for nothing, and for a bounded time after the
-// owner's death: it is noticed after two to two and a half seconds, and the next
-// owner is sure some two and a half later.
+// A keyed request starts at once in a healthy fleet, and within six seconds after the
+// loss of the owner.
 #[test]
 fn bounded_wait() {
     let mut net = NodeNet::start_with("plain");
     let [first, second, third] = candidates();
     net.nodes[third].submit(alert("calm"));
     net.advance(Duration::from_millis(50));
-    assert_eq!(net.started.len(), 1, "at once");
+    assert_eq!(net.started.len(), 1, "starts at once");
     cut(&mut net, first, second);
     cut(&mut net, first, third);
     net.nodes[third].submit(alert("after"));
     net.advance(Duration::from_secs(6));
     assert_eq!(net.started.len(), 2, "{:?}", net.started);
-    // Its copy at the second host is known there.
+    // The second host recognizes resubmissions by their keys.
     net.nodes[second].submit(alert("after"));
     net.nodes[second].submit(alert("calm"));
     net.advance(Duration::from_secs(1));
     assert_eq!(net.started.len(), 2, "{:?}", net.started);
 }
 
-// Symptom: alerts at a host that has slept get no answer any more. Sequence: the
-// shard's owner sleeps for some seconds; its stand-in gives way; the others
-// follow it again. Cause: it never became sure again.
+// Guards against an owner that never regains its quorum after a pause of its process.
 #[test]
-fn woken_owner() {
+fn paused_owner() {
     let mut net = NodeNet::start_with("plain");
     let [first, second, _] = candidates();
     net.nodes[first].submit(alert("before"));
--- a/bergamotswitch-core/tests/many_shards.rs
+++ b/bergamotswitch-core/tests/many_shards.rs
@@ -1,4 +1,4 @@
-//! Reports of failed targets in a fleet of many shards.
+//! Tests of failed-target reports in a fleet with many shards.
 
 mod entry_support;
 mod node_support;
@@ -8,11 +8,12 @@
 use node_support::net::*;
 use node_support::*;
 
-/// As many shards as reports are kept of.
+/// The number of shards for which reports are kept.
 const SHARDS: usize = 64;
-/// The time between two reports.
+/// The interval between two reports.
 const STEP: Duration = Duration::from_millis(5);
-/// Longer than it takes to find an owner silent, shorter than reports are kept.
+/// Longer than the detection of an unreachable owner, shorter than the retention of
+/// reports.
 const TAKEOVER: Duration = Duration::from_secs(3);
 
 fn report(shard: PoolShard) -> LinkMessage {
@@ -33,19 +34,20 @@
     }
 }
 
-/// Get whether the first target is backed off in the view of those who have taken
-/// over from an owner.
+/// Get whether the first target is backed off at every owner that has taken over from
+/// the former one.
 fn is_backed_off(net: &NodeNet, former: usize) -> bool {
     let mut owners = net.owners();
     owners.retain(|owner| *owner != former);
-    assert!(!owners.is_empty(), "nobody took over");
+    assert!(!owners.is_empty(), "no host took over");
     owners.iter().all(|owner| {
         let node = &net.nodes[*owner];
         node.core.view(node.now).shards[0].targets[0].backed_off
     })
 }
 
-/// Let all hosts hear reports, the first of the test's shard, and lose its owner.
+/// Deliver the reports to all other hosts and disconnect the owner; get whether its
+/// successors back off the target.
 fn after_reports(reports: &[LinkMessage]) -> bool {
     let mut net = NodeNet::start();
     let owner = net.owners()[0];
@@ -61,10 +63,9 @@
     is_backed_off(&net, owner)
 }
 
-// Guards against a wave of refusals after a change of owner: the reports of all
-// shards were dropped when one was told again.
+// Guards against dropping the reports of all shards when one is updated at the limit.
 #[test]
-fn renewed_report() {
+fn updated_report() {
     let mut reports = vec![report(shard())];
     reports.extend((1..SHARDS).map(|number| report(other_shard(number))));
     assert!(after_reports(&reports));
@@ -72,9 +73,9 @@
     assert!(after_reports(&reports));
 }
 
-// Guards against the same by a report of one shard more: the oldest gives way.
+// Guards against dropping more than the oldest report when one shard exceeds the limit.
 #[test]
-fn further_report() {
+fn report_beyond_limit() {
     let mut reports = vec![report(other_shard(0)), report(shard())];
     reports.extend((1..SHARDS).map(|number| report(other_shard(number))));
     assert!(after_reports(&reports));
--- a/bergamotswitch-core/tests/node_cold_path.rs
+++ b/bergamotswitch-core/tests/node_cold_path.rs
@@ -1,4 +1,5 @@
-//! The first request of a shard waits for no dial and no heartbeat interval.
+//! Tests that the first request of a shard waits neither for a connection nor for a
+//! heartbeat interval.
 
 mod entry_support;
 mod node_support;
@@ -8,13 +9,13 @@
 use entry_support::*;
 use node_support::*;
 
-/// So many that `me` is no candidate of the shards below.
+/// Enough hosts that `me` is no candidate of the shards below.
 const HOSTS: &[&str] = &[
     "me", "h1", "h2", "h3", "h4", "h5", "h6", "h7", "h8", "h9", "h10", "h11", "h12",
 ];
 
-/// Get a host in `north` that is linked to all others, of a pool with one
-/// order for each failure domain.
+/// Get a host in `north` that is linked to all others, with a pool that has one shard
+/// per failure domain.
 fn linked_node() -> TestNode {
     let mut node = TestNode::serving(HOSTS, json!({}));
     let target = |name: &str, domain: &str, port: u16| {
@@ -30,7 +31,8 @@
     node
 }
 
-/// Let time pass while all peers answer heartbeats; get who was sent some.
+/// Advance the time while all peers answer heartbeats, and get the peers that were sent
+/// some.
 fn answered(node: &mut TestNode, span: Duration) -> BTreeSet<HostName> {
     let mut watched = BTreeSet::new();
     answer(node);
@@ -42,7 +44,7 @@
     watched
 }
 
-/// Answer the heartbeats that were sent; get the peers.
+/// Answer the heartbeats that were sent, and get the peers.
 fn answer(node: &mut TestNode) -> Vec<HostName> {
     let mut peers = Vec::new();
     for action in std::mem::take(&mut node.actions) {
@@ -81,21 +83,18 @@
     submission
 }
 
-// Symptom: the first request of a shard takes half a second.
-// Sequence: a host that is no candidate gets its first request of the day.
-// Cause: it dials the owner and exchanges heartbeats only then.
+// Guards against a delay of the first request of a shard by a connection to its owner.
 #[test]
 fn own_domain_warm() {
     let mut node = linked_node();
     answered(&mut node, Duration::from_secs(2));
     node.actions.clear();
     node.submit(in_domain("north"));
-    assert!(asked(&node), "asks at once");
+    assert!(asked(&node), "the owner is asked at once");
 }
 
-// Symptom: a caller that comes every few seconds waits for a dial each time.
-// Sequence: a request of another domain's shard ends; the next one comes soon.
-// Cause: the link to the owner was dropped when nothing waited any more.
+// Guards against a new connection to the owner for each request of a shard that is used
+// every few seconds.
 #[test]
 fn kept_in_use() {
     let mut node = linked_node();
@@ -103,7 +102,7 @@
     let id = node.submit(in_domain("south"));
     let busy = answered(&mut node, Duration::from_secs(3));
     let owners: Vec<&HostName> = busy.difference(&idle).collect();
-    assert_eq!(owners.len(), 1, "one more host is watched: {busy:?}");
+    assert_eq!(owners.len(), 1, "one more host is monitored: {busy:?}");
     node.event(NodeEvent::CallerDisconnected(id));
     let later = answered(&mut node, Duration::from_secs(50));
     assert_eq!(later, busy);
@@ -111,10 +110,8 @@
     assert_eq!(answered(&mut node, Duration::from_secs(5)), idle);
 }
 
-// Symptom: for half a second after a start no request finds its owner.
-// Sequence: two candidates link; each one's heartbeat waits for the other's
-// next one to be answered.
-// Cause: candidates answer by their own heartbeats only.
+// Guards against a delay after a start, when two candidates answer heartbeats only by
+// their own next heartbeat.
 #[test]
 fn first_beat_answered() {
     let mut node = TestNode::serving(&["me", "peer"], json!({}));
@@ -124,7 +121,7 @@
             matches!(action, NodeAction::Send(_, LinkMessage::Heartbeat(beat)) if beat.heard == heard)
         })
     };
-    assert_eq!(beats(&node, 0), 1, "one goes out at once");
+    assert_eq!(beats(&node, 0), 1, "one is sent at once");
     for sequence in [1, 2] {
         let beat = Heartbeat {
             sequence,
@@ -133,16 +130,17 @@
         node.message("peer", LinkMessage::Heartbeat(beat));
     }
     assert_eq!(beats(&node, 1), 1, "the first is answered at once");
-    assert_eq!(beats(&node, 2), 0, "the next by the next heartbeat");
+    assert_eq!(
+        beats(&node, 2),
+        0,
+        "the second is answered by the next heartbeat"
+    );
 }
 
-// Symptom: a request that must not run twice runs again after a quick restart
-// of its shard's owner.
-// Sequence: the owner restarts before anyone suspects it; the request is sent
-// again, unmarked, at another host.
-// Cause: the new run was told of no keys, as the owner's name is the same.
+// Guards against a second run of a non-repeatable request: its key is resent to an
+// owner that restarted before it was suspected.
 #[test]
-fn restarted_owner_retold() {
+fn restarted_owner_resynced() {
     let mut node = linked_node();
     answered(&mut node, Duration::from_secs(2));
     node.actions.clear();
@@ -158,8 +156,8 @@
     let mut run = run(owner.as_str());
     run.incarnation = Incarnation(999);
     node.event(NodeEvent::Link(LinkEvent::Up(run)));
-    // The key of a request that waits comes with its ask.
-    let retold = node.count(|action| match action {
+    // The key of a waiting request is part of its ask.
+    let resent = node.count(|action| match action {
         NodeAction::Send(to, LinkMessage::ToOwner(message)) if *to == owner => match message {
             OwnerMessage::Retell { .. } => true,
             OwnerMessage::Ask(ask) => ask.claim.is_some(),
@@ -167,5 +165,5 @@
         },
         _ => false,
     });
-    assert_eq!(retold, 2, "{:?}", node.actions);
+    assert_eq!(resent, 2, "{:?}", node.actions);
 }
--- a/bergamotswitch-core/tests/node_counts.rs
+++ b/bergamotswitch-core/tests/node_counts.rs
@@ -1,4 +1,4 @@
-//! A host counts what it does while a shard's order is not whole.
+//! Tests of the counters of degraded admissions, resubmission exposure and refusals.
 
 mod entry_support;
 mod node_support;
@@ -10,20 +10,18 @@
 
 const HOSTS: &[&str] = &["h1", "h2", "h3", "h4", "h5"];
 
-/// Get a host that is no candidate of the pool's order.
-fn bystander() -> TestNode {
+/// Get a host that is not a candidate of the pool's shard.
+fn non_candidate() -> TestNode {
     let hosts: Vec<HostName> = HOSTS.iter().map(|host| name(host)).collect();
     let ranked = rendezvous::rank(&shard(), hosts.iter());
     named(ranked[4].as_str(), HOSTS, json!({}))
 }
 
-// Symptom: an operator sees no difference between a fleet that works and one
-// whose hosts admit each by itself.
-// Sequence: no candidate of a shard can be reached; requests are admitted.
-// Cause: neither admissions nor exposed keys were counted.
+// Guards against uncounted admissions and keys while no candidate of the shard is
+// reachable.
 #[test]
 fn degraded_counted() {
-    let mut node = bystander();
+    let mut node = non_candidate();
     node.advance(Duration::from_secs(10));
     node.start(submission());
     node.start(alert("a"));
@@ -31,21 +29,19 @@
     marked.resubmission = true;
     node.submit(marked);
     let counts = node.core.view(node.now).counts;
-    assert_eq!(counts.unmarked_exposure, 1, "only the unmarked key");
+    assert_eq!(counts.unmarked_exposure, 1, "only the unmarked request");
     assert!(counts.degraded_admissions >= 2, "{counts:?}");
 }
 
 #[test]
-fn whole_order_uncounted() {
+fn owned_shard_uncounted() {
     let mut node = TestNode::serving(&["me"], json!({}));
     node.start(alert("a"));
     let counts = node.core.view(node.now).counts;
     assert_eq!(counts, NodeCounts::default());
 }
 
-// Symptom: shed work can't be told from refused urgent work.
-// Sequence: accepted requests pass their deadline while they wait.
-// Cause: refusals of accepted requests were counted without their tier.
+// Guards against refusals of accepted requests that are counted without their tier.
 #[test]
 fn refusals_by_tier() {
     let mut node = TestNode::serving(&["me"], json!({"token_limit": 1}));
@@ -54,12 +50,12 @@
     }
     let tier = submission().verdict.tier;
     let waits = |action: &NodeAction| matches!(action, NodeAction::CountWait(found, span) if *found == tier && span.is_zero());
-    assert_eq!(node.count(waits), 4, "one a target, at once");
+    assert_eq!(node.count(waits), 4, "one per target, without delay");
     node.advance(Duration::from_secs(40));
     let reason = RefusalReason::DeadlinePassed;
     let refused = node.count(|action| *action == NodeAction::CountRefusal(tier, reason));
-    let told = node.count(|action| {
+    let concluded = node.count(|action| {
         matches!(action, NodeAction::Conclude(_, Conclusion::Refused(refusal)) if refusal.reason() == reason)
     });
-    assert_eq!((refused, told), (2, 2));
+    assert_eq!((refused, concluded), (2, 2));
 }
--- a/bergamotswitch-core/tests/node_handover.rs
+++ b/bergamotswitch-core/tests/node_handover.rs
@@ -1,5 +1,5 @@
-//! A shard's order passes from host to host, and callers are steered off a
-//! busy one.
+//! Tests of the handover of shards between hosts, and of steering callers away from a
+//! loaded host.
 
 mod entry_support;
 mod node_support;
@@ -10,9 +10,8 @@
 use node_support::net::*;
 use node_support::*;
 
-// Symptom: requests wait for seconds while their shard's owner stops.
-// Sequence: requests of another host wait at the owner; it is stopped.
-// Cause: the next candidate or the asking host learns of it too late.
+// Guards against requests that wait for seconds because the next candidate or the
+// asking host learns too late that the owner stops.
 #[test]
 fn stopping_owner() {
     let mut net = NodeNet::start();
@@ -35,17 +34,19 @@
         let view = &node.core.view(node.now).shards[0];
         view.queued.iter().map(|tier| tier.asks).sum::<usize>()
     };
-    assert_eq!(queued(&net), 2, "what waited, waits there");
+    assert_eq!(queued(&net), 2, "pending asks move to the new owner");
     net.advance(Duration::from_millis(1_100));
-    assert_eq!(net.owners(), [next], "the stopping one has ceased");
+    assert_eq!(
+        net.owners(),
+        [next],
+        "the stopping host no longer owns the shard"
+    );
 }
 
-// Symptom: requests wait for their re-ask interval after an owner gave way.
-// Sequence: a later candidate orders the shard; the first one comes back and
-// is steady; the later one ceases with asks of a third host in its queue.
-// Cause: the third host was not told.
+// Guards against requests that wait for their re-ask interval after an owner gave way
+// to an earlier candidate: it notifies the hosts with queued asks.
 #[test]
-fn ceasing_owner_tells() {
+fn ceasing_owner_notifies() {
     let hosts: Vec<HostName> = HOSTS.iter().map(|host| name(host)).collect();
     let ranked = rendezvous::rank(&shard(), hosts.iter());
     let [first, asking, me] = ranked.as_slice() else {
@@ -62,7 +63,7 @@
     }
     let ask = OwnerMessage::Ask(Box::new(node_support::ask_of(asking.as_str())));
     node.message(asking.as_str(), LinkMessage::ToOwner(ask));
-    let mut told = Vec::new();
+    let mut notified = Vec::new();
     let owns = |node: &TestNode| !node.core.view(node.now).owns.is_empty();
     for _ in 0..100 {
         for action in std::mem::take(&mut node.actions) {
@@ -77,22 +78,21 @@
                     node.message(host.as_str(), LinkMessage::Heartbeat(reply));
                 }
                 NodeAction::Send(host, LinkMessage::FromOwner(OwnerReply::NotOwner { .. })) => {
-                    told.push(host);
+                    notified.push(host);
                 }
                 _ => {}
             }
         }
         node.advance(Duration::from_millis(100));
     }
-    assert!(!owns(&node), "an earlier candidate is back");
-    assert!(told.iter().eq([asking]), "{told:?}");
+    assert!(!owns(&node), "an earlier candidate has returned");
+    assert!(notified.iter().eq([asking]), "{notified:?}");
 }
 
-// Symptom: a host that can't keep up gets as many callers as the others.
-// Sequence: its thread is busy all the time; callers ask it for an address.
-// Cause: its load was told to nobody, not to itself either.
+// Guards against a host that is overloaded but named first to callers, because its load
+// is not reported.
 #[test]
-fn busy_host_last() {
+fn loaded_host_last() {
     let mut node = TestNode::serving(&["me", "h1"], json!({}));
     node.link_up("h1");
     node.beat("h1", 0);
--- a/bergamotswitch-core/tests/node_limits.rs
+++ b/bergamotswitch-core/tests/node_limits.rs
@@ -1,4 +1,5 @@
-//! Published limits bind a host's machines as soon as they are adopted.
+//! Tests that published limits take effect in a host's state machines as soon as they
+//! are adopted.
 
 mod entry_support;
 mod node_support;
@@ -16,14 +17,14 @@
 const ALONE: &[&str] = &["me"];
 const PAIR: &[&str] = &["me", "peer"];
 
-/// The limits that bind what has sockets; tests of that crate show them.
-const OF_SOCKETS: &str = "max_body_bytes max_answer_bytes idle_probe_ms probe_timeout_ms \
+/// The limits of network code, which the tests of its crate cover.
+const NETWORK_LIMITS: &str = "max_body_bytes max_answer_bytes idle_probe_ms probe_timeout_ms \
     connect_timeout_ms load_poll_ms";
 
 type Probe = fn(&Value) -> u64;
 
-/// For each limit: the value to publish, further limits that allow it, and
-/// what is then counted.
+/// Get for each limit the value to publish, the other limits that it requires, and the
+/// probe that observes it.
 fn probes() -> BTreeMap<&'static str, (u64, Value, Probe)> {
     let none = || json!({});
     BTreeMap::from([
@@ -78,7 +79,7 @@
     node.core.address(&query("crew")).hosts.len() as u64
 }
 
-/// How often a peer at half its load is named first.
+/// Get how often a peer at half its load is named first.
 fn peer_first(limits: &Value) -> u64 {
     let mut node = bound(limits, PAIR, json!({}));
     node.link_up("peer");
@@ -108,10 +109,10 @@
     })
 }
 
-/// The calls of a minute in which every watch ends at once.
+/// Get the number of reads and watches in a minute in which every watch ends at once.
 fn reads(limits: &Value) -> u64 {
     let mut node = bound(limits, ALONE, json!({}));
-    // What was spent before the adoption is given back first.
+    // Let the read budget that was spent before the adoption refill.
     node.advance(Duration::from_secs(80));
     let mut calls = 0;
     let mut counted = false;
@@ -128,11 +129,12 @@
     calls
 }
 
-/// The retries after forty requests whose targets cannot be connected to.
+/// Get the number of retries of forty rounds of requests whose targets refuse
+/// connections.
 fn retries(limits: &Value) -> u64 {
     let mut node = bound(limits, ALONE, json!({}));
     for _ in 0..40 {
-        // More than time alone gives back to the budget.
+        // Use the retry budget faster than it refills.
         let ids = [(); 4].map(|()| node.submit(submission()));
         for id in ids {
             let mut seen = None;
@@ -142,7 +144,7 @@
                 node.event(NodeEvent::Attempt(attempt, failed));
             }
         }
-        // A target that fails is backed off; time lets it be tried again.
+        // Wait until the failed targets are tried again after their backoff.
         node.advance(Duration::from_millis(1_500));
     }
     node.count(|action| matches!(action, NodeAction::CountRetry(_)))
@@ -185,7 +187,8 @@
     large
 }
 
-/// The requests shed of eight that take two seconds each, one at a time.
+/// Get how many of eight requests are shed that take two seconds each and run one at a
+/// time.
 fn shed(limits: &Value) -> u64 {
     let target = json!({"expected_speed": 1_000, "token_limit": 1_000});
     let mut node = bound(limits, ALONE, target);
@@ -212,19 +215,16 @@
     granted.expect("a permit")
 }
 
-// Symptom: operators publish a limit, every host reports its revision in
-// force, and nothing changes.
-// Sequence: a host serves; a `limits` revision is adopted.
-// Cause: the machines keep the options that they were made with.
+// Guards against limits that are adopted but not applied by the state machines.
 #[test]
 fn each_limit_binds() {
     let probes = probes();
     for spec in FleetLimits::TABLE {
         let Some((value, base, probe)) = probes.get(spec.name) else {
-            let mut elsewhere = OF_SOCKETS.split_whitespace();
+            let mut elsewhere = NETWORK_LIMITS.split_whitespace();
             assert!(
                 elsewhere.any(|name| name == spec.name),
-                "{} is idle",
+                "no probe for {}",
                 spec.name
             );
             continue;
@@ -233,7 +233,7 @@
         let before = probe(&limits);
         limits[spec.name] = (*value).into();
         let after = probe(&limits);
-        assert_ne!(before, after, "{} changes nothing", spec.name);
+        assert_ne!(before, after, "{} has no effect", spec.name);
     }
 }
 
@@ -246,18 +246,15 @@
     }
 }
 
-// Symptom: the limits on the page are not those of a host without `limits`.
-// Cause: two tables of defaults.
+// Guards against two different tables of defaults.
 #[test]
 fn same_defaults() {
     let opts = NodeOptions::default();
     assert_eq!(opts.clone().with_limits(&FleetLimits::default()), opts);
 }
 
-// Symptom: a crew is alerted twice.
-// Sequence: an alert is answered; its kept answer makes room for others; the
-// caller sends the alert again.
-// Cause: the key would be forgotten together with the bytes.
+// Guards against a second run of a request whose stored answer was evicted: its key is
+// kept.
 #[test]
 fn dropped_answer_unknown() {
     let limits = json!({"kept_answer_bytes": 1_048_576, "max_answer_bytes": 1_048_576});
@@ -275,11 +272,10 @@
     assert!(matches!(kept, Reception::Attached(_)), "{kept:?}");
 }
 
-// Symptom: an answer that was cut is called "not run", or is made once more.
-// Sequence: an engine sends more than an answer may have.
-// Cause: the stop of an attempt whose claim was not that of a dispatched one.
+// Guards against an answer that exceeded the maximum size being reported as not run, or
+// being retried.
 #[test]
-fn overlong_may_have_run() {
+fn too_long_answer_may_have_run() {
     let mut node = bound(&json!({}), ALONE, json!({}));
     let attempt = node.start(submission());
     node.event(NodeEvent::AnswerTooLong(attempt.request));
--- a/bergamotswitch-core/tests/node_support/mod.rs
+++ b/bergamotswitch-core/tests/node_support/mod.rs
@@ -1,7 +1,7 @@
-//! A whole host's decisions under a clock of the test's own, with one pool of
-//! four targets.
+//! Provides a host's decision logic with a simulated clock, and one pool of four
+//! targets.
 
-// Each test file uses its own part of this module.
+// Each test file uses a part of this module.
 #![allow(dead_code)]
 
 pub mod net;
@@ -13,7 +13,7 @@
 
 use crate::entry_support::*;
 
-/// Longer than a host without peers waits for one at its start.
+/// Longer than a starting host waits for peers.
 const START: Duration = Duration::from_secs(6);
 
 pub struct TestNode {
@@ -49,19 +49,20 @@
     entry
 }
 
-/// Get a host that has just adopted the fleet's values.
+/// Get a host that has just adopted the fleet's published values.
 pub fn named(me: &str, hosts: &[&str], target: Value) -> TestNode {
     named_with(me, hosts, target, "engine")
 }
 
-/// Get such a host of a fleet whose pool is of this kind.
+/// Get a host that has just adopted the published values of a fleet with a pool of this
+/// kind.
 pub fn named_with(me: &str, hosts: &[&str], target: Value, kind: &str) -> TestNode {
     let mut node = TestNode::new(me);
     node.adopt(hosts, &target, kind);
     node
 }
 
-/// Get an ask of a peer for the test pool's one order.
+/// Get an ask of a peer for the shard of the test pool.
 pub fn ask_of(peer: &str) -> Ask {
     let request = RequestId {
         incarnation: run(peer).incarnation,
@@ -91,7 +92,7 @@
 }
 
 impl TestNode {
-    /// Get a host `me` that serves under the default limits.
+    /// Get a ready host `me` with the default limits.
     pub fn serving(hosts: &[&str], target: Value) -> Self {
         let mut node = named("me", hosts, target);
         node.advance(START);
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Adopt the values of a fleet with one pool of four targets.
+    /// Publish the values of a fleet with one pool of four targets.
     fn adopt(&mut self, hosts: &[&str], target: &Value, kind: &str) {
         let hosts = hosts.iter().enumerate();
         let hosts: Vec<Value> = hosts.map(|(index, name)| host_entry(index, name)).collect();
@@ -189,13 +190,13 @@
         }
     }
 
-    /// Submit and get the attempt that is dispatched.
+    /// Submit a request and get the attempt that is dispatched.
     pub fn start(&mut self, submission: Submission) -> AttemptId {
         let id = self.submit(submission);
         self.started(id).expect("dispatched")
     }
 
-    /// Get the last dispatch of a request.
+    /// Get the last dispatched attempt of a request.
     pub fn started(&self, id: RequestId) -> Option<AttemptId> {
         self.actions.iter().rev().find_map(|action| match action {
             NodeAction::Start { attempt, .. } if attempt.request == id => Some(*attempt),
@@ -203,7 +204,7 @@
         })
     }
 
-    /// Submit, dispatch and end with an answer of so many bytes.
+    /// Submit a request and complete it with an answer of this size.
     pub fn answer(&mut self, submission: Submission, bytes: u64) -> RequestId {
         let attempt = self.start(submission);
         let usage = Usage {
--- a/bergamotswitch-core/tests/node_support/net.rs
+++ b/bergamotswitch-core/tests/node_support/net.rs
@@ -1,4 +1,4 @@
-//! A small fleet of whole hosts.
+//! Provides a simulated fleet of three hosts.
 
 use std::collections::BTreeSet;
 
@@ -6,19 +6,19 @@
 
 pub const HOSTS: &[&str] = &["me", "h1", "h2"];
 
-/// A fleet whose links carry messages at once.
+/// A fleet of hosts with links that deliver messages without delay.
 pub struct NodeNet {
     pub nodes: Vec<TestNode>,
     links: BTreeSet<(usize, usize)>,
-    /// Hosts between which nothing gets through.
+    /// Pairs of hosts that can't reach each other.
     pub cuts: BTreeSet<(usize, usize)>,
-    /// The host that sleeps, and what waits in its sockets.
+    /// The paused host.
     frozen: Option<usize>,
     held: Vec<(usize, LinkMessage)>,
     pub asked: Vec<HostName>,
-    /// What was dispatched, and at which host.
+    /// The dispatched attempts, each with its host.
     pub started: Vec<(usize, AttemptId)>,
-    /// What callers were told, and at which host.
+    /// The conclusions of requests, each with its host.
     pub concluded: Vec<(usize, Conclusion)>,
 }
 
@@ -27,9 +27,9 @@
         NodeNet::start_with("engine")
     }
 
-    /// Start a fleet whose pool is of this kind.
+    /// Start a fleet with a pool of this kind.
     pub fn start_with(kind: &str) -> Self {
-        // One slot in all, so that the second request waits.
+        // Each target has one token, so it runs one request at a time.
         let target = json!({"token_limit": 1});
         let nodes = HOSTS.iter();
         let nodes = nodes.map(|me| named_with(me, HOSTS, target.clone(), kind));
@@ -51,7 +51,8 @@
         self.advance_except(None, span);
     }
 
-    /// Let a host sleep while time passes for the others.
+    /// Pause a host while time passes for the others, then deliver the messages that it
+    /// was sent.
     pub fn freeze(&mut self, host: usize, span: Duration) {
         self.advance_except(Some(host), span);
         self.nodes[host].now = self.nodes[host].now.plus(span);
@@ -115,22 +116,21 @@
         }
     }
 
-    /// Cut two hosts off from each other: their link closes, and what was sent
-    /// over it and not read is lost.
+    /// Disconnect two hosts: their link closes, and unread messages are lost.
     pub fn cut(&mut self, a: usize, b: usize) {
         self.cuts.insert((a.min(b), a.max(b)));
-        self.tell_ends(a, b, LinkEvent::Down);
+        self.send_link_event(a, b, LinkEvent::Down);
     }
 
-    /// Let two hosts reach each other again, over a new link.
+    /// Reconnect two hosts over a new link.
     pub fn heal(&mut self, a: usize, b: usize) {
         self.cuts.remove(&(a.min(b), a.max(b)));
-        self.tell_ends(a, b, LinkEvent::Up);
+        self.send_link_event(a, b, LinkEvent::Up);
     }
 
-    fn tell_ends(&mut self, a: usize, b: usize, news: fn(HostIncarnation) -> LinkEvent) {
-        self.nodes[a].event(NodeEvent::Link(news(run(HOSTS[b]))));
-        self.nodes[b].event(NodeEvent::Link(news(run(HOSTS[a]))));
+    fn send_link_event(&mut self, a: usize, b: usize, event: fn(HostIncarnation) -> LinkEvent) {
+        self.nodes[a].event(NodeEvent::Link(event(run(HOSTS[b]))));
+        self.nodes[b].event(NodeEvent::Link(event(run(HOSTS[a]))));
     }
 
     pub fn owners(&self) -> Vec<usize> {
@@ -143,5 +143,5 @@
 
 pub fn index(host: &HostName) -> usize {
     let found = HOSTS.iter().position(|name| *name == host.as_str());
-    found.expect("a host of the net")
+    found.expect("a host of the fleet")
 }
--- a/bergamotswitch-core/tests/route_lookup.rs
+++ b/bergamotswitch-core/tests/route_lookup.rs
@@ -1,4 +1,4 @@
-//! The routes of calls and the tiers that follow.
+//! Tests of route lookup, and of the tiers of gateway calls.
 
 use bergamotswitch_core::client_account::KeyHash;
 use bergamotswitch_core::route::{
@@ -83,19 +83,17 @@
 }
 
 #[test]
-fn json_kept() {
+fn json_round_trip() {
     let table = table();
     let text = serde_json::to_string(table.config()).expect("text");
     assert_eq!(RouteTable::try_from_json(&text).expect("table"), table);
     assert!(RouteTable::try_from_json("{}").is_err());
 }
 
-// Symptom: the most urgent reports of an account wait behind all its short
-// calls. Sequence: its account has a rank of its own. Cause: that rank was the
-// whole tier. Of one account's calls the route still decides; of two accounts'
-// the account does.
+// Guards against an account tier that hides the tiers of its routes: the account's tier
+// orders calls of different accounts, the route's tier those of one account.
 #[test]
-fn account_rank() {
+fn account_tier_first() {
     let of = |account: Option<u8>, route: u8| Tier::of_call(account.map(Tier), Tier(route));
     assert_eq!(of(None, 2), Tier(2));
     assert!(of(Some(1), 0) < of(Some(1), 2));
--- a/bergamotswitch-core/tests/rule_match.rs
+++ b/bergamotswitch-core/tests/rule_match.rs
@@ -1,4 +1,4 @@
-//! Tests of the first matching rule, against a naive matcher on raw JSON.
+//! Tests of rule matching, compared with a naive matcher on raw JSON.
 
 use bergamotswitch_core::client_account::AccountName;
 use bergamotswitch_core::failure_domain::DomainName;
@@ -31,7 +31,7 @@
         && streaming.is_none_or(|wanted| wanted == facts.streaming)
 }
 
-/// Makes a condition of which each part is present or absent by one bit.
+/// Get a condition in which each part is present if its bit is set.
 fn condition(bits: u8, pick: u8) -> Value {
     let mut when = json!({});
     let name = NAMES[pick as usize % 3];
@@ -69,7 +69,7 @@
             return;
         }
         let rules: Vec<Value> = conditions.iter().enumerate().map(rule_of).collect();
-        let book = RuleSet::try_from(&json!({ "rules": rules })).unwrap();
+        let rule_set = RuleSet::try_from(&json!({ "rules": rules })).unwrap();
         let name = |index: usize| NAMES[draw[index] as usize % 3];
         let work = WorkKind::try_from(name(2)).unwrap();
         let facts = RequestFacts {
@@ -82,18 +82,20 @@
             streaming: draw[6].is_multiple_of(2),
         };
         let expected = conditions.iter().position(|when| naive_match(when, &facts));
-        let found = book.decide(&facts).map(|verdict| verdict.rule.to_string());
+        let found = rule_set
+            .decide(&facts)
+            .map(|verdict| verdict.rule.to_string());
         assert_eq!(found, expected.map(|index| format!("r{index}")));
-        // The explanation is the same decision, told step by step.
-        let trace = book.explain(&facts);
+        // The trace agrees with the decision.
+        let trace = rule_set.explain(&facts);
         assert_eq!(trace.matched().map(ToString::to_string), found);
         let seen = expected.map_or(conditions.len(), |index| index + 1);
         assert_eq!(trace.steps.len(), seen);
     });
 }
 
-fn with_facts<T>(ask: impl FnOnce(&RequestFacts<'_>) -> T) -> T {
-    ask(&RequestFacts {
+fn with_facts<T>(evaluate: impl FnOnce(&RequestFacts<'_>) -> T) -> T {
+    evaluate(&RequestFacts {
         pool: &PoolName::try_from("p").unwrap(),
         account: &AccountName::try_from("a").unwrap(),
         work: None,
@@ -106,27 +108,29 @@
 
 #[test]
 fn safe_defaults() {
-    // Symptom: two crews at one strewn field. Sequence: a rule for alerts
-    // gives a tier only; the first attempt breaks off after it ran; a retry
-    // runs it again. Cause: a default that lets work run twice.
-    let book = RuleSet::try_from(&json!({"rules": [{"name": "r", "then": {"tier": 2}}]})).unwrap();
-    let verdict = with_facts(|facts| book.decide(facts)).unwrap();
+    // Guards against defaults that allow a request to run twice.
+    let rule_set =
+        RuleSet::try_from(&json!({"rules": [{"name": "r", "then": {"tier": 2}}]})).unwrap();
+    let verdict = with_facts(|facts| rule_set.decide(facts)).unwrap();
     assert!(!verdict.idempotent && !verdict.preemptible && !verdict.dispatch_once);
     assert_eq!((verdict.share, verdict.deadline.as_millis()), (1, 60_000));
 }
 
 #[test]
-fn told_reasons() {
-    let book = RuleSet::try_from(&json!({"rules": [
+fn displayed_reasons() {
+    let rule_set = RuleSet::try_from(&json!({"rules": [
         {"name": "work", "when": {"work": ["dawn-report", "status"]}, "then": {"tier": 0}},
         {"name": "long", "when": {"min_prompt_tokens": 500}, "then": {"tier": 6}},
         {"name": "stream", "when": {"streaming": true}, "then": {"tier": 6}},
     ]}))
     .unwrap();
-    assert_eq!(with_facts(|facts| book.decide(facts)), None);
-    let told = "work: work is nothing, wanted dawn-report or status\n\
+    assert_eq!(with_facts(|facts| rule_set.decide(facts)), None);
+    let displayed = "work: work is nothing, wanted dawn-report or status\n\
         long: min_prompt_tokens is 20, wanted at least 500\n\
         stream: streaming is false, wanted true\n\
         no rule matches\n";
-    assert_eq!(with_facts(|facts| book.explain(facts)).to_string(), told);
+    assert_eq!(
+        with_facts(|facts| rule_set.explain(facts)).to_string(),
+        displayed
+    );
 }
