--- a/bergamotswitch-core/src/node/actions.rs
+++ b/bergamotswitch-core/src/node/actions.rs
@@ -115,12 +115,12 @@
         }
     }
 
-    /// Resend this host's permits, keys and pending asks to an owner whose link was
-    /// re-established.
+    /// Resend this host's permits, keys and pending permit requests to an owner whose
+    /// link was re-established.
     ///
     /// Messages sent over the previous link may be lost, and a restarted owner has no
-    /// state. Membership reports no change for a reconnect of the same host. Without
-    /// the resend, slots of released permits stay occupied until the owner's next
+    /// state. Membership reports no change when the same host reconnects. Without the
+    /// resend, slots of released permits would stay occupied until the owner's next
     /// permit audit, and a request resubmitted at another host could run twice after a
     /// quick restart of the owner.
     pub(super) fn resync_linked(&mut self, now: Moment, host: &HostName) {
@@ -154,13 +154,13 @@
         };
         let text = format!("shard={shard}");
         self.actions.push(NodeAction::LogIncident(incident, text));
-        // Notify the hosts with queued asks, so that they ask the next owner at once
-        // rather than after their re-ask interval of some seconds.
-        let mut asking = match act {
+        // Notify the hosts with queued permit requests, so that they send them to the
+        // next owner at once rather than after their retry interval of some seconds.
+        let mut waiting = match act {
             true => Vec::new(),
-            false => self.shards.asking_hosts(&shard),
+            false => self.shards.waiting_hosts(&shard),
         };
-        asking.extend(self.update_guard(now, &shard, act));
+        waiting.extend(self.update_guard(now, &shard, act));
         if !act {
             self.hand_over(now, &shard, 1.0);
         }
@@ -178,16 +178,16 @@
             // requests would wait for permits until their deadline.
             self.on_owner_change(now, shard.clone(), None);
         }
-        for host in asking {
+        for host in waiting {
             let shard = shard.clone();
             self.send_reply(now, host, OwnerReply::NotOwner { shard });
         }
         self.watch_targets();
     }
 
-    /// Get the event for a host that takes over a shard from an owner that is stopping
-    /// or unreachable. `None` on the first owner that this host knows of: after a
-    /// start, another host may still be acting as owner.
+    /// Get the event for the takeover of a shard from an owner that is stopping or
+    /// unreachable. `None` if this host knows no previous owner, as after its own
+    /// start, or if that owner may still be active.
     fn takeover_event(&self, shard: &PoolShard) -> Option<OwnerEvent> {
         let former = self.exposure.last_owner(shard)?;
         if self.membership.is_stopping(former) {
--- a/bergamotswitch-core/src/node/core.rs
+++ b/bergamotswitch-core/src/node/core.rs
@@ -35,14 +35,14 @@
 pub const PAUSE_THRESHOLD: Duration = Duration::from_secs(2);
 
 /// The fraction of each quota's token bucket that a stopping owner hands over
-/// immediately. The rest serves asks that arrive until all hosts have learned of the
-/// stop.
+/// immediately. The rest serves permit requests that arrive until all hosts have
+/// learned of the stop.
 const STOP_HANDOVER_FRACTION: f64 = 0.5;
 
 /// A `NodeOptions` holds the options of a host's state machines.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NodeOptions {
-    /// The options of the entry desk.
+    /// The options of the entry component, which accepts requests.
     pub entry: EntryOptions,
     /// The options of shard owners.
     pub owner: OwnerOptions,
@@ -115,7 +115,7 @@
     pub(super) stopping: bool,
     pub(super) planned_stop: Option<PlannedStop>,
     /// When enough hosts are expected to accept requests again, as last reported to the
-    /// entry desk.
+    /// entry component.
     pub(super) hosts_back_at: Option<Moment>,
     pub(super) load_permille: u16,
     pub(super) opts: NodeOptions,
@@ -303,7 +303,7 @@
             started_at,
             answers_due: at,
         });
-        // Update the expected return of other hosts first: the entry desk refuses
+        // Update the expected return of other hosts first: the entry component refuses
         // waiting requests on the event below, and sets their retry time from it.
         self.review_host_returns(now);
         self.notify_entry(now, EntryEvent::WholeBy(at));
@@ -349,7 +349,7 @@
 
     pub(super) fn on_owner_message(&mut self, now: Moment, host: HostName, message: OwnerMessage) {
         let shard = message.shard().clone();
-        // Only this host's entry desk may use a degraded owner, which has only this
+        // Only this host's own requests may use a degraded owner, which has only this
         // host's fraction of the capacity.
         if self.shards.serves(&shard, host == self.me.host) {
             let Some(message) = self.guard_message(now, &host, message) else {
--- a/bergamotswitch-core/src/node/host_returns.rs
+++ b/bergamotswitch-core/src/node/host_returns.rs
@@ -51,7 +51,8 @@
 }
 
 impl NodeCore {
-    /// Update the entry desk's estimate of when enough hosts accept requests again.
+    /// Update the estimate of when enough hosts accept requests again, and report
+    /// changes to the entry component.
     pub(super) fn review_host_returns(&mut self, now: Moment) {
         let hosts_back_at = self.enough_hosts_at(now);
         if hosts_back_at != self.hosts_back_at {
--- a/bergamotswitch-core/src/node/intake.rs
+++ b/bergamotswitch-core/src/node/intake.rs
@@ -18,8 +18,8 @@
     pub fn submit(&mut self, now: Moment, submission: Submission) -> (Reception, Vec<NodeAction>) {
         self.detect_pause(now);
         if !self.is_ready(now) {
-            // The entry desk was not consulted: after a pause it may still hold the
-            // request that is resubmitted or forwarded here.
+            // The entry component was not consulted: after a pause it may still hold
+            // the request that is resubmitted or forwarded here.
             let may_be_held = submission.resubmission || submission.holder.is_some();
             let refusal = match may_be_held {
                 true => Refusal::may_have_run(RefusalReason::NotReady),
--- a/bergamotswitch-core/src/node/key_guard.rs
+++ b/bergamotswitch-core/src/node/key_guard.rs
@@ -34,9 +34,10 @@
 /// ten intervals; the rest is left for the report.
 const KEY_REPORT_TIMEOUT_BEATS: u32 = 14;
 
-/// A `HeldAsk` is an ask that is held until the owner has a stable quorum.
+/// A `HeldRequest` is a permit request that is held until the owner has a stable
+/// quorum.
 #[derive(Debug)]
-struct HeldAsk {
+struct HeldRequest {
     host: HostName,
     ask: Ask,
     since: Moment,
@@ -56,7 +57,7 @@
     reported: BTreeSet<HostName>,
     /// The start of the current uninterrupted quorum.
     quorum_since: Option<Moment>,
-    held: BTreeMap<AttemptId, HeldAsk>,
+    held: BTreeMap<AttemptId, HeldRequest>,
 }
 
 impl KeyGuard {
@@ -73,7 +74,7 @@
     }
 
     /// Reset the quorum after a pause in which another host may have taken over. Held
-    /// asks are kept.
+    /// permit requests are kept.
     fn reset(&mut self, now: Moment) {
         let held = std::mem::take(&mut self.held);
         *self = KeyGuard {
@@ -130,7 +131,7 @@
         settled.is_some_and(|settled| now >= settled)
     }
 
-    /// Take the held asks, with their remaining times as of now.
+    /// Take the held permit requests, with their remaining times as of now.
     fn release(&mut self, now: Moment) -> Vec<(HostName, Ask)> {
         let held = std::mem::take(&mut self.held);
         let fresh = held.into_values().filter_map(|held| held.aged(now));
@@ -138,9 +139,10 @@
     }
 }
 
-impl HeldAsk {
-    /// Get the ask with its holding time subtracted from the deadline; `None` if the
-    /// deadline has passed, which its entry host has reported to the caller.
+impl HeldRequest {
+    /// Get the permit request with its holding time subtracted from the deadline;
+    /// `None` if the deadline has passed, which its entry host has reported to the
+    /// caller.
     fn aged(self, now: Moment) -> Option<(HostName, Ask)> {
         let waited = u32::try_from(now.since(self.since).as_millis()).unwrap_or(u32::MAX);
         let left = self.ask.deadline_ms.checked_sub(waited)?;
@@ -160,7 +162,8 @@
 }
 
 impl KeyGuards {
-    /// Start or stop guarding a shard, and get the hosts of the asks that were held.
+    /// Start or stop guarding a shard, and get the hosts whose permit requests were
+    /// held.
     pub(super) fn set_acting(
         &mut self,
         now: Moment,
@@ -197,7 +200,7 @@
             OwnerMessage::Ask(ask)
                 if ask.claim.is_some() && !guard.has_stable_quorum(now, beat) =>
             {
-                let held = HeldAsk {
+                let held = HeldRequest {
                     host: host.clone(),
                     since: now,
                     ask: *ask,
@@ -233,8 +236,8 @@
         let guarded = matches!(&message, OwnerMessage::Ask(ask) if ask.claim.is_some())
             && self.is_guarded(message.shard());
         // A host in degraded mode knows only its own keys, and several hosts may be
-        // degraded at once. The ask is dropped: the entry desk repeats it, or refuses
-        // the request as not run at its deadline.
+        // degraded at once. The permit request is dropped: the entry component repeats
+        // it, or refuses the request as not run at its deadline.
         if guarded && self.shards.is_degraded_shard(message.shard()) {
             return None;
         }
@@ -253,7 +256,7 @@
     }
 
     /// Start or stop guarding a shard when this host becomes or ceases to be its owner;
-    /// get the hosts of the asks that were held.
+    /// get the hosts whose permit requests were held.
     pub(super) fn update_guard(
         &mut self,
         now: Moment,
@@ -265,7 +268,7 @@
     }
 
     /// Poll the candidates for the owner they follow where a poll is due, and release
-    /// the held asks of owners with a stable quorum.
+    /// the held permit requests of owners with a stable quorum.
     pub(super) fn review_guards(&mut self, now: Moment) {
         let beat = self.membership.heartbeat();
         let shards: Vec<PoolShard> = self.key_guards.guards.keys().cloned().collect();
--- a/bergamotswitch-core/src/node/mod.rs
+++ b/bergamotswitch-core/src/node/mod.rs
@@ -1,5 +1,6 @@
-//! Provides the decision logic of a whole host: its entry desk, the shards it owns,
-//! membership and published values, combined without I/O or a clock.
+//! Provides the decision logic of a whole host, without I/O or a clock: the entry
+//! component that accepts requests, the shards that the host owns, membership and
+//! published values.
 
 mod actions;
 mod core;
--- a/bergamotswitch-core/src/node/shards.rs
+++ b/bergamotswitch-core/src/node/shards.rs
@@ -48,8 +48,8 @@
         self.opts = opts.clone();
     }
 
-    /// Get whether asks for the shard are accepted. A degraded owner accepts only asks
-    /// of its own host (`own`).
+    /// Get whether permit requests for the shard are accepted. A degraded owner accepts
+    /// only those of its own host (`own`).
     pub(super) fn serves(&self, shard: &PoolShard, own: bool) -> bool {
         let found = self.owned.iter().find(|owned| owned.shard == *shard);
         found.is_some_and(|owned| own || !owned.degraded)
@@ -98,9 +98,9 @@
     }
 
     /// Notify all owners, except degraded ones, that the process was paused.
-    pub(super) fn on_pause(&mut self, now: Moment, slept: Duration) {
+    pub(super) fn on_pause(&mut self, now: Moment, pause: Duration) {
         for owned in self.owned.iter_mut().filter(|owned| !owned.degraded) {
-            owned.owner.woke(now, slept);
+            owned.owner.woke(now, pause);
         }
     }
 
@@ -137,8 +137,8 @@
         found.map_or_else(Vec::new, |owned| owned.owner.failed_targets(now))
     }
 
-    /// Get the hosts with queued asks for the shard.
-    pub(super) fn asking_hosts(&self, shard: &PoolShard) -> Vec<HostName> {
+    /// Get the hosts with queued permit requests for the shard.
+    pub(super) fn waiting_hosts(&self, shard: &PoolShard) -> Vec<HostName> {
         let found = self.owned.iter().find(|owned| owned.shard == *shard);
         found.map_or_else(Vec::new, |owned| owned.owner.asking_hosts())
     }
--- a/bergamotswitch-core/tests/node_cold_path.rs
+++ b/bergamotswitch-core/tests/node_cold_path.rs
@@ -156,7 +156,7 @@
     let mut run = run(owner.as_str());
     run.incarnation = Incarnation(999);
     node.event(NodeEvent::Link(LinkEvent::Up(run)));
-    // The key of a waiting request is part of its ask.
+    // The key of a waiting request is part of its permit request.
     let resent = node.count(|action| match action {
         NodeAction::Send(to, LinkMessage::ToOwner(message)) if *to == owner => match message {
             OwnerMessage::Retell { .. } => true,
--- a/bergamotswitch-core/tests/node_handover.rs
+++ b/bergamotswitch-core/tests/node_handover.rs
@@ -43,8 +43,8 @@
     );
 }
 
-// Guards against requests that wait for their re-ask interval after an owner gave way
-// to an earlier candidate: it notifies the hosts with queued asks.
+// Guards against permit requests that wait for their retry interval after an owner gave
+// way to an earlier candidate: it notifies the hosts with queued ones.
 #[test]
 fn ceasing_owner_notifies() {
     let hosts: Vec<HostName> = HOSTS.iter().map(|host| name(host)).collect();
--- a/bergamotswitch-core/tests/node_support/mod.rs
+++ b/bergamotswitch-core/tests/node_support/mod.rs
@@ -62,7 +62,7 @@
     node
 }
 
-/// Get an ask of a peer for the shard of the test pool.
+/// Get a permit request of a peer for the shard of the test pool.
 pub fn ask_of(peer: &str) -> Ask {
     let request = RequestId {
         incarnation: run(peer).incarnation,
