--- a/bergamotswitch-core/tests/node_counts.rs
+++ b/bergamotswitch-core/tests/node_counts.rs
@@ -14,7 +14,7 @@
 fn non_candidate() -> TestNode {
     let hosts: Vec<HostName> = HOSTS.iter().map(|host| name(host)).collect();
     let ranked = rendezvous::rank(&shard(), hosts.iter());
-    named(ranked[4].as_str(), HOSTS, json!({}))
+    node_with_hosts(ranked[4].as_str(), HOSTS, json!({}))
 }
 
 // Guards against uncounted admissions and keys while no candidate of the shard is
--- a/bergamotswitch-core/tests/node_handover.rs
+++ b/bergamotswitch-core/tests/node_handover.rs
@@ -52,7 +52,7 @@
     let [first, asking, me] = ranked.as_slice() else {
         panic!("{ranked:?}");
     };
-    let mut node = named(me.as_str(), HOSTS, json!({"token_limit": 1}));
+    let mut node = node_with_hosts(me.as_str(), HOSTS, json!({"token_limit": 1}));
     node.advance(Duration::from_secs(8));
     assert_eq!(node.core.view(node.now).owns, [shard()]);
     for host in [first, asking] {
--- a/bergamotswitch-core/tests/node_support/mod.rs
+++ b/bergamotswitch-core/tests/node_support/mod.rs
@@ -50,13 +50,13 @@
 }
 
 /// Get a host that has just adopted the fleet's published values.
-pub fn named(me: &str, hosts: &[&str], target: Value) -> TestNode {
-    named_with(me, hosts, target, "engine")
+pub fn node_with_hosts(me: &str, hosts: &[&str], target: Value) -> TestNode {
+    node_with_pool_kind(me, hosts, target, "engine")
 }
 
 /// Get a host that has just adopted the published values of a fleet with a pool of this
 /// kind.
-pub fn named_with(me: &str, hosts: &[&str], target: Value, kind: &str) -> TestNode {
+pub fn node_with_pool_kind(me: &str, hosts: &[&str], target: Value, kind: &str) -> TestNode {
     let mut node = TestNode::new(me);
     node.adopt(hosts, &target, kind);
     node
@@ -94,7 +94,7 @@
 impl TestNode {
     /// Get a ready host `me` with the default limits.
     pub fn serving(hosts: &[&str], target: Value) -> Self {
-        let mut node = named("me", hosts, target);
+        let mut node = node_with_hosts("me", hosts, target);
         node.advance(START);
         assert!(node.core.is_ready(node.now));
         node.actions.clear();
