--- a/bergamotswitch-core/src/node/carry_out.rs
+++ b/bergamotswitch-core/src/node/actions.rs
@@ -1,5 +1,6 @@
-//! Provides the carrying out of what one machine of a host wants of another
-//! one or of the world.
+//! Provides the execution of the actions returned by a host's state machines: each is
+//! either passed to another state machine of the same host or turned into a
+//! [`NodeAction`].
 
 use super::NodeAction;
 use super::core::NodeCore;
@@ -15,7 +16,7 @@
 use crate::request::AttemptId;
 
 impl NodeCore {
-    pub(super) fn do_entry(&mut self, now: Moment, action: EntryAction) {
+    pub(super) fn perform_entry_action(&mut self, now: Moment, action: EntryAction) {
         match action {
             EntryAction::Send(host, message) if host == self.me.host => {
                 self.on_owner_message(now, host, message);
@@ -28,11 +29,11 @@
             EntryAction::Conclude(id, conclusion) => {
                 self.actions.push(NodeAction::Conclude(id, conclusion));
             }
-            EntryAction::Forget(id) => self.actions.push(NodeAction::Forget(id)),
+            EntryAction::Forget(id) => self.actions.push(NodeAction::DropAnswer(id)),
             EntryAction::Forward(id, holder) => self.actions.push(NodeAction::Forward(id, holder)),
             EntryAction::Note(incident, id) => {
                 let text = format!("request={id}");
-                self.actions.push(NodeAction::Note(incident, text));
+                self.actions.push(NodeAction::LogIncident(incident, text));
             }
             EntryAction::CountRefusal(tier, reason) => {
                 self.actions.push(NodeAction::CountRefusal(tier, reason));
@@ -65,16 +66,16 @@
                 target: Box::new(placed.target.clone()),
                 kind: placed.pool.kind,
             }),
-            // The owner has a newer or older list of targets than this host:
-            // nothing was sent, the request waits on.
+            // The owner and this host may use different revisions of the target list.
+            // Nothing was sent, so the request keeps waiting.
             None => {
                 let event = AttemptEvent::NotSent(NotSentReason::TargetGone);
-                self.tell_desk(now, EntryEvent::Attempt(attempt, event));
+                self.notify_entry(now, EntryEvent::Attempt(attempt, event));
             }
         }
     }
 
-    pub(super) fn do_owner(&mut self, now: Moment, action: OwnerAction) {
+    pub(super) fn perform_owner_action(&mut self, now: Moment, action: OwnerAction) {
         match action {
             OwnerAction::Reply(host, reply) => {
                 self.count_degraded(&reply);
@@ -83,108 +84,111 @@
             OwnerAction::Note(incident, shard, target) => {
                 let target = target.map_or(String::new(), |target| format!(" target={target}"));
                 let text = format!("shard={shard}{target}");
-                self.actions.push(NodeAction::Note(incident, text));
+                self.actions.push(NodeAction::LogIncident(incident, text));
             }
         }
     }
 
-    pub(super) fn do_membership(&mut self, now: Moment, action: MembershipAction) {
+    pub(super) fn perform_membership_action(&mut self, now: Moment, action: MembershipAction) {
         match action {
             MembershipAction::Connect(host) => self.actions.push(NodeAction::Connect(host)),
-            // The link may still spread published values.
-            MembershipAction::Disconnect(host) if self.book.wants_link(&host) => {}
+            // Keep a link that the distribution of published values still needs.
+            MembershipAction::Disconnect(host) if self.revisions.wants_link(&host) => {}
             MembershipAction::Disconnect(host) => self.actions.push(NodeAction::Disconnect(host)),
             MembershipAction::Send(host, beat) => {
                 let message = LinkMessage::Heartbeat(beat);
                 self.actions.push(NodeAction::Send(host, message));
             }
-            MembershipAction::OwnerChanged(shard, owner) => self.on_owner(now, shard, owner),
-            MembershipAction::Act(shard, act) => self.on_act(now, shard, act),
+            MembershipAction::OwnerChanged(shard, owner) => self.on_owner_change(now, shard, owner),
+            MembershipAction::Act(shard, act) => self.on_acting_change(now, shard, act),
             MembershipAction::HostTerminated(host, run) => {
                 let actions = self
                     .shards
-                    .on_all(now, |_| OwnerEvent::HostGone(host.clone(), run));
+                    .notify_all(now, |_| OwnerEvent::HostGone(host.clone(), run));
                 self.queue_owner(actions);
-                self.exposure.run_ended(now, &host);
+                self.exposure.record_run_end(now, &host);
             }
             MembershipAction::Log(incident, host) => {
                 let text = format!("peer={host}");
-                self.actions.push(NodeAction::Note(incident, text));
+                self.actions.push(NodeAction::LogIncident(incident, text));
             }
         }
     }
 
-    /// Tell an owner that is linked anew what this host holds, and ask again for
-    /// what waits. To membership it is the same host, which announces no change,
-    /// but what was sent over the former link may be lost, and a new run of it
-    /// knows neither keys nor work. Without this, targets stand idle until the
-    /// owner's audit of permits that were given back long ago, and a request
-    /// sent again at another host could run twice after a quick restart.
-    pub(super) fn retell_linked(&mut self, now: Moment, host: &HostName) {
+    /// Resend this host's permits, keys and pending permit requests to an owner whose
+    /// link was re-established.
+    ///
+    /// Messages sent over the previous link may be lost, and a restarted owner has no
+    /// state. Membership reports no change when the same host reconnects. Without the
+    /// resend, slots of released permits would stay occupied until the owner's next
+    /// permit audit, and a request resubmitted at another host could run twice after a
+    /// quick restart of the owner.
+    pub(super) fn resync_linked(&mut self, now: Moment, host: &HostName) {
         for shard in self.exposure.owned_by(host) {
-            self.tell_desk(now, EntryEvent::OwnerIs(shard, host.clone()));
+            self.notify_entry(now, EntryEvent::OwnerIs(shard, host.clone()));
         }
     }
 
-    /// Without a reachable candidate this host admits by itself, with its
-    /// fraction of the capacity and the same order of tiers.
-    fn on_owner(&mut self, now: Moment, shard: PoolShard, owner: Option<HostName>) {
+    /// Apply a change of a shard's owner. If no candidate is reachable, this host
+    /// admits requests itself, in degraded mode: with its fraction of the capacity and
+    /// the same tier order.
+    fn on_owner_change(&mut self, now: Moment, shard: PoolShard, owner: Option<HostName>) {
         let degraded = owner.is_none();
         if degraded {
             let text = format!("shard={shard}");
             self.actions
-                .push(NodeAction::Note(Incident::DegradedAdmission, text));
+                .push(NodeAction::LogIncident(Incident::DegradedAdmission, text));
         }
         self.shards
             .set_degraded(now, &shard, degraded, &self.publication);
         let owner = owner.unwrap_or_else(|| self.me.host.clone());
-        self.exposure.owner_is(now, &shard, &owner);
-        self.tell_desk(now, EntryEvent::OwnerIs(shard, owner));
+        self.exposure.record_owner(now, &shard, &owner);
+        self.notify_entry(now, EntryEvent::OwnerIs(shard, owner));
         self.watch_targets();
     }
 
-    fn on_act(&mut self, now: Moment, shard: PoolShard, act: bool) {
+    fn on_acting_change(&mut self, now: Moment, shard: PoolShard, act: bool) {
         let incident = match act {
             true => Incident::OwnershipTaken,
             false => Incident::OwnershipReleased,
         };
         let text = format!("shard={shard}");
-        self.actions.push(NodeAction::Note(incident, text));
-        // Left to their re-ask interval, the requests that wait here would
-        // stand still for seconds although another host may serve them.
-        let mut asking = match act {
+        self.actions.push(NodeAction::LogIncident(incident, text));
+        // Notify the hosts with queued permit requests, so that they send them to the
+        // next owner at once rather than after their retry interval of some seconds.
+        let mut waiting = match act {
             true => Vec::new(),
-            false => self.shards.asking_hosts(&shard),
+            false => self.shards.waiting_hosts(&shard),
         };
-        asking.extend(self.guard_acting(now, &shard, act));
+        waiting.extend(self.update_guard(now, &shard, act));
         if !act {
             self.hand_over(now, &shard, 1.0);
         }
         self.shards.set_acting(now, &shard, act, &self.publication);
         if act {
-            self.take_in_reports(now, &shard);
+            self.apply_failure_reports(now, &shard);
         }
-        if act && let Some(event) = self.succession(&shard) {
-            let actions = self.shards.on_shard(now, &shard, event);
+        if act && let Some(event) = self.takeover_event(&shard) {
+            let actions = self.shards.notify_shard(now, &shard, event);
             self.queue_owner(actions);
         }
         if !act && self.stopping && self.membership.owner_of(&shard).is_none() {
-            // That nobody else can own the shard was known before this host
-            // ceased to, and is not told again. Without this its callers' work
-            // would wait for permits until its deadline.
-            self.on_owner(now, shard.clone(), None);
+            // Membership already reported that the shard has no other owner and does
+            // not report it again. Fall back to degraded admission now, or pending
+            // requests would wait for permits until their deadline.
+            self.on_owner_change(now, shard.clone(), None);
         }
-        for host in asking {
+        for host in waiting {
             let shard = shard.clone();
             self.send_reply(now, host, OwnerReply::NotOwner { shard });
         }
         self.watch_targets();
     }
 
-    /// Get how this host has followed another owner to its end: that one stops
-    /// or is silent. A host that has just started knows of no owner, and may find
-    /// one beside it.
-    fn succession(&self, shard: &PoolShard) -> Option<OwnerEvent> {
+    /// Get the event for the takeover of a shard from an owner that is stopping or
+    /// unreachable. `None` if this host knows no previous owner, as after its own
+    /// start, or if that owner may still be active.
+    fn takeover_event(&self, shard: &PoolShard) -> Option<OwnerEvent> {
         let former = self.exposure.last_owner(shard)?;
         if self.membership.is_stopping(former) {
             return Some(OwnerEvent::HandedOver);
@@ -194,7 +198,7 @@
     }
 
     pub(super) fn watch_targets(&mut self) {
-        if let Some(targets) = self.shards.changed_watch(&self.publication) {
+        if let Some(targets) = self.shards.updated_watch_list(&self.publication) {
             self.actions.push(NodeAction::WatchTargets(targets));
         }
     }
--- a/bergamotswitch-core/src/node/core.rs
+++ b/bergamotswitch-core/src/node/core.rs
@@ -1,14 +1,14 @@
-//! Provides the join of a host's machines: what one of them wants of another
-//! is carried out here, what it wants of the world becomes a [`NodeAction`].
+//! Provides the event loop of a host's state machines: an action of one state machine
+//! is delivered to another one, or returned to the caller as a [`NodeAction`].
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::exposure::ExposureWatch;
-use super::hand_over::FailureReports;
+use super::exposure::ExposureTracker;
+use super::handover::FailureReports;
+use super::host_returns::PlannedStop;
 use super::key_guard::KeyGuards;
-use super::returns::PlannedEnd;
 use super::shard_use::ShardUse;
 use super::shards::ShardSet;
 use super::{NodeAction, NodeEvent};
@@ -26,60 +26,61 @@
 use crate::roster::{Roster, RosterOptions};
 use crate::target_list::TargetRegister;
 
-/// The longest time between two looks at the clock. Every timer of the
-/// machines is coarser.
+/// The longest interval between two ticks. All timers of the state machines are
+/// coarser.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A gap between two events that is longer than this is a pause of the
-/// process: the loop ticks every [`TICK_INTERVAL`], twenty misses are no
-/// scheduling delay any more.
-pub const PAUSE_BOUND: Duration = Duration::from_secs(2);
+/// The gap between two events above which the process counts as paused. The loop ticks
+/// every [`TICK_INTERVAL`], so a gap of twenty ticks is no scheduling delay.
+pub const PAUSE_THRESHOLD: Duration = Duration::from_secs(2);
 
-/// The part of the quotas' buckets that a stopping owner hands over at once. It
-/// keeps the rest for calls that are asked for until all have heard of its stop.
-const STOP_HAND_OVER: f64 = 0.5;
+/// The fraction of each quota's token bucket that a stopping owner hands over
+/// immediately. The rest serves permit requests that arrive until all hosts have
+/// learned of the stop.
+const STOP_HANDOVER_FRACTION: f64 = 0.5;
 
-/// A `NodeOptions` holds the options of a host's machines.
+/// A `NodeOptions` holds the options of a host's state machines.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NodeOptions {
-    /// The entry side's.
+    /// The options of the entry component, which accepts requests.
     pub entry: EntryOptions,
-    /// The owner side's.
+    /// The options of shard owners.
     pub owner: OwnerOptions,
-    /// Membership's.
+    /// The options of membership.
     pub membership: MembershipOptions,
-    /// The published values'.
+    /// The options of the distribution of published values.
     pub revision: RevisionOptions,
-    /// How long a key may be relied on after its account was last known to
-    /// hold it; for good where absent.
+    /// How long API keys stay valid after the routes were last confirmed to be current;
+    /// unlimited if absent.
     pub key_trust: Option<Duration>,
-    /// How the host finds the others where no host list is published.
+    /// How the host discovers its peers if no host list is published.
     pub roster: Option<RosterSetup>,
-    /// The limits where none are published.
+    /// The fleet limits that apply while none are published.
     pub limits: Option<FleetLimits>,
 }
 
-/// A `RosterSetup` is what a host needs to find the others by itself.
+/// A `RosterSetup` is the configuration with which a host discovers its peers by
+/// gossip.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RosterSetup {
-    /// This host, as others are told of it.
+    /// This host's entry, as announced to the other hosts.
     pub host: EntryHost,
-    /// Where to ask first.
+    /// The seed addresses that are contacted first.
     pub seeds: Vec<SocketAddr>,
-    /// The time of day at the process's start, in milliseconds.
+    /// The wall-clock time at which the process started, in milliseconds.
     pub started_at_ms: u64,
-    /// The bounds.
+    /// The options of the roster.
     pub options: RosterOptions,
 }
 
 impl NodeOptions {
-    /// Set the bounds of membership.
+    /// Set the options of membership.
     pub fn with_membership(mut self, opts: MembershipOptions) -> Self {
         self.membership = opts;
         self
     }
 
-    /// Set what the published limits bound.
+    /// Apply published fleet limits to the options they affect.
     pub fn with_limits(self, limits: &FleetLimits) -> Self {
         NodeOptions {
             entry: self.entry.with_limits(limits),
@@ -93,52 +94,54 @@
     }
 }
 
-/// One piece of work between two machines of the same host.
-enum Step {
+/// An action of one state machine that waits for its execution.
+enum QueuedAction {
     Entry(EntryAction),
     Owner(OwnerAction),
     Membership(MembershipAction),
     Revision(RevisionAction),
 }
 
-/// A `NodeCore` is all decisions of one host.
+/// A `NodeCore` is the decision logic of one host, without I/O: it takes events and
+/// returns actions.
 pub struct NodeCore {
     pub(super) me: HostIncarnation,
     pub(super) domain: DomainName,
     pub(super) publication: Publication,
-    pub(super) desk: EntryDesk,
+    pub(super) entry: EntryDesk,
     pub(super) shards: ShardSet,
     pub(super) membership: Membership,
-    pub(super) book: RevisionReplica,
+    pub(super) revisions: RevisionReplica,
     pub(super) stopping: bool,
-    pub(super) planned_end: Option<PlannedEnd>,
-    /// When enough hosts take callers again, as the desk was told last.
-    pub(super) back_at: Option<Moment>,
+    pub(super) planned_stop: Option<PlannedStop>,
+    /// When enough hosts are expected to accept requests again, as last reported to the
+    /// entry component.
+    pub(super) hosts_back_at: Option<Moment>,
     pub(super) load_permille: u16,
     pub(super) opts: NodeOptions,
     pub(super) shard_use: ShardUse,
-    pub(super) exposure: ExposureWatch,
+    pub(super) exposure: ExposureTracker,
     pub(super) key_guards: KeyGuards,
     pub(super) failure_reports: FailureReports,
     pub(super) roster: Option<Roster>,
     pub(super) register: TargetRegister,
-    last_seen: Moment,
-    steps: VecDeque<Step>,
+    last_event_at: Moment,
+    queue: VecDeque<QueuedAction>,
     pub(super) actions: Vec<NodeAction>,
 }
 
 impl NodeCore {
-    /// Get a host that knows nothing yet.
+    /// Get a host without any published values or peers.
     pub fn new(me: HostIncarnation, domain: DomainName, opts: NodeOptions, now: Moment) -> Self {
         let opts = NodeOptions {
             entry: opts.entry.with_domain(domain.clone()),
             ..opts
         };
         NodeCore {
-            desk: EntryDesk::new(me.clone(), opts.entry.clone()),
+            entry: EntryDesk::new(me.clone(), opts.entry.clone()),
             shards: ShardSet::new(me.clone(), opts.owner.clone()),
             membership: Membership::new(me.clone(), opts.membership.clone(), now),
-            book: RevisionReplica::new(me.clone(), domain.clone(), opts.revision.clone(), now),
+            revisions: RevisionReplica::new(me.clone(), domain.clone(), opts.revision.clone(), now),
             publication: match opts.roster {
                 Some(_) => Publication::routed(opts.limits.clone().unwrap_or_default()),
                 None => Publication::default(),
@@ -150,16 +153,16 @@
             }),
             register: TargetRegister::default(),
             stopping: false,
-            planned_end: None,
-            back_at: None,
+            planned_stop: None,
+            hosts_back_at: None,
             load_permille: 0,
             opts,
             shard_use: ShardUse::default(),
-            exposure: ExposureWatch::default(),
+            exposure: ExposureTracker::default(),
             key_guards: KeyGuards::default(),
             failure_reports: FailureReports::default(),
-            last_seen: now,
-            steps: VecDeque::new(),
+            last_event_at: now,
+            queue: VecDeque::new(),
             actions: Vec::new(),
             me,
             domain,
@@ -171,150 +174,154 @@
         &self.publication
     }
 
-    /// Get when [`NodeEvent::Tick`] is due at the latest.
+    /// Get the latest time at which the next [`NodeEvent::Tick`] is due.
     pub fn next_wake(&self) -> Moment {
         let machines = [
-            self.desk.next_wake(),
+            self.entry.next_wake(),
             self.shards.next_wake(),
             self.membership.next_wake(),
-            self.book.next_wake(),
+            self.revisions.next_wake(),
         ];
-        let latest = self.last_seen.plus(TICK_INTERVAL);
-        let latest = latest.min(self.next_news());
+        let latest = self.last_event_at.plus(TICK_INTERVAL);
+        let latest = latest.min(self.next_discovery());
         machines.into_iter().fold(latest, Moment::min)
     }
 
-    /// Let one event happen and get what is to be done.
+    /// Handle an event and get the actions to perform.
     pub fn handle(&mut self, now: Moment, event: NodeEvent) -> Vec<NodeAction> {
-        self.notice_pause(now);
+        self.detect_pause(now);
         match event {
-            NodeEvent::CallerLeft(id) => self.tell_desk(now, EntryEvent::CallerLeft(id)),
-            NodeEvent::Attempt(id, event) => self.tell_desk(now, EntryEvent::Attempt(id, event)),
-            NodeEvent::Overlong(id) => self.tell_desk(now, EntryEvent::Overlong(id)),
+            NodeEvent::CallerDisconnected(id) => self.notify_entry(now, EntryEvent::CallerLeft(id)),
+            NodeEvent::Attempt(id, event) => self.notify_entry(now, EntryEvent::Attempt(id, event)),
+            NodeEvent::AnswerTooLong(id) => self.notify_entry(now, EntryEvent::Overlong(id)),
             NodeEvent::AnswerSize(id, bytes) => {
-                self.tell_desk(now, EntryEvent::AnswerSize(id, bytes));
+                self.notify_entry(now, EntryEvent::AnswerSize(id, bytes));
             }
             NodeEvent::Link(event) => self.on_link(now, event),
-            NodeEvent::Read(value) => self.tell_book(now, RevisionEvent::Read(value)),
-            NodeEvent::Unchanged(name) => self.tell_book(now, RevisionEvent::Unchanged(name)),
+            NodeEvent::Read(value) => self.notify_revisions(now, RevisionEvent::Read(value)),
+            NodeEvent::Unchanged(name) => {
+                self.notify_revisions(now, RevisionEvent::Unchanged(name))
+            }
             NodeEvent::ReadFailed(name) => self.on_read_failed(now, name),
-            NodeEvent::Targets(news) => self.on_target_news(now, news),
+            NodeEvent::Targets(update) => self.on_target_update(now, update),
             NodeEvent::Gossip(message) => self.on_gossip(now, *message),
             NodeEvent::Seeds(seeds) => self.on_seeds(seeds),
             NodeEvent::Load(name, report) => {
-                let actions = self.shards.on_target(now, &name.clone(), |_| {
+                let actions = self.shards.notify_target(now, &name.clone(), |_| {
                     OwnerEvent::Load(name.clone(), report)
                 });
                 self.queue_owner(actions);
             }
             NodeEvent::Prefix(name, prefix, held) => {
-                let actions = self.shards.on_target(now, &name.clone(), |_| {
+                let actions = self.shards.notify_target(now, &name.clone(), |_| {
                     OwnerEvent::Prefix(name.clone(), prefix, held)
                 });
                 self.queue_owner(actions);
             }
             NodeEvent::HostLoad(permille) => {
                 self.load_permille = permille;
-                self.tell_membership(now, MembershipEvent::Load(permille));
+                self.notify_membership(now, MembershipEvent::Load(permille));
             }
             NodeEvent::Stop => self.on_stop(now),
-            NodeEvent::WholeBy(at) => self.on_whole_by(now, at),
-            NodeEvent::DoorShut => self.tell_desk(now, EntryEvent::DoorShut),
-            NodeEvent::CutOff => self.tell_desk(now, EntryEvent::CutOff),
+            NodeEvent::AnswerDeadline(at) => self.on_answer_deadline(now, at),
+            NodeEvent::AdmissionClosed => self.notify_entry(now, EntryEvent::DoorShut),
+            NodeEvent::GraceExpired => self.notify_entry(now, EntryEvent::CutOff),
             NodeEvent::Tick => self.on_tick(now),
         }
         self.finish(now)
     }
 
-    /// Carry out what is left between the machines and get the rest.
+    /// Run the queued internal actions and get the actions to perform outside.
     pub(super) fn finish(&mut self, now: Moment) -> Vec<NodeAction> {
-        self.run_steps(now);
+        self.run_queue(now);
         self.track_use(now);
-        self.run_steps(now);
+        self.run_queue(now);
         std::mem::take(&mut self.actions)
     }
 
-    /// A process that was paused still believes old facts: its permits, its
-    /// peers' silence and its own ownership are all as old as the pause. One
-    /// notices it by the gap since the last event, and tells every machine
-    /// before anything else happens.
-    pub(super) fn notice_pause(&mut self, now: Moment) {
-        let gap = now.since(self.last_seen);
-        self.last_seen = now;
-        // The sleep may have begun just after the last event, or a tick before
-        // the next one was due.
+    /// Detect a pause of the process by the time since the last event, and notify every
+    /// state machine before the current event is handled.
+    ///
+    /// After a pause the host's permits, view of its peers and ownership may be out of
+    /// date.
+    pub(super) fn detect_pause(&mut self, now: Moment) {
+        let gap = now.since(self.last_event_at);
+        self.last_event_at = now;
+        // The length of the pause is known only to within one tick: a gap one tick
+        // short of the suspicion time counts as well.
         if gap + TICK_INTERVAL >= self.membership.suspect_after() {
-            self.shards.woke(now, gap);
+            self.shards.on_pause(now, gap);
         }
-        if gap <= PAUSE_BOUND {
+        if gap <= PAUSE_THRESHOLD {
             return;
         }
         let text = format!("slept_ms={}", gap.as_millis());
         self.actions
-            .push(NodeAction::Note(Incident::PauseDetected, text));
-        self.wake_roster(now);
-        self.tell_membership(now, MembershipEvent::Resumed(gap));
-        self.key_guards.restart(now);
-        self.tell_book(now, RevisionEvent::Resumed(gap));
-        self.tell_desk(now, EntryEvent::Woke(gap));
-        self.run_steps(now);
+            .push(NodeAction::LogIncident(Incident::PauseDetected, text));
+        self.notify_roster_of_pause(now);
+        self.notify_membership(now, MembershipEvent::Resumed(gap));
+        self.key_guards.reset(now);
+        self.notify_revisions(now, RevisionEvent::Resumed(gap));
+        self.notify_entry(now, EntryEvent::Woke(gap));
+        self.run_queue(now);
     }
 
     pub(super) fn on_tick(&mut self, now: Moment) {
-        self.review_news(now);
-        self.tell_membership(now, MembershipEvent::Tick);
-        self.tell_book(now, RevisionEvent::Tick);
-        let actions = self.shards.on_all(now, |_| OwnerEvent::Tick);
+        self.review_discovery(now);
+        self.notify_membership(now, MembershipEvent::Tick);
+        self.notify_revisions(now, RevisionEvent::Tick);
+        let actions = self.shards.notify_all(now, |_| OwnerEvent::Tick);
         self.queue_owner(actions);
         self.review_guards(now);
-        self.review_returns(now);
-        self.tell_desk(now, EntryEvent::Tick);
+        self.review_host_returns(now);
+        self.notify_entry(now, EntryEvent::Tick);
     }
 
     fn on_stop(&mut self, now: Moment) {
         if self.stopping {
-            self.actions
-                .push(NodeAction::Note(Incident::StopRepeated, String::new()));
+            self.actions.push(NodeAction::LogIncident(
+                Incident::StopRepeated,
+                String::new(),
+            ));
             return;
         }
         self.stopping = true;
-        self.tell_membership(now, MembershipEvent::Stop);
-        let actions = self.shards.on_all(now, |_| OwnerEvent::Stopping);
+        self.notify_membership(now, MembershipEvent::Stop);
+        let actions = self.shards.notify_all(now, |_| OwnerEvent::Stopping);
         self.queue_owner(actions);
-        // Peers hear of the stop before this: the heartbeats that tell it wait
-        // in front of it.
-        self.run_steps(now);
+        // Send the heartbeats that announce the stop before the handover messages.
+        self.run_queue(now);
         for shard in self.membership.acting_shards() {
-            self.hand_over(now, &shard, STOP_HAND_OVER);
+            self.hand_over(now, &shard, STOP_HANDOVER_FRACTION);
         }
-        self.tell_desk(now, EntryEvent::Stop);
+        self.notify_entry(now, EntryEvent::Stop);
     }
 
-    fn on_whole_by(&mut self, now: Moment, at: Moment) {
-        let begun_at = self.planned_end.map_or(now, |end| end.begun_at);
-        self.planned_end = Some(PlannedEnd {
-            begun_at,
-            whole_by: at,
+    fn on_answer_deadline(&mut self, now: Moment, at: Moment) {
+        let started_at = self.planned_stop.map_or(now, |stop| stop.started_at);
+        self.planned_stop = Some(PlannedStop {
+            started_at,
+            answers_due: at,
         });
-        // What waits is turned away with the event below, and told when to come
-        // back.
-        self.review_returns(now);
-        self.tell_desk(now, EntryEvent::WholeBy(at));
+        // Update the expected return of other hosts first: the entry component refuses
+        // waiting requests on the event below, and sets their retry time from it.
+        self.review_host_returns(now);
+        self.notify_entry(now, EntryEvent::WholeBy(at));
     }
 
     fn on_link(&mut self, now: Moment, event: LinkEvent) {
         match event {
             LinkEvent::Up(run) => {
                 let host = run.host.clone();
-                self.tell_membership(now, MembershipEvent::LinkUp(run));
-                self.retell_linked(now, &host);
-                self.tell_failed(now, &host);
-                self.tell_book(now, RevisionEvent::PeerUp(host));
+                self.notify_membership(now, MembershipEvent::LinkUp(run));
+                self.resync_linked(now, &host);
+                self.send_all_failed_targets(now, &host);
+                self.notify_revisions(now, RevisionEvent::PeerUp(host));
             }
             LinkEvent::Down(run) => {
                 let host = run.host.clone();
-                self.tell_membership(now, MembershipEvent::LinkDown(run));
-                self.tell_book(now, RevisionEvent::PeerDown(host));
+                self.notify_membership(now, MembershipEvent::LinkDown(run));
+                self.notify_revisions(now, RevisionEvent::PeerDown(host));
             }
             LinkEvent::Message(run, message) => self.on_message(now, run.host, message),
         }
@@ -323,40 +330,40 @@
     fn on_message(&mut self, now: Moment, host: HostName, message: LinkMessage) {
         match message {
             LinkMessage::Heartbeat(beat) => {
-                self.tell_membership(now, MembershipEvent::Heartbeat(host, beat));
+                self.notify_membership(now, MembershipEvent::Heartbeat(host, beat));
                 return;
             }
             LinkMessage::ToOwner(message) => self.on_owner_message(now, host.clone(), message),
             LinkMessage::FromOwner(OwnerReply::NotOwner { shard }) => {
-                self.tell_membership(now, MembershipEvent::NotOwner(host.clone(), shard));
+                self.notify_membership(now, MembershipEvent::NotOwner(host.clone(), shard));
             }
             LinkMessage::FromOwner(reply) => {
-                self.tell_desk(now, EntryEvent::Reply(host.clone(), reply));
+                self.notify_entry(now, EntryEvent::Reply(host.clone(), reply));
             }
             LinkMessage::Revision(message) => {
-                self.tell_book(now, RevisionEvent::Peer(host.clone(), message));
+                self.notify_revisions(now, RevisionEvent::Peer(host.clone(), message));
             }
         }
-        self.tell_membership(now, MembershipEvent::Traffic(host));
+        self.notify_membership(now, MembershipEvent::Traffic(host));
     }
 
     pub(super) fn on_owner_message(&mut self, now: Moment, host: HostName, message: OwnerMessage) {
         let shard = message.shard().clone();
-        // Only the own desk may use a degraded owner: it has but this host's
-        // fraction of the capacity to give.
+        // Only this host's own requests may use a degraded owner, which has only this
+        // host's fraction of the capacity.
         if self.shards.serves(&shard, host == self.me.host) {
             let Some(message) = self.guard_message(now, &host, message) else {
                 return;
             };
             let event = OwnerEvent::Message(host, message);
-            let actions = self.shards.on_shard(now, &shard, event);
+            let actions = self.shards.notify_shard(now, &shard, event);
             self.queue_owner(actions);
             return;
         }
         match message {
-            // This host may order the shard a moment later.
+            // Keep the report: this host may become the shard's owner shortly.
             OwnerMessage::FailedTargets { shard, targets } => {
-                self.failure_reports.note(now, shard, targets);
+                self.failure_reports.record(now, shard, targets);
             }
             _ => self.send_reply(now, host, OwnerReply::NotOwner { shard }),
         }
@@ -370,44 +377,48 @@
         }
         match reply {
             OwnerReply::NotOwner { .. } => {}
-            reply => self.tell_desk(now, EntryEvent::Reply(host, reply)),
+            reply => self.notify_entry(now, EntryEvent::Reply(host, reply)),
         }
     }
 
-    pub(super) fn tell_desk(&mut self, now: Moment, event: EntryEvent) {
-        let actions = self.desk.handle(now, event);
+    pub(super) fn notify_entry(&mut self, now: Moment, event: EntryEvent) {
+        let actions = self.entry.handle(now, event);
         self.queue_entry(actions);
     }
 
     pub(super) fn queue_entry(&mut self, actions: Vec<EntryAction>) {
-        self.steps.extend(actions.into_iter().map(Step::Entry));
+        self.queue
+            .extend(actions.into_iter().map(QueuedAction::Entry));
     }
 
-    pub(super) fn tell_membership(&mut self, now: Moment, event: MembershipEvent) {
+    pub(super) fn notify_membership(&mut self, now: Moment, event: MembershipEvent) {
         let actions = self.membership.handle(now, event);
-        self.steps.extend(actions.into_iter().map(Step::Membership));
+        self.queue
+            .extend(actions.into_iter().map(QueuedAction::Membership));
     }
 
-    pub(super) fn tell_book(&mut self, now: Moment, event: RevisionEvent) {
-        let actions = self.book.handle(now, event);
+    pub(super) fn notify_revisions(&mut self, now: Moment, event: RevisionEvent) {
+        let actions = self.revisions.handle(now, event);
         self.queue_revision(actions);
     }
 
     pub(super) fn queue_revision(&mut self, actions: Vec<RevisionAction>) {
-        self.steps.extend(actions.into_iter().map(Step::Revision));
+        self.queue
+            .extend(actions.into_iter().map(QueuedAction::Revision));
     }
 
     pub(super) fn queue_owner(&mut self, actions: Vec<OwnerAction>) {
-        self.steps.extend(actions.into_iter().map(Step::Owner));
+        self.queue
+            .extend(actions.into_iter().map(QueuedAction::Owner));
     }
 
-    fn run_steps(&mut self, now: Moment) {
-        while let Some(step) = self.steps.pop_front() {
-            match step {
-                Step::Entry(action) => self.do_entry(now, action),
-                Step::Owner(action) => self.do_owner(now, action),
-                Step::Membership(action) => self.do_membership(now, action),
-                Step::Revision(action) => self.do_revision(now, action),
+    fn run_queue(&mut self, now: Moment) {
+        while let Some(queued) = self.queue.pop_front() {
+            match queued {
+                QueuedAction::Entry(action) => self.perform_entry_action(now, action),
+                QueuedAction::Owner(action) => self.perform_owner_action(now, action),
+                QueuedAction::Membership(action) => self.perform_membership_action(now, action),
+                QueuedAction::Revision(action) => self.perform_revision_action(now, action),
             }
         }
     }
--- a/bergamotswitch-core/src/node/news.rs
+++ b/bergamotswitch-core/src/node/discovery.rs
@@ -1,5 +1,5 @@
-//! Provides what a host hears of targets from the store and of hosts from
-//! other hosts, and how old its knowledge of keys is.
+//! Provides the discovery of targets from the store and of hosts by gossip, and the age
+//! check of API keys.
 
 use super::NodeAction;
 use super::core::NodeCore;
@@ -13,8 +13,8 @@
 use crate::target_list::TargetUpdate;
 
 impl NodeCore {
-    /// Get when news is due without an event.
-    pub(super) fn next_news(&self) -> Moment {
+    /// Get when the next timer of the roster or the target register is due.
+    pub(super) fn next_discovery(&self) -> Moment {
         let round = self
             .roster
             .as_ref()
@@ -22,8 +22,9 @@
         round.min(self.register.next_due())
     }
 
-    /// Do what is due, and tell the others this host's state.
-    pub(super) fn review_news(&mut self, now: Moment) {
+    /// Drop expired targets and run the gossip round that is due, with this host's
+    /// current state.
+    pub(super) fn review_discovery(&mut self, now: Moment) {
         if self.register.drop_expired(now) {
             self.publish_targets(now);
         }
@@ -37,7 +38,7 @@
         roster.set_flags(now, flags);
         let sent = roster.tick(now);
         self.send_gossip(sent);
-        self.take_hosts(now);
+        self.apply_host_changes(now);
     }
 
     pub(super) fn on_gossip(&mut self, now: Moment, message: RosterMessage) {
@@ -46,7 +47,7 @@
         };
         let answers = roster.handle(now, message);
         self.send_gossip(answers);
-        self.take_hosts(now);
+        self.apply_host_changes(now);
     }
 
     pub(super) fn on_seeds(&mut self, seeds: Vec<std::net::SocketAddr>) {
@@ -55,13 +56,13 @@
         }
     }
 
-    pub(super) fn wake_roster(&mut self, now: Moment) {
+    pub(super) fn notify_roster_of_pause(&mut self, now: Moment) {
         if let Some(roster) = &mut self.roster {
             roster.resume(now);
         }
     }
 
-    /// Get the hosts that take callers, as far as this one has heard.
+    /// Get the hosts that accept requests, as known to this host.
     pub fn ready_hosts(&self, now: Moment) -> Vec<EntryHost> {
         let roster = self.roster.as_ref();
         roster.map_or_else(Vec::new, |roster| roster.ready_hosts(now))
@@ -71,26 +72,26 @@
         if name.as_str() == TARGETS_VALUE {
             self.register.record_failure();
         }
-        self.tell_book(now, RevisionEvent::ReadFailed(name));
+        self.notify_revisions(now, RevisionEvent::ReadFailed(name));
     }
 
-    pub(super) fn on_target_news(&mut self, now: Moment, news: TargetUpdate) {
-        match self.register.apply(now, news) {
+    pub(super) fn on_target_update(&mut self, now: Moment, update: TargetUpdate) {
+        match self.register.apply(now, update) {
             true => self.publish_targets(now),
             false => {
                 let name = value_name(TARGETS_VALUE);
-                self.tell_book(now, RevisionEvent::Unchanged(name));
+                self.notify_revisions(now, RevisionEvent::Unchanged(name));
             }
         }
     }
 
-    /// Get whether keys may be relied on: not where the newest routes may have
-    /// been published, without a key, too long ago for this host to have heard.
+    /// Get whether API keys may be accepted: the routes were confirmed to be current
+    /// recently enough that a revoked key would be known.
     pub fn trusts_keys(&self, now: Moment) -> bool {
         let Some(bound) = self.opts.key_trust else {
             return true;
         };
-        let age = self.book.confirmed_age(now, &value_name(ROUTES_VALUE));
+        let age = self.revisions.confirmed_age(now, &value_name(ROUTES_VALUE));
         age.is_some_and(|age| age <= bound)
     }
 
@@ -103,7 +104,7 @@
             revision: self.register.revision(),
             body,
         };
-        self.tell_book(now, RevisionEvent::Read(value));
+        self.notify_revisions(now, RevisionEvent::Read(value));
     }
 
     fn send_gossip(&mut self, sent: Vec<RosterAction>) {
@@ -111,8 +112,8 @@
             .extend(sent.into_iter().map(NodeAction::Gossip));
     }
 
-    /// Take up the hosts that are counted on, where they have changed.
-    fn take_hosts(&mut self, now: Moment) {
+    /// Apply changes of the discovered hosts to the publication.
+    fn apply_host_changes(&mut self, now: Moment) {
         let Some(roster) = &mut self.roster else {
             return;
         };
@@ -123,8 +124,8 @@
             targets: std::mem::take(&mut self.publication.hosts.targets),
             ..hosts
         };
-        self.tell_hosts(now);
-        let actions = self.shards.retarget(now, &self.publication);
+        self.notify_hosts(now);
+        let actions = self.shards.apply_publication(now, &self.publication);
         self.queue_owner(actions);
         self.actions
             .push(NodeAction::Published(value_name(HOSTS_VALUE)));
--- /dev/null
+++ b/bergamotswitch-core/src/node/handover.rs
@@ -0,0 +1,122 @@
+//! Provides the handover of state from the owner of a shard to its successor, or to
+//! another host that also acts as owner.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use super::NodeAction;
+use super::core::NodeCore;
+use crate::clock::Moment;
+use crate::host::HostName;
+use crate::link::LinkMessage;
+use crate::permit::{FailedTarget, OwnerMessage};
+use crate::pool::PoolShard;
+use crate::pool_owner::OwnerEvent;
+
+/// How long reports of failed targets are kept by a host that does not own their shard.
+/// A newly started owner takes over within a second.
+const REPORT_RETENTION: Duration = Duration::from_secs(5);
+
+/// The maximum number of shards for which reports are kept.
+const MAX_REPORTED_SHARDS: usize = 64;
+
+/// A `FailureReports` holds reports of failed targets for shards that this host does
+/// not own yet.
+#[derive(Debug, Default)]
+pub(super) struct FailureReports {
+    shards: BTreeMap<PoolShard, (Moment, Vec<FailedTarget>)>,
+}
+
+impl FailureReports {
+    /// Record a report, replacing the earlier one of the shard. Evicts the oldest
+    /// report at the limit.
+    pub(super) fn record(&mut self, now: Moment, shard: PoolShard, targets: Vec<FailedTarget>) {
+        let is_new = !self.shards.contains_key(&shard);
+        if is_new && self.shards.len() >= MAX_REPORTED_SHARDS {
+            self.drop_oldest();
+        }
+        self.shards.insert(shard, (now, targets));
+    }
+
+    fn drop_oldest(&mut self) {
+        let oldest = self
+            .shards
+            .iter()
+            .min_by_key(|(_, (received_at, _))| *received_at);
+        if let Some(shard) = oldest.map(|(shard, _)| shard.clone()) {
+            self.shards.remove(&shard);
+        }
+    }
+
+    /// Take the recent report of a shard, with the times until the next probes reduced
+    /// by the age of the report.
+    fn take(&mut self, now: Moment, shard: &PoolShard) -> Vec<FailedTarget> {
+        let Some((received_at, mut targets)) = self.shards.remove(shard) else {
+            return Vec::new();
+        };
+        let age = now.since(received_at);
+        if age >= REPORT_RETENTION {
+            return Vec::new();
+        }
+        let age_ms = age.as_millis() as u32;
+        for target in &mut targets {
+            target.probe_in_ms = target.probe_in_ms.saturating_sub(age_ms);
+        }
+        targets
+    }
+}
+
+impl NodeCore {
+    /// Hand over quota levels and failed targets to a shard's next owner. `fraction` is
+    /// the part of each quota's token bucket to transfer.
+    ///
+    /// Without this, the next owner would start with empty token buckets and refuse
+    /// calls of accounts within their quota, and would send work to failed targets,
+    /// which look idle to it.
+    pub(super) fn hand_over(&mut self, now: Moment, shard: &PoolShard, fraction: f64) {
+        let next = self.membership.owner_of(shard).cloned();
+        let Some(next) = next.filter(|next| *next != self.me.host) else {
+            return;
+        };
+        self.send_failed_targets(now, shard.clone(), &next);
+        let levels = self.shards.hand_over_quotas(now, shard, fraction);
+        if !levels.is_empty() {
+            let shard = shard.clone();
+            self.send_to_owner(&next, OwnerMessage::QuotaLevels { shard, levels });
+        }
+    }
+
+    /// Send the failed targets of all shards that this host owns to a newly connected
+    /// host. A first candidate that has just started becomes owner at once and has no
+    /// failure state.
+    pub(super) fn send_all_failed_targets(&mut self, now: Moment, host: &HostName) {
+        for shard in self.membership.acting_shards() {
+            self.send_failed_targets(now, shard, host);
+        }
+    }
+
+    /// Apply the recorded failure report to the owner that this host has just become.
+    pub(super) fn apply_failure_reports(&mut self, now: Moment, shard: &PoolShard) {
+        let targets = self.failure_reports.take(now, shard);
+        let message = OwnerMessage::FailedTargets {
+            shard: shard.clone(),
+            targets,
+        };
+        let event = OwnerEvent::Message(self.me.host.clone(), message);
+        let actions = self.shards.notify_shard(now, shard, event);
+        self.queue_owner(actions);
+    }
+
+    pub(super) fn send_to_owner(&mut self, owner: &HostName, message: OwnerMessage) {
+        let message = LinkMessage::ToOwner(message);
+        self.actions.push(NodeAction::Send(owner.clone(), message));
+    }
+
+    fn send_failed_targets(&mut self, now: Moment, shard: PoolShard, host: &HostName) {
+        let targets = self.shards.failed_targets(now, &shard);
+        if !targets.is_empty() {
+            let message = OwnerMessage::FailedTargets { shard, targets };
+            self.send_to_owner(host, message);
+        }
+    }
+}
--- a/bergamotswitch-core/src/rules/reading.rs
+++ b/bergamotswitch-core/src/rules/parse.rs
@@ -1,11 +1,11 @@
-//! Provides the reading of published rules.
+//! Provides the parsing of published rules.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
 use serde_json::Value;
 
-use super::{Rule, RuleBook, RuleCondition, RuleEffect, TIER_COUNT, Tier};
+use super::{Rule, RuleCondition, RuleEffect, RuleSet, TIER_COUNT, Tier};
 use crate::error::Findings;
 use crate::publication::json_node::{JsonNode, ReadJson, read_value};
 use crate::publication::object_reader::ObjectReader;
@@ -16,16 +16,16 @@
 pub const TIER_RANGE: RangeInclusive<u64> = 0..=TIER_COUNT as u64 - 1;
 /// The allowed weights of an account's share.
 pub const SHARE_RANGE: RangeInclusive<u64> = 1..=1_000;
-/// The weight of an account's share where the rule says none.
+/// The default weight of an account's share.
 pub const DEFAULT_SHARE: u64 = 1;
-/// The allowed deadlines in milliseconds, up to a day.
+/// The allowed deadlines in milliseconds, up to one day.
 pub const DEADLINE_RANGE: RangeInclusive<u64> = 1..=86_400_000;
-/// The deadline in milliseconds where the rule says none.
+/// The default deadline in milliseconds.
 pub const DEFAULT_DEADLINE_MS: u64 = 60_000;
-/// The allowed bounds of prompt tokens.
+/// The allowed prompt token counts.
 pub const PROMPT_TOKENS_RANGE: RangeInclusive<u64> = 0..=u32::MAX as u64;
 
-impl TryFrom<&Value> for RuleBook {
+impl TryFrom<&Value> for RuleSet {
     type Error = Findings;
 
     fn try_from(value: &Value) -> Result<Self, Findings> {
@@ -33,14 +33,14 @@
     }
 }
 
-impl ReadJson for RuleBook {
+impl ReadJson for RuleSet {
     fn read(node: &JsonNode<'_>, findings: &mut Findings) -> Option<Self> {
         let mut object = ObjectReader::open(node, findings)?;
         let rules = object.required("rules");
         object.finish();
         let elements = node.field("rules").map(|list| list.elements());
         refuse_repeated_names(&elements.unwrap_or_default(), findings);
-        Some(RuleBook { rules: rules? })
+        Some(RuleSet { rules: rules? })
     }
 }
 
@@ -106,7 +106,7 @@
         match node.text() {
             Some(text) if text.starts_with('/') => Some(PathPrefix(text.to_owned())),
             _ => {
-                node.refuse(findings, "the beginning of a path, with its leading /");
+                node.refuse(findings, "a path prefix that starts with /");
                 None
             }
         }
@@ -134,7 +134,7 @@
             preemptible: preemptible?,
             deadline: Duration::from_millis(deadline_ms),
         };
-        check_marks(node, &effect, findings);
+        check_flags(node, &effect, findings);
         Some(effect)
     }
 }
@@ -146,21 +146,21 @@
     }
 }
 
-/// Note marks that contradict each other. Which of the two would win is not
-/// for a guess: the loser is a second run or a lost request.
-fn check_marks(node: &JsonNode<'_>, effect: &RuleEffect, findings: &mut Findings) {
+/// Add findings for flags that contradict each other. Neither takes precedence: a wrong
+/// choice would cause a second run or a lost request.
+fn check_flags(node: &JsonNode<'_>, effect: &RuleEffect, findings: &mut Findings) {
     if effect.dispatch_once && effect.idempotent {
         findings.add(
             format!("{}/idempotent", node.place()),
-            "true beside dispatch_once",
-            "false: what is dispatched once is never run again",
+            "true together with dispatch_once",
+            "false: a request that is dispatched at most once never runs again",
         );
     }
     if effect.preemptible && !effect.idempotent {
         findings.add(
             format!("{}/preemptible", node.place()),
             "true without idempotent",
-            "false: a stopped stream runs again, which must do no harm",
+            "false: a preempted stream runs again, so it must be idempotent",
         );
     }
 }
--- a/bergamotswitch-core/src/rules/trace.rs
+++ b/bergamotswitch-core/src/rules/trace.rs
@@ -1,4 +1,5 @@
-//! Provides the trace of a decision: which rules did not match, and why.
+//! Provides the trace of a rule decision: the rules that were evaluated, and why they
+//! did not match.
 
 use std::fmt;
 
@@ -7,35 +8,36 @@
 use super::rule::{ConditionPart, Rule};
 use super::{RequestFacts, RuleCondition, RuleName};
 
-/// A `RuleTrace` is what each rule said of a request, up to the first match.
+/// A `RuleTrace` is the result of each evaluated rule, up to and including the first
+/// match.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct RuleTrace {
-    /// The rules in their order.
+    /// The evaluated rules in their order.
     pub steps: Vec<RuleStep>,
 }
 
-/// A `RuleStep` is what one rule said of a request.
+/// A `RuleStep` is the result of evaluating one rule.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct RuleStep {
-    /// The rule.
+    /// The name of the rule.
     pub rule: RuleName,
-    /// The first condition that failed; none where the rule matched.
+    /// The first part of the condition that did not match; `None` if the rule matched.
     pub failed: Option<FailedCondition>,
 }
 
-/// A `FailedCondition` is a part of a rule's condition that a request fails.
+/// A `FailedCondition` is a part of a rule's condition that a request does not match.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct FailedCondition {
-    /// The field of the rule's `when`.
+    /// The name of the field in the rule's `when` object.
     pub condition: &'static str,
-    /// What the request has.
+    /// The value of the request.
     pub found: String,
-    /// What the rule wants.
+    /// The value that the rule requires.
     pub wanted: String,
 }
 
 impl RuleTrace {
-    /// Get the rule that matched.
+    /// Get the matching rule, if any.
     pub fn matched(&self) -> Option<&RuleName> {
         let last = self.steps.last()?;
         match last.failed {
@@ -47,7 +49,7 @@
 
 impl RuleStep {
     pub(super) fn of(rule: &Rule, facts: &RequestFacts<'_>) -> Self {
-        let failed = rule.when.failed_part(facts);
+        let failed = rule.when.first_failed_part(facts);
         RuleStep {
             rule: rule.name.clone(),
             failed: failed.map(|part| FailedCondition::of(part, &rule.when, facts)),
@@ -58,33 +60,41 @@
 impl FailedCondition {
     fn of(part: ConditionPart, when: &RuleCondition, facts: &RequestFacts<'_>) -> Self {
         match part {
-            ConditionPart::Pools => failed("pools", facts.pool, any_of(&when.pools)),
-            ConditionPart::Accounts => failed("accounts", facts.account, any_of(&when.accounts)),
+            ConditionPart::Pools => failed_condition("pools", facts.pool, any_of(&when.pools)),
+            ConditionPart::Accounts => {
+                failed_condition("accounts", facts.account, any_of(&when.accounts))
+            }
             ConditionPart::Work => match facts.work {
-                Some(work) => failed("work", work, any_of(&when.work)),
-                None => failed("work", &"nothing", any_of(&when.work)),
+                Some(work) => failed_condition("work", work, any_of(&when.work)),
+                None => failed_condition("work", &"nothing", any_of(&when.work)),
             },
-            ConditionPart::Paths => failed("paths", &facts.path, any_of(&when.paths)),
-            ConditionPart::Domains => failed("domains", facts.domain, any_of(&when.domains)),
-            ConditionPart::MinPromptTokens => failed(
+            ConditionPart::Paths => failed_condition("paths", &facts.path, any_of(&when.paths)),
+            ConditionPart::Domains => {
+                failed_condition("domains", facts.domain, any_of(&when.domains))
+            }
+            ConditionPart::MinPromptTokens => failed_condition(
                 "min_prompt_tokens",
                 &facts.prompt_tokens,
                 bound("at least", when.min_prompt_tokens),
             ),
-            ConditionPart::MaxPromptTokens => failed(
+            ConditionPart::MaxPromptTokens => failed_condition(
                 "max_prompt_tokens",
                 &facts.prompt_tokens,
                 bound("at most", when.max_prompt_tokens),
             ),
             ConditionPart::Streaming => {
                 let wanted = !facts.streaming;
-                failed("streaming", &facts.streaming, wanted.to_string())
+                failed_condition("streaming", &facts.streaming, wanted.to_string())
             }
         }
     }
 }
 
-fn failed(condition: &'static str, found: &dyn fmt::Display, wanted: String) -> FailedCondition {
+fn failed_condition(
+    condition: &'static str,
+    found: &dyn fmt::Display,
+    wanted: String,
+) -> FailedCondition {
     FailedCondition {
         condition,
         found: found.to_string(),
--- a/bergamotswitch-core/tests/key_guard.rs
+++ b/bergamotswitch-core/tests/key_guard.rs
@@ -1,17 +1,18 @@
-//! Calls that must not run twice, while it is in doubt who orders their shard.
+//! Tests of keyed requests that must not run twice while the ownership of their shard
+//! is uncertain.
 
 mod entry_support;
-mod node_bench;
+mod node_support;
 
 use bergamotswitch_core::refusal::RunClaim;
 use bergamotswitch_core::rendezvous;
 use entry_support::*;
-use node_bench::net::*;
+use node_support::net::*;
 
-/// Longer than a new owner takes to be sure that it is the only one.
+/// Longer than a new owner needs for a stable quorum.
 const SETTLE: Duration = Duration::from_secs(4);
 
-/// Get the hosts in the order in which they may own the shard.
+/// Get the hosts in their order as candidates for the shard.
 fn candidates() -> [usize; 3] {
     let names: Vec<HostName> = HOSTS.iter().map(|host| name(host)).collect();
     let ranked = rendezvous::rank(&shard(), names.iter());
@@ -22,52 +23,53 @@
     net.cuts.insert((a.min(b), a.max(b)));
 }
 
-// Symptom: ten alerts with one key each, sent to all hosts at once, ran twice in
-// all ten rounds.
-// Sequence: the path between two hosts fails, a third one reaches both; the
-// second candidate misses the first and orders the shard beside it.
-// Cause: each of them knew its own keys alone, and took that for all.
+// Guards against a second run of keyed requests while two candidates that can't reach
+// each other both act as owner.
 #[test]
 fn two_owners() {
     let mut net = NodeNet::start_with("plain");
     let [first, second, third] = candidates();
     cut(&mut net, first, second);
-    net.pass(Duration::from_secs(3));
-    assert_eq!(net.owners().len(), 2, "both order the shard");
+    net.advance(Duration::from_secs(3));
+    assert_eq!(net.owners().len(), 2, "both act as owner");
     for round in 0..10 {
         for host in [first, second, third] {
             net.nodes[host].submit(alert(&format!("alert-{round}")));
         }
-        net.pass(Duration::from_millis(100));
+        net.advance(Duration::from_millis(100));
     }
-    net.pass(SETTLE);
-    assert_eq!(net.started.len(), 4, "one run a target: {:?}", net.started);
+    net.advance(SETTLE);
+    assert_eq!(
+        net.started.len(),
+        4,
+        "one run per target: {:?}",
+        net.started
+    );
     let at_second = net.started.iter().filter(|(host, _)| *host == second);
     assert_eq!(at_second.count(), 0);
-    // Heals: what waited at the second one is known to the first.
+    // After the partition, requests held at the second owner are recognized by the
+    // first.
     net.cuts.clear();
-    net.pass(Duration::from_secs(10));
+    net.advance(Duration::from_secs(10));
     assert_eq!(net.owners(), [first]);
     assert_eq!(net.started.len(), 4, "{:?}", net.started);
 }
 
-// Symptom: an alert runs twice while no host reaches another. Sequence: all
-// paths fail; each host orders the shard, or admits by its own fraction.
-// Cause: as before. What cannot be known to run once does not run, and its
-// caller is told so.
+// Guards against a second run of keyed requests while no host reaches another: they are
+// refused as not run.
 #[test]
-fn lone_hosts() {
+fn isolated_hosts() {
     let mut net = NodeNet::start_with("plain");
     for (a, b) in [(0, 1), (0, 2), (1, 2)] {
         cut(&mut net, a, b);
     }
-    net.pass(Duration::from_secs(8));
+    net.advance(Duration::from_secs(8));
     for host in 0..HOSTS.len() {
         net.nodes[host].submit(alert("alert"));
         net.nodes[host].submit(submission());
     }
-    net.pass(DEADLINE + Duration::from_secs(1));
-    // What may be repeated runs everywhere.
+    net.advance(DEADLINE + Duration::from_secs(1));
+    // Repeatable requests run on every host.
     assert_eq!(net.started.len(), HOSTS.len(), "{:?}", net.started);
     let refused = net
         .concluded
@@ -79,42 +81,39 @@
     assert_eq!(refused.count(), HOSTS.len(), "{:?}", net.concluded);
 }
 
-// An alert in good health waits for nothing, and for a bounded time after the
-// owner's death: it is noticed after two to two and a half seconds, and the next
-// owner is sure some two and a half later.
+// A keyed request starts at once in a healthy fleet, and within six seconds after the
+// loss of the owner.
 #[test]
 fn bounded_wait() {
     let mut net = NodeNet::start_with("plain");
     let [first, second, third] = candidates();
     net.nodes[third].submit(alert("calm"));
-    net.pass(Duration::from_millis(50));
-    assert_eq!(net.started.len(), 1, "at once");
+    net.advance(Duration::from_millis(50));
+    assert_eq!(net.started.len(), 1, "starts at once");
     cut(&mut net, first, second);
     cut(&mut net, first, third);
     net.nodes[third].submit(alert("after"));
-    net.pass(Duration::from_secs(6));
+    net.advance(Duration::from_secs(6));
     assert_eq!(net.started.len(), 2, "{:?}", net.started);
-    // Its copy at the second host is known there.
+    // The second host recognizes resubmissions by their keys.
     net.nodes[second].submit(alert("after"));
     net.nodes[second].submit(alert("calm"));
-    net.pass(Duration::from_secs(1));
+    net.advance(Duration::from_secs(1));
     assert_eq!(net.started.len(), 2, "{:?}", net.started);
 }
 
-// Symptom: alerts at a host that has slept get no answer any more. Sequence: the
-// shard's owner sleeps for some seconds; its stand-in gives way; the others
-// follow it again. Cause: it never became sure again.
+// Guards against an owner that never regains its quorum after a pause of its process.
 #[test]
-fn woken_owner() {
+fn paused_owner() {
     let mut net = NodeNet::start_with("plain");
     let [first, second, _] = candidates();
     net.nodes[first].submit(alert("before"));
-    net.pass(Duration::from_millis(50));
+    net.advance(Duration::from_millis(50));
     net.freeze(first, Duration::from_secs(6));
     assert!(net.owners().contains(&second));
     net.nodes[first].submit(alert("woken"));
     net.nodes[second].submit(alert("meanwhile"));
-    net.pass(Duration::from_secs(9));
+    net.advance(Duration::from_secs(9));
     assert_eq!(net.owners(), [first]);
     assert_eq!(net.started.len(), 3, "{:?}", net.started);
 }
--- a/bergamotswitch-core/tests/link_reconnect.rs
+++ b/bergamotswitch-core/tests/link_reconnect.rs
@@ -2,12 +2,12 @@
 //! again.
 
 mod entry_support;
-mod node_bench;
+mod node_support;
 
 use bergamotswitch_core::entry::AttemptEvent;
 use entry_support::*;
-use node_bench::net::*;
-use node_bench::*;
+use node_support::net::*;
+use node_support::*;
 
 /// The number of requests that the pool serves concurrently.
 const SLOTS: usize = 4;
@@ -40,14 +40,14 @@
     for _ in 0..SLOTS {
         net.nodes[entry].submit(submission());
     }
-    net.pass(SYNC_TIME);
+    net.advance(SYNC_TIME);
     assert_eq!(permits(&net, owner), SLOTS);
     net.cut(entry, owner);
     finish(&mut net, entry);
-    net.pass(OUTAGE);
+    net.advance(OUTAGE);
     assert_eq!(permits(&net, owner), SLOTS, "no release arrived");
     net.heal(entry, owner);
-    net.pass(SYNC_TIME);
+    net.advance(SYNC_TIME);
     assert_eq!(net.owners(), [owner], "the owner has not changed");
     assert_eq!(permits(&net, owner), 0);
 }
@@ -61,10 +61,10 @@
     let entry = (owner + 1) % HOSTS.len();
     net.cut(entry, owner);
     net.nodes[entry].submit(submission());
-    net.pass(OUTAGE);
+    net.advance(OUTAGE);
     assert!(net.started.is_empty());
     net.heal(entry, owner);
-    net.pass(SYNC_TIME);
+    net.advance(SYNC_TIME);
     assert_eq!(net.started.len(), 1);
 }
 
@@ -78,14 +78,14 @@
     for _ in 0..SLOTS + 1 {
         net.nodes[entry].submit(submission());
     }
-    net.pass(SYNC_TIME);
+    net.advance(SYNC_TIME);
     net.cut(entry, owner);
-    net.pass(OUTAGE);
+    net.advance(OUTAGE);
     net.heal(entry, owner);
-    net.pass(SYNC_TIME);
+    net.advance(SYNC_TIME);
     assert_eq!(permits(&net, owner), SLOTS);
     assert_eq!(net.started.len(), SLOTS);
     finish(&mut net, entry);
-    net.pass(SYNC_TIME);
+    net.advance(SYNC_TIME);
     assert_eq!(net.started.len(), 1, "the queued request");
 }
--- a/bergamotswitch-core/tests/stop_returns.rs
+++ b/bergamotswitch-core/tests/stop_returns.rs
@@ -15,7 +15,7 @@
 };
 use bergamotswitch_core::roster::{MemberFlags, MemberRecord, RosterMessage, RosterOptions};
 use bergamotswitch_core::route::{
-    CallerLimits, EngineFacts, PoolFacts, PoolSplit, Route, RouteBook, RouteWork,
+    CallSemantics, CallerLimits, EngineSpec, PoolSpec, PoolSplit, Route, RouteConfig,
 };
 use bergamotswitch_core::rules::{Tier, Verdict};
 use bergamotswitch_core::target_list::{TargetEntry, TargetList};
@@ -64,7 +64,7 @@
         name: name("rule"),
         host: "a.example".to_owned(),
         path_prefix: "/".to_owned(),
-        work: RouteWork::Idempotent,
+        work: CallSemantics::Idempotent,
         timeout_ms: 60_000,
         first_answer_ms: 800,
         max_runs: 2,
@@ -75,15 +75,15 @@
             weight: 1,
         }],
     };
-    let pool = PoolFacts {
+    let pool = PoolSpec {
         name: name("llm"),
         connection_limit: 1_000,
-        engine: Some(EngineFacts {
+        engine: Some(EngineSpec {
             slots: 8,
             cache_tokens: 1_000_000,
         }),
     };
-    let routes = RouteBook {
+    let routes = RouteConfig {
         version: 1,
         routes: vec![route],
         accounts: Vec::new(),
@@ -221,7 +221,8 @@
     fn stop(&mut self) {
         self.core.handle(self.now, NodeEvent::Stop);
         let whole_by = self.now.plus(SPAN);
-        self.core.handle(self.now, NodeEvent::WholeBy(whole_by));
+        self.core
+            .handle(self.now, NodeEvent::AnswerDeadline(whole_by));
     }
 
     /// Get when a caller comes back that is turned away now.
@@ -326,7 +327,8 @@
     host.stop();
     let span = Duration::from_secs(4);
     let whole_by = host.now.plus(span);
-    host.core.handle(host.now, NodeEvent::WholeBy(whole_by));
+    host.core
+        .handle(host.now, NodeEvent::AnswerDeadline(whole_by));
     host.assert_back_at(left_at.plus(span + MARGIN));
 }
 
@@ -338,7 +340,7 @@
     host.pass(Duration::from_secs(1));
     host.core.handle(host.now, NodeEvent::Stop);
     host.core
-        .handle(host.now, NodeEvent::WholeBy(Moment::NEVER));
-    host.core.handle(host.now, NodeEvent::DoorShut);
+        .handle(host.now, NodeEvent::AnswerDeadline(Moment::NEVER));
+    host.core.handle(host.now, NodeEvent::AdmissionClosed);
     assert_eq!(host.turned_away(), AT_ONCE);
 }
