--- a/bergamotswitch-core/src/pool_owner/back_off.rs
+++ b/bergamotswitch-core/src/pool_owner/back_off.rs
@@ -1,40 +1,42 @@
-//! Provides the back-off from a failing target.
+//! Provides exponential backoff for failing targets.
 
 use std::time::Duration;
 
 use crate::clock::Moment;
 use crate::permit::PermitId;
 
-/// The failures in a row after which a target gets no normal work. One may
-/// be the request's own fault.
+/// The number of consecutive failures after which a target gets no regular
+/// requests. A single failure may be the request's own fault.
 const FAILURES_TO_BACK_OFF: u32 = 2;
 
-/// How many probe intervals a due probe waits for a request that may be
-/// risked, before it takes any.
+/// The number of probe intervals for which a due probe waits for an eligible
+/// request before any request is used.
 const PATIENT_INTERVALS: u32 = 4;
 
-/// A `ProbeNeed` says what a target may be given.
+/// A `ProbeNeed` says which requests may be sent to a target in its current
+/// backoff state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeNeed {
-    /// Anything: it works.
+    /// All requests: the target isn't backed off.
     None,
-    /// One request that may be risked.
+    /// One request that is eligible as a probe.
     Risky,
-    /// One request of any kind: none that may be risked came.
+    /// One request of any kind: no eligible one arrived in time.
     Any,
-    /// Nothing now.
+    /// No request: a probe is running or not due yet.
     Wait,
 }
 
-/// A `BackOff` keeps work off a target that fails fast: an error takes no
-/// time, so such a target would look like the fastest of all and attract
-/// every request.
+/// A `BackOff` is the backoff state of one target.
+///
+/// A target that fails immediately has the shortest response times; without
+/// backoff, routing by predicted finish would send it all requests.
 #[derive(Clone, Debug)]
 pub struct BackOff {
     base: Duration,
     max: Duration,
     failures: u32,
-    /// Since when it is backed off.
+    /// When backoff began; `None` while the target works.
     since: Option<Moment>,
     interval: Duration,
     probe_at: Moment,
@@ -55,18 +57,19 @@
         }
     }
 
-    /// Get whether it is backed off.
+    /// Get whether the target is backed off.
     pub fn is_active(&self) -> bool {
         self.since.is_some()
     }
 
-    /// Get when the next probe is due, where one is waited for.
+    /// Get when the next probe is due; `None` if the target works or a probe is
+    /// running.
     pub fn probe_at(&self) -> Option<Moment> {
         let waits = self.since.is_some() && self.probe.is_none();
         waits.then_some(self.probe_at)
     }
 
-    /// Get what the target may be given.
+    /// Get which requests may be sent to the target.
     pub fn need(&self, now: Moment) -> ProbeNeed {
         if self.since.is_none() {
             return ProbeNeed::None;
@@ -81,22 +84,24 @@
         }
     }
 
-    /// Note that a permit was given while backed off.
+    /// Record that a permit was granted while the target is backed off.
     pub fn start_probe(&mut self, permit: PermitId) {
         if self.since.is_some() {
             self.probe = Some(permit);
         }
     }
 
-    /// Note that a permit ended without telling anything of the target.
+    /// Record that a permit ended without a result that says anything about the
+    /// target's health.
     pub fn end_silently(&mut self, permit: PermitId) {
         if self.probe == Some(permit) {
             self.probe = None;
         }
     }
 
-    /// Learn that the target failed another owner, which left it so long until its
-    /// next probe. Get whether it is newly backed off.
+    /// Back off because another owner reported a failure; `probe_in` is the
+    /// time left there until its next probe. Get whether the target is newly
+    /// backed off.
     pub fn learn(&mut self, now: Moment, probe_in: Duration) -> bool {
         if self.since.is_some() {
             return false;
@@ -107,10 +112,12 @@
         true
     }
 
-    /// Note a success of a permit given at `granted_at`.
+    /// Record the success of a request whose permit was granted at
+    /// `granted_at`.
     pub fn succeed(&mut self, permit: PermitId, granted_at: Moment) {
         self.end_silently(permit);
-        // An answer that began before the trouble proves nothing of now.
+        // A request that started before the failures says nothing about the
+        // target's current health.
         let old = self.since.is_some_and(|since| granted_at < since);
         if old {
             return;
@@ -120,8 +127,8 @@
         self.interval = self.base;
     }
 
-    /// Note a failure of a permit given at `granted_at`. Get whether the
-    /// target is newly backed off.
+    /// Record the failure of a request whose permit was granted at
+    /// `granted_at`. Get whether the target is newly backed off.
     pub fn fail(
         &mut self,
         now: Moment,
@@ -132,7 +139,8 @@
         let was_probe = self.probe == Some(permit);
         self.end_silently(permit);
         if let Some(since) = self.since {
-            // Work that was there before fails together; it counts once.
+            // Requests that were in flight when backoff began fail together and
+            // must not lengthen the interval once each.
             if was_probe || granted_at >= since {
                 self.interval = (self.interval * 2).min(self.max);
                 self.probe_at = now.plus(self.interval);
--- a/bergamotswitch-core/src/pool_owner/cost_sample.rs
+++ b/bergamotswitch-core/src/pool_owner/cost_sample.rs
@@ -1,26 +1,26 @@
-//! Provides the median cost of recent asks, to tell long work from short.
+//! Provides the median cost of recent requests, by which long requests are told
+//! from short ones.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::clock::Moment;
 
-/// The number of samples that are looked at.
+/// The number of samples kept.
 const SAMPLE_LEN: usize = 256;
 
-/// The number of samples before which nothing counts as long.
+/// The number of samples below which no request counts as long.
 const SAMPLE_MIN: usize = 8;
 
-/// The least time between two samples. A burst of long asks would otherwise
-/// make itself the norm within a moment and fill the room kept for short
-/// work just when it is needed.
+/// The minimum time between two samples. A burst of long requests would
+/// otherwise raise the median at once and use the capacity reserved for short
+/// ones.
 const SAMPLE_SPACING: Duration = Duration::from_millis(100);
 
-/// How many times the median a long ask costs at least. Lengths differ a
-/// hundredfold; a limit well inside that keeps ordinary work short.
+/// The multiple of the median cost above which a request counts as long.
 const LONG_FACTOR: u64 = 8;
 
-/// A `CostSample` is the costs of some recent asks.
+/// A `CostSample` is the costs of some recent requests, in tokens.
 #[derive(Debug, Default)]
 pub struct CostSample {
     recent: VecDeque<u64>,
@@ -29,7 +29,8 @@
 }
 
 impl CostSample {
-    /// Add an ask's tokens, where a sample is due.
+    /// Add a request's tokens if the minimum time since the last sample has
+    /// passed.
     pub fn add(&mut self, now: Moment, tokens: u64) {
         let enough = self.recent.len() >= SAMPLE_MIN;
         if enough && now.since(self.taken_at) < SAMPLE_SPACING {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Get whether an ask of `tokens` is long compared with the others.
+    /// Get whether a request of `tokens` is long compared with recent ones.
     pub fn is_long(&self, tokens: u64) -> bool {
         match self.median {
             Some(median) => tokens > median.saturating_mul(LONG_FACTOR),
--- a/bergamotswitch-core/src/pool_owner/dispatch.rs
+++ b/bergamotswitch-core/src/pool_owner/dispatch.rs
@@ -1,4 +1,4 @@
-//! Provides the giving of permits in order, and shedding under overload.
+//! Provides the granting of permits in queue order, and load shedding.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -21,18 +21,19 @@
 use super::run_gauge::millis;
 use super::target_load::TargetLoad;
 
-/// The bounds of a "come back after": a caller must neither return at once
-/// nor stay away after a burst that is long over.
+/// The bounds of the retry-after time of refusals: clients should neither retry
+/// immediately nor wait long after the overload has ended.
 const RETRY_MIN: Duration = Duration::from_millis(100);
 const RETRY_MAX: Duration = Duration::from_secs(60);
 
-/// How many times the time left to its deadline the queue before an ask may
-/// take: the drain time is an estimate from engines that are not full, and an
-/// ask that is kept in vain costs a place in the queue, no more.
+/// How far the predicted drain time may exceed a request's remaining time
+/// before the request is refused. The prediction is based on partly loaded
+/// targets and is too high; keeping a request needlessly only costs a queue
+/// entry.
 const DRAIN_TOLERANCE: f64 = 2.0;
 
 impl ShardOwner {
-    /// Give permits in order until nothing that waits finds room.
+    /// Grant permits in queue order until no queued request fits any target.
     pub(super) fn dispatch(&mut self, now: Moment, actions: &mut Vec<OwnerAction>) {
         if !self.targets_known || self.queue.is_empty() {
             return;
@@ -43,7 +44,8 @@
         }
         let mut blocked: BTreeSet<Arc<Placement>> = BTreeSet::new();
         let mut closed = ClosedTargets::default();
-        // A closed shard has still use for an ask that may be a probe.
+        // Even if all targets are reserved, a later request may serve as a
+        // probe.
         let probing = self
             .targets
             .values()
@@ -68,8 +70,8 @@
         }
     }
 
-    /// Give the head of the queue the target that was chosen for it, or the
-    /// answer that it needs none any more.
+    /// Grant the selected request its target, or answer it without a run if its
+    /// key is held elsewhere or `late` says that its deadline can't be met.
     pub(super) fn settle(
         &mut self,
         now: Moment,
@@ -95,8 +97,9 @@
         self.grant(now, attempt, route, warm, actions);
     }
 
-    /// Get whether the time left is too short for a run. Top-tier work is run
-    /// all the same, the estimate may be wrong and it has the first claim.
+    /// Get whether the predicted run time exceeds the time left until the
+    /// deadline. Top-tier requests are run anyway, since the prediction may be
+    /// wrong.
     pub(super) fn is_too_late(&self, now: Moment, queued: &QueuedAsk, route: &Route) -> bool {
         if queued.ask.tier == Tier(0) {
             return false;
@@ -106,9 +109,9 @@
         millis(queued.plan.run_until.since(now)) < run_ms
     }
 
-    /// Get whether another run got the key while the ask waited. An ask can
-    /// outlive the time or the number of remembered keys; a permit for it
-    /// now would be a second run.
+    /// Get whether another run claimed the key while the request was queued.
+    /// The key's entry may have expired or been evicted meanwhile; granting a
+    /// permit now would run the request twice.
     fn is_key_lost(&self, now: Moment, queued: &QueuedAsk) -> bool {
         let claim = queued.ask.claim.as_ref();
         let verdict = claim.map(|claim| self.keys.check(now, claim));
@@ -135,7 +138,8 @@
         }
     }
 
-    /// Keep room for an ask that has to wait from all asks after it.
+    /// Reserve targets for a request that doesn't fit now, so that requests
+    /// behind it don't take the capacity that it waits for.
     fn keep_room(&self, now: Moment, queued: &QueuedAsk, closed: &mut ClosedTargets) {
         let candidates = allowed(&self.targets, &queued.placement);
         let working = candidates
@@ -152,9 +156,10 @@
             }
             return;
         }
-        // A long ask that only waits for long ones leaves the room kept for
-        // short ones to them. One that waits for room drains one target: to
-        // drain all would idle the whole shard for it.
+        // If the request only waits for the capacity open to long requests,
+        // short ones may still use the rest. If it waits for capacity as such,
+        // one target is drained for it: draining all of them would leave the
+        // whole shard idle.
         let mut open = working.filter(|load| !closed.contains(&load.target().name));
         let fits = open.clone().any(|load| load.fits(now, tokens));
         if fits {
@@ -248,8 +253,8 @@
         }
     }
 
-    /// Shed until the queue is inside its bounds, after an ask of `tier`; get
-    /// whether anything was shed.
+    /// Shed requests until the queue is within its limits, after a request of
+    /// `tier` was queued; get whether any was shed.
     pub(super) fn shed(&mut self, now: Moment, tier: Tier, actions: &mut Vec<OwnerAction>) -> bool {
         let mut shed = false;
         while self.is_overfull(now) {
@@ -270,9 +275,9 @@
         shed
     }
 
-    /// Refuse an ask that has just come where the others would take far longer
-    /// than its deadline; get whether it was refused. Its caller would wait in
-    /// vain. While lower-tier work is kept it stays: that goes first.
+    /// Refuse a new request if the ones queued before it would take far longer
+    /// than its deadline; get whether it was refused. If lower-tier requests
+    /// are queued it is kept, since those are shed first.
     pub(super) fn shed_hopeless(
         &mut self,
         now: Moment,
@@ -307,19 +312,19 @@
         true
     }
 
-    /// Get the predicted wait of a new ask of `tier`, where the targets say
-    /// how many requests they serve at once: the permits that have to come
-    /// back before it, at the pace at which they do.
+    /// Get the predicted queueing time of a new request of `tier` from the
+    /// number of permits to be released before it and the release rate; `None`
+    /// unless all targets publish their slots.
     fn slot_wait(&self, now: Moment, tier: Tier) -> Option<Duration> {
-        // Of targets that ended no run yet nothing can be predicted.
+        // Without a completed run on each target the release rate is unknown.
         let known = self.targets.values().all(TargetLoad::is_known);
         if !self.has_slots() || !known {
             return None;
         }
         let ahead = self.queue.asks_through(tier);
-        // What came back lately tells of a shard that was busy all the while.
-        // After a quiet second it would tell of the callers, and the first
-        // calls of a burst would be refused before free targets.
+        // The recent rate alone is only valid while the shard was saturated.
+        // After an idle second it would be too low, and the first requests of a
+        // burst would be refused although targets are free.
         let running = self.targets.values();
         let expected: f64 = running.map(TargetLoad::release_rate).sum();
         let pace = self.pace.per_second(now).max(expected);
@@ -327,7 +332,7 @@
     }
 
     fn is_overfull(&self, now: Moment) -> bool {
-        // One ask alone may wait whatever it costs.
+        // A single request may be queued whatever its cost.
         if self.queue.len() < 2 {
             return false;
         }
@@ -342,8 +347,8 @@
         seconds > self.opts.max_wait.as_secs_f64()
     }
 
-    /// Get the predicted time until the work in flight and the queued work of
-    /// `tier` and higher ones is done.
+    /// Get the predicted time until the in-flight work and the queued work of
+    /// `tier` and higher ones is done, within the retry-after bounds.
     pub(super) fn drain_time(&self, now: Moment, tier: Tier) -> Duration {
         if let Some(wait) = self.slot_wait(now, tier) {
             return wait.clamp(RETRY_MIN, RETRY_MAX);
@@ -358,7 +363,8 @@
         span.clamp(RETRY_MIN, RETRY_MAX)
     }
 
-    /// Get the speed of all targets that take work, in tokens per second.
+    /// Get the total speed of all targets that accept requests, in tokens per
+    /// second.
     fn shard_speed(&self, now: Moment) -> f64 {
         let live = self.targets.values().filter(|load| !load.is_leaving());
         let working = live.clone().filter(|load| !load.back_off().is_active());
@@ -366,23 +372,25 @@
         if speed > 0.0 {
             return speed;
         }
-        // All are backed off, maybe for half a second: the queue is not
-        // thrown away for that.
+        // If all targets are backed off, maybe only briefly, the queue is kept
+        // and their last speeds are used.
         live.map(|load| load.speed(now)).sum()
     }
 }
 
-/// Get what routing looks at of an ask.
+/// Get the properties of a queued request that routing uses.
 pub(super) fn query_of<'a>(queued: &'a QueuedAsk, warm: &'a [WarmTarget]) -> RouteQuery<'a> {
     RouteQuery {
         placement: &queued.placement,
         cost: queued.ask.cost,
         blocks: queued.ask.prefixes.len(),
         warm,
-        // Top-tier work and work that must not run twice is no probe.
+        // Top-tier requests and requests that must not run twice aren't used as
+        // probes.
         riskable: queued.ask.claim.is_none() && queued.ask.tier > Tier(0),
-        // Targets that fail together are due for a probe together, and would use
-        // up one request's attempts beside others that work.
+        // Targets that fail together become due for a probe together. Probing
+        // them all with the same request would exhaust its attempts although
+        // other targets work.
         spared: !queued.ask.avoid.is_empty(),
     }
 }
--- a/bergamotswitch-core/src/pool_owner/failed_targets.rs
+++ b/bergamotswitch-core/src/pool_owner/failed_targets.rs
@@ -1,9 +1,8 @@
-//! Provides what an owner learns of failed targets from the one before it or
-//! beside it.
+//! Provides the exchange of target failures between shard owners.
 //!
-//! A new owner knows no back-off. Dead targets look idle to it, so it gives its
-//! first permits for these, and one would see a wave of requests that reach no
-//! target, or are refused, after each change of owner.
+//! A new owner has no backoff state. Failed targets look idle to it and would
+//! get its first permits, so each change of owner would cause a wave of failed
+//! requests.
 
 use std::time::Duration;
 
@@ -16,7 +15,7 @@
 use super::target_change::is_later;
 
 impl ShardOwner {
-    /// Get the targets that get no normal work now, for the next owner.
+    /// Get the targets that are backed off, to report them to the next owner.
     pub fn failed_targets(&self, now: Moment) -> Vec<FailedTarget> {
         let live = self.targets.values().filter(|load| !load.is_leaving());
         let failed = live.filter(|load| load.back_off().is_active());
@@ -32,10 +31,10 @@
         failed.collect()
     }
 
-    /// Let the targets that failed another owner prove themselves before they get
-    /// normal work. Not believed are reports of a target that has answered here, of
-    /// a target's former run, nor so many that most would be out: the sender may
-    /// have been cut off from targets that work.
+    /// Back off from targets that another owner reported as failed. Reports are
+    /// ignored if the target has completed a run here, if they concern an
+    /// earlier process of the target, or if most targets would be backed off:
+    /// the sender may have been partitioned from working targets.
     pub(super) fn on_failed_targets(
         &mut self,
         now: Moment,
@@ -62,7 +61,8 @@
         }
     }
 
-    /// Get whether half of the targets or more would be backed off with one more.
+    /// Get whether more than half of the targets would be backed off if one
+    /// more were.
     pub(super) fn would_most_be_out(&self) -> bool {
         let live = self.targets.values().filter(|load| !load.is_leaving());
         let backed_off = live.clone().filter(|load| load.back_off().is_active());
--- a/bergamotswitch-core/src/pool_owner/fair_queue.rs
+++ b/bergamotswitch-core/src/pool_owner/fair_queue.rs
@@ -1,5 +1,5 @@
 //! Provides the queue of one tier: start-time fair queueing over client
-//! accounts by token cost, earliest deadline first inside an account.
+//! accounts by token cost, and earliest deadline first within an account.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,41 +10,44 @@
 
 use super::queue::Placement;
 
-/// The virtual time that one token takes at share 1. A power of two well
-/// above any share keeps the rounding of `cost / share` harmless.
+/// The virtual time of one token at share 1. A power of two well above any
+/// share makes the rounding of `cost / share` negligible.
 const TOKEN_SCALE: u128 = 1 << 20;
 
-/// A `QueueRank` is an ask's place inside its account.
+/// A `QueueRank` is a request's position within its account; lower ranks are
+/// served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueueRank {
-    /// Whether its answer cannot be on time any more.
+    /// Whether the request can no longer be answered on time.
     pub(super) late: bool,
-    /// Its place among those that are alike in that.
+    /// The time by which requests of equal `late` are ordered.
     pub(super) order: Moment,
-    /// When it began to wait, in microseconds; below zero before the start.
+    /// When the request began to wait, in microseconds; negative if that was
+    /// before the clock's start.
     pub(super) arrived: i64,
-    /// The number of the ask at this owner.
+    /// The request's arrival number at this owner.
     pub(super) sequence: u64,
-    /// The attempt that asks.
     pub(super) attempt: AttemptId,
 }
 
-/// A `TierEntry` is what the order needs of one ask.
+/// A `TierEntry` is the data of one queued request that the tier's order
+/// depends on.
 #[derive(Clone, Debug)]
 pub(super) struct TierEntry {
     pub(super) account: AccountName,
     pub(super) share: u32,
     pub(super) tokens: u64,
     pub(super) placement: Arc<Placement>,
-    /// Until when it waits.
+    /// When the request is removed from the queue.
     pub(super) expires: Moment,
     pub(super) rank: QueueRank,
 }
 
-/// An `AccountQueue` is what one client account has queued in a tier.
+/// An `AccountQueue` is the queued requests of one client account within a
+/// tier.
 #[derive(Debug, Default)]
 struct AccountQueue {
-    /// The virtual time at which its next ask is due.
+    /// The virtual start time of the account's next request.
     start: u128,
     share: u32,
     tokens: u64,
@@ -52,7 +55,7 @@
 }
 
 impl AccountQueue {
-    /// Get the tokens queued for each unit of share.
+    /// Get the queued tokens per unit of share.
     fn excess(&self) -> u128 {
         u128::from(self.tokens) * TOKEN_SCALE / u128::from(self.share.max(1))
     }
@@ -80,27 +83,25 @@
 }
 
 impl TierQueue {
-    /// Get the tokens queued.
     pub(super) fn tokens(&self) -> u64 {
         self.tokens
     }
 
-    /// Get the number of asks queued.
     pub(super) fn asks(&self) -> usize {
         self.by_deadline.len()
     }
 
-    /// Get the asks by deadline, earliest first.
+    /// Get the queued requests by expiry time, earliest first.
     pub(super) fn by_deadline(&self) -> impl Iterator<Item = &(Moment, AttemptId)> {
         self.by_deadline.iter()
     }
 
-    /// Add an ask.
     pub(super) fn push(&mut self, entry: &TierEntry) {
         let account = self.accounts.entry(entry.account.clone()).or_default();
         if account.lines.is_empty() {
-            // An account that was idle starts now: time that it did not use
-            // is no credit that would let it starve the others later.
+            // An account that was idle starts at the current virtual time:
+            // unused service isn't credited, since it would let the account
+            // starve others later.
             account.start = account.start.max(self.virtual_time);
             let place = (account.start, entry.account.clone());
             self.by_start.insert(place);
@@ -118,7 +119,7 @@
         self.tokens += entry.tokens;
     }
 
-    /// Get the next ask in order whose placement is not blocked.
+    /// Get the next request in order whose placement isn't blocked.
     pub(super) fn next(&self, blocked: &BTreeSet<Arc<Placement>>) -> Option<AttemptId> {
         let accounts = self.by_start.iter().filter_map(|(_, name)| {
             let account = self.accounts.get(name)?;
@@ -127,15 +128,15 @@
         accounts.map(|rank| rank.attempt).next()
     }
 
-    /// Get the ask that goes first under overload: the latest deadline of the
-    /// account that has most queued for its share.
+    /// Get the request to shed first: the last-ranked one of the account with
+    /// the most queued tokens per share.
     pub(super) fn worst(&self) -> Option<AttemptId> {
         let (_, name) = self.by_excess.last()?;
         let rank = self.accounts.get(name)?.last()?;
         Some(rank.attempt)
     }
 
-    /// Remove an ask; where it is served, its account pays for it.
+    /// Remove a request; if it was served, its cost is charged to its account.
     pub(super) fn remove(&mut self, entry: &TierEntry, served: bool) {
         let Some(account) = self.accounts.get_mut(&entry.account) else {
             return;
@@ -169,7 +170,8 @@
         }
     }
 
-    /// Forget the accounts: nobody waits, so nobody is owed anything.
+    /// Drop the accounts' virtual times: with an empty queue no account is owed
+    /// service.
     fn end_busy_period(&mut self) {
         let starts = self.accounts.values().map(|account| account.start);
         self.virtual_time = starts.max().unwrap_or(0).max(self.virtual_time);
--- a/bergamotswitch-core/src/pool_owner/followers.rs
+++ b/bergamotswitch-core/src/pool_owner/followers.rs
@@ -1,5 +1,5 @@
-//! Provides the count of the hosts that follow an owner, and with it the part
-//! of each quota that the owner may give out.
+//! Provides the set of entry hosts that use a shard owner, and from it the
+//! owner's portion of each quota.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,34 +7,36 @@
 use crate::clock::Moment;
 use crate::host::HostName;
 
-/// An `OwnerFollowers` is which of the fleet's hosts ask one owner.
+/// An `OwnerFollowers` is the set of entry hosts that send their permit
+/// requests to one owner.
 ///
-/// Two hosts may order one shard side by side: an earlier candidate starts
-/// again and acts at once, while the others stay with the later one until the
-/// earlier one has answered for a while. Were each to give out whole quotas, an
-/// account would get a second full quota through the host that has just
-/// started, and find a burst there when the others turn to it; one would see it
-/// use more than its quota in a window around the start. A host asks one owner
-/// at a time. So each owner gives out the part that falls to the hosts that ask
-/// it, and the parts of all owners make one quota.
+/// Two hosts may own a shard at the same time: a restarted candidate with
+/// precedence acts at once, while entry hosts stay with the current owner until
+/// that candidate has responded for a while. If both granted whole quotas, an
+/// account could use its quota twice. Since an entry host uses one owner at a
+/// time, each owner grants the portion of the hosts that use it, and the
+/// portions of all owners add up to one quota.
 #[derive(Debug, Default)]
 pub(super) struct OwnerFollowers {
     hosts: BTreeSet<HostName>,
-    /// The hosts that may ask another owner, and until when.
+    /// The hosts that may use another owner, with the time until which that is
+    /// assumed.
     absent: BTreeMap<HostName, Moment>,
-    /// When the first of them is counted although it has said nothing.
+    /// When the first of these hosts is counted even if it sends nothing.
     first_until: Moment,
-    /// Until when messages may be older than a sleep of this process.
+    /// Until when received messages may have been sent before this process was
+    /// suspended.
     stale_until: Moment,
     stopping: bool,
 }
 
-/// How long after a sleep the messages that waited meanwhile are taken in.
+/// How long after a suspension the messages that queued up during it may
+/// arrive.
 const STALE_TIME: Duration = Duration::from_millis(200);
 
 impl OwnerFollowers {
-    /// Take the hosts of the fleet that do not stop. One that was not among
-    /// them before may ask another owner, apart from `me`.
+    /// Set the hosts of the fleet that aren't stopping. New ones may use
+    /// another owner, except for `me`.
     pub(super) fn set_hosts(
         &mut self,
         now: Moment,
@@ -51,15 +53,17 @@
         self.find_first();
     }
 
-    /// Take note that a host asks this owner. What waited while this process
-    /// slept says nothing of whom the host asks now.
+    /// Record that a host uses this owner. Messages that queued up while this
+    /// process was suspended are ignored, since the host may use another owner
+    /// by now.
     pub(super) fn note(&mut self, now: Moment, host: &HostName) {
         if !self.absent.is_empty() && now >= self.stale_until {
             self.absent.remove(host);
         }
     }
 
-    /// Take note that a host's run is gone: its next one may ask another owner.
+    /// Record that a host's process has terminated: its next one may use
+    /// another owner.
     pub(super) fn lose(&mut self, now: Moment, host: &HostName, settle: Duration) {
         if self.hosts.contains(host) {
             self.absent.insert(host.clone(), now.plus(settle));
@@ -67,7 +71,7 @@
         }
     }
 
-    /// Take note that all hosts but this one may ask another owner.
+    /// Record that every host except this one may use another owner.
     pub(super) fn lose_all(&mut self, now: Moment, me: &HostName, settle: Duration) {
         let until = now.plus(settle);
         let others = self.hosts.iter().filter(|host| *host != me);
@@ -76,28 +80,29 @@
         self.find_first();
     }
 
-    /// Get whether there are no hosts but the owner's own.
+    /// Get whether the set of hosts is empty: this owner serves its own host
+    /// only.
     pub(super) fn is_empty(&self) -> bool {
         self.hosts.is_empty()
     }
 
-    /// Count on all hosts at once: the owner before stops or is silent, so all
-    /// turn to this one.
+    /// Count all hosts at once: the previous owner stops or doesn't respond, so
+    /// all of them use this one.
     pub(super) fn take_over(&mut self) {
         self.absent.clear();
         self.find_first();
     }
 
-    /// Give out nothing from now on but what lies in the buckets: the next
-    /// owner's begin to fill.
+    /// Grant nothing from now on but what is left in the token buckets, since
+    /// the next owner's buckets begin to fill.
     pub(super) fn stop(&mut self) {
         self.stopping = true;
     }
 
-    /// Get the part of each quota that this owner gives out.
+    /// Get the portion of each quota that this owner grants, from 0 to 1.
     ///
-    /// A host that says nothing is counted in the end: it may have no work, and
-    /// by then no second owner can be left that it asks.
+    /// A host that sends nothing is counted after a timeout: it may have no
+    /// requests, and by then there is no second owner that it could use.
     pub(super) fn part(&mut self, now: Moment) -> f64 {
         if now >= self.first_until {
             self.absent.retain(|_, until| now < *until);
--- a/bergamotswitch-core/src/pool_owner/key_table.rs
+++ b/bergamotswitch-core/src/pool_owner/key_table.rs
@@ -1,4 +1,4 @@
-//! Provides the table of keys of requests that must not run twice.
+//! Provides the table of idempotency keys of requests that must not run twice.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -7,42 +7,43 @@
 use crate::host::HostIncarnation;
 use crate::permit::KeyClaim;
 
-/// A `KeyVerdict` is what the table says of a claim.
+/// A `KeyVerdict` is the result of checking a claim against the table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyVerdict {
-    /// The claim's holder may go on.
+    /// The claim's holder may proceed.
     Clear,
     /// Another run holds the key.
     HeldBy(HostIncarnation),
-    /// The key may have been forgotten; known again after this time.
+    /// The key's entry may be missing; the answer is certain after this time.
     Unknown(Duration),
 }
 
-/// A `KeyEntry` is what is remembered of one key.
+/// A `KeyEntry` is the state of one key.
 #[derive(Debug)]
 struct KeyEntry {
     holder: HostIncarnation,
     expires: Moment,
-    /// The asks that wait for it.
+    /// The number of queued requests with this key.
     queued: usize,
-    /// Whether a permit may have been given for it.
+    /// Whether a permit may have been granted for the key.
     granted: bool,
 }
 
-/// A `KeyTable` is a table of keys, bounded in time and number.
+/// A `KeyTable` is a table of idempotency keys, bounded in retention time and
+/// size.
 #[derive(Debug)]
 pub struct KeyTable {
     retention: Duration,
     capacity: usize,
     entries: HashMap<u128, KeyEntry>,
     expiries: BTreeSet<(Moment, u128)>,
-    /// Until then a key that is not in the table may still have been used.
+    /// Until when a key that isn't in the table may still have been used.
     blind_until: Moment,
 }
 
 impl KeyTable {
     /// Get the table of an owner that has just taken over: for one retention
-    /// time there may be keys that only its predecessor knew.
+    /// time there may be keys that only the previous owner recorded.
     pub fn new(now: Moment, retention: Duration, capacity: usize) -> Self {
         KeyTable {
             retention,
@@ -53,8 +54,8 @@
         }
     }
 
-    /// Set how long and how many keys are remembered from now on. A key keeps
-    /// the time that it was promised.
+    /// Set the retention time and the capacity. Present entries keep their
+    /// expiry times.
     pub fn set_bounds(&mut self, retention: Duration, capacity: usize) {
         self.retention = retention;
         self.capacity = capacity;
@@ -66,18 +67,18 @@
         self.entries.len()
     }
 
-    /// Get whether no key is known.
+    /// Get whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Get what the table says of a claim.
+    /// Check a claim against the table.
     pub fn check(&self, now: Moment, claim: &KeyClaim) -> KeyVerdict {
         match self.entries.get(&claim.key) {
             Some(entry) if entry.holder == claim.holder => KeyVerdict::Clear,
             Some(entry) => KeyVerdict::HeldBy(entry.holder.clone()),
-            // A resubmission of a request that ran under an owner that died
-            // would run again; the engine's ledger would show it twice.
+            // The first run may have got its permit from an owner that has
+            // crashed; running the resubmission would run the request twice.
             None if claim.resubmission && now < self.blind_until => {
                 KeyVerdict::Unknown(self.blind_until.since(now))
             }
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Remember a claim whose ask is queued.
+    /// Record a claim whose request is queued.
     pub fn claim(&mut self, now: Moment, claim: &KeyClaim) {
         if let Some(entry) = self.touch(now, claim) {
             entry.queued += 1;
@@ -93,7 +94,7 @@
         self.bound();
     }
 
-    /// Remember a claim whose queued ask got a permit.
+    /// Record a claim whose queued request got a permit.
     pub fn grant(&mut self, now: Moment, claim: &KeyClaim) {
         if let Some(entry) = self.touch(now, claim) {
             entry.queued = entry.queued.saturating_sub(1);
@@ -102,7 +103,7 @@
         self.bound();
     }
 
-    /// Remember a claim whose holder keeps or runs its request.
+    /// Record a claim whose holder runs or retains the request.
     pub fn hold(&mut self, now: Moment, claim: &KeyClaim) {
         if let Some(entry) = self.touch(now, claim) {
             entry.granted = true;
@@ -110,10 +111,11 @@
         self.bound();
     }
 
-    /// Remember a claim whose holder says itself that it keeps or runs its
-    /// request; get whether another run held the key until now. A permit may
-    /// have been of no use to that one, and the table never hears of it: left
-    /// there, the key would let its next copy run a second time.
+    /// Record a claim whose holder itself reports that it runs the request or
+    /// keeps its answer; get whether another run held the key until now. The
+    /// permit of that other run may have been unusable without the table being
+    /// notified; if its entry stayed, the request's next copy could run a
+    /// second time.
     pub fn hold_told(&mut self, now: Moment, claim: &KeyClaim) -> bool {
         let held = self.entries.get(&claim.key);
         let is_other = held.is_some_and(|entry| entry.holder != claim.holder);
@@ -124,10 +126,11 @@
         is_other
     }
 
-    /// Note that a queued ask ended without a permit. Where it was the only
-    /// one and no permit was ever given, the request was not run and the key
-    /// is free. While another attempt of it still waits the key stays: freed
-    /// here, it would go to a second run, and then both would get a permit.
+    /// Record that a queued request ended without a permit. If it was the only
+    /// one with its key and no permit was ever granted, the request has not run
+    /// and the key is released. While another attempt is queued the key stays
+    /// claimed: otherwise a second run could claim it and both would get a
+    /// permit.
     pub fn settle_unused(&mut self, claim: &KeyClaim) {
         let Some(entry) = self.entries.get_mut(&claim.key) else {
             return;
@@ -143,7 +146,7 @@
         self.entries.remove(&claim.key);
     }
 
-    /// Get the entry of a claim, its time begun anew; `None` where another
+    /// Get the entry of a claim with its expiry time renewed; `None` if another
     /// run holds the key.
     fn touch(&mut self, now: Moment, claim: &KeyClaim) -> Option<&mut KeyEntry> {
         let expires = now.plus(self.retention);
@@ -168,7 +171,7 @@
         }
     }
 
-    /// Forget the keys whose time has passed.
+    /// Remove the expired keys.
     pub fn expire(&mut self, now: Moment) {
         while let Some((expires, key)) = self.expiries.first().copied() {
             if expires > now {
@@ -179,8 +182,8 @@
         }
     }
 
-    /// Drop the key nearest to its end. A table that forgets early is as
-    /// blind as a new one, until that key's time would have passed.
+    /// Evict the key that expires first. Until its expiry time, a key missing
+    /// from the table may have been used, as with a new table.
     fn drop_oldest(&mut self) {
         if let Some((expires, key)) = self.expiries.pop_first() {
             self.entries.remove(&key);
--- a/bergamotswitch-core/src/pool_owner/load_history.rs
+++ b/bergamotswitch-core/src/pool_owner/load_history.rs
@@ -1,4 +1,5 @@
-//! Provides a target's reported load beyond an owner's own count.
+//! Provides the part of a target's reported load that isn't from this owner's
+//! permits.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,26 +9,29 @@
 
 use super::speed_gauge::fade;
 
-/// How far back the own count is known; older reports are dropped.
+/// How far back this owner's own token count is kept; older reports are
+/// dropped.
 const HISTORY_SPAN: Duration = Duration::from_secs(10);
 
-/// The most changes of the own count that are kept.
+/// The maximum number of changes kept.
 const HISTORY_LEN: usize = 512;
 
-/// The age at which half of a report is believed.
+/// The age at which a report's weight is halved.
 const REPORT_HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// A `CountChange` is the own count from a moment on.
+/// A `CountChange` is this owner's token count at a target from a point in time
+/// on.
 #[derive(Clone, Copy, Debug)]
 struct CountChange {
     at: Moment,
     outstanding: u64,
 }
 
-/// A `LoadHistory` compares old reports with the own count of their time.
+/// A `LoadHistory` compares load reports with this owner's token count at the
+/// time when each was taken.
 ///
-/// A report that was subtracted from today's count would count work that
-/// ended since as someone else's, and the target would stand idle.
+/// Compared with the current count, a delayed report would attribute work that
+/// has ended since to other senders, and the target would be underused.
 #[derive(Debug, Default)]
 pub struct LoadHistory {
     changes: VecDeque<CountChange>,
@@ -36,13 +40,14 @@
 }
 
 impl LoadHistory {
-    /// Note the own count from `now` on.
+    /// Record this owner's token count from `now` on.
     pub fn note(&mut self, now: Moment, outstanding: u64) {
         self.changes.push_back(CountChange {
             at: now,
             outstanding,
         });
-        // The newest change before the span still says what held inside it.
+        // Keep the newest change before the span: it is the count at the span's
+        // start.
         while self.changes.len() > 2 && now.since(self.changes[1].at) > HISTORY_SPAN {
             self.changes.pop_front();
         }
@@ -51,7 +56,7 @@
         }
     }
 
-    /// Take in a report, old on arrival.
+    /// Apply a load report, which may be delayed.
     pub fn report(&mut self, now: Moment, report: &LoadReport) {
         let age = Duration::from_millis(u64::from(report.age_ms));
         if age > HISTORY_SPAN {
@@ -59,17 +64,19 @@
         }
         let age_micros = age.as_micros() as u64;
         let at = Moment::from_micros(now.as_micros().saturating_sub(age_micros));
-        // Reports cross on the way; an older one must not undo a newer one.
+        // Reports may arrive out of order; an older one must not replace a
+        // newer one.
         if at < self.measured_at {
             return;
         }
         self.measured_at = at;
-        // A target's word is not checked; a wild number must not overflow.
+        // Reports aren't validated; an absurd value must not cause an overflow.
         let reported = report.outstanding_tokens.min(u64::from(u32::MAX));
         self.excess = reported.saturating_sub(self.count_at(at));
     }
 
-    /// Get the tokens there beyond the own count, as far as still believed.
+    /// Get the tokens at the target that aren't from this owner's permits,
+    /// weighted by the report's age.
     pub fn excess(&self, now: Moment) -> u64 {
         if self.excess == 0 {
             return 0;
@@ -82,7 +89,7 @@
         let before = self.changes.iter().rev().find(|change| change.at <= at);
         match (before, self.changes.front()) {
             (Some(change), _) => change.outstanding,
-            // The history was cut: its first entry is the nearest known.
+            // The history was truncated: its first entry is the closest one.
             (None, Some(first)) if self.changes.len() >= HISTORY_LEN => first.outstanding,
             (None, _) => 0,
         }
--- a/bergamotswitch-core/src/pool_owner/mod.rs
+++ b/bergamotswitch-core/src/pool_owner/mod.rs
@@ -1,5 +1,5 @@
-//! Provides the owner side: one owner host holds a shard's queue order for
-//! all entry hosts and gives permits.
+//! Provides the owner of a pool shard: one host that queues the permit requests
+//! of all entry hosts and grants permits.
 
 pub mod back_off;
 mod cost_sample;
@@ -46,27 +46,27 @@
 use crate::request::PrefixHash;
 use crate::target::{LoadReport, PoolTarget, TargetName};
 
-/// An `OwnerEvent` is one thing that happens to a shard's owner.
+/// An `OwnerEvent` is an input of a shard owner.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OwnerEvent {
     /// An entry host sent a message.
     Message(HostName, OwnerMessage),
-    /// The shard's targets that may get new work, after a change.
+    /// The shard's targets that accept new requests have changed.
     Targets(Vec<PoolTarget>),
-    /// The quotas that this owner keeps, after a change.
+    /// The quota rates that this owner enforces have changed.
     Quotas(Vec<(AccountName, QuotaRate)>),
-    /// The hosts of the fleet that do not stop, after a change.
+    /// The hosts of the fleet that aren't stopping have changed.
     Hosts(Vec<HostName>),
-    /// A target's load report came, old on arrival.
+    /// A target's load report arrived, possibly delayed.
     Load(TargetName, LoadReport),
-    /// A target says that it holds (or no longer holds) a prefix; late, with
-    /// gaps.
+    /// A target reported that it holds (`true`) or evicted (`false`) a prefix;
+    /// such reports are delayed and incomplete.
     Prefix(TargetName, PrefixHash, bool),
-    /// This run of an entry host is known to be gone.
+    /// This run of an entry host has terminated.
     HostGone(HostName, Incarnation),
-    /// The owner before this one stops, and this one takes over.
+    /// The previous owner stops and handed over to this one.
     HandedOver,
-    /// The owner before this one is silent, and this one takes over.
+    /// The previous owner doesn't respond, and this one takes over.
     TakenOver,
     /// This host stops, and another one takes over.
     Stopping,
@@ -74,7 +74,8 @@
     Tick,
 }
 
-/// An `OwnerAction` is one thing that a shard's owner wants done.
+/// An `OwnerAction` is an output of a shard owner, to be carried out by the
+/// caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OwnerAction {
     /// Send a reply to an entry host (which may be this host).
--- a/bergamotswitch-core/src/pool_owner/options.rs
+++ b/bergamotswitch-core/src/pool_owner/options.rs
@@ -1,4 +1,4 @@
-//! Provides the options of a shard's owner.
+//! Provides the options of a shard owner.
 
 use std::time::Duration;
 
@@ -6,14 +6,16 @@
 
 use super::quota::QuotaTolerance;
 
-/// Twice as long as an earlier candidate has to answer before a later one gives
-/// way to it.
+/// The minimum time for which a second owner is assumed beside this one: twice
+/// the time that a candidate with precedence has to respond before the current
+/// owner yields to it.
 const SETTLE_AFTER: Duration = Duration::from_secs(10);
 
-/// The same in suspicion times, where those are long.
+/// The same in multiples of the failure detector's suspicion timeout, for long
+/// timeouts.
 const SETTLE_SUSPICIONS: u32 = 5;
 
-/// An `OwnerOptions` is what may be set of a shard's owner.
+/// An `OwnerOptions` is the options of a shard owner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OwnerOptions {
     pub(super) max_wait: Duration,
@@ -34,15 +36,16 @@
 impl Default for OwnerOptions {
     fn default() -> Self {
         OwnerOptions {
-            // The deadlines bound the queue before this does; overnight logs
-            // may wait for hours and are of use all the same.
+            // Deadlines usually limit the queue before this does; batch
+            // requests may usefully wait for hours.
             max_wait: Duration::from_secs(4 * 3600),
-            // An ask is under a kilobyte: some tens of megabytes at most.
+            // A queued request takes less than 1 KB, so the queue takes some
+            // tens of MB at most.
             max_asks: 50_000,
             audit_after: Duration::from_secs(30),
-            // Longer than an answer is kept.
+            // Longer than answers are kept.
             key_retention: Duration::from_secs(900),
-            // About 150 bytes each.
+            // An entry takes about 150 bytes.
             max_keys: 200_000,
             max_prefixes: 65_536,
             prefix_lifetime: Duration::from_secs(300),
@@ -57,50 +60,51 @@
 }
 
 impl OwnerOptions {
-    /// Set the longest predicted time to drain the queue; asks beyond it are
-    /// shed.
+    /// Set the maximum predicted time to drain the queue; requests beyond it
+    /// are shed.
     pub fn with_max_wait(mut self, span: Duration) -> Self {
         self.max_wait = span;
         self
     }
 
-    /// Set the most asks that are queued.
+    /// Set the maximum number of queued requests.
     pub fn with_max_asks(mut self, asks: usize) -> Self {
         self.max_asks = asks;
         self
     }
 
-    /// Set the age from which permits are asked about.
+    /// Set the age from which a permit's holder is asked whether it still holds
+    /// it.
     pub fn with_audit_after(mut self, span: Duration) -> Self {
         self.audit_after = span;
         self
     }
 
-    /// Set how long a key is remembered.
+    /// Set how long a key is kept.
     pub fn with_key_retention(mut self, span: Duration) -> Self {
         self.key_retention = span;
         self
     }
 
-    /// Set the most keys that are remembered.
+    /// Set the maximum number of keys.
     pub fn with_max_keys(mut self, keys: usize) -> Self {
         self.max_keys = keys;
         self
     }
 
-    /// Set the most prefixes that are remembered.
+    /// Set the maximum number of prefixes in the table.
     pub fn with_max_prefixes(mut self, prefixes: usize) -> Self {
         self.max_prefixes = prefixes;
         self
     }
 
-    /// Set how long a hint about a warm prefix counts.
+    /// Set how long a warm-prefix hint is valid.
     pub fn with_prefix_lifetime(mut self, span: Duration) -> Self {
         self.prefix_lifetime = span;
         self
     }
 
-    /// Set the most streams that are being stopped at once.
+    /// Set the maximum number of streams that are being preempted at once.
     pub fn with_max_preemptions(mut self, streams: usize) -> Self {
         self.max_preemptions = streams;
         self
@@ -112,14 +116,14 @@
         self
     }
 
-    /// Set how long after it began, or after a host came up, an owner counts
-    /// on another one beside it.
+    /// Set how long after its own start, or after the start of a host, an owner
+    /// assumes that there may be a second owner.
     pub fn with_settle_after(mut self, span: Duration) -> Self {
         self.settle_after = span;
         self
     }
 
-    /// Set what the published limits bound.
+    /// Set all options that the published fleet limits determine.
     pub fn with_limits(self, limits: &FleetLimits) -> Self {
         self.with_max_wait(Duration::from_millis(limits.queue_limit_ms))
             .with_max_asks(limits.queue_limit_requests as usize)
@@ -132,14 +136,14 @@
             )
     }
 
-    /// Set how much more than their quotas accounts may use in one window.
+    /// Set how far accounts may exceed their quotas within one window.
     pub fn with_quota_tolerance(mut self, tolerance: QuotaTolerance) -> Self {
         self.quota_tolerance = tolerance;
         self
     }
 
-    /// Set the first and the longest time between probes of a target that is
-    /// backed off.
+    /// Set the initial and the maximum interval between probes of a target that
+    /// is backed off.
     pub fn with_probe_interval(mut self, base: Duration, max: Duration) -> Self {
         self.probe_base = base;
         self.probe_max = max;
--- a/bergamotswitch-core/src/pool_owner/owner.rs
+++ b/bergamotswitch-core/src/pool_owner/owner.rs
@@ -1,4 +1,5 @@
-//! Provides the owner of a pool shard: the one place that orders its asks.
+//! Provides the owner of a pool shard, which orders the shard's permit
+//! requests.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -26,15 +27,15 @@
 use super::wait_plan::WaitPlan;
 use super::{OwnerAction, OwnerEvent};
 
-/// How often a queue that waits is looked at although nothing happened:
-/// reported load fades and pauses end without an event.
+/// The interval at which a non-empty queue is dispatched without an event:
+/// reported load decays and pauses of targets end by time alone.
 const QUEUE_LOOK: Duration = Duration::from_millis(100);
 
-/// When to come back where no target is allowed: the list of targets changes
-/// within seconds, not sooner.
+/// The retry-after time if no target is allowed: the set of targets seldom
+/// changes faster.
 pub(super) const NO_TARGET_RETRY: Duration = Duration::from_secs(5);
 
-/// An `OwnerCounts` is what the owner has counted since it took over.
+/// An `OwnerCounts` is the counters of an owner since it took over.
 #[derive(Debug, Default)]
 pub(super) struct OwnerCounts {
     pub(super) granted: u64,
@@ -44,8 +45,8 @@
     pub(super) refusals: BTreeMap<RefusalReason, u64>,
 }
 
-/// A `ShardOwner` holds the queue order of one pool shard for all entry hosts
-/// and gives permits.
+/// A `ShardOwner` queues the permit requests of one pool shard for all entry
+/// hosts and grants permits.
 #[derive(Debug)]
 pub struct ShardOwner {
     pub(super) me: HostIncarnation,
@@ -61,7 +62,8 @@
     pub(super) costs: CostSample,
     pub(super) quotas: QuotaBook,
     pub(super) followers: OwnerFollowers,
-    /// What it takes in of its hosts' uses.
+    /// The quota usage reports of entry hosts; `None` once these are no longer
+    /// accepted.
     pub(super) recovery: Option<QuotaRecovery>,
     pub(super) pace: ReleasePace,
     pub(super) sequence: u64,
@@ -94,14 +96,14 @@
         }
     }
 
-    /// Put other bounds in force. What was queued and given under the earlier
-    /// ones stays; shedding looks at the new ones with the next ask.
+    /// Set new options. Queued requests and granted permits stay; shedding
+    /// applies the new limits with the next request.
     pub fn set_opts(&mut self, opts: OwnerOptions) {
         self.keys.set_bounds(opts.key_retention, opts.max_keys);
         self.opts = opts;
     }
 
-    /// Take in one event and get what is to be done.
+    /// Process one event and get the resulting actions.
     pub fn handle(&mut self, now: Moment, event: OwnerEvent) -> Vec<OwnerAction> {
         let mut actions = Vec::new();
         self.now = now;
@@ -113,7 +115,7 @@
             OwnerEvent::Message(_, OwnerMessage::Ask(ask)) => Some((ask.attempt, ask.tier)),
             _ => None,
         };
-        // An ask that is sent again has kept its place for a while already.
+        // A resent request has been queued already.
         let waited = asked.is_some_and(|(attempt, _)| self.queue.get(&attempt).is_some());
         match event {
             OwnerEvent::Message(host, message) => {
@@ -154,7 +156,7 @@
         if let Some((attempt, tier)) = asked {
             let hopeless = !waited && self.shed_hopeless(now, &attempt, &mut actions);
             if self.shed(now, tier, &mut actions) || hopeless {
-                // What was shed may have been what room was kept for.
+                // Targets may have been reserved for a request that was shed.
                 self.dispatch(now, &mut actions);
             }
         }
@@ -163,16 +165,16 @@
         actions
     }
 
-    /// Take note that this process has slept. Another owner may have let calls in
-    /// meanwhile, and the hosts may ask that one now.
+    /// Record that this process was suspended. Another owner may have admitted
+    /// requests meanwhile, and entry hosts may use that one now.
     pub fn woke(&mut self, now: Moment, slept: Duration) {
         self.quotas.skip(slept);
         let settle = self.opts.settle_after;
         self.followers.lose_all(now, &self.me.host, settle);
     }
 
-    /// Take this part of what lies in the quotas' buckets out of them, for the
-    /// next owner.
+    /// Withdraw this fraction of the tokens left in the quotas' buckets, to
+    /// pass them to the next owner.
     pub fn hand_over_quotas(&mut self, now: Moment, part: f64) -> Vec<QuotaLevel> {
         self.quotas.take_out(now, part)
     }
@@ -189,8 +191,9 @@
         wake
     }
 
-    /// Take note of a host that asks or tells what it holds: it follows this
-    /// owner. A release may come long after it has turned to another one.
+    /// Record that a host uses this owner if it requests a permit or reports
+    /// what it holds. Other messages don't show it: a release may be sent long
+    /// after its host has switched owners.
     fn note_follower(&mut self, now: Moment, host: &HostName, message: &OwnerMessage) {
         if matches!(message, OwnerMessage::Ask(_) | OwnerMessage::Retell { .. }) {
             self.followers.note(now, host);
@@ -230,14 +233,14 @@
             OwnerMessage::FailedTargets { targets, .. } => {
                 self.on_failed_targets(now, &targets, actions);
             }
-            // Taken by the guard of the keys.
+            // Handled by the owner's key guard.
             OwnerMessage::Following { .. } => {}
         }
     }
 
     fn on_ask(&mut self, now: Moment, host: HostName, ask: Ask, actions: &mut Vec<OwnerAction>) {
-        // An ask is sent again when its answer is late. It must find its own
-        // place or permit: a second one would hold a slot that nobody uses.
+        // A request is resent if its answer is late. It must find its queue
+        // entry or permit: a second permit would hold a slot that nobody uses.
         if let Some(permit) = self.permits.of_attempt(&ask.attempt) {
             let reply = self.granted_reply(permit);
             actions.push(OwnerAction::Reply(host, reply));
@@ -270,13 +273,13 @@
 
     fn enqueue(&mut self, now: Moment, host: HostName, ask: Ask, actions: &mut Vec<OwnerAction>) {
         let tokens = ask.cost.total();
-        // Where a target's batch is known, long work takes one place in it
-        // like any other, and need not be kept off some targets.
+        // If the targets' slots are known, a long request takes one slot like
+        // any other and needs no reserved capacity.
         let long = self.costs.is_long(tokens) && !self.has_slots();
         let placement = Placement::of(&ask, long);
-        // Fail closed: an ask that may run nowhere is answered now, and never
-        // sent to a failure domain that its rule does not name. Before the
-        // first list of targets nothing can be said.
+        // Fail closed: a request that no target may serve is refused now, and
+        // never sent to a failure domain outside its rule. Before the first
+        // list of targets that can't be decided.
         if self.targets_known && allowed(&self.targets, &placement).is_empty() {
             let reason = RefusalReason::NoTarget;
             self.refuse(host, ask.attempt, reason, NO_TARGET_RETRY, actions);
@@ -307,13 +310,14 @@
         self.queue.push(now, queued);
     }
 
-    /// Get whether all targets say how many requests they serve at once.
+    /// Get whether all targets publish their slots, the number of requests that
+    /// they serve concurrently.
     pub(super) fn has_slots(&self) -> bool {
         let mut targets = self.targets.values();
         targets.all(|load| load.target().slots.is_some())
     }
 
-    /// Get how soon the fastest target's answer could begin.
+    /// Get the predicted time to first token on the fastest target.
     fn best_first(&self, cost: TokenCost) -> Duration {
         let working = self.targets.values();
         let working = working.filter(|load| !load.back_off().is_active() && !load.is_leaving());
@@ -323,8 +327,7 @@
             .map_or(Duration::ZERO, span_of)
     }
 
-    /// Get how long a run of this cost should take: the mean of the targets
-    /// that work.
+    /// Get the predicted run time: the mean over the targets that work.
     fn expected_run(&self, cost: TokenCost) -> Duration {
         let working = self.targets.values();
         let working = working.filter(|load| !load.back_off().is_active() && !load.is_leaving());
--- a/bergamotswitch-core/src/pool_owner/permit_table.rs
+++ b/bergamotswitch-core/src/pool_owner/permit_table.rs
@@ -1,4 +1,4 @@
-//! Provides the table of permits that were given and not yet given back.
+//! Provides the table of granted permits that haven't been released.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -12,10 +12,10 @@
 
 use super::speed_gauge::DueWork;
 
-/// A `GivenPermit` is a permit that an entry host holds.
+/// A `GivenPermit` is a permit held by an entry host.
 #[derive(Clone, Debug)]
 pub struct GivenPermit {
-    /// The permit's name.
+    /// The permit's id.
     pub id: PermitId,
     /// The entry host.
     pub host: HostName,
@@ -29,32 +29,33 @@
     pub account: AccountName,
     /// The estimated cost.
     pub cost: TokenCost,
-    /// Whether it counts as long work.
+    /// Whether the request counts as long.
     pub long: bool,
-    /// Whether its stream may be stopped for a higher tier.
+    /// Whether the stream may be preempted for a higher tier.
     pub preemptible: bool,
-    /// The key, where a second run must be prevented.
+    /// The idempotency key's claim, if a second run must be prevented.
     pub claim: Option<KeyClaim>,
-    /// The hashes of the prompt's beginnings.
+    /// The hashes of the prompt's prefixes.
     pub prefixes: Vec<PrefixHash>,
-    /// How many of them were believed warm at the target.
+    /// The number of prompt blocks that the target was assumed to have cached.
     pub warm_blocks: usize,
-    /// When it was given, or told.
+    /// When the permit was granted, or taken over from a previous owner.
     pub granted_at: Moment,
-    /// The tokens to be served at the target until its end, its own included.
+    /// The tokens that the target was predicted to process until the request's
+    /// end, its own included.
     pub ahead: u64,
-    /// How full the target was with it, 1 for full.
+    /// The target's utilization with this request, 1 when full.
     pub crowd: f64,
-    /// When its work is predicted to end.
+    /// When the request is predicted to end.
     pub finish_at: Moment,
-    /// When its holder was last asked to stop it.
+    /// When the holder was last told to stop the stream.
     pub preempted_at: Option<Moment>,
-    /// When its holder is asked whether it still has it.
+    /// When the holder is next asked whether it still holds the permit.
     pub audit_at: Moment,
 }
 
 impl GivenPermit {
-    /// Get the prompt tokens that the target was believed to hold.
+    /// Get the prompt tokens that the target was assumed to have cached.
     pub fn expected_cached(&self) -> u64 {
         if self.prefixes.is_empty() {
             return 0;
@@ -62,7 +63,7 @@
         u64::from(self.cost.prefill) * self.warm_blocks as u64 / self.prefixes.len() as u64
     }
 
-    /// Get when its work should end.
+    /// Get the request's predicted end.
     pub fn due_work(&self) -> DueWork {
         DueWork {
             finish_at: self.finish_at,
@@ -72,7 +73,8 @@
     }
 }
 
-/// A `PermitTable` is all permits given, by name, attempt and audit time.
+/// A `PermitTable` is the granted permits, indexed by id, attempt and audit
+/// time.
 #[derive(Debug, Default)]
 pub struct PermitTable {
     permits: BTreeMap<PermitId, GivenPermit>,
@@ -87,12 +89,12 @@
         self.permits.len()
     }
 
-    /// Get whether no permit is out.
+    /// Get whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.permits.is_empty()
     }
 
-    /// Get all permits.
+    /// Get all permits, in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = &GivenPermit> {
         self.permits.values()
     }
@@ -107,14 +109,14 @@
         self.permits.get(self.attempts.get(attempt)?)
     }
 
-    /// Get the names of the permits of one run of an entry host.
+    /// Get the ids of the permits of one run of an entry host.
     pub fn of_run(&self, run: Incarnation) -> Vec<PermitId> {
         let permits = self.permits.values();
         let held = permits.filter(|permit| permit.attempt.request.incarnation == run);
         held.map(|permit| permit.id).collect()
     }
 
-    /// Get the number of permits whose streams may be stopped.
+    /// Get the number of permits whose streams may be preempted.
     pub fn preemptible(&self) -> usize {
         self.preemptible
     }
@@ -127,7 +129,8 @@
         self.permits.insert(permit.id, permit);
     }
 
-    /// Remove a permit. A second time it is gone: giving back is idempotent.
+    /// Remove a permit. Repeated releases are harmless: only the first returns
+    /// it.
     pub fn remove(&mut self, id: &PermitId) -> Option<GivenPermit> {
         let permit = self.permits.remove(id)?;
         self.preemptible -= usize::from(permit.preemptible);
@@ -138,7 +141,7 @@
         Some(permit)
     }
 
-    /// Make the audit of a host's permits due, but for those that it has named.
+    /// Make the audit due for all permits of a host except those in `named`.
     pub fn audit_others(&mut self, now: Moment, host: &HostName, named: &BTreeSet<PermitId>) {
         for permit in self.permits.values_mut() {
             if permit.host != *host || named.contains(&permit.id) {
@@ -150,7 +153,7 @@
         }
     }
 
-    /// Take out all permits for a target.
+    /// Remove and get all permits for a target.
     pub fn take_all_of(&mut self, target: &TargetName) -> Vec<GivenPermit> {
         let permits = self.permits.values();
         let held = permits.filter(|permit| permit.target == *target);
@@ -158,7 +161,7 @@
         ids.iter().filter_map(|id| self.remove(id)).collect()
     }
 
-    /// Note that a permit's holder is asked to stop it.
+    /// Record that a permit's holder was told to stop the stream.
     pub fn mark_preempted(&mut self, id: &PermitId, now: Moment) {
         if let Some(permit) = self.permits.get_mut(id) {
             permit.preempted_at = Some(now);
@@ -170,7 +173,8 @@
         self.audits.first().map(|(at, _)| *at)
     }
 
-    /// Get the permits to ask about now; the next audit of each is at `next`.
+    /// Get the permits whose audit is due, by host, and schedule the next audit
+    /// of each at `next`.
     pub fn due_audits(&mut self, now: Moment, next: Moment) -> BTreeMap<HostName, Vec<PermitId>> {
         let mut by_host: BTreeMap<HostName, Vec<PermitId>> = BTreeMap::new();
         while let Some((at, id)) = self.audits.first().copied() {
--- a/bergamotswitch-core/src/pool_owner/preemption.rs
+++ b/bergamotswitch-core/src/pool_owner/preemption.rs
@@ -1,5 +1,5 @@
-//! Provides preemption: stopping lower-tier streams for top-tier work that
-//! would miss its deadline otherwise.
+//! Provides preemption: stopping lower-tier streams for top-tier requests that
+//! would miss their deadlines otherwise.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -15,26 +15,28 @@
 use super::routing::allowed;
 use super::target_load::TargetLoad;
 
-/// The tier for which streams are stopped.
+/// The tier for which streams are preempted.
 const TOP_TIER: Tier = Tier(0);
 
-/// How often the queue is checked for endangered work: the check walks the
-/// permits, and a burst brings thousands of events a second.
+/// The interval at which the queue is checked for requests at risk: a check
+/// iterates over the permits, and a burst causes thousands of events per
+/// second.
 const CHECK_EVERY: Duration = Duration::from_millis(20);
 
-/// How long a holder is given to stop a stream before it is asked again.
+/// How long a holder has to stop a stream before it is told again.
 const STOP_PATIENCE: Duration = Duration::from_secs(2);
 
-/// The part of its age that work past its predicted end is given to go on.
+/// The fraction of its age, as a divisor, for which overdue work is predicted
+/// to continue.
 const OVERDUE_PARTS: u32 = 4;
 
 impl ShardOwner {
-    /// Stop streams for endangered top-tier work, a few at once.
+    /// Preempt streams for top-tier requests at risk, a few at a time.
     pub(super) fn preempt(&mut self, now: Moment, actions: &mut Vec<OwnerAction>) {
         let waits = self.queue.by_deadline(TOP_TIER).next().is_some();
-        // The check walks all permits for each target; where no stream may be
-        // stopped it would take a twentieth of a small host's processor in a
-        // burst, for nothing.
+        // A check iterates over all permits for each target; it is skipped if
+        // no stream may be preempted, since it would take noticeable processor
+        // time in a burst.
         let stoppable = self.permits.preemptible() > 0;
         if !waits || !stoppable || now < self.preempt_check_at {
             return;
@@ -43,7 +45,8 @@
         let most = self.opts.max_preemptions;
         let mut victims: Vec<PermitId> = Vec::new();
         let pending = self.permits.iter().filter(|permit| is_pending(now, permit));
-        // Each stream that is being stopped already helps one ask.
+        // Each stream that is being stopped already frees a slot for one
+        // request.
         let helped = pending.count();
         let first = self.queue.by_deadline(TOP_TIER).take(most);
         let endangered = first.filter(|queued| self.is_endangered(now, queued));
@@ -70,8 +73,8 @@
         self.counts.preempted += 1;
     }
 
-    /// Get whether an ask misses its deadline where it waits for a slot, and
-    /// would meet it where it got one now.
+    /// Get whether a request misses its deadline if it waits for a slot, and
+    /// would meet it if it got one now.
     fn is_endangered(&self, now: Moment, queued: &QueuedAsk) -> bool {
         let tokens = queued.ask.cost.total();
         let left = queued.plan.run_until.since(now);
@@ -93,10 +96,10 @@
         helps
     }
 
-    /// Get the predicted time until `tokens` fit at a target.
+    /// Get the predicted time until a request of `tokens` fits a target.
     fn room_in(&self, now: Moment, load: &TargetLoad, tokens: u64) -> Duration {
-        // Work that has room and still waits is kept back for another reason;
-        // to stop a stream would not help it.
+        // A queued request that fits is held back for another reason, which
+        // preemption wouldn't change.
         if load.fits(now, tokens) {
             return Duration::ZERO;
         }
@@ -115,12 +118,12 @@
                 return span;
             }
         }
-        // With nothing of ours left there it takes any one request.
+        // A target without permits of this owner accepts any single request.
         last
     }
 
-    /// Get the permit to stop for an ask: of the lowest tier, one that frees
-    /// enough, with the least work lost.
+    /// Get the permit to preempt for a request: of the lowest tier, preferably
+    /// one that frees enough tokens, with the least work lost.
     fn victim(&self, now: Moment, queued: &QueuedAsk, taken: &[PermitId]) -> Option<PermitId> {
         let tokens = queued.ask.cost.total();
         let targets = allowed(&self.targets, &queued.placement);
@@ -141,30 +144,30 @@
     }
 }
 
-/// Get the predicted time that `tokens` take at a target beside the streams
-/// that run there.
+/// Get the predicted run time of `tokens` at a target beside the streams that
+/// run there.
 fn run_time(now: Moment, load: &TargetLoad, tokens: u64) -> Duration {
     let ahead = load.ahead_of(now, tokens).max(tokens);
     Duration::from_secs_f64(ahead as f64 / load.speed(now))
 }
 
-/// Get whether a holder was asked lately to stop a stream.
+/// Get whether a holder was recently told to stop a stream.
 fn is_pending(now: Moment, permit: &GivenPermit) -> bool {
     let asked = permit.preempted_at;
     asked.is_some_and(|at| now.since(at) < STOP_PATIENCE)
 }
 
-/// Get the predicted time until a permit's work ends.
+/// Get the predicted time until a request ends.
 fn time_left(now: Moment, permit: &GivenPermit) -> Duration {
     if now < permit.finish_at {
         return permit.finish_at.since(now);
     }
-    // Past its predicted end it could end at any time; counted as ending now
-    // it would hide for ever that no slot comes free.
+    // An overdue request may end at any time. If it were predicted to end now,
+    // a shortage of slots would go unnoticed as long as it runs.
     now.since(permit.granted_at) / OVERDUE_PARTS
 }
 
-/// Get the tokens of a permit's work that are probably done.
+/// Get the predicted number of a request's tokens that have been processed.
 fn work_done(now: Moment, permit: &GivenPermit) -> u64 {
     let span = permit.finish_at.since(permit.granted_at).as_micros();
     let age = now.since(permit.granted_at).as_micros();
--- a/bergamotswitch-core/src/pool_owner/prefix_table.rs
+++ b/bergamotswitch-core/src/pool_owner/prefix_table.rs
@@ -1,5 +1,5 @@
-//! Provides the table of warm prefixes: which target probably holds the
-//! cache of which prompt beginning. It is a hint and nothing more.
+//! Provides the table of warm prefixes: which targets probably have which
+//! prompt prefixes cached. Its contents are only hints.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -8,35 +8,36 @@
 use crate::request::PrefixHash;
 use crate::target::TargetName;
 
-/// The most targets that are remembered for one prefix. Routing looks for one
-/// warm target with room; a prefix that is warm everywhere tells it nothing.
+/// The maximum number of targets kept per prefix. Routing needs one warm target
+/// with capacity; a prefix that is cached on every target doesn't influence the
+/// choice.
 const MAX_HINTS: usize = 4;
 
-/// A `WarmTarget` is a target that probably holds a prompt's beginning.
+/// A `WarmTarget` is a target that probably has a prefix of the prompt cached.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WarmTarget {
     /// The target.
     pub target: TargetName,
-    /// How many of the prompt's blocks it holds.
+    /// The number of the prompt's blocks that it has cached.
     pub blocks: usize,
 }
 
-/// A `PrefixHint` says when a target was last known to hold a prefix.
+/// A `PrefixHint` is when a target was last known to hold a prefix.
 #[derive(Clone, Debug)]
 struct PrefixHint {
     target: TargetName,
     seen: Moment,
 }
 
-/// A `PrefixEntry` is all hints about one prefix.
+/// A `PrefixEntry` is the hints about one prefix.
 #[derive(Debug, Default)]
 struct PrefixEntry {
     stamp: u64,
     hints: Vec<PrefixHint>,
 }
 
-/// A `PrefixTable` is a bounded table of hints; the least recently touched
-/// prefix goes first.
+/// A `PrefixTable` is a bounded table of warm-prefix hints with
+/// least-recently-used eviction.
 #[derive(Debug)]
 pub struct PrefixTable {
     capacity: usize,
@@ -63,12 +64,12 @@
         self.entries.len()
     }
 
-    /// Get whether no prefix is known.
+    /// Get whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Note that `target` holds `prefix`.
+    /// Record that `target` holds `prefix`.
     pub fn learn(&mut self, now: Moment, target: &TargetName, prefix: PrefixHash) {
         if self.capacity == 0 {
             return;
@@ -79,7 +80,7 @@
         entry.stamp = self.stamp;
         entry.hints.retain(|hint| hint.target != *target);
         if entry.hints.len() >= MAX_HINTS {
-            // The oldest stands first.
+            // The hints are ordered by age, oldest first.
             entry.hints.remove(0);
         }
         entry.hints.push(PrefixHint {
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Note that `target` no longer holds `prefix`.
+    /// Record that `target` no longer holds `prefix`.
     pub fn forget(&mut self, target: &TargetName, prefix: PrefixHash) {
         let Some(entry) = self.entries.get_mut(&prefix) else {
             return;
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Note that `target` holds nothing any more.
+    /// Record that `target` no longer holds any prefix.
     pub fn forget_target(&mut self, target: &TargetName) {
         let order = &mut self.order;
         self.entries.retain(|_, entry| {
@@ -116,8 +117,9 @@
         });
     }
 
-    /// Get the targets that hold a beginning of the prompt. A hash spans the
-    /// prompt up to its block, so the longest known one decides.
+    /// Get the targets that hold a prefix of the prompt, with the longest one
+    /// that each holds. Each hash covers the prompt from its beginning to the
+    /// end of a block.
     pub fn warm(&self, now: Moment, prefixes: &[PrefixHash]) -> Vec<WarmTarget> {
         let mut found: Vec<WarmTarget> = Vec::new();
         for (index, prefix) in prefixes.iter().enumerate().rev() {
--- a/bergamotswitch-core/src/pool_owner/queue.rs
+++ b/bergamotswitch-core/src/pool_owner/queue.rs
@@ -1,5 +1,5 @@
-//! Provides the queue of asks: strict tiers, fair order inside each, and
-//! indices for deadlines, eviction and withdrawal.
+//! Provides the queue of permit requests: strict tiers, fair queueing within
+//! each tier, and indexes for deadlines, shedding and withdrawal.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -16,33 +16,34 @@
 use super::tier_floor::{TierFloor, TierPlace};
 use super::wait_plan::WaitPlan;
 
-/// A `Placement` says where an ask may go. Asks of one placement are blocked
-/// together, so that a full failure domain does not hold up the others.
+/// A `Placement` is the constraints on where a request may be sent. Requests of
+/// the same placement are blocked together, so that a full failure domain
+/// doesn't block requests for others.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Placement {
-    /// The failure domains; everywhere where empty.
+    /// The allowed failure domains; all if empty.
     pub domains: Vec<DomainName>,
-    /// The targets that are used only where no other is allowed.
+    /// The targets that are used only if no other one is allowed.
     pub avoid: Vec<TargetName>,
-    /// Whether the ask is long compared with the others.
+    /// Whether the request is long compared with the others.
     pub long: bool,
-    /// The time in which its answer should begin, in milliseconds, while it
-    /// can: asks of one aim wait for the same targets.
+    /// The time-to-first-token limit in milliseconds while it can be met:
+    /// requests of the same limit wait for the same targets.
     pub aim_ms: Option<u32>,
 }
 
 impl Placement {
-    /// Get whether it is short work that may go to every target.
+    /// Get whether it is a short request that may be sent to any target.
     pub fn is_anywhere(&self) -> bool {
         !self.long && self.domains.is_empty() && self.avoid.is_empty() && self.aim_ms.is_none()
     }
 
-    /// Get whether it may go to targets of a failure domain.
+    /// Get whether the targets of a failure domain are allowed.
     pub fn allows(&self, domain: &DomainName) -> bool {
         self.domains.is_empty() || self.domains.contains(domain)
     }
 
-    /// Get the placement of an ask.
+    /// Get the placement of a request.
     pub fn of(ask: &Ask, long: bool) -> Self {
         let mut domains = ask.domains.clone();
         domains.sort();
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Get the placement of the ask once it is late.
+    /// Get the placement of the request once it is late.
     fn late(&self) -> Self {
         Placement {
             aim_ms: None,
@@ -67,20 +68,20 @@
     }
 }
 
-/// A `QueuedAsk` is an ask that waits.
+/// A `QueuedAsk` is a permit request that waits in the queue.
 #[derive(Clone, Debug)]
 pub struct QueuedAsk {
-    /// The ask.
+    /// The permit request.
     pub ask: Ask,
-    /// The entry host that asks.
+    /// The entry host that sent it.
     pub host: HostName,
-    /// How long it waits, and in which order.
+    /// How long the request may wait, and its sort key.
     pub plan: WaitPlan,
-    /// Where it may go.
+    /// Where the request may be sent.
     pub placement: Arc<Placement>,
 }
 
-/// A `StoredAsk` is an ask with its place in the order.
+/// A `StoredAsk` is a queued request with its position in the order.
 #[derive(Debug)]
 struct StoredAsk {
     queued: QueuedAsk,
@@ -95,61 +96,62 @@
     placements: BTreeMap<Arc<Placement>, usize>,
     tokens: u64,
     sequence: u64,
-    /// When asks cease to be fresh.
+    /// When requests become late.
     fresh_ends: BTreeSet<(Moment, AttemptId)>,
     floor: TierFloor,
 }
 
-/// How many asks wait of a tier that has less than it is owed: the next places
-/// are theirs, so a few are enough, and more would wait in vain.
+/// The maximum number of queued requests of a tier below its floor that are
+/// exempt from shedding: such a tier gets the next slots, so a few are enough
+/// to fill them.
 const OWED_WAITING: usize = 4;
 
 impl AskQueue {
-    /// Get the number of asks.
+    /// Get the number of queued requests.
     pub fn len(&self) -> usize {
         self.asks.len()
     }
 
-    /// Get whether nothing waits.
+    /// Get whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.asks.is_empty()
     }
 
-    /// Get the tokens of all asks.
+    /// Get the tokens of all queued requests.
     pub fn tokens(&self) -> u64 {
         self.tokens
     }
 
-    /// Get the tokens of the asks of `tier` and higher ones.
+    /// Get the tokens of the queued requests of `tier` and higher ones.
     pub fn tokens_through(&self, tier: Tier) -> u64 {
         let tiers = self.tiers.range(..=tier);
         tiers.map(|(_, queue)| queue.tokens()).sum()
     }
 
-    /// Get the number of asks of `tier` and higher ones.
+    /// Get the number of queued requests of `tier` and higher ones.
     pub fn asks_through(&self, tier: Tier) -> usize {
         let tiers = self.tiers.range(..=tier);
         tiers.map(|(_, queue)| queue.asks()).sum()
     }
 
-    /// Get the tiers with their numbers of asks and tokens.
+    /// Get the tiers with their numbers of requests and tokens.
     pub fn tiers(&self) -> impl Iterator<Item = (Tier, usize, u64)> {
         let tiers = self.tiers.iter();
         tiers.map(|(tier, queue)| (*tier, queue.asks(), queue.tokens()))
     }
 
-    /// Get an ask.
+    /// Get a queued request.
     pub fn get(&self, attempt: &AttemptId) -> Option<&QueuedAsk> {
         self.asks.get(attempt).map(|stored| &stored.queued)
     }
 
-    /// Get the placements of the asks that wait.
+    /// Get the placements of the queued requests.
     pub fn placements(&self) -> impl Iterator<Item = &Arc<Placement>> {
         self.placements.keys()
     }
 
-    /// Get the attempts whose asks meet `wanted`, in no order. It looks at
-    /// each ask: for rare events only.
+    /// Get the attempts whose requests meet `wanted`, in ascending order. It
+    /// checks each request, so it is for rare events only.
     pub fn find(&self, wanted: impl Fn(&QueuedAsk) -> bool) -> Vec<AttemptId> {
         let asks = self.asks.iter();
         let found = asks.filter(|(_, stored)| wanted(&stored.queued));
@@ -158,12 +160,12 @@
         attempts
     }
 
-    /// Get the attempts of one run of an entry host.
+    /// Get the queued attempts of one run of an entry host.
     pub fn of_run(&self, run: Incarnation) -> Vec<AttemptId> {
         self.find(|queued| queued.ask.attempt.request.incarnation == run)
     }
 
-    /// Add an ask. An ask whose attempt waits already changes nothing.
+    /// Add a request; nothing changes if its attempt is queued already.
     pub fn push(&mut self, now: Moment, queued: QueuedAsk) {
         let attempt = queued.ask.attempt;
         if self.asks.contains_key(&attempt) {
@@ -195,7 +197,7 @@
         self.asks.insert(attempt, StoredAsk { queued, entry });
     }
 
-    /// Move the asks that are not fresh any more behind those that are.
+    /// Move the requests that have become late behind those that are on time.
     pub fn demote(&mut self, now: Moment) {
         while let Some((end, attempt)) = self.fresh_ends.first().copied()
             && end <= now
@@ -218,15 +220,15 @@
         }
     }
 
-    /// Get when the first ask ceases to be fresh.
+    /// Get when the next request becomes late.
     pub fn first_fresh_end(&self) -> Option<Moment> {
         self.fresh_ends.first().map(|(end, _)| *end)
     }
 
-    /// Get the next ask in order whose placement is not blocked.
+    /// Get the next request in order whose placement isn't blocked.
     pub fn next(&self, blocked: &BTreeSet<Arc<Placement>>) -> Option<&QueuedAsk> {
-        // Without this shortcut a full shard would be walked account by
-        // account for every event.
+        // Avoid iterating over all accounts on every event while the shard is
+        // full.
         let all_blocked = self.placements.keys().all(|key| blocked.contains(key));
         if all_blocked {
             return None;
@@ -240,25 +242,25 @@
         self.get(&attempt)
     }
 
-    /// Count an ask that got a place, or was refused.
+    /// Count a request as served or refused.
     pub(super) fn note_fate(&mut self, now: Moment, tier: Tier, served: bool) {
         self.floor.note(now, tier, served);
     }
 
-    /// Get whether a tier has less than it is owed, and may have one more ask
-    /// wait.
+    /// Get whether a tier is below its floor and few enough of its requests are
+    /// queued.
     pub(super) fn is_owed(&self, tier: Tier) -> bool {
         let waiting = self.tiers.get(&tier).map_or(0, TierQueue::asks);
         waiting <= OWED_WAITING && self.floor.place(tier) == TierPlace::Owed
     }
 
-    /// Get the ask that goes first under overload: of the lowest tier, the
-    /// latest deadline of the account most over its share.
+    /// Get the request to shed first: of the lowest tier, the last-ranked one
+    /// of the account with the most queued tokens per share.
     pub fn worst(&self) -> Option<AttemptId> {
         self.tiers.values().next_back()?.worst()
     }
 
-    /// Get the first deadline.
+    /// Get the earliest expiry time.
     pub fn first_deadline(&self) -> Option<Moment> {
         let firsts = self.tiers.values().filter_map(|tier| {
             let (deadline, _) = tier.by_deadline().next()?;
@@ -267,7 +269,7 @@
         firsts.min()
     }
 
-    /// Get an ask whose deadline has passed.
+    /// Get a request whose expiry time has passed.
     pub fn expired(&self, now: Moment) -> Option<AttemptId> {
         let mut firsts = self.tiers.values().filter_map(|tier| {
             let (deadline, attempt) = tier.by_deadline().next()?;
@@ -276,19 +278,19 @@
         firsts.next()
     }
 
-    /// Get the asks of one tier by deadline, earliest first.
+    /// Get the requests of one tier by expiry time, earliest first.
     pub fn by_deadline(&self, tier: Tier) -> impl Iterator<Item = &QueuedAsk> {
         let queue = self.tiers.get(&tier).into_iter();
         let order = queue.flat_map(|queue| queue.by_deadline());
         order.filter_map(|(_, attempt)| self.get(attempt))
     }
 
-    /// Remove an ask that is served: its account pays for it.
+    /// Remove a request that is served and charge its cost to its account.
     pub fn serve(&mut self, attempt: &AttemptId) -> Option<QueuedAsk> {
         self.take(attempt, true)
     }
 
-    /// Remove an ask that is not served.
+    /// Remove a request that isn't served.
     pub fn remove(&mut self, attempt: &AttemptId) -> Option<QueuedAsk> {
         self.take(attempt, false)
     }
--- a/bergamotswitch-core/src/pool_owner/quota.rs
+++ b/bergamotswitch-core/src/pool_owner/quota.rs
@@ -1,4 +1,5 @@
-//! Provides the quotas of client accounts, kept where the whole is seen.
+//! Provides the quotas of client accounts, enforced by the shard owner, which
+//! sees all of a shard's requests.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,31 +9,31 @@
 use crate::permit::QuotaLevel;
 use crate::route::AccountQuota;
 
-/// The shortest and longest pauses that a refused caller is told: at a shorter
-/// one it would come back before anything has come into its bucket.
+/// The bounds of the retry-after time of requests over quota: after less than
+/// the minimum, hardly any tokens would have been added to the bucket.
 const RETRY_MIN: Duration = Duration::from_millis(250);
 const RETRY_MAX: Duration = Duration::from_secs(4);
 
-/// A `QuotaTolerance` is how much more than its quota an account may use in
-/// one window. It is given to bursts: what an account may use over long is its
+/// A `QuotaTolerance` is how far an account may exceed its quota within one
+/// window. The tolerance is used for bursts; the long-term limit is the quota's
 /// rate.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct QuotaTolerance {
-    /// The window.
+    /// The length of the window.
     pub window: Duration,
-    /// The part of the window's quota.
+    /// The tolerated excess as a fraction of the window's quota.
     pub part: f64,
 }
 
 impl QuotaTolerance {
-    /// Get the rate to keep for a quota, shared among `owners` that each keep
-    /// a part of it.
+    /// Get the rate to enforce for a quota that is split evenly among `owners`.
     pub fn rate(&self, quota: &AccountQuota, owners: usize) -> QuotaRate {
         let share = 1.0 / owners.max(1) as f64;
         let (rate, burst) = (quota.rate as f64, quota.burst as f64);
         let window = self.window.as_secs_f64();
-        // Each window may hold one burst, so over long the burst adds to the
-        // rate, and bursts live on the tolerance, as far as that is enough.
+        // Each window may include one burst, so the burst adds to the long-term
+        // rate, and bursts are taken from the tolerance if that is large
+        // enough.
         let in_window = rate * window + burst;
         let tolerance = in_window * self.part;
         if tolerance < burst {
@@ -48,39 +49,37 @@
     }
 }
 
-/// A `QuotaRate` is the part of an account's quota that one owner keeps.
+/// A `QuotaRate` is the portion of an account's quota that one owner enforces.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaRate {
-    /// Units a second.
+    /// The refill rate in units per second.
     pub rate: f64,
-    /// Units at once.
+    /// The bucket's capacity in units.
     pub burst: f64,
 }
 
 #[derive(Debug)]
 struct QuotaBucket {
     level: f64,
-    /// What calls took that wait: it may come back.
+    /// The units taken by queued requests, which may still be refunded.
     waiting: f64,
-    /// What hosts told to be left, less what was used beyond their shares; what a
-    /// former owner hands over later is a part of it.
+    /// The unused units reported by entry hosts, less usage beyond their
+    /// shares; units that a previous owner hands over later include these.
     recovered: f64,
     filled_at: Moment,
 }
 
 /// A `QuotaBook` is a token bucket for each account with a quota.
 ///
-/// A bucket begins empty. A new owner does not know what the former one let
-/// pass, unless that one hands its buckets over; with an empty bucket, the use
-/// in any window around the change stays within one burst and the rate over the
-/// window, whatever came before. With a count over the window itself, an
-/// account that was over its rate would use a second window's quota after all
-/// hosts were killed.
+/// A bucket starts empty. A new owner doesn't know what the previous one
+/// admitted unless that one hands its buckets over; with an empty bucket, the
+/// usage in any window around the change stays within one burst plus the rate
+/// over the window.
 #[derive(Debug)]
 pub struct QuotaBook {
     rates: HashMap<AccountName, QuotaRate>,
     buckets: HashMap<AccountName, QuotaBucket>,
-    /// The part of each rate that is given out now.
+    /// The portion of each rate that this owner grants now.
     part: f64,
 }
 
@@ -95,15 +94,16 @@
 }
 
 impl QuotaBucket {
-    /// Count units of a call as waiting no longer; get how many of them did.
+    /// Remove a request's units from those of queued requests; get how many
+    /// were removed.
     fn stop_waiting(&mut self, units: u32) -> f64 {
         let waited = f64::from(units).min(self.waiting);
         self.waiting -= waited;
         waited
     }
 
-    /// Let in what has come since the last time. What lies in it stays, also
-    /// where less than that may come in now.
+    /// Add the units accrued since the last call. Present units stay, even if
+    /// the portion has become too small to accrue them.
     fn fill(&mut self, now: Moment, rate: &QuotaRate, part: f64) {
         let span = now.since(self.filled_at).as_secs_f64();
         self.filled_at = now;
@@ -113,7 +113,7 @@
 }
 
 impl QuotaBook {
-    /// Put other rates in force from now on. What was used stays used.
+    /// Set new rates. Units already used stay charged.
     pub fn set_rates(&mut self, now: Moment, rates: Vec<(AccountName, QuotaRate)>) {
         self.rates = rates.into_iter().collect();
         let rates = &self.rates;
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Give out this part of each rate from now on.
+    /// Set the portion of each rate that this owner grants from now on.
     pub fn set_part(&mut self, now: Moment, part: f64) {
         if part == self.part {
             return;
@@ -143,13 +143,14 @@
         self.part = part;
     }
 
-    /// Try to take units for a call. It is let in while the bucket is not
-    /// empty, and may take it below zero: calls differ a hundredfold in units,
-    /// and a bound on single calls would shut out long ones.
+    /// Try to take the units of a request. It is admitted while the bucket's
+    /// level isn't negative, and may take the level below zero: requests differ
+    /// by orders of magnitude in units, and requiring the full amount would
+    /// exclude long ones.
     ///
     /// # Errors
     ///
-    /// Returns when the account may come back.
+    /// Returns the retry-after time if the account is over its quota.
     pub fn try_take(
         &mut self,
         now: Moment,
@@ -161,8 +162,8 @@
             return Ok(());
         };
         bucket.fill(now, rate, self.part);
-        // A call that is sent once more has taken its units before. Refused, it
-        // would be told that it is over the quota after it has run.
+        // A retried request with no units has been charged before. Refusing it
+        // would report a request as over quota that may have run.
         if bucket.level >= 0.0 || units == 0 {
             bucket.level -= f64::from(units);
             bucket.waiting += f64::from(units);
@@ -173,7 +174,7 @@
         Err(wait.max(RETRY_MIN))
     }
 
-    /// Take this part of what lies in the buckets out of them.
+    /// Withdraw this fraction of the units left in the buckets.
     pub fn take_out(&mut self, now: Moment, part: f64) -> Vec<QuotaLevel> {
         let mut levels = Vec::new();
         for (account, bucket) in &mut self.buckets {
@@ -192,8 +193,9 @@
         levels
     }
 
-    /// Put in what a former owner took out of its buckets, up to a full one. What
-    /// hosts have told to be left is a part of that.
+    /// Deposit the units that a previous owner withdrew from its buckets, up to
+    /// the buckets' capacity. They include the unused units reported by entry
+    /// hosts.
     pub fn take_in(&mut self, now: Moment, levels: &[QuotaLevel]) {
         for QuotaLevel { account, units } in levels {
             let Some(rate) = self.rates.get(account) else {
@@ -208,9 +210,9 @@
         }
     }
 
-    /// Fill a host's share of the buckets, up to what its callers have used. An
-    /// empty bucket counts all shares as used; some of this one has come back in
-    /// the time since.
+    /// Credit an entry host's share of the buckets, less what its clients have
+    /// used. An empty bucket treats all shares as used; part of this one has
+    /// accrued again in the elapsed time.
     pub fn recover_share(
         &mut self,
         now: Moment,
@@ -235,32 +237,35 @@
             bucket.fill(now, rate, self.part);
             let before = bucket.recovered.max(0.0);
             bucket.recovered += missing / hosts - used;
-            // Never less than an empty bucket: that is safe without any word.
+            // Never less than an empty bucket, which is safe without any
+            // report.
             let gained = bucket.recovered.max(0.0) - before;
             bucket.level = (bucket.level + gained).min(rate.burst);
         }
     }
 
-    /// Leave out the time of a sleep: nothing comes into the buckets for it.
+    /// Exclude the time of a suspension of this process: no units accrue for
+    /// it.
     pub fn skip(&mut self, slept: Duration) {
         for bucket in self.buckets.values_mut() {
             bucket.filled_at = bucket.filled_at.plus(slept);
         }
     }
 
-    /// Keep what a call took that waits no longer: it runs, or may have run.
+    /// Keep the charge of a request that left the queue and runs or may have
+    /// run.
     pub fn keep(&mut self, account: &AccountName, units: u32) {
         if let Some(bucket) = self.buckets.get_mut(account) {
             bucket.stop_waiting(units);
         }
     }
 
-    /// Give back what a call took that was not run.
+    /// Refund the units of a queued request that was not run.
     ///
-    /// While it waited, the bucket may have filled in its place. Then what lies
-    /// in it and what may still come back are more than a full bucket, and that
-    /// much is not given back: an account whose calls wait while targets are
-    /// busy, and whose callers leave, would have more than one burst.
+    /// The bucket may have refilled while the request was queued. The refund is
+    /// limited so that the level and the units of queued requests don't exceed
+    /// the bucket's capacity; otherwise an account could get more than one
+    /// burst by queueing requests and cancelling them.
     pub fn give_back(&mut self, now: Moment, account: &AccountName, units: u32) {
         let (Some(rate), Some(bucket)) = (self.rates.get(account), self.buckets.get_mut(account))
         else {
--- a/bergamotswitch-core/src/pool_owner/quota_recovery.rs
+++ b/bergamotswitch-core/src/pool_owner/quota_recovery.rs
@@ -1,9 +1,9 @@
-//! Provides how a new owner that nobody hands over to learns what is left of its
-//! quotas: from the hosts that ask it.
+//! Provides the recovery of quota levels by an owner that takes over without a
+//! handover, from the usage reports of entry hosts.
 //!
-//! Its buckets begin empty. Where the calls that waited for the silent owner all
-//! come at once, accounts within their quota would be told that they are over
-//! it, although nobody was let in meanwhile.
+//! Its buckets start empty. Without these reports, accounts within their quotas
+//! would be refused when the requests that waited for the unresponsive owner
+//! arrive all at once.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -14,11 +14,12 @@
 
 use super::owner::ShardOwner;
 
-/// How long after it took over an owner takes in what hosts tell. Those that
-/// come later have followed another one meanwhile.
+/// How long after its start an owner accepts usage reports. Hosts that report
+/// later have used another owner meanwhile.
 const RECOVERY_TIME: Duration = Duration::from_secs(1);
 
-/// A `QuotaRecovery` is which hosts have told a new owner of their uses.
+/// A `QuotaRecovery` is the set of entry hosts that have reported their usage
+/// to a new owner.
 #[derive(Debug)]
 pub(super) struct QuotaRecovery {
     began: Moment,
@@ -35,7 +36,7 @@
 }
 
 impl ShardOwner {
-    /// Take in what the callers of a host have used, once for each host.
+    /// Apply the quota usage of an entry host's clients, once for each host.
     pub(super) fn on_quota_use(
         &mut self,
         now: Moment,
@@ -51,7 +52,8 @@
             self.recovery = None;
             return;
         }
-        // An owner for this host alone keeps just its share of each quota.
+        // An owner that serves its own host only enforces that host's share of
+        // each quota.
         let hosts = match self.followers.is_empty() {
             true => 1,
             false => hosts,
--- a/bergamotswitch-core/src/pool_owner/refusing.rs
+++ b/bergamotswitch-core/src/pool_owner/refusing.rs
@@ -1,4 +1,4 @@
-//! Provides the ends of asks that get no permit.
+//! Provides the refusal of permit requests.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use super::owner::ShardOwner;
 
 impl ShardOwner {
-    /// Refuse the asks whose wait is over.
+    /// Refuse the queued requests whose waiting time is over.
     pub(super) fn expire_asks(&mut self, now: Moment, actions: &mut Vec<OwnerAction>) {
         while let Some(attempt) = self.queue.expired(now) {
             let queued = self.queue.get(&attempt);
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Refuse an ask that waits. It was not run under a permit of this owner.
+    /// Refuse a queued request. It was not run under a permit of this owner.
     pub(super) fn refuse_queued(
         &mut self,
         attempt: &AttemptId,
@@ -46,7 +46,6 @@
         }
     }
 
-    /// Refuse an ask.
     pub(super) fn refuse(
         &mut self,
         host: HostName,
@@ -65,7 +64,7 @@
         actions.push(OwnerAction::Reply(host, reply));
     }
 
-    /// Tell who asks that another run holds the key.
+    /// Reply that another run holds the request's key.
     pub(super) fn reply_known(
         &mut self,
         host: HostName,
@@ -78,7 +77,7 @@
         actions.push(OwnerAction::Reply(host, reply));
     }
 
-    /// Give back what an ask holds that got no permit.
+    /// Release the key and the quota units of a request that got no permit.
     pub(super) fn settle_unused(&mut self, ask: &Ask) {
         if let Some(claim) = &ask.claim {
             self.keys.settle_unused(claim);
--- a/bergamotswitch-core/src/pool_owner/release.rs
+++ b/bergamotswitch-core/src/pool_owner/release.rs
@@ -1,4 +1,4 @@
-//! Provides the ways in which permits come back or are taken over.
+//! Provides the release, audit and takeover of permits.
 
 use std::collections::BTreeSet;
 
@@ -53,7 +53,8 @@
         self.drop_if_left(&permit.target);
     }
 
-    /// Take over what an entry host holds under earlier permits.
+    /// Take over the work that an entry host holds under permits of previous
+    /// owners.
     pub(super) fn on_retell(
         &mut self,
         now: Moment,
@@ -67,9 +68,9 @@
                 self.drop_copies(claim, actions);
             }
         }
-        // A host that tells again what it holds has followed another owner
-        // meanwhile, and what it gave back in that time may not have arrived.
-        // Left to their turn, places would stand taken for half a minute.
+        // The host has used another owner meanwhile, and releases that it sent
+        // in that time may have been lost. Without an early audit their slots
+        // would stay occupied until the regular one.
         let named: BTreeSet<PermitId> = held.iter().map(|work| work.permit).collect();
         self.permits.audit_others(now, &host, &named);
         for work in held {
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Tell those whose asks wait under a key that another run holds it.
+    /// Answer the queued requests whose key another run holds.
     fn drop_copies(&mut self, told: &KeyClaim, actions: &mut Vec<OwnerAction>) {
         let is_copy = |claim: &KeyClaim| claim.key == told.key && claim.holder != told.holder;
         let copies = self
@@ -114,7 +115,8 @@
             prefixes: Vec::new(),
             warm_blocks: 0,
             granted_at: now,
-            // What lay before it is not known, so it teaches no speed.
+            // Without the backlog at its start, the request gives no speed
+            // sample.
             ahead: 0,
             crowd: 1.0,
             finish_at: now,
@@ -123,7 +125,7 @@
         });
     }
 
-    /// Take back the permits that an audited host says it does not hold.
+    /// Reclaim the permits that a host, asked by an audit, doesn't hold.
     pub(super) fn on_not_held(
         &mut self,
         now: Moment,
@@ -146,8 +148,9 @@
         }
     }
 
-    /// Drop the asks and free the permits of a run of an entry host that is
-    /// gone for good. Its keys stay: what became of them is not known.
+    /// Drop the queued requests and free the permits of a run of an entry host
+    /// that has terminated. Its keys stay claimed, since the outcome of its
+    /// requests isn't known.
     pub(super) fn drop_run(&mut self, now: Moment, run: Incarnation) {
         for attempt in self.queue.of_run(run) {
             self.drop_queued(&attempt);
@@ -160,7 +163,7 @@
         }
     }
 
-    /// Drop an ask of which it is not known that it did not run elsewhere.
+    /// Drop a queued request that may have run elsewhere.
     fn drop_queued(&mut self, attempt: &AttemptId) {
         if let Some(queued) = self.queue.remove(attempt) {
             let ask = queued.ask;
@@ -169,7 +172,7 @@
     }
 
     /// Ask the holders of old permits whether they still hold them. A slot is
-    /// never free because a timer ran: the work may well go on.
+    /// never freed by a timeout alone, since the request may still be running.
     pub(super) fn audit(&mut self, now: Moment, actions: &mut Vec<OwnerAction>) {
         let next = now.plus(self.opts.audit_after);
         for (host, permits) in self.permits.due_audits(now, next) {
@@ -227,15 +230,16 @@
         }
     }
 
-    /// Drop the hints that were learned for work that never came there.
+    /// Remove the prefix hints that were recorded for a request that never
+    /// reached the target.
     fn forget_prefixes(&mut self, permit: &GivenPermit) {
         for prefix in permit.prefixes.iter().skip(permit.warm_blocks) {
             self.prefixes.forget(&permit.target, *prefix);
         }
     }
 
-    /// Note that a target refused. A full one is not failing; one that
-    /// refuses while nothing is there is.
+    /// Handle a target's refusal. A refusal by a loaded target means that it is
+    /// full; a refusal by an idle one counts as a failure.
     fn on_target_refused(
         &mut self,
         now: Moment,
@@ -262,8 +266,8 @@
         actions: &mut Vec<OwnerAction>,
     ) {
         // An error after dispatch may be the request's own fault. One client
-        // account that sends bad requests must not back off every target, so
-        // such evidence counts against fewer than half of them.
+        // account that sends bad requests must not get all targets backed off,
+        // so such errors back off at most half of them.
         let too_many = self.would_most_be_out();
         let Some(load) = self.targets.get_mut(&permit.target) else {
             return;
--- a/bergamotswitch-core/src/pool_owner/release_pace.rs
+++ b/bergamotswitch-core/src/pool_owner/release_pace.rs
@@ -1,22 +1,23 @@
-//! Provides the pace at which a shard's slots come free.
+//! Provides the rate at which a shard's permits are released.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::clock::Moment;
 
-/// The span over which releases are counted. Runs last up to some seconds; a
-/// longer span would follow a burst too late, a shorter one be all chance.
+/// The window over which releases are counted. Runs last up to some seconds: a
+/// longer window would react to a burst too late, and a shorter one would be
+/// too noisy.
 const SPAN: Duration = Duration::from_secs(1);
 
-/// A `ReleasePace` counts the permits that came back lately.
+/// A `ReleasePace` is the times of recent permit releases.
 #[derive(Debug, Default)]
 pub struct ReleasePace {
     released: VecDeque<Moment>,
 }
 
 impl ReleasePace {
-    /// Note that a permit came back.
+    /// Record that a permit was released.
     pub fn note(&mut self, now: Moment) {
         self.released.push_back(now);
         while let Some(first) = self.released.front()
@@ -26,10 +27,10 @@
         }
     }
 
-    /// Get the permits a second that came back lately.
+    /// Get the release rate over the window, in permits per second.
     pub fn per_second(&self, now: Moment) -> f64 {
-        // They are in the order of time: an owner asks with each new ask, and
-        // a walk over a second's releases would cost more than the answer.
+        // The times are sorted. This is called for each new request, so a
+        // binary search replaces counting the window's releases.
         let old = self.released.partition_point(|at| now.since(*at) > SPAN);
         let late = self.released.len() - old;
         late as f64 / SPAN.as_secs_f64()
--- a/bergamotswitch-core/src/pool_owner/routing.rs
+++ b/bergamotswitch-core/src/pool_owner/routing.rs
@@ -1,4 +1,4 @@
-//! Provides routing: the choice of a target by predicted finish.
+//! Provides routing: choosing the target with the earliest predicted finish.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,30 +11,32 @@
 use super::queue::Placement;
 use super::target_load::TargetLoad;
 
-/// One target in so many is kept free of long work, and at least one: long
-/// work that holds every target would make short work wait for its end.
+/// One target in this many, but at least one, is reserved for short requests:
+/// if long requests ran on every target, short ones would have to wait for
+/// their end.
 const TARGETS_PER_RESERVE: usize = 8;
 
-/// A `RouteQuery` is what routing looks at of an ask.
+/// A `RouteQuery` is the properties of a request that routing uses.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteQuery<'a> {
-    /// Where it may go.
+    /// Where the request may be sent.
     pub placement: &'a Placement,
     /// The estimated cost.
     pub cost: TokenCost,
     /// The number of hashed blocks of its prompt.
     pub blocks: usize,
-    /// Which targets hold how many of them.
+    /// Which targets have how many of these blocks cached.
     pub warm: &'a [WarmTarget],
-    /// Whether it may be the probe of a target that is backed off.
+    /// Whether the request may be the probe of a target that is backed off.
     pub riskable: bool,
-    /// Whether it has failed at a target, and is no probe while others work.
+    /// Whether the request has failed on a target before; if so, it isn't used
+    /// as a probe while other targets work.
     pub spared: bool,
 }
 
 impl RouteQuery<'_> {
-    /// Get whether it may go to a target in this state of back-off, beside ones
-    /// that work or not.
+    /// Get whether the request may be sent to a target in this backoff state;
+    /// `any_works` says whether another allowed target works.
     pub(super) fn may_probe(&self, need: ProbeNeed, any_works: bool) -> bool {
         match need {
             ProbeNeed::None => true,
@@ -54,10 +56,11 @@
     pub finish_micros: u64,
 }
 
-/// A `ClosedTargets` is the targets that are kept for asks earlier in order.
+/// A `ClosedTargets` is the targets reserved for requests earlier in the queue.
 ///
-/// Without it, small asks of a lower tier would fill each bit of room as it
-/// comes up, and a larger ask of a higher tier would never fit.
+/// Without reservations, small requests of lower tiers would take each bit of
+/// capacity as it is released, and a larger request of a higher tier would
+/// never fit.
 #[derive(Debug, Default)]
 pub struct ClosedTargets {
     all: bool,
@@ -65,22 +68,22 @@
 }
 
 impl ClosedTargets {
-    /// Keep `target` for an earlier ask.
+    /// Reserve `target` for an earlier request.
     pub fn close(&mut self, target: &TargetName) {
         self.names.insert(target.clone());
     }
 
-    /// Keep every target for an earlier ask.
+    /// Reserve every target for an earlier request.
     pub fn close_all(&mut self) {
         self.all = true;
     }
 
-    /// Get whether every target is kept.
+    /// Get whether every target is reserved.
     pub fn is_all(&self) -> bool {
         self.all
     }
 
-    /// Get whether `target` is kept.
+    /// Get whether `target` is reserved.
     pub fn contains(&self, target: &TargetName) -> bool {
         self.all || self.names.contains(target)
     }
@@ -89,8 +92,8 @@
 /// A `TargetSet` is the targets of a shard.
 pub type TargetSet = BTreeMap<TargetName, TargetLoad>;
 
-/// Get the targets where `placement` may go. Targets to avoid come back only
-/// where no other is left; failure domains are never widened.
+/// Get the targets that `placement` allows. Targets to avoid are included only
+/// if no other one is allowed; the failure domains are never extended.
 pub fn allowed<'a>(targets: &'a TargetSet, placement: &Placement) -> Vec<&'a TargetLoad> {
     let allowed: Vec<&TargetLoad> = in_domains(targets, placement).collect();
     if placement.avoid.is_empty() {
@@ -107,7 +110,8 @@
     }
 }
 
-/// Get the live targets in the failure domains of `placement`.
+/// Get the targets in the failure domains of `placement` that accept new
+/// requests.
 pub(super) fn in_domains<'a>(
     targets: &'a TargetSet,
     placement: &Placement,
@@ -116,9 +120,9 @@
     live.filter(|load| placement.allows(&load.target().domain))
 }
 
-/// Get the predicted time until a request would end at a target, in
-/// microseconds: what lies before it, and its own tokens without those that
-/// a warm prefix saves, at the measured speed.
+/// Get the predicted time until a request would finish at a target, in
+/// microseconds: the target's backlog and the request's own tokens, less those
+/// saved by a warm prefix, at the measured speed.
 pub fn predict(now: Moment, load: &TargetLoad, query: &RouteQuery<'_>) -> u64 {
     let name = &load.target().name;
     let warm = query.warm.iter().find(|warm| warm.target == *name);
@@ -132,16 +136,16 @@
     };
     let own = query.cost.total() - saved;
     if load.target().slots.is_some() {
-        // A target that serves its whole batch at once makes nobody wait for
-        // what is there; how fast it is shows in what recent runs took.
+        // Such a target serves all its slots concurrently, so its backlog
+        // doesn't delay a new request; recent run times show its speed.
         return (load.run_ms(query.cost) * 1_000.0) as u64;
     }
     let tokens = load.backlog(now) + own;
     (tokens as f64 * 1e6 / load.speed(now)) as u64
 }
 
-/// Get the target with the earliest predicted finish that has room; `None`
-/// where the ask has to wait.
+/// Get the target with the earliest predicted finish that has capacity; `None`
+/// if the request has to wait.
 pub fn choose(
     now: Moment,
     targets: &TargetSet,
@@ -177,7 +181,8 @@
     })
 }
 
-/// Get whether short work still finds room where long work goes to `load`.
+/// Get whether there is still capacity for short requests if a long one is sent
+/// to `load`.
 fn leaves_room(now: Moment, candidates: &[&TargetLoad], load: &TargetLoad, tokens: u64) -> bool {
     if !load.fits_long(now, tokens) {
         return false;
--- a/bergamotswitch-core/src/pool_owner/run_gauge.rs
+++ b/bergamotswitch-core/src/pool_owner/run_gauge.rs
@@ -1,69 +1,68 @@
-//! Provides the times that runs take at a target, from recent ones.
+//! Provides the estimation of a target's run times from recent runs.
 
 use std::time::Duration;
 
 use crate::permit::Usage;
 use crate::request::TokenCost;
 
-/// The weight of a new sample once there are many: some seven runs are
-/// remembered.
+/// The weight of a new sample once there are many; the mean covers about seven
+/// runs.
 const SAMPLE_WEIGHT: f64 = 0.15;
 
-/// What a run costs before its prompt is read, as prompt tokens: engines take
-/// some 34 ms to begin, in which they read 4,000 to 5,000.
+/// The fixed cost of a run before its prompt is processed, in prompt tokens.
 const BASE_TOKENS: f64 = 4_500.0;
 
-/// The part of the time to the first output that an empty target takes as
-/// well, against a full one.
+/// The time to first token at an idle target as a fraction of that at a full
+/// one.
 const EMPTY_PART: f64 = 0.4;
 
-/// A `RunGauge` is what recent whole answers of a target took.
+/// A `RunGauge` is the estimated run times of a target, from recent completed
+/// runs.
 ///
-/// Targets of one pool differ fivefold in speed. Under overload, work in the
-/// order of deadlines is dispatched just before its deadline; each run then
-/// ends too late, and its prompt was processed for nothing. One sees goodput
-/// of a tier near zero at full load.
+/// Targets of one pool may differ several times in speed. Without these
+/// estimates, requests under overload would be dispatched just before their
+/// deadlines, end too late, and waste the processing of their prompts.
 #[derive(Debug, Default)]
 pub struct RunGauge {
     means: Option<RunMeans>,
     samples: u32,
 }
 
-/// A `RunSample` is what one run took.
+/// A `RunSample` is the data of one completed run.
 #[derive(Clone, Copy, Debug)]
 pub struct RunSample<'a> {
-    /// What it was thought to cost.
+    /// The estimated cost.
     pub cost: TokenCost,
-    /// What it used.
+    /// The reported usage.
     pub usage: &'a Usage,
-    /// How full the target was when it began, 1 for full.
+    /// The target's utilization when the run began, 1 when full.
     pub crowd: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct RunMeans {
-    /// The time to the first output at a full target, for a prompt of
-    /// `prompt` tokens.
+    /// The time to first token at a full target, for a prompt of `prompt`
+    /// tokens.
     first_ms: f64,
     prompt: f64,
     token_ms: f64,
     run_ms: f64,
-    /// The part of the estimated output that really comes.
+    /// The actual output as a fraction of the estimated output.
     output_part: f64,
 }
 
 impl RunGauge {
-    /// Get whether some run was seen.
+    /// Get whether a run has been recorded.
     pub fn is_known(&self) -> bool {
         self.means.is_some()
     }
 
-    /// Get how many milliseconds recent runs took.
+    /// Get the mean run time in milliseconds.
     pub fn mean_run_ms(&self) -> Option<f64> {
         self.means.map(|means| means.run_ms)
     }
 
-    /// Learn from a whole answer.
+    /// Record a completed run.
     pub fn learn(&mut self, sample: &RunSample<'_>) {
         let usage = sample.usage;
         if usage.decode == 0 {
@@ -90,8 +89,8 @@
         follow(&mut means.output_part, new.output_part.min(1.0), weight);
     }
 
-    /// Get how many milliseconds the first output of a run should take at a
-    /// target that is so full; zero where nothing is known.
+    /// Get the predicted time to first token in milliseconds at a target of
+    /// this utilization; zero without samples.
     pub fn first_ms(&self, cost: TokenCost, crowd: f64) -> f64 {
         let Some(means) = self.means else {
             return 0.0;
@@ -101,8 +100,8 @@
         means.first_ms * factor
     }
 
-    /// Get how many milliseconds a run should take at a full target; zero
-    /// where nothing is known.
+    /// Get the predicted run time in milliseconds at a full target; zero
+    /// without samples.
     pub fn expected_ms(&self, cost: TokenCost) -> f64 {
         let Some(means) = self.means else {
             return 0.0;
@@ -112,17 +111,18 @@
     }
 }
 
-/// Get a span in milliseconds, as predicted times are.
+/// Get a duration in milliseconds.
 pub(super) fn millis(span: Duration) -> f64 {
     span.as_secs_f64() * 1_000.0
 }
 
-/// Get the span of so many milliseconds.
+/// Get the duration of this many milliseconds.
 pub(super) fn span_of(millis: f64) -> Duration {
     Duration::from_secs_f64(millis / 1_000.0)
 }
 
-/// Get the part of a full target's time to the first output.
+/// Get the time to first token at this utilization as a fraction of that at a
+/// full target.
 fn crowding(crowd: f64) -> f64 {
     EMPTY_PART + (1.0 - EMPTY_PART) * crowd.clamp(0.0, 1.0)
 }
--- a/bergamotswitch-core/src/pool_owner/slot_dispatch.rs
+++ b/bergamotswitch-core/src/pool_owner/slot_dispatch.rs
@@ -1,5 +1,4 @@
-//! Provides the giving of permits where targets say how many requests they
-//! serve at once.
+//! Provides the granting of permits for targets that publish their slots.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -16,25 +15,25 @@
 use super::run_gauge::millis;
 use super::slot_routing::{AskTimes, SlotView};
 
-/// How sure a run's end before its deadline has to be, as a multiple of
-/// its predicted time. Callers' guesses at their outputs are right at the median
-/// and off by half as often as not: a run that should just end in time fails
-/// every second time. Alone, a small chance is worth the place; while others
-/// wait, a run of ten seconds for nothing costs eight of them theirs.
+/// The safety factors by which a predicted run time is multiplied before it is
+/// compared with the time left. Output lengths are rough estimates, so runs
+/// that are predicted to end just in time often fail. A request alone in the
+/// queue may take that risk; while others wait, a failed run would take the
+/// slot from several of them.
 const SURENESS_ALONE: f64 = 0.6;
 const SURENESS_CROWDED: f64 = 1.5;
 
-/// A `SlotStep` is the next ask in order for which a target was chosen.
+/// A `SlotStep` is the next request in order with the target chosen for it.
 struct SlotStep {
     attempt: AttemptId,
     route: Route,
-    /// Whether its run should not end in time there.
+    /// Whether the run is predicted to miss its deadline there.
     late: bool,
     warm: Vec<WarmTarget>,
 }
 
 impl ShardOwner {
-    /// Give permits in order until nothing that waits finds a place.
+    /// Grant permits in queue order until no queued request finds a slot.
     pub(super) fn dispatch_slots(&mut self, now: Moment, actions: &mut Vec<OwnerAction>) {
         let mut blocked = BTreeSet::new();
         let mut closed = ClosedTargets::default();
@@ -49,8 +48,8 @@
         }
     }
 
-    /// Get the next ask in order that has a target. Those before it wait, and
-    /// what they wait for is closed to those after them.
+    /// Get the next request in order for which there is a target. The requests
+    /// before it wait, and the targets they wait for are reserved for them.
     fn next_slot(
         &self,
         now: Moment,
@@ -77,7 +76,8 @@
         None
     }
 
-    /// Get whether a run at the chosen target should not end in time.
+    /// Get whether a run at the chosen target is predicted to miss its
+    /// deadline.
     fn is_late_at(&self, now: Moment, queued: &QueuedAsk, route: &Route, times: AskTimes) -> bool {
         if queued.ask.patience_ms.is_none() {
             return self.is_too_late(now, queued, route);
@@ -86,9 +86,9 @@
         load.is_some_and(|load| !times.is_feasible(load, queued.ask.cost))
     }
 
-    /// Get the time that an ask has.
+    /// Get the time limits of a queued request.
     fn times_of(&self, now: Moment, queued: &QueuedAsk) -> AskTimes {
-        // An ask without an aim is neither fresh nor late.
+        // Requests without a time-to-first-token limit have no aim.
         let fresh = queued.placement.aim_ms.is_some();
         AskTimes {
             aim_left: fresh.then(|| millis(queued.plan.aim_at.since(now))),
--- a/bergamotswitch-core/src/pool_owner/slot_limit.rs
+++ b/bergamotswitch-core/src/pool_owner/slot_limit.rs
@@ -1,28 +1,27 @@
-//! Provides the limit of a target in requests, learned from its reports.
+//! Provides the estimation of a target's request limit from its load reports.
 
 use crate::target::LoadReport;
 
-/// The part of the batch that may wait inside the target, and the requests
-/// that may at least: a place in the batch that comes free must be taken
-/// before the owner hears of it.
+/// The requests that may wait inside the target beyond its batch, as a divisor
+/// of the batch size and as a minimum: a slot that becomes free must be
+/// refilled before the owner is notified.
 const SPARE_PARTS: usize = 16;
 const SPARE_MIN: usize = 1;
 
-/// A `SlotLimit` is how many requests a target serves at once, as far as its
-/// reports told.
+/// A `SlotLimit` is the number of requests that a target serves concurrently,
+/// as estimated from its load reports.
 ///
-/// A target's limit in tokens says nothing of the size of its batch. What is
-/// sent beyond that waits inside the target, which knows no priorities: a
-/// top-tier request then queues behind whatever came before it, and one sees
-/// its time to the first token grow while the owner's queue is short.
+/// The token limit doesn't determine the batch size. Requests beyond the batch
+/// wait inside the target, which doesn't know priorities, so top-tier requests
+/// would be delayed by earlier lower-tier ones.
 #[derive(Debug, Default)]
 pub struct SlotLimit {
     slots: Option<usize>,
 }
 
 impl SlotLimit {
-    /// Take in a report. Work that waits inside shows the size of the batch;
-    /// none shows that one more may fit.
+    /// Apply a load report. If requests wait, those that run are the batch; if
+    /// none waits, one more may fit.
     pub fn report(&mut self, report: &LoadReport) {
         let running = report.running as usize;
         match (report.waiting, self.slots) {
--- a/bergamotswitch-core/src/pool_owner/slot_routing.rs
+++ b/bergamotswitch-core/src/pool_owner/slot_routing.rs
@@ -1,10 +1,11 @@
-//! Provides the choice among targets whose batches are known.
+//! Provides the choice among targets that publish their slots.
 //!
-//! Targets of one pool differ fivefold in speed. A fresh ask goes where its
-//! answer can still begin in time, to the one of those that should end first;
-//! where they are all full it waits for them as long as it is fresh, and
-//! leaves the slow ones to asks that bear them. An ask that is late already
-//! goes wherever there is room.
+//! Targets of one pool may differ several times in speed. A request that can
+//! still be answered on time is sent to a target that can meet its
+//! time-to-first-token limit, to the one with the shortest predicted run. If
+//! all of these are full, it waits for them while it is on time and leaves
+//! slower targets to other requests. A late request is sent to any target with
+//! capacity.
 
 use crate::clock::Moment;
 use crate::request::TokenCost;
@@ -14,51 +15,52 @@
 use super::routing::{ClosedTargets, Route, RouteQuery, TargetSet, in_domains};
 use super::target_load::TargetLoad;
 
-/// The requests that a target gets before it was seen to end one. Targets
-/// that nobody knows look like the fastest; a slow one would fill up with
-/// requests before its first one ends.
+/// The maximum number of permits for a target before its first completed run.
+/// Without samples a target seems the fastest; a slow one would fill up before
+/// its first run ends.
 const UNKNOWN_PERMITS: usize = 2;
 
-/// The least time for which waiting for a fast target is worth while, in
-/// milliseconds.
+/// The minimum remaining time, in milliseconds, for which waiting for a faster
+/// target is worthwhile.
 const MIN_WAIT_MS: f64 = 5.0;
 
-/// An `AskTimes` is the time that an ask has, in milliseconds.
+/// An `AskTimes` is the time limits of a request, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AskTimes {
-    /// In which its answer is on time; none where it is late already.
+    /// The time left until its first token is due; `None` if the request is
+    /// late or has no such limit.
     pub(super) aim_left: Option<f64>,
-    /// In which its run has to end.
+    /// The time left until its deadline.
     pub(super) run_left: f64,
-    /// How sure its end has to be, as a multiple of the predicted time.
+    /// The safety factor by which predicted run times are multiplied.
     pub(super) sureness: f64,
 }
 
 impl AskTimes {
-    /// Get whether a run at a target should end in time.
+    /// Get whether a run at a target is predicted to end before the deadline.
     pub(super) fn is_feasible(&self, load: &TargetLoad, cost: TokenCost) -> bool {
         load.run_ms(cost) * self.sureness <= self.run_left
     }
 
-    /// Get whether an answer of a target can begin in time.
+    /// Get whether the first token of a target is predicted to be on time.
     fn is_timely(&self, load: &TargetLoad, cost: TokenCost) -> bool {
         self.aim_left
             .is_some_and(|left| load.first_ms(cost) <= left)
     }
 }
 
-/// An `OpenTarget` is a target that may take a request now.
+/// An `OpenTarget` is a target that may accept a request now.
 #[derive(Clone, Copy, Debug)]
 struct OpenTarget<'a> {
     load: &'a TargetLoad,
     need: ProbeNeed,
 }
 
-/// A `SlotView` is the targets of a shard as the asks of one moment see them.
+/// A `SlotView` is the targets of a shard during one dispatch pass.
 ///
-/// Under overload most events find no free slot, or one. An owner that looked at
-/// each target for each kind of ask would fall behind in a burst, and hold up
-/// every answer of the shard; so those that have a slot are looked for first.
+/// Under overload most events find at most one free slot. Evaluating each
+/// target for each kind of request would be too slow in a burst, so targets
+/// without a free slot are filtered out first.
 #[derive(Debug)]
 pub(super) struct SlotView<'a> {
     targets: &'a TargetSet,
@@ -66,7 +68,8 @@
 }
 
 impl<'a> SlotView<'a> {
-    /// Get the view of targets of which `closed` are kept for earlier asks.
+    /// Get the view of `targets`, without those in `closed`, which are reserved
+    /// for earlier requests.
     pub(super) fn new(now: Moment, targets: &'a TargetSet, closed: &ClosedTargets) -> Self {
         let live = targets.values().filter(|load| !load.is_leaving());
         let open = live.filter_map(|load| {
@@ -87,14 +90,14 @@
         }
     }
 
-    /// Get whether no target may take any request.
+    /// Get whether no target may accept any request.
     pub(super) fn is_full(&self) -> bool {
         self.open.is_empty()
     }
 
-    /// Get the best target that has room; `None` where the ask has to wait for
-    /// one. Where no target should end its run in time, the best one is named
-    /// all the same, and the caller sees that it is of no use.
+    /// Get the best target with capacity; `None` if the request has to wait. If
+    /// no target is predicted to meet the deadline, the best one is returned
+    /// all the same, and the caller has to check it.
     pub(super) fn choose(
         &self,
         now: Moment,
@@ -123,8 +126,8 @@
         })
     }
 
-    /// Get whether the best target with room is so much worse than one without
-    /// that the ask had better wait.
+    /// Get whether waiting for a full target is better than the best target
+    /// with capacity.
     fn is_worth_waiting(
         &self,
         query: &RouteQuery<'_>,
@@ -135,7 +138,7 @@
         let cost = query.cost;
         let is_fresh = times.aim_left.is_some_and(|left| left > MIN_WAIT_MS);
         if late && is_fresh {
-            // An open target that is timely would have been the best.
+            // If an open target met the limit, it would be the best one.
             let timely = |load: &TargetLoad| load.is_known() && times.is_timely(load, cost);
             if self.any_usable(query.placement, timely) {
                 return true;
@@ -145,7 +148,7 @@
         !feasible(best) && self.any_usable(query.placement, feasible)
     }
 
-    /// Close the targets that a waiting ask waits for to those after it.
+    /// Reserve the targets that a queued request waits for.
     pub(super) fn close_for(
         &mut self,
         placement: &Placement,
@@ -154,7 +157,8 @@
         closed: &mut ClosedTargets,
     ) {
         let kept = |load: &TargetLoad| match times.aim_left {
-            // Those that would be too late for it are free for others.
+            // Targets that would be too late for the request stay available to
+            // others.
             Some(_) => times.is_timely(load, cost),
             None => true,
         };
@@ -169,7 +173,7 @@
         });
     }
 
-    /// Get whether a target has room for this very request.
+    /// Get whether a target has capacity for this request.
     fn may_take(&self, now: Moment, open: &OpenTarget<'_>, query: &RouteQuery<'_>) -> bool {
         match open.need {
             ProbeNeed::None => open.load.fits(now, query.cost.total()),
@@ -177,23 +181,23 @@
         }
     }
 
-    /// Get the open targets where `placement` may go.
+    /// Get the open targets that `placement` allows.
     fn candidates(&self, placement: &Placement) -> impl Iterator<Item = &OpenTarget<'a>> {
         let avoids = self.avoids(placement);
         let open = self.open.iter();
         open.filter(move |open| may_go(open.load, placement, avoids))
     }
 
-    /// Get whether the targets to avoid are avoided: they come back where no
-    /// other is left.
+    /// Get whether the targets to avoid are excluded: they are allowed only if
+    /// there is no other one.
     fn avoids(&self, placement: &Placement) -> bool {
         !placement.avoid.is_empty()
             && in_domains(self.targets, placement)
                 .any(|load| !placement.avoid.contains(&load.target().name))
     }
 
-    /// Get whether some target where `placement` may go, open or not, is such
-    /// a one and does not stand still.
+    /// Get whether an allowed target, open or not, meets the condition and
+    /// isn't backed off.
     fn any_usable(&self, placement: &Placement, is_such: impl Fn(&TargetLoad) -> bool) -> bool {
         let avoids = self.avoids(placement);
         in_domains(self.targets, placement).any(|load| {
@@ -207,7 +211,8 @@
     }
 }
 
-/// Get whether `placement` may go to a target, where it avoids some or does not.
+/// Get whether `placement` allows a target; `avoids` says whether targets to
+/// avoid are excluded.
 fn may_go(load: &TargetLoad, placement: &Placement, avoids: bool) -> bool {
     let target = load.target();
     placement.allows(&target.domain) && !(avoids && placement.avoid.contains(&target.name))
--- a/bergamotswitch-core/src/pool_owner/speed_gauge.rs
+++ b/bergamotswitch-core/src/pool_owner/speed_gauge.rs
@@ -1,4 +1,4 @@
-//! Provides the measured speed of a target.
+//! Provides the estimation of a target's speed.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -6,43 +6,41 @@
 use crate::clock::Moment;
 use crate::permit::PermitId;
 
-/// The weight of a new sample, in the logarithm. With one half a speed that
-/// changes tenfold is followed to within a factor of 1.35 in three samples,
-/// both ways alike.
+/// The weight of a new sample, on a logarithmic scale, so that increases and
+/// decreases are followed equally fast.
 const SAMPLE_WEIGHT: f64 = 0.5;
 
-/// The age at which half of the trust in a measured speed is lost. A target
-/// that was slow gets no work and so no new samples; without this its
-/// recovery would never be noticed.
+/// The half-life of the weight of a measured speed. A target measured as slow
+/// gets no requests and so no new samples; without decay its recovery would
+/// never be noticed.
 const SPEED_HALF_LIFE: Duration = Duration::from_secs(30);
 
-/// The weight of the first sample against the published guess.
+/// The weight of the first sample against the published speed.
 const FIRST_WEIGHT: f64 = 0.75;
 
-/// Which of the works in the order of their predicted ends tells whether a
-/// target has slowed. The first may be a lost release or a wrong estimate;
-/// the third tells of the target.
+/// The index of the request, by predicted end, that is checked for slowdown.
+/// The first ones may be overdue because of a lost release or a wrong estimate.
 const TELLING_WORK: usize = 2;
 
-/// How many times its predicted time work may take before the target counts
-/// as slowed.
+/// The multiple of its predicted time after which a request counts as overdue.
 const OVERDUE_TOLERANCE: f64 = 2.0;
 
-/// The time below which no work is overdue: scheduling noise of a busy host.
+/// The minimum time after which a request is overdue, to allow for scheduling
+/// delays on a busy host.
 const OVERDUE_FLOOR: Duration = Duration::from_millis(200);
 
-/// A `DueWork` is when a permit's work should end.
+/// A `DueWork` is the predicted end of a request under a permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DueWork {
-    /// When it is predicted to end.
+    /// When the request is predicted to end.
     pub finish_at: Moment,
-    /// When it began.
+    /// When the permit was granted.
     pub granted_at: Moment,
     /// The permit.
     pub permit: PermitId,
 }
 
-/// A `SpeedGauge` is the measured speed of a target.
+/// A `SpeedGauge` is the estimated speed of a target.
 #[derive(Debug)]
 pub struct SpeedGauge {
     expected: f64,
@@ -52,7 +50,8 @@
 }
 
 impl SpeedGauge {
-    /// Get the gauge of a target with a published guess in tokens per second.
+    /// Get the estimator of a target with this published speed in tokens per
+    /// second.
     pub fn new(expected: u32) -> Self {
         let expected = f64::from(expected.max(1));
         SpeedGauge {
@@ -63,7 +62,7 @@
         }
     }
 
-    /// Take over the published guess.
+    /// Set the published speed.
     pub fn publish(&mut self, expected: u32) {
         self.expected = f64::from(expected.max(1));
         if self.measured_at.is_none() {
@@ -71,26 +70,26 @@
         }
     }
 
-    /// Get the speed in tokens per second that is predicted now.
+    /// Get the predicted speed in tokens per second.
     pub fn speed(&self, now: Moment) -> f64 {
         self.measured_speed(now) * self.slowdown(now)
     }
 
-    /// Expect work to end.
+    /// Add a request that is expected to end.
     pub fn expect(&mut self, work: DueWork) {
         self.due.insert(work);
     }
 
-    /// Expect work no longer.
+    /// Remove a request that is no longer expected to end.
     pub fn expect_no_more(&mut self, work: &DueWork) {
         self.due.remove(work);
     }
 
-    /// Get the part of the measured speed that overdue work still lets us
-    /// believe in.
+    /// Get the factor, at most 1, by which overdue requests reduce the measured
+    /// speed.
     ///
-    /// A stalled engine ends nothing and so sends no measurement: without
-    /// this it would keep its speed and its limit, and get ever more work.
+    /// A stalled engine completes nothing and so gives no samples: without this
+    /// factor it would keep its speed and its limit, and get more requests.
     pub fn slowdown(&self, now: Moment) -> f64 {
         let index = TELLING_WORK.min(self.due.len().saturating_sub(1));
         let Some(work) = self.due.iter().nth(index) else {
@@ -105,14 +104,14 @@
         }
     }
 
-    /// Get the measured speed; old measurements fade into the published
-    /// guess.
+    /// Get the measured speed, which decays towards the published one.
     fn measured_speed(&self, now: Moment) -> f64 {
         let Some(measured_at) = self.measured_at else {
             return self.speed;
         };
-        // Only towards the faster: a good measurement is no worse for its
-        // age, and a wrong guess must not overrule it.
+        // Only a published speed above the measured one is approached: a good
+        // measurement stays valid, and a wrong published value must not
+        // override it.
         if self.expected <= self.speed {
             return self.speed;
         }
@@ -120,7 +119,7 @@
         blend(self.expected, self.speed, trust)
     }
 
-    /// Take in a sample: so many tokens were served in so long a time.
+    /// Record a sample: `tokens` were processed in `span`.
     pub fn measure(&mut self, now: Moment, tokens: f64, span: Duration) {
         let sample = (tokens / span.as_secs_f64()).max(1.0);
         let weight = match self.measured_at {
@@ -132,12 +131,13 @@
     }
 }
 
-/// Get the geometric mean of two speeds with `weight` on the second.
+/// Get the weighted geometric mean of two speeds; `weight` is that of the
+/// second.
 fn blend(first: f64, second: f64, weight: f64) -> f64 {
     (first.log2() * (1.0 - weight) + second.log2() * weight).exp2()
 }
 
-/// Get what is left of 1 after `age`.
+/// Get the weight that is left after `age`, from 1 downwards.
 pub(super) fn fade(age: Duration, half_life: Duration) -> f64 {
     let halves = age.as_secs_f64() / half_life.as_secs_f64();
     (-halves).exp2()
--- a/bergamotswitch-core/src/pool_owner/target_change.rs
+++ b/bergamotswitch-core/src/pool_owner/target_change.rs
@@ -1,4 +1,4 @@
-//! Provides what an owner does when its shard's targets change.
+//! Provides the handling of changes to a shard's targets.
 
 use std::sync::Arc;
 
@@ -14,8 +14,8 @@
 use super::target_load::TargetLoad;
 
 impl ShardOwner {
-    /// Take in the targets that may get new work from now on. What is in
-    /// flight on one that left stays counted until it ends.
+    /// Apply the set of targets that accept new requests. In-flight requests on
+    /// a removed target are counted until they end.
     pub(super) fn on_targets(
         &mut self,
         now: Moment,
@@ -38,13 +38,12 @@
         self.refuse_stranded(actions);
     }
 
-    /// Forget what is believed of a target's former run, where it has started
-    /// again under its name: its places, permits, speed, back-off and warm
-    /// prefixes. Kept, the places of runs that died with it would stand taken
-    /// until their callers' deadlines, as one would see by a target that is
-    /// ready and gets nothing, and its back-off would keep work from a process
-    /// that never failed. The requests themselves stay with their entry hosts,
-    /// which know only that they may have run.
+    /// Discard the state of a target's previous process if the target has
+    /// restarted under the same name: its permits, speed, backoff and warm
+    /// prefixes. Otherwise the slots of requests that died with the process
+    /// would stay occupied until their deadlines, and the backoff would apply
+    /// to a process that never failed. The requests stay with their entry
+    /// hosts, which only know that they may have run.
     fn forget_former_run(&mut self, now: Moment, target: &PoolTarget) {
         let known = self.targets.get(&target.name);
         let known = known.and_then(|load| load.target().started_at_ms);
@@ -60,7 +59,8 @@
         self.prefixes.forget_target(&target.name);
     }
 
-    /// Add a target with the work that is known to be there already.
+    /// Add a target with the in-flight requests that are known to be there
+    /// already.
     fn add_target(&mut self, now: Moment, target: PoolTarget) {
         let name = target.name.clone();
         let back_off = BackOff::new(self.opts.probe_base, self.opts.probe_max);
@@ -71,7 +71,7 @@
         self.targets.insert(name, load);
     }
 
-    /// Refuse the asks that no target is left for.
+    /// Refuse the queued requests for which no target is left.
     fn refuse_stranded(&mut self, actions: &mut Vec<OwnerAction>) {
         let placements = self.queue.placements();
         let stranded: Vec<Arc<Placement>> = placements
@@ -90,8 +90,8 @@
     }
 }
 
-/// Get whether a start is another and later one than the known one. Where
-/// either is not told, nothing says that there were two.
+/// Get whether `start` is later than `known`. If either is missing, a restart
+/// can't be detected.
 pub(super) fn is_later(start: Option<u64>, known: Option<u64>) -> bool {
     match (start, known) {
         (Some(start), Some(known)) => start > known,
--- a/bergamotswitch-core/src/pool_owner/target_load.rs
+++ b/bergamotswitch-core/src/pool_owner/target_load.rs
@@ -1,5 +1,5 @@
-//! Provides what an owner believes of one target: its own outstanding count,
-//! and whether a request finds room there.
+//! Provides the state of one target as seen by an owner: its outstanding
+//! requests, and whether another one fits.
 
 use std::time::Duration;
 
@@ -15,31 +15,31 @@
 use super::speed_gauge::{DueWork, SpeedGauge};
 use super::token_limit::TokenLimit;
 
-/// How long a target that refused as full gets nothing more: without a pause
-/// a queue would be poured over it, refusal by refusal.
+/// How long a target gets no requests after it refused one as full; otherwise
+/// the whole queue would be sent to it and refused.
 const FULL_PAUSE: Duration = Duration::from_millis(100);
 
-/// The part of a target's limit that long work may fill, in hundredths.
+/// The percentage of a target's limit that long requests may use.
 const LONG_PERCENT: u64 = 75;
 
-/// The weight of a new sample of what a warm prefix saved.
+/// The weight of a new sample of the savings by a warm prefix.
 const HINT_WEIGHT: f64 = 0.5;
 
-/// The least trust in a warm prefix: some engines do not report what they
-/// took from their cache, and there the hint is still better than none.
+/// The minimum confidence in warm-prefix hints: some engines don't report
+/// cached tokens, and there a hint is still better than none.
 const CACHE_TRUST_MIN: f64 = 0.25;
 
-/// How long a place that came free stays empty until the owner has heard of it
-/// and its permit has led to a request. So much of a target's work may wait
-/// there beyond its batch: short calls of 30 ms would leave a sixth of their
-/// places empty. Runs of a second get no such place, since they would wait at
-/// a slow target for longer than they would here.
+/// The time from the release of a slot to the arrival of the next request, in
+/// milliseconds. Requests for this much of a target's work may wait there
+/// beyond its batch, so that slots of short runs don't stay idle. With long
+/// runs this gives none: they would wait at a slow target longer than in the
+/// queue.
 const REFILL_MS: f64 = 6.0;
 
-/// The run time that is taken for an unknown one: that of plain calls.
+/// The run time assumed without samples, that of plain calls, in milliseconds.
 const UNKNOWN_RUN_MS: f64 = 30.0;
 
-/// A `TargetLoad` is what an owner believes of one target.
+/// A `TargetLoad` is the state of one target as seen by an owner.
 #[derive(Debug)]
 pub struct TargetLoad {
     target: PoolTarget,
@@ -55,13 +55,13 @@
     cache_trust: f64,
     history: LoadHistory,
     back_off: BackOff,
-    /// How many requests may wait there beyond its batch; worked out when a
-    /// run ends, since it is asked for with each request and each target.
+    /// The number of requests that may wait at the target beyond its batch;
+    /// cached, since it is read for each request and target.
     spare: usize,
 }
 
 impl TargetLoad {
-    /// Get the belief about a target of which nothing was measured.
+    /// Get the state of a target without samples.
     pub fn new(target: PoolTarget, back_off: BackOff) -> Self {
         let mut load = TargetLoad {
             spare: 0,
@@ -88,7 +88,7 @@
         &self.target
     }
 
-    /// Get whether it gets no new work.
+    /// Get whether the target gets no new requests.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
@@ -103,25 +103,24 @@
         self.permits
     }
 
-    /// Get the limit in tokens that is in force now. It falls with the square
-    /// of the slowdown: the speed is an estimate, but what is sent to an
-    /// engine that stalls is stuck there until it ends.
+    /// Get the token limit now in force. It falls with the square of the
+    /// slowdown, since requests sent to a stalled engine are stuck there.
     pub fn limit(&self, now: Moment) -> u64 {
         let slowdown = self.gauge.slowdown(now);
         (self.limit.tokens() as f64 * slowdown * slowdown) as u64
     }
 
-    /// Get the back-off state.
+    /// Get the backoff state.
     pub fn back_off(&self) -> &BackOff {
         &self.back_off
     }
 
-    /// Get the back-off state to change it.
+    /// Get the backoff state for modification.
     pub fn back_off_mut(&mut self) -> &mut BackOff {
         &mut self.back_off
     }
 
-    /// Take over what is published of the target now.
+    /// Apply the published properties of the target.
     pub fn publish(&mut self, target: PoolTarget) {
         if target.token_limit != self.target.token_limit {
             self.limit = TokenLimit::new(target.token_limit);
@@ -132,42 +131,42 @@
         self.leaving = false;
     }
 
-    /// Note that the target gets no new work.
+    /// Record that the target gets no new requests.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Expect work to end.
+    /// Add a request that is expected to end.
     pub fn expect(&mut self, work: DueWork) {
         self.gauge.expect(work);
     }
 
-    /// Expect work no longer.
+    /// Remove a request that is no longer expected to end.
     pub fn expect_no_more(&mut self, work: &DueWork) {
         self.gauge.expect_no_more(work);
     }
 
-    /// Get the tokens that are served there until work of `tokens`, counted
-    /// in already, ends. An engine serves its batch in turn: a short request
-    /// waits for as much of each other as it is long itself, and a long one
-    /// for all.
+    /// Get the tokens that the target processes until a request of `tokens`,
+    /// already counted, ends. An engine processes its batch round-robin: a
+    /// request waits for at most its own length of each other one.
     pub fn ahead_of(&self, now: Moment, tokens: u64) -> u64 {
         let in_turn = tokens.saturating_mul(self.permits.max(1) as u64);
         in_turn.min(self.backlog(now))
     }
 
-    /// Get the speed in tokens per second that is predicted now.
+    /// Get the predicted speed in tokens per second.
     pub fn speed(&self, now: Moment) -> f64 {
         self.gauge.speed(now)
     }
 
-    /// Get the tokens that are predicted to lie before a new request.
+    /// Get the tokens predicted to be queued or running at the target before a
+    /// new request.
     pub fn backlog(&self, now: Moment) -> u64 {
         self.outstanding + self.history.excess(now)
     }
 
-    /// Get whether a request fits. An idle target takes any one request:
-    /// otherwise a request above the limit would wait for ever.
+    /// Get whether a request fits. An idle target accepts any single request;
+    /// otherwise one above the limit could never run.
     pub fn fits(&self, now: Moment, tokens: u64) -> bool {
         if now < self.full_until {
             return false;
@@ -176,8 +175,8 @@
             return true;
         }
         match self.target.slots {
-            // The batch is known, and what a request holds of the memory is
-            // bounded by its tokens.
+            // With the batch size known, the tokens only have to be within the
+            // target's memory.
             Some(slots) => {
                 let held = self.outstanding + tokens;
                 self.has_place(slots) && held <= u64::from(self.target.token_limit)
@@ -197,7 +196,7 @@
         now >= self.full_until && (has_place || self.permits == 0)
     }
 
-    /// Get how many requests may wait there beyond its batch.
+    /// Get the number of requests that may wait at the target beyond its batch.
     fn spare_places(&self) -> usize {
         let Some(slots) = self.target.slots else {
             return 0;
@@ -211,7 +210,7 @@
         waiting.round() as usize
     }
 
-    /// Get whether a long request leaves room for short ones.
+    /// Get whether a long request leaves capacity for short ones.
     pub fn fits_long(&self, now: Moment, tokens: u64) -> bool {
         if self.permits == 0 {
             return true;
@@ -224,12 +223,12 @@
         self.long_outstanding + tokens <= bound
     }
 
-    /// Get whether long work runs there.
+    /// Get whether long requests run on the target.
     pub fn holds_long(&self) -> bool {
         self.long_outstanding > 0
     }
 
-    /// Count a permit in.
+    /// Add a permit to the counts.
     pub fn occupy(&mut self, now: Moment, tokens: u64, long: bool) {
         self.permits += 1;
         self.outstanding += tokens;
@@ -239,7 +238,7 @@
         self.history.note(now, self.outstanding);
     }
 
-    /// Count a permit out.
+    /// Remove a permit from the counts.
     pub fn vacate(&mut self, now: Moment, tokens: u64, long: bool) {
         self.permits = self.permits.saturating_sub(1);
         self.outstanding = self.outstanding.saturating_sub(tokens);
@@ -249,47 +248,48 @@
         self.history.note(now, self.outstanding);
     }
 
-    /// Take in a load report.
+    /// Apply a load report.
     pub fn report(&mut self, now: Moment, report: &LoadReport) {
         self.slots.report(report);
         self.history.report(now, report);
     }
 
-    /// Learn from work that was done: `ahead` is what was to be served there
-    /// until its end, the work included, when its permit was given.
+    /// Record the speed and limit samples of a completed request; `ahead` is
+    /// the number of tokens to be processed until its end, its own included,
+    /// when its permit was granted.
     pub fn learn(&mut self, now: Moment, ahead: u64, cost: TokenCost, usage: &Usage) {
         let fresh = usage.prefill.saturating_sub(usage.cached);
         let done = u64::from(fresh) + u64::from(usage.decode);
         if done == 0 || usage.elapsed_ms == 0 {
             return;
         }
-        // Where the estimate of the cost was wrong, what lay ahead is scaled
-        // by what was really done.
+        // If the cost estimate was wrong, the tokens ahead are scaled by the
+        // actual cost.
         let share = (done as f64 / cost.total().max(1) as f64).min(1.0);
         let span = Duration::from_millis(u64::from(usage.elapsed_ms));
         self.gauge.measure(now, ahead as f64 * share, span);
         self.limit.adapt(usage, done);
     }
 
-    /// Learn from a whole answer how long one takes.
+    /// Record the run time of a completed request.
     pub fn learn_run(&mut self, sample: &RunSample<'_>) {
         self.runs.learn(sample);
         self.spare = self.spare_places();
     }
 
-    /// Get how full it is with one request more, 1 for full.
+    /// Get the utilization with one more request, 1 when full.
     pub fn crowd(&self) -> f64 {
         let slots = self.target.slots.map_or(1.0, f64::from);
         (self.permits + 1) as f64 / slots
     }
 
-    /// Get how many milliseconds the first output of one request more should
-    /// take.
+    /// Get the predicted time to first token of one more request, in
+    /// milliseconds.
     pub fn first_ms(&self, cost: TokenCost) -> f64 {
         self.runs.first_ms(cost, self.crowd())
     }
 
-    /// Get the permits a second that should come back from it.
+    /// Get the predicted release rate of the target's permits, per second.
     pub fn release_rate(&self) -> f64 {
         match self.runs.mean_run_ms() {
             Some(run_ms) if run_ms > 0.0 => self.permits as f64 * 1_000.0 / run_ms,
@@ -297,36 +297,37 @@
         }
     }
 
-    /// Get whether some run was seen to end there.
+    /// Get whether a run has been completed on the target.
     pub fn is_known(&self) -> bool {
         self.runs.is_known()
     }
 
-    /// Get whether it may have one request more as far as little is known of
-    /// it.
+    /// Get whether one more request may be sent; without a completed run,
+    /// `unknown_permits` is the limit.
     pub fn is_explored(&self, unknown_permits: usize) -> bool {
         self.is_known() || self.permits < unknown_permits
     }
 
-    /// Get how many milliseconds a run of `cost` should take here.
+    /// Get the predicted run time of a request of `cost`, in milliseconds.
     pub fn run_ms(&self, cost: TokenCost) -> f64 {
         self.runs.expected_ms(cost)
     }
 
-    /// Get whether a refusal means that the target is full: somebody's work
-    /// is there. Being full is no failure.
+    /// Get whether there are outstanding requests, from this owner or others,
+    /// so that a refusal means a full target and not a failure.
     pub fn is_occupied(&self, now: Moment) -> bool {
         self.backlog(now) > 0
     }
 
-    /// Get the part of the expected savings by a warm prefix that this target
-    /// really gives.
+    /// Get the fraction of a warm prefix's expected savings that this target
+    /// actually gives.
     pub fn cache_trust(&self) -> f64 {
         self.cache_trust
     }
 
-    /// Compare the cached tokens that were expected with those that were
-    /// seen: a small cache forgets what it was sent a moment ago.
+    /// Update the confidence in warm-prefix hints from the expected and the
+    /// actual number of cached tokens: a small cache may have evicted a recent
+    /// prefix.
     pub fn check_hint(&mut self, expected: u64, cached: u32) {
         if expected == 0 {
             return;
@@ -336,13 +337,13 @@
         self.cache_trust = trust.max(CACHE_TRUST_MIN);
     }
 
-    /// Give the target nothing for a moment: it has refused.
+    /// Send the target nothing for a short time after a refusal.
     pub fn pause(&mut self, now: Moment) {
         self.full_until = now.plus(FULL_PAUSE);
     }
 
-    /// Note that the target said that it is full. What it holds now is its
-    /// limit, whatever the configuration says.
+    /// Record that the target reported itself full: its present backlog becomes
+    /// its limit, whatever is configured.
     pub fn note_full(&mut self, now: Moment) {
         if self.target.slots.is_some() {
             return;
--- a/bergamotswitch-core/src/pool_owner/tier_floor.rs
+++ b/bergamotswitch-core/src/pool_owner/tier_floor.rs
@@ -1,13 +1,10 @@
-//! Provides the floor that keeps lower tiers from getting nothing.
+//! Provides a minimum service level for lower tiers.
 //!
-//! The load that it answers: a burst of more than fits, whose top tier leaves
-//! places, and of two tiers below it the first asks for all of them. By strict
-//! order the last one then gets next to nothing, although its requests may be
-//! short, and many of them fit into the place of one. Rules ask that the top
-//! tier is not shed while lower work is kept; between those below it they ask
-//! for an order, not for all or nothing. So a tier below the second is owed a
-//! part of the share that the one above it gets served, and goes before it while
-//! it has less. The test `tier_floors` plays that load.
+//! Strict priority between tiers would starve a tier if the one above it
+//! requests more slots than there are, even if its own requests are short. Only
+//! the top tier has absolute priority over all others; each tier below the
+//! second is guaranteed a fraction of the service ratio of the tier above it,
+//! and is served before that one while it gets less.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,34 +12,35 @@
 use crate::clock::Moment;
 use crate::rules::Tier;
 
-/// The time in which what was counted loses half of its weight. Bursts last some
-/// seconds; a longer one would hold a tier's luck of the burst before against it.
+/// The half-life of the counts. Bursts last some seconds; with a longer
+/// half-life, the previous burst would influence the next one.
 const HALF_LIFE: Duration = Duration::from_secs(3);
 
-/// The part of the share above it that a tier is owed, in hundredths.
+/// The guaranteed fraction of the service ratio of the tier above, in percent.
 const FLOOR_PERCENT: f64 = 40.0;
 
-/// The least asks that a share is judged by: of fewer, one more or less served
-/// moves it by more than an eighth.
+/// The minimum number of requests for a service ratio to be significant.
 const MIN_ASKS: f64 = 8.0;
 
-/// A `TierPlace` is where a tier stands, in the order in which places are given.
+/// A `TierPlace` is a tier's position in the order in which slots are assigned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TierPlace {
-    /// No tier above asked for much lately.
+    /// No higher tier has had a significant number of requests recently.
     Top,
-    /// It has less than it is owed.
+    /// The tier is below its guaranteed service ratio.
     Owed,
-    /// Its turn comes by rank.
+    /// The tier is served by its rank.
     InOrder,
 }
 
 impl TierPlace {
-    /// The order in which places are given; inside each, tiers go by rank.
+    /// The order in which slots are assigned; tiers of the same position are
+    /// served by rank.
     pub(super) const ORDER: [TierPlace; 3] = [TierPlace::Top, TierPlace::Owed, TierPlace::InOrder];
 }
 
-/// A `TierShare` is how much of what a tier asked for was served lately.
+/// A `TierShare` is the recent requests of a tier and how many of them were
+/// served, both decaying.
 #[derive(Clone, Copy, Debug, Default)]
 struct TierShare {
     asked: f64,
@@ -55,7 +53,7 @@
     }
 }
 
-/// A `TierFloor` counts what tiers ask for and get.
+/// A `TierFloor` is the recent service ratios of the tiers.
 #[derive(Debug, Default)]
 pub(super) struct TierFloor {
     tiers: BTreeMap<Tier, TierShare>,
@@ -63,7 +61,7 @@
 }
 
 impl TierFloor {
-    /// Count an ask that was served or refused.
+    /// Count a request as served or refused.
     pub(super) fn note(&mut self, now: Moment, tier: Tier, served: bool) {
         self.age(now);
         let share = self.tiers.entry(tier).or_default();
@@ -71,14 +69,14 @@
         share.served += f64::from(u8::from(served));
     }
 
-    /// Get where a tier stands among those that wait.
+    /// Get the position of a tier.
     pub(super) fn place(&self, tier: Tier) -> TierPlace {
         let above = self.tiers.range(..tier).rev();
         let mut above = above.filter(|(_, share)| share.asked >= MIN_ASKS);
         let Some((_, next)) = above.next() else {
             return TierPlace::Top;
         };
-        // The top tier is owed all: nothing is taken from it.
+        // The top tier has absolute priority: nothing is taken from it.
         let next_is_top = above.next().is_none();
         let own = self.tiers.get(&tier).copied().unwrap_or_default();
         let has_less = own.served_part() * 100.0 < next.served_part() * FLOOR_PERCENT;
--- a/bergamotswitch-core/src/pool_owner/token_limit.rs
+++ b/bergamotswitch-core/src/pool_owner/token_limit.rs
@@ -1,34 +1,35 @@
-//! Provides the adaptive limit of a target, in tokens.
+//! Provides the adaptive token limit of a target.
 
 use crate::permit::Usage;
 
-/// How much longer a token may take than at the target's best before the
-/// limit shrinks: batching alone costs up to about two.
+/// The multiple of the target's best time per token above which the limit is
+/// reduced. Batching alone accounts for a factor of up to about two.
 const PACE_TOLERANCE: f64 = 2.5;
 
-/// How much the remembered best pace gives way with each sample, so that a
-/// target that has become slower for good gets its limit back.
+/// The factor by which the best time per token grows with each sample, so that
+/// a target that has become permanently slower gets its limit back.
 const BEST_DRIFT: f64 = 1.02;
 
-/// The factor by which the limit shrinks.
+/// The factor by which the limit is reduced.
 const SHRINK: f64 = 0.8;
 
-/// The part of itself by which the limit grows with each good sample, and the
-/// tokens that it grows at least: some twenty samples undo a full shrink.
+/// The increase of the limit with each good sample: a fraction of the limit, as
+/// a divisor, plus a number of tokens.
 const GROWTH_PARTS: u64 = 8;
 const GROWTH_TOKENS: u64 = 16;
 
-/// The part of the configured limit that is its floor.
+/// The minimum limit as a fraction of the configured one, as a divisor.
 const FLOOR_PARTS: u64 = 16;
 
-/// The output tokens that an answer must exceed to tell a pace.
+/// The number of output tokens above which a response gives a time per token.
 const PACE_TOKENS: u32 = 4;
 
-/// The most tokens of a plain call, whose time is its pace.
+/// The maximum number of tokens of a plain call, for which the whole run time
+/// is used.
 const CALL_TOKENS: u64 = 8;
 
-/// A `TokenLimit` is how many tokens a target may hold, by the time that a
-/// token takes there against the target's own best.
+/// A `TokenLimit` is the number of tokens that a target may hold, adapted by
+/// comparing its time per token with its own best.
 #[derive(Debug)]
 pub struct TokenLimit {
     ceiling: u64,
@@ -37,7 +38,7 @@
 }
 
 impl TokenLimit {
-    /// Get the limit of a target with a configured limit.
+    /// Get the limit of a target with a configured limit of `ceiling`.
     pub fn new(ceiling: u32) -> Self {
         TokenLimit {
             ceiling: u64::from(ceiling),
@@ -51,12 +52,13 @@
         self.tokens
     }
 
-    /// Lower the limit to what the target was seen to hold when full.
+    /// Reduce the limit to the tokens that the target held when it reported
+    /// itself full.
     pub fn lower_to(&mut self, tokens: u64) {
         self.tokens = self.tokens.min(tokens).max(1);
     }
 
-    /// Adapt to the use that an answer was seen to make.
+    /// Adapt the limit to the usage of a completed request.
     pub fn adapt(&mut self, usage: &Usage, done: u64) {
         let Some(pace) = pace_of(usage, done) else {
             return;
@@ -81,13 +83,13 @@
     }
 }
 
-/// Get the milliseconds per token of output; `None` where an answer tells
-/// nothing of it.
+/// Get the milliseconds per output token; `None` if the response gives no valid
+/// sample.
 ///
-/// An answer of a few tokens to a long prompt is all prompt reading, and
-/// prompt tokens cost much less: taken for a pace it would be the best for
-/// ever, every ordinary answer would look slow, and the limit would fall to
-/// its floor on a healthy target.
+/// A response of a few tokens to a long prompt consists mostly of prompt
+/// processing, which takes much less time per token. Counted as a sample it
+/// would become the best time, ordinary responses would look slow, and the
+/// limit of a healthy target would fall to its minimum.
 fn pace_of(usage: &Usage, done: u64) -> Option<f64> {
     let decoding = usage.elapsed_ms.saturating_sub(usage.first_token_ms);
     if usage.decode > PACE_TOKENS && decoding > 0 {
--- a/bergamotswitch-core/src/pool_owner/view.rs
+++ b/bergamotswitch-core/src/pool_owner/view.rs
@@ -1,4 +1,4 @@
-//! Provides what operators and metrics see of a shard's owner.
+//! Provides the state of a shard owner for operators and metrics.
 
 use std::collections::BTreeSet;
 
@@ -12,76 +12,77 @@
 
 use super::owner::ShardOwner;
 
-/// A `TierView` is what is queued in one tier.
+/// A `TierView` is the queue of one tier.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct TierView {
     /// The tier.
     pub tier: Tier,
-    /// The asks queued.
+    /// The number of queued requests.
     pub asks: usize,
-    /// Their tokens.
+    /// The tokens of the queued requests.
     pub tokens: u64,
 }
 
-/// A `TargetView` is what the owner believes of one target.
+/// A `TargetView` is the state of one target as seen by the owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct TargetView {
     /// The target.
     pub name: TargetName,
-    /// This owner's permits there.
+    /// The number of this owner's permits for the target.
     pub permits: usize,
-    /// Their tokens.
+    /// The tokens of this owner's permits.
     pub outstanding_tokens: u64,
-    /// Tokens there beyond the own count, as reported and still believed.
+    /// The tokens from other senders, as reported and weighted by the report's
+    /// age.
     pub foreign_tokens: u64,
-    /// The limit in force, in tokens.
+    /// The current limit in tokens.
     pub limit: u64,
-    /// The measured speed in tokens per second.
+    /// The predicted speed in tokens per second.
     pub speed: u64,
-    /// Whether it gets nothing but probes.
+    /// Whether the target gets nothing but probes.
     pub backed_off: bool,
-    /// Whether it is leaving.
+    /// Whether the target gets no new requests.
     pub leaving: bool,
 }
 
-/// A `RefusalCount` is how often the owner refused for one reason.
+/// A `RefusalCount` is the number of the owner's refusals for one reason.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct RefusalCount {
     /// The reason.
     pub reason: RefusalReason,
-    /// The number since the owner took over.
+    /// The number of refusals since the owner took over.
     pub count: u64,
 }
 
-/// A `ShardView` is what the owner of a shard knows.
+/// A `ShardView` is the state of a shard owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ShardView {
     /// The shard.
     pub shard: PoolShard,
-    /// What is queued, by tier.
+    /// The queue by tier.
     pub queued: Vec<TierView>,
-    /// Permits not yet given back.
+    /// The number of permits not yet released.
     pub in_flight: usize,
     /// The targets.
     pub targets: Vec<TargetView>,
-    /// Permits given since the owner took over.
+    /// The number of permits granted since the owner took over.
     pub granted: u64,
-    /// Streams that the owner had stopped.
+    /// The number of streams preempted.
     pub preempted: u64,
-    /// Permits taken back by audit.
+    /// The number of permits reclaimed by audits.
     pub reclaimed: u64,
-    /// Asks answered with the run that holds their key.
+    /// The number of requests answered with the run that holds their key.
     pub keys_known: u64,
-    /// Refusals by reason.
+    /// The refusals by reason.
     pub refusals: Vec<RefusalCount>,
-    /// Keys remembered.
+    /// The number of keys in the table.
     pub keys: usize,
-    /// Prefixes remembered.
+    /// The number of prefixes in the table.
     pub prefixes: usize,
 }
 
 impl ShardOwner {
-    /// Get the hosts whose asks are queued, each once.
+    /// Get the hosts that have queued requests, each once.
     pub fn asking_hosts(&self) -> Vec<HostName> {
         let attempts = self.queue.find(|_| true);
         let asks = attempts
@@ -91,7 +92,7 @@
         hosts.into_iter().cloned().collect()
     }
 
-    /// Get what the owner knows.
+    /// Get the owner's state.
     pub fn view(&self) -> ShardView {
         let queued = self.queue.tiers();
         let refusals = self.counts.refusals.iter();
--- a/bergamotswitch-core/src/pool_owner/wait_plan.rs
+++ b/bergamotswitch-core/src/pool_owner/wait_plan.rs
@@ -1,11 +1,11 @@
-//! Provides how long an ask waits, and in which order.
+//! Provides how long a permit request waits, and in which order.
 //!
-//! An ask with patience has an aim: its answer should begin within it. While
-//! it can still be on time it is fresh; after that it is late, and goes behind
-//! all fresh ones of its tier and account: one that is late already loses
-//! little by waiting on, and each place given to it would make a fresh one
-//! late too. It is given up when it has waited for some times its patience, or
-//! when a run could not end in time any more.
+//! A request may have a time-to-first-token limit. While the limit can be met
+//! the request is on time; after that it is late, and is served after all
+//! requests of its tier and account that are on time: it loses little by
+//! waiting longer, while each slot given to it would make another request late.
+//! It is refused after a multiple of the limit, or when its run could no longer
+//! end before the deadline.
 
 use std::time::Duration;
 
@@ -13,44 +13,47 @@
 use crate::permit::Ask;
 use crate::request::AttemptId;
 
-/// The time from a permit to the arrival of its request at the target, and
-/// from there back to the caller.
+/// The network delay from a permit to the arrival of its request at the target,
+/// and back to the caller.
 const WAY: Duration = Duration::from_millis(12);
 
-/// How many times its patience an ask waits at most.
+/// The multiple of its time-to-first-token limit for which a request waits at
+/// most.
 const LATE_PATIENCE: u32 = 3;
 
-/// A `WaitPlan` is how long an ask waits, and in which order.
+/// A `WaitPlan` is how long a request waits, and its sort key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WaitPlan {
-    /// Until when it is fresh: the fastest target could still be in time.
+    /// Until when the request is on time: the fastest target could still meet
+    /// its time-to-first-token limit.
     pub fresh_until: Moment,
-    /// When its answer should have begun; never where there is no aim.
+    /// When the first token is due; [`Moment::NEVER`] without a
+    /// time-to-first-token limit.
     pub aim_at: Moment,
-    /// Until when it waits.
+    /// When the request is refused if it is still queued.
     pub give_up_at: Moment,
-    /// Until when its answer is of use.
+    /// The deadline for the end of the run.
     pub run_until: Moment,
-    /// Its place among fresh asks, and among late ones.
+    /// The sort key among requests that are on time, and among late ones.
     pub order: Moment,
 }
 
-/// The part of the time left after which a caller should come back to a shard
-/// that is overloaded, in hundredths. Callers honour up to a third. Overload
-/// lasts for seconds; told the time in which the queue drains, a fraction of a
-/// second, callers came back into the same burst and were refused again.
+/// The retry-after time of requests refused under overload, as a percentage of
+/// their remaining time; callers honour up to a third of it. The predicted
+/// drain time is too short for this: the callers would return within the same
+/// burst.
 const COME_BACK_PERCENT: u32 = 32;
 
-/// Spreads the numbers of requests, which are dealt in order, over the range.
+/// The step by which consecutive request numbers are spread over the range.
 const SPREAD_STEP: u64 = 17;
 
-/// How much earlier some are told to come back, in hundredths: those that a
-/// burst brought together must not return together.
+/// The maximum reduction of the retry-after time, in percent, so that callers
+/// of one burst don't return together.
 const SPREAD_PERCENT: u64 = 40;
 
 impl WaitPlan {
-    /// Get the plan of an ask that came now, whose answer could begin within
-    /// `first` and whose run should take `run`.
+    /// Get the plan of a request that arrives now, with its predicted time to
+    /// first token `first` and its predicted run time `run`.
     pub fn new(now: Moment, ask: &Ask, first: Duration, run: Duration) -> Self {
         let left = Duration::from_millis(u64::from(ask.deadline_ms));
         let run_until = now.plus(left);
@@ -65,8 +68,8 @@
         };
         let patience = Duration::from_millis(u64::from(patience_ms));
         let waited = Duration::from_millis(u64::from(ask.waited_ms));
-        // An ask that comes anew, to another owner or after a pause, has waited
-        // before; its bounds stay where they were.
+        // A request that is sent again, to another owner or after an
+        // interruption, keeps its original limits.
         let in_time = patience.saturating_sub(waited);
         let in_reach = (patience * LATE_PATIENCE).saturating_sub(waited);
         let last_start = left.saturating_sub(run);
@@ -79,7 +82,7 @@
         }
     }
 
-    /// Get when the caller of an ask that is refused now should come back.
+    /// Get the retry-after time of a request that is refused now.
     pub fn come_back_in(&self, now: Moment, attempt: &AttemptId) -> Duration {
         let left = self.run_until.since(now);
         let spread = attempt.request.sequence.wrapping_mul(SPREAD_STEP) % SPREAD_PERCENT;
