--- a/bergamotswitch-core/src/pool_owner/dispatch.rs
+++ b/bergamotswitch-core/src/pool_owner/dispatch.rs
@@ -16,7 +16,7 @@
 use super::owner::ShardOwner;
 use super::permit_table::GivenPermit;
 use super::prefix_table::WarmTarget;
-use super::queue::{Placement, QueuedAsk};
+use super::queue::{Placement, QueuedRequest};
 use super::routing::{ClosedTargets, Route, RouteQuery, allowed, choose};
 use super::run_gauge::millis;
 use super::target_load::TargetLoad;
@@ -100,7 +100,7 @@
     /// Get whether the predicted run time exceeds the time left until the
     /// deadline. Top-tier requests are run anyway, since the prediction may be
     /// wrong.
-    pub(super) fn is_too_late(&self, now: Moment, queued: &QueuedAsk, route: &Route) -> bool {
+    pub(super) fn is_too_late(&self, now: Moment, queued: &QueuedRequest, route: &Route) -> bool {
         if queued.ask.tier == Tier(0) {
             return false;
         }
@@ -112,7 +112,7 @@
     /// Get whether another run claimed the key while the request was queued.
     /// The key's entry may have expired or been evicted meanwhile; granting a
     /// permit now would run the request twice.
-    fn is_key_lost(&self, now: Moment, queued: &QueuedAsk) -> bool {
+    fn is_key_lost(&self, now: Moment, queued: &QueuedRequest) -> bool {
         let claim = queued.ask.claim.as_ref();
         let verdict = claim.map(|claim| self.keys.check(now, claim));
         matches!(verdict, Some(KeyVerdict::HeldBy(_)))
@@ -140,7 +140,7 @@
 
     /// Reserve targets for a request that doesn't fit now, so that requests
     /// behind it don't take the capacity that it waits for.
-    fn keep_room(&self, now: Moment, queued: &QueuedAsk, closed: &mut ClosedTargets) {
+    fn keep_room(&self, now: Moment, queued: &QueuedRequest, closed: &mut ClosedTargets) {
         let candidates = allowed(&self.targets, &queued.placement);
         let working = candidates
             .into_iter()
@@ -258,7 +258,7 @@
     pub(super) fn shed(&mut self, now: Moment, tier: Tier, actions: &mut Vec<OwnerAction>) -> bool {
         let mut shed = false;
         while self.is_overfull(now) {
-            let Some(attempt) = self.queue.worst() else {
+            let Some(attempt) = self.queue.next_to_shed() else {
                 return shed;
             };
             let Some(queued) = self.queue.get(&attempt) else {
@@ -289,7 +289,7 @@
         };
         let tier = queued.ask.tier;
         if let Some(wait) = self.slot_wait(now, tier) {
-            let lower_kept = self.queue.asks_through(tier) < self.queue.len();
+            let lower_kept = self.queue.requests_through(tier) < self.queue.len();
             if self.queue.is_owed(tier) || lower_kept || wait <= queued.plan.give_up_at.since(now) {
                 return false;
             }
@@ -321,7 +321,7 @@
         if !self.has_slots() || !known {
             return None;
         }
-        let ahead = self.queue.asks_through(tier);
+        let ahead = self.queue.requests_through(tier);
         // The recent rate alone is only valid while the shard was saturated.
         // After an idle second it would be too low, and the first requests of a
         // burst would be refused although targets are free.
@@ -336,7 +336,7 @@
         if self.queue.len() < 2 {
             return false;
         }
-        if self.queue.len() > self.opts.max_asks {
+        if self.queue.len() > self.opts.max_requests {
             return true;
         }
         let speed = self.shard_speed(now);
@@ -379,7 +379,7 @@
 }
 
 /// Get the properties of a queued request that routing uses.
-pub(super) fn query_of<'a>(queued: &'a QueuedAsk, warm: &'a [WarmTarget]) -> RouteQuery<'a> {
+pub(super) fn query_of<'a>(queued: &'a QueuedRequest, warm: &'a [WarmTarget]) -> RouteQuery<'a> {
     RouteQuery {
         placement: &queued.placement,
         cost: queued.ask.cost,
--- a/bergamotswitch-core/src/pool_owner/fair_queue.rs
+++ b/bergamotswitch-core/src/pool_owner/fair_queue.rs
@@ -130,7 +130,7 @@
 
     /// Get the request to shed first: the last-ranked one of the account with
     /// the most queued tokens per share.
-    pub(super) fn worst(&self) -> Option<AttemptId> {
+    pub(super) fn next_to_shed(&self) -> Option<AttemptId> {
         let (_, name) = self.by_excess.last()?;
         let rank = self.accounts.get(name)?.last()?;
         Some(rank.attempt)
--- a/bergamotswitch-core/src/pool_owner/options.rs
+++ b/bergamotswitch-core/src/pool_owner/options.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct OwnerOptions {
     pub(super) max_wait: Duration,
-    pub(super) max_asks: usize,
+    pub(super) max_requests: usize,
     pub(super) audit_after: Duration,
     pub(super) key_retention: Duration,
     pub(super) max_keys: usize,
@@ -41,7 +41,7 @@
             max_wait: Duration::from_secs(4 * 3600),
             // A queued request takes less than 1 KB, so the queue takes some
             // tens of MB at most.
-            max_asks: 50_000,
+            max_requests: 50_000,
             audit_after: Duration::from_secs(30),
             // Longer than answers are kept.
             key_retention: Duration::from_secs(900),
@@ -68,8 +68,8 @@
     }
 
     /// Set the maximum number of queued requests.
-    pub fn with_max_asks(mut self, asks: usize) -> Self {
-        self.max_asks = asks;
+    pub fn with_max_requests(mut self, requests: usize) -> Self {
+        self.max_requests = requests;
         self
     }
 
@@ -126,7 +126,7 @@
     /// Set all options that the published fleet limits determine.
     pub fn with_limits(self, limits: &FleetLimits) -> Self {
         self.with_max_wait(Duration::from_millis(limits.queue_limit_ms))
-            .with_max_asks(limits.queue_limit_requests as usize)
+            .with_max_requests(limits.queue_limit_requests as usize)
             .with_key_retention(Duration::from_millis(limits.key_retention_ms))
             .with_max_keys(limits.kept_keys as usize)
             .with_permit_lifetime(Duration::from_millis(limits.permit_lifetime_ms))
--- a/bergamotswitch-core/src/pool_owner/owner.rs
+++ b/bergamotswitch-core/src/pool_owner/owner.rs
@@ -18,7 +18,7 @@
 use super::options::OwnerOptions;
 use super::permit_table::PermitTable;
 use super::prefix_table::PrefixTable;
-use super::queue::{AskQueue, Placement, QueuedAsk};
+use super::queue::{Placement, QueuedRequest, RequestQueue};
 use super::quota::QuotaBook;
 use super::quota_recovery::QuotaRecovery;
 use super::release_pace::ReleasePace;
@@ -53,7 +53,7 @@
     pub(super) shard: PoolShard,
     pub(super) opts: OwnerOptions,
     pub(super) now: Moment,
-    pub(super) queue: AskQueue,
+    pub(super) queue: RequestQueue,
     pub(super) targets: TargetSet,
     pub(super) targets_known: bool,
     pub(super) permits: PermitTable,
@@ -78,7 +78,7 @@
             me,
             shard,
             now,
-            queue: AskQueue::default(),
+            queue: RequestQueue::default(),
             targets: TargetSet::new(),
             targets_known: false,
             permits: PermitTable::default(),
@@ -109,7 +109,7 @@
         self.now = now;
         self.quotas.set_part(now, self.followers.part(now));
         self.keys.expire(now);
-        self.expire_asks(now, &mut actions);
+        self.expire_requests(now, &mut actions);
         self.queue.demote(now);
         let asked = match &event {
             OwnerEvent::Message(_, OwnerMessage::Ask(ask)) => Some((ask.attempt, ask.tier)),
@@ -301,7 +301,7 @@
             self.best_first(ask.cost),
             self.expected_run(ask.cost),
         );
-        let queued = QueuedAsk {
+        let queued = QueuedRequest {
             ask,
             host,
             plan,
--- a/bergamotswitch-core/src/pool_owner/preemption.rs
+++ b/bergamotswitch-core/src/pool_owner/preemption.rs
@@ -11,7 +11,7 @@
 use super::OwnerAction;
 use super::owner::ShardOwner;
 use super::permit_table::GivenPermit;
-use super::queue::QueuedAsk;
+use super::queue::QueuedRequest;
 use super::routing::allowed;
 use super::target_load::TargetLoad;
 
@@ -75,7 +75,7 @@
 
     /// Get whether a request misses its deadline if it waits for a slot, and
     /// would meet it if it got one now.
-    fn is_endangered(&self, now: Moment, queued: &QueuedAsk) -> bool {
+    fn is_endangered(&self, now: Moment, queued: &QueuedRequest) -> bool {
         let tokens = queued.ask.cost.total();
         let left = queued.plan.run_until.since(now);
         let mut helps = false;
@@ -124,7 +124,7 @@
 
     /// Get the permit to preempt for a request: of the lowest tier, preferably
     /// one that frees enough tokens, with the least work lost.
-    fn victim(&self, now: Moment, queued: &QueuedAsk, taken: &[PermitId]) -> Option<PermitId> {
+    fn victim(&self, now: Moment, queued: &QueuedRequest, taken: &[PermitId]) -> Option<PermitId> {
         let tokens = queued.ask.cost.total();
         let targets = allowed(&self.targets, &queued.placement);
         let usable = self.permits.iter().filter(|permit| {
--- a/bergamotswitch-core/src/pool_owner/queue.rs
+++ b/bergamotswitch-core/src/pool_owner/queue.rs
@@ -68,9 +68,9 @@
     }
 }
 
-/// A `QueuedAsk` is a permit request that waits in the queue.
+/// A `QueuedRequest` is a permit request that waits in the queue.
 #[derive(Clone, Debug)]
-pub struct QueuedAsk {
+pub struct QueuedRequest {
     /// The permit request.
     pub ask: Ask,
     /// The entry host that sent it.
@@ -81,18 +81,18 @@
     pub placement: Arc<Placement>,
 }
 
-/// A `StoredAsk` is a queued request with its position in the order.
+/// A `StoredRequest` is a queued request with its position in the order.
 #[derive(Debug)]
-struct StoredAsk {
-    queued: QueuedAsk,
+struct StoredRequest {
+    queued: QueuedRequest,
     entry: TierEntry,
 }
 
-/// An `AskQueue` is the queue of a shard.
+/// A `RequestQueue` is the queue of a shard.
 #[derive(Debug, Default)]
-pub struct AskQueue {
+pub struct RequestQueue {
     tiers: BTreeMap<Tier, TierQueue>,
-    asks: HashMap<AttemptId, StoredAsk>,
+    requests: HashMap<AttemptId, StoredRequest>,
     placements: BTreeMap<Arc<Placement>, usize>,
     tokens: u64,
     sequence: u64,
@@ -106,15 +106,15 @@
 /// to fill them.
 const OWED_WAITING: usize = 4;
 
-impl AskQueue {
+impl RequestQueue {
     /// Get the number of queued requests.
     pub fn len(&self) -> usize {
-        self.asks.len()
+        self.requests.len()
     }
 
     /// Get whether the queue is empty.
     pub fn is_empty(&self) -> bool {
-        self.asks.is_empty()
+        self.requests.is_empty()
     }
 
     /// Get the tokens of all queued requests.
@@ -129,7 +129,7 @@
     }
 
     /// Get the number of queued requests of `tier` and higher ones.
-    pub fn asks_through(&self, tier: Tier) -> usize {
+    pub fn requests_through(&self, tier: Tier) -> usize {
         let tiers = self.tiers.range(..=tier);
         tiers.map(|(_, queue)| queue.asks()).sum()
     }
@@ -141,8 +141,8 @@
     }
 
     /// Get a queued request.
-    pub fn get(&self, attempt: &AttemptId) -> Option<&QueuedAsk> {
-        self.asks.get(attempt).map(|stored| &stored.queued)
+    pub fn get(&self, attempt: &AttemptId) -> Option<&QueuedRequest> {
+        self.requests.get(attempt).map(|stored| &stored.queued)
     }
 
     /// Get the placements of the queued requests.
@@ -152,9 +152,9 @@
 
     /// Get the attempts whose requests meet `wanted`, in ascending order. It
     /// checks each request, so it is for rare events only.
-    pub fn find(&self, wanted: impl Fn(&QueuedAsk) -> bool) -> Vec<AttemptId> {
-        let asks = self.asks.iter();
-        let found = asks.filter(|(_, stored)| wanted(&stored.queued));
+    pub fn find(&self, wanted: impl Fn(&QueuedRequest) -> bool) -> Vec<AttemptId> {
+        let requests = self.requests.iter();
+        let found = requests.filter(|(_, stored)| wanted(&stored.queued));
         let mut attempts: Vec<AttemptId> = found.map(|(attempt, _)| *attempt).collect();
         attempts.sort();
         attempts
@@ -166,9 +166,9 @@
     }
 
     /// Add a request; nothing changes if its attempt is queued already.
-    pub fn push(&mut self, now: Moment, queued: QueuedAsk) {
+    pub fn push(&mut self, now: Moment, queued: QueuedRequest) {
         let attempt = queued.ask.attempt;
-        if self.asks.contains_key(&attempt) {
+        if self.requests.contains_key(&attempt) {
             return;
         }
         self.sequence += 1;
@@ -194,7 +194,8 @@
             let end = (queued.plan.fresh_until, attempt);
             self.fresh_ends.insert(end);
         }
-        self.asks.insert(attempt, StoredAsk { queued, entry });
+        self.requests
+            .insert(attempt, StoredRequest { queued, entry });
     }
 
     /// Move the requests that have become late behind those that are on time.
@@ -203,7 +204,7 @@
             && end <= now
         {
             self.fresh_ends.pop_first();
-            let Some(stored) = self.asks.get_mut(&attempt) else {
+            let Some(stored) = self.requests.get_mut(&attempt) else {
                 continue;
             };
             let Some(queue) = self.tiers.get_mut(&stored.queued.ask.tier) else {
@@ -226,7 +227,7 @@
     }
 
     /// Get the next request in order whose placement isn't blocked.
-    pub fn next(&self, blocked: &BTreeSet<Arc<Placement>>) -> Option<&QueuedAsk> {
+    pub fn next(&self, blocked: &BTreeSet<Arc<Placement>>) -> Option<&QueuedRequest> {
         // Avoid iterating over all accounts on every event while the shard is
         // full.
         let all_blocked = self.placements.keys().all(|key| blocked.contains(key));
@@ -256,8 +257,8 @@
 
     /// Get the request to shed first: of the lowest tier, the last-ranked one
     /// of the account with the most queued tokens per share.
-    pub fn worst(&self) -> Option<AttemptId> {
-        self.tiers.values().next_back()?.worst()
+    pub fn next_to_shed(&self) -> Option<AttemptId> {
+        self.tiers.values().next_back()?.next_to_shed()
     }
 
     /// Get the earliest expiry time.
@@ -279,24 +280,24 @@
     }
 
     /// Get the requests of one tier by expiry time, earliest first.
-    pub fn by_deadline(&self, tier: Tier) -> impl Iterator<Item = &QueuedAsk> {
+    pub fn by_deadline(&self, tier: Tier) -> impl Iterator<Item = &QueuedRequest> {
         let queue = self.tiers.get(&tier).into_iter();
         let order = queue.flat_map(|queue| queue.by_deadline());
         order.filter_map(|(_, attempt)| self.get(attempt))
     }
 
     /// Remove a request that is served and charge its cost to its account.
-    pub fn serve(&mut self, attempt: &AttemptId) -> Option<QueuedAsk> {
+    pub fn serve(&mut self, attempt: &AttemptId) -> Option<QueuedRequest> {
         self.take(attempt, true)
     }
 
     /// Remove a request that isn't served.
-    pub fn remove(&mut self, attempt: &AttemptId) -> Option<QueuedAsk> {
+    pub fn remove(&mut self, attempt: &AttemptId) -> Option<QueuedRequest> {
         self.take(attempt, false)
     }
 
-    fn take(&mut self, attempt: &AttemptId, served: bool) -> Option<QueuedAsk> {
-        let StoredAsk { queued, entry } = self.asks.remove(attempt)?;
+    fn take(&mut self, attempt: &AttemptId, served: bool) -> Option<QueuedRequest> {
+        let StoredRequest { queued, entry } = self.requests.remove(attempt)?;
         self.tokens -= entry.tokens;
         self.fresh_ends.remove(&(queued.plan.fresh_until, *attempt));
         let tier = queued.ask.tier;
--- a/bergamotswitch-core/src/pool_owner/refusing.rs
+++ b/bergamotswitch-core/src/pool_owner/refusing.rs
@@ -14,7 +14,7 @@
 
 impl ShardOwner {
     /// Refuse the queued requests whose waiting time is over.
-    pub(super) fn expire_asks(&mut self, now: Moment, actions: &mut Vec<OwnerAction>) {
+    pub(super) fn expire_requests(&mut self, now: Moment, actions: &mut Vec<OwnerAction>) {
         while let Some(attempt) = self.queue.expired(now) {
             let queued = self.queue.get(&attempt);
             let tier = queued.map_or(Tier(0), |queued| queued.ask.tier);
--- a/bergamotswitch-core/src/pool_owner/slot_dispatch.rs
+++ b/bergamotswitch-core/src/pool_owner/slot_dispatch.rs
@@ -10,10 +10,10 @@
 use super::dispatch::query_of;
 use super::owner::ShardOwner;
 use super::prefix_table::WarmTarget;
-use super::queue::{Placement, QueuedAsk};
+use super::queue::{Placement, QueuedRequest};
 use super::routing::{ClosedTargets, Route};
 use super::run_gauge::millis;
-use super::slot_routing::{AskTimes, SlotView};
+use super::slot_routing::{RequestTimes, SlotView};
 
 /// The safety factors by which a predicted run time is multiplied before it is
 /// compared with the time left. Output lengths are rough estimates, so runs
@@ -78,7 +78,13 @@
 
     /// Get whether a run at the chosen target is predicted to miss its
     /// deadline.
-    fn is_late_at(&self, now: Moment, queued: &QueuedAsk, route: &Route, times: AskTimes) -> bool {
+    fn is_late_at(
+        &self,
+        now: Moment,
+        queued: &QueuedRequest,
+        route: &Route,
+        times: RequestTimes,
+    ) -> bool {
         if queued.ask.patience_ms.is_none() {
             return self.is_too_late(now, queued, route);
         }
@@ -87,10 +93,10 @@
     }
 
     /// Get the time limits of a queued request.
-    fn times_of(&self, now: Moment, queued: &QueuedAsk) -> AskTimes {
+    fn times_of(&self, now: Moment, queued: &QueuedRequest) -> RequestTimes {
         // Requests without a time-to-first-token limit have no aim.
         let fresh = queued.placement.aim_ms.is_some();
-        AskTimes {
+        RequestTimes {
             aim_left: fresh.then(|| millis(queued.plan.aim_at.since(now))),
             run_left: millis(queued.plan.run_until.since(now)),
             sureness: match self.queue.len() {
--- a/bergamotswitch-core/src/pool_owner/slot_routing.rs
+++ b/bergamotswitch-core/src/pool_owner/slot_routing.rs
@@ -24,9 +24,9 @@
 /// target is worthwhile.
 const MIN_WAIT_MS: f64 = 5.0;
 
-/// An `AskTimes` is the time limits of a request, in milliseconds.
+/// A `RequestTimes` is the time limits of a request, in milliseconds.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct AskTimes {
+pub(super) struct RequestTimes {
     /// The time left until its first token is due; `None` if the request is
     /// late or has no such limit.
     pub(super) aim_left: Option<f64>,
@@ -36,7 +36,7 @@
     pub(super) sureness: f64,
 }
 
-impl AskTimes {
+impl RequestTimes {
     /// Get whether a run at a target is predicted to end before the deadline.
     pub(super) fn is_feasible(&self, load: &TargetLoad, cost: TokenCost) -> bool {
         load.run_ms(cost) * self.sureness <= self.run_left
@@ -102,7 +102,7 @@
         &self,
         now: Moment,
         query: &RouteQuery<'_>,
-        times: AskTimes,
+        times: RequestTimes,
     ) -> Option<Route> {
         let mut best: Option<((bool, f64, usize), &TargetLoad)> = None;
         for open in self.candidates(query.placement) {
@@ -131,7 +131,7 @@
     fn is_worth_waiting(
         &self,
         query: &RouteQuery<'_>,
-        times: AskTimes,
+        times: RequestTimes,
         late: bool,
         best: &TargetLoad,
     ) -> bool {
@@ -153,7 +153,7 @@
         &mut self,
         placement: &Placement,
         cost: TokenCost,
-        times: AskTimes,
+        times: RequestTimes,
         closed: &mut ClosedTargets,
     ) {
         let kept = |load: &TargetLoad| match times.aim_left {
--- a/bergamotswitch-core/tests/owner_failover.rs
+++ b/bergamotswitch-core/tests/owner_failover.rs
@@ -52,7 +52,7 @@
 #[test]
 fn refused_key() {
     // A key whose only ask was shed was not run; it may run elsewhere.
-    let opts = OwnerOptions::default().with_max_asks(1);
+    let opts = OwnerOptions::default().with_max_requests(1);
     let mut bench = OwnerBench::with_targets(opts, &[target("a", "d", 100)]);
     let permit = bench.granted(&ask(0, 0, "a"));
     bench.ask(&with_claim(ask(1, 2, "a"), 5, run_of("entry", 7), false));
--- a/bergamotswitch-core/tests/owner_invariants.rs
+++ b/bergamotswitch-core/tests/owner_invariants.rs
@@ -291,7 +291,7 @@
 }
 
 fn run_turns(turns: &[OwnerTurn]) -> usize {
-    let opts = OwnerOptions::default().with_max_asks(6);
+    let opts = OwnerOptions::default().with_max_requests(6);
     let mut run = OwnerRun {
         bench: OwnerBench::new(opts),
         model: OwnerModel::default(),
--- a/bergamotswitch-core/tests/queue_differential.rs
+++ b/bergamotswitch-core/tests/queue_differential.rs
@@ -10,7 +10,7 @@
 
 use bergamotswitch_core::pool_owner::back_off::BackOff;
 use bergamotswitch_core::pool_owner::prefix_table::WarmTarget;
-use bergamotswitch_core::pool_owner::queue::{AskQueue, Placement, QueuedAsk};
+use bergamotswitch_core::pool_owner::queue::{Placement, QueuedRequest, RequestQueue};
 use bergamotswitch_core::pool_owner::routing::{ClosedTargets, RouteQuery, TargetSet, choose};
 use bergamotswitch_core::pool_owner::target_load::TargetLoad;
 use bergamotswitch_core::pool_owner::wait_plan::WaitPlan;
@@ -29,7 +29,7 @@
 /// A `NaiveQueue` is the queue as a plain list.
 #[derive(Default)]
 struct NaiveQueue {
-    asks: Vec<QueuedAsk>,
+    asks: Vec<QueuedRequest>,
     clocks: BTreeMap<Tier, u128>,
     accounts: BTreeMap<(Tier, String), NaiveAccount>,
 }
@@ -45,11 +45,11 @@
     }
 }
 
-fn account_of(queued: &QueuedAsk) -> (Tier, String) {
+fn account_of(queued: &QueuedRequest) -> (Tier, String) {
     (queued.ask.tier, queued.ask.account.to_string())
 }
 
-fn rank_of(queued: &QueuedAsk) -> (Moment, u64) {
+fn rank_of(queued: &QueuedRequest) -> (Moment, u64) {
     (queued.plan.give_up_at, queued.ask.attempt.request.sequence)
 }
 
@@ -59,7 +59,7 @@
         asks.any(|queued| account_of(queued) == *account)
     }
 
-    fn push(&mut self, queued: QueuedAsk) {
+    fn push(&mut self, queued: QueuedRequest) {
         let key = account_of(&queued);
         let waits = self.waits(&key);
         let clock = self.clocks.get(&key.0).copied().unwrap_or(0);
@@ -138,7 +138,7 @@
 const DOMAINS: [&str; 3] = ["north", "south", "west"];
 
 /// Run one step on both queues.
-fn step_both(fast: &mut AskQueue, naive: &mut NaiveQueue, number: u64, step: QueueStep) {
+fn step_both(fast: &mut RequestQueue, naive: &mut NaiveQueue, number: u64, step: QueueStep) {
     let none = BTreeSet::new();
     match step {
         QueueStep::Push {
@@ -154,7 +154,7 @@
             ask.share = 1 + u32::from(share % 5);
             ask.cost.prefill = u32::from(cost);
             ask.domains = vec![named(DOMAINS[usize::from(domain % 3)])];
-            let queued = QueuedAsk {
+            let queued = QueuedRequest {
                 host: named("entry"),
                 plan: plan_until(Moment::from_millis(u64::from(deadline))),
                 placement: Arc::new(Placement::of(&ask, false)),
@@ -169,7 +169,7 @@
             serve_both(fast, naive, &BTreeSet::from([blocked]));
         }
         QueueStep::Shed => {
-            let worst = fast.worst();
+            let worst = fast.next_to_shed();
             assert_eq!(worst, naive.worst());
             if let Some(attempt) = worst {
                 fast.remove(&attempt);
@@ -201,7 +201,7 @@
     Arc::new(Placement::of(&ask, false))
 }
 
-fn serve_both(fast: &mut AskQueue, naive: &mut NaiveQueue, blocked: &BTreeSet<Arc<Placement>>) {
+fn serve_both(fast: &mut RequestQueue, naive: &mut NaiveQueue, blocked: &BTreeSet<Arc<Placement>>) {
     let next = fast.next(blocked).map(|queued| queued.ask.attempt);
     assert_eq!(next, naive.next(blocked));
     if let Some(attempt) = next {
@@ -214,7 +214,7 @@
 fn same_order() {
     let steps = any::<Vec<QueueStep>>().with().len(0..300usize);
     for_each_of(&steps, 2_000, |steps| {
-        let mut fast = AskQueue::default();
+        let mut fast = RequestQueue::default();
         let mut naive = NaiveQueue::default();
         for (number, step) in steps.iter().enumerate() {
             step_both(&mut fast, &mut naive, number as u64, *step);
--- a/bergamotswitch-core/tests/queue_order.rs
+++ b/bergamotswitch-core/tests/queue_order.rs
@@ -112,7 +112,7 @@
     // Symptom: a dawn report is refused while bulk work waits.
     // Events: bulk work fills the queue, then top-tier asks come.
     // Cause guarded against: a full queue that refuses by order of arrival.
-    let opts = OwnerOptions::default().with_max_asks(3);
+    let opts = OwnerOptions::default().with_max_requests(3);
     let (mut bench, _first) = busy_bench(opts);
     for request in 1..=3 {
         assert!(refusals(&bench.ask(&ask(request, 2, "bulk"))).is_empty());
@@ -136,7 +136,7 @@
 
 #[test]
 fn account_over_share() {
-    let opts = OwnerOptions::default().with_max_asks(4);
+    let opts = OwnerOptions::default().with_max_requests(4);
     let (mut bench, _first) = busy_bench(opts);
     for request in 1..=4 {
         bench.ask(&with_deadline(
