--- a/bergamotswitch-core/src/pool_owner/back_off.rs
+++ b/bergamotswitch-core/src/pool_owner/back_off.rs
@@ -7,24 +7,24 @@
 
 /// The number of consecutive failures after which a target gets no regular
 /// requests. A single failure may be the request's own fault.
-const FAILURES_TO_BACK_OFF: u32 = 2;
+const FAILURE_THRESHOLD: u32 = 2;
 
 /// The number of probe intervals for which a due probe waits for an eligible
 /// request before any request is used.
-const PATIENT_INTERVALS: u32 = 4;
+const ANY_PROBE_INTERVALS: u32 = 4;
 
-/// A `ProbeNeed` says which requests may be sent to a target in its current
+/// A `ProbeAdmission` says which requests may be sent to a target in its current
 /// backoff state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ProbeNeed {
+pub enum ProbeAdmission {
     /// All requests: the target isn't backed off.
-    None,
+    Unrestricted,
     /// One request that is eligible as a probe.
-    Risky,
+    EligibleProbe,
     /// One request of any kind: no eligible one arrived in time.
-    Any,
+    AnyProbe,
     /// No request: a probe is running or not due yet.
-    Wait,
+    Blocked,
 }
 
 /// A `BackOff` is the backoff state of one target.
@@ -70,17 +70,17 @@
     }
 
     /// Get which requests may be sent to the target.
-    pub fn need(&self, now: Moment) -> ProbeNeed {
+    pub fn admission(&self, now: Moment) -> ProbeAdmission {
         if self.since.is_none() {
-            return ProbeNeed::None;
+            return ProbeAdmission::Unrestricted;
         }
         if self.probe.is_some() || now < self.probe_at {
-            return ProbeNeed::Wait;
+            return ProbeAdmission::Blocked;
         }
-        let patience = self.interval * PATIENT_INTERVALS;
-        match now.since(self.probe_at) >= patience {
-            true => ProbeNeed::Any,
-            false => ProbeNeed::Risky,
+        let eligible_only = self.interval * ANY_PROBE_INTERVALS;
+        match now.since(self.probe_at) >= eligible_only {
+            true => ProbeAdmission::AnyProbe,
+            false => ProbeAdmission::EligibleProbe,
         }
     }
 
@@ -93,7 +93,7 @@
 
     /// Record that a permit ended without a result that says anything about the
     /// target's health.
-    pub fn end_silently(&mut self, permit: PermitId) {
+    pub fn clear_probe(&mut self, permit: PermitId) {
         if self.probe == Some(permit) {
             self.probe = None;
         }
@@ -102,7 +102,7 @@
     /// Back off because another owner reported a failure; `probe_in` is the
     /// time left there until its next probe. Get whether the target is newly
     /// backed off.
-    pub fn learn(&mut self, now: Moment, probe_in: Duration) -> bool {
+    pub fn mark_reported(&mut self, now: Moment, probe_in: Duration) -> bool {
         if self.since.is_some() {
             return false;
         }
@@ -114,8 +114,8 @@
 
     /// Record the success of a request whose permit was granted at
     /// `granted_at`.
-    pub fn succeed(&mut self, permit: PermitId, granted_at: Moment) {
-        self.end_silently(permit);
+    pub fn record_success(&mut self, permit: PermitId, granted_at: Moment) {
+        self.clear_probe(permit);
         // A request that started before the failures says nothing about the
         // target's current health.
         let old = self.since.is_some_and(|since| granted_at < since);
@@ -129,7 +129,7 @@
 
     /// Record the failure of a request whose permit was granted at
     /// `granted_at`. Get whether the target is newly backed off.
-    pub fn fail(
+    pub fn record_failure(
         &mut self,
         now: Moment,
         permit: PermitId,
@@ -137,7 +137,7 @@
         certain: bool,
     ) -> bool {
         let was_probe = self.probe == Some(permit);
-        self.end_silently(permit);
+        self.clear_probe(permit);
         if let Some(since) = self.since {
             // Requests that were in flight when backoff began fail together and
             // must not lengthen the interval once each.
@@ -148,7 +148,7 @@
             return false;
         }
         self.failures += 1;
-        if !certain && self.failures < FAILURES_TO_BACK_OFF {
+        if !certain && self.failures < FAILURE_THRESHOLD {
             return false;
         }
         self.since = Some(now);
--- a/bergamotswitch-core/src/pool_owner/dispatch.rs
+++ b/bergamotswitch-core/src/pool_owner/dispatch.rs
@@ -11,7 +11,7 @@
 use crate::rules::Tier;
 
 use super::OwnerAction;
-use super::back_off::ProbeNeed;
+use super::back_off::ProbeAdmission;
 use super::key_table::KeyVerdict;
 use super::owner::ShardOwner;
 use super::permit_table::GivenPermit;
@@ -144,7 +144,7 @@
         let candidates = allowed(&self.targets, &queued.placement);
         let working = candidates
             .into_iter()
-            .filter(|load| load.back_off().need(now) == ProbeNeed::None);
+            .filter(|load| load.back_off().admission(now) == ProbeAdmission::Unrestricted);
         let tokens = queued.ask.cost.total();
         if queued.placement.is_anywhere() {
             closed.close_all();
@@ -387,10 +387,10 @@
         warm,
         // Top-tier requests and requests that must not run twice aren't used as
         // probes.
-        riskable: queued.ask.claim.is_none() && queued.ask.tier > Tier(0),
+        probe_eligible: queued.ask.claim.is_none() && queued.ask.tier > Tier(0),
         // Targets that fail together become due for a probe together. Probing
         // them all with the same request would exhaust its attempts although
         // other targets work.
-        spared: !queued.ask.avoid.is_empty(),
+        failed_before: !queued.ask.avoid.is_empty(),
     }
 }
--- a/bergamotswitch-core/src/pool_owner/failed_targets.rs
+++ b/bergamotswitch-core/src/pool_owner/failed_targets.rs
@@ -55,7 +55,7 @@
                 continue;
             }
             let probe_in = Duration::from_millis(told.probe_in_ms.into());
-            if load.back_off_mut().learn(now, probe_in) {
+            if load.back_off_mut().mark_reported(now, probe_in) {
                 actions.push(self.note(Incident::TargetBackedOff, &told.target));
             }
         }
--- a/bergamotswitch-core/src/pool_owner/release.rs
+++ b/bergamotswitch-core/src/pool_owner/release.rs
@@ -40,14 +40,14 @@
             self.forget_prefixes(&permit);
         }
         match &release.outcome {
-            ReleaseOutcome::Unused => self.end_silently(&permit),
+            ReleaseOutcome::Unused => self.clear_probe(&permit),
             ReleaseOutcome::Finished(usage) => self.on_finished(now, &permit, usage),
             ReleaseOutcome::Unreachable => self.on_failure(now, &permit, true, actions),
             ReleaseOutcome::Failed(_) => self.on_failure(now, &permit, false, actions),
             ReleaseOutcome::Refused => self.on_target_refused(now, &permit, actions),
             ReleaseOutcome::Stopped(usage) => {
                 self.learn(now, &permit, usage);
-                self.end_silently(&permit);
+                self.clear_probe(&permit);
             }
         }
         self.drop_if_left(&permit.target);
@@ -141,7 +141,7 @@
             let Some(permit) = self.free(now, id) else {
                 continue;
             };
-            self.end_silently(&permit);
+            self.clear_probe(&permit);
             self.counts.reclaimed += 1;
             self.drop_if_left(&permit.target);
             actions.push(self.note(Incident::PermitReclaimed, &permit.target));
@@ -157,7 +157,7 @@
         }
         for id in self.permits.of_run(run) {
             if let Some(permit) = self.free(now, &id) {
-                self.end_silently(&permit);
+                self.clear_probe(&permit);
                 self.drop_if_left(&permit.target);
             }
         }
@@ -199,9 +199,9 @@
         }
     }
 
-    fn end_silently(&mut self, permit: &GivenPermit) {
+    fn clear_probe(&mut self, permit: &GivenPermit) {
         if let Some(load) = self.targets.get_mut(&permit.target) {
-            load.back_off_mut().end_silently(permit.id);
+            load.back_off_mut().clear_probe(permit.id);
         }
     }
 
@@ -222,7 +222,8 @@
                 usage,
                 crowd: permit.crowd,
             });
-            load.back_off_mut().succeed(permit.id, permit.granted_at);
+            load.back_off_mut()
+                .record_success(permit.id, permit.granted_at);
             load.check_hint(permit.expected_cached(), usage.cached);
         }
         for prefix in &permit.prefixes {
@@ -255,7 +256,7 @@
             return;
         }
         load.note_full(now);
-        load.back_off_mut().end_silently(permit.id);
+        load.back_off_mut().clear_probe(permit.id);
     }
 
     fn on_failure(
@@ -274,10 +275,10 @@
         };
         let back_off = load.back_off_mut();
         if !certain && too_many && !back_off.is_active() {
-            back_off.end_silently(permit.id);
+            back_off.clear_probe(permit.id);
             return;
         }
-        if back_off.fail(now, permit.id, permit.granted_at, certain) {
+        if back_off.record_failure(now, permit.id, permit.granted_at, certain) {
             actions.push(self.note(Incident::TargetBackedOff, &permit.target));
         }
     }
--- a/bergamotswitch-core/src/pool_owner/routing.rs
+++ b/bergamotswitch-core/src/pool_owner/routing.rs
@@ -6,7 +6,7 @@
 use crate::request::TokenCost;
 use crate::target::TargetName;
 
-use super::back_off::ProbeNeed;
+use super::back_off::ProbeAdmission;
 use super::prefix_table::WarmTarget;
 use super::queue::Placement;
 use super::target_load::TargetLoad;
@@ -28,21 +28,23 @@
     /// Which targets have how many of these blocks cached.
     pub warm: &'a [WarmTarget],
     /// Whether the request may be the probe of a target that is backed off.
-    pub riskable: bool,
+    pub probe_eligible: bool,
     /// Whether the request has failed on a target before; if so, it isn't used
     /// as a probe while other targets work.
-    pub spared: bool,
+    pub failed_before: bool,
 }
 
 impl RouteQuery<'_> {
     /// Get whether the request may be sent to a target in this backoff state;
     /// `any_works` says whether another allowed target works.
-    pub(super) fn may_probe(&self, need: ProbeNeed, any_works: bool) -> bool {
-        match need {
-            ProbeNeed::None => true,
-            ProbeNeed::Risky => !any_works || (self.riskable && !self.spared),
-            ProbeNeed::Any => !any_works || !self.spared,
-            ProbeNeed::Wait => false,
+    pub(super) fn may_probe(&self, admission: ProbeAdmission, any_works: bool) -> bool {
+        match admission {
+            ProbeAdmission::Unrestricted => true,
+            ProbeAdmission::EligibleProbe => {
+                !any_works || (self.probe_eligible && !self.failed_before)
+            }
+            ProbeAdmission::AnyProbe => !any_works || !self.failed_before,
+            ProbeAdmission::Blocked => false,
         }
     }
 }
@@ -157,10 +159,10 @@
     let tokens = query.cost.total();
     let mut best: Option<(u64, u64, &TargetLoad)> = None;
     for load in candidates.iter().copied() {
-        let open = match load.back_off().need(now) {
-            ProbeNeed::None if closed.contains(&load.target().name) => false,
-            ProbeNeed::None => load.fits(now, tokens),
-            need => query.may_probe(need, healthy),
+        let open = match load.back_off().admission(now) {
+            ProbeAdmission::Unrestricted if closed.contains(&load.target().name) => false,
+            ProbeAdmission::Unrestricted => load.fits(now, tokens),
+            admission => query.may_probe(admission, healthy),
         };
         if !open {
             continue;
--- a/bergamotswitch-core/src/pool_owner/slot_routing.rs
+++ b/bergamotswitch-core/src/pool_owner/slot_routing.rs
@@ -10,7 +10,7 @@
 use crate::clock::Moment;
 use crate::request::TokenCost;
 
-use super::back_off::ProbeNeed;
+use super::back_off::ProbeAdmission;
 use super::queue::Placement;
 use super::routing::{ClosedTargets, Route, RouteQuery, TargetSet, in_domains};
 use super::target_load::TargetLoad;
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug)]
 struct OpenTarget<'a> {
     load: &'a TargetLoad,
-    need: ProbeNeed,
+    admission: ProbeAdmission,
 }
 
 /// A `SlotView` is the targets of a shard during one dispatch pass.
@@ -73,16 +73,16 @@
     pub(super) fn new(now: Moment, targets: &'a TargetSet, closed: &ClosedTargets) -> Self {
         let live = targets.values().filter(|load| !load.is_leaving());
         let open = live.filter_map(|load| {
-            let need = load.back_off().need(now);
-            let open = match need {
-                ProbeNeed::None => {
+            let admission = load.back_off().admission(now);
+            let open = match admission {
+                ProbeAdmission::Unrestricted => {
                     let has_room = load.may_fit(now) && load.is_explored(UNKNOWN_PERMITS);
                     has_room && !closed.contains(&load.target().name)
                 }
-                ProbeNeed::Risky | ProbeNeed::Any => true,
-                ProbeNeed::Wait => false,
+                ProbeAdmission::EligibleProbe | ProbeAdmission::AnyProbe => true,
+                ProbeAdmission::Blocked => false,
             };
-            open.then_some(OpenTarget { load, need })
+            open.then_some(OpenTarget { load, admission })
         });
         SlotView {
             targets,
@@ -165,7 +165,8 @@
         let avoids = self.avoids(placement);
         self.open.retain(|open| {
             let allowed = may_go(open.load, placement, avoids);
-            let closes = allowed && open.need == ProbeNeed::None && kept(open.load);
+            let closes =
+                allowed && open.admission == ProbeAdmission::Unrestricted && kept(open.load);
             if closes {
                 closed.close(&open.load.target().name);
             }
@@ -175,9 +176,9 @@
 
     /// Get whether a target has capacity for this request.
     fn may_take(&self, now: Moment, open: &OpenTarget<'_>, query: &RouteQuery<'_>) -> bool {
-        match open.need {
-            ProbeNeed::None => open.load.fits(now, query.cost.total()),
-            need => query.may_probe(need, self.any_healthy(query.placement)),
+        match open.admission {
+            ProbeAdmission::Unrestricted => open.load.fits(now, query.cost.total()),
+            admission => query.may_probe(admission, self.any_healthy(query.placement)),
         }
     }
 
--- a/bergamotswitch-core/tests/queue_differential.rs
+++ b/bergamotswitch-core/tests/queue_differential.rs
@@ -278,7 +278,7 @@
 
 /// Choose a target by the words of the rules alone: filter, then compare.
 fn naive_choice(now: Moment, targets: &TargetSet, query: &RouteQuery<'_>) -> Option<String> {
-    use bergamotswitch_core::pool_owner::back_off::ProbeNeed;
+    use bergamotswitch_core::pool_owner::back_off::ProbeAdmission;
     let mut allowed: Vec<&TargetLoad> = Vec::new();
     for load in targets.values() {
         let domains = &query.placement.domains;
@@ -296,11 +296,15 @@
     let mut best: Option<(f64, u64, String)> = None;
     for load in &allowed {
         let tokens = query.cost.total();
-        let usable = match load.back_off().need(now) {
-            ProbeNeed::None => load.permits() == 0 || load.backlog(now) + tokens <= load.limit(now),
-            ProbeNeed::Risky => (query.riskable && !query.spared) || all_failing,
-            ProbeNeed::Any => !query.spared || all_failing,
-            ProbeNeed::Wait => false,
+        let usable = match load.back_off().admission(now) {
+            ProbeAdmission::Unrestricted => {
+                load.permits() == 0 || load.backlog(now) + tokens <= load.limit(now)
+            }
+            ProbeAdmission::EligibleProbe => {
+                (query.probe_eligible && !query.failed_before) || all_failing
+            }
+            ProbeAdmission::AnyProbe => !query.failed_before || all_failing,
+            ProbeAdmission::Blocked => false,
         };
         let first_long = !load.holds_long() && allowed.len() > 1;
         let crowding = first_long && spare <= allowed.len().div_ceil(8);
@@ -348,7 +352,7 @@
             change(target, &mut |load| load.learn(*now, 1_000, cost, &usage));
         }
         TargetStep::Fail { target } => change(target, &mut |load| {
-            load.back_off_mut().fail(*now, permit, *now, true);
+            load.back_off_mut().record_failure(*now, permit, *now, true);
         }),
         TargetStep::Hint { target, cached } => {
             change(target, &mut |load| load.check_hint(255, u32::from(cached)));
@@ -361,7 +365,7 @@
             load.vacate(*now, u64::from(draw.tokens), draw.long);
         }),
         TargetStep::Succeed { target } => change(target, &mut |load| {
-            load.back_off_mut().succeed(permit, *now);
+            load.back_off_mut().record_success(permit, *now);
         }),
         TargetStep::Leave { target } => change(target, &mut TargetLoad::leave),
         TargetStep::Pass { millis } => {
@@ -383,8 +387,8 @@
                 cost: cost_of(u32::from(draw.prefill), 50),
                 blocks: 4,
                 warm: &warm,
-                riskable: draw.riskable,
-                spared: draw.spared,
+                probe_eligible: draw.riskable,
+                failed_before: draw.spared,
             };
             let fast = choose(*now, targets, &ClosedTargets::default(), &query);
             let fast = fast.map(|route| route.target.to_string());
