--- a/bergamotswitch-core/src/pool_owner/dispatch.rs
+++ b/bergamotswitch-core/src/pool_owner/dispatch.rs
@@ -17,7 +17,7 @@
 use super::permit_table::GivenPermit;
 use super::prefix_table::WarmTarget;
 use super::queue::{Placement, QueuedRequest};
-use super::routing::{ClosedTargets, Route, RouteQuery, allowed, choose};
+use super::routing::{ReservedTargets, Route, RouteQuery, allowed, choose};
 use super::run_gauge::millis;
 use super::target_load::TargetLoad;
 
@@ -43,7 +43,7 @@
             return;
         }
         let mut blocked: BTreeSet<Arc<Placement>> = BTreeSet::new();
-        let mut closed = ClosedTargets::default();
+        let mut reserved = ReservedTargets::default();
         // Even if all targets are reserved, a later request may serve as a
         // probe.
         let probing = self
@@ -53,7 +53,7 @@
         while let Some(queued) = self.queue.next(&blocked) {
             let warm = self.prefixes.warm(now, &queued.ask.prefixes);
             let query = query_of(queued, &warm);
-            match choose(now, &self.targets, &closed, &query) {
+            match choose(now, &self.targets, &reserved, &query) {
                 Some(route) => {
                     let late = self.is_too_late(now, queued, &route);
                     let attempt = queued.ask.attempt;
@@ -61,8 +61,8 @@
                 }
                 None => {
                     blocked.insert(queued.placement.clone());
-                    self.keep_room(now, queued, &mut closed);
-                    if closed.is_all() && !probing {
+                    self.reserve_capacity(now, queued, &mut reserved);
+                    if reserved.is_all() && !probing {
                         return;
                     }
                 }
@@ -140,19 +140,24 @@
 
     /// Reserve targets for a request that doesn't fit now, so that requests
     /// behind it don't take the capacity that it waits for.
-    fn keep_room(&self, now: Moment, queued: &QueuedRequest, closed: &mut ClosedTargets) {
+    fn reserve_capacity(
+        &self,
+        now: Moment,
+        queued: &QueuedRequest,
+        reserved: &mut ReservedTargets,
+    ) {
         let candidates = allowed(&self.targets, &queued.placement);
         let working = candidates
             .into_iter()
             .filter(|load| load.back_off().admission(now) == ProbeAdmission::Unrestricted);
         let tokens = queued.ask.cost.total();
         if queued.placement.is_anywhere() {
-            closed.close_all();
+            reserved.reserve_all();
             return;
         }
         if !queued.placement.long {
             for load in working {
-                closed.close(&load.target().name);
+                reserved.reserve(&load.target().name);
             }
             return;
         }
@@ -160,7 +165,7 @@
         // short ones may still use the rest. If it waits for capacity as such,
         // one target is drained for it: draining all of them would leave the
         // whole shard idle.
-        let mut open = working.filter(|load| !closed.contains(&load.target().name));
+        let mut open = working.filter(|load| !reserved.contains(&load.target().name));
         let fits = open.clone().any(|load| load.fits(now, tokens));
         if fits {
             return;
@@ -170,7 +175,7 @@
             (over as f64 * 1e6 / load.speed(now)) as u64
         });
         if let Some(load) = first {
-            closed.close(&load.target().name);
+            reserved.reserve(&load.target().name);
         }
     }
 
--- a/bergamotswitch-core/src/pool_owner/routing.rs
+++ b/bergamotswitch-core/src/pool_owner/routing.rs
@@ -58,25 +58,25 @@
     pub finish_micros: u64,
 }
 
-/// A `ClosedTargets` is the targets reserved for requests earlier in the queue.
+/// A `ReservedTargets` is the targets reserved for requests earlier in the queue.
 ///
 /// Without reservations, small requests of lower tiers would take each bit of
 /// capacity as it is released, and a larger request of a higher tier would
 /// never fit.
 #[derive(Debug, Default)]
-pub struct ClosedTargets {
+pub struct ReservedTargets {
     all: bool,
     names: BTreeSet<TargetName>,
 }
 
-impl ClosedTargets {
+impl ReservedTargets {
     /// Reserve `target` for an earlier request.
-    pub fn close(&mut self, target: &TargetName) {
+    pub fn reserve(&mut self, target: &TargetName) {
         self.names.insert(target.clone());
     }
 
     /// Reserve every target for an earlier request.
-    pub fn close_all(&mut self) {
+    pub fn reserve_all(&mut self) {
         self.all = true;
     }
 
@@ -151,7 +151,7 @@
 pub fn choose(
     now: Moment,
     targets: &TargetSet,
-    closed: &ClosedTargets,
+    reserved: &ReservedTargets,
     query: &RouteQuery<'_>,
 ) -> Option<Route> {
     let candidates = allowed(targets, query.placement);
@@ -160,7 +160,7 @@
     let mut best: Option<(u64, u64, &TargetLoad)> = None;
     for load in candidates.iter().copied() {
         let open = match load.back_off().admission(now) {
-            ProbeAdmission::Unrestricted if closed.contains(&load.target().name) => false,
+            ProbeAdmission::Unrestricted if reserved.contains(&load.target().name) => false,
             ProbeAdmission::Unrestricted => load.fits(now, tokens),
             admission => query.may_probe(admission, healthy),
         };
--- a/bergamotswitch-core/src/pool_owner/slot_dispatch.rs
+++ b/bergamotswitch-core/src/pool_owner/slot_dispatch.rs
@@ -11,7 +11,7 @@
 use super::owner::ShardOwner;
 use super::prefix_table::WarmTarget;
 use super::queue::{Placement, QueuedRequest};
-use super::routing::{ClosedTargets, Route};
+use super::routing::{ReservedTargets, Route};
 use super::run_gauge::millis;
 use super::slot_routing::{RequestTimes, SlotView};
 
@@ -36,8 +36,8 @@
     /// Grant permits in queue order until no queued request finds a slot.
     pub(super) fn dispatch_slots(&mut self, now: Moment, actions: &mut Vec<OwnerAction>) {
         let mut blocked = BTreeSet::new();
-        let mut closed = ClosedTargets::default();
-        while let Some(step) = self.next_slot(now, &mut blocked, &mut closed) {
+        let mut reserved = ReservedTargets::default();
+        while let Some(step) = self.next_slot(now, &mut blocked, &mut reserved) {
             let SlotStep {
                 attempt,
                 route,
@@ -54,9 +54,9 @@
         &self,
         now: Moment,
         blocked: &mut BTreeSet<Arc<Placement>>,
-        closed: &mut ClosedTargets,
+        reserved: &mut ReservedTargets,
     ) -> Option<SlotStep> {
-        let mut view = SlotView::new(now, &self.targets, closed);
+        let mut view = SlotView::new(now, &self.targets, reserved);
         while !view.is_full() {
             let queued = self.queue.next(blocked)?;
             let warm = self.prefixes.warm(now, &queued.ask.prefixes);
@@ -71,7 +71,7 @@
                 });
             }
             blocked.insert(queued.placement.clone());
-            view.close_for(&queued.placement, query.cost, times, closed);
+            view.reserve_for(&queued.placement, query.cost, times, reserved);
         }
         None
     }
--- a/bergamotswitch-core/src/pool_owner/slot_routing.rs
+++ b/bergamotswitch-core/src/pool_owner/slot_routing.rs
@@ -12,7 +12,7 @@
 
 use super::back_off::ProbeAdmission;
 use super::queue::Placement;
-use super::routing::{ClosedTargets, Route, RouteQuery, TargetSet, in_domains};
+use super::routing::{ReservedTargets, Route, RouteQuery, TargetSet, in_domains};
 use super::target_load::TargetLoad;
 
 /// The maximum number of permits for a target before its first completed run.
@@ -68,16 +68,16 @@
 }
 
 impl<'a> SlotView<'a> {
-    /// Get the view of `targets`, without those in `closed`, which are reserved
+    /// Get the view of `targets`, without those in `reserved`, which are kept
     /// for earlier requests.
-    pub(super) fn new(now: Moment, targets: &'a TargetSet, closed: &ClosedTargets) -> Self {
+    pub(super) fn new(now: Moment, targets: &'a TargetSet, reserved: &ReservedTargets) -> Self {
         let live = targets.values().filter(|load| !load.is_leaving());
         let open = live.filter_map(|load| {
             let admission = load.back_off().admission(now);
             let open = match admission {
                 ProbeAdmission::Unrestricted => {
                     let has_room = load.may_fit(now) && load.is_explored(UNKNOWN_PERMITS);
-                    has_room && !closed.contains(&load.target().name)
+                    has_room && !reserved.contains(&load.target().name)
                 }
                 ProbeAdmission::EligibleProbe | ProbeAdmission::AnyProbe => true,
                 ProbeAdmission::Blocked => false,
@@ -149,12 +149,12 @@
     }
 
     /// Reserve the targets that a queued request waits for.
-    pub(super) fn close_for(
+    pub(super) fn reserve_for(
         &mut self,
         placement: &Placement,
         cost: TokenCost,
         times: RequestTimes,
-        closed: &mut ClosedTargets,
+        reserved: &mut ReservedTargets,
     ) {
         let kept = |load: &TargetLoad| match times.aim_left {
             // Targets that would be too late for the request stay available to
@@ -165,12 +165,12 @@
         let avoids = self.avoids(placement);
         self.open.retain(|open| {
             let allowed = may_go(open.load, placement, avoids);
-            let closes =
+            let reserves =
                 allowed && open.admission == ProbeAdmission::Unrestricted && kept(open.load);
-            if closes {
-                closed.close(&open.load.target().name);
+            if reserves {
+                reserved.reserve(&open.load.target().name);
             }
-            !closes
+            !reserves
         });
     }
 
--- a/bergamotswitch-core/tests/queue_differential.rs
+++ b/bergamotswitch-core/tests/queue_differential.rs
@@ -11,7 +11,7 @@
 use bergamotswitch_core::pool_owner::back_off::BackOff;
 use bergamotswitch_core::pool_owner::prefix_table::WarmTarget;
 use bergamotswitch_core::pool_owner::queue::{Placement, QueuedRequest, RequestQueue};
-use bergamotswitch_core::pool_owner::routing::{ClosedTargets, RouteQuery, TargetSet, choose};
+use bergamotswitch_core::pool_owner::routing::{ReservedTargets, RouteQuery, TargetSet, choose};
 use bergamotswitch_core::pool_owner::target_load::TargetLoad;
 use bergamotswitch_core::pool_owner::wait_plan::WaitPlan;
 use bergamotswitch_draw::{TypeGenerator, any, for_each_of};
@@ -390,7 +390,7 @@
                 probe_eligible: draw.riskable,
                 failed_before: draw.spared,
             };
-            let fast = choose(*now, targets, &ClosedTargets::default(), &query);
+            let fast = choose(*now, targets, &ReservedTargets::default(), &query);
             let fast = fast.map(|route| route.target.to_string());
             assert_eq!(fast, naive_choice(*now, targets, &query));
             return fast.is_some();
