--- a/bergamotswitch-core/src/pool_owner/dispatch.rs
+++ b/bergamotswitch-core/src/pool_owner/dispatch.rs
@@ -151,7 +151,7 @@
             .into_iter()
             .filter(|load| load.back_off().admission(now) == ProbeAdmission::Unrestricted);
         let tokens = queued.ask.cost.total();
-        if queued.placement.is_anywhere() {
+        if queued.placement.is_unrestricted() {
             reserved.reserve_all();
             return;
         }
--- a/bergamotswitch-core/src/pool_owner/fair_queue.rs
+++ b/bergamotswitch-core/src/pool_owner/fair_queue.rs
@@ -21,7 +21,7 @@
     /// Whether the request can no longer be answered on time.
     pub(super) late: bool,
     /// The time by which requests of equal `late` are ordered.
-    pub(super) order: Moment,
+    pub(super) sort_key: Moment,
     /// When the request began to wait, in microseconds; negative if that was
     /// before the clock's start.
     pub(super) arrived: i64,
--- a/bergamotswitch-core/src/pool_owner/owner.rs
+++ b/bergamotswitch-core/src/pool_owner/owner.rs
@@ -184,8 +184,8 @@
         let mut wake = self.permits.next_audit().unwrap_or(Moment::NEVER);
         if let Some(deadline) = self.queue.first_deadline() {
             wake = wake.min(deadline);
-            let fresh_end = self.queue.first_fresh_end();
-            wake = wake.min(fresh_end.unwrap_or(Moment::NEVER));
+            let on_time_end = self.queue.first_on_time_end();
+            wake = wake.min(on_time_end.unwrap_or(Moment::NEVER));
             wake = wake.min(self.now.plus(QUEUE_LOOK));
         }
         wake
--- a/bergamotswitch-core/src/pool_owner/queue.rs
+++ b/bergamotswitch-core/src/pool_owner/queue.rs
@@ -29,13 +29,16 @@
     pub long: bool,
     /// The time-to-first-token limit in milliseconds while it can be met:
     /// requests of the same limit wait for the same targets.
-    pub aim_ms: Option<u32>,
+    pub first_token_limit_ms: Option<u32>,
 }
 
 impl Placement {
     /// Get whether it is a short request that may be sent to any target.
-    pub fn is_anywhere(&self) -> bool {
-        !self.long && self.domains.is_empty() && self.avoid.is_empty() && self.aim_ms.is_none()
+    pub fn is_unrestricted(&self) -> bool {
+        !self.long
+            && self.domains.is_empty()
+            && self.avoid.is_empty()
+            && self.first_token_limit_ms.is_none()
     }
 
     /// Get whether the targets of a failure domain are allowed.
@@ -55,14 +58,14 @@
             domains,
             avoid,
             long,
-            aim_ms: ask.patience_ms,
+            first_token_limit_ms: ask.patience_ms,
         }
     }
 
     /// Get the placement of the request once it is late.
     fn late(&self) -> Self {
         Placement {
-            aim_ms: None,
+            first_token_limit_ms: None,
             ..self.clone()
         }
     }
@@ -97,7 +100,7 @@
     tokens: u64,
     sequence: u64,
     /// When requests become late.
-    fresh_ends: BTreeSet<(Moment, AttemptId)>,
+    on_time_ends: BTreeSet<(Moment, AttemptId)>,
     floor: TierFloor,
 }
 
@@ -181,7 +184,7 @@
             expires: queued.plan.give_up_at,
             rank: QueueRank {
                 late: false,
-                order: queued.plan.order,
+                sort_key: queued.plan.sort_key,
                 arrived: now.as_micros() as i64 - waited,
                 sequence: self.sequence,
                 attempt,
@@ -190,9 +193,9 @@
         self.tiers.entry(queued.ask.tier).or_default().push(&entry);
         *self.placements.entry(entry.placement.clone()).or_default() += 1;
         self.tokens += entry.tokens;
-        if queued.plan.fresh_until != Moment::NEVER {
-            let end = (queued.plan.fresh_until, attempt);
-            self.fresh_ends.insert(end);
+        if queued.plan.on_time_until != Moment::NEVER {
+            let end = (queued.plan.on_time_until, attempt);
+            self.on_time_ends.insert(end);
         }
         self.requests
             .insert(attempt, StoredRequest { queued, entry });
@@ -200,10 +203,10 @@
 
     /// Move the requests that have become late behind those that are on time.
     pub fn demote(&mut self, now: Moment) {
-        while let Some((end, attempt)) = self.fresh_ends.first().copied()
+        while let Some((end, attempt)) = self.on_time_ends.first().copied()
             && end <= now
         {
-            self.fresh_ends.pop_first();
+            self.on_time_ends.pop_first();
             let Some(stored) = self.requests.get_mut(&attempt) else {
                 continue;
             };
@@ -212,18 +215,18 @@
             };
             queue.remove(&stored.entry, false);
             let late = Arc::new(stored.queued.placement.late());
-            let fresh = std::mem::replace(&mut stored.queued.placement, late.clone());
+            let on_time = std::mem::replace(&mut stored.queued.placement, late.clone());
             stored.entry.rank.late = true;
             stored.entry.placement = late.clone();
             queue.push(&stored.entry);
             *self.placements.entry(late).or_default() += 1;
-            discount(&mut self.placements, &fresh);
+            discount(&mut self.placements, &on_time);
         }
     }
 
     /// Get when the next request becomes late.
-    pub fn first_fresh_end(&self) -> Option<Moment> {
-        self.fresh_ends.first().map(|(end, _)| *end)
+    pub fn first_on_time_end(&self) -> Option<Moment> {
+        self.on_time_ends.first().map(|(end, _)| *end)
     }
 
     /// Get the next request in order whose placement isn't blocked.
@@ -299,7 +302,8 @@
     fn take(&mut self, attempt: &AttemptId, served: bool) -> Option<QueuedRequest> {
         let StoredRequest { queued, entry } = self.requests.remove(attempt)?;
         self.tokens -= entry.tokens;
-        self.fresh_ends.remove(&(queued.plan.fresh_until, *attempt));
+        self.on_time_ends
+            .remove(&(queued.plan.on_time_until, *attempt));
         let tier = queued.ask.tier;
         if let Some(queue) = self.tiers.get_mut(&tier) {
             queue.remove(&entry, served);
--- a/bergamotswitch-core/src/pool_owner/refusing.rs
+++ b/bergamotswitch-core/src/pool_owner/refusing.rs
@@ -39,7 +39,7 @@
             self.settle_unused(&queued.ask);
             self.queue.note_fate(self.now, queued.ask.tier, false);
             let retry_after = match queued.ask.patience_ms {
-                Some(_) => queued.plan.come_back_in(self.now, attempt).max(retry_after),
+                Some(_) => queued.plan.retry_after(self.now, attempt).max(retry_after),
                 None => retry_after,
             };
             self.refuse(queued.host, *attempt, reason, retry_after, actions);
--- a/bergamotswitch-core/src/pool_owner/slot_dispatch.rs
+++ b/bergamotswitch-core/src/pool_owner/slot_dispatch.rs
@@ -20,8 +20,8 @@
 /// that are predicted to end just in time often fail. A request alone in the
 /// queue may take that risk; while others wait, a failed run would take the
 /// slot from several of them.
-const SURENESS_ALONE: f64 = 0.6;
-const SURENESS_CROWDED: f64 = 1.5;
+const SAFETY_FACTOR_ALONE: f64 = 0.6;
+const SAFETY_FACTOR_CONTENDED: f64 = 1.5;
 
 /// A `SlotStep` is the next request in order with the target chosen for it.
 struct SlotStep {
@@ -94,14 +94,14 @@
 
     /// Get the time limits of a queued request.
     fn times_of(&self, now: Moment, queued: &QueuedRequest) -> RequestTimes {
-        // Requests without a time-to-first-token limit have no aim.
-        let fresh = queued.placement.aim_ms.is_some();
+        // The placement of a late request has no limit either.
+        let has_limit = queued.placement.first_token_limit_ms.is_some();
         RequestTimes {
-            aim_left: fresh.then(|| millis(queued.plan.aim_at.since(now))),
+            first_token_left: has_limit.then(|| millis(queued.plan.first_token_due.since(now))),
             run_left: millis(queued.plan.run_until.since(now)),
-            sureness: match self.queue.len() {
-                0 | 1 => SURENESS_ALONE,
-                _ => SURENESS_CROWDED,
+            safety_factor: match self.queue.len() {
+                0 | 1 => SAFETY_FACTOR_ALONE,
+                _ => SAFETY_FACTOR_CONTENDED,
             },
         }
     }
--- a/bergamotswitch-core/src/pool_owner/slot_routing.rs
+++ b/bergamotswitch-core/src/pool_owner/slot_routing.rs
@@ -29,22 +29,22 @@
 pub(super) struct RequestTimes {
     /// The time left until its first token is due; `None` if the request is
     /// late or has no such limit.
-    pub(super) aim_left: Option<f64>,
+    pub(super) first_token_left: Option<f64>,
     /// The time left until its deadline.
     pub(super) run_left: f64,
     /// The safety factor by which predicted run times are multiplied.
-    pub(super) sureness: f64,
+    pub(super) safety_factor: f64,
 }
 
 impl RequestTimes {
     /// Get whether a run at a target is predicted to end before the deadline.
     pub(super) fn is_feasible(&self, load: &TargetLoad, cost: TokenCost) -> bool {
-        load.run_ms(cost) * self.sureness <= self.run_left
+        load.run_ms(cost) * self.safety_factor <= self.run_left
     }
 
     /// Get whether the first token of a target is predicted to be on time.
     fn is_timely(&self, load: &TargetLoad, cost: TokenCost) -> bool {
-        self.aim_left
+        self.first_token_left
             .is_some_and(|left| load.first_ms(cost) <= left)
     }
 }
@@ -136,8 +136,10 @@
         best: &TargetLoad,
     ) -> bool {
         let cost = query.cost;
-        let is_fresh = times.aim_left.is_some_and(|left| left > MIN_WAIT_MS);
-        if late && is_fresh {
+        let can_wait = times
+            .first_token_left
+            .is_some_and(|left| left > MIN_WAIT_MS);
+        if late && can_wait {
             // If an open target met the limit, it would be the best one.
             let timely = |load: &TargetLoad| load.is_known() && times.is_timely(load, cost);
             if self.any_usable(query.placement, timely) {
@@ -156,7 +158,7 @@
         times: RequestTimes,
         reserved: &mut ReservedTargets,
     ) {
-        let kept = |load: &TargetLoad| match times.aim_left {
+        let kept = |load: &TargetLoad| match times.first_token_left {
             // Targets that would be too late for the request stay available to
             // others.
             Some(_) => times.is_timely(load, cost),
--- a/bergamotswitch-core/src/pool_owner/wait_plan.rs
+++ b/bergamotswitch-core/src/pool_owner/wait_plan.rs
@@ -15,34 +15,34 @@
 
 /// The network delay from a permit to the arrival of its request at the target,
 /// and back to the caller.
-const WAY: Duration = Duration::from_millis(12);
+const NETWORK_DELAY: Duration = Duration::from_millis(12);
 
 /// The multiple of its time-to-first-token limit for which a request waits at
 /// most.
-const LATE_PATIENCE: u32 = 3;
+const MAX_PATIENCE_FACTOR: u32 = 3;
 
 /// A `WaitPlan` is how long a request waits, and its sort key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WaitPlan {
     /// Until when the request is on time: the fastest target could still meet
     /// its time-to-first-token limit.
-    pub fresh_until: Moment,
+    pub on_time_until: Moment,
     /// When the first token is due; [`Moment::NEVER`] without a
     /// time-to-first-token limit.
-    pub aim_at: Moment,
+    pub first_token_due: Moment,
     /// When the request is refused if it is still queued.
     pub give_up_at: Moment,
     /// The deadline for the end of the run.
     pub run_until: Moment,
     /// The sort key among requests that are on time, and among late ones.
-    pub order: Moment,
+    pub sort_key: Moment,
 }
 
 /// The retry-after time of requests refused under overload, as a percentage of
 /// their remaining time; callers honour up to a third of it. The predicted
 /// drain time is too short for this: the callers would return within the same
 /// burst.
-const COME_BACK_PERCENT: u32 = 32;
+const RETRY_AFTER_PERCENT: u32 = 32;
 
 /// The step by which consecutive request numbers are spread over the range.
 const SPREAD_STEP: u64 = 17;
@@ -59,34 +59,34 @@
         let run_until = now.plus(left);
         let Some(patience_ms) = ask.patience_ms else {
             return WaitPlan {
-                fresh_until: Moment::NEVER,
-                aim_at: Moment::NEVER,
+                on_time_until: Moment::NEVER,
+                first_token_due: Moment::NEVER,
                 give_up_at: run_until,
                 run_until,
-                order: run_until,
+                sort_key: run_until,
             };
         };
         let patience = Duration::from_millis(u64::from(patience_ms));
         let waited = Duration::from_millis(u64::from(ask.waited_ms));
         // A request that is sent again, to another owner or after an
         // interruption, keeps its original limits.
-        let in_time = patience.saturating_sub(waited);
-        let in_reach = (patience * LATE_PATIENCE).saturating_sub(waited);
+        let patience_left = patience.saturating_sub(waited);
+        let max_wait_left = (patience * MAX_PATIENCE_FACTOR).saturating_sub(waited);
         let last_start = left.saturating_sub(run);
         WaitPlan {
-            fresh_until: now.plus(in_time.saturating_sub(first + WAY)),
-            aim_at: now.plus(in_time.saturating_sub(WAY)),
-            give_up_at: now.plus(last_start.min(in_reach)),
+            on_time_until: now.plus(patience_left.saturating_sub(first + NETWORK_DELAY)),
+            first_token_due: now.plus(patience_left.saturating_sub(NETWORK_DELAY)),
+            give_up_at: now.plus(last_start.min(max_wait_left)),
             run_until,
-            order: now.plus(in_time),
+            sort_key: now.plus(patience_left),
         }
     }
 
     /// Get the retry-after time of a request that is refused now.
-    pub fn come_back_in(&self, now: Moment, attempt: &AttemptId) -> Duration {
+    pub fn retry_after(&self, now: Moment, attempt: &AttemptId) -> Duration {
         let left = self.run_until.since(now);
         let spread = attempt.request.sequence.wrapping_mul(SPREAD_STEP) % SPREAD_PERCENT;
-        let percent = COME_BACK_PERCENT * (100 - spread as u32) / 100;
+        let percent = RETRY_AFTER_PERCENT * (100 - spread as u32) / 100;
         left * percent / 100
     }
 }
--- a/bergamotswitch-core/tests/queue_differential.rs
+++ b/bergamotswitch-core/tests/queue_differential.rs
@@ -37,11 +37,11 @@
 /// Get the plan of an ask without an aim.
 fn plan_until(deadline: Moment) -> WaitPlan {
     WaitPlan {
-        fresh_until: Moment::NEVER,
-        aim_at: Moment::NEVER,
+        on_time_until: Moment::NEVER,
+        first_token_due: Moment::NEVER,
         give_up_at: deadline,
         run_until: deadline,
-        order: deadline,
+        sort_key: deadline,
     }
 }
 
