--- a/bergamotswitch-core/src/node/carry_out.rs
+++ b/bergamotswitch-core/src/node/carry_out.rs
@@ -80,7 +80,7 @@
                 self.count_degraded(&reply);
                 self.send_reply(now, host, reply);
             }
-            OwnerAction::Note(incident, shard, target) => {
+            OwnerAction::LogIncident(incident, shard, target) => {
                 let target = target.map_or(String::new(), |target| format!(" target={target}"));
                 let text = format!("shard={shard}{target}");
                 self.actions.push(NodeAction::Note(incident, text));
@@ -103,7 +103,7 @@
             MembershipAction::HostGone(host, run) => {
                 let actions = self
                     .shards
-                    .on_all(now, |_| OwnerEvent::HostGone(host.clone(), run));
+                    .on_all(now, |_| OwnerEvent::HostTerminated(host.clone(), run));
                 self.queue_owner(actions);
                 self.exposure.run_ended(now, &host);
             }
@@ -190,7 +190,7 @@
             return Some(OwnerEvent::HandedOver);
         }
         let is_silent = self.membership.is_silent(former);
-        is_silent.then_some(OwnerEvent::TakenOver)
+        is_silent.then_some(OwnerEvent::FailedOver)
     }
 
     pub(super) fn watch_targets(&mut self) {
--- a/bergamotswitch-core/src/node/shards.rs
+++ b/bergamotswitch-core/src/node/shards.rs
@@ -98,7 +98,7 @@
     /// Tell every owner that this process has slept.
     pub(super) fn woke(&mut self, now: Moment, slept: Duration) {
         for owned in self.owned.iter_mut().filter(|owned| !owned.degraded) {
-            owned.owner.woke(now, slept);
+            owned.owner.on_resumed(now, slept);
         }
     }
 
@@ -136,7 +136,7 @@
     /// Get the hosts with asks that wait for the shard.
     pub(super) fn asking_hosts(&self, shard: &PoolShard) -> Vec<HostName> {
         let found = self.owned.iter().find(|owned| owned.shard == *shard);
-        found.map_or_else(Vec::new, |owned| owned.owner.asking_hosts())
+        found.map_or_else(Vec::new, |owned| owned.owner.queued_hosts())
     }
 
     /// Begin or end to order a shard for everyone.
--- a/bergamotswitch-core/src/pool_owner/mod.rs
+++ b/bergamotswitch-core/src/pool_owner/mod.rs
@@ -63,11 +63,11 @@
     /// such reports are delayed and incomplete.
     Prefix(TargetName, PrefixHash, bool),
     /// This run of an entry host has terminated.
-    HostGone(HostName, Incarnation),
+    HostTerminated(HostName, Incarnation),
     /// The previous owner stops and handed over to this one.
     HandedOver,
     /// The previous owner doesn't respond, and this one takes over.
-    TakenOver,
+    FailedOver,
     /// This host stops, and another one takes over.
     Stopping,
     /// Time has passed.
@@ -81,5 +81,5 @@
     /// Send a reply to an entry host (which may be this host).
     Reply(HostName, OwnerReply),
     /// Log a numbered event about a target of the shard.
-    Note(Incident, PoolShard, Option<TargetName>),
+    LogIncident(Incident, PoolShard, Option<TargetName>),
 }
--- a/bergamotswitch-core/src/pool_owner/owner.rs
+++ b/bergamotswitch-core/src/pool_owner/owner.rs
@@ -140,7 +140,7 @@
                 let settle = self.opts.settle_after;
                 self.followers.set_hosts(now, &self.me.host, hosts, settle);
             }
-            OwnerEvent::HostGone(host, run) => {
+            OwnerEvent::HostTerminated(host, run) => {
                 self.followers.lose(now, &host, self.opts.settle_after);
                 self.drop_run(now, run);
             }
@@ -148,7 +148,7 @@
                 self.recovery = None;
                 self.followers.take_over();
             }
-            OwnerEvent::TakenOver => self.followers.take_over(),
+            OwnerEvent::FailedOver => self.followers.take_over(),
             OwnerEvent::Stopping => self.followers.stop(),
             OwnerEvent::Tick => {}
         }
@@ -167,7 +167,7 @@
 
     /// Record that this process was suspended. Another owner may have admitted
     /// requests meanwhile, and entry hosts may use that one now.
-    pub fn woke(&mut self, now: Moment, slept: Duration) {
+    pub fn on_resumed(&mut self, now: Moment, slept: Duration) {
         self.quotas.skip(slept);
         let settle = self.opts.settle_after;
         self.followers.lose_all(now, &self.me.host, settle);
--- a/bergamotswitch-core/src/pool_owner/release.rs
+++ b/bergamotswitch-core/src/pool_owner/release.rs
@@ -284,6 +284,6 @@
     }
 
     pub(super) fn note(&self, incident: Incident, target: &TargetName) -> OwnerAction {
-        OwnerAction::Note(incident, self.shard.clone(), Some(target.clone()))
+        OwnerAction::LogIncident(incident, self.shard.clone(), Some(target.clone()))
     }
 }
--- a/bergamotswitch-core/src/pool_owner/view.rs
+++ b/bergamotswitch-core/src/pool_owner/view.rs
@@ -83,7 +83,7 @@
 
 impl ShardOwner {
     /// Get the hosts that have queued requests, each once.
-    pub fn asking_hosts(&self) -> Vec<HostName> {
+    pub fn queued_hosts(&self) -> Vec<HostName> {
         let attempts = self.queue.find(|_| true);
         let asks = attempts
             .iter()
--- a/bergamotswitch-core/tests/owner_failover.rs
+++ b/bergamotswitch-core/tests/owner_failover.rs
@@ -167,7 +167,7 @@
     let mut other = ask(3, 1, "a");
     other.attempt = attempt_of(bergamotswitch_core::host::Incarnation(8), 3);
     bench.ask(&other);
-    let gone = OwnerEvent::HostGone(named("entry"), ENTRY_RUN);
+    let gone = OwnerEvent::HostTerminated(named("entry"), ENTRY_RUN);
     assert_eq!(granted_requests(&bench.event(gone)), [3]);
     assert!(bench.view().queued.is_empty());
     assert_eq!(bench.target_view("a").outstanding_tokens, 100);
@@ -196,7 +196,7 @@
     assert!(bench.event(stranger).is_empty());
     let actions = bench.message(answer);
     assert_eq!(granted_requests(&actions), [2]);
-    let note = OwnerAction::Note(Incident::PermitReclaimed, shard(), Some(named("a")));
+    let note = OwnerAction::LogIncident(Incident::PermitReclaimed, shard(), Some(named("a")));
     assert!(actions.contains(&note));
 }
 
--- a/bergamotswitch-core/tests/owner_invariants.rs
+++ b/bergamotswitch-core/tests/owner_invariants.rs
@@ -237,7 +237,7 @@
             waiting.retain(|attempt, _| attempt.request.incarnation != run);
             let held = &mut model.held;
             held.retain(|_, held| held.permit.attempt.request.incarnation != run);
-            OwnerEvent::HostGone(named("entry"), run)
+            OwnerEvent::HostTerminated(named("entry"), run)
         }
         OwnerStep::NotHeld(place) => {
             let permit = model.held_at(place);
--- a/bergamotswitch-core/tests/owner_routing.rs
+++ b/bergamotswitch-core/tests/owner_routing.rs
@@ -33,7 +33,7 @@
 
 fn backed_off(actions: &[OwnerAction]) -> usize {
     let notes = actions.iter().filter(|action| {
-        matches!(action, OwnerAction::Note(incident, ..) if *incident == Incident::TargetBackedOff)
+        matches!(action, OwnerAction::LogIncident(incident, ..) if *incident == Incident::TargetBackedOff)
     });
     notes.count()
 }
--- a/bergamotswitch-core/tests/slot_routing.rs
+++ b/bergamotswitch-core/tests/slot_routing.rs
@@ -87,7 +87,7 @@
 fn replies(actions: Vec<OwnerAction>) -> Vec<OwnerReply> {
     let replies = actions.into_iter().filter_map(|action| match action {
         OwnerAction::Reply(_, reply) => Some(reply),
-        OwnerAction::Note(..) => None,
+        OwnerAction::LogIncident(..) => None,
     });
     replies.collect()
 }
