--- a/bergamotswitch-core/src/pool_owner/dispatch.rs
+++ b/bergamotswitch-core/src/pool_owner/dispatch.rs
@@ -14,7 +14,7 @@
 use super::back_off::ProbeAdmission;
 use super::key_table::KeyVerdict;
 use super::owner::ShardOwner;
-use super::permit_table::GivenPermit;
+use super::permit_table::GrantedPermit;
 use super::prefix_table::WarmTarget;
 use super::queue::{Placement, QueuedRequest};
 use super::routing::{ReservedTargets, Route, RouteQuery, allowed, choose};
@@ -204,8 +204,8 @@
         let ask = queued.ask;
         let tokens = ask.cost.total();
         load.back_off_mut().start_probe(id);
-        let crowd = load.crowd();
-        load.occupy(now, tokens, queued.placement.long);
+        let utilization = load.utilization();
+        load.add_permit(now, tokens, queued.placement.long);
         let ahead = load.ahead_of(now, tokens);
         let warm_blocks = warm.iter().find(|warm| warm.target == route.target);
         let warm_blocks = warm_blocks.map_or(0, |warm| warm.blocks);
@@ -215,7 +215,7 @@
         if let Some(claim) = &ask.claim {
             self.keys.grant(now, claim);
         }
-        let permit = GivenPermit {
+        let permit = GrantedPermit {
             id,
             host: queued.host.clone(),
             attempt: *attempt,
@@ -230,7 +230,7 @@
             prefixes: ask.prefixes,
             granted_at: now,
             ahead,
-            crowd,
+            utilization,
             finish_at: now.plus(Duration::from_micros(route.finish_micros)),
             preempted_at: None,
             audit_at: now.plus(self.opts.audit_after),
@@ -245,7 +245,7 @@
     }
 
     /// Get the reply that carries a permit.
-    pub(super) fn granted_reply(&self, permit: &GivenPermit) -> OwnerReply {
+    pub(super) fn granted_reply(&self, permit: &GrantedPermit) -> OwnerReply {
         let lifetime = self.opts.permit_lifetime.as_millis();
         OwnerReply::Granted {
             shard: self.shard.clone(),
@@ -322,7 +322,7 @@
     /// unless all targets publish their slots.
     fn slot_wait(&self, now: Moment, tier: Tier) -> Option<Duration> {
         // Without a completed run on each target the release rate is unknown.
-        let known = self.targets.values().all(TargetLoad::is_known);
+        let known = self.targets.values().all(TargetLoad::has_run);
         if !self.has_slots() || !known {
             return None;
         }
@@ -371,7 +371,7 @@
     /// Get the total speed of all targets that accept requests, in tokens per
     /// second.
     fn shard_speed(&self, now: Moment) -> f64 {
-        let live = self.targets.values().filter(|load| !load.is_leaving());
+        let live = self.targets.values().filter(|load| !load.is_draining());
         let working = live.clone().filter(|load| !load.back_off().is_active());
         let speed: f64 = working.map(|load| load.speed(now)).sum();
         if speed > 0.0 {
--- a/bergamotswitch-core/src/pool_owner/failed_targets.rs
+++ b/bergamotswitch-core/src/pool_owner/failed_targets.rs
@@ -17,7 +17,7 @@
 impl ShardOwner {
     /// Get the targets that are backed off, to report them to the next owner.
     pub fn failed_targets(&self, now: Moment) -> Vec<FailedTarget> {
-        let live = self.targets.values().filter(|load| !load.is_leaving());
+        let live = self.targets.values().filter(|load| !load.is_draining());
         let failed = live.filter(|load| load.back_off().is_active());
         let failed = failed.map(|load| {
             let probe_at = load.back_off().probe_at().unwrap_or(now);
@@ -48,7 +48,7 @@
             let Some(load) = self.targets.get_mut(&told.target) else {
                 continue;
             };
-            if load.is_known() {
+            if load.has_run() {
                 continue;
             }
             if is_later(load.target().started_at_ms, told.started_at_ms) {
@@ -64,7 +64,7 @@
     /// Get whether more than half of the targets would be backed off if one
     /// more were.
     pub(super) fn would_most_be_out(&self) -> bool {
-        let live = self.targets.values().filter(|load| !load.is_leaving());
+        let live = self.targets.values().filter(|load| !load.is_draining());
         let backed_off = live.clone().filter(|load| load.back_off().is_active());
         (backed_off.count() + 1) * 2 > live.count()
     }
--- a/bergamotswitch-core/src/pool_owner/owner.rs
+++ b/bergamotswitch-core/src/pool_owner/owner.rs
@@ -320,7 +320,7 @@
     /// Get the predicted time to first token on the fastest target.
     fn best_first(&self, cost: TokenCost) -> Duration {
         let working = self.targets.values();
-        let working = working.filter(|load| !load.back_off().is_active() && !load.is_leaving());
+        let working = working.filter(|load| !load.back_off().is_active() && !load.is_draining());
         let firsts = working.map(|load| load.first_ms(cost));
         firsts
             .min_by(f64::total_cmp)
@@ -330,7 +330,7 @@
     /// Get the predicted run time: the mean over the targets that work.
     fn expected_run(&self, cost: TokenCost) -> Duration {
         let working = self.targets.values();
-        let working = working.filter(|load| !load.back_off().is_active() && !load.is_leaving());
+        let working = working.filter(|load| !load.back_off().is_active() && !load.is_draining());
         let (count, sum_ms) = working.fold((0_u32, 0.0), |(count, sum_ms), load| {
             (count + 1, sum_ms + load.run_ms(cost))
         });
--- a/bergamotswitch-core/src/pool_owner/permit_table.rs
+++ b/bergamotswitch-core/src/pool_owner/permit_table.rs
@@ -12,9 +12,9 @@
 
 use super::speed_gauge::DueWork;
 
-/// A `GivenPermit` is a permit held by an entry host.
+/// A `GrantedPermit` is a permit held by an entry host.
 #[derive(Clone, Debug)]
-pub struct GivenPermit {
+pub struct GrantedPermit {
     /// The permit's id.
     pub id: PermitId,
     /// The entry host.
@@ -45,7 +45,7 @@
     /// end, its own included.
     pub ahead: u64,
     /// The target's utilization with this request, 1 when full.
-    pub crowd: f64,
+    pub utilization: f64,
     /// When the request is predicted to end.
     pub finish_at: Moment,
     /// When the holder was last told to stop the stream.
@@ -54,7 +54,7 @@
     pub audit_at: Moment,
 }
 
-impl GivenPermit {
+impl GrantedPermit {
     /// Get the prompt tokens that the target was assumed to have cached.
     pub fn expected_cached(&self) -> u64 {
         if self.prefixes.is_empty() {
@@ -77,7 +77,7 @@
 /// time.
 #[derive(Debug, Default)]
 pub struct PermitTable {
-    permits: BTreeMap<PermitId, GivenPermit>,
+    permits: BTreeMap<PermitId, GrantedPermit>,
     attempts: HashMap<AttemptId, PermitId>,
     audits: BTreeSet<(Moment, PermitId)>,
     preemptible: usize,
@@ -95,17 +95,17 @@
     }
 
     /// Get all permits, in the order of their ids.
-    pub fn iter(&self) -> impl Iterator<Item = &GivenPermit> {
+    pub fn iter(&self) -> impl Iterator<Item = &GrantedPermit> {
         self.permits.values()
     }
 
     /// Get a permit.
-    pub fn get(&self, id: &PermitId) -> Option<&GivenPermit> {
+    pub fn get(&self, id: &PermitId) -> Option<&GrantedPermit> {
         self.permits.get(id)
     }
 
     /// Get the permit of an attempt.
-    pub fn of_attempt(&self, attempt: &AttemptId) -> Option<&GivenPermit> {
+    pub fn of_attempt(&self, attempt: &AttemptId) -> Option<&GrantedPermit> {
         self.permits.get(self.attempts.get(attempt)?)
     }
 
@@ -122,7 +122,7 @@
     }
 
     /// Add a permit.
-    pub fn insert(&mut self, permit: GivenPermit) {
+    pub fn insert(&mut self, permit: GrantedPermit) {
         self.preemptible += usize::from(permit.preemptible);
         self.attempts.insert(permit.attempt, permit.id);
         self.audits.insert((permit.audit_at, permit.id));
@@ -131,7 +131,7 @@
 
     /// Remove a permit. Repeated releases are harmless: only the first returns
     /// it.
-    pub fn remove(&mut self, id: &PermitId) -> Option<GivenPermit> {
+    pub fn remove(&mut self, id: &PermitId) -> Option<GrantedPermit> {
         let permit = self.permits.remove(id)?;
         self.preemptible -= usize::from(permit.preemptible);
         self.audits.remove(&(permit.audit_at, *id));
@@ -154,7 +154,7 @@
     }
 
     /// Remove and get all permits for a target.
-    pub fn take_all_of(&mut self, target: &TargetName) -> Vec<GivenPermit> {
+    pub fn take_all_of(&mut self, target: &TargetName) -> Vec<GrantedPermit> {
         let permits = self.permits.values();
         let held = permits.filter(|permit| permit.target == *target);
         let ids: Vec<PermitId> = held.map(|permit| permit.id).collect();
--- a/bergamotswitch-core/src/pool_owner/preemption.rs
+++ b/bergamotswitch-core/src/pool_owner/preemption.rs
@@ -10,7 +10,7 @@
 
 use super::OwnerAction;
 use super::owner::ShardOwner;
-use super::permit_table::GivenPermit;
+use super::permit_table::GrantedPermit;
 use super::queue::QueuedRequest;
 use super::routing::allowed;
 use super::target_load::TargetLoad;
@@ -152,13 +152,13 @@
 }
 
 /// Get whether a holder was recently told to stop a stream.
-fn is_pending(now: Moment, permit: &GivenPermit) -> bool {
+fn is_pending(now: Moment, permit: &GrantedPermit) -> bool {
     let asked = permit.preempted_at;
     asked.is_some_and(|at| now.since(at) < STOP_PATIENCE)
 }
 
 /// Get the predicted time until a request ends.
-fn time_left(now: Moment, permit: &GivenPermit) -> Duration {
+fn time_left(now: Moment, permit: &GrantedPermit) -> Duration {
     if now < permit.finish_at {
         return permit.finish_at.since(now);
     }
@@ -168,7 +168,7 @@
 }
 
 /// Get the predicted number of a request's tokens that have been processed.
-fn work_done(now: Moment, permit: &GivenPermit) -> u64 {
+fn work_done(now: Moment, permit: &GrantedPermit) -> u64 {
     let span = permit.finish_at.since(permit.granted_at).as_micros();
     let age = now.since(permit.granted_at).as_micros();
     let tokens = u128::from(permit.cost.total());
--- a/bergamotswitch-core/src/pool_owner/release.rs
+++ b/bergamotswitch-core/src/pool_owner/release.rs
@@ -11,7 +11,7 @@
 
 use super::OwnerAction;
 use super::owner::ShardOwner;
-use super::permit_table::GivenPermit;
+use super::permit_table::GrantedPermit;
 use super::run_gauge::RunSample;
 
 impl ShardOwner {
@@ -99,9 +99,9 @@
         self.drop_queued(&work.attempt);
         let long = self.costs.is_long(work.cost.total());
         if let Some(load) = self.targets.get_mut(&work.target) {
-            load.occupy(now, work.cost.total(), long);
+            load.add_permit(now, work.cost.total(), long);
         }
-        self.permits.insert(GivenPermit {
+        self.permits.insert(GrantedPermit {
             id: work.permit,
             host,
             attempt: work.attempt,
@@ -118,7 +118,7 @@
             // Without the backlog at its start, the request gives no speed
             // sample.
             ahead: 0,
-            crowd: 1.0,
+            utilization: 1.0,
             finish_at: now,
             preempted_at: None,
             audit_at: now.plus(self.opts.audit_after),
@@ -182,11 +182,11 @@
         }
     }
 
-    fn free(&mut self, now: Moment, id: &PermitId) -> Option<GivenPermit> {
+    fn free(&mut self, now: Moment, id: &PermitId) -> Option<GrantedPermit> {
         let permit = self.permits.remove(id)?;
         self.pace.note(now);
         if let Some(load) = self.targets.get_mut(&permit.target) {
-            load.vacate(now, permit.cost.total(), permit.long);
+            load.remove_permit(now, permit.cost.total(), permit.long);
             load.expect_no_more(&permit.due_work());
         }
         Some(permit)
@@ -194,37 +194,37 @@
 
     fn drop_if_left(&mut self, target: &TargetName) {
         let load = self.targets.get(target);
-        if load.is_some_and(|load| load.is_leaving() && load.permits() == 0) {
+        if load.is_some_and(|load| load.is_draining() && load.permits() == 0) {
             self.targets.remove(target);
         }
     }
 
-    fn clear_probe(&mut self, permit: &GivenPermit) {
+    fn clear_probe(&mut self, permit: &GrantedPermit) {
         if let Some(load) = self.targets.get_mut(&permit.target) {
             load.back_off_mut().clear_probe(permit.id);
         }
     }
 
-    fn learn(&mut self, now: Moment, permit: &GivenPermit, usage: &Usage) {
+    fn learn(&mut self, now: Moment, permit: &GrantedPermit, usage: &Usage) {
         if permit.ahead == 0 {
             return;
         }
         if let Some(load) = self.targets.get_mut(&permit.target) {
-            load.learn(now, permit.ahead, permit.cost, usage);
+            load.record_usage(now, permit.ahead, permit.cost, usage);
         }
     }
 
-    fn on_finished(&mut self, now: Moment, permit: &GivenPermit, usage: &Usage) {
+    fn on_finished(&mut self, now: Moment, permit: &GrantedPermit, usage: &Usage) {
         self.learn(now, permit, usage);
         if let Some(load) = self.targets.get_mut(&permit.target) {
-            load.learn_run(&RunSample {
+            load.record_run(&RunSample {
                 cost: permit.cost,
                 usage,
-                crowd: permit.crowd,
+                utilization: permit.utilization,
             });
             load.back_off_mut()
                 .record_success(permit.id, permit.granted_at);
-            load.check_hint(permit.expected_cached(), usage.cached);
+            load.record_cache_hit(permit.expected_cached(), usage.cached);
         }
         for prefix in &permit.prefixes {
             self.prefixes.learn(now, &permit.target, *prefix);
@@ -233,7 +233,7 @@
 
     /// Remove the prefix hints that were recorded for a request that never
     /// reached the target.
-    fn forget_prefixes(&mut self, permit: &GivenPermit) {
+    fn forget_prefixes(&mut self, permit: &GrantedPermit) {
         for prefix in permit.prefixes.iter().skip(permit.warm_blocks) {
             self.prefixes.forget(&permit.target, *prefix);
         }
@@ -244,25 +244,25 @@
     fn on_target_refused(
         &mut self,
         now: Moment,
-        permit: &GivenPermit,
+        permit: &GrantedPermit,
         actions: &mut Vec<OwnerAction>,
     ) {
         let Some(load) = self.targets.get_mut(&permit.target) else {
             return;
         };
         load.pause(now);
-        if !load.is_occupied(now) {
+        if !load.has_backlog(now) {
             self.on_failure(now, permit, false, actions);
             return;
         }
-        load.note_full(now);
+        load.record_full(now);
         load.back_off_mut().clear_probe(permit.id);
     }
 
     fn on_failure(
         &mut self,
         now: Moment,
-        permit: &GivenPermit,
+        permit: &GrantedPermit,
         certain: bool,
         actions: &mut Vec<OwnerAction>,
     ) {
--- a/bergamotswitch-core/src/pool_owner/routing.rs
+++ b/bergamotswitch-core/src/pool_owner/routing.rs
@@ -118,7 +118,7 @@
     targets: &'a TargetSet,
     placement: &Placement,
 ) -> impl Iterator<Item = &'a TargetLoad> {
-    let live = targets.values().filter(|load| !load.is_leaving());
+    let live = targets.values().filter(|load| !load.is_draining());
     live.filter(|load| placement.allows(&load.target().domain))
 }
 
@@ -189,10 +189,10 @@
     if !load.fits_long(now, tokens) {
         return false;
     }
-    if load.holds_long() || candidates.len() < 2 {
+    if load.has_long() || candidates.len() < 2 {
         return true;
     }
     let reserve = candidates.len().div_ceil(TARGETS_PER_RESERVE);
-    let with_long = candidates.iter().filter(|load| load.holds_long()).count();
+    let with_long = candidates.iter().filter(|load| load.has_long()).count();
     with_long + reserve < candidates.len()
 }
--- a/bergamotswitch-core/src/pool_owner/run_gauge.rs
+++ b/bergamotswitch-core/src/pool_owner/run_gauge.rs
@@ -14,7 +14,7 @@
 
 /// The time to first token at an idle target as a fraction of that at a full
 /// one.
-const EMPTY_PART: f64 = 0.4;
+const IDLE_FRACTION: f64 = 0.4;
 
 /// A `RunGauge` is the estimated run times of a target, from recent completed
 /// runs.
@@ -36,7 +36,7 @@
     /// The reported usage.
     pub usage: &'a Usage,
     /// The target's utilization when the run began, 1 when full.
-    pub crowd: f64,
+    pub utilization: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -48,12 +48,12 @@
     token_ms: f64,
     run_ms: f64,
     /// The actual output as a fraction of the estimated output.
-    output_part: f64,
+    output_fraction: f64,
 }
 
 impl RunGauge {
     /// Get whether a run has been recorded.
-    pub fn is_known(&self) -> bool {
+    pub fn has_run(&self) -> bool {
         self.means.is_some()
     }
 
@@ -63,18 +63,18 @@
     }
 
     /// Record a completed run.
-    pub fn learn(&mut self, sample: &RunSample<'_>) {
+    pub fn record(&mut self, sample: &RunSample<'_>) {
         let usage = sample.usage;
         if usage.decode == 0 {
             return;
         }
         let decoding = usage.elapsed_ms.saturating_sub(usage.first_token_ms);
         let new = RunMeans {
-            first_ms: f64::from(usage.first_token_ms) / crowding(sample.crowd),
+            first_ms: f64::from(usage.first_token_ms) / first_token_factor(sample.utilization),
             prompt: f64::from(sample.cost.prefill),
             token_ms: f64::from(decoding) / f64::from(usage.decode),
             run_ms: f64::from(usage.elapsed_ms),
-            output_part: f64::from(usage.decode) / f64::from(sample.cost.decode.max(1)),
+            output_fraction: f64::from(usage.decode) / f64::from(sample.cost.decode.max(1)),
         };
         self.samples = self.samples.saturating_add(1);
         let Some(means) = &mut self.means else {
@@ -82,21 +82,25 @@
             return;
         };
         let weight = SAMPLE_WEIGHT.max(1.0 / f64::from(self.samples));
-        follow(&mut means.first_ms, new.first_ms, weight);
-        follow(&mut means.prompt, new.prompt, weight);
-        follow(&mut means.token_ms, new.token_ms, weight);
-        follow(&mut means.run_ms, new.run_ms, weight);
-        follow(&mut means.output_part, new.output_part.min(1.0), weight);
+        update_mean(&mut means.first_ms, new.first_ms, weight);
+        update_mean(&mut means.prompt, new.prompt, weight);
+        update_mean(&mut means.token_ms, new.token_ms, weight);
+        update_mean(&mut means.run_ms, new.run_ms, weight);
+        update_mean(
+            &mut means.output_fraction,
+            new.output_fraction.min(1.0),
+            weight,
+        );
     }
 
     /// Get the predicted time to first token in milliseconds at a target of
     /// this utilization; zero without samples.
-    pub fn first_ms(&self, cost: TokenCost, crowd: f64) -> f64 {
+    pub fn first_ms(&self, cost: TokenCost, utilization: f64) -> f64 {
         let Some(means) = self.means else {
             return 0.0;
         };
         let prompt = BASE_TOKENS + f64::from(cost.prefill);
-        let factor = prompt / (BASE_TOKENS + means.prompt) * crowding(crowd);
+        let factor = prompt / (BASE_TOKENS + means.prompt) * first_token_factor(utilization);
         means.first_ms * factor
     }
 
@@ -106,7 +110,7 @@
         let Some(means) = self.means else {
             return 0.0;
         };
-        let output = f64::from(cost.decode) * means.output_part;
+        let output = f64::from(cost.decode) * means.output_fraction;
         self.first_ms(cost, 1.0) + output * means.token_ms
     }
 }
@@ -123,10 +127,10 @@
 
 /// Get the time to first token at this utilization as a fraction of that at a
 /// full target.
-fn crowding(crowd: f64) -> f64 {
-    EMPTY_PART + (1.0 - EMPTY_PART) * crowd.clamp(0.0, 1.0)
+fn first_token_factor(utilization: f64) -> f64 {
+    IDLE_FRACTION + (1.0 - IDLE_FRACTION) * utilization.clamp(0.0, 1.0)
 }
 
-fn follow(mean: &mut f64, sample: f64, weight: f64) {
+fn update_mean(mean: &mut f64, sample: f64, weight: f64) {
     *mean += (sample - *mean) * weight;
 }
--- a/bergamotswitch-core/src/pool_owner/slot_routing.rs
+++ b/bergamotswitch-core/src/pool_owner/slot_routing.rs
@@ -18,7 +18,7 @@
 /// The maximum number of permits for a target before its first completed run.
 /// Without samples a target seems the fastest; a slow one would fill up before
 /// its first run ends.
-const UNKNOWN_PERMITS: usize = 2;
+const UNMEASURED_PERMITS: usize = 2;
 
 /// The minimum remaining time, in milliseconds, for which waiting for a faster
 /// target is worthwhile.
@@ -71,12 +71,13 @@
     /// Get the view of `targets`, without those in `reserved`, which are kept
     /// for earlier requests.
     pub(super) fn new(now: Moment, targets: &'a TargetSet, reserved: &ReservedTargets) -> Self {
-        let live = targets.values().filter(|load| !load.is_leaving());
+        let live = targets.values().filter(|load| !load.is_draining());
         let open = live.filter_map(|load| {
             let admission = load.back_off().admission(now);
             let open = match admission {
                 ProbeAdmission::Unrestricted => {
-                    let has_room = load.may_fit(now) && load.is_explored(UNKNOWN_PERMITS);
+                    let has_room =
+                        load.may_fit(now) && load.within_unmeasured_limit(UNMEASURED_PERMITS);
                     has_room && !reserved.contains(&load.target().name)
                 }
                 ProbeAdmission::EligibleProbe | ProbeAdmission::AnyProbe => true,
@@ -141,7 +142,7 @@
             .is_some_and(|left| left > MIN_WAIT_MS);
         if late && can_wait {
             // If an open target met the limit, it would be the best one.
-            let timely = |load: &TargetLoad| load.is_known() && times.is_timely(load, cost);
+            let timely = |load: &TargetLoad| load.has_run() && times.is_timely(load, cost);
             if self.any_usable(query.placement, timely) {
                 return true;
             }
--- a/bergamotswitch-core/src/pool_owner/target_change.rs
+++ b/bergamotswitch-core/src/pool_owner/target_change.rs
@@ -24,7 +24,7 @@
     ) {
         self.targets_known = true;
         for load in self.targets.values_mut() {
-            load.leave();
+            load.start_draining();
         }
         for target in published {
             self.forget_former_run(now, &target);
@@ -34,7 +34,7 @@
             }
         }
         self.targets
-            .retain(|_, load| !load.is_leaving() || load.permits() > 0);
+            .retain(|_, load| !load.is_draining() || load.permits() > 0);
         self.refuse_stranded(actions);
     }
 
@@ -66,7 +66,7 @@
         let back_off = BackOff::new(self.opts.probe_base, self.opts.probe_max);
         let mut load = TargetLoad::new(target, back_off);
         for permit in self.permits.iter().filter(|permit| permit.target == name) {
-            load.occupy(now, permit.cost.total(), permit.long);
+            load.add_permit(now, permit.cost.total(), permit.long);
         }
         self.targets.insert(name, load);
     }
--- a/bergamotswitch-core/src/pool_owner/target_load.rs
+++ b/bergamotswitch-core/src/pool_owner/target_load.rs
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub struct TargetLoad {
     target: PoolTarget,
-    leaving: bool,
+    draining: bool,
     outstanding: u64,
     long_outstanding: u64,
     permits: usize,
@@ -57,15 +57,15 @@
     back_off: BackOff,
     /// The number of requests that may wait at the target beyond its batch;
     /// cached, since it is read for each request and target.
-    spare: usize,
+    extra_slots: usize,
 }
 
 impl TargetLoad {
     /// Get the state of a target without samples.
     pub fn new(target: PoolTarget, back_off: BackOff) -> Self {
         let mut load = TargetLoad {
-            spare: 0,
-            leaving: false,
+            extra_slots: 0,
+            draining: false,
             outstanding: 0,
             long_outstanding: 0,
             permits: 0,
@@ -79,7 +79,7 @@
             back_off,
             target,
         };
-        load.spare = load.spare_places();
+        load.extra_slots = load.compute_extra_slots();
         load
     }
 
@@ -89,8 +89,8 @@
     }
 
     /// Get whether the target gets no new requests.
-    pub fn is_leaving(&self) -> bool {
-        self.leaving
+    pub fn is_draining(&self) -> bool {
+        self.draining
     }
 
     /// Get the tokens of this owner's permits.
@@ -127,13 +127,13 @@
         }
         self.gauge.publish(target.expected_speed);
         self.target = target;
-        self.spare = self.spare_places();
-        self.leaving = false;
+        self.extra_slots = self.compute_extra_slots();
+        self.draining = false;
     }
 
     /// Record that the target gets no new requests.
-    pub fn leave(&mut self) {
-        self.leaving = true;
+    pub fn start_draining(&mut self) {
+        self.draining = true;
     }
 
     /// Add a request that is expected to end.
@@ -179,25 +179,25 @@
             // target's memory.
             Some(slots) => {
                 let held = self.outstanding + tokens;
-                self.has_place(slots) && held <= u64::from(self.target.token_limit)
+                self.has_slot(slots) && held <= u64::from(self.target.token_limit)
             }
             None => self.slots.fits(self.permits) && self.backlog(now) + tokens <= self.limit(now),
         }
     }
 
-    fn has_place(&self, slots: u32) -> bool {
-        self.permits < slots as usize + self.spare
+    fn has_slot(&self, slots: u32) -> bool {
+        self.permits < slots as usize + self.extra_slots
     }
 
     /// Get whether some request may fit, however small: a cheap check before
     /// [`TargetLoad::fits`].
     pub fn may_fit(&self, now: Moment) -> bool {
-        let has_place = self.target.slots.is_none_or(|slots| self.has_place(slots));
-        now >= self.full_until && (has_place || self.permits == 0)
+        let has_slot = self.target.slots.is_none_or(|slots| self.has_slot(slots));
+        now >= self.full_until && (has_slot || self.permits == 0)
     }
 
     /// Get the number of requests that may wait at the target beyond its batch.
-    fn spare_places(&self) -> usize {
+    fn compute_extra_slots(&self) -> usize {
         let Some(slots) = self.target.slots else {
             return 0;
         };
@@ -224,12 +224,12 @@
     }
 
     /// Get whether long requests run on the target.
-    pub fn holds_long(&self) -> bool {
+    pub fn has_long(&self) -> bool {
         self.long_outstanding > 0
     }
 
     /// Add a permit to the counts.
-    pub fn occupy(&mut self, now: Moment, tokens: u64, long: bool) {
+    pub fn add_permit(&mut self, now: Moment, tokens: u64, long: bool) {
         self.permits += 1;
         self.outstanding += tokens;
         if long {
@@ -239,7 +239,7 @@
     }
 
     /// Remove a permit from the counts.
-    pub fn vacate(&mut self, now: Moment, tokens: u64, long: bool) {
+    pub fn remove_permit(&mut self, now: Moment, tokens: u64, long: bool) {
         self.permits = self.permits.saturating_sub(1);
         self.outstanding = self.outstanding.saturating_sub(tokens);
         if long {
@@ -257,7 +257,7 @@
     /// Record the speed and limit samples of a completed request; `ahead` is
     /// the number of tokens to be processed until its end, its own included,
     /// when its permit was granted.
-    pub fn learn(&mut self, now: Moment, ahead: u64, cost: TokenCost, usage: &Usage) {
+    pub fn record_usage(&mut self, now: Moment, ahead: u64, cost: TokenCost, usage: &Usage) {
         let fresh = usage.prefill.saturating_sub(usage.cached);
         let done = u64::from(fresh) + u64::from(usage.decode);
         if done == 0 || usage.elapsed_ms == 0 {
@@ -272,13 +272,13 @@
     }
 
     /// Record the run time of a completed request.
-    pub fn learn_run(&mut self, sample: &RunSample<'_>) {
-        self.runs.learn(sample);
-        self.spare = self.spare_places();
+    pub fn record_run(&mut self, sample: &RunSample<'_>) {
+        self.runs.record(sample);
+        self.extra_slots = self.compute_extra_slots();
     }
 
     /// Get the utilization with one more request, 1 when full.
-    pub fn crowd(&self) -> f64 {
+    pub fn utilization(&self) -> f64 {
         let slots = self.target.slots.map_or(1.0, f64::from);
         (self.permits + 1) as f64 / slots
     }
@@ -286,7 +286,7 @@
     /// Get the predicted time to first token of one more request, in
     /// milliseconds.
     pub fn first_ms(&self, cost: TokenCost) -> f64 {
-        self.runs.first_ms(cost, self.crowd())
+        self.runs.first_ms(cost, self.utilization())
     }
 
     /// Get the predicted release rate of the target's permits, per second.
@@ -298,14 +298,14 @@
     }
 
     /// Get whether a run has been completed on the target.
-    pub fn is_known(&self) -> bool {
-        self.runs.is_known()
+    pub fn has_run(&self) -> bool {
+        self.runs.has_run()
     }
 
     /// Get whether one more request may be sent; without a completed run,
-    /// `unknown_permits` is the limit.
-    pub fn is_explored(&self, unknown_permits: usize) -> bool {
-        self.is_known() || self.permits < unknown_permits
+    /// `unmeasured_permits` is the limit.
+    pub fn within_unmeasured_limit(&self, unmeasured_permits: usize) -> bool {
+        self.has_run() || self.permits < unmeasured_permits
     }
 
     /// Get the predicted run time of a request of `cost`, in milliseconds.
@@ -315,7 +315,7 @@
 
     /// Get whether there are outstanding requests, from this owner or others,
     /// so that a refusal means a full target and not a failure.
-    pub fn is_occupied(&self, now: Moment) -> bool {
+    pub fn has_backlog(&self, now: Moment) -> bool {
         self.backlog(now) > 0
     }
 
@@ -328,7 +328,7 @@
     /// Update the confidence in warm-prefix hints from the expected and the
     /// actual number of cached tokens: a small cache may have evicted a recent
     /// prefix.
-    pub fn check_hint(&mut self, expected: u64, cached: u32) {
+    pub fn record_cache_hit(&mut self, expected: u64, cached: u32) {
         if expected == 0 {
             return;
         }
@@ -344,7 +344,7 @@
 
     /// Record that the target reported itself full: its present backlog becomes
     /// its limit, whatever is configured.
-    pub fn note_full(&mut self, now: Moment) {
+    pub fn record_full(&mut self, now: Moment) {
         if self.target.slots.is_some() {
             return;
         }
--- a/bergamotswitch-core/src/pool_owner/view.rs
+++ b/bergamotswitch-core/src/pool_owner/view.rs
@@ -129,7 +129,7 @@
                 limit: load.limit(self.now),
                 speed: load.speed(self.now) as u64,
                 backed_off: load.back_off().is_active(),
-                leaving: load.is_leaving(),
+                leaving: load.is_draining(),
             })
             .collect()
     }
--- a/bergamotswitch-core/tests/queue_differential.rs
+++ b/bergamotswitch-core/tests/queue_differential.rs
@@ -282,7 +282,7 @@
     let mut allowed: Vec<&TargetLoad> = Vec::new();
     for load in targets.values() {
         let domains = &query.placement.domains;
-        if !load.is_leaving() && (domains.is_empty() || domains.contains(&load.target().domain)) {
+        if !load.is_draining() && (domains.is_empty() || domains.contains(&load.target().domain)) {
             allowed.push(load);
         }
     }
@@ -291,7 +291,7 @@
         allowed.retain(|load| !avoided(load));
     }
     let all_failing = allowed.iter().all(|load| load.back_off().is_active());
-    let with_long = allowed.iter().filter(|load| load.holds_long()).count();
+    let with_long = allowed.iter().filter(|load| load.has_long()).count();
     let spare = allowed.len() - with_long;
     let mut best: Option<(f64, u64, String)> = None;
     for load in &allowed {
@@ -306,7 +306,7 @@
             ProbeAdmission::AnyProbe => !query.failed_before || all_failing,
             ProbeAdmission::Blocked => false,
         };
-        let first_long = !load.holds_long() && allowed.len() > 1;
+        let first_long = !load.has_long() && allowed.len() > 1;
         let crowding = first_long && spare <= allowed.len().div_ceil(8);
         let short_room = load.fits_long(now, tokens) && !crowding;
         if !usable || (query.placement.long && !short_room) {
@@ -344,30 +344,34 @@
     };
     match step {
         TargetStep::Occupy(draw) => change(draw.target, &mut |load| {
-            load.occupy(*now, u64::from(draw.tokens), draw.long)
+            load.add_permit(*now, u64::from(draw.tokens), draw.long)
         }),
         TargetStep::Learn { target, elapsed_ms } => {
             let cost = cost_of(100, 100);
             let usage: Usage = usage(cost, u32::from(elapsed_ms));
-            change(target, &mut |load| load.learn(*now, 1_000, cost, &usage));
+            change(target, &mut |load| {
+                load.record_usage(*now, 1_000, cost, &usage)
+            });
         }
         TargetStep::Fail { target } => change(target, &mut |load| {
             load.back_off_mut().record_failure(*now, permit, *now, true);
         }),
         TargetStep::Hint { target, cached } => {
-            change(target, &mut |load| load.check_hint(255, u32::from(cached)));
+            change(target, &mut |load| {
+                load.record_cache_hit(255, u32::from(cached))
+            });
         }
         TargetStep::Publish { target } => change(target, &mut |load| {
             let published = load.target().clone();
             load.publish(published);
         }),
         TargetStep::Vacate(draw) => change(draw.target, &mut |load| {
-            load.vacate(*now, u64::from(draw.tokens), draw.long);
+            load.remove_permit(*now, u64::from(draw.tokens), draw.long);
         }),
         TargetStep::Succeed { target } => change(target, &mut |load| {
             load.back_off_mut().record_success(permit, *now);
         }),
-        TargetStep::Leave { target } => change(target, &mut TargetLoad::leave),
+        TargetStep::Leave { target } => change(target, &mut TargetLoad::start_draining),
         TargetStep::Pass { millis } => {
             *now = now.plus(Duration::from_millis(u64::from(millis)));
         }
