--- a/bergamotswitch-core/src/pool_owner/quota.rs
+++ b/bergamotswitch-core/src/pool_owner/quota.rs
@@ -22,7 +22,7 @@
     /// The length of the window.
     pub window: Duration,
     /// The tolerated excess as a fraction of the window's quota.
-    pub part: f64,
+    pub fraction: f64,
 }
 
 impl QuotaTolerance {
@@ -35,7 +35,7 @@
         // rate, and bursts are taken from the tolerance if that is large
         // enough.
         let in_window = rate * window + burst;
-        let tolerance = in_window * self.part;
+        let tolerance = in_window * self.fraction;
         if tolerance < burst {
             return QuotaRate {
                 rate: rate * share,
--- a/bergamotswitch-core/tests/account_quotas.rs
+++ b/bergamotswitch-core/tests/account_quotas.rs
@@ -21,7 +21,7 @@
 fn tolerance() -> QuotaTolerance {
     QuotaTolerance {
         window: Duration::from_secs(8),
-        part: 0.2,
+        fraction: 0.2,
     }
 }
 
--- a/bergamotswitch-core/tests/quota_fleet/setup.rs
+++ b/bergamotswitch-core/tests/quota_fleet/setup.rs
@@ -56,7 +56,7 @@
         entry: entry.with_re_ask_interval(Duration::from_millis(500)),
         owner: OwnerOptions::default().with_quota_tolerance(QuotaTolerance {
             window: WINDOW,
-            part: OVERAGE * BURST_PART,
+            fraction: OVERAGE * BURST_PART,
         }),
         revision: RevisionOptions::default()
             .with_values(values.to_vec())
--- a/bergamotswitch-net/src/node/gateway_setup.rs
+++ b/bergamotswitch-net/src/node/gateway_setup.rs
@@ -122,7 +122,7 @@
             .with_probe_interval(PROBE_INTERVAL.0, PROBE_INTERVAL.1)
             .with_quota_tolerance(QuotaTolerance {
                 window: Duration::from_secs_f64(gateway.quota_window_s),
-                part: gateway.quota_overage * QUOTA_SHARE,
+                fraction: gateway.quota_overage * QUOTA_SHARE,
             })
             .with_audit_after(AUDIT_AFTER),
         membership: base.membership,
