--- a/bergamotswitch-core/src/pool_owner/back_off.rs
+++ b/bergamotswitch-core/src/pool_owner/back_off.rs
@@ -13,8 +13,8 @@
 /// request before any request is used.
 const ANY_PROBE_INTERVALS: u32 = 4;
 
-/// A `ProbeAdmission` says which requests may be sent to a target in its current
-/// backoff state.
+/// A `ProbeAdmission` says which requests may be sent to a target in its
+/// current backoff state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeAdmission {
     /// All requests: the target isn't backed off.
--- a/bergamotswitch-core/src/pool_owner/dispatch.rs
+++ b/bergamotswitch-core/src/pool_owner/dispatch.rs
@@ -18,7 +18,7 @@
 use super::prefix_table::WarmTarget;
 use super::queue::{Placement, QueuedRequest};
 use super::routing::{ReservedTargets, Route, RouteQuery, allowed, choose};
-use super::run_gauge::millis;
+use super::run_time_estimator::as_millis;
 use super::target_load::TargetLoad;
 
 /// The bounds of the retry-after time of refusals: clients should neither retry
@@ -52,12 +52,12 @@
             .any(|load| load.back_off().is_active());
         while let Some(queued) = self.queue.next(&blocked) {
             let warm = self.prefixes.warm(now, &queued.ask.prefixes);
-            let query = query_of(queued, &warm);
+            let query = route_query(queued, &warm);
             match choose(now, &self.targets, &reserved, &query) {
                 Some(route) => {
                     let late = self.is_too_late(now, queued, &route);
                     let attempt = queued.ask.attempt;
-                    self.settle(now, &attempt, &route, late, &warm, actions);
+                    self.grant_or_refuse(now, &attempt, &route, late, &warm, actions);
                 }
                 None => {
                     blocked.insert(queued.placement.clone());
@@ -72,7 +72,7 @@
 
     /// Grant the selected request its target, or answer it without a run if its
     /// key is held elsewhere or `late` says that its deadline can't be met.
-    pub(super) fn settle(
+    pub(super) fn grant_or_refuse(
         &mut self,
         now: Moment,
         attempt: &AttemptId,
@@ -84,7 +84,7 @@
         let Some(queued) = self.queue.get(attempt) else {
             return;
         };
-        if self.is_key_lost(now, queued) {
+        if self.is_key_taken(now, queued) {
             self.answer_key_known(now, attempt, actions);
             return;
         }
@@ -106,13 +106,13 @@
         }
         let load = self.targets.get(&route.target);
         let run_ms = load.map_or(0.0, |load| load.run_ms(queued.ask.cost));
-        millis(queued.plan.run_until.since(now)) < run_ms
+        as_millis(queued.plan.run_until.since(now)) < run_ms
     }
 
     /// Get whether another run claimed the key while the request was queued.
     /// The key's entry may have expired or been evicted meanwhile; granting a
     /// permit now would run the request twice.
-    fn is_key_lost(&self, now: Moment, queued: &QueuedRequest) -> bool {
+    fn is_key_taken(&self, now: Moment, queued: &QueuedRequest) -> bool {
         let claim = queued.ask.claim.as_ref();
         let verdict = claim.map(|claim| self.keys.check(now, claim));
         matches!(verdict, Some(KeyVerdict::HeldBy(_)))
@@ -128,7 +128,7 @@
             return;
         };
         self.quotas
-            .keep(&queued.ask.account, queued.ask.quota_units);
+            .commit(&queued.ask.account, queued.ask.quota_units);
         let claim = queued.ask.claim.as_ref();
         if let Some(KeyVerdict::HeldBy(holder)) = claim.map(|claim| self.keys.check(now, claim)) {
             self.counts.keys_known += 1;
@@ -191,11 +191,11 @@
             return;
         };
         self.quotas
-            .keep(&queued.ask.account, queued.ask.quota_units);
+            .commit(&queued.ask.account, queued.ask.quota_units);
         let Some(load) = self.targets.get_mut(&route.target) else {
             return;
         };
-        self.queue.note_fate(now, queued.ask.tier, true);
+        self.queue.record_outcome(now, queued.ask.tier, true);
         self.sequence += 1;
         let id = PermitId {
             owner: self.me.incarnation,
@@ -206,11 +206,11 @@
         load.back_off_mut().start_probe(id);
         let utilization = load.utilization();
         load.add_permit(now, tokens, queued.placement.long);
-        let ahead = load.ahead_of(now, tokens);
+        let tokens_ahead = load.ahead_of(now, tokens);
         let warm_blocks = warm.iter().find(|warm| warm.target == route.target);
         let warm_blocks = warm_blocks.map_or(0, |warm| warm.blocks);
         for prefix in &ask.prefixes {
-            self.prefixes.learn(now, &route.target, *prefix);
+            self.prefixes.record(now, &route.target, *prefix);
         }
         if let Some(claim) = &ask.claim {
             self.keys.grant(now, claim);
@@ -229,14 +229,14 @@
             warm_blocks,
             prefixes: ask.prefixes,
             granted_at: now,
-            ahead,
+            tokens_ahead,
             utilization,
             finish_at: now.plus(Duration::from_micros(route.finish_micros)),
             preempted_at: None,
             audit_at: now.plus(self.opts.audit_after),
         };
         if let Some(load) = self.targets.get_mut(&route.target) {
-            load.expect(permit.due_work());
+            load.add_expected_end(permit.expected_end());
         }
         self.counts.granted += 1;
         let reply = self.granted_reply(&permit);
@@ -262,7 +262,7 @@
     /// `tier` was queued; get whether any was shed.
     pub(super) fn shed(&mut self, now: Moment, tier: Tier, actions: &mut Vec<OwnerAction>) -> bool {
         let mut shed = false;
-        while self.is_overfull(now) {
+        while self.is_over_limits(now) {
             let Some(attempt) = self.queue.next_to_shed() else {
                 return shed;
             };
@@ -283,7 +283,7 @@
     /// Refuse a new request if the ones queued before it would take far longer
     /// than its deadline; get whether it was refused. If lower-tier requests
     /// are queued it is kept, since those are shed first.
-    pub(super) fn shed_hopeless(
+    pub(super) fn shed_infeasible(
         &mut self,
         now: Moment,
         attempt: &AttemptId,
@@ -293,9 +293,12 @@
             return false;
         };
         let tier = queued.ask.tier;
-        if let Some(wait) = self.slot_wait(now, tier) {
+        if let Some(wait) = self.predicted_slot_wait(now, tier) {
             let lower_kept = self.queue.requests_through(tier) < self.queue.len();
-            if self.queue.is_owed(tier) || lower_kept || wait <= queued.plan.give_up_at.since(now) {
+            if self.queue.is_below_floor(tier)
+                || lower_kept
+                || wait <= queued.plan.give_up_at.since(now)
+            {
                 return false;
             }
             let reason = RefusalReason::Overloaded;
@@ -320,7 +323,7 @@
     /// Get the predicted queueing time of a new request of `tier` from the
     /// number of permits to be released before it and the release rate; `None`
     /// unless all targets publish their slots.
-    fn slot_wait(&self, now: Moment, tier: Tier) -> Option<Duration> {
+    fn predicted_slot_wait(&self, now: Moment, tier: Tier) -> Option<Duration> {
         // Without a completed run on each target the release rate is unknown.
         let known = self.targets.values().all(TargetLoad::has_run);
         if !self.has_slots() || !known {
@@ -332,11 +335,11 @@
         // burst would be refused although targets are free.
         let running = self.targets.values();
         let expected: f64 = running.map(TargetLoad::release_rate).sum();
-        let pace = self.pace.per_second(now).max(expected);
-        (pace > 0.0).then(|| Duration::from_secs_f64(ahead as f64 / pace))
+        let rate = self.release_rate.per_second(now).max(expected);
+        (rate > 0.0).then(|| Duration::from_secs_f64(ahead as f64 / rate))
     }
 
-    fn is_overfull(&self, now: Moment) -> bool {
+    fn is_over_limits(&self, now: Moment) -> bool {
         // A single request may be queued whatever its cost.
         if self.queue.len() < 2 {
             return false;
@@ -355,7 +358,7 @@
     /// Get the predicted time until the in-flight work and the queued work of
     /// `tier` and higher ones is done, within the retry-after bounds.
     pub(super) fn drain_time(&self, now: Moment, tier: Tier) -> Duration {
-        if let Some(wait) = self.slot_wait(now, tier) {
+        if let Some(wait) = self.predicted_slot_wait(now, tier) {
             return wait.clamp(RETRY_MIN, RETRY_MAX);
         }
         let speed = self.shard_speed(now);
@@ -384,7 +387,7 @@
 }
 
 /// Get the properties of a queued request that routing uses.
-pub(super) fn query_of<'a>(queued: &'a QueuedRequest, warm: &'a [WarmTarget]) -> RouteQuery<'a> {
+pub(super) fn route_query<'a>(queued: &'a QueuedRequest, warm: &'a [WarmTarget]) -> RouteQuery<'a> {
     RouteQuery {
         placement: &queued.placement,
         cost: queued.ask.cost,
--- a/bergamotswitch-core/src/pool_owner/failed_targets.rs
+++ b/bergamotswitch-core/src/pool_owner/failed_targets.rs
@@ -41,29 +41,29 @@
         failed: &[FailedTarget],
         actions: &mut Vec<OwnerAction>,
     ) {
-        for told in failed {
-            if self.would_most_be_out() {
+        for report in failed {
+            if self.would_exceed_back_off_limit() {
                 return;
             }
-            let Some(load) = self.targets.get_mut(&told.target) else {
+            let Some(load) = self.targets.get_mut(&report.target) else {
                 continue;
             };
             if load.has_run() {
                 continue;
             }
-            if is_later(load.target().started_at_ms, told.started_at_ms) {
+            if is_later(load.target().started_at_ms, report.started_at_ms) {
                 continue;
             }
-            let probe_in = Duration::from_millis(told.probe_in_ms.into());
+            let probe_in = Duration::from_millis(report.probe_in_ms.into());
             if load.back_off_mut().mark_reported(now, probe_in) {
-                actions.push(self.note(Incident::TargetBackedOff, &told.target));
+                actions.push(self.incident_action(Incident::TargetBackedOff, &report.target));
             }
         }
     }
 
     /// Get whether more than half of the targets would be backed off if one
     /// more were.
-    pub(super) fn would_most_be_out(&self) -> bool {
+    pub(super) fn would_exceed_back_off_limit(&self) -> bool {
         let live = self.targets.values().filter(|load| !load.is_draining());
         let backed_off = live.clone().filter(|load| load.back_off().is_active());
         (backed_off.count() + 1) * 2 > live.count()
--- a/bergamotswitch-core/src/pool_owner/fair_queue.rs
+++ b/bergamotswitch-core/src/pool_owner/fair_queue.rs
@@ -51,22 +51,22 @@
     start: u128,
     share: u32,
     tokens: u64,
-    lines: BTreeMap<Arc<Placement>, BTreeSet<QueueRank>>,
+    ranks: BTreeMap<Arc<Placement>, BTreeSet<QueueRank>>,
 }
 
 impl AccountQueue {
     /// Get the queued tokens per unit of share.
-    fn excess(&self) -> u128 {
+    fn queued_per_share(&self) -> u128 {
         u128::from(self.tokens) * TOKEN_SCALE / u128::from(self.share.max(1))
     }
 
     fn first(&self, blocked: &BTreeSet<Arc<Placement>>) -> Option<QueueRank> {
-        let open = self.lines.iter().filter(|(key, _)| !blocked.contains(*key));
-        open.filter_map(|(_, line)| line.first()).min().copied()
+        let open = self.ranks.iter().filter(|(key, _)| !blocked.contains(*key));
+        open.filter_map(|(_, ranks)| ranks.first()).min().copied()
     }
 
     fn last(&self) -> Option<QueueRank> {
-        let ends = self.lines.values().filter_map(|line| line.last());
+        let ends = self.ranks.values().filter_map(|ranks| ranks.last());
         ends.max().copied()
     }
 }
@@ -77,7 +77,7 @@
     virtual_time: u128,
     accounts: BTreeMap<AccountName, AccountQueue>,
     by_start: BTreeSet<(u128, AccountName)>,
-    by_excess: BTreeSet<(u128, AccountName)>,
+    by_queued_per_share: BTreeSet<(u128, AccountName)>,
     by_deadline: BTreeSet<(Moment, AttemptId)>,
     tokens: u64,
 }
@@ -98,7 +98,7 @@
 
     pub(super) fn push(&mut self, entry: &TierEntry) {
         let account = self.accounts.entry(entry.account.clone()).or_default();
-        if account.lines.is_empty() {
+        if account.ranks.is_empty() {
             // An account that was idle starts at the current virtual time:
             // unused service isn't credited, since it would let the account
             // starve others later.
@@ -106,15 +106,15 @@
             let place = (account.start, entry.account.clone());
             self.by_start.insert(place);
         } else {
-            let place = (account.excess(), entry.account.clone());
-            self.by_excess.remove(&place);
+            let place = (account.queued_per_share(), entry.account.clone());
+            self.by_queued_per_share.remove(&place);
         }
         account.share = entry.share.max(1);
         account.tokens += entry.tokens;
-        let line = account.lines.entry(entry.placement.clone()).or_default();
-        line.insert(entry.rank);
-        self.by_excess
-            .insert((account.excess(), entry.account.clone()));
+        let ranks = account.ranks.entry(entry.placement.clone()).or_default();
+        ranks.insert(entry.rank);
+        self.by_queued_per_share
+            .insert((account.queued_per_share(), entry.account.clone()));
         self.by_deadline.insert((entry.expires, entry.rank.attempt));
         self.tokens += entry.tokens;
     }
@@ -131,7 +131,7 @@
     /// Get the request to shed first: the last-ranked one of the account with
     /// the most queued tokens per share.
     pub(super) fn next_to_shed(&self) -> Option<AttemptId> {
-        let (_, name) = self.by_excess.last()?;
+        let (_, name) = self.by_queued_per_share.last()?;
         let rank = self.accounts.get(name)?.last()?;
         Some(rank.attempt)
     }
@@ -143,12 +143,12 @@
         };
         let old_start = (account.start, entry.account.clone());
         self.by_start.remove(&old_start);
-        let old_excess = (account.excess(), entry.account.clone());
-        self.by_excess.remove(&old_excess);
-        if let Some(line) = account.lines.get_mut(&entry.placement) {
-            line.remove(&entry.rank);
-            if line.is_empty() {
-                account.lines.remove(&entry.placement);
+        let old_queued_per_share = (account.queued_per_share(), entry.account.clone());
+        self.by_queued_per_share.remove(&old_queued_per_share);
+        if let Some(ranks) = account.ranks.get_mut(&entry.placement) {
+            ranks.remove(&entry.rank);
+            if ranks.is_empty() {
+                account.ranks.remove(&entry.placement);
             }
         }
         account.tokens -= entry.tokens;
@@ -156,11 +156,11 @@
             self.virtual_time = self.virtual_time.max(account.start);
             account.start += u128::from(entry.tokens) * TOKEN_SCALE / u128::from(account.share);
         }
-        if !account.lines.is_empty() {
+        if !account.ranks.is_empty() {
             let start = (account.start, entry.account.clone());
             self.by_start.insert(start);
-            let excess = (account.excess(), entry.account.clone());
-            self.by_excess.insert(excess);
+            let queued_per_share = (account.queued_per_share(), entry.account.clone());
+            self.by_queued_per_share.insert(queued_per_share);
         }
         self.by_deadline
             .remove(&(entry.expires, entry.rank.attempt));
--- a/bergamotswitch-core/src/pool_owner/key_table.rs
+++ b/bergamotswitch-core/src/pool_owner/key_table.rs
@@ -38,7 +38,7 @@
     entries: HashMap<u128, KeyEntry>,
     expiries: BTreeSet<(Moment, u128)>,
     /// Until when a key that isn't in the table may still have been used.
-    blind_until: Moment,
+    incomplete_until: Moment,
 }
 
 impl KeyTable {
@@ -50,7 +50,7 @@
             capacity,
             entries: HashMap::new(),
             expiries: BTreeSet::new(),
-            blind_until: now.plus(retention),
+            incomplete_until: now.plus(retention),
         }
     }
 
@@ -59,7 +59,7 @@
     pub fn set_bounds(&mut self, retention: Duration, capacity: usize) {
         self.retention = retention;
         self.capacity = capacity;
-        self.bound();
+        self.enforce_capacity();
     }
 
     /// Get the number of keys.
@@ -79,8 +79,8 @@
             Some(entry) => KeyVerdict::HeldBy(entry.holder.clone()),
             // The first run may have got its permit from an owner that has
             // crashed; running the resubmission would run the request twice.
-            None if claim.resubmission && now < self.blind_until => {
-                KeyVerdict::Unknown(self.blind_until.since(now))
+            None if claim.resubmission && now < self.incomplete_until => {
+                KeyVerdict::Unknown(self.incomplete_until.since(now))
             }
             None => KeyVerdict::Clear,
         }
@@ -88,27 +88,27 @@
 
     /// Record a claim whose request is queued.
     pub fn claim(&mut self, now: Moment, claim: &KeyClaim) {
-        if let Some(entry) = self.touch(now, claim) {
+        if let Some(entry) = self.renew(now, claim) {
             entry.queued += 1;
         }
-        self.bound();
+        self.enforce_capacity();
     }
 
     /// Record a claim whose queued request got a permit.
     pub fn grant(&mut self, now: Moment, claim: &KeyClaim) {
-        if let Some(entry) = self.touch(now, claim) {
+        if let Some(entry) = self.renew(now, claim) {
             entry.queued = entry.queued.saturating_sub(1);
             entry.granted = true;
         }
-        self.bound();
+        self.enforce_capacity();
     }
 
     /// Record a claim whose holder runs or retains the request.
     pub fn hold(&mut self, now: Moment, claim: &KeyClaim) {
-        if let Some(entry) = self.touch(now, claim) {
+        if let Some(entry) = self.renew(now, claim) {
             entry.granted = true;
         }
-        self.bound();
+        self.enforce_capacity();
     }
 
     /// Record a claim whose holder itself reports that it runs the request or
@@ -116,7 +116,7 @@
     /// permit of that other run may have been unusable without the table being
     /// notified; if its entry stayed, the request's next copy could run a
     /// second time.
-    pub fn hold_told(&mut self, now: Moment, claim: &KeyClaim) -> bool {
+    pub fn hold_reported(&mut self, now: Moment, claim: &KeyClaim) -> bool {
         let held = self.entries.get(&claim.key);
         let is_other = held.is_some_and(|entry| entry.holder != claim.holder);
         if is_other && let Some(entry) = self.entries.remove(&claim.key) {
@@ -131,7 +131,7 @@
     /// and the key is released. While another attempt is queued the key stays
     /// claimed: otherwise a second run could claim it and both would get a
     /// permit.
-    pub fn settle_unused(&mut self, claim: &KeyClaim) {
+    pub fn release_unused(&mut self, claim: &KeyClaim) {
         let Some(entry) = self.entries.get_mut(&claim.key) else {
             return;
         };
@@ -148,7 +148,7 @@
 
     /// Get the entry of a claim with its expiry time renewed; `None` if another
     /// run holds the key.
-    fn touch(&mut self, now: Moment, claim: &KeyClaim) -> Option<&mut KeyEntry> {
+    fn renew(&mut self, now: Moment, claim: &KeyClaim) -> Option<&mut KeyEntry> {
         let expires = now.plus(self.retention);
         let entry = self.entries.entry(claim.key).or_insert_with(|| KeyEntry {
             holder: claim.holder.clone(),
@@ -165,9 +165,9 @@
         Some(entry)
     }
 
-    fn bound(&mut self) {
+    fn enforce_capacity(&mut self) {
         while self.entries.len() > self.capacity {
-            self.drop_oldest();
+            self.evict_next_to_expire();
         }
     }
 
@@ -184,10 +184,10 @@
 
     /// Evict the key that expires first. Until its expiry time, a key missing
     /// from the table may have been used, as with a new table.
-    fn drop_oldest(&mut self) {
+    fn evict_next_to_expire(&mut self) {
         if let Some((expires, key)) = self.expiries.pop_first() {
             self.entries.remove(&key);
-            self.blind_until = self.blind_until.max(expires);
+            self.incomplete_until = self.incomplete_until.max(expires);
         }
     }
 }
--- a/bergamotswitch-core/src/pool_owner/load_history.rs
+++ b/bergamotswitch-core/src/pool_owner/load_history.rs
@@ -7,7 +7,7 @@
 use crate::clock::Moment;
 use crate::target::LoadReport;
 
-use super::speed_gauge::fade;
+use super::speed_estimator::decay;
 
 /// How far back this owner's own token count is kept; older reports are
 /// dropped.
@@ -35,13 +35,13 @@
 #[derive(Debug, Default)]
 pub struct LoadHistory {
     changes: VecDeque<CountChange>,
-    excess: u64,
+    foreign_tokens: u64,
     measured_at: Moment,
 }
 
 impl LoadHistory {
     /// Record this owner's token count from `now` on.
-    pub fn note(&mut self, now: Moment, outstanding: u64) {
+    pub fn record(&mut self, now: Moment, outstanding: u64) {
         self.changes.push_back(CountChange {
             at: now,
             outstanding,
@@ -72,17 +72,17 @@
         self.measured_at = at;
         // Reports aren't validated; an absurd value must not cause an overflow.
         let reported = report.outstanding_tokens.min(u64::from(u32::MAX));
-        self.excess = reported.saturating_sub(self.count_at(at));
+        self.foreign_tokens = reported.saturating_sub(self.count_at(at));
     }
 
     /// Get the tokens at the target that aren't from this owner's permits,
     /// weighted by the report's age.
-    pub fn excess(&self, now: Moment) -> u64 {
-        if self.excess == 0 {
+    pub fn foreign_tokens(&self, now: Moment) -> u64 {
+        if self.foreign_tokens == 0 {
             return 0;
         }
-        let trust = fade(now.since(self.measured_at), REPORT_HALF_LIFE);
-        (self.excess as f64 * trust) as u64
+        let weight = decay(now.since(self.measured_at), REPORT_HALF_LIFE);
+        (self.foreign_tokens as f64 * weight) as u64
     }
 
     fn count_at(&self, at: Moment) -> u64 {
--- a/bergamotswitch-core/src/pool_owner/mod.rs
+++ b/bergamotswitch-core/src/pool_owner/mod.rs
@@ -1,12 +1,12 @@
 //! Provides the owner of a pool shard: one host that queues the permit requests
 //! of all entry hosts and grants permits.
 
+mod attached_hosts;
 pub mod back_off;
 mod cost_sample;
 mod dispatch;
 mod failed_targets;
 mod fair_queue;
-mod followers;
 pub mod key_table;
 mod load_history;
 mod options;
@@ -17,15 +17,15 @@
 pub mod queue;
 mod quota;
 mod quota_recovery;
-mod refusing;
+mod refusals;
 mod release;
-mod release_pace;
+mod release_rate;
 pub mod routing;
-mod run_gauge;
+mod run_time_estimator;
 mod slot_dispatch;
 pub mod slot_limit;
 mod slot_routing;
-mod speed_gauge;
+mod speed_estimator;
 mod target_change;
 pub mod target_load;
 mod tier_floor;
--- a/bergamotswitch-core/src/pool_owner/options.rs
+++ b/bergamotswitch-core/src/pool_owner/options.rs
@@ -9,11 +9,11 @@
 /// The minimum time for which a second owner is assumed beside this one: twice
 /// the time that a candidate with precedence has to respond before the current
 /// owner yields to it.
-const SETTLE_AFTER: Duration = Duration::from_secs(10);
+const OWNER_OVERLAP: Duration = Duration::from_secs(10);
 
 /// The same in multiples of the failure detector's suspicion timeout, for long
 /// timeouts.
-const SETTLE_SUSPICIONS: u32 = 5;
+const OVERLAP_SUSPICION_TIMEOUTS: u32 = 5;
 
 /// An `OwnerOptions` is the options of a shard owner.
 #[derive(Clone, Debug, PartialEq)]
@@ -30,7 +30,7 @@
     pub(super) probe_base: Duration,
     pub(super) probe_max: Duration,
     pub(crate) quota_tolerance: QuotaTolerance,
-    pub(super) settle_after: Duration,
+    pub(super) owner_overlap: Duration,
 }
 
 impl Default for OwnerOptions {
@@ -54,7 +54,7 @@
             probe_base: Duration::from_millis(500),
             probe_max: Duration::from_secs(30),
             quota_tolerance: QuotaTolerance::default(),
-            settle_after: SETTLE_AFTER,
+            owner_overlap: OWNER_OVERLAP,
         }
     }
 }
@@ -118,8 +118,8 @@
 
     /// Set how long after its own start, or after the start of a host, an owner
     /// assumes that there may be a second owner.
-    pub fn with_settle_after(mut self, span: Duration) -> Self {
-        self.settle_after = span;
+    pub fn with_owner_overlap(mut self, span: Duration) -> Self {
+        self.owner_overlap = span;
         self
     }
 
@@ -130,9 +130,10 @@
             .with_key_retention(Duration::from_millis(limits.key_retention_ms))
             .with_max_keys(limits.kept_keys as usize)
             .with_permit_lifetime(Duration::from_millis(limits.permit_lifetime_ms))
-            .with_settle_after(
-                SETTLE_AFTER
-                    .max(Duration::from_millis(limits.suspect_after_ms) * SETTLE_SUSPICIONS),
+            .with_owner_overlap(
+                OWNER_OVERLAP.max(
+                    Duration::from_millis(limits.suspect_after_ms) * OVERLAP_SUSPICION_TIMEOUTS,
+                ),
             )
     }
 
--- a/bergamotswitch-core/src/pool_owner/owner.rs
+++ b/bergamotswitch-core/src/pool_owner/owner.rs
@@ -12,24 +12,24 @@
 use crate::refusal::RefusalReason;
 use crate::request::TokenCost;
 
+use super::attached_hosts::AttachedHosts;
 use super::cost_sample::CostSample;
-use super::followers::OwnerFollowers;
 use super::key_table::{KeyTable, KeyVerdict};
 use super::options::OwnerOptions;
 use super::permit_table::PermitTable;
 use super::prefix_table::PrefixTable;
 use super::queue::{Placement, QueuedRequest, RequestQueue};
-use super::quota::QuotaBook;
+use super::quota::QuotaBuckets;
 use super::quota_recovery::QuotaRecovery;
-use super::release_pace::ReleasePace;
+use super::release_rate::ReleaseRate;
 use super::routing::{TargetSet, allowed};
-use super::run_gauge::span_of;
+use super::run_time_estimator::from_millis;
 use super::wait_plan::WaitPlan;
 use super::{OwnerAction, OwnerEvent};
 
 /// The interval at which a non-empty queue is dispatched without an event:
 /// reported load decays and pauses of targets end by time alone.
-const QUEUE_LOOK: Duration = Duration::from_millis(100);
+const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The retry-after time if no target is allowed: the set of targets seldom
 /// changes faster.
@@ -60,12 +60,12 @@
     pub(super) keys: KeyTable,
     pub(super) prefixes: PrefixTable,
     pub(super) costs: CostSample,
-    pub(super) quotas: QuotaBook,
-    pub(super) followers: OwnerFollowers,
+    pub(super) quotas: QuotaBuckets,
+    pub(super) attached_hosts: AttachedHosts,
     /// The quota usage reports of entry hosts; `None` once these are no longer
     /// accepted.
     pub(super) recovery: Option<QuotaRecovery>,
-    pub(super) pace: ReleasePace,
+    pub(super) release_rate: ReleaseRate,
     pub(super) sequence: u64,
     pub(super) preempt_check_at: Moment,
     pub(super) counts: OwnerCounts,
@@ -85,10 +85,10 @@
             keys: KeyTable::new(now, opts.key_retention, opts.max_keys),
             prefixes: PrefixTable::new(opts.max_prefixes, opts.prefix_lifetime),
             costs: CostSample::default(),
-            quotas: QuotaBook::default(),
-            followers: OwnerFollowers::default(),
+            quotas: QuotaBuckets::default(),
+            attached_hosts: AttachedHosts::default(),
             recovery: Some(QuotaRecovery::new(now)),
-            pace: ReleasePace::default(),
+            release_rate: ReleaseRate::default(),
             sequence: 0,
             preempt_check_at: now,
             counts: OwnerCounts::default(),
@@ -107,19 +107,20 @@
     pub fn handle(&mut self, now: Moment, event: OwnerEvent) -> Vec<OwnerAction> {
         let mut actions = Vec::new();
         self.now = now;
-        self.quotas.set_part(now, self.followers.part(now));
+        self.quotas
+            .set_portion(now, self.attached_hosts.quota_portion(now));
         self.keys.expire(now);
         self.expire_requests(now, &mut actions);
-        self.queue.demote(now);
-        let asked = match &event {
+        self.queue.demote_late(now);
+        let incoming = match &event {
             OwnerEvent::Message(_, OwnerMessage::Ask(ask)) => Some((ask.attempt, ask.tier)),
             _ => None,
         };
         // A resent request has been queued already.
-        let waited = asked.is_some_and(|(attempt, _)| self.queue.get(&attempt).is_some());
+        let was_queued = incoming.is_some_and(|(attempt, _)| self.queue.get(&attempt).is_some());
         match event {
             OwnerEvent::Message(host, message) => {
-                self.note_follower(now, &host, &message);
+                self.record_attached_host(now, &host, &message);
                 self.on_message(now, host, message, &mut actions);
             }
             OwnerEvent::Targets(targets) => self.on_targets(now, targets, &mut actions),
@@ -131,31 +132,33 @@
             }
             OwnerEvent::Prefix(name, prefix, held) => {
                 if held && self.targets.contains_key(&name) {
-                    self.prefixes.learn(now, &name, prefix);
+                    self.prefixes.record(now, &name, prefix);
                 } else {
-                    self.prefixes.forget(&name, prefix);
+                    self.prefixes.remove(&name, prefix);
                 }
             }
             OwnerEvent::Hosts(hosts) => {
-                let settle = self.opts.settle_after;
-                self.followers.set_hosts(now, &self.me.host, hosts, settle);
+                let overlap = self.opts.owner_overlap;
+                self.attached_hosts
+                    .set_hosts(now, &self.me.host, hosts, overlap);
             }
             OwnerEvent::HostTerminated(host, run) => {
-                self.followers.lose(now, &host, self.opts.settle_after);
+                self.attached_hosts
+                    .detach(now, &host, self.opts.owner_overlap);
                 self.drop_run(now, run);
             }
             OwnerEvent::HandedOver => {
                 self.recovery = None;
-                self.followers.take_over();
+                self.attached_hosts.attach_all();
             }
-            OwnerEvent::FailedOver => self.followers.take_over(),
-            OwnerEvent::Stopping => self.followers.stop(),
+            OwnerEvent::FailedOver => self.attached_hosts.attach_all(),
+            OwnerEvent::Stopping => self.attached_hosts.stop(),
             OwnerEvent::Tick => {}
         }
         self.dispatch(now, &mut actions);
-        if let Some((attempt, tier)) = asked {
-            let hopeless = !waited && self.shed_hopeless(now, &attempt, &mut actions);
-            if self.shed(now, tier, &mut actions) || hopeless {
+        if let Some((attempt, tier)) = incoming {
+            let infeasible = !was_queued && self.shed_infeasible(now, &attempt, &mut actions);
+            if self.shed(now, tier, &mut actions) || infeasible {
                 // Targets may have been reserved for a request that was shed.
                 self.dispatch(now, &mut actions);
             }
@@ -167,16 +170,17 @@
 
     /// Record that this process was suspended. Another owner may have admitted
     /// requests meanwhile, and entry hosts may use that one now.
-    pub fn on_resumed(&mut self, now: Moment, slept: Duration) {
-        self.quotas.skip(slept);
-        let settle = self.opts.settle_after;
-        self.followers.lose_all(now, &self.me.host, settle);
+    pub fn on_resumed(&mut self, now: Moment, suspension: Duration) {
+        self.quotas.exclude_suspension(suspension);
+        let overlap = self.opts.owner_overlap;
+        self.attached_hosts
+            .detach_others(now, &self.me.host, overlap);
     }
 
     /// Withdraw this fraction of the tokens left in the quotas' buckets, to
     /// pass them to the next owner.
-    pub fn hand_over_quotas(&mut self, now: Moment, part: f64) -> Vec<QuotaLevel> {
-        self.quotas.take_out(now, part)
+    pub fn hand_over_quotas(&mut self, now: Moment, fraction: f64) -> Vec<QuotaLevel> {
+        self.quotas.withdraw(now, fraction)
     }
 
     /// Get when the owner wants its next tick.
@@ -186,7 +190,7 @@
             wake = wake.min(deadline);
             let on_time_end = self.queue.first_on_time_end();
             wake = wake.min(on_time_end.unwrap_or(Moment::NEVER));
-            wake = wake.min(self.now.plus(QUEUE_LOOK));
+            wake = wake.min(self.now.plus(QUEUE_POLL_INTERVAL));
         }
         wake
     }
@@ -194,9 +198,9 @@
     /// Record that a host uses this owner if it requests a permit or reports
     /// what it holds. Other messages don't show it: a release may be sent long
     /// after its host has switched owners.
-    fn note_follower(&mut self, now: Moment, host: &HostName, message: &OwnerMessage) {
+    fn record_attached_host(&mut self, now: Moment, host: &HostName, message: &OwnerMessage) {
         if matches!(message, OwnerMessage::Ask(_) | OwnerMessage::Retell { .. }) {
-            self.followers.note(now, host);
+            self.attached_hosts.attach(now, host);
         }
     }
 
@@ -216,7 +220,7 @@
             OwnerMessage::Ask(ask) => self.on_ask(now, host, *ask, actions),
             OwnerMessage::Withdraw { attempt, .. } => {
                 if let Some(queued) = self.queue.remove(&attempt) {
-                    self.settle_unused(&queued.ask);
+                    self.release_unused(&queued.ask);
                 }
             }
             OwnerMessage::Release { release, .. } => self.on_release(now, &release, actions),
@@ -226,7 +230,7 @@
             OwnerMessage::NotHeld { permits, .. } => {
                 self.on_not_held(now, &host, &permits, actions);
             }
-            OwnerMessage::QuotaLevels { levels, .. } => self.quotas.take_in(now, &levels),
+            OwnerMessage::QuotaLevels { levels, .. } => self.quotas.deposit(now, &levels),
             OwnerMessage::QuotaUse { hosts, used, .. } => {
                 self.on_quota_use(now, host, hosts, &used);
             }
@@ -259,7 +263,7 @@
             match self.keys.check(now, claim) {
                 KeyVerdict::Clear => {}
                 KeyVerdict::HeldBy(holder) => {
-                    return self.reply_known(host, ask.attempt, holder, actions);
+                    return self.reply_key_known(host, ask.attempt, holder, actions);
                 }
                 KeyVerdict::Unknown(span) => {
                     let reason = RefusalReason::OutcomeUnknown;
@@ -298,8 +302,8 @@
         let plan = WaitPlan::new(
             now,
             &ask,
-            self.best_first(ask.cost),
-            self.expected_run(ask.cost),
+            self.min_first_token_time(ask.cost),
+            self.expected_run_time(ask.cost),
         );
         let queued = QueuedRequest {
             ask,
@@ -318,22 +322,22 @@
     }
 
     /// Get the predicted time to first token on the fastest target.
-    fn best_first(&self, cost: TokenCost) -> Duration {
+    fn min_first_token_time(&self, cost: TokenCost) -> Duration {
         let working = self.targets.values();
         let working = working.filter(|load| !load.back_off().is_active() && !load.is_draining());
         let firsts = working.map(|load| load.first_ms(cost));
         firsts
             .min_by(f64::total_cmp)
-            .map_or(Duration::ZERO, span_of)
+            .map_or(Duration::ZERO, from_millis)
     }
 
     /// Get the predicted run time: the mean over the targets that work.
-    fn expected_run(&self, cost: TokenCost) -> Duration {
+    fn expected_run_time(&self, cost: TokenCost) -> Duration {
         let working = self.targets.values();
         let working = working.filter(|load| !load.back_off().is_active() && !load.is_draining());
         let (count, sum_ms) = working.fold((0_u32, 0.0), |(count, sum_ms), load| {
             (count + 1, sum_ms + load.run_ms(cost))
         });
-        span_of(sum_ms / f64::from(count.max(1)))
+        from_millis(sum_ms / f64::from(count.max(1)))
     }
 }
--- a/bergamotswitch-core/src/pool_owner/permit_table.rs
+++ b/bergamotswitch-core/src/pool_owner/permit_table.rs
@@ -10,7 +10,7 @@
 use crate::rules::Tier;
 use crate::target::TargetName;
 
-use super::speed_gauge::DueWork;
+use super::speed_estimator::ExpectedEnd;
 
 /// A `GrantedPermit` is a permit held by an entry host.
 #[derive(Clone, Debug)]
@@ -43,7 +43,7 @@
     pub granted_at: Moment,
     /// The tokens that the target was predicted to process until the request's
     /// end, its own included.
-    pub ahead: u64,
+    pub tokens_ahead: u64,
     /// The target's utilization with this request, 1 when full.
     pub utilization: f64,
     /// When the request is predicted to end.
@@ -64,8 +64,8 @@
     }
 
     /// Get the request's predicted end.
-    pub fn due_work(&self) -> DueWork {
-        DueWork {
+    pub fn expected_end(&self) -> ExpectedEnd {
+        ExpectedEnd {
             finish_at: self.finish_at,
             granted_at: self.granted_at,
             permit: self.id,
@@ -80,7 +80,7 @@
     permits: BTreeMap<PermitId, GrantedPermit>,
     attempts: HashMap<AttemptId, PermitId>,
     audits: BTreeSet<(Moment, PermitId)>,
-    preemptible: usize,
+    preemptible_count: usize,
 }
 
 impl PermitTable {
@@ -117,13 +117,13 @@
     }
 
     /// Get the number of permits whose streams may be preempted.
-    pub fn preemptible(&self) -> usize {
-        self.preemptible
+    pub fn preemptible_count(&self) -> usize {
+        self.preemptible_count
     }
 
     /// Add a permit.
     pub fn insert(&mut self, permit: GrantedPermit) {
-        self.preemptible += usize::from(permit.preemptible);
+        self.preemptible_count += usize::from(permit.preemptible);
         self.attempts.insert(permit.attempt, permit.id);
         self.audits.insert((permit.audit_at, permit.id));
         self.permits.insert(permit.id, permit);
@@ -133,7 +133,7 @@
     /// it.
     pub fn remove(&mut self, id: &PermitId) -> Option<GrantedPermit> {
         let permit = self.permits.remove(id)?;
-        self.preemptible -= usize::from(permit.preemptible);
+        self.preemptible_count -= usize::from(permit.preemptible);
         self.audits.remove(&(permit.audit_at, *id));
         if self.attempts.get(&permit.attempt) == Some(id) {
             self.attempts.remove(&permit.attempt);
@@ -142,7 +142,12 @@
     }
 
     /// Make the audit due for all permits of a host except those in `named`.
-    pub fn audit_others(&mut self, now: Moment, host: &HostName, named: &BTreeSet<PermitId>) {
+    pub fn schedule_audits_except(
+        &mut self,
+        now: Moment,
+        host: &HostName,
+        named: &BTreeSet<PermitId>,
+    ) {
         for permit in self.permits.values_mut() {
             if permit.host != *host || named.contains(&permit.id) {
                 continue;
@@ -154,7 +159,7 @@
     }
 
     /// Remove and get all permits for a target.
-    pub fn take_all_of(&mut self, target: &TargetName) -> Vec<GrantedPermit> {
+    pub fn remove_target(&mut self, target: &TargetName) -> Vec<GrantedPermit> {
         let permits = self.permits.values();
         let held = permits.filter(|permit| permit.target == *target);
         let ids: Vec<PermitId> = held.map(|permit| permit.id).collect();
--- a/bergamotswitch-core/src/pool_owner/preemption.rs
+++ b/bergamotswitch-core/src/pool_owner/preemption.rs
@@ -21,14 +21,14 @@
 /// The interval at which the queue is checked for requests at risk: a check
 /// iterates over the permits, and a burst causes thousands of events per
 /// second.
-const CHECK_EVERY: Duration = Duration::from_millis(20);
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How long a holder has to stop a stream before it is told again.
-const STOP_PATIENCE: Duration = Duration::from_secs(2);
+const STOP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The fraction of its age, as a divisor, for which overdue work is predicted
 /// to continue.
-const OVERDUE_PARTS: u32 = 4;
+const OVERDUE_DIVISOR: u32 = 4;
 
 impl ShardOwner {
     /// Preempt streams for top-tier requests at risk, a few at a time.
@@ -37,11 +37,11 @@
         // A check iterates over all permits for each target; it is skipped if
         // no stream may be preempted, since it would take noticeable processor
         // time in a burst.
-        let stoppable = self.permits.preemptible() > 0;
+        let stoppable = self.permits.preemptible_count() > 0;
         if !waits || !stoppable || now < self.preempt_check_at {
             return;
         }
-        self.preempt_check_at = now.plus(CHECK_EVERY);
+        self.preempt_check_at = now.plus(CHECK_INTERVAL);
         let most = self.opts.max_preemptions;
         let mut victims: Vec<PermitId> = Vec::new();
         let pending = self.permits.iter().filter(|permit| is_pending(now, permit));
@@ -49,8 +49,8 @@
         // request.
         let helped = pending.count();
         let first = self.queue.by_deadline(TOP_TIER).take(most);
-        let endangered = first.filter(|queued| self.is_endangered(now, queued));
-        for queued in endangered.skip(helped) {
+        let at_risk = first.filter(|queued| self.is_at_risk(now, queued));
+        for queued in at_risk.skip(helped) {
             if let Some(victim) = self.victim(now, queued, &victims) {
                 victims.push(victim);
             }
@@ -75,7 +75,7 @@
 
     /// Get whether a request misses its deadline if it waits for a slot, and
     /// would meet it if it got one now.
-    fn is_endangered(&self, now: Moment, queued: &QueuedRequest) -> bool {
+    fn is_at_risk(&self, now: Moment, queued: &QueuedRequest) -> bool {
         let tokens = queued.ask.cost.total();
         let left = queued.plan.run_until.since(now);
         let mut helps = false;
@@ -89,7 +89,7 @@
                 continue;
             }
             helps = true;
-            if self.room_in(now, load, tokens) + run <= left {
+            if self.time_until_fits(now, load, tokens) + run <= left {
                 return false;
             }
         }
@@ -97,7 +97,7 @@
     }
 
     /// Get the predicted time until a request of `tokens` fits a target.
-    fn room_in(&self, now: Moment, load: &TargetLoad, tokens: u64) -> Duration {
+    fn time_until_fits(&self, now: Moment, load: &TargetLoad, tokens: u64) -> Duration {
         // A queued request that fits is held back for another reason, which
         // preemption wouldn't change.
         if load.fits(now, tokens) {
@@ -147,14 +147,14 @@
 /// Get the predicted run time of `tokens` at a target beside the streams that
 /// run there.
 fn run_time(now: Moment, load: &TargetLoad, tokens: u64) -> Duration {
-    let ahead = load.ahead_of(now, tokens).max(tokens);
-    Duration::from_secs_f64(ahead as f64 / load.speed(now))
+    let tokens_ahead = load.ahead_of(now, tokens).max(tokens);
+    Duration::from_secs_f64(tokens_ahead as f64 / load.speed(now))
 }
 
 /// Get whether a holder was recently told to stop a stream.
 fn is_pending(now: Moment, permit: &GrantedPermit) -> bool {
     let asked = permit.preempted_at;
-    asked.is_some_and(|at| now.since(at) < STOP_PATIENCE)
+    asked.is_some_and(|at| now.since(at) < STOP_TIMEOUT)
 }
 
 /// Get the predicted time until a request ends.
@@ -164,7 +164,7 @@
     }
     // An overdue request may end at any time. If it were predicted to end now,
     // a shortage of slots would go unnoticed as long as it runs.
-    now.since(permit.granted_at) / OVERDUE_PARTS
+    now.since(permit.granted_at) / OVERDUE_DIVISOR
 }
 
 /// Get the predicted number of a request's tokens that have been processed.
--- a/bergamotswitch-core/src/pool_owner/prefix_table.rs
+++ b/bergamotswitch-core/src/pool_owner/prefix_table.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug)]
 struct PrefixHint {
     target: TargetName,
-    seen: Moment,
+    seen_at: Moment,
 }
 
 /// A `PrefixEntry` is the hints about one prefix.
@@ -70,7 +70,7 @@
     }
 
     /// Record that `target` holds `prefix`.
-    pub fn learn(&mut self, now: Moment, target: &TargetName, prefix: PrefixHash) {
+    pub fn record(&mut self, now: Moment, target: &TargetName, prefix: PrefixHash) {
         if self.capacity == 0 {
             return;
         }
@@ -85,16 +85,16 @@
         }
         entry.hints.push(PrefixHint {
             target: target.clone(),
-            seen: now,
+            seen_at: now,
         });
         self.order.insert(self.stamp, prefix);
         while self.entries.len() > self.capacity {
-            self.drop_oldest();
+            self.evict_oldest();
         }
     }
 
     /// Record that `target` no longer holds `prefix`.
-    pub fn forget(&mut self, target: &TargetName, prefix: PrefixHash) {
+    pub fn remove(&mut self, target: &TargetName, prefix: PrefixHash) {
         let Some(entry) = self.entries.get_mut(&prefix) else {
             return;
         };
@@ -106,7 +106,7 @@
     }
 
     /// Record that `target` no longer holds any prefix.
-    pub fn forget_target(&mut self, target: &TargetName) {
+    pub fn remove_target(&mut self, target: &TargetName) {
         let order = &mut self.order;
         self.entries.retain(|_, entry| {
             entry.hints.retain(|hint| hint.target != *target);
@@ -129,7 +129,7 @@
             let fresh = entry
                 .hints
                 .iter()
-                .filter(|hint| now.since(hint.seen) < self.lifetime);
+                .filter(|hint| now.since(hint.seen_at) < self.lifetime);
             for hint in fresh {
                 if found.iter().any(|warm| warm.target == hint.target) {
                     continue;
@@ -143,7 +143,7 @@
         found
     }
 
-    fn drop_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         if let Some((_, prefix)) = self.order.pop_first() {
             self.entries.remove(&prefix);
         }
--- a/bergamotswitch-core/src/pool_owner/queue.rs
+++ b/bergamotswitch-core/src/pool_owner/queue.rs
@@ -13,7 +13,7 @@
 use crate::target::TargetName;
 
 use super::fair_queue::{QueueRank, TierEntry, TierQueue};
-use super::tier_floor::{TierFloor, TierPlace};
+use super::tier_floor::{TierFloor, TierPosition};
 use super::wait_plan::WaitPlan;
 
 /// A `Placement` is the constraints on where a request may be sent. Requests of
@@ -107,7 +107,7 @@
 /// The maximum number of queued requests of a tier below its floor that are
 /// exempt from shedding: such a tier gets the next slots, so a few are enough
 /// to fill them.
-const OWED_WAITING: usize = 4;
+const MAX_WAITING_BELOW_FLOOR: usize = 4;
 
 impl RequestQueue {
     /// Get the number of queued requests.
@@ -202,7 +202,7 @@
     }
 
     /// Move the requests that have become late behind those that are on time.
-    pub fn demote(&mut self, now: Moment) {
+    pub fn demote_late(&mut self, now: Moment) {
         while let Some((end, attempt)) = self.on_time_ends.first().copied()
             && end <= now
         {
@@ -220,7 +220,7 @@
             stored.entry.placement = late.clone();
             queue.push(&stored.entry);
             *self.placements.entry(late).or_default() += 1;
-            discount(&mut self.placements, &on_time);
+            remove_placement(&mut self.placements, &on_time);
         }
     }
 
@@ -237,9 +237,9 @@
         if all_blocked {
             return None;
         }
-        let tiers = TierPlace::ORDER.iter().flat_map(|place| {
+        let tiers = TierPosition::ORDER.iter().flat_map(|position| {
             let tiers = self.tiers.iter();
-            tiers.filter(|(tier, _)| self.floor.place(**tier) == *place)
+            tiers.filter(|(tier, _)| self.floor.position(**tier) == *position)
         });
         let mut heads = tiers.filter_map(|(_, queue)| queue.next(blocked));
         let attempt = heads.next()?;
@@ -247,15 +247,15 @@
     }
 
     /// Count a request as served or refused.
-    pub(super) fn note_fate(&mut self, now: Moment, tier: Tier, served: bool) {
-        self.floor.note(now, tier, served);
+    pub(super) fn record_outcome(&mut self, now: Moment, tier: Tier, served: bool) {
+        self.floor.record(now, tier, served);
     }
 
     /// Get whether a tier is below its floor and few enough of its requests are
     /// queued.
-    pub(super) fn is_owed(&self, tier: Tier) -> bool {
+    pub(super) fn is_below_floor(&self, tier: Tier) -> bool {
         let waiting = self.tiers.get(&tier).map_or(0, TierQueue::asks);
-        waiting <= OWED_WAITING && self.floor.place(tier) == TierPlace::Owed
+        waiting <= MAX_WAITING_BELOW_FLOOR && self.floor.position(tier) == TierPosition::BelowFloor
     }
 
     /// Get the request to shed first: of the lowest tier, the last-ranked one
@@ -311,12 +311,12 @@
                 self.tiers.remove(&tier);
             }
         }
-        discount(&mut self.placements, &entry.placement);
+        remove_placement(&mut self.placements, &entry.placement);
         Some(queued)
     }
 }
 
-fn discount(placements: &mut BTreeMap<Arc<Placement>, usize>, placement: &Arc<Placement>) {
+fn remove_placement(placements: &mut BTreeMap<Arc<Placement>, usize>, placement: &Arc<Placement>) {
     if let Some(count) = placements.get_mut(placement) {
         *count -= 1;
         if *count == 0 {
--- a/bergamotswitch-core/src/pool_owner/quota.rs
+++ b/bergamotswitch-core/src/pool_owner/quota.rs
@@ -69,26 +69,26 @@
     filled_at: Moment,
 }
 
-/// A `QuotaBook` is a token bucket for each account with a quota.
+/// A `QuotaBuckets` is a token bucket for each account with a quota.
 ///
 /// A bucket starts empty. A new owner doesn't know what the previous one
 /// admitted unless that one hands its buckets over; with an empty bucket, the
 /// usage in any window around the change stays within one burst plus the rate
 /// over the window.
 #[derive(Debug)]
-pub struct QuotaBook {
+pub struct QuotaBuckets {
     rates: HashMap<AccountName, QuotaRate>,
     buckets: HashMap<AccountName, QuotaBucket>,
     /// The portion of each rate that this owner grants now.
-    part: f64,
+    portion: f64,
 }
 
-impl Default for QuotaBook {
+impl Default for QuotaBuckets {
     fn default() -> Self {
-        QuotaBook {
+        QuotaBuckets {
             rates: HashMap::new(),
             buckets: HashMap::new(),
-            part: 1.0,
+            portion: 1.0,
         }
     }
 }
@@ -96,7 +96,7 @@
 impl QuotaBucket {
     /// Remove a request's units from those of queued requests; get how many
     /// were removed.
-    fn stop_waiting(&mut self, units: u32) -> f64 {
+    fn remove_waiting(&mut self, units: u32) -> f64 {
         let waited = f64::from(units).min(self.waiting);
         self.waiting -= waited;
         waited
@@ -104,15 +104,15 @@
 
     /// Add the units accrued since the last call. Present units stay, even if
     /// the portion has become too small to accrue them.
-    fn fill(&mut self, now: Moment, rate: &QuotaRate, part: f64) {
+    fn fill(&mut self, now: Moment, rate: &QuotaRate, portion: f64) {
         let span = now.since(self.filled_at).as_secs_f64();
         self.filled_at = now;
-        let filled = (self.level + span * rate.rate * part).min(rate.burst * part);
+        let filled = (self.level + span * rate.rate * portion).min(rate.burst * portion);
         self.level = self.level.min(rate.burst).max(filled);
     }
 }
 
-impl QuotaBook {
+impl QuotaBuckets {
     /// Set new rates. Units already used stay charged.
     pub fn set_rates(&mut self, now: Moment, rates: Vec<(AccountName, QuotaRate)>) {
         self.rates = rates.into_iter().collect();
@@ -131,16 +131,16 @@
     }
 
     /// Set the portion of each rate that this owner grants from now on.
-    pub fn set_part(&mut self, now: Moment, part: f64) {
-        if part == self.part {
+    pub fn set_portion(&mut self, now: Moment, portion: f64) {
+        if portion == self.portion {
             return;
         }
         for (account, bucket) in &mut self.buckets {
             if let Some(rate) = self.rates.get(account) {
-                bucket.fill(now, rate, self.part);
+                bucket.fill(now, rate, self.portion);
             }
         }
-        self.part = part;
+        self.portion = portion;
     }
 
     /// Try to take the units of a request. It is admitted while the bucket's
@@ -161,7 +161,7 @@
         else {
             return Ok(());
         };
-        bucket.fill(now, rate, self.part);
+        bucket.fill(now, rate, self.portion);
         // A retried request with no units has been charged before. Refusing it
         // would report a request as over quota that may have run.
         if bucket.level >= 0.0 || units == 0 {
@@ -169,19 +169,19 @@
             bucket.waiting += f64::from(units);
             return Ok(());
         }
-        let missing = (f64::from(units) - bucket.level) / (rate.rate * self.part).max(1.0);
+        let missing = (f64::from(units) - bucket.level) / (rate.rate * self.portion).max(1.0);
         let wait = Duration::from_secs_f64(missing.min(RETRY_MAX.as_secs_f64()));
         Err(wait.max(RETRY_MIN))
     }
 
     /// Withdraw this fraction of the units left in the buckets.
-    pub fn take_out(&mut self, now: Moment, part: f64) -> Vec<QuotaLevel> {
+    pub fn withdraw(&mut self, now: Moment, fraction: f64) -> Vec<QuotaLevel> {
         let mut levels = Vec::new();
         for (account, bucket) in &mut self.buckets {
             if let Some(rate) = self.rates.get(account) {
-                bucket.fill(now, rate, self.part);
+                bucket.fill(now, rate, self.portion);
             }
-            let units = (bucket.level.max(0.0) * part).floor();
+            let units = (bucket.level.max(0.0) * fraction).floor();
             bucket.level -= units;
             if units > 0.0 {
                 levels.push(QuotaLevel {
@@ -196,13 +196,13 @@
     /// Deposit the units that a previous owner withdrew from its buckets, up to
     /// the buckets' capacity. They include the unused units reported by entry
     /// hosts.
-    pub fn take_in(&mut self, now: Moment, levels: &[QuotaLevel]) {
+    pub fn deposit(&mut self, now: Moment, levels: &[QuotaLevel]) {
         for QuotaLevel { account, units } in levels {
             let Some(rate) = self.rates.get(account) else {
                 continue;
             };
             if let Some(bucket) = self.buckets.get_mut(account) {
-                bucket.fill(now, rate, self.part);
+                bucket.fill(now, rate, self.portion);
                 let known = bucket.recovered.clamp(0.0, *units as f64);
                 bucket.recovered -= known;
                 bucket.level = (bucket.level + *units as f64 - known).min(rate.burst);
@@ -234,7 +234,7 @@
                 continue;
             }
             let used = used.get(account).copied().unwrap_or(0.0);
-            bucket.fill(now, rate, self.part);
+            bucket.fill(now, rate, self.portion);
             let before = bucket.recovered.max(0.0);
             bucket.recovered += missing / hosts - used;
             // Never less than an empty bucket, which is safe without any
@@ -246,17 +246,17 @@
 
     /// Exclude the time of a suspension of this process: no units accrue for
     /// it.
-    pub fn skip(&mut self, slept: Duration) {
+    pub fn exclude_suspension(&mut self, suspension: Duration) {
         for bucket in self.buckets.values_mut() {
-            bucket.filled_at = bucket.filled_at.plus(slept);
+            bucket.filled_at = bucket.filled_at.plus(suspension);
         }
     }
 
     /// Keep the charge of a request that left the queue and runs or may have
     /// run.
-    pub fn keep(&mut self, account: &AccountName, units: u32) {
+    pub fn commit(&mut self, account: &AccountName, units: u32) {
         if let Some(bucket) = self.buckets.get_mut(account) {
-            bucket.stop_waiting(units);
+            bucket.remove_waiting(units);
         }
     }
 
@@ -266,14 +266,14 @@
     /// limited so that the level and the units of queued requests don't exceed
     /// the bucket's capacity; otherwise an account could get more than one
     /// burst by queueing requests and cancelling them.
-    pub fn give_back(&mut self, now: Moment, account: &AccountName, units: u32) {
+    pub fn refund(&mut self, now: Moment, account: &AccountName, units: u32) {
         let (Some(rate), Some(bucket)) = (self.rates.get(account), self.buckets.get_mut(account))
         else {
             return;
         };
-        bucket.fill(now, rate, self.part);
+        bucket.fill(now, rate, self.portion);
         let filled = (bucket.level + bucket.waiting - rate.burst).max(0.0);
-        let waited = bucket.stop_waiting(units);
+        let waited = bucket.remove_waiting(units);
         bucket.level += (waited - filled).max(0.0);
     }
 }
--- a/bergamotswitch-core/src/pool_owner/quota_recovery.rs
+++ b/bergamotswitch-core/src/pool_owner/quota_recovery.rs
@@ -22,15 +22,15 @@
 /// to a new owner.
 #[derive(Debug)]
 pub(super) struct QuotaRecovery {
-    began: Moment,
-    told: BTreeSet<HostName>,
+    started_at: Moment,
+    reported: BTreeSet<HostName>,
 }
 
 impl QuotaRecovery {
     pub(super) fn new(now: Moment) -> Self {
         QuotaRecovery {
-            began: now,
-            told: BTreeSet::new(),
+            started_at: now,
+            reported: BTreeSet::new(),
         }
     }
 }
@@ -47,18 +47,18 @@
         let Some(recovery) = &mut self.recovery else {
             return;
         };
-        let elapsed = now.since(recovery.began);
+        let elapsed = now.since(recovery.started_at);
         if elapsed >= RECOVERY_TIME {
             self.recovery = None;
             return;
         }
         // An owner that serves its own host only enforces that host's share of
         // each quota.
-        let hosts = match self.followers.is_empty() {
+        let hosts = match self.attached_hosts.is_empty() {
             true => 1,
             false => hosts,
         };
-        if recovery.told.insert(host) {
+        if recovery.reported.insert(host) {
             self.quotas.recover_share(now, elapsed, hosts, used);
         }
     }
--- a/bergamotswitch-core/src/pool_owner/refusing.rs
+++ b/bergamotswitch-core/src/pool_owner/refusals.rs
@@ -36,8 +36,8 @@
         actions: &mut Vec<OwnerAction>,
     ) {
         if let Some(queued) = self.queue.remove(attempt) {
-            self.settle_unused(&queued.ask);
-            self.queue.note_fate(self.now, queued.ask.tier, false);
+            self.release_unused(&queued.ask);
+            self.queue.record_outcome(self.now, queued.ask.tier, false);
             let retry_after = match queued.ask.patience_ms {
                 Some(_) => queued.plan.retry_after(self.now, attempt).max(retry_after),
                 None => retry_after,
@@ -65,7 +65,7 @@
     }
 
     /// Reply that another run holds the request's key.
-    pub(super) fn reply_known(
+    pub(super) fn reply_key_known(
         &mut self,
         host: HostName,
         attempt: AttemptId,
@@ -78,11 +78,11 @@
     }
 
     /// Release the key and the quota units of a request that got no permit.
-    pub(super) fn settle_unused(&mut self, ask: &Ask) {
+    pub(super) fn release_unused(&mut self, ask: &Ask) {
         if let Some(claim) = &ask.claim {
-            self.keys.settle_unused(claim);
+            self.keys.release_unused(claim);
         }
         let units = ask.quota_units;
-        self.quotas.give_back(self.now, &ask.account, units);
+        self.quotas.refund(self.now, &ask.account, units);
     }
 }
--- a/bergamotswitch-core/src/pool_owner/release.rs
+++ b/bergamotswitch-core/src/pool_owner/release.rs
@@ -12,7 +12,7 @@
 use super::OwnerAction;
 use super::owner::ShardOwner;
 use super::permit_table::GrantedPermit;
-use super::run_gauge::RunSample;
+use super::run_time_estimator::RunSample;
 
 impl ShardOwner {
     pub(super) fn on_release(
@@ -25,19 +25,19 @@
         if known.is_none_or(|permit| permit.attempt != release.attempt) {
             return;
         }
-        let Some(permit) = self.free(now, &release.permit) else {
+        let Some(permit) = self.release_permit(now, &release.permit) else {
             return;
         };
         if let Some(claim) = &permit.claim {
             // The key is kept for one retention time from the end of the run.
             self.keys.hold(now, claim);
         }
-        let untouched = matches!(
+        let not_executed = matches!(
             release.outcome,
             ReleaseOutcome::Unused | ReleaseOutcome::Unreachable | ReleaseOutcome::Refused
         );
-        if untouched {
-            self.forget_prefixes(&permit);
+        if not_executed {
+            self.remove_prefix_hints(&permit);
         }
         match &release.outcome {
             ReleaseOutcome::Unused => self.clear_probe(&permit),
@@ -46,11 +46,11 @@
             ReleaseOutcome::Failed(_) => self.on_failure(now, &permit, false, actions),
             ReleaseOutcome::Refused => self.on_target_refused(now, &permit, actions),
             ReleaseOutcome::Stopped(usage) => {
-                self.learn(now, &permit, usage);
+                self.record_usage(now, &permit, usage);
                 self.clear_probe(&permit);
             }
         }
-        self.drop_if_left(&permit.target);
+        self.remove_if_drained(&permit.target);
     }
 
     /// Take over the work that an entry host holds under permits of previous
@@ -64,35 +64,36 @@
         actions: &mut Vec<OwnerAction>,
     ) {
         for claim in claims {
-            if self.keys.hold_told(now, claim) {
-                self.drop_copies(claim, actions);
+            if self.keys.hold_reported(now, claim) {
+                self.answer_duplicates(claim, actions);
             }
         }
         // The host has used another owner meanwhile, and releases that it sent
         // in that time may have been lost. Without an early audit their slots
         // would stay occupied until the regular one.
         let named: BTreeSet<PermitId> = held.iter().map(|work| work.permit).collect();
-        self.permits.audit_others(now, &host, &named);
+        self.permits.schedule_audits_except(now, &host, &named);
         for work in held {
-            self.take_over(now, host.clone(), work);
+            self.adopt_work(now, host.clone(), work);
         }
     }
 
     /// Answer the queued requests whose key another run holds.
-    fn drop_copies(&mut self, told: &KeyClaim, actions: &mut Vec<OwnerAction>) {
-        let is_copy = |claim: &KeyClaim| claim.key == told.key && claim.holder != told.holder;
-        let copies = self
+    fn answer_duplicates(&mut self, reported: &KeyClaim, actions: &mut Vec<OwnerAction>) {
+        let is_duplicate =
+            |claim: &KeyClaim| claim.key == reported.key && claim.holder != reported.holder;
+        let duplicates = self
             .queue
-            .find(|queued| queued.ask.claim.as_ref().is_some_and(is_copy));
-        for attempt in copies {
+            .find(|queued| queued.ask.claim.as_ref().is_some_and(is_duplicate));
+        for attempt in duplicates {
             if let Some(queued) = self.queue.remove(&attempt) {
-                self.settle_unused(&queued.ask);
-                self.reply_known(queued.host, attempt, told.holder.clone(), actions);
+                self.release_unused(&queued.ask);
+                self.reply_key_known(queued.host, attempt, reported.holder.clone(), actions);
             }
         }
     }
 
-    fn take_over(&mut self, now: Moment, host: HostName, work: HeldWork) {
+    fn adopt_work(&mut self, now: Moment, host: HostName, work: HeldWork) {
         if self.permits.get(&work.permit).is_some() {
             return;
         }
@@ -117,7 +118,7 @@
             granted_at: now,
             // Without the backlog at its start, the request gives no speed
             // sample.
-            ahead: 0,
+            tokens_ahead: 0,
             utilization: 1.0,
             finish_at: now,
             preempted_at: None,
@@ -138,13 +139,13 @@
             if known.is_none_or(|permit| permit.host != *host) {
                 continue;
             }
-            let Some(permit) = self.free(now, id) else {
+            let Some(permit) = self.release_permit(now, id) else {
                 continue;
             };
             self.clear_probe(&permit);
             self.counts.reclaimed += 1;
-            self.drop_if_left(&permit.target);
-            actions.push(self.note(Incident::PermitReclaimed, &permit.target));
+            self.remove_if_drained(&permit.target);
+            actions.push(self.incident_action(Incident::PermitReclaimed, &permit.target));
         }
     }
 
@@ -156,9 +157,9 @@
             self.drop_queued(&attempt);
         }
         for id in self.permits.of_run(run) {
-            if let Some(permit) = self.free(now, &id) {
+            if let Some(permit) = self.release_permit(now, &id) {
                 self.clear_probe(&permit);
-                self.drop_if_left(&permit.target);
+                self.remove_if_drained(&permit.target);
             }
         }
     }
@@ -167,7 +168,7 @@
     fn drop_queued(&mut self, attempt: &AttemptId) {
         if let Some(queued) = self.queue.remove(attempt) {
             let ask = queued.ask;
-            self.quotas.keep(&ask.account, ask.quota_units);
+            self.quotas.commit(&ask.account, ask.quota_units);
         }
     }
 
@@ -182,17 +183,17 @@
         }
     }
 
-    fn free(&mut self, now: Moment, id: &PermitId) -> Option<GrantedPermit> {
+    fn release_permit(&mut self, now: Moment, id: &PermitId) -> Option<GrantedPermit> {
         let permit = self.permits.remove(id)?;
-        self.pace.note(now);
+        self.release_rate.record(now);
         if let Some(load) = self.targets.get_mut(&permit.target) {
             load.remove_permit(now, permit.cost.total(), permit.long);
-            load.expect_no_more(&permit.due_work());
+            load.remove_expected_end(&permit.expected_end());
         }
         Some(permit)
     }
 
-    fn drop_if_left(&mut self, target: &TargetName) {
+    fn remove_if_drained(&mut self, target: &TargetName) {
         let load = self.targets.get(target);
         if load.is_some_and(|load| load.is_draining() && load.permits() == 0) {
             self.targets.remove(target);
@@ -205,17 +206,17 @@
         }
     }
 
-    fn learn(&mut self, now: Moment, permit: &GrantedPermit, usage: &Usage) {
-        if permit.ahead == 0 {
+    fn record_usage(&mut self, now: Moment, permit: &GrantedPermit, usage: &Usage) {
+        if permit.tokens_ahead == 0 {
             return;
         }
         if let Some(load) = self.targets.get_mut(&permit.target) {
-            load.record_usage(now, permit.ahead, permit.cost, usage);
+            load.record_usage(now, permit.tokens_ahead, permit.cost, usage);
         }
     }
 
     fn on_finished(&mut self, now: Moment, permit: &GrantedPermit, usage: &Usage) {
-        self.learn(now, permit, usage);
+        self.record_usage(now, permit, usage);
         if let Some(load) = self.targets.get_mut(&permit.target) {
             load.record_run(&RunSample {
                 cost: permit.cost,
@@ -227,15 +228,15 @@
             load.record_cache_hit(permit.expected_cached(), usage.cached);
         }
         for prefix in &permit.prefixes {
-            self.prefixes.learn(now, &permit.target, *prefix);
+            self.prefixes.record(now, &permit.target, *prefix);
         }
     }
 
     /// Remove the prefix hints that were recorded for a request that never
     /// reached the target.
-    fn forget_prefixes(&mut self, permit: &GrantedPermit) {
+    fn remove_prefix_hints(&mut self, permit: &GrantedPermit) {
         for prefix in permit.prefixes.iter().skip(permit.warm_blocks) {
-            self.prefixes.forget(&permit.target, *prefix);
+            self.prefixes.remove(&permit.target, *prefix);
         }
     }
 
@@ -269,7 +270,7 @@
         // An error after dispatch may be the request's own fault. One client
         // account that sends bad requests must not get all targets backed off,
         // so such errors back off at most half of them.
-        let too_many = self.would_most_be_out();
+        let too_many = self.would_exceed_back_off_limit();
         let Some(load) = self.targets.get_mut(&permit.target) else {
             return;
         };
@@ -279,11 +280,11 @@
             return;
         }
         if back_off.record_failure(now, permit.id, permit.granted_at, certain) {
-            actions.push(self.note(Incident::TargetBackedOff, &permit.target));
+            actions.push(self.incident_action(Incident::TargetBackedOff, &permit.target));
         }
     }
 
-    pub(super) fn note(&self, incident: Incident, target: &TargetName) -> OwnerAction {
+    pub(super) fn incident_action(&self, incident: Incident, target: &TargetName) -> OwnerAction {
         OwnerAction::LogIncident(incident, self.shard.clone(), Some(target.clone()))
     }
 }
--- a/bergamotswitch-core/src/pool_owner/routing.rs
+++ b/bergamotswitch-core/src/pool_owner/routing.rs
@@ -58,7 +58,8 @@
     pub finish_micros: u64,
 }
 
-/// A `ReservedTargets` is the targets reserved for requests earlier in the queue.
+/// A `ReservedTargets` is the targets reserved for requests earlier in the
+/// queue.
 ///
 /// Without reservations, small requests of lower tiers would take each bit of
 /// capacity as it is released, and a larger request of a higher tier would
@@ -167,7 +168,7 @@
         if !open {
             continue;
         }
-        if query.placement.long && !leaves_room(now, &candidates, load, tokens) {
+        if query.placement.long && !leaves_capacity(now, &candidates, load, tokens) {
             continue;
         }
         let finish = predict(now, load, query);
@@ -185,7 +186,12 @@
 
 /// Get whether there is still capacity for short requests if a long one is sent
 /// to `load`.
-fn leaves_room(now: Moment, candidates: &[&TargetLoad], load: &TargetLoad, tokens: u64) -> bool {
+fn leaves_capacity(
+    now: Moment,
+    candidates: &[&TargetLoad],
+    load: &TargetLoad,
+    tokens: u64,
+) -> bool {
     if !load.fits_long(now, tokens) {
         return false;
     }
--- a/bergamotswitch-core/src/pool_owner/run_gauge.rs
+++ b/bergamotswitch-core/src/pool_owner/run_time_estimator.rs
@@ -16,14 +16,14 @@
 /// one.
 const IDLE_FRACTION: f64 = 0.4;
 
-/// A `RunGauge` is the estimated run times of a target, from recent completed
-/// runs.
+/// A `RunTimeEstimator` is the estimated run times of a target, from recent
+/// completed runs.
 ///
 /// Targets of one pool may differ several times in speed. Without these
 /// estimates, requests under overload would be dispatched just before their
 /// deadlines, end too late, and waste the processing of their prompts.
 #[derive(Debug, Default)]
-pub struct RunGauge {
+pub struct RunTimeEstimator {
     means: Option<RunMeans>,
     samples: u32,
 }
@@ -51,7 +51,7 @@
     output_fraction: f64,
 }
 
-impl RunGauge {
+impl RunTimeEstimator {
     /// Get whether a run has been recorded.
     pub fn has_run(&self) -> bool {
         self.means.is_some()
@@ -116,12 +116,12 @@
 }
 
 /// Get a duration in milliseconds.
-pub(super) fn millis(span: Duration) -> f64 {
+pub(super) fn as_millis(span: Duration) -> f64 {
     span.as_secs_f64() * 1_000.0
 }
 
 /// Get the duration of this many milliseconds.
-pub(super) fn span_of(millis: f64) -> Duration {
+pub(super) fn from_millis(millis: f64) -> Duration {
     Duration::from_secs_f64(millis / 1_000.0)
 }
 
--- a/bergamotswitch-core/src/pool_owner/slot_dispatch.rs
+++ b/bergamotswitch-core/src/pool_owner/slot_dispatch.rs
@@ -7,12 +7,12 @@
 use crate::request::AttemptId;
 
 use super::OwnerAction;
-use super::dispatch::query_of;
+use super::dispatch::route_query;
 use super::owner::ShardOwner;
 use super::prefix_table::WarmTarget;
 use super::queue::{Placement, QueuedRequest};
 use super::routing::{ReservedTargets, Route};
-use super::run_gauge::millis;
+use super::run_time_estimator::as_millis;
 use super::slot_routing::{RequestTimes, SlotView};
 
 /// The safety factors by which a predicted run time is multiplied before it is
@@ -23,8 +23,8 @@
 const SAFETY_FACTOR_ALONE: f64 = 0.6;
 const SAFETY_FACTOR_CONTENDED: f64 = 1.5;
 
-/// A `SlotStep` is the next request in order with the target chosen for it.
-struct SlotStep {
+/// A `SlotChoice` is the next request in order with the target chosen for it.
+struct SlotChoice {
     attempt: AttemptId,
     route: Route,
     /// Whether the run is predicted to miss its deadline there.
@@ -37,35 +37,35 @@
     pub(super) fn dispatch_slots(&mut self, now: Moment, actions: &mut Vec<OwnerAction>) {
         let mut blocked = BTreeSet::new();
         let mut reserved = ReservedTargets::default();
-        while let Some(step) = self.next_slot(now, &mut blocked, &mut reserved) {
-            let SlotStep {
+        while let Some(choice) = self.next_choice(now, &mut blocked, &mut reserved) {
+            let SlotChoice {
                 attempt,
                 route,
                 late,
                 warm,
-            } = step;
-            self.settle(now, &attempt, &route, late, &warm, actions);
+            } = choice;
+            self.grant_or_refuse(now, &attempt, &route, late, &warm, actions);
         }
     }
 
     /// Get the next request in order for which there is a target. The requests
     /// before it wait, and the targets they wait for are reserved for them.
-    fn next_slot(
+    fn next_choice(
         &self,
         now: Moment,
         blocked: &mut BTreeSet<Arc<Placement>>,
         reserved: &mut ReservedTargets,
-    ) -> Option<SlotStep> {
+    ) -> Option<SlotChoice> {
         let mut view = SlotView::new(now, &self.targets, reserved);
         while !view.is_full() {
             let queued = self.queue.next(blocked)?;
             let warm = self.prefixes.warm(now, &queued.ask.prefixes);
-            let query = query_of(queued, &warm);
-            let times = self.times_of(now, queued);
+            let query = route_query(queued, &warm);
+            let times = self.request_times(now, queued);
             if let Some(route) = view.choose(now, &query, times) {
-                return Some(SlotStep {
+                return Some(SlotChoice {
                     attempt: queued.ask.attempt,
-                    late: self.is_late_at(now, queued, &route, times),
+                    late: self.misses_deadline_at(now, queued, &route, times),
                     route,
                     warm,
                 });
@@ -78,7 +78,7 @@
 
     /// Get whether a run at the chosen target is predicted to miss its
     /// deadline.
-    fn is_late_at(
+    fn misses_deadline_at(
         &self,
         now: Moment,
         queued: &QueuedRequest,
@@ -93,12 +93,12 @@
     }
 
     /// Get the time limits of a queued request.
-    fn times_of(&self, now: Moment, queued: &QueuedRequest) -> RequestTimes {
+    fn request_times(&self, now: Moment, queued: &QueuedRequest) -> RequestTimes {
         // The placement of a late request has no limit either.
         let has_limit = queued.placement.first_token_limit_ms.is_some();
         RequestTimes {
-            first_token_left: has_limit.then(|| millis(queued.plan.first_token_due.since(now))),
-            run_left: millis(queued.plan.run_until.since(now)),
+            first_token_left: has_limit.then(|| as_millis(queued.plan.first_token_due.since(now))),
+            run_left: as_millis(queued.plan.run_until.since(now)),
             safety_factor: match self.queue.len() {
                 0 | 1 => SAFETY_FACTOR_ALONE,
                 _ => SAFETY_FACTOR_CONTENDED,
--- a/bergamotswitch-core/src/pool_owner/slot_limit.rs
+++ b/bergamotswitch-core/src/pool_owner/slot_limit.rs
@@ -5,8 +5,8 @@
 /// The requests that may wait inside the target beyond its batch, as a divisor
 /// of the batch size and as a minimum: a slot that becomes free must be
 /// refilled before the owner is notified.
-const SPARE_PARTS: usize = 16;
-const SPARE_MIN: usize = 1;
+const EXTRA_SLOTS_DIVISOR: usize = 16;
+const EXTRA_SLOTS_MIN: usize = 1;
 
 /// A `SlotLimit` is the number of requests that a target serves concurrently,
 /// as estimated from its load reports.
@@ -25,10 +25,10 @@
     pub fn report(&mut self, report: &LoadReport) {
         let running = report.running as usize;
         match (report.waiting, self.slots) {
-            (0, Some(slots)) if running + SPARE_MIN >= slots => self.slots = Some(slots + 1),
+            (0, Some(slots)) if running + EXTRA_SLOTS_MIN >= slots => self.slots = Some(slots + 1),
             (0, _) => {}
             (_, _) if running == 0 => {}
-            _ => self.slots = Some(running + SPARE_MIN.max(running / SPARE_PARTS)),
+            _ => self.slots = Some(running + EXTRA_SLOTS_MIN.max(running / EXTRA_SLOTS_DIVISOR)),
         }
     }
 
--- a/bergamotswitch-core/src/pool_owner/slot_routing.rs
+++ b/bergamotswitch-core/src/pool_owner/slot_routing.rs
@@ -43,7 +43,7 @@
     }
 
     /// Get whether the first token of a target is predicted to be on time.
-    fn is_timely(&self, load: &TargetLoad, cost: TokenCost) -> bool {
+    fn is_on_time(&self, load: &TargetLoad, cost: TokenCost) -> bool {
         self.first_token_left
             .is_some_and(|left| load.first_ms(cost) <= left)
     }
@@ -111,8 +111,8 @@
                 continue;
             }
             let load = open.load;
-            let timely = times.is_timely(load, query.cost);
-            let rank = (!timely, load.run_ms(query.cost), load.permits());
+            let on_time = times.is_on_time(load, query.cost);
+            let rank = (!on_time, load.run_ms(query.cost), load.permits());
             if best.is_none_or(|(best, _)| rank < best) {
                 best = Some((rank, load));
             }
@@ -142,8 +142,8 @@
             .is_some_and(|left| left > MIN_WAIT_MS);
         if late && can_wait {
             // If an open target met the limit, it would be the best one.
-            let timely = |load: &TargetLoad| load.has_run() && times.is_timely(load, cost);
-            if self.any_usable(query.placement, timely) {
+            let on_time = |load: &TargetLoad| load.has_run() && times.is_on_time(load, cost);
+            if self.any_usable(query.placement, on_time) {
                 return true;
             }
         }
@@ -162,12 +162,12 @@
         let kept = |load: &TargetLoad| match times.first_token_left {
             // Targets that would be too late for the request stay available to
             // others.
-            Some(_) => times.is_timely(load, cost),
+            Some(_) => times.is_on_time(load, cost),
             None => true,
         };
-        let avoids = self.avoids(placement);
+        let excludes_avoided = self.excludes_avoided(placement);
         self.open.retain(|open| {
-            let allowed = may_go(open.load, placement, avoids);
+            let allowed = is_allowed(open.load, placement, excludes_avoided);
             let reserves =
                 allowed && open.admission == ProbeAdmission::Unrestricted && kept(open.load);
             if reserves {
@@ -187,14 +187,14 @@
 
     /// Get the open targets that `placement` allows.
     fn candidates(&self, placement: &Placement) -> impl Iterator<Item = &OpenTarget<'a>> {
-        let avoids = self.avoids(placement);
+        let excludes_avoided = self.excludes_avoided(placement);
         let open = self.open.iter();
-        open.filter(move |open| may_go(open.load, placement, avoids))
+        open.filter(move |open| is_allowed(open.load, placement, excludes_avoided))
     }
 
     /// Get whether the targets to avoid are excluded: they are allowed only if
     /// there is no other one.
-    fn avoids(&self, placement: &Placement) -> bool {
+    fn excludes_avoided(&self, placement: &Placement) -> bool {
         !placement.avoid.is_empty()
             && in_domains(self.targets, placement)
                 .any(|load| !placement.avoid.contains(&load.target().name))
@@ -202,11 +202,12 @@
 
     /// Get whether an allowed target, open or not, meets the condition and
     /// isn't backed off.
-    fn any_usable(&self, placement: &Placement, is_such: impl Fn(&TargetLoad) -> bool) -> bool {
-        let avoids = self.avoids(placement);
+    fn any_usable(&self, placement: &Placement, condition: impl Fn(&TargetLoad) -> bool) -> bool {
+        let excludes_avoided = self.excludes_avoided(placement);
         in_domains(self.targets, placement).any(|load| {
-            let usable = may_go(load, placement, avoids) && !load.back_off().is_active();
-            usable && is_such(load)
+            let usable =
+                is_allowed(load, placement, excludes_avoided) && !load.back_off().is_active();
+            usable && condition(load)
         })
     }
 
@@ -215,9 +216,10 @@
     }
 }
 
-/// Get whether `placement` allows a target; `avoids` says whether targets to
-/// avoid are excluded.
-fn may_go(load: &TargetLoad, placement: &Placement, avoids: bool) -> bool {
+/// Get whether `placement` allows a target; `excludes_avoided` says whether
+/// targets to avoid are excluded.
+fn is_allowed(load: &TargetLoad, placement: &Placement, excludes_avoided: bool) -> bool {
     let target = load.target();
-    placement.allows(&target.domain) && !(avoids && placement.avoid.contains(&target.name))
+    placement.allows(&target.domain)
+        && !(excludes_avoided && placement.avoid.contains(&target.name))
 }
--- a/bergamotswitch-core/src/pool_owner/speed_gauge.rs
+++ b/bergamotswitch-core/src/pool_owner/speed_estimator.rs
@@ -20,7 +20,7 @@
 
 /// The index of the request, by predicted end, that is checked for slowdown.
 /// The first ones may be overdue because of a lost release or a wrong estimate.
-const TELLING_WORK: usize = 2;
+const SLOWDOWN_CHECK_INDEX: usize = 2;
 
 /// The multiple of its predicted time after which a request counts as overdue.
 const OVERDUE_TOLERANCE: f64 = 2.0;
@@ -29,9 +29,9 @@
 /// delays on a busy host.
 const OVERDUE_FLOOR: Duration = Duration::from_millis(200);
 
-/// A `DueWork` is the predicted end of a request under a permit.
+/// An `ExpectedEnd` is the predicted end of a request under a permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct DueWork {
+pub struct ExpectedEnd {
     /// When the request is predicted to end.
     pub finish_at: Moment,
     /// When the permit was granted.
@@ -40,33 +40,33 @@
     pub permit: PermitId,
 }
 
-/// A `SpeedGauge` is the estimated speed of a target.
+/// A `SpeedEstimator` is the estimated speed of a target.
 #[derive(Debug)]
-pub struct SpeedGauge {
-    expected: f64,
+pub struct SpeedEstimator {
+    published: f64,
     speed: f64,
     measured_at: Option<Moment>,
-    due: BTreeSet<DueWork>,
+    expected_ends: BTreeSet<ExpectedEnd>,
 }
 
-impl SpeedGauge {
+impl SpeedEstimator {
     /// Get the estimator of a target with this published speed in tokens per
     /// second.
-    pub fn new(expected: u32) -> Self {
-        let expected = f64::from(expected.max(1));
-        SpeedGauge {
-            expected,
-            speed: expected,
+    pub fn new(published: u32) -> Self {
+        let published = f64::from(published.max(1));
+        SpeedEstimator {
+            published,
+            speed: published,
             measured_at: None,
-            due: BTreeSet::new(),
+            expected_ends: BTreeSet::new(),
         }
     }
 
     /// Set the published speed.
-    pub fn publish(&mut self, expected: u32) {
-        self.expected = f64::from(expected.max(1));
+    pub fn publish(&mut self, published: u32) {
+        self.published = f64::from(published.max(1));
         if self.measured_at.is_none() {
-            self.speed = self.expected;
+            self.speed = self.published;
         }
     }
 
@@ -76,13 +76,13 @@
     }
 
     /// Add a request that is expected to end.
-    pub fn expect(&mut self, work: DueWork) {
-        self.due.insert(work);
+    pub fn add_expected_end(&mut self, work: ExpectedEnd) {
+        self.expected_ends.insert(work);
     }
 
     /// Remove a request that is no longer expected to end.
-    pub fn expect_no_more(&mut self, work: &DueWork) {
-        self.due.remove(work);
+    pub fn remove_expected_end(&mut self, work: &ExpectedEnd) {
+        self.expected_ends.remove(work);
     }
 
     /// Get the factor, at most 1, by which overdue requests reduce the measured
@@ -91,8 +91,8 @@
     /// A stalled engine completes nothing and so gives no samples: without this
     /// factor it would keep its speed and its limit, and get more requests.
     pub fn slowdown(&self, now: Moment) -> f64 {
-        let index = TELLING_WORK.min(self.due.len().saturating_sub(1));
-        let Some(work) = self.due.iter().nth(index) else {
+        let index = SLOWDOWN_CHECK_INDEX.min(self.expected_ends.len().saturating_sub(1));
+        let Some(work) = self.expected_ends.iter().nth(index) else {
             return 1.0;
         };
         let age = now.since(work.granted_at).as_secs_f64();
@@ -112,15 +112,15 @@
         // Only a published speed above the measured one is approached: a good
         // measurement stays valid, and a wrong published value must not
         // override it.
-        if self.expected <= self.speed {
+        if self.published <= self.speed {
             return self.speed;
         }
-        let trust = fade(now.since(measured_at), SPEED_HALF_LIFE);
-        blend(self.expected, self.speed, trust)
+        let trust = decay(now.since(measured_at), SPEED_HALF_LIFE);
+        blend(self.published, self.speed, trust)
     }
 
     /// Record a sample: `tokens` were processed in `span`.
-    pub fn measure(&mut self, now: Moment, tokens: f64, span: Duration) {
+    pub fn record(&mut self, now: Moment, tokens: f64, span: Duration) {
         let sample = (tokens / span.as_secs_f64()).max(1.0);
         let weight = match self.measured_at {
             Some(_) => SAMPLE_WEIGHT,
@@ -138,7 +138,7 @@
 }
 
 /// Get the weight that is left after `age`, from 1 downwards.
-pub(super) fn fade(age: Duration, half_life: Duration) -> f64 {
+pub(super) fn decay(age: Duration, half_life: Duration) -> f64 {
     let halves = age.as_secs_f64() / half_life.as_secs_f64();
     (-halves).exp2()
 }
--- a/bergamotswitch-core/src/pool_owner/target_change.rs
+++ b/bergamotswitch-core/src/pool_owner/target_change.rs
@@ -27,7 +27,7 @@
             load.start_draining();
         }
         for target in published {
-            self.forget_former_run(now, &target);
+            self.discard_previous_run(now, &target);
             match self.targets.get_mut(&target.name) {
                 Some(load) => load.publish(target),
                 None => self.add_target(now, target),
@@ -35,7 +35,7 @@
         }
         self.targets
             .retain(|_, load| !load.is_draining() || load.permits() > 0);
-        self.refuse_stranded(actions);
+        self.refuse_unplaceable(actions);
     }
 
     /// Discard the state of a target's previous process if the target has
@@ -44,19 +44,19 @@
     /// would stay occupied until their deadlines, and the backoff would apply
     /// to a process that never failed. The requests stay with their entry
     /// hosts, which only know that they may have run.
-    fn forget_former_run(&mut self, now: Moment, target: &PoolTarget) {
+    fn discard_previous_run(&mut self, now: Moment, target: &PoolTarget) {
         let known = self.targets.get(&target.name);
         let known = known.and_then(|load| load.target().started_at_ms);
         if !is_later(target.started_at_ms, known) {
             return;
         }
         self.targets.remove(&target.name);
-        for permit in self.permits.take_all_of(&target.name) {
+        for permit in self.permits.remove_target(&target.name) {
             if let Some(claim) = &permit.claim {
                 self.keys.hold(now, claim);
             }
         }
-        self.prefixes.forget_target(&target.name);
+        self.prefixes.remove_target(&target.name);
     }
 
     /// Add a target with the in-flight requests that are known to be there
@@ -72,18 +72,18 @@
     }
 
     /// Refuse the queued requests for which no target is left.
-    fn refuse_stranded(&mut self, actions: &mut Vec<OwnerAction>) {
+    fn refuse_unplaceable(&mut self, actions: &mut Vec<OwnerAction>) {
         let placements = self.queue.placements();
-        let stranded: Vec<Arc<Placement>> = placements
+        let unplaceable: Vec<Arc<Placement>> = placements
             .filter(|placement| allowed(&self.targets, placement).is_empty())
             .cloned()
             .collect();
-        if stranded.is_empty() {
+        if unplaceable.is_empty() {
             return;
         }
         let attempts = self
             .queue
-            .find(|queued| stranded.contains(&queued.placement));
+            .find(|queued| unplaceable.contains(&queued.placement));
         for attempt in attempts {
             self.refuse_queued(&attempt, RefusalReason::NoTarget, NO_TARGET_RETRY, actions);
         }
--- a/bergamotswitch-core/src/pool_owner/target_load.rs
+++ b/bergamotswitch-core/src/pool_owner/target_load.rs
@@ -10,9 +10,9 @@
 
 use super::back_off::BackOff;
 use super::load_history::LoadHistory;
-use super::run_gauge::{RunGauge, RunSample};
+use super::run_time_estimator::{RunSample, RunTimeEstimator};
 use super::slot_limit::SlotLimit;
-use super::speed_gauge::{DueWork, SpeedGauge};
+use super::speed_estimator::{ExpectedEnd, SpeedEstimator};
 use super::token_limit::TokenLimit;
 
 /// How long a target gets no requests after it refused one as full; otherwise
@@ -20,14 +20,14 @@
 const FULL_PAUSE: Duration = Duration::from_millis(100);
 
 /// The percentage of a target's limit that long requests may use.
-const LONG_PERCENT: u64 = 75;
+const MAX_LONG_PERCENT: u64 = 75;
 
 /// The weight of a new sample of the savings by a warm prefix.
-const HINT_WEIGHT: f64 = 0.5;
+const CACHE_HIT_WEIGHT: f64 = 0.5;
 
 /// The minimum confidence in warm-prefix hints: some engines don't report
 /// cached tokens, and there a hint is still better than none.
-const CACHE_TRUST_MIN: f64 = 0.25;
+const MIN_CACHE_HIT_RATIO: f64 = 0.25;
 
 /// The time from the release of a slot to the arrival of the next request, in
 /// milliseconds. Requests for this much of a target's work may wait there
@@ -37,7 +37,7 @@
 const REFILL_MS: f64 = 6.0;
 
 /// The run time assumed without samples, that of plain calls, in milliseconds.
-const UNKNOWN_RUN_MS: f64 = 30.0;
+const DEFAULT_RUN_MS: f64 = 30.0;
 
 /// A `TargetLoad` is the state of one target as seen by an owner.
 #[derive(Debug)]
@@ -49,8 +49,8 @@
     permits: usize,
     limit: TokenLimit,
     slots: SlotLimit,
-    runs: RunGauge,
-    gauge: SpeedGauge,
+    run_times: RunTimeEstimator,
+    speed_estimator: SpeedEstimator,
     full_until: Moment,
     cache_trust: f64,
     history: LoadHistory,
@@ -71,8 +71,8 @@
             permits: 0,
             limit: TokenLimit::new(target.token_limit),
             slots: SlotLimit::default(),
-            runs: RunGauge::default(),
-            gauge: SpeedGauge::new(target.expected_speed),
+            run_times: RunTimeEstimator::default(),
+            speed_estimator: SpeedEstimator::new(target.expected_speed),
             full_until: Moment::START,
             cache_trust: 1.0,
             history: LoadHistory::default(),
@@ -106,7 +106,7 @@
     /// Get the token limit now in force. It falls with the square of the
     /// slowdown, since requests sent to a stalled engine are stuck there.
     pub fn limit(&self, now: Moment) -> u64 {
-        let slowdown = self.gauge.slowdown(now);
+        let slowdown = self.speed_estimator.slowdown(now);
         (self.limit.tokens() as f64 * slowdown * slowdown) as u64
     }
 
@@ -125,7 +125,7 @@
         if target.token_limit != self.target.token_limit {
             self.limit = TokenLimit::new(target.token_limit);
         }
-        self.gauge.publish(target.expected_speed);
+        self.speed_estimator.publish(target.expected_speed);
         self.target = target;
         self.extra_slots = self.compute_extra_slots();
         self.draining = false;
@@ -137,13 +137,13 @@
     }
 
     /// Add a request that is expected to end.
-    pub fn expect(&mut self, work: DueWork) {
-        self.gauge.expect(work);
+    pub fn add_expected_end(&mut self, work: ExpectedEnd) {
+        self.speed_estimator.add_expected_end(work);
     }
 
     /// Remove a request that is no longer expected to end.
-    pub fn expect_no_more(&mut self, work: &DueWork) {
-        self.gauge.expect_no_more(work);
+    pub fn remove_expected_end(&mut self, work: &ExpectedEnd) {
+        self.speed_estimator.remove_expected_end(work);
     }
 
     /// Get the tokens that the target processes until a request of `tokens`,
@@ -156,13 +156,13 @@
 
     /// Get the predicted speed in tokens per second.
     pub fn speed(&self, now: Moment) -> f64 {
-        self.gauge.speed(now)
+        self.speed_estimator.speed(now)
     }
 
     /// Get the tokens predicted to be queued or running at the target before a
     /// new request.
     pub fn backlog(&self, now: Moment) -> u64 {
-        self.outstanding + self.history.excess(now)
+        self.outstanding + self.history.foreign_tokens(now)
     }
 
     /// Get whether a request fits. An idle target accepts any single request;
@@ -201,9 +201,9 @@
         let Some(slots) = self.target.slots else {
             return 0;
         };
-        let run_ms = match self.runs.mean_run_ms() {
+        let run_ms = match self.run_times.mean_run_ms() {
             Some(run_ms) => run_ms.max(REFILL_MS),
-            None if self.target.token_limit == u32::MAX => UNKNOWN_RUN_MS,
+            None if self.target.token_limit == u32::MAX => DEFAULT_RUN_MS,
             None => return 0,
         };
         let waiting = f64::from(slots) * REFILL_MS / run_ms;
@@ -219,7 +219,7 @@
             Some(_) => u64::from(self.target.token_limit),
             None => self.limit(now),
         };
-        let bound = limit * LONG_PERCENT / 100;
+        let bound = limit * MAX_LONG_PERCENT / 100;
         self.long_outstanding + tokens <= bound
     }
 
@@ -235,7 +235,7 @@
         if long {
             self.long_outstanding += tokens;
         }
-        self.history.note(now, self.outstanding);
+        self.history.record(now, self.outstanding);
     }
 
     /// Remove a permit from the counts.
@@ -245,7 +245,7 @@
         if long {
             self.long_outstanding = self.long_outstanding.saturating_sub(tokens);
         }
-        self.history.note(now, self.outstanding);
+        self.history.record(now, self.outstanding);
     }
 
     /// Apply a load report.
@@ -267,13 +267,13 @@
         // actual cost.
         let share = (done as f64 / cost.total().max(1) as f64).min(1.0);
         let span = Duration::from_millis(u64::from(usage.elapsed_ms));
-        self.gauge.measure(now, ahead as f64 * share, span);
+        self.speed_estimator.record(now, ahead as f64 * share, span);
         self.limit.adapt(usage, done);
     }
 
     /// Record the run time of a completed request.
     pub fn record_run(&mut self, sample: &RunSample<'_>) {
-        self.runs.record(sample);
+        self.run_times.record(sample);
         self.extra_slots = self.compute_extra_slots();
     }
 
@@ -286,12 +286,12 @@
     /// Get the predicted time to first token of one more request, in
     /// milliseconds.
     pub fn first_ms(&self, cost: TokenCost) -> f64 {
-        self.runs.first_ms(cost, self.utilization())
+        self.run_times.first_ms(cost, self.utilization())
     }
 
     /// Get the predicted release rate of the target's permits, per second.
     pub fn release_rate(&self) -> f64 {
-        match self.runs.mean_run_ms() {
+        match self.run_times.mean_run_ms() {
             Some(run_ms) if run_ms > 0.0 => self.permits as f64 * 1_000.0 / run_ms,
             Some(_) | None => 0.0,
         }
@@ -299,7 +299,7 @@
 
     /// Get whether a run has been completed on the target.
     pub fn has_run(&self) -> bool {
-        self.runs.has_run()
+        self.run_times.has_run()
     }
 
     /// Get whether one more request may be sent; without a completed run,
@@ -310,7 +310,7 @@
 
     /// Get the predicted run time of a request of `cost`, in milliseconds.
     pub fn run_ms(&self, cost: TokenCost) -> f64 {
-        self.runs.expected_ms(cost)
+        self.run_times.expected_ms(cost)
     }
 
     /// Get whether there are outstanding requests, from this owner or others,
@@ -333,8 +333,8 @@
             return;
         }
         let seen = (f64::from(cached) / expected as f64).min(1.0);
-        let trust = self.cache_trust * (1.0 - HINT_WEIGHT) + seen * HINT_WEIGHT;
-        self.cache_trust = trust.max(CACHE_TRUST_MIN);
+        let ratio = self.cache_trust * (1.0 - CACHE_HIT_WEIGHT) + seen * CACHE_HIT_WEIGHT;
+        self.cache_trust = ratio.max(MIN_CACHE_HIT_RATIO);
     }
 
     /// Send the target nothing for a short time after a refusal.
--- a/bergamotswitch-core/src/pool_owner/tier_floor.rs
+++ b/bergamotswitch-core/src/pool_owner/tier_floor.rs
@@ -20,36 +20,41 @@
 const FLOOR_PERCENT: f64 = 40.0;
 
 /// The minimum number of requests for a service ratio to be significant.
-const MIN_ASKS: f64 = 8.0;
+const MIN_REQUESTS: f64 = 8.0;
 
-/// A `TierPlace` is a tier's position in the order in which slots are assigned.
+/// A `TierPosition` is a tier's position in the order in which slots are
+/// assigned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum TierPlace {
+pub(super) enum TierPosition {
     /// No higher tier has had a significant number of requests recently.
     Top,
     /// The tier is below its guaranteed service ratio.
-    Owed,
+    BelowFloor,
     /// The tier is served by its rank.
-    InOrder,
+    ByRank,
 }
 
-impl TierPlace {
+impl TierPosition {
     /// The order in which slots are assigned; tiers of the same position are
     /// served by rank.
-    pub(super) const ORDER: [TierPlace; 3] = [TierPlace::Top, TierPlace::Owed, TierPlace::InOrder];
+    pub(super) const ORDER: [TierPosition; 3] = [
+        TierPosition::Top,
+        TierPosition::BelowFloor,
+        TierPosition::ByRank,
+    ];
 }
 
 /// A `TierShare` is the recent requests of a tier and how many of them were
 /// served, both decaying.
 #[derive(Clone, Copy, Debug, Default)]
 struct TierShare {
-    asked: f64,
+    requested: f64,
     served: f64,
 }
 
 impl TierShare {
-    fn served_part(&self) -> f64 {
-        self.served / self.asked.max(1.0)
+    fn served_fraction(&self) -> f64 {
+        self.served / self.requested.max(1.0)
     }
 }
 
@@ -57,44 +62,44 @@
 #[derive(Debug, Default)]
 pub(super) struct TierFloor {
     tiers: BTreeMap<Tier, TierShare>,
-    aged_at: Moment,
+    decayed_at: Moment,
 }
 
 impl TierFloor {
     /// Count a request as served or refused.
-    pub(super) fn note(&mut self, now: Moment, tier: Tier, served: bool) {
-        self.age(now);
+    pub(super) fn record(&mut self, now: Moment, tier: Tier, served: bool) {
+        self.decay(now);
         let share = self.tiers.entry(tier).or_default();
-        share.asked += 1.0;
+        share.requested += 1.0;
         share.served += f64::from(u8::from(served));
     }
 
     /// Get the position of a tier.
-    pub(super) fn place(&self, tier: Tier) -> TierPlace {
+    pub(super) fn position(&self, tier: Tier) -> TierPosition {
         let above = self.tiers.range(..tier).rev();
-        let mut above = above.filter(|(_, share)| share.asked >= MIN_ASKS);
+        let mut above = above.filter(|(_, share)| share.requested >= MIN_REQUESTS);
         let Some((_, next)) = above.next() else {
-            return TierPlace::Top;
+            return TierPosition::Top;
         };
         // The top tier has absolute priority: nothing is taken from it.
         let next_is_top = above.next().is_none();
         let own = self.tiers.get(&tier).copied().unwrap_or_default();
-        let has_less = own.served_part() * 100.0 < next.served_part() * FLOOR_PERCENT;
+        let has_less = own.served_fraction() * 100.0 < next.served_fraction() * FLOOR_PERCENT;
         match !next_is_top && has_less {
-            true => TierPlace::Owed,
-            false => TierPlace::InOrder,
+            true => TierPosition::BelowFloor,
+            false => TierPosition::ByRank,
         }
     }
 
-    fn age(&mut self, now: Moment) {
-        let span = now.since(self.aged_at);
+    fn decay(&mut self, now: Moment) {
+        let span = now.since(self.decayed_at);
         if span < HALF_LIFE / 16 {
             return;
         }
-        self.aged_at = now;
+        self.decayed_at = now;
         let weight = 0.5_f64.powf(span.as_secs_f64() / HALF_LIFE.as_secs_f64());
         for share in self.tiers.values_mut() {
-            share.asked *= weight;
+            share.requested *= weight;
             share.served *= weight;
         }
     }
--- a/bergamotswitch-core/src/pool_owner/token_limit.rs
+++ b/bergamotswitch-core/src/pool_owner/token_limit.rs
@@ -4,29 +4,29 @@
 
 /// The multiple of the target's best time per token above which the limit is
 /// reduced. Batching alone accounts for a factor of up to about two.
-const PACE_TOLERANCE: f64 = 2.5;
+const SLOWDOWN_TOLERANCE: f64 = 2.5;
 
 /// The factor by which the best time per token grows with each sample, so that
 /// a target that has become permanently slower gets its limit back.
-const BEST_DRIFT: f64 = 1.02;
+const BEST_GROWTH: f64 = 1.02;
 
 /// The factor by which the limit is reduced.
-const SHRINK: f64 = 0.8;
+const SHRINK_FACTOR: f64 = 0.8;
 
 /// The increase of the limit with each good sample: a fraction of the limit, as
 /// a divisor, plus a number of tokens.
-const GROWTH_PARTS: u64 = 8;
+const GROWTH_DIVISOR: u64 = 8;
 const GROWTH_TOKENS: u64 = 16;
 
 /// The minimum limit as a fraction of the configured one, as a divisor.
-const FLOOR_PARTS: u64 = 16;
+const FLOOR_DIVISOR: u64 = 16;
 
 /// The number of output tokens above which a response gives a time per token.
-const PACE_TOKENS: u32 = 4;
+const MIN_OUTPUT_TOKENS: u32 = 4;
 
 /// The maximum number of tokens of a plain call, for which the whole run time
 /// is used.
-const CALL_TOKENS: u64 = 8;
+const MAX_CALL_TOKENS: u64 = 8;
 
 /// A `TokenLimit` is the number of tokens that a target may hold, adapted by
 /// comparing its time per token with its own best.
@@ -34,7 +34,7 @@
 pub struct TokenLimit {
     ceiling: u64,
     tokens: u64,
-    best_pace: Option<f64>,
+    best_token_ms: Option<f64>,
 }
 
 impl TokenLimit {
@@ -43,7 +43,7 @@
         TokenLimit {
             ceiling: u64::from(ceiling),
             tokens: u64::from(ceiling),
-            best_pace: None,
+            best_token_ms: None,
         }
     }
 
@@ -60,25 +60,25 @@
 
     /// Adapt the limit to the usage of a completed request.
     pub fn adapt(&mut self, usage: &Usage, done: u64) {
-        let Some(pace) = pace_of(usage, done) else {
+        let Some(token_ms) = token_ms_of(usage, done) else {
             return;
         };
-        let best = match self.best_pace {
-            Some(best) => (best * BEST_DRIFT).min(pace),
-            None => pace,
+        let best = match self.best_token_ms {
+            Some(best) => (best * BEST_GROWTH).min(token_ms),
+            None => token_ms,
         };
-        self.best_pace = Some(best);
-        if pace > best * PACE_TOLERANCE {
+        self.best_token_ms = Some(best);
+        if token_ms > best * SLOWDOWN_TOLERANCE {
             self.shrink();
             return;
         }
-        let step = self.tokens / GROWTH_PARTS + GROWTH_TOKENS;
+        let step = self.tokens / GROWTH_DIVISOR + GROWTH_TOKENS;
         self.tokens = (self.tokens + step).min(self.ceiling);
     }
 
     fn shrink(&mut self) {
-        let lower = (self.tokens as f64 * SHRINK) as u64;
-        let floor = self.ceiling / FLOOR_PARTS;
+        let lower = (self.tokens as f64 * SHRINK_FACTOR) as u64;
+        let floor = self.ceiling / FLOOR_DIVISOR;
         self.tokens = lower.max(floor.min(self.tokens));
     }
 }
@@ -90,12 +90,12 @@
 /// processing, which takes much less time per token. Counted as a sample it
 /// would become the best time, ordinary responses would look slow, and the
 /// limit of a healthy target would fall to its minimum.
-fn pace_of(usage: &Usage, done: u64) -> Option<f64> {
+fn token_ms_of(usage: &Usage, done: u64) -> Option<f64> {
     let decoding = usage.elapsed_ms.saturating_sub(usage.first_token_ms);
-    if usage.decode > PACE_TOKENS && decoding > 0 {
+    if usage.decode > MIN_OUTPUT_TOKENS && decoding > 0 {
         return Some(f64::from(decoding) / f64::from(usage.decode - 1));
     }
-    match done <= CALL_TOKENS {
+    match done <= MAX_CALL_TOKENS {
         true => Some(f64::from(usage.elapsed_ms) / done.max(1) as f64),
         false => None,
     }
