--- a/bergamotswitch-core/src/pool_owner/routing.rs
+++ b/bergamotswitch-core/src/pool_owner/routing.rs
@@ -133,7 +133,7 @@
         Some(warm) if query.blocks > 0 => {
             let blocks = warm.blocks.min(query.blocks) as u64;
             let warm = u64::from(query.cost.prefill) * blocks / query.blocks as u64;
-            (warm as f64 * load.cache_trust()) as u64
+            (warm as f64 * load.cache_hit_ratio()) as u64
         }
         _ => 0,
     };
--- a/bergamotswitch-core/src/pool_owner/target_load.rs
+++ b/bergamotswitch-core/src/pool_owner/target_load.rs
@@ -52,7 +52,7 @@
     run_times: RunTimeEstimator,
     speed_estimator: SpeedEstimator,
     full_until: Moment,
-    cache_trust: f64,
+    cache_hit_ratio: f64,
     history: LoadHistory,
     back_off: BackOff,
     /// The number of requests that may wait at the target beyond its batch;
@@ -74,7 +74,7 @@
             run_times: RunTimeEstimator::default(),
             speed_estimator: SpeedEstimator::new(target.expected_speed),
             full_until: Moment::START,
-            cache_trust: 1.0,
+            cache_hit_ratio: 1.0,
             history: LoadHistory::default(),
             back_off,
             target,
@@ -321,8 +321,8 @@
 
     /// Get the fraction of a warm prefix's expected savings that this target
     /// actually gives.
-    pub fn cache_trust(&self) -> f64 {
-        self.cache_trust
+    pub fn cache_hit_ratio(&self) -> f64 {
+        self.cache_hit_ratio
     }
 
     /// Update the confidence in warm-prefix hints from the expected and the
@@ -333,8 +333,8 @@
             return;
         }
         let seen = (f64::from(cached) / expected as f64).min(1.0);
-        let ratio = self.cache_trust * (1.0 - CACHE_HIT_WEIGHT) + seen * CACHE_HIT_WEIGHT;
-        self.cache_trust = ratio.max(MIN_CACHE_HIT_RATIO);
+        let ratio = self.cache_hit_ratio * (1.0 - CACHE_HIT_WEIGHT) + seen * CACHE_HIT_WEIGHT;
+        self.cache_hit_ratio = ratio.max(MIN_CACHE_HIT_RATIO);
     }
 
     /// Send the target nothing for a short time after a refusal.
--- a/bergamotswitch-core/tests/queue_differential.rs
+++ b/bergamotswitch-core/tests/queue_differential.rs
@@ -316,7 +316,7 @@
         for warm in query.warm {
             if warm.target == load.target().name {
                 let warm = u64::from(query.cost.prefill) * warm.blocks as u64 / query.blocks as u64;
-                own -= (warm as f64 * load.cache_trust()).floor() as u64;
+                own -= (warm as f64 * load.cache_hit_ratio()).floor() as u64;
             }
         }
         let micros = ((load.backlog(now) + own) as f64 * 1e6 / load.speed(now)).floor();
