--- a/bergamotswitch-core/src/pool_owner/attached_hosts.rs
+++ b/bergamotswitch-core/src/pool_owner/attached_hosts.rs
@@ -87,8 +87,8 @@
         self.hosts.is_empty()
     }
 
-    /// Count all hosts at once: the previous owner stops or doesn't respond, so
-    /// all of them use this one.
+    /// Count all hosts as users of this owner at once: the previous owner stops
+    /// or doesn't respond, so all of them use this one.
     pub(super) fn attach_all(&mut self) {
         self.detached.clear();
         self.update_first_expiry();
--- a/bergamotswitch-core/src/pool_owner/back_off.rs
+++ b/bergamotswitch-core/src/pool_owner/back_off.rs
@@ -65,8 +65,8 @@
     /// Get when the next probe is due; `None` if the target works or a probe is
     /// running.
     pub fn probe_at(&self) -> Option<Moment> {
-        let waits = self.since.is_some() && self.probe.is_none();
-        waits.then_some(self.probe_at)
+        let is_waiting = self.since.is_some() && self.probe.is_none();
+        is_waiting.then_some(self.probe_at)
     }
 
     /// Get which requests may be sent to the target.
@@ -77,8 +77,8 @@
         if self.probe.is_some() || now < self.probe_at {
             return ProbeAdmission::Blocked;
         }
-        let eligible_only = self.interval * ANY_PROBE_INTERVALS;
-        match now.since(self.probe_at) >= eligible_only {
+        let eligible_only_time = self.interval * ANY_PROBE_INTERVALS;
+        match now.since(self.probe_at) >= eligible_only_time {
             true => ProbeAdmission::AnyProbe,
             false => ProbeAdmission::EligibleProbe,
         }
--- a/bergamotswitch-core/src/pool_owner/dispatch.rs
+++ b/bergamotswitch-core/src/pool_owner/dispatch.rs
@@ -206,7 +206,7 @@
         load.back_off_mut().start_probe(id);
         let utilization = load.utilization();
         load.add_permit(now, tokens, queued.placement.long);
-        let tokens_ahead = load.ahead_of(now, tokens);
+        let tokens_ahead = load.tokens_ahead_of(now, tokens);
         let warm_blocks = warm.iter().find(|warm| warm.target == route.target);
         let warm_blocks = warm_blocks.map_or(0, |warm| warm.blocks);
         for prefix in &ask.prefixes {
@@ -310,8 +310,8 @@
             return false;
         }
         let others = self.queue.tokens() - queued.ask.cost.total();
-        let useful = queued.plan.give_up_at.since(now).mul_f64(DRAIN_TOLERANCE);
-        if others as f64 / speed <= useful.as_secs_f64() {
+        let max_drain = queued.plan.give_up_at.since(now).mul_f64(DRAIN_TOLERANCE);
+        if others as f64 / speed <= max_drain.as_secs_f64() {
             return false;
         }
         let retry_after = self.drain_time(now, tier);
@@ -325,8 +325,8 @@
     /// unless all targets publish their slots.
     fn predicted_slot_wait(&self, now: Moment, tier: Tier) -> Option<Duration> {
         // Without a completed run on each target the release rate is unknown.
-        let known = self.targets.values().all(TargetLoad::has_run);
-        if !self.has_slots() || !known {
+        let all_measured = self.targets.values().all(TargetLoad::has_run);
+        if !self.has_slots() || !all_measured {
             return None;
         }
         let ahead = self.queue.requests_through(tier);
--- a/bergamotswitch-core/src/pool_owner/fair_queue.rs
+++ b/bergamotswitch-core/src/pool_owner/fair_queue.rs
@@ -87,7 +87,7 @@
         self.tokens
     }
 
-    pub(super) fn asks(&self) -> usize {
+    pub(super) fn requests(&self) -> usize {
         self.by_deadline.len()
     }
 
@@ -103,11 +103,11 @@
             // unused service isn't credited, since it would let the account
             // starve others later.
             account.start = account.start.max(self.virtual_time);
-            let place = (account.start, entry.account.clone());
-            self.by_start.insert(place);
+            let key = (account.start, entry.account.clone());
+            self.by_start.insert(key);
         } else {
-            let place = (account.queued_per_share(), entry.account.clone());
-            self.by_queued_per_share.remove(&place);
+            let key = (account.queued_per_share(), entry.account.clone());
+            self.by_queued_per_share.remove(&key);
         }
         account.share = entry.share.max(1);
         account.tokens += entry.tokens;
--- a/bergamotswitch-core/src/pool_owner/key_table.rs
+++ b/bergamotswitch-core/src/pool_owner/key_table.rs
@@ -112,7 +112,7 @@
     }
 
     /// Record a claim whose holder itself reports that it runs the request or
-    /// keeps its answer; get whether another run held the key until now. The
+    /// retains it; get whether another run held the key until now. The
     /// permit of that other run may have been unusable without the table being
     /// notified; if its entry stayed, the request's next copy could run a
     /// second time.
--- a/bergamotswitch-core/src/pool_owner/permit_table.rs
+++ b/bergamotswitch-core/src/pool_owner/permit_table.rs
@@ -48,7 +48,7 @@
     pub utilization: f64,
     /// When the request is predicted to end.
     pub finish_at: Moment,
-    /// When the holder was last told to stop the stream.
+    /// When the holder was last asked to stop the stream.
     pub preempted_at: Option<Moment>,
     /// When the holder is next asked whether it still holds the permit.
     pub audit_at: Moment,
@@ -166,7 +166,7 @@
         ids.iter().filter_map(|id| self.remove(id)).collect()
     }
 
-    /// Record that a permit's holder was told to stop the stream.
+    /// Record that a permit's holder was asked to stop the stream.
     pub fn mark_preempted(&mut self, id: &PermitId, now: Moment) {
         if let Some(permit) = self.permits.get_mut(id) {
             permit.preempted_at = Some(now);
--- a/bergamotswitch-core/src/pool_owner/preemption.rs
+++ b/bergamotswitch-core/src/pool_owner/preemption.rs
@@ -23,7 +23,7 @@
 /// second.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long a holder has to stop a stream before it is told again.
+/// How long a holder has to stop a stream before it is asked again.
 const STOP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The fraction of its age, as a divisor, for which overdue work is predicted
@@ -33,24 +33,24 @@
 impl ShardOwner {
     /// Preempt streams for top-tier requests at risk, a few at a time.
     pub(super) fn preempt(&mut self, now: Moment, actions: &mut Vec<OwnerAction>) {
-        let waits = self.queue.by_deadline(TOP_TIER).next().is_some();
+        let is_waiting = self.queue.by_deadline(TOP_TIER).next().is_some();
         // A check iterates over all permits for each target; it is skipped if
         // no stream may be preempted, since it would take noticeable processor
         // time in a burst.
         let stoppable = self.permits.preemptible_count() > 0;
-        if !waits || !stoppable || now < self.preempt_check_at {
+        if !is_waiting || !stoppable || now < self.preempt_check_at {
             return;
         }
         self.preempt_check_at = now.plus(CHECK_INTERVAL);
-        let most = self.opts.max_preemptions;
+        let max = self.opts.max_preemptions;
         let mut victims: Vec<PermitId> = Vec::new();
         let pending = self.permits.iter().filter(|permit| is_pending(now, permit));
         // Each stream that is being stopped already frees a slot for one
         // request.
-        let helped = pending.count();
-        let first = self.queue.by_deadline(TOP_TIER).take(most);
+        let stopping = pending.count();
+        let first = self.queue.by_deadline(TOP_TIER).take(max);
         let at_risk = first.filter(|queued| self.is_at_risk(now, queued));
-        for queued in at_risk.skip(helped) {
+        for queued in at_risk.skip(stopping) {
             if let Some(victim) = self.victim(now, queued, &victims) {
                 victims.push(victim);
             }
@@ -78,7 +78,7 @@
     fn is_at_risk(&self, now: Moment, queued: &QueuedRequest) -> bool {
         let tokens = queued.ask.cost.total();
         let left = queued.plan.run_until.since(now);
-        let mut helps = false;
+        let mut feasible = false;
         let targets = allowed(&self.targets, &queued.placement);
         let working = targets
             .into_iter()
@@ -88,12 +88,12 @@
             if run > left {
                 continue;
             }
-            helps = true;
+            feasible = true;
             if self.time_until_fits(now, load, tokens) + run <= left {
                 return false;
             }
         }
-        helps
+        feasible
     }
 
     /// Get the predicted time until a request of `tokens` fits a target.
@@ -104,8 +104,8 @@
             return Duration::ZERO;
         }
         let name = &load.target().name;
-        let there = self.permits.iter().filter(|permit| permit.target == *name);
-        let mut ends: Vec<(Duration, u64)> = there
+        let held = self.permits.iter().filter(|permit| permit.target == *name);
+        let mut ends: Vec<(Duration, u64)> = held
             .map(|permit| (time_left(now, permit), permit.cost.total()))
             .collect();
         ends.sort();
@@ -133,8 +133,8 @@
             stoppable && free
         });
         let ranked = usable.filter_map(|permit| {
-            let mut places = targets.iter();
-            let load = places.find(|load| load.target().name == permit.target)?;
+            let mut loads = targets.iter();
+            let load = loads.find(|load| load.target().name == permit.target)?;
             let after = load.backlog(now).saturating_sub(permit.cost.total());
             let enough = load.permits() == 1 || after + tokens <= load.limit(now);
             let lost = work_done(now, permit);
@@ -147,14 +147,14 @@
 /// Get the predicted run time of `tokens` at a target beside the streams that
 /// run there.
 fn run_time(now: Moment, load: &TargetLoad, tokens: u64) -> Duration {
-    let tokens_ahead = load.ahead_of(now, tokens).max(tokens);
+    let tokens_ahead = load.tokens_ahead_of(now, tokens).max(tokens);
     Duration::from_secs_f64(tokens_ahead as f64 / load.speed(now))
 }
 
-/// Get whether a holder was recently told to stop a stream.
+/// Get whether a holder was recently asked to stop a stream.
 fn is_pending(now: Moment, permit: &GrantedPermit) -> bool {
-    let asked = permit.preempted_at;
-    asked.is_some_and(|at| now.since(at) < STOP_TIMEOUT)
+    let preempted_at = permit.preempted_at;
+    preempted_at.is_some_and(|at| now.since(at) < STOP_TIMEOUT)
 }
 
 /// Get the predicted time until a request ends.
--- a/bergamotswitch-core/src/pool_owner/queue.rs
+++ b/bergamotswitch-core/src/pool_owner/queue.rs
@@ -134,13 +134,13 @@
     /// Get the number of queued requests of `tier` and higher ones.
     pub fn requests_through(&self, tier: Tier) -> usize {
         let tiers = self.tiers.range(..=tier);
-        tiers.map(|(_, queue)| queue.asks()).sum()
+        tiers.map(|(_, queue)| queue.requests()).sum()
     }
 
     /// Get the tiers with their numbers of requests and tokens.
     pub fn tiers(&self) -> impl Iterator<Item = (Tier, usize, u64)> {
         let tiers = self.tiers.iter();
-        tiers.map(|(tier, queue)| (*tier, queue.asks(), queue.tokens()))
+        tiers.map(|(tier, queue)| (*tier, queue.requests(), queue.tokens()))
     }
 
     /// Get a queued request.
@@ -254,7 +254,7 @@
     /// Get whether a tier is below its floor and few enough of its requests are
     /// queued.
     pub(super) fn is_below_floor(&self, tier: Tier) -> bool {
-        let waiting = self.tiers.get(&tier).map_or(0, TierQueue::asks);
+        let waiting = self.tiers.get(&tier).map_or(0, TierQueue::requests);
         waiting <= MAX_WAITING_BELOW_FLOOR && self.floor.position(tier) == TierPosition::BelowFloor
     }
 
@@ -307,7 +307,7 @@
         let tier = queued.ask.tier;
         if let Some(queue) = self.tiers.get_mut(&tier) {
             queue.remove(&entry, served);
-            if queue.asks() == 0 {
+            if queue.requests() == 0 {
                 self.tiers.remove(&tier);
             }
         }
--- a/bergamotswitch-core/src/pool_owner/quota.rs
+++ b/bergamotswitch-core/src/pool_owner/quota.rs
@@ -10,7 +10,7 @@
 use crate::route::AccountQuota;
 
 /// The bounds of the retry-after time of requests over quota: after less than
-/// the minimum, hardly any tokens would have been added to the bucket.
+/// the minimum, hardly any units would have been added to the bucket.
 const RETRY_MIN: Duration = Duration::from_millis(250);
 const RETRY_MAX: Duration = Duration::from_secs(4);
 
@@ -194,8 +194,8 @@
     }
 
     /// Deposit the units that a previous owner withdrew from its buckets, up to
-    /// the buckets' capacity. They include the unused units reported by entry
-    /// hosts.
+    /// the buckets' capacity. Units already credited from the reports of entry
+    /// hosts are part of them and not counted twice.
     pub fn deposit(&mut self, now: Moment, levels: &[QuotaLevel]) {
         for QuotaLevel { account, units } in levels {
             let Some(rate) = self.rates.get(account) else {
--- a/bergamotswitch-core/src/pool_owner/slot_routing.rs
+++ b/bergamotswitch-core/src/pool_owner/slot_routing.rs
@@ -76,9 +76,9 @@
             let admission = load.back_off().admission(now);
             let open = match admission {
                 ProbeAdmission::Unrestricted => {
-                    let has_room =
+                    let has_capacity =
                         load.may_fit(now) && load.within_unmeasured_limit(UNMEASURED_PERMITS);
-                    has_room && !reserved.contains(&load.target().name)
+                    has_capacity && !reserved.contains(&load.target().name)
                 }
                 ProbeAdmission::EligibleProbe | ProbeAdmission::AnyProbe => true,
                 ProbeAdmission::Blocked => false,
--- a/bergamotswitch-core/src/pool_owner/speed_estimator.rs
+++ b/bergamotswitch-core/src/pool_owner/speed_estimator.rs
@@ -76,13 +76,13 @@
     }
 
     /// Add a request that is expected to end.
-    pub fn add_expected_end(&mut self, work: ExpectedEnd) {
-        self.expected_ends.insert(work);
+    pub fn add_expected_end(&mut self, end: ExpectedEnd) {
+        self.expected_ends.insert(end);
     }
 
     /// Remove a request that is no longer expected to end.
-    pub fn remove_expected_end(&mut self, work: &ExpectedEnd) {
-        self.expected_ends.remove(work);
+    pub fn remove_expected_end(&mut self, end: &ExpectedEnd) {
+        self.expected_ends.remove(end);
     }
 
     /// Get the factor, at most 1, by which overdue requests reduce the measured
@@ -92,11 +92,11 @@
     /// factor it would keep its speed and its limit, and get more requests.
     pub fn slowdown(&self, now: Moment) -> f64 {
         let index = SLOWDOWN_CHECK_INDEX.min(self.expected_ends.len().saturating_sub(1));
-        let Some(work) = self.expected_ends.iter().nth(index) else {
+        let Some(end) = self.expected_ends.iter().nth(index) else {
             return 1.0;
         };
-        let age = now.since(work.granted_at).as_secs_f64();
-        let predicted = work.finish_at.since(work.granted_at).as_secs_f64();
+        let age = now.since(end.granted_at).as_secs_f64();
+        let predicted = end.finish_at.since(end.granted_at).as_secs_f64();
         let allowed = (predicted * OVERDUE_TOLERANCE).max(OVERDUE_FLOOR.as_secs_f64());
         match age > allowed {
             true => allowed / age,
@@ -115,8 +115,8 @@
         if self.published <= self.speed {
             return self.speed;
         }
-        let trust = decay(now.since(measured_at), SPEED_HALF_LIFE);
-        blend(self.published, self.speed, trust)
+        let weight = decay(now.since(measured_at), SPEED_HALF_LIFE);
+        blend(self.published, self.speed, weight)
     }
 
     /// Record a sample: `tokens` were processed in `span`.
--- a/bergamotswitch-core/src/pool_owner/target_load.rs
+++ b/bergamotswitch-core/src/pool_owner/target_load.rs
@@ -1,4 +1,4 @@
-//! Provides the state of one target as seen by an owner: its outstanding
+//! Provides the state of one target as observed by an owner: its outstanding
 //! requests, and whether another one fits.
 
 use std::time::Duration;
@@ -25,8 +25,8 @@
 /// The weight of a new sample of the savings by a warm prefix.
 const CACHE_HIT_WEIGHT: f64 = 0.5;
 
-/// The minimum confidence in warm-prefix hints: some engines don't report
-/// cached tokens, and there a hint is still better than none.
+/// The minimum cache hit ratio assumed for warm-prefix hints: some engines
+/// don't report cached tokens, and there a hint is still better than none.
 const MIN_CACHE_HIT_RATIO: f64 = 0.25;
 
 /// The time from the release of a slot to the arrival of the next request, in
@@ -39,7 +39,7 @@
 /// The run time assumed without samples, that of plain calls, in milliseconds.
 const DEFAULT_RUN_MS: f64 = 30.0;
 
-/// A `TargetLoad` is the state of one target as seen by an owner.
+/// A `TargetLoad` is the state of one target as observed by an owner.
 #[derive(Debug)]
 pub struct TargetLoad {
     target: PoolTarget,
@@ -137,19 +137,19 @@
     }
 
     /// Add a request that is expected to end.
-    pub fn add_expected_end(&mut self, work: ExpectedEnd) {
-        self.speed_estimator.add_expected_end(work);
+    pub fn add_expected_end(&mut self, end: ExpectedEnd) {
+        self.speed_estimator.add_expected_end(end);
     }
 
     /// Remove a request that is no longer expected to end.
-    pub fn remove_expected_end(&mut self, work: &ExpectedEnd) {
-        self.speed_estimator.remove_expected_end(work);
+    pub fn remove_expected_end(&mut self, end: &ExpectedEnd) {
+        self.speed_estimator.remove_expected_end(end);
     }
 
     /// Get the tokens that the target processes until a request of `tokens`,
     /// already counted, ends. An engine processes its batch round-robin: a
     /// request waits for at most its own length of each other one.
-    pub fn ahead_of(&self, now: Moment, tokens: u64) -> u64 {
+    pub fn tokens_ahead_of(&self, now: Moment, tokens: u64) -> u64 {
         let in_turn = tokens.saturating_mul(self.permits.max(1) as u64);
         in_turn.min(self.backlog(now))
     }
@@ -254,12 +254,12 @@
         self.history.report(now, report);
     }
 
-    /// Record the speed and limit samples of a completed request; `ahead` is
-    /// the number of tokens to be processed until its end, its own included,
-    /// when its permit was granted.
-    pub fn record_usage(&mut self, now: Moment, ahead: u64, cost: TokenCost, usage: &Usage) {
-        let fresh = usage.prefill.saturating_sub(usage.cached);
-        let done = u64::from(fresh) + u64::from(usage.decode);
+    /// Record the speed and limit samples of a completed request;
+    /// `tokens_ahead` is the number of tokens to be processed until its end,
+    /// its own included, when its permit was granted.
+    pub fn record_usage(&mut self, now: Moment, tokens_ahead: u64, cost: TokenCost, usage: &Usage) {
+        let uncached = usage.prefill.saturating_sub(usage.cached);
+        let done = u64::from(uncached) + u64::from(usage.decode);
         if done == 0 || usage.elapsed_ms == 0 {
             return;
         }
@@ -267,7 +267,8 @@
         // actual cost.
         let share = (done as f64 / cost.total().max(1) as f64).min(1.0);
         let span = Duration::from_millis(u64::from(usage.elapsed_ms));
-        self.speed_estimator.record(now, ahead as f64 * share, span);
+        self.speed_estimator
+            .record(now, tokens_ahead as f64 * share, span);
         self.limit.adapt(usage, done);
     }
 
@@ -325,15 +326,15 @@
         self.cache_hit_ratio
     }
 
-    /// Update the confidence in warm-prefix hints from the expected and the
-    /// actual number of cached tokens: a small cache may have evicted a recent
-    /// prefix.
+    /// Update the cache hit ratio of warm-prefix hints from the expected and
+    /// the actual number of cached tokens: a small cache may have evicted a
+    /// recent prefix.
     pub fn record_cache_hit(&mut self, expected: u64, cached: u32) {
         if expected == 0 {
             return;
         }
-        let seen = (f64::from(cached) / expected as f64).min(1.0);
-        let ratio = self.cache_hit_ratio * (1.0 - CACHE_HIT_WEIGHT) + seen * CACHE_HIT_WEIGHT;
+        let observed = (f64::from(cached) / expected as f64).min(1.0);
+        let ratio = self.cache_hit_ratio * (1.0 - CACHE_HIT_WEIGHT) + observed * CACHE_HIT_WEIGHT;
         self.cache_hit_ratio = ratio.max(MIN_CACHE_HIT_RATIO);
     }
 
--- a/bergamotswitch-core/src/pool_owner/tier_floor.rs
+++ b/bergamotswitch-core/src/pool_owner/tier_floor.rs
@@ -19,7 +19,7 @@
 /// The guaranteed fraction of the service ratio of the tier above, in percent.
 const FLOOR_PERCENT: f64 = 40.0;
 
-/// The minimum number of requests for a service ratio to be significant.
+/// The minimum number of requests for a service ratio to be meaningful.
 const MIN_REQUESTS: f64 = 8.0;
 
 /// A `TierPosition` is a tier's position in the order in which slots are
--- a/bergamotswitch-core/src/pool_owner/view.rs
+++ b/bergamotswitch-core/src/pool_owner/view.rs
@@ -85,10 +85,10 @@
     /// Get the hosts that have queued requests, each once.
     pub fn queued_hosts(&self) -> Vec<HostName> {
         let attempts = self.queue.find(|_| true);
-        let asks = attempts
+        let requests = attempts
             .iter()
             .filter_map(|attempt| self.queue.get(attempt));
-        let hosts: BTreeSet<&HostName> = asks.map(|queued| &queued.host).collect();
+        let hosts: BTreeSet<&HostName> = requests.map(|queued| &queued.host).collect();
         hosts.into_iter().cloned().collect()
     }
 
--- a/bergamotswitch-core/src/pool_owner/wait_plan.rs
+++ b/bergamotswitch-core/src/pool_owner/wait_plan.rs
@@ -39,9 +39,9 @@
 }
 
 /// The retry-after time of requests refused under overload, as a percentage of
-/// their remaining time; callers honour up to a third of it. The predicted
-/// drain time is too short for this: the callers would return within the same
-/// burst.
+/// their remaining time; callers honour at most a third of that time. The
+/// predicted drain time is too short for this: the callers would return within
+/// the same burst.
 const RETRY_AFTER_PERCENT: u32 = 32;
 
 /// The step by which consecutive request numbers are spread over the range.
