--- a/bergamotswitch-core/src/pool_owner/cost_sample.rs
+++ b/bergamotswitch-core/src/pool_owner/cost_sample.rs
@@ -1,5 +1,5 @@
-//! Provides the median cost of recent requests, by which long requests are told
-//! from short ones.
+//! Provides the median cost of recent requests, by which long requests are
+//! distinguished from short ones.
 
 use std::collections::VecDeque;
 use std::time::Duration;
--- a/bergamotswitch-core/src/pool_owner/owner.rs
+++ b/bergamotswitch-core/src/pool_owner/owner.rs
@@ -244,7 +244,7 @@
 
     fn on_ask(&mut self, now: Moment, host: HostName, ask: Ask, actions: &mut Vec<OwnerAction>) {
         // A request is resent if its answer is late. It must find its queue
-        // entry or permit: a second permit would hold a slot that nobody uses.
+        // entry or permit: a second permit would hold a slot without using it.
         if let Some(permit) = self.permits.of_attempt(&ask.attempt) {
             let reply = self.granted_reply(permit);
             actions.push(OwnerAction::Reply(host, reply));
