--- a/bergamotswitch-core/src/node/actions.rs
+++ b/bergamotswitch-core/src/node/actions.rs
@@ -81,7 +81,7 @@
                 self.count_degraded(&reply);
                 self.send_reply(now, host, reply);
             }
-            OwnerAction::Note(incident, shard, target) => {
+            OwnerAction::LogIncident(incident, shard, target) => {
                 let target = target.map_or(String::new(), |target| format!(" target={target}"));
                 let text = format!("shard={shard}{target}");
                 self.actions.push(NodeAction::LogIncident(incident, text));
@@ -104,7 +104,7 @@
             MembershipAction::HostTerminated(host, run) => {
                 let actions = self
                     .shards
-                    .notify_all(now, |_| OwnerEvent::HostGone(host.clone(), run));
+                    .notify_all(now, |_| OwnerEvent::HostTerminated(host.clone(), run));
                 self.queue_owner(actions);
                 self.exposure.record_run_end(now, &host);
             }
@@ -194,7 +194,7 @@
             return Some(OwnerEvent::HandedOver);
         }
         let is_silent = self.membership.is_unreachable(former);
-        is_silent.then_some(OwnerEvent::TakenOver)
+        is_silent.then_some(OwnerEvent::FailedOver)
     }
 
     pub(super) fn watch_targets(&mut self) {
--- a/bergamotswitch-core/src/node/shards.rs
+++ b/bergamotswitch-core/src/node/shards.rs
@@ -100,7 +100,7 @@
     /// Notify all owners, except degraded ones, that the process was paused.
     pub(super) fn on_pause(&mut self, now: Moment, pause: Duration) {
         for owned in self.owned.iter_mut().filter(|owned| !owned.degraded) {
-            owned.owner.woke(now, pause);
+            owned.owner.on_resumed(now, pause);
         }
     }
 
@@ -140,7 +140,7 @@
     /// Get the hosts with queued permit requests for the shard.
     pub(super) fn waiting_hosts(&self, shard: &PoolShard) -> Vec<HostName> {
         let found = self.owned.iter().find(|owned| owned.shard == *shard);
-        found.map_or_else(Vec::new, |owned| owned.owner.asking_hosts())
+        found.map_or_else(Vec::new, |owned| owned.owner.queued_hosts())
     }
 
     /// Start or stop acting as owner of a shard for the fleet.
--- a/bergamotswitch-core/src/pool_owner/dispatch.rs
+++ b/bergamotswitch-core/src/pool_owner/dispatch.rs
@@ -1,4 +1,4 @@
-//! Provides the giving of permits in order, and shedding under overload.
+//! Provides the granting of permits in queue order, and load shedding.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -11,28 +11,29 @@
 use crate::rules::Tier;
 
 use super::OwnerAction;
-use super::back_off::ProbeNeed;
+use super::back_off::ProbeAdmission;
 use super::key_table::KeyVerdict;
 use super::owner::ShardOwner;
-use super::permit_table::GivenPermit;
+use super::permit_table::GrantedPermit;
 use super::prefix_table::WarmTarget;
-use super::queue::{Placement, QueuedAsk};
-use super::routing::{ClosedTargets, Route, RouteQuery, allowed, choose};
-use super::run_gauge::millis;
+use super::queue::{Placement, QueuedRequest};
+use super::routing::{ReservedTargets, Route, RouteQuery, allowed, choose};
+use super::run_time_estimator::as_millis;
 use super::target_load::TargetLoad;
 
-/// The bounds of a "come back after": a caller must neither return at once
-/// nor stay away after a burst that is long over.
+/// The bounds of the retry-after time of refusals: clients should neither retry
+/// immediately nor wait long after the overload has ended.
 const RETRY_MIN: Duration = Duration::from_millis(100);
 const RETRY_MAX: Duration = Duration::from_secs(60);
 
-/// How many times the time left to its deadline the queue before an ask may
-/// take: the drain time is an estimate from engines that are not full, and an
-/// ask that is kept in vain costs a place in the queue, no more.
+/// How far the predicted drain time may exceed a request's remaining time
+/// before the request is refused. The prediction is based on partly loaded
+/// targets and is too high; keeping a request needlessly only costs a queue
+/// entry.
 const DRAIN_TOLERANCE: f64 = 2.0;
 
 impl ShardOwner {
-    /// Give permits in order until nothing that waits finds room.
+    /// Grant permits in queue order until no queued request fits any target.
     pub(super) fn dispatch(&mut self, now: Moment, actions: &mut Vec<OwnerAction>) {
         if !self.targets_known || self.queue.is_empty() {
             return;
@@ -42,25 +43,26 @@
             return;
         }
         let mut blocked: BTreeSet<Arc<Placement>> = BTreeSet::new();
-        let mut closed = ClosedTargets::default();
-        // A closed shard has still use for an ask that may be a probe.
+        let mut reserved = ReservedTargets::default();
+        // Even if all targets are reserved, a later request may serve as a
+        // probe.
         let probing = self
             .targets
             .values()
             .any(|load| load.back_off().is_active());
         while let Some(queued) = self.queue.next(&blocked) {
             let warm = self.prefixes.warm(now, &queued.ask.prefixes);
-            let query = query_of(queued, &warm);
-            match choose(now, &self.targets, &closed, &query) {
+            let query = route_query(queued, &warm);
+            match choose(now, &self.targets, &reserved, &query) {
                 Some(route) => {
                     let late = self.is_too_late(now, queued, &route);
                     let attempt = queued.ask.attempt;
-                    self.settle(now, &attempt, &route, late, &warm, actions);
+                    self.grant_or_refuse(now, &attempt, &route, late, &warm, actions);
                 }
                 None => {
                     blocked.insert(queued.placement.clone());
-                    self.keep_room(now, queued, &mut closed);
-                    if closed.is_all() && !probing {
+                    self.reserve_capacity(now, queued, &mut reserved);
+                    if reserved.is_all() && !probing {
                         return;
                     }
                 }
@@ -68,9 +70,9 @@
         }
     }
 
-    /// Give the head of the queue the target that was chosen for it, or the
-    /// answer that it needs none any more.
-    pub(super) fn settle(
+    /// Grant the selected request its target, or answer it without a run if its
+    /// key is held elsewhere or `late` says that its deadline can't be met.
+    pub(super) fn grant_or_refuse(
         &mut self,
         now: Moment,
         attempt: &AttemptId,
@@ -82,7 +84,7 @@
         let Some(queued) = self.queue.get(attempt) else {
             return;
         };
-        if self.is_key_lost(now, queued) {
+        if self.is_key_taken(now, queued) {
             self.answer_key_known(now, attempt, actions);
             return;
         }
@@ -95,21 +97,22 @@
         self.grant(now, attempt, route, warm, actions);
     }
 
-    /// Get whether the time left is too short for a run. Top-tier work is run
-    /// all the same, the estimate may be wrong and it has the first claim.
-    pub(super) fn is_too_late(&self, now: Moment, queued: &QueuedAsk, route: &Route) -> bool {
+    /// Get whether the predicted run time exceeds the time left until the
+    /// deadline. Top-tier requests are run anyway, since the prediction may be
+    /// wrong.
+    pub(super) fn is_too_late(&self, now: Moment, queued: &QueuedRequest, route: &Route) -> bool {
         if queued.ask.tier == Tier(0) {
             return false;
         }
         let load = self.targets.get(&route.target);
         let run_ms = load.map_or(0.0, |load| load.run_ms(queued.ask.cost));
-        millis(queued.plan.run_until.since(now)) < run_ms
+        as_millis(queued.plan.run_until.since(now)) < run_ms
     }
 
-    /// Get whether another run got the key while the ask waited. An ask can
-    /// outlive the time or the number of remembered keys; a permit for it
-    /// now would be a second run.
-    fn is_key_lost(&self, now: Moment, queued: &QueuedAsk) -> bool {
+    /// Get whether another run claimed the key while the request was queued.
+    /// The key's entry may have expired or been evicted meanwhile; granting a
+    /// permit now would run the request twice.
+    fn is_key_taken(&self, now: Moment, queued: &QueuedRequest) -> bool {
         let claim = queued.ask.claim.as_ref();
         let verdict = claim.map(|claim| self.keys.check(now, claim));
         matches!(verdict, Some(KeyVerdict::HeldBy(_)))
@@ -125,7 +128,7 @@
             return;
         };
         self.quotas
-            .keep(&queued.ask.account, queued.ask.quota_units);
+            .commit(&queued.ask.account, queued.ask.quota_units);
         let claim = queued.ask.claim.as_ref();
         if let Some(KeyVerdict::HeldBy(holder)) = claim.map(|claim| self.keys.check(now, claim)) {
             self.counts.keys_known += 1;
@@ -135,27 +138,34 @@
         }
     }
 
-    /// Keep room for an ask that has to wait from all asks after it.
-    fn keep_room(&self, now: Moment, queued: &QueuedAsk, closed: &mut ClosedTargets) {
+    /// Reserve targets for a request that doesn't fit now, so that requests
+    /// behind it don't take the capacity that it waits for.
+    fn reserve_capacity(
+        &self,
+        now: Moment,
+        queued: &QueuedRequest,
+        reserved: &mut ReservedTargets,
+    ) {
         let candidates = allowed(&self.targets, &queued.placement);
         let working = candidates
             .into_iter()
-            .filter(|load| load.back_off().need(now) == ProbeNeed::None);
+            .filter(|load| load.back_off().admission(now) == ProbeAdmission::Unrestricted);
         let tokens = queued.ask.cost.total();
-        if queued.placement.is_anywhere() {
-            closed.close_all();
+        if queued.placement.is_unrestricted() {
+            reserved.reserve_all();
             return;
         }
         if !queued.placement.long {
             for load in working {
-                closed.close(&load.target().name);
+                reserved.reserve(&load.target().name);
             }
             return;
         }
-        // A long ask that only waits for long ones leaves the room kept for
-        // short ones to them. One that waits for room drains one target: to
-        // drain all would idle the whole shard for it.
-        let mut open = working.filter(|load| !closed.contains(&load.target().name));
+        // If the request only waits for the capacity open to long requests,
+        // short ones may still use the rest. If it waits for capacity as such,
+        // one target is drained for it: draining all of them would leave the
+        // whole shard idle.
+        let mut open = working.filter(|load| !reserved.contains(&load.target().name));
         let fits = open.clone().any(|load| load.fits(now, tokens));
         if fits {
             return;
@@ -165,7 +175,7 @@
             (over as f64 * 1e6 / load.speed(now)) as u64
         });
         if let Some(load) = first {
-            closed.close(&load.target().name);
+            reserved.reserve(&load.target().name);
         }
     }
 
@@ -181,11 +191,11 @@
             return;
         };
         self.quotas
-            .keep(&queued.ask.account, queued.ask.quota_units);
+            .commit(&queued.ask.account, queued.ask.quota_units);
         let Some(load) = self.targets.get_mut(&route.target) else {
             return;
         };
-        self.queue.note_fate(now, queued.ask.tier, true);
+        self.queue.record_outcome(now, queued.ask.tier, true);
         self.sequence += 1;
         let id = PermitId {
             owner: self.me.incarnation,
@@ -194,18 +204,18 @@
         let ask = queued.ask;
         let tokens = ask.cost.total();
         load.back_off_mut().start_probe(id);
-        let crowd = load.crowd();
-        load.occupy(now, tokens, queued.placement.long);
-        let ahead = load.ahead_of(now, tokens);
+        let utilization = load.utilization();
+        load.add_permit(now, tokens, queued.placement.long);
+        let tokens_ahead = load.tokens_ahead_of(now, tokens);
         let warm_blocks = warm.iter().find(|warm| warm.target == route.target);
         let warm_blocks = warm_blocks.map_or(0, |warm| warm.blocks);
         for prefix in &ask.prefixes {
-            self.prefixes.learn(now, &route.target, *prefix);
+            self.prefixes.record(now, &route.target, *prefix);
         }
         if let Some(claim) = &ask.claim {
             self.keys.grant(now, claim);
         }
-        let permit = GivenPermit {
+        let permit = GrantedPermit {
             id,
             host: queued.host.clone(),
             attempt: *attempt,
@@ -219,14 +229,14 @@
             warm_blocks,
             prefixes: ask.prefixes,
             granted_at: now,
-            ahead,
-            crowd,
+            tokens_ahead,
+            utilization,
             finish_at: now.plus(Duration::from_micros(route.finish_micros)),
             preempted_at: None,
             audit_at: now.plus(self.opts.audit_after),
         };
         if let Some(load) = self.targets.get_mut(&route.target) {
-            load.expect(permit.due_work());
+            load.add_expected_end(permit.expected_end());
         }
         self.counts.granted += 1;
         let reply = self.granted_reply(&permit);
@@ -235,7 +245,7 @@
     }
 
     /// Get the reply that carries a permit.
-    pub(super) fn granted_reply(&self, permit: &GivenPermit) -> OwnerReply {
+    pub(super) fn granted_reply(&self, permit: &GrantedPermit) -> OwnerReply {
         let lifetime = self.opts.permit_lifetime.as_millis();
         OwnerReply::Granted {
             shard: self.shard.clone(),
@@ -248,12 +258,12 @@
         }
     }
 
-    /// Shed until the queue is inside its bounds, after an ask of `tier`; get
-    /// whether anything was shed.
+    /// Shed requests until the queue is within its limits, after a request of
+    /// `tier` was queued; get whether any was shed.
     pub(super) fn shed(&mut self, now: Moment, tier: Tier, actions: &mut Vec<OwnerAction>) -> bool {
         let mut shed = false;
-        while self.is_overfull(now) {
-            let Some(attempt) = self.queue.worst() else {
+        while self.is_over_limits(now) {
+            let Some(attempt) = self.queue.next_to_shed() else {
                 return shed;
             };
             let Some(queued) = self.queue.get(&attempt) else {
@@ -270,10 +280,10 @@
         shed
     }
 
-    /// Refuse an ask that has just come where the others would take far longer
-    /// than its deadline; get whether it was refused. Its caller would wait in
-    /// vain. While lower-tier work is kept it stays: that goes first.
-    pub(super) fn shed_hopeless(
+    /// Refuse a new request if the ones queued before it would take far longer
+    /// than its deadline; get whether it was refused. If lower-tier requests
+    /// are queued it is kept, since those are shed first.
+    pub(super) fn shed_infeasible(
         &mut self,
         now: Moment,
         attempt: &AttemptId,
@@ -283,9 +293,12 @@
             return false;
         };
         let tier = queued.ask.tier;
-        if let Some(wait) = self.slot_wait(now, tier) {
-            let lower_kept = self.queue.asks_through(tier) < self.queue.len();
-            if self.queue.is_owed(tier) || lower_kept || wait <= queued.plan.give_up_at.since(now) {
+        if let Some(wait) = self.predicted_slot_wait(now, tier) {
+            let lower_kept = self.queue.requests_through(tier) < self.queue.len();
+            if self.queue.is_below_floor(tier)
+                || lower_kept
+                || wait <= queued.plan.give_up_at.since(now)
+            {
                 return false;
             }
             let reason = RefusalReason::Overloaded;
@@ -297,8 +310,8 @@
             return false;
         }
         let others = self.queue.tokens() - queued.ask.cost.total();
-        let useful = queued.plan.give_up_at.since(now).mul_f64(DRAIN_TOLERANCE);
-        if others as f64 / speed <= useful.as_secs_f64() {
+        let max_drain = queued.plan.give_up_at.since(now).mul_f64(DRAIN_TOLERANCE);
+        if others as f64 / speed <= max_drain.as_secs_f64() {
             return false;
         }
         let retry_after = self.drain_time(now, tier);
@@ -307,31 +320,31 @@
         true
     }
 
-    /// Get the predicted wait of a new ask of `tier`, where the targets say
-    /// how many requests they serve at once: the permits that have to come
-    /// back before it, at the pace at which they do.
-    fn slot_wait(&self, now: Moment, tier: Tier) -> Option<Duration> {
-        // Of targets that ended no run yet nothing can be predicted.
-        let known = self.targets.values().all(TargetLoad::is_known);
-        if !self.has_slots() || !known {
+    /// Get the predicted queueing time of a new request of `tier` from the
+    /// number of permits to be released before it and the release rate; `None`
+    /// unless all targets publish their slots.
+    fn predicted_slot_wait(&self, now: Moment, tier: Tier) -> Option<Duration> {
+        // Without a completed run on each target the release rate is unknown.
+        let all_measured = self.targets.values().all(TargetLoad::has_run);
+        if !self.has_slots() || !all_measured {
             return None;
         }
-        let ahead = self.queue.asks_through(tier);
-        // What came back lately tells of a shard that was busy all the while.
-        // After a quiet second it would tell of the callers, and the first
-        // calls of a burst would be refused before free targets.
+        let ahead = self.queue.requests_through(tier);
+        // The recent rate alone is only valid while the shard was saturated.
+        // After an idle second it would be too low, and the first requests of a
+        // burst would be refused although targets are free.
         let running = self.targets.values();
         let expected: f64 = running.map(TargetLoad::release_rate).sum();
-        let pace = self.pace.per_second(now).max(expected);
-        (pace > 0.0).then(|| Duration::from_secs_f64(ahead as f64 / pace))
+        let rate = self.release_rate.per_second(now).max(expected);
+        (rate > 0.0).then(|| Duration::from_secs_f64(ahead as f64 / rate))
     }
 
-    fn is_overfull(&self, now: Moment) -> bool {
-        // One ask alone may wait whatever it costs.
+    fn is_over_limits(&self, now: Moment) -> bool {
+        // A single request may be queued whatever its cost.
         if self.queue.len() < 2 {
             return false;
         }
-        if self.queue.len() > self.opts.max_asks {
+        if self.queue.len() > self.opts.max_requests {
             return true;
         }
         let speed = self.shard_speed(now);
@@ -342,10 +355,10 @@
         seconds > self.opts.max_wait.as_secs_f64()
     }
 
-    /// Get the predicted time until the work in flight and the queued work of
-    /// `tier` and higher ones is done.
+    /// Get the predicted time until the in-flight work and the queued work of
+    /// `tier` and higher ones is done, within the retry-after bounds.
     pub(super) fn drain_time(&self, now: Moment, tier: Tier) -> Duration {
-        if let Some(wait) = self.slot_wait(now, tier) {
+        if let Some(wait) = self.predicted_slot_wait(now, tier) {
             return wait.clamp(RETRY_MIN, RETRY_MAX);
         }
         let speed = self.shard_speed(now);
@@ -358,31 +371,34 @@
         span.clamp(RETRY_MIN, RETRY_MAX)
     }
 
-    /// Get the speed of all targets that take work, in tokens per second.
+    /// Get the total speed of all targets that accept requests, in tokens per
+    /// second.
     fn shard_speed(&self, now: Moment) -> f64 {
-        let live = self.targets.values().filter(|load| !load.is_leaving());
+        let live = self.targets.values().filter(|load| !load.is_draining());
         let working = live.clone().filter(|load| !load.back_off().is_active());
         let speed: f64 = working.map(|load| load.speed(now)).sum();
         if speed > 0.0 {
             return speed;
         }
-        // All are backed off, maybe for half a second: the queue is not
-        // thrown away for that.
+        // If all targets are backed off, maybe only briefly, the queue is kept
+        // and their last speeds are used.
         live.map(|load| load.speed(now)).sum()
     }
 }
 
-/// Get what routing looks at of an ask.
-pub(super) fn query_of<'a>(queued: &'a QueuedAsk, warm: &'a [WarmTarget]) -> RouteQuery<'a> {
+/// Get the properties of a queued request that routing uses.
+pub(super) fn route_query<'a>(queued: &'a QueuedRequest, warm: &'a [WarmTarget]) -> RouteQuery<'a> {
     RouteQuery {
         placement: &queued.placement,
         cost: queued.ask.cost,
         blocks: queued.ask.prefixes.len(),
         warm,
-        // Top-tier work and work that must not run twice is no probe.
-        riskable: queued.ask.claim.is_none() && queued.ask.tier > Tier(0),
-        // Targets that fail together are due for a probe together, and would use
-        // up one request's attempts beside others that work.
-        spared: !queued.ask.avoid.is_empty(),
+        // Top-tier requests and requests that must not run twice aren't used as
+        // probes.
+        probe_eligible: queued.ask.claim.is_none() && queued.ask.tier > Tier(0),
+        // Targets that fail together become due for a probe together. Probing
+        // them all with the same request would exhaust its attempts although
+        // other targets work.
+        failed_before: !queued.ask.avoid.is_empty(),
     }
 }
--- a/bergamotswitch-core/src/pool_owner/failed_targets.rs
+++ b/bergamotswitch-core/src/pool_owner/failed_targets.rs
@@ -1,9 +1,8 @@
-//! Provides what an owner learns of failed targets from the one before it or
-//! beside it.
+//! Provides the exchange of target failures between shard owners.
 //!
-//! A new owner knows no back-off. Dead targets look idle to it, so it gives its
-//! first permits for these, and one would see a wave of requests that reach no
-//! target, or are refused, after each change of owner.
+//! A new owner has no backoff state. Failed targets look idle to it and would
+//! get its first permits, so each change of owner would cause a wave of failed
+//! requests.
 
 use std::time::Duration;
 
@@ -16,9 +15,9 @@
 use super::target_change::is_later;
 
 impl ShardOwner {
-    /// Get the targets that get no normal work now, for the next owner.
+    /// Get the targets that are backed off, to report them to the next owner.
     pub fn failed_targets(&self, now: Moment) -> Vec<FailedTarget> {
-        let live = self.targets.values().filter(|load| !load.is_leaving());
+        let live = self.targets.values().filter(|load| !load.is_draining());
         let failed = live.filter(|load| load.back_off().is_active());
         let failed = failed.map(|load| {
             let probe_at = load.back_off().probe_at().unwrap_or(now);
@@ -32,39 +31,40 @@
         failed.collect()
     }
 
-    /// Let the targets that failed another owner prove themselves before they get
-    /// normal work. Not believed are reports of a target that has answered here, of
-    /// a target's former run, nor so many that most would be out: the sender may
-    /// have been cut off from targets that work.
+    /// Back off from targets that another owner reported as failed. Reports are
+    /// ignored if the target has completed a run here, if they concern an
+    /// earlier process of the target, or if most targets would be backed off:
+    /// the sender may have been partitioned from working targets.
     pub(super) fn on_failed_targets(
         &mut self,
         now: Moment,
         failed: &[FailedTarget],
         actions: &mut Vec<OwnerAction>,
     ) {
-        for told in failed {
-            if self.would_most_be_out() {
+        for report in failed {
+            if self.would_exceed_back_off_limit() {
                 return;
             }
-            let Some(load) = self.targets.get_mut(&told.target) else {
+            let Some(load) = self.targets.get_mut(&report.target) else {
                 continue;
             };
-            if load.is_known() {
+            if load.has_run() {
                 continue;
             }
-            if is_later(load.target().started_at_ms, told.started_at_ms) {
+            if is_later(load.target().started_at_ms, report.started_at_ms) {
                 continue;
             }
-            let probe_in = Duration::from_millis(told.probe_in_ms.into());
-            if load.back_off_mut().learn(now, probe_in) {
-                actions.push(self.note(Incident::TargetBackedOff, &told.target));
+            let probe_in = Duration::from_millis(report.probe_in_ms.into());
+            if load.back_off_mut().mark_reported(now, probe_in) {
+                actions.push(self.incident_action(Incident::TargetBackedOff, &report.target));
             }
         }
     }
 
-    /// Get whether half of the targets or more would be backed off with one more.
-    pub(super) fn would_most_be_out(&self) -> bool {
-        let live = self.targets.values().filter(|load| !load.is_leaving());
+    /// Get whether more than half of the targets would be backed off if one
+    /// more were.
+    pub(super) fn would_exceed_back_off_limit(&self) -> bool {
+        let live = self.targets.values().filter(|load| !load.is_draining());
         let backed_off = live.clone().filter(|load| load.back_off().is_active());
         (backed_off.count() + 1) * 2 > live.count()
     }
--- a/bergamotswitch-core/src/pool_owner/mod.rs
+++ b/bergamotswitch-core/src/pool_owner/mod.rs
@@ -1,12 +1,12 @@
-//! Provides the owner side: one owner host holds a shard's queue order for
-//! all entry hosts and gives permits.
+//! Provides the owner of a pool shard: one host that queues the permit requests
+//! of all entry hosts and grants permits.
 
+mod attached_hosts;
 pub mod back_off;
 mod cost_sample;
 mod dispatch;
 mod failed_targets;
 mod fair_queue;
-mod followers;
 pub mod key_table;
 mod load_history;
 mod options;
@@ -17,15 +17,15 @@
 pub mod queue;
 mod quota;
 mod quota_recovery;
-mod refusing;
+mod refusals;
 mod release;
-mod release_pace;
+mod release_rate;
 pub mod routing;
-mod run_gauge;
+mod run_time_estimator;
 mod slot_dispatch;
 pub mod slot_limit;
 mod slot_routing;
-mod speed_gauge;
+mod speed_estimator;
 mod target_change;
 pub mod target_load;
 mod tier_floor;
@@ -46,39 +46,40 @@
 use crate::request::PrefixHash;
 use crate::target::{LoadReport, PoolTarget, TargetName};
 
-/// An `OwnerEvent` is one thing that happens to a shard's owner.
+/// An `OwnerEvent` is an input of a shard owner.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OwnerEvent {
     /// An entry host sent a message.
     Message(HostName, OwnerMessage),
-    /// The shard's targets that may get new work, after a change.
+    /// The shard's targets that accept new requests have changed.
     Targets(Vec<PoolTarget>),
-    /// The quotas that this owner keeps, after a change.
+    /// The quota rates that this owner enforces have changed.
     Quotas(Vec<(AccountName, QuotaRate)>),
-    /// The hosts of the fleet that do not stop, after a change.
+    /// The hosts of the fleet that aren't stopping have changed.
     Hosts(Vec<HostName>),
-    /// A target's load report came, old on arrival.
+    /// A target's load report arrived, possibly delayed.
     Load(TargetName, LoadReport),
-    /// A target says that it holds (or no longer holds) a prefix; late, with
-    /// gaps.
+    /// A target reported that it holds (`true`) or evicted (`false`) a prefix;
+    /// such reports are delayed and incomplete.
     Prefix(TargetName, PrefixHash, bool),
-    /// This run of an entry host is known to be gone.
-    HostGone(HostName, Incarnation),
-    /// The owner before this one stops, and this one takes over.
+    /// This run of an entry host has terminated.
+    HostTerminated(HostName, Incarnation),
+    /// The previous owner stops and handed over to this one.
     HandedOver,
-    /// The owner before this one is silent, and this one takes over.
-    TakenOver,
+    /// The previous owner doesn't respond, and this one takes over.
+    FailedOver,
     /// This host stops, and another one takes over.
     Stopping,
     /// Time has passed.
     Tick,
 }
 
-/// An `OwnerAction` is one thing that a shard's owner wants done.
+/// An `OwnerAction` is an output of a shard owner, to be carried out by the
+/// caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OwnerAction {
     /// Send a reply to an entry host (which may be this host).
     Reply(HostName, OwnerReply),
     /// Log a numbered event about a target of the shard.
-    Note(Incident, PoolShard, Option<TargetName>),
+    LogIncident(Incident, PoolShard, Option<TargetName>),
 }
--- a/bergamotswitch-core/src/pool_owner/owner.rs
+++ b/bergamotswitch-core/src/pool_owner/owner.rs
@@ -1,4 +1,5 @@
-//! Provides the owner of a pool shard: the one place that orders its asks.
+//! Provides the owner of a pool shard, which orders the shard's permit
+//! requests.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,30 +12,30 @@
 use crate::refusal::RefusalReason;
 use crate::request::TokenCost;
 
+use super::attached_hosts::AttachedHosts;
 use super::cost_sample::CostSample;
-use super::followers::OwnerFollowers;
 use super::key_table::{KeyTable, KeyVerdict};
 use super::options::OwnerOptions;
 use super::permit_table::PermitTable;
 use super::prefix_table::PrefixTable;
-use super::queue::{AskQueue, Placement, QueuedAsk};
-use super::quota::QuotaBook;
+use super::queue::{Placement, QueuedRequest, RequestQueue};
+use super::quota::QuotaBuckets;
 use super::quota_recovery::QuotaRecovery;
-use super::release_pace::ReleasePace;
+use super::release_rate::ReleaseRate;
 use super::routing::{TargetSet, allowed};
-use super::run_gauge::span_of;
+use super::run_time_estimator::from_millis;
 use super::wait_plan::WaitPlan;
 use super::{OwnerAction, OwnerEvent};
 
-/// How often a queue that waits is looked at although nothing happened:
-/// reported load fades and pauses end without an event.
-const QUEUE_LOOK: Duration = Duration::from_millis(100);
+/// The interval at which a non-empty queue is dispatched without an event:
+/// reported load decays and pauses of targets end by time alone.
+const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// When to come back where no target is allowed: the list of targets changes
-/// within seconds, not sooner.
+/// The retry-after time if no target is allowed: the set of targets seldom
+/// changes faster.
 pub(super) const NO_TARGET_RETRY: Duration = Duration::from_secs(5);
 
-/// An `OwnerCounts` is what the owner has counted since it took over.
+/// An `OwnerCounts` is the counters of an owner since it took over.
 #[derive(Debug, Default)]
 pub(super) struct OwnerCounts {
     pub(super) granted: u64,
@@ -44,26 +45,27 @@
     pub(super) refusals: BTreeMap<RefusalReason, u64>,
 }
 
-/// A `ShardOwner` holds the queue order of one pool shard for all entry hosts
-/// and gives permits.
+/// A `ShardOwner` queues the permit requests of one pool shard for all entry
+/// hosts and grants permits.
 #[derive(Debug)]
 pub struct ShardOwner {
     pub(super) me: HostIncarnation,
     pub(super) shard: PoolShard,
     pub(super) opts: OwnerOptions,
     pub(super) now: Moment,
-    pub(super) queue: AskQueue,
+    pub(super) queue: RequestQueue,
     pub(super) targets: TargetSet,
     pub(super) targets_known: bool,
     pub(super) permits: PermitTable,
     pub(super) keys: KeyTable,
     pub(super) prefixes: PrefixTable,
     pub(super) costs: CostSample,
-    pub(super) quotas: QuotaBook,
-    pub(super) followers: OwnerFollowers,
-    /// What it takes in of its hosts' uses.
+    pub(super) quotas: QuotaBuckets,
+    pub(super) attached_hosts: AttachedHosts,
+    /// The quota usage reports of entry hosts; `None` once these are no longer
+    /// accepted.
     pub(super) recovery: Option<QuotaRecovery>,
-    pub(super) pace: ReleasePace,
+    pub(super) release_rate: ReleaseRate,
     pub(super) sequence: u64,
     pub(super) preempt_check_at: Moment,
     pub(super) counts: OwnerCounts,
@@ -76,17 +78,17 @@
             me,
             shard,
             now,
-            queue: AskQueue::default(),
+            queue: RequestQueue::default(),
             targets: TargetSet::new(),
             targets_known: false,
             permits: PermitTable::default(),
             keys: KeyTable::new(now, opts.key_retention, opts.max_keys),
             prefixes: PrefixTable::new(opts.max_prefixes, opts.prefix_lifetime),
             costs: CostSample::default(),
-            quotas: QuotaBook::default(),
-            followers: OwnerFollowers::default(),
+            quotas: QuotaBuckets::default(),
+            attached_hosts: AttachedHosts::default(),
             recovery: Some(QuotaRecovery::new(now)),
-            pace: ReleasePace::default(),
+            release_rate: ReleaseRate::default(),
             sequence: 0,
             preempt_check_at: now,
             counts: OwnerCounts::default(),
@@ -94,30 +96,31 @@
         }
     }
 
-    /// Put other bounds in force. What was queued and given under the earlier
-    /// ones stays; shedding looks at the new ones with the next ask.
+    /// Set new options. Queued requests and granted permits stay; shedding
+    /// applies the new limits with the next request.
     pub fn set_opts(&mut self, opts: OwnerOptions) {
         self.keys.set_bounds(opts.key_retention, opts.max_keys);
         self.opts = opts;
     }
 
-    /// Take in one event and get what is to be done.
+    /// Process one event and get the resulting actions.
     pub fn handle(&mut self, now: Moment, event: OwnerEvent) -> Vec<OwnerAction> {
         let mut actions = Vec::new();
         self.now = now;
-        self.quotas.set_part(now, self.followers.part(now));
+        self.quotas
+            .set_portion(now, self.attached_hosts.quota_portion(now));
         self.keys.expire(now);
-        self.expire_asks(now, &mut actions);
-        self.queue.demote(now);
-        let asked = match &event {
+        self.expire_requests(now, &mut actions);
+        self.queue.demote_late(now);
+        let incoming = match &event {
             OwnerEvent::Message(_, OwnerMessage::Ask(ask)) => Some((ask.attempt, ask.tier)),
             _ => None,
         };
-        // An ask that is sent again has kept its place for a while already.
-        let waited = asked.is_some_and(|(attempt, _)| self.queue.get(&attempt).is_some());
+        // A resent request has been queued already.
+        let was_queued = incoming.is_some_and(|(attempt, _)| self.queue.get(&attempt).is_some());
         match event {
             OwnerEvent::Message(host, message) => {
-                self.note_follower(now, &host, &message);
+                self.record_attached_host(now, &host, &message);
                 self.on_message(now, host, message, &mut actions);
             }
             OwnerEvent::Targets(targets) => self.on_targets(now, targets, &mut actions),
@@ -129,32 +132,34 @@
             }
             OwnerEvent::Prefix(name, prefix, held) => {
                 if held && self.targets.contains_key(&name) {
-                    self.prefixes.learn(now, &name, prefix);
+                    self.prefixes.record(now, &name, prefix);
                 } else {
-                    self.prefixes.forget(&name, prefix);
+                    self.prefixes.remove(&name, prefix);
                 }
             }
             OwnerEvent::Hosts(hosts) => {
-                let settle = self.opts.settle_after;
-                self.followers.set_hosts(now, &self.me.host, hosts, settle);
+                let overlap = self.opts.owner_overlap;
+                self.attached_hosts
+                    .set_hosts(now, &self.me.host, hosts, overlap);
             }
-            OwnerEvent::HostGone(host, run) => {
-                self.followers.lose(now, &host, self.opts.settle_after);
+            OwnerEvent::HostTerminated(host, run) => {
+                self.attached_hosts
+                    .detach(now, &host, self.opts.owner_overlap);
                 self.drop_run(now, run);
             }
             OwnerEvent::HandedOver => {
                 self.recovery = None;
-                self.followers.take_over();
+                self.attached_hosts.attach_all();
             }
-            OwnerEvent::TakenOver => self.followers.take_over(),
-            OwnerEvent::Stopping => self.followers.stop(),
+            OwnerEvent::FailedOver => self.attached_hosts.attach_all(),
+            OwnerEvent::Stopping => self.attached_hosts.stop(),
             OwnerEvent::Tick => {}
         }
         self.dispatch(now, &mut actions);
-        if let Some((attempt, tier)) = asked {
-            let hopeless = !waited && self.shed_hopeless(now, &attempt, &mut actions);
-            if self.shed(now, tier, &mut actions) || hopeless {
-                // What was shed may have been what room was kept for.
+        if let Some((attempt, tier)) = incoming {
+            let infeasible = !was_queued && self.shed_infeasible(now, &attempt, &mut actions);
+            if self.shed(now, tier, &mut actions) || infeasible {
+                // Targets may have been reserved for a request that was shed.
                 self.dispatch(now, &mut actions);
             }
         }
@@ -163,18 +168,19 @@
         actions
     }
 
-    /// Take note that this process has slept. Another owner may have let calls in
-    /// meanwhile, and the hosts may ask that one now.
-    pub fn woke(&mut self, now: Moment, slept: Duration) {
-        self.quotas.skip(slept);
-        let settle = self.opts.settle_after;
-        self.followers.lose_all(now, &self.me.host, settle);
+    /// Record that this process was suspended. Another owner may have admitted
+    /// requests meanwhile, and entry hosts may use that one now.
+    pub fn on_resumed(&mut self, now: Moment, suspension: Duration) {
+        self.quotas.exclude_suspension(suspension);
+        let overlap = self.opts.owner_overlap;
+        self.attached_hosts
+            .detach_others(now, &self.me.host, overlap);
     }
 
-    /// Take this part of what lies in the quotas' buckets out of them, for the
-    /// next owner.
-    pub fn hand_over_quotas(&mut self, now: Moment, part: f64) -> Vec<QuotaLevel> {
-        self.quotas.take_out(now, part)
+    /// Withdraw this fraction of the tokens left in the quotas' buckets, to
+    /// pass them to the next owner.
+    pub fn hand_over_quotas(&mut self, now: Moment, fraction: f64) -> Vec<QuotaLevel> {
+        self.quotas.withdraw(now, fraction)
     }
 
     /// Get when the owner wants its next tick.
@@ -182,18 +188,19 @@
         let mut wake = self.permits.next_audit().unwrap_or(Moment::NEVER);
         if let Some(deadline) = self.queue.first_deadline() {
             wake = wake.min(deadline);
-            let fresh_end = self.queue.first_fresh_end();
-            wake = wake.min(fresh_end.unwrap_or(Moment::NEVER));
-            wake = wake.min(self.now.plus(QUEUE_LOOK));
+            let on_time_end = self.queue.first_on_time_end();
+            wake = wake.min(on_time_end.unwrap_or(Moment::NEVER));
+            wake = wake.min(self.now.plus(QUEUE_POLL_INTERVAL));
         }
         wake
     }
 
-    /// Take note of a host that asks or tells what it holds: it follows this
-    /// owner. A release may come long after it has turned to another one.
-    fn note_follower(&mut self, now: Moment, host: &HostName, message: &OwnerMessage) {
+    /// Record that a host uses this owner if it requests a permit or reports
+    /// what it holds. Other messages don't show it: a release may be sent long
+    /// after its host has switched owners.
+    fn record_attached_host(&mut self, now: Moment, host: &HostName, message: &OwnerMessage) {
         if matches!(message, OwnerMessage::Ask(_) | OwnerMessage::Resync { .. }) {
-            self.followers.note(now, host);
+            self.attached_hosts.attach(now, host);
         }
     }
 
@@ -213,7 +220,7 @@
             OwnerMessage::Ask(ask) => self.on_ask(now, host, *ask, actions),
             OwnerMessage::Withdraw { attempt, .. } => {
                 if let Some(queued) = self.queue.remove(&attempt) {
-                    self.settle_unused(&queued.ask);
+                    self.release_unused(&queued.ask);
                 }
             }
             OwnerMessage::Release { release, .. } => self.on_release(now, &release, actions),
@@ -223,21 +230,21 @@
             OwnerMessage::NotHeld { permits, .. } => {
                 self.on_not_held(now, &host, &permits, actions);
             }
-            OwnerMessage::QuotaLevels { levels, .. } => self.quotas.take_in(now, &levels),
+            OwnerMessage::QuotaLevels { levels, .. } => self.quotas.deposit(now, &levels),
             OwnerMessage::QuotaUse { hosts, used, .. } => {
                 self.on_quota_use(now, host, hosts, &used);
             }
             OwnerMessage::FailedTargets { targets, .. } => {
                 self.on_failed_targets(now, &targets, actions);
             }
-            // Taken by the guard of the keys.
+            // Handled by the owner's key guard.
             OwnerMessage::OwnerConfirmed { .. } => {}
         }
     }
 
     fn on_ask(&mut self, now: Moment, host: HostName, ask: Ask, actions: &mut Vec<OwnerAction>) {
-        // An ask is sent again when its answer is late. It must find its own
-        // place or permit: a second one would hold a slot that nobody uses.
+        // A request is resent if its answer is late. It must find its queue
+        // entry or permit: a second permit would hold a slot without using it.
         if let Some(permit) = self.permits.of_attempt(&ask.attempt) {
             let reply = self.granted_reply(permit);
             actions.push(OwnerAction::Reply(host, reply));
@@ -256,7 +263,7 @@
             match self.keys.check(now, claim) {
                 KeyVerdict::Clear => {}
                 KeyVerdict::HeldBy(holder) => {
-                    return self.reply_known(host, ask.attempt, holder, actions);
+                    return self.reply_key_known(host, ask.attempt, holder, actions);
                 }
                 KeyVerdict::Unknown(span) => {
                     let reason = RefusalReason::OutcomeUnknown;
@@ -270,13 +277,13 @@
 
     fn enqueue(&mut self, now: Moment, host: HostName, ask: Ask, actions: &mut Vec<OwnerAction>) {
         let tokens = ask.cost.total();
-        // Where a target's batch is known, long work takes one place in it
-        // like any other, and need not be kept off some targets.
+        // If the targets' slots are known, a long request takes one slot like
+        // any other and needs no reserved capacity.
         let long = self.costs.is_long(tokens) && !self.has_slots();
         let placement = Placement::of(&ask, long);
-        // Fail closed: an ask that may run nowhere is answered now, and never
-        // sent to a failure domain that its rule does not name. Before the
-        // first list of targets nothing can be said.
+        // Fail closed: a request that no target may serve is refused now, and
+        // never sent to a failure domain outside its rule. Before the first
+        // list of targets that can't be decided.
         if self.targets_known && allowed(&self.targets, &placement).is_empty() {
             let reason = RefusalReason::NoTarget;
             self.refuse(host, ask.attempt, reason, NO_TARGET_RETRY, actions);
@@ -295,10 +302,10 @@
         let plan = WaitPlan::new(
             now,
             &ask,
-            self.best_first(ask.cost),
-            self.expected_run(ask.cost),
+            self.min_first_token_time(ask.cost),
+            self.expected_run_time(ask.cost),
         );
-        let queued = QueuedAsk {
+        let queued = QueuedRequest {
             ask,
             host,
             plan,
@@ -307,30 +314,30 @@
         self.queue.push(now, queued);
     }
 
-    /// Get whether all targets say how many requests they serve at once.
+    /// Get whether all targets publish their slots, the number of requests that
+    /// they serve concurrently.
     pub(super) fn has_slots(&self) -> bool {
         let mut targets = self.targets.values();
         targets.all(|load| load.target().slots.is_some())
     }
 
-    /// Get how soon the fastest target's answer could begin.
-    fn best_first(&self, cost: TokenCost) -> Duration {
+    /// Get the predicted time to first token on the fastest target.
+    fn min_first_token_time(&self, cost: TokenCost) -> Duration {
         let working = self.targets.values();
-        let working = working.filter(|load| !load.back_off().is_active() && !load.is_leaving());
+        let working = working.filter(|load| !load.back_off().is_active() && !load.is_draining());
         let firsts = working.map(|load| load.first_ms(cost));
         firsts
             .min_by(f64::total_cmp)
-            .map_or(Duration::ZERO, span_of)
+            .map_or(Duration::ZERO, from_millis)
     }
 
-    /// Get how long a run of this cost should take: the mean of the targets
-    /// that work.
-    fn expected_run(&self, cost: TokenCost) -> Duration {
+    /// Get the predicted run time: the mean over the targets that work.
+    fn expected_run_time(&self, cost: TokenCost) -> Duration {
         let working = self.targets.values();
-        let working = working.filter(|load| !load.back_off().is_active() && !load.is_leaving());
+        let working = working.filter(|load| !load.back_off().is_active() && !load.is_draining());
         let (count, sum_ms) = working.fold((0_u32, 0.0), |(count, sum_ms), load| {
             (count + 1, sum_ms + load.run_ms(cost))
         });
-        span_of(sum_ms / f64::from(count.max(1)))
+        from_millis(sum_ms / f64::from(count.max(1)))
     }
 }
--- a/bergamotswitch-core/src/pool_owner/permit_table.rs
+++ b/bergamotswitch-core/src/pool_owner/permit_table.rs
@@ -1,4 +1,4 @@
-//! Provides the table of permits that were given and not yet given back.
+//! Provides the table of granted permits that haven't been released.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -10,12 +10,12 @@
 use crate::rules::Tier;
 use crate::target::TargetName;
 
-use super::speed_gauge::DueWork;
+use super::speed_estimator::ExpectedEnd;
 
-/// A `GivenPermit` is a permit that an entry host holds.
+/// A `GrantedPermit` is a permit held by an entry host.
 #[derive(Clone, Debug)]
-pub struct GivenPermit {
-    /// The permit's name.
+pub struct GrantedPermit {
+    /// The permit's id.
     pub id: PermitId,
     /// The entry host.
     pub host: HostName,
@@ -29,32 +29,33 @@
     pub account: AccountName,
     /// The estimated cost.
     pub cost: TokenCost,
-    /// Whether it counts as long work.
+    /// Whether the request counts as long.
     pub long: bool,
-    /// Whether its stream may be stopped for a higher tier.
+    /// Whether the stream may be preempted for a higher tier.
     pub preemptible: bool,
-    /// The key, where a second run must be prevented.
+    /// The idempotency key's claim, if a second run must be prevented.
     pub claim: Option<KeyClaim>,
-    /// The hashes of the prompt's beginnings.
+    /// The hashes of the prompt's prefixes.
     pub prefixes: Vec<PrefixHash>,
-    /// How many of them were believed warm at the target.
+    /// The number of prompt blocks that the target was assumed to have cached.
     pub warm_blocks: usize,
-    /// When it was given, or told.
+    /// When the permit was granted, or taken over from a previous owner.
     pub granted_at: Moment,
-    /// The tokens to be served at the target until its end, its own included.
-    pub ahead: u64,
-    /// How full the target was with it, 1 for full.
-    pub crowd: f64,
-    /// When its work is predicted to end.
+    /// The tokens that the target was predicted to process until the request's
+    /// end, its own included.
+    pub tokens_ahead: u64,
+    /// The target's utilization with this request, 1 when full.
+    pub utilization: f64,
+    /// When the request is predicted to end.
     pub finish_at: Moment,
-    /// When its holder was last asked to stop it.
+    /// When the holder was last asked to stop the stream.
     pub preempted_at: Option<Moment>,
-    /// When its holder is asked whether it still has it.
+    /// When the holder is next asked whether it still holds the permit.
     pub audit_at: Moment,
 }
 
-impl GivenPermit {
-    /// Get the prompt tokens that the target was believed to hold.
+impl GrantedPermit {
+    /// Get the prompt tokens that the target was assumed to have cached.
     pub fn expected_cached(&self) -> u64 {
         if self.prefixes.is_empty() {
             return 0;
@@ -62,9 +63,9 @@
         u64::from(self.cost.prefill) * self.warm_blocks as u64 / self.prefixes.len() as u64
     }
 
-    /// Get when its work should end.
-    pub fn due_work(&self) -> DueWork {
-        DueWork {
+    /// Get the request's predicted end.
+    pub fn expected_end(&self) -> ExpectedEnd {
+        ExpectedEnd {
             finish_at: self.finish_at,
             granted_at: self.granted_at,
             permit: self.id,
@@ -72,13 +73,14 @@
     }
 }
 
-/// A `PermitTable` is all permits given, by name, attempt and audit time.
+/// A `PermitTable` is the granted permits, indexed by id, attempt and audit
+/// time.
 #[derive(Debug, Default)]
 pub struct PermitTable {
-    permits: BTreeMap<PermitId, GivenPermit>,
+    permits: BTreeMap<PermitId, GrantedPermit>,
     attempts: HashMap<AttemptId, PermitId>,
     audits: BTreeSet<(Moment, PermitId)>,
-    preemptible: usize,
+    preemptible_count: usize,
 }
 
 impl PermitTable {
@@ -87,50 +89,51 @@
         self.permits.len()
     }
 
-    /// Get whether no permit is out.
+    /// Get whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.permits.is_empty()
     }
 
-    /// Get all permits.
-    pub fn iter(&self) -> impl Iterator<Item = &GivenPermit> {
+    /// Get all permits, in the order of their ids.
+    pub fn iter(&self) -> impl Iterator<Item = &GrantedPermit> {
         self.permits.values()
     }
 
     /// Get a permit.
-    pub fn get(&self, id: &PermitId) -> Option<&GivenPermit> {
+    pub fn get(&self, id: &PermitId) -> Option<&GrantedPermit> {
         self.permits.get(id)
     }
 
     /// Get the permit of an attempt.
-    pub fn of_attempt(&self, attempt: &AttemptId) -> Option<&GivenPermit> {
+    pub fn of_attempt(&self, attempt: &AttemptId) -> Option<&GrantedPermit> {
         self.permits.get(self.attempts.get(attempt)?)
     }
 
-    /// Get the names of the permits of one run of an entry host.
+    /// Get the ids of the permits of one run of an entry host.
     pub fn of_run(&self, run: Incarnation) -> Vec<PermitId> {
         let permits = self.permits.values();
         let held = permits.filter(|permit| permit.attempt.request.incarnation == run);
         held.map(|permit| permit.id).collect()
     }
 
-    /// Get the number of permits whose streams may be stopped.
-    pub fn preemptible(&self) -> usize {
-        self.preemptible
+    /// Get the number of permits whose streams may be preempted.
+    pub fn preemptible_count(&self) -> usize {
+        self.preemptible_count
     }
 
     /// Add a permit.
-    pub fn insert(&mut self, permit: GivenPermit) {
-        self.preemptible += usize::from(permit.preemptible);
+    pub fn insert(&mut self, permit: GrantedPermit) {
+        self.preemptible_count += usize::from(permit.preemptible);
         self.attempts.insert(permit.attempt, permit.id);
         self.audits.insert((permit.audit_at, permit.id));
         self.permits.insert(permit.id, permit);
     }
 
-    /// Remove a permit. A second time it is gone: giving back is idempotent.
-    pub fn remove(&mut self, id: &PermitId) -> Option<GivenPermit> {
+    /// Remove a permit. Repeated releases are harmless: only the first returns
+    /// it.
+    pub fn remove(&mut self, id: &PermitId) -> Option<GrantedPermit> {
         let permit = self.permits.remove(id)?;
-        self.preemptible -= usize::from(permit.preemptible);
+        self.preemptible_count -= usize::from(permit.preemptible);
         self.audits.remove(&(permit.audit_at, *id));
         if self.attempts.get(&permit.attempt) == Some(id) {
             self.attempts.remove(&permit.attempt);
@@ -138,8 +141,13 @@
         Some(permit)
     }
 
-    /// Make the audit of a host's permits due, but for those that it has named.
-    pub fn audit_others(&mut self, now: Moment, host: &HostName, named: &BTreeSet<PermitId>) {
+    /// Make the audit due for all permits of a host except those in `named`.
+    pub fn schedule_audits_except(
+        &mut self,
+        now: Moment,
+        host: &HostName,
+        named: &BTreeSet<PermitId>,
+    ) {
         for permit in self.permits.values_mut() {
             if permit.host != *host || named.contains(&permit.id) {
                 continue;
@@ -150,15 +158,15 @@
         }
     }
 
-    /// Take out all permits for a target.
-    pub fn take_all_of(&mut self, target: &TargetName) -> Vec<GivenPermit> {
+    /// Remove and get all permits for a target.
+    pub fn remove_target(&mut self, target: &TargetName) -> Vec<GrantedPermit> {
         let permits = self.permits.values();
         let held = permits.filter(|permit| permit.target == *target);
         let ids: Vec<PermitId> = held.map(|permit| permit.id).collect();
         ids.iter().filter_map(|id| self.remove(id)).collect()
     }
 
-    /// Note that a permit's holder is asked to stop it.
+    /// Record that a permit's holder was asked to stop the stream.
     pub fn mark_preempted(&mut self, id: &PermitId, now: Moment) {
         if let Some(permit) = self.permits.get_mut(id) {
             permit.preempted_at = Some(now);
@@ -170,7 +178,8 @@
         self.audits.first().map(|(at, _)| *at)
     }
 
-    /// Get the permits to ask about now; the next audit of each is at `next`.
+    /// Get the permits whose audit is due, by host, and schedule the next audit
+    /// of each at `next`.
     pub fn due_audits(&mut self, now: Moment, next: Moment) -> BTreeMap<HostName, Vec<PermitId>> {
         let mut by_host: BTreeMap<HostName, Vec<PermitId>> = BTreeMap::new();
         while let Some((at, id)) = self.audits.first().copied() {
--- a/bergamotswitch-core/src/pool_owner/preemption.rs
+++ b/bergamotswitch-core/src/pool_owner/preemption.rs
@@ -1,5 +1,5 @@
-//! Provides preemption: stopping lower-tier streams for top-tier work that
-//! would miss its deadline otherwise.
+//! Provides preemption: stopping lower-tier streams for top-tier requests that
+//! would miss their deadlines otherwise.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -10,44 +10,47 @@
 
 use super::OwnerAction;
 use super::owner::ShardOwner;
-use super::permit_table::GivenPermit;
-use super::queue::QueuedAsk;
+use super::permit_table::GrantedPermit;
+use super::queue::QueuedRequest;
 use super::routing::allowed;
 use super::target_load::TargetLoad;
 
-/// The tier for which streams are stopped.
+/// The tier for which streams are preempted.
 const TOP_TIER: Tier = Tier(0);
 
-/// How often the queue is checked for endangered work: the check walks the
-/// permits, and a burst brings thousands of events a second.
-const CHECK_EVERY: Duration = Duration::from_millis(20);
+/// The interval at which the queue is checked for requests at risk: a check
+/// iterates over the permits, and a burst causes thousands of events per
+/// second.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long a holder is given to stop a stream before it is asked again.
-const STOP_PATIENCE: Duration = Duration::from_secs(2);
+/// How long a holder has to stop a stream before it is asked again.
+const STOP_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The part of its age that work past its predicted end is given to go on.
-const OVERDUE_PARTS: u32 = 4;
+/// The fraction of its age, as a divisor, for which overdue work is predicted
+/// to continue.
+const OVERDUE_DIVISOR: u32 = 4;
 
 impl ShardOwner {
-    /// Stop streams for endangered top-tier work, a few at once.
+    /// Preempt streams for top-tier requests at risk, a few at a time.
     pub(super) fn preempt(&mut self, now: Moment, actions: &mut Vec<OwnerAction>) {
-        let waits = self.queue.by_deadline(TOP_TIER).next().is_some();
-        // The check walks all permits for each target; where no stream may be
-        // stopped it would take a twentieth of a small host's processor in a
-        // burst, for nothing.
-        let stoppable = self.permits.preemptible() > 0;
-        if !waits || !stoppable || now < self.preempt_check_at {
+        let is_waiting = self.queue.by_deadline(TOP_TIER).next().is_some();
+        // A check iterates over all permits for each target; it is skipped if
+        // no stream may be preempted, since it would take noticeable processor
+        // time in a burst.
+        let stoppable = self.permits.preemptible_count() > 0;
+        if !is_waiting || !stoppable || now < self.preempt_check_at {
             return;
         }
-        self.preempt_check_at = now.plus(CHECK_EVERY);
-        let most = self.opts.max_preemptions;
+        self.preempt_check_at = now.plus(CHECK_INTERVAL);
+        let max = self.opts.max_preemptions;
         let mut victims: Vec<PermitId> = Vec::new();
         let pending = self.permits.iter().filter(|permit| is_pending(now, permit));
-        // Each stream that is being stopped already helps one ask.
-        let helped = pending.count();
-        let first = self.queue.by_deadline(TOP_TIER).take(most);
-        let endangered = first.filter(|queued| self.is_endangered(now, queued));
-        for queued in endangered.skip(helped) {
+        // Each stream that is being stopped already frees a slot for one
+        // request.
+        let stopping = pending.count();
+        let first = self.queue.by_deadline(TOP_TIER).take(max);
+        let at_risk = first.filter(|queued| self.is_at_risk(now, queued));
+        for queued in at_risk.skip(stopping) {
             if let Some(victim) = self.victim(now, queued, &victims) {
                 victims.push(victim);
             }
@@ -70,12 +73,12 @@
         self.counts.preempted += 1;
     }
 
-    /// Get whether an ask misses its deadline where it waits for a slot, and
-    /// would meet it where it got one now.
-    fn is_endangered(&self, now: Moment, queued: &QueuedAsk) -> bool {
+    /// Get whether a request misses its deadline if it waits for a slot, and
+    /// would meet it if it got one now.
+    fn is_at_risk(&self, now: Moment, queued: &QueuedRequest) -> bool {
         let tokens = queued.ask.cost.total();
         let left = queued.plan.run_until.since(now);
-        let mut helps = false;
+        let mut feasible = false;
         let targets = allowed(&self.targets, &queued.placement);
         let working = targets
             .into_iter()
@@ -85,24 +88,24 @@
             if run > left {
                 continue;
             }
-            helps = true;
-            if self.room_in(now, load, tokens) + run <= left {
+            feasible = true;
+            if self.time_until_fits(now, load, tokens) + run <= left {
                 return false;
             }
         }
-        helps
+        feasible
     }
 
-    /// Get the predicted time until `tokens` fit at a target.
-    fn room_in(&self, now: Moment, load: &TargetLoad, tokens: u64) -> Duration {
-        // Work that has room and still waits is kept back for another reason;
-        // to stop a stream would not help it.
+    /// Get the predicted time until a request of `tokens` fits a target.
+    fn time_until_fits(&self, now: Moment, load: &TargetLoad, tokens: u64) -> Duration {
+        // A queued request that fits is held back for another reason, which
+        // preemption wouldn't change.
         if load.fits(now, tokens) {
             return Duration::ZERO;
         }
         let name = &load.target().name;
-        let there = self.permits.iter().filter(|permit| permit.target == *name);
-        let mut ends: Vec<(Duration, u64)> = there
+        let held = self.permits.iter().filter(|permit| permit.target == *name);
+        let mut ends: Vec<(Duration, u64)> = held
             .map(|permit| (time_left(now, permit), permit.cost.total()))
             .collect();
         ends.sort();
@@ -115,13 +118,13 @@
                 return span;
             }
         }
-        // With nothing of ours left there it takes any one request.
+        // A target without permits of this owner accepts any single request.
         last
     }
 
-    /// Get the permit to stop for an ask: of the lowest tier, one that frees
-    /// enough, with the least work lost.
-    fn victim(&self, now: Moment, queued: &QueuedAsk, taken: &[PermitId]) -> Option<PermitId> {
+    /// Get the permit to preempt for a request: of the lowest tier, preferably
+    /// one that frees enough tokens, with the least work lost.
+    fn victim(&self, now: Moment, queued: &QueuedRequest, taken: &[PermitId]) -> Option<PermitId> {
         let tokens = queued.ask.cost.total();
         let targets = allowed(&self.targets, &queued.placement);
         let usable = self.permits.iter().filter(|permit| {
@@ -130,8 +133,8 @@
             stoppable && free
         });
         let ranked = usable.filter_map(|permit| {
-            let mut places = targets.iter();
-            let load = places.find(|load| load.target().name == permit.target)?;
+            let mut loads = targets.iter();
+            let load = loads.find(|load| load.target().name == permit.target)?;
             let after = load.backlog(now).saturating_sub(permit.cost.total());
             let enough = load.permits() == 1 || after + tokens <= load.limit(now);
             let lost = work_done(now, permit);
@@ -141,31 +144,31 @@
     }
 }
 
-/// Get the predicted time that `tokens` take at a target beside the streams
-/// that run there.
+/// Get the predicted run time of `tokens` at a target beside the streams that
+/// run there.
 fn run_time(now: Moment, load: &TargetLoad, tokens: u64) -> Duration {
-    let ahead = load.ahead_of(now, tokens).max(tokens);
-    Duration::from_secs_f64(ahead as f64 / load.speed(now))
+    let tokens_ahead = load.tokens_ahead_of(now, tokens).max(tokens);
+    Duration::from_secs_f64(tokens_ahead as f64 / load.speed(now))
 }
 
-/// Get whether a holder was asked lately to stop a stream.
-fn is_pending(now: Moment, permit: &GivenPermit) -> bool {
-    let asked = permit.preempted_at;
-    asked.is_some_and(|at| now.since(at) < STOP_PATIENCE)
+/// Get whether a holder was recently asked to stop a stream.
+fn is_pending(now: Moment, permit: &GrantedPermit) -> bool {
+    let preempted_at = permit.preempted_at;
+    preempted_at.is_some_and(|at| now.since(at) < STOP_TIMEOUT)
 }
 
-/// Get the predicted time until a permit's work ends.
-fn time_left(now: Moment, permit: &GivenPermit) -> Duration {
+/// Get the predicted time until a request ends.
+fn time_left(now: Moment, permit: &GrantedPermit) -> Duration {
     if now < permit.finish_at {
         return permit.finish_at.since(now);
     }
-    // Past its predicted end it could end at any time; counted as ending now
-    // it would hide for ever that no slot comes free.
-    now.since(permit.granted_at) / OVERDUE_PARTS
+    // An overdue request may end at any time. If it were predicted to end now,
+    // a shortage of slots would go unnoticed as long as it runs.
+    now.since(permit.granted_at) / OVERDUE_DIVISOR
 }
 
-/// Get the tokens of a permit's work that are probably done.
-fn work_done(now: Moment, permit: &GivenPermit) -> u64 {
+/// Get the predicted number of a request's tokens that have been processed.
+fn work_done(now: Moment, permit: &GrantedPermit) -> u64 {
     let span = permit.finish_at.since(permit.granted_at).as_micros();
     let age = now.since(permit.granted_at).as_micros();
     let tokens = u128::from(permit.cost.total());
--- a/bergamotswitch-core/src/pool_owner/refusing.rs
+++ b/bergamotswitch-core/src/pool_owner/refusals.rs
@@ -1,4 +1,4 @@
-//! Provides the ends of asks that get no permit.
+//! Provides the refusal of permit requests.
 
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
 use super::owner::ShardOwner;
 
 impl ShardOwner {
-    /// Refuse the asks whose wait is over.
-    pub(super) fn expire_asks(&mut self, now: Moment, actions: &mut Vec<OwnerAction>) {
+    /// Refuse the queued requests whose waiting time is over.
+    pub(super) fn expire_requests(&mut self, now: Moment, actions: &mut Vec<OwnerAction>) {
         while let Some(attempt) = self.queue.expired(now) {
             let queued = self.queue.get(&attempt);
             let tier = queued.map_or(Tier(0), |queued| queued.ask.tier);
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Refuse an ask that waits. It was not run under a permit of this owner.
+    /// Refuse a queued request. It was not run under a permit of this owner.
     pub(super) fn refuse_queued(
         &mut self,
         attempt: &AttemptId,
@@ -36,17 +36,15 @@
         actions: &mut Vec<OwnerAction>,
     ) {
         if let Some(queued) = self.queue.remove(attempt) {
-            self.settle_unused(&queued.ask);
-            self.queue.note_fate(self.now, queued.ask.tier, false);
+            self.release_unused(&queued.ask);
+            self.queue.record_outcome(self.now, queued.ask.tier, false);
             let retry_after = match queued.ask.first_answer_ms {
-                Some(_) => queued.plan.come_back_in(self.now, attempt).max(retry_after),
+                Some(_) => queued.plan.retry_after(self.now, attempt).max(retry_after),
                 None => retry_after,
             };
             self.refuse(queued.host, *attempt, reason, retry_after, actions);
         }
     }
-
-    /// Refuse an ask.
     pub(super) fn refuse(
         &mut self,
         host: HostName,
@@ -65,8 +63,8 @@
         actions.push(OwnerAction::Reply(host, reply));
     }
 
-    /// Tell who asks that another run holds the key.
-    pub(super) fn reply_known(
+    /// Reply that another run holds the request's key.
+    pub(super) fn reply_key_known(
         &mut self,
         host: HostName,
         attempt: AttemptId,
@@ -78,12 +76,12 @@
         actions.push(OwnerAction::Reply(host, reply));
     }
 
-    /// Give back what an ask holds that got no permit.
-    pub(super) fn settle_unused(&mut self, ask: &Ask) {
+    /// Release the key and the quota units of a request that got no permit.
+    pub(super) fn release_unused(&mut self, ask: &Ask) {
         if let Some(claim) = &ask.claim {
-            self.keys.settle_unused(claim);
+            self.keys.release_unused(claim);
         }
         let units = ask.quota_units;
-        self.quotas.give_back(self.now, &ask.account, units);
+        self.quotas.refund(self.now, &ask.account, units);
     }
 }
--- a/bergamotswitch-core/src/pool_owner/release.rs
+++ b/bergamotswitch-core/src/pool_owner/release.rs
@@ -1,4 +1,4 @@
-//! Provides the ways in which permits come back or are taken over.
+//! Provides the release, audit and takeover of permits.
 
 use std::collections::BTreeSet;
 
@@ -11,8 +11,8 @@
 
 use super::OwnerAction;
 use super::owner::ShardOwner;
-use super::permit_table::GivenPermit;
-use super::run_gauge::RunSample;
+use super::permit_table::GrantedPermit;
+use super::run_time_estimator::RunSample;
 
 impl ShardOwner {
     pub(super) fn on_release(
@@ -25,35 +25,36 @@
         if known.is_none_or(|permit| permit.attempt != release.attempt) {
             return;
         }
-        let Some(permit) = self.free(now, &release.permit) else {
+        let Some(permit) = self.release_permit(now, &release.permit) else {
             return;
         };
         if let Some(claim) = &permit.claim {
             // The key is kept for one retention time from the end of the run.
             self.keys.hold(now, claim);
         }
-        let untouched = matches!(
+        let not_executed = matches!(
             release.outcome,
             ReleaseOutcome::Unused | ReleaseOutcome::Unreachable | ReleaseOutcome::Refused
         );
-        if untouched {
-            self.forget_prefixes(&permit);
+        if not_executed {
+            self.remove_prefix_hints(&permit);
         }
         match &release.outcome {
-            ReleaseOutcome::Unused => self.end_silently(&permit),
+            ReleaseOutcome::Unused => self.clear_probe(&permit),
             ReleaseOutcome::Finished(usage) => self.on_finished(now, &permit, usage),
             ReleaseOutcome::Unreachable => self.on_failure(now, &permit, true, actions),
             ReleaseOutcome::Failed(_) => self.on_failure(now, &permit, false, actions),
             ReleaseOutcome::Refused => self.on_target_refused(now, &permit, actions),
             ReleaseOutcome::Stopped(usage) => {
-                self.learn(now, &permit, usage);
-                self.end_silently(&permit);
+                self.record_usage(now, &permit, usage);
+                self.clear_probe(&permit);
             }
         }
-        self.drop_if_left(&permit.target);
+        self.remove_if_drained(&permit.target);
     }
 
-    /// Take over what an entry host holds under earlier permits.
+    /// Take over the work that an entry host holds under permits of previous
+    /// owners.
     pub(super) fn on_retell(
         &mut self,
         now: Moment,
@@ -63,44 +64,45 @@
         actions: &mut Vec<OwnerAction>,
     ) {
         for claim in claims {
-            if self.keys.hold_told(now, claim) {
-                self.drop_copies(claim, actions);
+            if self.keys.hold_reported(now, claim) {
+                self.answer_duplicates(claim, actions);
             }
         }
-        // A host that tells again what it holds has followed another owner
-        // meanwhile, and what it gave back in that time may not have arrived.
-        // Left to their turn, places would stand taken for half a minute.
+        // The host has used another owner meanwhile, and releases that it sent
+        // in that time may have been lost. Without an early audit their slots
+        // would stay occupied until the regular one.
         let named: BTreeSet<PermitId> = held.iter().map(|work| work.permit).collect();
-        self.permits.audit_others(now, &host, &named);
+        self.permits.schedule_audits_except(now, &host, &named);
         for work in held {
-            self.take_over(now, host.clone(), work);
+            self.adopt_work(now, host.clone(), work);
         }
     }
 
-    /// Tell those whose asks wait under a key that another run holds it.
-    fn drop_copies(&mut self, told: &KeyClaim, actions: &mut Vec<OwnerAction>) {
-        let is_copy = |claim: &KeyClaim| claim.key == told.key && claim.holder != told.holder;
-        let copies = self
+    /// Answer the queued requests whose key another run holds.
+    fn answer_duplicates(&mut self, reported: &KeyClaim, actions: &mut Vec<OwnerAction>) {
+        let is_duplicate =
+            |claim: &KeyClaim| claim.key == reported.key && claim.holder != reported.holder;
+        let duplicates = self
             .queue
-            .find(|queued| queued.ask.claim.as_ref().is_some_and(is_copy));
-        for attempt in copies {
+            .find(|queued| queued.ask.claim.as_ref().is_some_and(is_duplicate));
+        for attempt in duplicates {
             if let Some(queued) = self.queue.remove(&attempt) {
-                self.settle_unused(&queued.ask);
-                self.reply_known(queued.host, attempt, told.holder.clone(), actions);
+                self.release_unused(&queued.ask);
+                self.reply_key_known(queued.host, attempt, reported.holder.clone(), actions);
             }
         }
     }
 
-    fn take_over(&mut self, now: Moment, host: HostName, work: InFlightWork) {
+    fn adopt_work(&mut self, now: Moment, host: HostName, work: InFlightWork) {
         if self.permits.get(&work.permit).is_some() {
             return;
         }
         self.drop_queued(&work.attempt);
         let long = self.costs.is_long(work.cost.total());
         if let Some(load) = self.targets.get_mut(&work.target) {
-            load.occupy(now, work.cost.total(), long);
+            load.add_permit(now, work.cost.total(), long);
         }
-        self.permits.insert(GivenPermit {
+        self.permits.insert(GrantedPermit {
             id: work.permit,
             host,
             attempt: work.attempt,
@@ -114,16 +116,17 @@
             prefixes: Vec::new(),
             warm_blocks: 0,
             granted_at: now,
-            // What lay before it is not known, so it teaches no speed.
-            ahead: 0,
-            crowd: 1.0,
+            // Without the backlog at its start, the request gives no speed
+            // sample.
+            tokens_ahead: 0,
+            utilization: 1.0,
             finish_at: now,
             preempted_at: None,
             audit_at: now.plus(self.opts.audit_after),
         });
     }
 
-    /// Take back the permits that an audited host says it does not hold.
+    /// Reclaim the permits that a host, asked by an audit, doesn't hold.
     pub(super) fn on_not_held(
         &mut self,
         now: Moment,
@@ -136,40 +139,41 @@
             if known.is_none_or(|permit| permit.host != *host) {
                 continue;
             }
-            let Some(permit) = self.free(now, id) else {
+            let Some(permit) = self.release_permit(now, id) else {
                 continue;
             };
-            self.end_silently(&permit);
+            self.clear_probe(&permit);
             self.counts.reclaimed += 1;
-            self.drop_if_left(&permit.target);
-            actions.push(self.note(Incident::PermitReclaimed, &permit.target));
+            self.remove_if_drained(&permit.target);
+            actions.push(self.incident_action(Incident::PermitReclaimed, &permit.target));
         }
     }
 
-    /// Drop the asks and free the permits of a run of an entry host that is
-    /// gone for good. Its keys stay: what became of them is not known.
+    /// Drop the queued requests and free the permits of a run of an entry host
+    /// that has terminated. Its keys stay claimed, since the outcome of its
+    /// requests isn't known.
     pub(super) fn drop_run(&mut self, now: Moment, run: Incarnation) {
         for attempt in self.queue.of_run(run) {
             self.drop_queued(&attempt);
         }
         for id in self.permits.of_run(run) {
-            if let Some(permit) = self.free(now, &id) {
-                self.end_silently(&permit);
-                self.drop_if_left(&permit.target);
+            if let Some(permit) = self.release_permit(now, &id) {
+                self.clear_probe(&permit);
+                self.remove_if_drained(&permit.target);
             }
         }
     }
 
-    /// Drop an ask of which it is not known that it did not run elsewhere.
+    /// Drop a queued request that may have run elsewhere.
     fn drop_queued(&mut self, attempt: &AttemptId) {
         if let Some(queued) = self.queue.remove(attempt) {
             let ask = queued.ask;
-            self.quotas.keep(&ask.account, ask.quota_units);
+            self.quotas.commit(&ask.account, ask.quota_units);
         }
     }
 
     /// Ask the holders of old permits whether they still hold them. A slot is
-    /// never free because a timer ran: the work may well go on.
+    /// never freed by a timeout alone, since the request may still be running.
     pub(super) fn audit(&mut self, now: Moment, actions: &mut Vec<OwnerAction>) {
         let next = now.plus(self.opts.audit_after);
         for (host, permits) in self.permits.due_audits(now, next) {
@@ -179,106 +183,108 @@
         }
     }
 
-    fn free(&mut self, now: Moment, id: &PermitId) -> Option<GivenPermit> {
+    fn release_permit(&mut self, now: Moment, id: &PermitId) -> Option<GrantedPermit> {
         let permit = self.permits.remove(id)?;
-        self.pace.note(now);
+        self.release_rate.record(now);
         if let Some(load) = self.targets.get_mut(&permit.target) {
-            load.vacate(now, permit.cost.total(), permit.long);
-            load.expect_no_more(&permit.due_work());
+            load.remove_permit(now, permit.cost.total(), permit.long);
+            load.remove_expected_end(&permit.expected_end());
         }
         Some(permit)
     }
 
-    fn drop_if_left(&mut self, target: &TargetName) {
+    fn remove_if_drained(&mut self, target: &TargetName) {
         let load = self.targets.get(target);
-        if load.is_some_and(|load| load.is_leaving() && load.permits() == 0) {
+        if load.is_some_and(|load| load.is_draining() && load.permits() == 0) {
             self.targets.remove(target);
         }
     }
 
-    fn end_silently(&mut self, permit: &GivenPermit) {
+    fn clear_probe(&mut self, permit: &GrantedPermit) {
         if let Some(load) = self.targets.get_mut(&permit.target) {
-            load.back_off_mut().end_silently(permit.id);
+            load.back_off_mut().clear_probe(permit.id);
         }
     }
 
-    fn learn(&mut self, now: Moment, permit: &GivenPermit, usage: &Usage) {
-        if permit.ahead == 0 {
+    fn record_usage(&mut self, now: Moment, permit: &GrantedPermit, usage: &Usage) {
+        if permit.tokens_ahead == 0 {
             return;
         }
         if let Some(load) = self.targets.get_mut(&permit.target) {
-            load.learn(now, permit.ahead, permit.cost, usage);
+            load.record_usage(now, permit.tokens_ahead, permit.cost, usage);
         }
     }
 
-    fn on_finished(&mut self, now: Moment, permit: &GivenPermit, usage: &Usage) {
-        self.learn(now, permit, usage);
+    fn on_finished(&mut self, now: Moment, permit: &GrantedPermit, usage: &Usage) {
+        self.record_usage(now, permit, usage);
         if let Some(load) = self.targets.get_mut(&permit.target) {
-            load.learn_run(&RunSample {
+            load.record_run(&RunSample {
                 cost: permit.cost,
                 usage,
-                crowd: permit.crowd,
+                utilization: permit.utilization,
             });
-            load.back_off_mut().succeed(permit.id, permit.granted_at);
-            load.check_hint(permit.expected_cached(), usage.cached);
+            load.back_off_mut()
+                .record_success(permit.id, permit.granted_at);
+            load.record_cache_hit(permit.expected_cached(), usage.cached);
         }
         for prefix in &permit.prefixes {
-            self.prefixes.learn(now, &permit.target, *prefix);
+            self.prefixes.record(now, &permit.target, *prefix);
         }
     }
 
-    /// Drop the hints that were learned for work that never came there.
-    fn forget_prefixes(&mut self, permit: &GivenPermit) {
+    /// Remove the prefix hints that were recorded for a request that never
+    /// reached the target.
+    fn remove_prefix_hints(&mut self, permit: &GrantedPermit) {
         for prefix in permit.prefixes.iter().skip(permit.warm_blocks) {
-            self.prefixes.forget(&permit.target, *prefix);
+            self.prefixes.remove(&permit.target, *prefix);
         }
     }
 
-    /// Note that a target refused. A full one is not failing; one that
-    /// refuses while nothing is there is.
+    /// Handle a target's refusal. A refusal by a loaded target means that it is
+    /// full; a refusal by an idle one counts as a failure.
     fn on_target_refused(
         &mut self,
         now: Moment,
-        permit: &GivenPermit,
+        permit: &GrantedPermit,
         actions: &mut Vec<OwnerAction>,
     ) {
         let Some(load) = self.targets.get_mut(&permit.target) else {
             return;
         };
         load.pause(now);
-        if !load.is_occupied(now) {
+        if !load.has_backlog(now) {
             self.on_failure(now, permit, false, actions);
             return;
         }
-        load.note_full(now);
-        load.back_off_mut().end_silently(permit.id);
+        load.record_full(now);
+        load.back_off_mut().clear_probe(permit.id);
     }
 
     fn on_failure(
         &mut self,
         now: Moment,
-        permit: &GivenPermit,
+        permit: &GrantedPermit,
         certain: bool,
         actions: &mut Vec<OwnerAction>,
     ) {
         // An error after dispatch may be the request's own fault. One client
-        // account that sends bad requests must not back off every target, so
-        // such evidence counts against fewer than half of them.
-        let too_many = self.would_most_be_out();
+        // account that sends bad requests must not get all targets backed off,
+        // so such errors back off at most half of them.
+        let too_many = self.would_exceed_back_off_limit();
         let Some(load) = self.targets.get_mut(&permit.target) else {
             return;
         };
         let back_off = load.back_off_mut();
         if !certain && too_many && !back_off.is_active() {
-            back_off.end_silently(permit.id);
+            back_off.clear_probe(permit.id);
             return;
         }
-        if back_off.fail(now, permit.id, permit.granted_at, certain) {
-            actions.push(self.note(Incident::TargetBackedOff, &permit.target));
+        if back_off.record_failure(now, permit.id, permit.granted_at, certain) {
+            actions.push(self.incident_action(Incident::TargetBackedOff, &permit.target));
         }
     }
 
-    pub(super) fn note(&self, incident: Incident, target: &TargetName) -> OwnerAction {
-        OwnerAction::Note(incident, self.shard.clone(), Some(target.clone()))
+    pub(super) fn incident_action(&self, incident: Incident, target: &TargetName) -> OwnerAction {
+        OwnerAction::LogIncident(incident, self.shard.clone(), Some(target.clone()))
     }
 }
--- a/bergamotswitch-core/src/pool_owner/slot_dispatch.rs
+++ b/bergamotswitch-core/src/pool_owner/slot_dispatch.rs
@@ -1,5 +1,4 @@
-//! Provides the giving of permits where targets say how many requests they
-//! serve at once.
+//! Provides the granting of permits for targets that publish their slots.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -8,77 +7,84 @@
 use crate::request::AttemptId;
 
 use super::OwnerAction;
-use super::dispatch::query_of;
+use super::dispatch::route_query;
 use super::owner::ShardOwner;
 use super::prefix_table::WarmTarget;
-use super::queue::{Placement, QueuedAsk};
-use super::routing::{ClosedTargets, Route};
-use super::run_gauge::millis;
-use super::slot_routing::{AskTimes, SlotView};
+use super::queue::{Placement, QueuedRequest};
+use super::routing::{ReservedTargets, Route};
+use super::run_time_estimator::as_millis;
+use super::slot_routing::{RequestTimes, SlotView};
 
-/// How sure a run's end before its deadline has to be, as a multiple of
-/// its predicted time. Callers' guesses at their outputs are right at the median
-/// and off by half as often as not: a run that should just end in time fails
-/// every second time. Alone, a small chance is worth the place; while others
-/// wait, a run of ten seconds for nothing costs eight of them theirs.
-const SURENESS_ALONE: f64 = 0.6;
-const SURENESS_CROWDED: f64 = 1.5;
+/// The safety factors by which a predicted run time is multiplied before it is
+/// compared with the time left. Output lengths are rough estimates, so runs
+/// that are predicted to end just in time often fail. A request alone in the
+/// queue may take that risk; while others wait, a failed run would take the
+/// slot from several of them.
+const SAFETY_FACTOR_ALONE: f64 = 0.6;
+const SAFETY_FACTOR_CONTENDED: f64 = 1.5;
 
-/// A `SlotStep` is the next ask in order for which a target was chosen.
-struct SlotStep {
+/// A `SlotChoice` is the next request in order with the target chosen for it.
+struct SlotChoice {
     attempt: AttemptId,
     route: Route,
-    /// Whether its run should not end in time there.
+    /// Whether the run is predicted to miss its deadline there.
     late: bool,
     warm: Vec<WarmTarget>,
 }
 
 impl ShardOwner {
-    /// Give permits in order until nothing that waits finds a place.
+    /// Grant permits in queue order until no queued request finds a slot.
     pub(super) fn dispatch_slots(&mut self, now: Moment, actions: &mut Vec<OwnerAction>) {
         let mut blocked = BTreeSet::new();
-        let mut closed = ClosedTargets::default();
-        while let Some(step) = self.next_slot(now, &mut blocked, &mut closed) {
-            let SlotStep {
+        let mut reserved = ReservedTargets::default();
+        while let Some(choice) = self.next_choice(now, &mut blocked, &mut reserved) {
+            let SlotChoice {
                 attempt,
                 route,
                 late,
                 warm,
-            } = step;
-            self.settle(now, &attempt, &route, late, &warm, actions);
+            } = choice;
+            self.grant_or_refuse(now, &attempt, &route, late, &warm, actions);
         }
     }
 
-    /// Get the next ask in order that has a target. Those before it wait, and
-    /// what they wait for is closed to those after them.
-    fn next_slot(
+    /// Get the next request in order for which there is a target. The requests
+    /// before it wait, and the targets they wait for are reserved for them.
+    fn next_choice(
         &self,
         now: Moment,
         blocked: &mut BTreeSet<Arc<Placement>>,
-        closed: &mut ClosedTargets,
-    ) -> Option<SlotStep> {
-        let mut view = SlotView::new(now, &self.targets, closed);
+        reserved: &mut ReservedTargets,
+    ) -> Option<SlotChoice> {
+        let mut view = SlotView::new(now, &self.targets, reserved);
         while !view.is_full() {
             let queued = self.queue.next(blocked)?;
             let warm = self.prefixes.warm(now, &queued.ask.prefixes);
-            let query = query_of(queued, &warm);
-            let times = self.times_of(now, queued);
+            let query = route_query(queued, &warm);
+            let times = self.request_times(now, queued);
             if let Some(route) = view.choose(now, &query, times) {
-                return Some(SlotStep {
+                return Some(SlotChoice {
                     attempt: queued.ask.attempt,
-                    late: self.is_late_at(now, queued, &route, times),
+                    late: self.misses_deadline_at(now, queued, &route, times),
                     route,
                     warm,
                 });
             }
             blocked.insert(queued.placement.clone());
-            view.close_for(&queued.placement, query.cost, times, closed);
+            view.reserve_for(&queued.placement, query.cost, times, reserved);
         }
         None
     }
 
-    /// Get whether a run at the chosen target should not end in time.
-    fn is_late_at(&self, now: Moment, queued: &QueuedAsk, route: &Route, times: AskTimes) -> bool {
+    /// Get whether a run at the chosen target is predicted to miss its
+    /// deadline.
+    fn misses_deadline_at(
+        &self,
+        now: Moment,
+        queued: &QueuedRequest,
+        route: &Route,
+        times: RequestTimes,
+    ) -> bool {
         if queued.ask.first_answer_ms.is_none() {
             return self.is_too_late(now, queued, route);
         }
@@ -86,16 +92,16 @@
         load.is_some_and(|load| !times.is_feasible(load, queued.ask.cost))
     }
 
-    /// Get the time that an ask has.
-    fn times_of(&self, now: Moment, queued: &QueuedAsk) -> AskTimes {
-        // An ask without an aim is neither fresh nor late.
-        let fresh = queued.placement.aim_ms.is_some();
-        AskTimes {
-            aim_left: fresh.then(|| millis(queued.plan.aim_at.since(now))),
-            run_left: millis(queued.plan.run_until.since(now)),
-            sureness: match self.queue.len() {
-                0 | 1 => SURENESS_ALONE,
-                _ => SURENESS_CROWDED,
+    /// Get the time limits of a queued request.
+    fn request_times(&self, now: Moment, queued: &QueuedRequest) -> RequestTimes {
+        // The placement of a late request has no limit either.
+        let has_limit = queued.placement.first_token_limit_ms.is_some();
+        RequestTimes {
+            first_token_left: has_limit.then(|| as_millis(queued.plan.first_token_due.since(now))),
+            run_left: as_millis(queued.plan.run_until.since(now)),
+            safety_factor: match self.queue.len() {
+                0 | 1 => SAFETY_FACTOR_ALONE,
+                _ => SAFETY_FACTOR_CONTENDED,
             },
         }
     }
--- a/bergamotswitch-core/src/pool_owner/slot_routing.rs
+++ b/bergamotswitch-core/src/pool_owner/slot_routing.rs
@@ -1,64 +1,66 @@
-//! Provides the choice among targets whose batches are known.
+//! Provides the choice among targets that publish their slots.
 //!
-//! Targets of one pool differ fivefold in speed. A fresh ask goes where its
-//! answer can still begin in time, to the one of those that should end first;
-//! where they are all full it waits for them as long as it is fresh, and
-//! leaves the slow ones to asks that bear them. An ask that is late already
-//! goes wherever there is room.
+//! Targets of one pool may differ several times in speed. A request that can
+//! still be answered on time is sent to a target that can meet its
+//! time-to-first-token limit, to the one with the shortest predicted run. If
+//! all of these are full, it waits for them while it is on time and leaves
+//! slower targets to other requests. A late request is sent to any target with
+//! capacity.
 
 use crate::clock::Moment;
 use crate::request::TokenCost;
 
-use super::back_off::ProbeNeed;
+use super::back_off::ProbeAdmission;
 use super::queue::Placement;
-use super::routing::{ClosedTargets, Route, RouteQuery, TargetSet, in_domains};
+use super::routing::{ReservedTargets, Route, RouteQuery, TargetSet, in_domains};
 use super::target_load::TargetLoad;
 
-/// The requests that a target gets before it was seen to end one. Targets
-/// that nobody knows look like the fastest; a slow one would fill up with
-/// requests before its first one ends.
-const UNKNOWN_PERMITS: usize = 2;
+/// The maximum number of permits for a target before its first completed run.
+/// Without samples a target seems the fastest; a slow one would fill up before
+/// its first run ends.
+const UNMEASURED_PERMITS: usize = 2;
 
-/// The least time for which waiting for a fast target is worth while, in
-/// milliseconds.
+/// The minimum remaining time, in milliseconds, for which waiting for a faster
+/// target is worthwhile.
 const MIN_WAIT_MS: f64 = 5.0;
 
-/// An `AskTimes` is the time that an ask has, in milliseconds.
+/// A `RequestTimes` is the time limits of a request, in milliseconds.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct AskTimes {
-    /// In which its answer is on time; none where it is late already.
-    pub(super) aim_left: Option<f64>,
-    /// In which its run has to end.
+pub(super) struct RequestTimes {
+    /// The time left until its first token is due; `None` if the request is
+    /// late or has no such limit.
+    pub(super) first_token_left: Option<f64>,
+    /// The time left until its deadline.
     pub(super) run_left: f64,
-    /// How sure its end has to be, as a multiple of the predicted time.
-    pub(super) sureness: f64,
+    /// The safety factor by which predicted run times are multiplied.
+    pub(super) safety_factor: f64,
 }
 
-impl AskTimes {
-    /// Get whether a run at a target should end in time.
+impl RequestTimes {
+    /// Get whether a run at a target is predicted to end before the deadline.
     pub(super) fn is_feasible(&self, load: &TargetLoad, cost: TokenCost) -> bool {
-        load.run_ms(cost) * self.sureness <= self.run_left
+        load.run_ms(cost) * self.safety_factor <= self.run_left
     }
 
-    /// Get whether an answer of a target can begin in time.
-    fn is_timely(&self, load: &TargetLoad, cost: TokenCost) -> bool {
-        self.aim_left
+    /// Get whether the first token of a target is predicted to be on time.
+    fn is_on_time(&self, load: &TargetLoad, cost: TokenCost) -> bool {
+        self.first_token_left
             .is_some_and(|left| load.first_ms(cost) <= left)
     }
 }
 
-/// An `OpenTarget` is a target that may take a request now.
+/// An `OpenTarget` is a target that may accept a request now.
 #[derive(Clone, Copy, Debug)]
 struct OpenTarget<'a> {
     load: &'a TargetLoad,
-    need: ProbeNeed,
+    admission: ProbeAdmission,
 }
 
-/// A `SlotView` is the targets of a shard as the asks of one moment see them.
+/// A `SlotView` is the targets of a shard during one dispatch pass.
 ///
-/// Under overload most events find no free slot, or one. An owner that looked at
-/// each target for each kind of ask would fall behind in a burst, and hold up
-/// every answer of the shard; so those that have a slot are looked for first.
+/// Under overload most events find at most one free slot. Evaluating each
+/// target for each kind of request would be too slow in a burst, so targets
+/// without a free slot are filtered out first.
 #[derive(Debug)]
 pub(super) struct SlotView<'a> {
     targets: &'a TargetSet,
@@ -66,20 +68,22 @@
 }
 
 impl<'a> SlotView<'a> {
-    /// Get the view of targets of which `closed` are kept for earlier asks.
-    pub(super) fn new(now: Moment, targets: &'a TargetSet, closed: &ClosedTargets) -> Self {
-        let live = targets.values().filter(|load| !load.is_leaving());
+    /// Get the view of `targets`, without those in `reserved`, which are kept
+    /// for earlier requests.
+    pub(super) fn new(now: Moment, targets: &'a TargetSet, reserved: &ReservedTargets) -> Self {
+        let live = targets.values().filter(|load| !load.is_draining());
         let open = live.filter_map(|load| {
-            let need = load.back_off().need(now);
-            let open = match need {
-                ProbeNeed::None => {
-                    let has_room = load.may_fit(now) && load.is_explored(UNKNOWN_PERMITS);
-                    has_room && !closed.contains(&load.target().name)
+            let admission = load.back_off().admission(now);
+            let open = match admission {
+                ProbeAdmission::Unrestricted => {
+                    let has_capacity =
+                        load.may_fit(now) && load.within_unmeasured_limit(UNMEASURED_PERMITS);
+                    has_capacity && !reserved.contains(&load.target().name)
                 }
-                ProbeNeed::Risky | ProbeNeed::Any => true,
-                ProbeNeed::Wait => false,
+                ProbeAdmission::EligibleProbe | ProbeAdmission::AnyProbe => true,
+                ProbeAdmission::Blocked => false,
             };
-            open.then_some(OpenTarget { load, need })
+            open.then_some(OpenTarget { load, admission })
         });
         SlotView {
             targets,
@@ -87,19 +91,19 @@
         }
     }
 
-    /// Get whether no target may take any request.
+    /// Get whether no target may accept any request.
     pub(super) fn is_full(&self) -> bool {
         self.open.is_empty()
     }
 
-    /// Get the best target that has room; `None` where the ask has to wait for
-    /// one. Where no target should end its run in time, the best one is named
-    /// all the same, and the caller sees that it is of no use.
+    /// Get the best target with capacity; `None` if the request has to wait. If
+    /// no target is predicted to meet the deadline, the best one is returned
+    /// all the same, and the caller has to check it.
     pub(super) fn choose(
         &self,
         now: Moment,
         query: &RouteQuery<'_>,
-        times: AskTimes,
+        times: RequestTimes,
     ) -> Option<Route> {
         let mut best: Option<((bool, f64, usize), &TargetLoad)> = None;
         for open in self.candidates(query.placement) {
@@ -107,8 +111,8 @@
                 continue;
             }
             let load = open.load;
-            let timely = times.is_timely(load, query.cost);
-            let rank = (!timely, load.run_ms(query.cost), load.permits());
+            let on_time = times.is_on_time(load, query.cost);
+            let rank = (!on_time, load.run_ms(query.cost), load.permits());
             if best.is_none_or(|(best, _)| rank < best) {
                 best = Some((rank, load));
             }
@@ -123,21 +127,23 @@
         })
     }
 
-    /// Get whether the best target with room is so much worse than one without
-    /// that the ask had better wait.
+    /// Get whether waiting for a full target is better than the best target
+    /// with capacity.
     fn is_worth_waiting(
         &self,
         query: &RouteQuery<'_>,
-        times: AskTimes,
+        times: RequestTimes,
         late: bool,
         best: &TargetLoad,
     ) -> bool {
         let cost = query.cost;
-        let is_fresh = times.aim_left.is_some_and(|left| left > MIN_WAIT_MS);
-        if late && is_fresh {
-            // An open target that is timely would have been the best.
-            let timely = |load: &TargetLoad| load.is_known() && times.is_timely(load, cost);
-            if self.any_usable(query.placement, timely) {
+        let can_wait = times
+            .first_token_left
+            .is_some_and(|left| left > MIN_WAIT_MS);
+        if late && can_wait {
+            // If an open target met the limit, it would be the best one.
+            let on_time = |load: &TargetLoad| load.has_run() && times.is_on_time(load, cost);
+            if self.any_usable(query.placement, on_time) {
                 return true;
             }
         }
@@ -145,60 +151,63 @@
         !feasible(best) && self.any_usable(query.placement, feasible)
     }
 
-    /// Close the targets that a waiting ask waits for to those after it.
-    pub(super) fn close_for(
+    /// Reserve the targets that a queued request waits for.
+    pub(super) fn reserve_for(
         &mut self,
         placement: &Placement,
         cost: TokenCost,
-        times: AskTimes,
-        closed: &mut ClosedTargets,
+        times: RequestTimes,
+        reserved: &mut ReservedTargets,
     ) {
-        let kept = |load: &TargetLoad| match times.aim_left {
-            // Those that would be too late for it are free for others.
-            Some(_) => times.is_timely(load, cost),
+        let kept = |load: &TargetLoad| match times.first_token_left {
+            // Targets that would be too late for the request stay available to
+            // others.
+            Some(_) => times.is_on_time(load, cost),
             None => true,
         };
-        let avoids = self.avoids(placement);
+        let excludes_avoided = self.excludes_avoided(placement);
         self.open.retain(|open| {
-            let allowed = may_go(open.load, placement, avoids);
-            let closes = allowed && open.need == ProbeNeed::None && kept(open.load);
-            if closes {
-                closed.close(&open.load.target().name);
+            let allowed = is_allowed(open.load, placement, excludes_avoided);
+            let reserves =
+                allowed && open.admission == ProbeAdmission::Unrestricted && kept(open.load);
+            if reserves {
+                reserved.reserve(&open.load.target().name);
             }
-            !closes
+            !reserves
         });
     }
 
-    /// Get whether a target has room for this very request.
+    /// Get whether a target has capacity for this request.
     fn may_take(&self, now: Moment, open: &OpenTarget<'_>, query: &RouteQuery<'_>) -> bool {
-        match open.need {
-            ProbeNeed::None => open.load.fits(now, query.cost.total()),
-            need => query.may_probe(need, self.any_healthy(query.placement)),
+        match open.admission {
+            ProbeAdmission::Unrestricted => open.load.fits(now, query.cost.total()),
+            admission => query.may_probe(admission, self.any_healthy(query.placement)),
         }
     }
 
-    /// Get the open targets where `placement` may go.
+    /// Get the open targets that `placement` allows.
     fn candidates(&self, placement: &Placement) -> impl Iterator<Item = &OpenTarget<'a>> {
-        let avoids = self.avoids(placement);
+        let excludes_avoided = self.excludes_avoided(placement);
         let open = self.open.iter();
-        open.filter(move |open| may_go(open.load, placement, avoids))
+        open.filter(move |open| is_allowed(open.load, placement, excludes_avoided))
     }
 
-    /// Get whether the targets to avoid are avoided: they come back where no
-    /// other is left.
-    fn avoids(&self, placement: &Placement) -> bool {
+    /// Get whether the targets to avoid are excluded: they are allowed only if
+    /// there is no other one.
+    fn excludes_avoided(&self, placement: &Placement) -> bool {
         !placement.avoid.is_empty()
             && in_domains(self.targets, placement)
                 .any(|load| !placement.avoid.contains(&load.target().name))
     }
 
-    /// Get whether some target where `placement` may go, open or not, is such
-    /// a one and does not stand still.
-    fn any_usable(&self, placement: &Placement, is_such: impl Fn(&TargetLoad) -> bool) -> bool {
-        let avoids = self.avoids(placement);
+    /// Get whether an allowed target, open or not, meets the condition and
+    /// isn't backed off.
+    fn any_usable(&self, placement: &Placement, condition: impl Fn(&TargetLoad) -> bool) -> bool {
+        let excludes_avoided = self.excludes_avoided(placement);
         in_domains(self.targets, placement).any(|load| {
-            let usable = may_go(load, placement, avoids) && !load.back_off().is_active();
-            usable && is_such(load)
+            let usable =
+                is_allowed(load, placement, excludes_avoided) && !load.back_off().is_active();
+            usable && condition(load)
         })
     }
 
@@ -207,8 +216,10 @@
     }
 }
 
-/// Get whether `placement` may go to a target, where it avoids some or does not.
-fn may_go(load: &TargetLoad, placement: &Placement, avoids: bool) -> bool {
+/// Get whether `placement` allows a target; `excludes_avoided` says whether
+/// targets to avoid are excluded.
+fn is_allowed(load: &TargetLoad, placement: &Placement, excludes_avoided: bool) -> bool {
     let target = load.target();
-    placement.allows(&target.domain) && !(avoids && placement.avoid.contains(&target.name))
+    placement.allows(&target.domain)
+        && !(excludes_avoided && placement.avoid.contains(&target.name))
 }
--- a/bergamotswitch-core/src/pool_owner/target_load.rs
+++ b/bergamotswitch-core/src/pool_owner/target_load.rs
@@ -1,5 +1,5 @@
-//! Provides what an owner believes of one target: its own outstanding count,
-//! and whether a request finds room there.
+//! Provides the state of one target as observed by an owner: its outstanding
+//! requests, and whether another one fits.
 
 use std::time::Duration;
 
@@ -10,76 +10,76 @@
 
 use super::back_off::BackOff;
 use super::load_history::LoadHistory;
-use super::run_gauge::{RunGauge, RunSample};
+use super::run_time_estimator::{RunSample, RunTimeEstimator};
 use super::slot_limit::SlotLimit;
-use super::speed_gauge::{DueWork, SpeedGauge};
+use super::speed_estimator::{ExpectedEnd, SpeedEstimator};
 use super::token_limit::TokenLimit;
 
-/// How long a target that refused as full gets nothing more: without a pause
-/// a queue would be poured over it, refusal by refusal.
+/// How long a target gets no requests after it refused one as full; otherwise
+/// the whole queue would be sent to it and refused.
 const FULL_PAUSE: Duration = Duration::from_millis(100);
 
-/// The part of a target's limit that long work may fill, in hundredths.
-const LONG_PERCENT: u64 = 75;
+/// The percentage of a target's limit that long requests may use.
+const MAX_LONG_PERCENT: u64 = 75;
 
-/// The weight of a new sample of what a warm prefix saved.
-const HINT_WEIGHT: f64 = 0.5;
+/// The weight of a new sample of the savings by a warm prefix.
+const CACHE_HIT_WEIGHT: f64 = 0.5;
 
-/// The least trust in a warm prefix: some engines do not report what they
-/// took from their cache, and there the hint is still better than none.
-const CACHE_TRUST_MIN: f64 = 0.25;
+/// The minimum cache hit ratio assumed for warm-prefix hints: some engines
+/// don't report cached tokens, and there a hint is still better than none.
+const MIN_CACHE_HIT_RATIO: f64 = 0.25;
 
-/// How long a place that came free stays empty until the owner has heard of it
-/// and its permit has led to a request. So much of a target's work may wait
-/// there beyond its batch: short calls of 30 ms would leave a sixth of their
-/// places empty. Runs of a second get no such place, since they would wait at
-/// a slow target for longer than they would here.
+/// The time from the release of a slot to the arrival of the next request, in
+/// milliseconds. Requests for this much of a target's work may wait there
+/// beyond its batch, so that slots of short runs don't stay idle. With long
+/// runs this gives none: they would wait at a slow target longer than in the
+/// queue.
 const REFILL_MS: f64 = 6.0;
 
-/// The run time that is taken for an unknown one: that of plain calls.
-const UNKNOWN_RUN_MS: f64 = 30.0;
+/// The run time assumed without samples, that of plain calls, in milliseconds.
+const DEFAULT_RUN_MS: f64 = 30.0;
 
-/// A `TargetLoad` is what an owner believes of one target.
+/// A `TargetLoad` is the state of one target as observed by an owner.
 #[derive(Debug)]
 pub struct TargetLoad {
     target: PoolTarget,
-    leaving: bool,
+    draining: bool,
     outstanding: u64,
     long_outstanding: u64,
     permits: usize,
     limit: TokenLimit,
     slots: SlotLimit,
-    runs: RunGauge,
-    gauge: SpeedGauge,
+    run_times: RunTimeEstimator,
+    speed_estimator: SpeedEstimator,
     full_until: Moment,
-    cache_trust: f64,
+    cache_hit_ratio: f64,
     history: LoadHistory,
     back_off: BackOff,
-    /// How many requests may wait there beyond its batch; worked out when a
-    /// run ends, since it is asked for with each request and each target.
-    spare: usize,
+    /// The number of requests that may wait at the target beyond its batch;
+    /// cached, since it is read for each request and target.
+    extra_slots: usize,
 }
 
 impl TargetLoad {
-    /// Get the belief about a target of which nothing was measured.
+    /// Get the state of a target without samples.
     pub fn new(target: PoolTarget, back_off: BackOff) -> Self {
         let mut load = TargetLoad {
-            spare: 0,
-            leaving: false,
+            extra_slots: 0,
+            draining: false,
             outstanding: 0,
             long_outstanding: 0,
             permits: 0,
             limit: TokenLimit::new(target.token_limit),
             slots: SlotLimit::default(),
-            runs: RunGauge::default(),
-            gauge: SpeedGauge::new(target.expected_speed),
+            run_times: RunTimeEstimator::default(),
+            speed_estimator: SpeedEstimator::new(target.expected_speed),
             full_until: Moment::START,
-            cache_trust: 1.0,
+            cache_hit_ratio: 1.0,
             history: LoadHistory::default(),
             back_off,
             target,
         };
-        load.spare = load.spare_places();
+        load.extra_slots = load.compute_extra_slots();
         load
     }
 
@@ -88,9 +88,9 @@
         &self.target
     }
 
-    /// Get whether it gets no new work.
-    pub fn is_leaving(&self) -> bool {
-        self.leaving
+    /// Get whether the target gets no new requests.
+    pub fn is_draining(&self) -> bool {
+        self.draining
     }
 
     /// Get the tokens of this owner's permits.
@@ -103,71 +103,70 @@
         self.permits
     }
 
-    /// Get the limit in tokens that is in force now. It falls with the square
-    /// of the slowdown: the speed is an estimate, but what is sent to an
-    /// engine that stalls is stuck there until it ends.
+    /// Get the token limit now in force. It falls with the square of the
+    /// slowdown, since requests sent to a stalled engine are stuck there.
     pub fn limit(&self, now: Moment) -> u64 {
-        let slowdown = self.gauge.slowdown(now);
+        let slowdown = self.speed_estimator.slowdown(now);
         (self.limit.tokens() as f64 * slowdown * slowdown) as u64
     }
 
-    /// Get the back-off state.
+    /// Get the backoff state.
     pub fn back_off(&self) -> &BackOff {
         &self.back_off
     }
 
-    /// Get the back-off state to change it.
+    /// Get the backoff state for modification.
     pub fn back_off_mut(&mut self) -> &mut BackOff {
         &mut self.back_off
     }
 
-    /// Take over what is published of the target now.
+    /// Apply the published properties of the target.
     pub fn publish(&mut self, target: PoolTarget) {
         if target.token_limit != self.target.token_limit {
             self.limit = TokenLimit::new(target.token_limit);
         }
-        self.gauge.publish(target.expected_speed);
+        self.speed_estimator.publish(target.expected_speed);
         self.target = target;
-        self.spare = self.spare_places();
-        self.leaving = false;
+        self.extra_slots = self.compute_extra_slots();
+        self.draining = false;
     }
 
-    /// Note that the target gets no new work.
-    pub fn leave(&mut self) {
-        self.leaving = true;
+    /// Record that the target gets no new requests.
+    pub fn start_draining(&mut self) {
+        self.draining = true;
     }
 
-    /// Expect work to end.
-    pub fn expect(&mut self, work: DueWork) {
-        self.gauge.expect(work);
+    /// Add a request that is expected to end.
+    pub fn add_expected_end(&mut self, end: ExpectedEnd) {
+        self.speed_estimator.add_expected_end(end);
     }
 
-    /// Expect work no longer.
-    pub fn expect_no_more(&mut self, work: &DueWork) {
-        self.gauge.expect_no_more(work);
+    /// Remove a request that is no longer expected to end.
+    pub fn remove_expected_end(&mut self, end: &ExpectedEnd) {
+        self.speed_estimator.remove_expected_end(end);
     }
 
-    /// Get the tokens that are served there until work of `tokens`, counted
-    /// in already, ends. An engine serves its batch in turn: a short request
-    /// waits for as much of each other as it is long itself, and a long one
-    /// for all.
-    pub fn ahead_of(&self, now: Moment, tokens: u64) -> u64 {
+    /// Get the tokens that the target processes until a request of `tokens`,
+    /// already counted, ends. An engine processes its batch round-robin: a
+    /// request waits for at most its own length of each other one.
+    pub fn tokens_ahead_of(&self, now: Moment, tokens: u64) -> u64 {
         let in_turn = tokens.saturating_mul(self.permits.max(1) as u64);
         in_turn.min(self.backlog(now))
     }
 
-    /// Get the speed in tokens per second that is predicted now.
+    /// Get the predicted speed in tokens per second.
     pub fn speed(&self, now: Moment) -> f64 {
-        self.gauge.speed(now)
+        self.speed_estimator.speed(now)
     }
 
-    /// Get the tokens that are predicted to lie before a new request.
+    /// Get the tokens predicted to be queued or running at the target before a
+    /// new request.
     pub fn backlog(&self, now: Moment) -> u64 {
-        self.outstanding + self.history.excess(now)
+        self.outstanding + self.history.foreign_tokens(now)
     }
 
-    /// Get whether a request fits. An idle target takes any one request:
-    /// otherwise a request above the limit would wait for ever.
+    /// Get whether a request fits. An idle target accepts any single request;
+    /// otherwise one above the limit could never run.
     pub fn fits(&self, now: Moment, tokens: u64) -> bool {
         if now < self.full_until {
             return false;
@@ -176,42 +175,42 @@
             return true;
         }
         match self.target.slots {
-            // The batch is known, and what a request holds of the memory is
-            // bounded by its tokens.
+            // With the batch size known, the tokens only have to be within the
+            // target's memory.
             Some(slots) => {
                 let held = self.outstanding + tokens;
-                self.has_place(slots) && held <= u64::from(self.target.token_limit)
+                self.has_slot(slots) && held <= u64::from(self.target.token_limit)
             }
             None => self.slots.fits(self.permits) && self.backlog(now) + tokens <= self.limit(now),
         }
     }
 
-    fn has_place(&self, slots: u32) -> bool {
-        self.permits < slots as usize + self.spare
+    fn has_slot(&self, slots: u32) -> bool {
+        self.permits < slots as usize + self.extra_slots
     }
 
     /// Get whether some request may fit, however small: a cheap check before
     /// [`TargetLoad::fits`].
     pub fn may_fit(&self, now: Moment) -> bool {
-        let has_place = self.target.slots.is_none_or(|slots| self.has_place(slots));
-        now >= self.full_until && (has_place || self.permits == 0)
+        let has_slot = self.target.slots.is_none_or(|slots| self.has_slot(slots));
+        now >= self.full_until && (has_slot || self.permits == 0)
     }
 
-    /// Get how many requests may wait there beyond its batch.
-    fn spare_places(&self) -> usize {
+    /// Get the number of requests that may wait at the target beyond its batch.
+    fn compute_extra_slots(&self) -> usize {
         let Some(slots) = self.target.slots else {
             return 0;
         };
-        let run_ms = match self.runs.mean_run_ms() {
+        let run_ms = match self.run_times.mean_run_ms() {
             Some(run_ms) => run_ms.max(REFILL_MS),
-            None if self.target.token_limit == u32::MAX => UNKNOWN_RUN_MS,
+            None if self.target.token_limit == u32::MAX => DEFAULT_RUN_MS,
             None => return 0,
         };
         let waiting = f64::from(slots) * REFILL_MS / run_ms;
         waiting.round() as usize
     }
 
-    /// Get whether a long request leaves room for short ones.
+    /// Get whether a long request leaves capacity for short ones.
     pub fn fits_long(&self, now: Moment, tokens: u64) -> bool {
         if self.permits == 0 {
             return true;
@@ -220,130 +219,133 @@
             Some(_) => u64::from(self.target.token_limit),
             None => self.limit(now),
         };
-        let bound = limit * LONG_PERCENT / 100;
+        let bound = limit * MAX_LONG_PERCENT / 100;
         self.long_outstanding + tokens <= bound
     }
 
-    /// Get whether long work runs there.
-    pub fn holds_long(&self) -> bool {
+    /// Get whether long requests run on the target.
+    pub fn has_long(&self) -> bool {
         self.long_outstanding > 0
     }
 
-    /// Count a permit in.
-    pub fn occupy(&mut self, now: Moment, tokens: u64, long: bool) {
+    /// Add a permit to the counts.
+    pub fn add_permit(&mut self, now: Moment, tokens: u64, long: bool) {
         self.permits += 1;
         self.outstanding += tokens;
         if long {
             self.long_outstanding += tokens;
         }
-        self.history.note(now, self.outstanding);
+        self.history.record(now, self.outstanding);
     }
 
-    /// Count a permit out.
-    pub fn vacate(&mut self, now: Moment, tokens: u64, long: bool) {
+    /// Remove a permit from the counts.
+    pub fn remove_permit(&mut self, now: Moment, tokens: u64, long: bool) {
         self.permits = self.permits.saturating_sub(1);
         self.outstanding = self.outstanding.saturating_sub(tokens);
         if long {
             self.long_outstanding = self.long_outstanding.saturating_sub(tokens);
         }
-        self.history.note(now, self.outstanding);
+        self.history.record(now, self.outstanding);
     }
 
-    /// Take in a load report.
+    /// Apply a load report.
     pub fn report(&mut self, now: Moment, report: &LoadReport) {
         self.slots.report(report);
         self.history.report(now, report);
     }
 
-    /// Learn from work that was done: `ahead` is what was to be served there
-    /// until its end, the work included, when its permit was given.
-    pub fn learn(&mut self, now: Moment, ahead: u64, cost: TokenCost, usage: &Usage) {
-        let fresh = usage.prefill.saturating_sub(usage.cached);
-        let done = u64::from(fresh) + u64::from(usage.decode);
+    /// Record the speed and limit samples of a completed request;
+    /// `tokens_ahead` is the number of tokens to be processed until its end,
+    /// its own included, when its permit was granted.
+    pub fn record_usage(&mut self, now: Moment, tokens_ahead: u64, cost: TokenCost, usage: &Usage) {
+        let uncached = usage.prefill.saturating_sub(usage.cached);
+        let done = u64::from(uncached) + u64::from(usage.decode);
         if done == 0 || usage.elapsed_ms == 0 {
             return;
         }
-        // Where the estimate of the cost was wrong, what lay ahead is scaled
-        // by what was really done.
+        // If the cost estimate was wrong, the tokens ahead are scaled by the
+        // actual cost.
         let share = (done as f64 / cost.total().max(1) as f64).min(1.0);
         let span = Duration::from_millis(u64::from(usage.elapsed_ms));
-        self.gauge.measure(now, ahead as f64 * share, span);
+        self.speed_estimator
+            .record(now, tokens_ahead as f64 * share, span);
         self.limit.adapt(usage, done);
     }
 
-    /// Learn from a whole answer how long one takes.
-    pub fn learn_run(&mut self, sample: &RunSample<'_>) {
-        self.runs.learn(sample);
-        self.spare = self.spare_places();
+    /// Record the run time of a completed request.
+    pub fn record_run(&mut self, sample: &RunSample<'_>) {
+        self.run_times.record(sample);
+        self.extra_slots = self.compute_extra_slots();
     }
 
-    /// Get how full it is with one request more, 1 for full.
-    pub fn crowd(&self) -> f64 {
+    /// Get the utilization with one more request, 1 when full.
+    pub fn utilization(&self) -> f64 {
         let slots = self.target.slots.map_or(1.0, f64::from);
         (self.permits + 1) as f64 / slots
     }
 
-    /// Get how many milliseconds the first output of one request more should
-    /// take.
+    /// Get the predicted time to first token of one more request, in
+    /// milliseconds.
     pub fn first_ms(&self, cost: TokenCost) -> f64 {
-        self.runs.first_ms(cost, self.crowd())
+        self.run_times.first_ms(cost, self.utilization())
     }
 
-    /// Get the permits a second that should come back from it.
+    /// Get the predicted release rate of the target's permits, per second.
     pub fn release_rate(&self) -> f64 {
-        match self.runs.mean_run_ms() {
+        match self.run_times.mean_run_ms() {
             Some(run_ms) if run_ms > 0.0 => self.permits as f64 * 1_000.0 / run_ms,
             Some(_) | None => 0.0,
         }
     }
 
-    /// Get whether some run was seen to end there.
-    pub fn is_known(&self) -> bool {
-        self.runs.is_known()
+    /// Get whether a run has been completed on the target.
+    pub fn has_run(&self) -> bool {
+        self.run_times.has_run()
     }
 
-    /// Get whether it may have one request more as far as little is known of
-    /// it.
-    pub fn is_explored(&self, unknown_permits: usize) -> bool {
-        self.is_known() || self.permits < unknown_permits
+    /// Get whether one more request may be sent; without a completed run,
+    /// `unmeasured_permits` is the limit.
+    pub fn within_unmeasured_limit(&self, unmeasured_permits: usize) -> bool {
+        self.has_run() || self.permits < unmeasured_permits
     }
 
-    /// Get how many milliseconds a run of `cost` should take here.
+    /// Get the predicted run time of a request of `cost`, in milliseconds.
     pub fn run_ms(&self, cost: TokenCost) -> f64 {
-        self.runs.expected_ms(cost)
+        self.run_times.expected_ms(cost)
     }
 
-    /// Get whether a refusal means that the target is full: somebody's work
-    /// is there. Being full is no failure.
-    pub fn is_occupied(&self, now: Moment) -> bool {
+    /// Get whether there are outstanding requests, from this owner or others,
+    /// so that a refusal means a full target and not a failure.
+    pub fn has_backlog(&self, now: Moment) -> bool {
         self.backlog(now) > 0
     }
 
-    /// Get the part of the expected savings by a warm prefix that this target
-    /// really gives.
-    pub fn cache_trust(&self) -> f64 {
-        self.cache_trust
+    /// Get the fraction of a warm prefix's expected savings that this target
+    /// actually gives.
+    pub fn cache_hit_ratio(&self) -> f64 {
+        self.cache_hit_ratio
     }
 
-    /// Compare the cached tokens that were expected with those that were
-    /// seen: a small cache forgets what it was sent a moment ago.
-    pub fn check_hint(&mut self, expected: u64, cached: u32) {
+    /// Update the cache hit ratio of warm-prefix hints from the expected and
+    /// the actual number of cached tokens: a small cache may have evicted a
+    /// recent prefix.
+    pub fn record_cache_hit(&mut self, expected: u64, cached: u32) {
         if expected == 0 {
             return;
         }
-        let seen = (f64::from(cached) / expected as f64).min(1.0);
-        let trust = self.cache_trust * (1.0 - HINT_WEIGHT) + seen * HINT_WEIGHT;
-        self.cache_trust = trust.max(CACHE_TRUST_MIN);
+        let observed = (f64::from(cached) / expected as f64).min(1.0);
+        let ratio = self.cache_hit_ratio * (1.0 - CACHE_HIT_WEIGHT) + observed * CACHE_HIT_WEIGHT;
+        self.cache_hit_ratio = ratio.max(MIN_CACHE_HIT_RATIO);
     }
 
-    /// Give the target nothing for a moment: it has refused.
+    /// Send the target nothing for a short time after a refusal.
     pub fn pause(&mut self, now: Moment) {
         self.full_until = now.plus(FULL_PAUSE);
     }
 
-    /// Note that the target said that it is full. What it holds now is its
-    /// limit, whatever the configuration says.
-    pub fn note_full(&mut self, now: Moment) {
+    /// Record that the target reported itself full: its present backlog becomes
+    /// its limit, whatever is configured.
+    pub fn record_full(&mut self, now: Moment) {
         if self.target.slots.is_some() {
             return;
         }
--- a/bergamotswitch-core/tests/queue_differential.rs
+++ b/bergamotswitch-core/tests/queue_differential.rs
@@ -10,8 +10,8 @@
 
 use bergamotswitch_core::pool_owner::back_off::BackOff;
 use bergamotswitch_core::pool_owner::prefix_table::WarmTarget;
-use bergamotswitch_core::pool_owner::queue::{AskQueue, Placement, QueuedAsk};
-use bergamotswitch_core::pool_owner::routing::{ClosedTargets, RouteQuery, TargetSet, choose};
+use bergamotswitch_core::pool_owner::queue::{Placement, QueuedRequest, RequestQueue};
+use bergamotswitch_core::pool_owner::routing::{ReservedTargets, RouteQuery, TargetSet, choose};
 use bergamotswitch_core::pool_owner::target_load::TargetLoad;
 use bergamotswitch_core::pool_owner::wait_plan::WaitPlan;
 use bergamotswitch_draw::{TypeGenerator, any, for_each_of};
@@ -29,7 +29,7 @@
 /// A `NaiveQueue` is the queue as a plain list.
 #[derive(Default)]
 struct NaiveQueue {
-    asks: Vec<QueuedAsk>,
+    asks: Vec<QueuedRequest>,
     clocks: BTreeMap<Tier, u128>,
     accounts: BTreeMap<(Tier, String), NaiveAccount>,
 }
@@ -37,19 +37,19 @@
 /// Get the plan of an ask without an aim.
 fn plan_until(deadline: Moment) -> WaitPlan {
     WaitPlan {
-        fresh_until: Moment::NEVER,
-        aim_at: Moment::NEVER,
+        on_time_until: Moment::NEVER,
+        first_token_due: Moment::NEVER,
         give_up_at: deadline,
         run_until: deadline,
-        order: deadline,
+        sort_key: deadline,
     }
 }
 
-fn account_of(queued: &QueuedAsk) -> (Tier, String) {
+fn account_of(queued: &QueuedRequest) -> (Tier, String) {
     (queued.ask.tier, queued.ask.account.to_string())
 }
 
-fn rank_of(queued: &QueuedAsk) -> (Moment, u64) {
+fn rank_of(queued: &QueuedRequest) -> (Moment, u64) {
     (queued.plan.give_up_at, queued.ask.attempt.request.sequence)
 }
 
@@ -59,7 +59,7 @@
         asks.any(|queued| account_of(queued) == *account)
     }
 
-    fn push(&mut self, queued: QueuedAsk) {
+    fn push(&mut self, queued: QueuedRequest) {
         let key = account_of(&queued);
         let waits = self.waits(&key);
         let clock = self.clocks.get(&key.0).copied().unwrap_or(0);
@@ -138,7 +138,7 @@
 const DOMAINS: [&str; 3] = ["north", "south", "west"];
 
 /// Run one step on both queues.
-fn step_both(fast: &mut AskQueue, naive: &mut NaiveQueue, number: u64, step: QueueStep) {
+fn step_both(fast: &mut RequestQueue, naive: &mut NaiveQueue, number: u64, step: QueueStep) {
     let none = BTreeSet::new();
     match step {
         QueueStep::Push {
@@ -154,7 +154,7 @@
             ask.share = 1 + u32::from(share % 5);
             ask.cost.prefill = u32::from(cost);
             ask.domains = vec![named(DOMAINS[usize::from(domain % 3)])];
-            let queued = QueuedAsk {
+            let queued = QueuedRequest {
                 host: named("entry"),
                 plan: plan_until(Moment::from_millis(u64::from(deadline))),
                 placement: Arc::new(Placement::of(&ask, false)),
@@ -169,7 +169,7 @@
             serve_both(fast, naive, &BTreeSet::from([blocked]));
         }
         QueueStep::Shed => {
-            let worst = fast.worst();
+            let worst = fast.next_to_shed();
             assert_eq!(worst, naive.worst());
             if let Some(attempt) = worst {
                 fast.remove(&attempt);
@@ -201,7 +201,7 @@
     Arc::new(Placement::of(&ask, false))
 }
 
-fn serve_both(fast: &mut AskQueue, naive: &mut NaiveQueue, blocked: &BTreeSet<Arc<Placement>>) {
+fn serve_both(fast: &mut RequestQueue, naive: &mut NaiveQueue, blocked: &BTreeSet<Arc<Placement>>) {
     let next = fast.next(blocked).map(|queued| queued.ask.attempt);
     assert_eq!(next, naive.next(blocked));
     if let Some(attempt) = next {
@@ -214,7 +214,7 @@
 fn same_order() {
     let steps = any::<Vec<QueueStep>>().with().len(0..300usize);
     for_each_of(&steps, 2_000, |steps| {
-        let mut fast = AskQueue::default();
+        let mut fast = RequestQueue::default();
         let mut naive = NaiveQueue::default();
         for (number, step) in steps.iter().enumerate() {
             step_both(&mut fast, &mut naive, number as u64, *step);
@@ -278,11 +278,11 @@
 
 /// Choose a target by the words of the rules alone: filter, then compare.
 fn naive_choice(now: Moment, targets: &TargetSet, query: &RouteQuery<'_>) -> Option<String> {
-    use bergamotswitch_core::pool_owner::back_off::ProbeNeed;
+    use bergamotswitch_core::pool_owner::back_off::ProbeAdmission;
     let mut allowed: Vec<&TargetLoad> = Vec::new();
     for load in targets.values() {
         let domains = &query.placement.domains;
-        if !load.is_leaving() && (domains.is_empty() || domains.contains(&load.target().domain)) {
+        if !load.is_draining() && (domains.is_empty() || domains.contains(&load.target().domain)) {
             allowed.push(load);
         }
     }
@@ -291,18 +291,22 @@
         allowed.retain(|load| !avoided(load));
     }
     let all_failing = allowed.iter().all(|load| load.back_off().is_active());
-    let with_long = allowed.iter().filter(|load| load.holds_long()).count();
+    let with_long = allowed.iter().filter(|load| load.has_long()).count();
     let spare = allowed.len() - with_long;
     let mut best: Option<(f64, u64, String)> = None;
     for load in &allowed {
         let tokens = query.cost.total();
-        let usable = match load.back_off().need(now) {
-            ProbeNeed::None => load.permits() == 0 || load.backlog(now) + tokens <= load.limit(now),
-            ProbeNeed::Risky => (query.riskable && !query.spared) || all_failing,
-            ProbeNeed::Any => !query.spared || all_failing,
-            ProbeNeed::Wait => false,
+        let usable = match load.back_off().admission(now) {
+            ProbeAdmission::Unrestricted => {
+                load.permits() == 0 || load.backlog(now) + tokens <= load.limit(now)
+            }
+            ProbeAdmission::EligibleProbe => {
+                (query.probe_eligible && !query.failed_before) || all_failing
+            }
+            ProbeAdmission::AnyProbe => !query.failed_before || all_failing,
+            ProbeAdmission::Blocked => false,
         };
-        let first_long = !load.holds_long() && allowed.len() > 1;
+        let first_long = !load.has_long() && allowed.len() > 1;
         let crowding = first_long && spare <= allowed.len().div_ceil(8);
         let short_room = load.fits_long(now, tokens) && !crowding;
         if !usable || (query.placement.long && !short_room) {
@@ -312,7 +316,7 @@
         for warm in query.warm {
             if warm.target == load.target().name {
                 let warm = u64::from(query.cost.prefill) * warm.blocks as u64 / query.blocks as u64;
-                own -= (warm as f64 * load.cache_trust()).floor() as u64;
+                own -= (warm as f64 * load.cache_hit_ratio()).floor() as u64;
             }
         }
         let micros = ((load.backlog(now) + own) as f64 * 1e6 / load.speed(now)).floor();
@@ -340,30 +344,34 @@
     };
     match step {
         TargetStep::Occupy(draw) => change(draw.target, &mut |load| {
-            load.occupy(*now, u64::from(draw.tokens), draw.long)
+            load.add_permit(*now, u64::from(draw.tokens), draw.long)
         }),
         TargetStep::Learn { target, elapsed_ms } => {
             let cost = cost_of(100, 100);
             let usage: Usage = usage(cost, u32::from(elapsed_ms));
-            change(target, &mut |load| load.learn(*now, 1_000, cost, &usage));
+            change(target, &mut |load| {
+                load.record_usage(*now, 1_000, cost, &usage)
+            });
         }
         TargetStep::Fail { target } => change(target, &mut |load| {
-            load.back_off_mut().fail(*now, permit, *now, true);
+            load.back_off_mut().record_failure(*now, permit, *now, true);
         }),
         TargetStep::Hint { target, cached } => {
-            change(target, &mut |load| load.check_hint(255, u32::from(cached)));
+            change(target, &mut |load| {
+                load.record_cache_hit(255, u32::from(cached))
+            });
         }
         TargetStep::Publish { target } => change(target, &mut |load| {
             let published = load.target().clone();
             load.publish(published);
         }),
         TargetStep::Vacate(draw) => change(draw.target, &mut |load| {
-            load.vacate(*now, u64::from(draw.tokens), draw.long);
+            load.remove_permit(*now, u64::from(draw.tokens), draw.long);
         }),
         TargetStep::Succeed { target } => change(target, &mut |load| {
-            load.back_off_mut().succeed(permit, *now);
+            load.back_off_mut().record_success(permit, *now);
         }),
-        TargetStep::Leave { target } => change(target, &mut TargetLoad::leave),
+        TargetStep::Leave { target } => change(target, &mut TargetLoad::start_draining),
         TargetStep::Pass { millis } => {
             *now = now.plus(Duration::from_millis(u64::from(millis)));
         }
@@ -383,10 +391,10 @@
                 cost: cost_of(u32::from(draw.prefill), 50),
                 blocks: 4,
                 warm: &warm,
-                riskable: draw.riskable,
-                spared: draw.spared,
+                probe_eligible: draw.riskable,
+                failed_before: draw.spared,
             };
-            let fast = choose(*now, targets, &ClosedTargets::default(), &query);
+            let fast = choose(*now, targets, &ReservedTargets::default(), &query);
             let fast = fast.map(|route| route.target.to_string());
             assert_eq!(fast, naive_choice(*now, targets, &query));
             return fast.is_some();
