--- a/bergamotswitch-core/src/entry/desk/aborting.rs
+++ b/bergamotswitch-core/src/entry/desk/aborting.rs
@@ -1,7 +1,7 @@
 //! Provides the ways in which an attempt in flight is stopped: for a higher
 //! tier, for a caller that left, past a deadline that nobody waits for.
 
-use super::EntryDesk;
+use super::EntryDispatcher;
 use super::follow_up::{count_waste, passed_on};
 use crate::clock::Moment;
 use crate::entry::EntryAction;
@@ -23,7 +23,7 @@
     }
 }
 
-impl EntryDesk {
+impl EntryDispatcher {
     /// Stop an attempt for work of a higher tier, where that does no harm.
     pub(super) fn preempt(
         &mut self,
--- a/bergamotswitch-core/src/entry/desk/asking.rs
+++ b/bergamotswitch-core/src/entry/desk/asking.rs
@@ -1,6 +1,6 @@
 //! Provides the waiting side: asks, asking again and the bounds of retries.
 
-use super::EntryDesk;
+use super::EntryDispatcher;
 use crate::clock::Moment;
 use crate::entry::EntryAction;
 use crate::entry::attempt::{AttemptStage, WaitingAttempt, WaitingLife, to_millis};
@@ -23,7 +23,7 @@
     (record.dispatches == 0).then(|| to_millis(patience))
 }
 
-impl EntryDesk {
+impl EntryDispatcher {
     /// Let a request wait, and ask the shard's owner where one is known.
     pub(super) fn ask(
         &mut self,
--- a/bergamotswitch-core/src/entry/desk/ending.rs
+++ b/bergamotswitch-core/src/entry/desk/ending.rs
@@ -1,7 +1,7 @@
 //! Provides the end of a request: its permit given back, its one outcome, its
 //! answer kept.
 
-use super::EntryDesk;
+use super::EntryDispatcher;
 use crate::clock::Moment;
 use crate::entry::attempt::{RunningAttempt, is_unknown};
 use crate::entry::kept_answer::KeptAnswer;
@@ -11,7 +11,7 @@
 use crate::permit::{OwnerMessage, Release, ReleaseOutcome, Usage};
 use crate::refusal::{Refusal, RunClaim};
 
-impl EntryDesk {
+impl EntryDispatcher {
     /// Give the permit of an attempt back, to who acts as owner now: it heard
     /// of the permit when it took over.
     pub(super) fn release(
--- a/bergamotswitch-core/src/entry/desk/follow_up.rs
+++ b/bergamotswitch-core/src/entry/desk/follow_up.rs
@@ -1,6 +1,6 @@
 //! Provides what follows an attempt that ended without a whole answer.
 
-use super::EntryDesk;
+use super::EntryDispatcher;
 use crate::clock::Moment;
 use crate::entry::attempt::{RunningAttempt, WaitingLife};
 use crate::entry::ledger::RequestRecord;
@@ -17,7 +17,7 @@
     pub(super) usage: Usage,
 }
 
-impl EntryDesk {
+impl EntryDispatcher {
     /// Follow up an attempt that reached no target.
     pub(super) fn retry_unsent(
         &mut self,
--- a/bergamotswitch-core/src/entry/desk/mod.rs
+++ b/bergamotswitch-core/src/entry/desk/mod.rs
@@ -21,7 +21,7 @@
 use super::placement::PoolMap;
 use super::quota_use::QuotaUse;
 use super::run_lengths::RunLengths;
-use super::view::DeskView;
+use super::view::EntryView;
 use super::{EntryAction, EntryEvent, OutcomeQuery, OutcomeView, Reception, Submission};
 use crate::clock::Moment;
 use crate::host::{HostIncarnation, HostName};
@@ -30,13 +30,13 @@
 use crate::request::RequestId;
 use crate::retry::RetryBudget;
 
-pub use stopping::ELSEWHERE_RETRY;
+pub use stopping::STOPPING_RETRY_AFTER;
 use stopping::StopBound;
 
-/// An `EntryDesk` holds the requests that this run of the host accepted, from
+/// An `EntryDispatcher` holds the requests that this run of the host accepted, from
 /// reception to the one final outcome.
 #[derive(Debug)]
-pub struct EntryDesk {
+pub struct EntryDispatcher {
     me: HostIncarnation,
     options: EntryOptions,
     ledger: RequestLedger,
@@ -63,10 +63,10 @@
     retried: u64,
 }
 
-impl EntryDesk {
+impl EntryDispatcher {
     /// Get a desk without requests for this run of the host.
     pub fn new(me: HostIncarnation, opts: EntryOptions) -> Self {
-        EntryDesk {
+        EntryDispatcher {
             me,
             ledger: RequestLedger::new(opts.re_ask_interval),
             keys: KeyBook::new(opts.key_memory, opts.key_count),
@@ -201,8 +201,8 @@
     }
 
     /// Get a view for operators.
-    pub fn view(&self) -> DeskView {
-        let mut view = DeskView {
+    pub fn view(&self) -> EntryView {
+        let mut view = EntryView {
             kept_answers: self.answers.len(),
             kept_answer_bytes: self.answers.bytes(),
             known_keys: self.keys.len(),
@@ -210,7 +210,7 @@
             dispatched: self.counts.dispatched,
             retried: self.counts.retried,
             stopping: self.stopping,
-            ..DeskView::default()
+            ..EntryView::default()
         };
         for entry in self.ledger.iter() {
             let tier = entry.record.submission.verdict.tier;
--- a/bergamotswitch-core/src/entry/desk/progress.rs
+++ b/bergamotswitch-core/src/entry/desk/progress.rs
@@ -1,6 +1,6 @@
 //! Provides what becomes of attempts in flight.
 
-use super::EntryDesk;
+use super::EntryDispatcher;
 use super::follow_up::{FailedAttempt, count_waste};
 use crate::clock::Moment;
 use crate::entry::attempt::{AttemptStage, RunningAttempt};
@@ -12,7 +12,7 @@
 use crate::refusal::{RefusalReason, RetryReason, WasteCause};
 use crate::request::AttemptId;
 
-impl EntryDesk {
+impl EntryDispatcher {
     /// Take in an attempt's progress. News of an attempt that is not the
     /// current one came late and changes nothing.
     pub(super) fn attempt_moved(
--- a/bergamotswitch-core/src/entry/desk/reception.rs
+++ b/bergamotswitch-core/src/entry/desk/reception.rs
@@ -1,7 +1,7 @@
 //! Provides the reception of submissions: a new request, one that is known,
 //! or one that belongs elsewhere.
 
-use super::EntryDesk;
+use super::EntryDispatcher;
 use crate::client_account::AccountName;
 use crate::clock::Moment;
 use crate::entry::attempt::WaitingLife;
@@ -19,7 +19,7 @@
 /// The sequence that stands for a request whose number is not known.
 const UNKNOWN_SEQUENCE: u64 = 0;
 
-impl EntryDesk {
+impl EntryDispatcher {
     /// Decide what becomes of a submission.
     pub(super) fn receive(
         &mut self,
--- a/bergamotswitch-core/src/entry/desk/replies.rs
+++ b/bergamotswitch-core/src/entry/desk/replies.rs
@@ -1,6 +1,6 @@
 //! Provides what owners' replies lead to.
 
-use super::EntryDesk;
+use super::EntryDispatcher;
 use crate::clock::Moment;
 use crate::entry::EntryAction;
 use crate::entry::attempt::{AttemptStage, RunningAttempt, WaitingAttempt};
@@ -14,7 +14,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-impl EntryDesk {
+impl EntryDispatcher {
     /// Take in an owner's reply.
     pub(super) fn owner_replied(
         &mut self,
--- a/bergamotswitch-core/src/entry/desk/stopping.rs
+++ b/bergamotswitch-core/src/entry/desk/stopping.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use super::EntryDesk;
+use super::EntryDispatcher;
 use super::aborting::AbortEnd;
 use crate::clock::Moment;
 use crate::entry::attempt::AttemptStage;
@@ -21,7 +21,7 @@
 /// When a caller comes back that a stopping host turns away while others take
 /// callers. Another host serves it at once; the pause keeps callers that stay at
 /// this address from asking it without end.
-pub const ELSEWHERE_RETRY: Duration = Duration::from_millis(50);
+pub const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// Callers that are told to wait until others are back come over so many parts
 /// of the wait longer: all of them at once would fill the first host's queues.
@@ -59,8 +59,8 @@
     /// Get when a caller comes back that is turned away now.
     fn retry_after(&mut self, now: Moment) -> Duration {
         let wait = self.others_back.map_or(Duration::ZERO, |at| at.since(now));
-        if wait <= ELSEWHERE_RETRY {
-            return ELSEWHERE_RETRY;
+        if wait <= STOPPING_RETRY_AFTER {
+            return STOPPING_RETRY_AFTER;
         }
         self.place = self.place.wrapping_add(SPREAD_STEP);
         let place = f64::from(self.place) / f64::from(u16::MAX);
@@ -68,7 +68,7 @@
     }
 }
 
-impl EntryDesk {
+impl EntryDispatcher {
     /// Take in by when answers have to be whole, and turn away what waits and
     /// will not be.
     pub(super) fn set_whole_by(&mut self, now: Moment, at: Moment, actions: &mut Vec<EntryAction>) {
--- a/bergamotswitch-core/src/entry/desk/takeover.rs
+++ b/bergamotswitch-core/src/entry/desk/takeover.rs
@@ -1,7 +1,7 @@
 //! Provides what a change around the waiting requests leads to: a pause, a
 //! new owner, new pools.
 
-use super::EntryDesk;
+use super::EntryDispatcher;
 use crate::clock::Moment;
 use crate::entry::EntryAction;
 use crate::entry::attempt::{AttemptStage, RunningAttempt, WaitingLife};
@@ -15,7 +15,7 @@
 /// length they stay well below the largest message between hosts.
 const CLAIMS_PER_MESSAGE: usize = 4_096;
 
-impl EntryDesk {
+impl EntryDispatcher {
     /// Void every permit that may be under way: ask anew under new names.
     pub(super) fn void_asks(&mut self, now: Moment, actions: &mut Vec<EntryAction>) {
         if self.may_use_permits_after_pause() {
--- a/bergamotswitch-core/src/entry/mod.rs
+++ b/bergamotswitch-core/src/entry/mod.rs
@@ -28,10 +28,10 @@
 use crate::rules::{Tier, Verdict};
 use crate::target::TargetName;
 
-pub use desk::{ELSEWHERE_RETRY, EntryDesk};
+pub use desk::{EntryDispatcher, STOPPING_RETRY_AFTER};
 pub use options::{EntryOptions, Fault};
 pub use terms::CallTerms;
-pub use view::DeskView;
+pub use view::EntryView;
 
 /// A `Submission` is a checked request of a caller, without its body: that
 /// stays with the network crate under the request's id.
@@ -82,7 +82,7 @@
     /// Get the refusal of a submission that a stopping host turns away.
     pub fn turn_away(&self) -> Refusal {
         self.refuse(RefusalReason::Stopping)
-            .with_retry_after(ELSEWHERE_RETRY)
+            .with_retry_after(STOPPING_RETRY_AFTER)
     }
 
     /// Get the refusal of a submission that this run does not accept. A caller
@@ -143,7 +143,7 @@
 }
 
 /// An `EntryEvent` is one thing that happens to the entry side. Submissions
-/// come through `EntryDesk::submit`.
+/// come through `EntryDispatcher::submit`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EntryEvent {
     /// The last caller that follows a request went away.
--- a/bergamotswitch-core/src/entry/options.rs
+++ b/bergamotswitch-core/src/entry/options.rs
@@ -24,7 +24,7 @@
     PermitAfterPause,
 }
 
-/// An `EntryOptions` sets up an [`EntryDesk`](super::EntryDesk).
+/// An `EntryOptions` sets up an [`EntryDispatcher`](super::EntryDispatcher).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryOptions {
     pub(super) domain: Option<DomainName>,
--- a/bergamotswitch-core/src/entry/view.rs
+++ b/bergamotswitch-core/src/entry/view.rs
@@ -4,9 +4,9 @@
 
 use crate::rules::{GATEWAY_TIER_COUNT, Tier};
 
-/// A `DeskView` is what an entry desk holds now.
+/// A `EntryView` is what an entry desk holds now.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct DeskView {
+pub struct EntryView {
     /// Requests that wait for a permit, by tier.
     pub waiting: [u32; GATEWAY_TIER_COUNT],
     /// Requests in flight, by tier.
@@ -27,7 +27,7 @@
     pub stopping: bool,
 }
 
-impl DeskView {
+impl EntryView {
     pub(super) fn count_waiting(&mut self, tier: Tier) {
         self.waiting[slot(tier)] += 1;
     }
--- a/bergamotswitch-core/src/node/core.rs
+++ b/bergamotswitch-core/src/node/core.rs
@@ -13,7 +13,7 @@
 use super::shards::ShardSet;
 use super::{NodeAction, NodeEvent};
 use crate::clock::Moment;
-use crate::entry::{EntryAction, EntryDesk, EntryEvent, EntryOptions};
+use crate::entry::{EntryAction, EntryDispatcher, EntryEvent, EntryOptions};
 use crate::failure_domain::DomainName;
 use crate::host::{EntryHost, HostIncarnation, HostName};
 use crate::incident::Incident;
@@ -106,7 +106,7 @@
     pub(super) me: HostIncarnation,
     pub(super) domain: DomainName,
     pub(super) publication: Publication,
-    pub(super) desk: EntryDesk,
+    pub(super) desk: EntryDispatcher,
     pub(super) shards: ShardSet,
     pub(super) membership: Membership,
     pub(super) book: RevisionBook,
@@ -135,7 +135,7 @@
             ..opts
         };
         NodeCore {
-            desk: EntryDesk::new(me.clone(), opts.entry.clone()),
+            desk: EntryDispatcher::new(me.clone(), opts.entry.clone()),
             shards: ShardSet::new(me.clone(), opts.owner.clone()),
             membership: Membership::new(me.clone(), opts.membership.clone(), now),
             book: RevisionBook::new(me.clone(), domain.clone(), opts.revision.clone(), now),
--- a/bergamotswitch-core/src/node/view.rs
+++ b/bergamotswitch-core/src/node/view.rs
@@ -4,7 +4,7 @@
 
 use super::{NodeCore, NodeCounts};
 use crate::clock::Moment;
-use crate::entry::DeskView;
+use crate::entry::EntryView;
 use crate::membership::PeerView;
 use crate::pool::PoolShard;
 use crate::pool_owner::ShardView;
@@ -31,7 +31,7 @@
     /// Faults between values that are each good alone.
     pub cross_findings: Vec<String>,
     /// Requests at this host.
-    pub desk: DeskView,
+    pub desk: EntryView,
     /// Shards that this host owns.
     pub owns: Vec<PoolShard>,
     /// The orders that it keeps, degraded ones among them.
--- a/bergamotswitch-core/tests/entry_support/mod.rs
+++ b/bergamotswitch-core/tests/entry_support/mod.rs
@@ -9,7 +9,7 @@
 pub use bergamotswitch_core::clock::Moment;
 pub use bergamotswitch_core::contract::TargetContract;
 pub use bergamotswitch_core::entry::{
-    AttemptEvent, CallTerms, Conclusion, EntryAction, EntryDesk, EntryEvent, EntryOptions,
+    AttemptEvent, CallTerms, Conclusion, EntryAction, EntryDispatcher, EntryEvent, EntryOptions,
     Reception, Submission,
 };
 pub use bergamotswitch_core::host::{HostIncarnation, HostName, Incarnation};
@@ -119,7 +119,7 @@
 
 /// A `TestDesk` is a desk with a clock and an owner.
 pub struct TestDesk {
-    pub desk: EntryDesk,
+    pub desk: EntryDispatcher,
     pub now: Moment,
     permits: u64,
 }
@@ -127,7 +127,7 @@
 impl TestDesk {
     pub fn new(options: EntryOptions) -> Self {
         let mut desk = TestDesk {
-            desk: EntryDesk::new(run_of("entry-1", 1), options),
+            desk: EntryDispatcher::new(run_of("entry-1", 1), options),
             now: Moment::from_millis(1_000),
             permits: 0,
         };
--- a/bergamotswitch-core/tests/entry_world/mod.rs
+++ b/bergamotswitch-core/tests/entry_world/mod.rs
@@ -37,7 +37,7 @@
 
 struct WorldHost {
     run: HostIncarnation,
-    desk: EntryDesk,
+    desk: EntryDispatcher,
     flights: BTreeMap<AttemptId, Flight>,
     ended: Vec<AttemptId>,
     leaving: BTreeSet<TargetName>,
@@ -89,7 +89,7 @@
     fn fresh_host(&mut self, host: usize) -> WorldHost {
         self.runs += 1;
         let run = run_of(HOSTS[host], self.runs);
-        let mut desk = EntryDesk::new(run.clone(), self.options.clone());
+        let mut desk = EntryDispatcher::new(run.clone(), self.options.clone());
         desk.handle(self.now, EntryEvent::Pools(vec![pool(false)]));
         WorldHost {
             run,
--- a/bergamotswitch-net/src/caller/desk.rs
+++ b/bergamotswitch-net/src/caller/desk.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bergamotswitch_core::client_account::AccountName;
-use bergamotswitch_core::entry::ELSEWHERE_RETRY;
+use bergamotswitch_core::entry::STOPPING_RETRY_AFTER;
 use bergamotswitch_core::publication::Publication;
 use bergamotswitch_core::refusal::{Refusal, RefusalReason};
 use http::HeaderMap;
@@ -125,7 +125,7 @@
 /// Get the refusal where the loop is gone before it heard of a request.
 pub(super) fn loop_gone() -> RefusalPage {
     let refusal = Refusal::before_acceptance(RefusalReason::Stopping);
-    RefusalPage::new(refusal.with_retry_after(ELSEWHERE_RETRY))
+    RefusalPage::new(refusal.with_retry_after(STOPPING_RETRY_AFTER))
 }
 
 /// Get the refusal where the loop dropped a request that it had.
--- a/bergamotswitch-net/src/gateway/call.rs
+++ b/bergamotswitch-net/src/gateway/call.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use bergamotswitch_core::client_account::AccountName;
-use bergamotswitch_core::entry::{CallTerms, ELSEWHERE_RETRY, Submission};
+use bergamotswitch_core::entry::{CallTerms, STOPPING_RETRY_AFTER, Submission};
 use bergamotswitch_core::pool::{PoolKind, PoolName};
 use bergamotswitch_core::publication::Publication;
 use bergamotswitch_core::refusal::{Refusal, RefusalReason};
@@ -122,7 +122,10 @@
         HandedOver::Elsewhere(_) | HandedOver::AnswerDropped => {
             Ok(refused(&Refusal::may_have_run(RefusalReason::Lost)))
         }
-        HandedOver::LoopGone => Err(CallStop::later(RefusalReason::Stopping, ELSEWHERE_RETRY)),
+        HandedOver::LoopGone => Err(CallStop::later(
+            RefusalReason::Stopping,
+            STOPPING_RETRY_AFTER,
+        )),
     }
 }
 
--- a/bergamotswitch-net/src/node/load_gauge.rs
+++ b/bergamotswitch-net/src/node/load_gauge.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bergamotswitch_core::clock::Moment;
-use bergamotswitch_core::entry::DeskView;
+use bergamotswitch_core::entry::EntryView;
 use tokio::runtime::Handle;
 
 /// A host with nothing to spare, in thousandths.
@@ -28,7 +28,7 @@
     /// carry: the thread's busy share, or the room that waiting requests
     /// take, whichever is more. The whole thread counts, not the loop alone:
     /// connections are served beside it.
-    pub fn measure(&mut self, now: Moment, desk: &DeskView) -> u16 {
+    pub fn measure(&mut self, now: Moment, desk: &EntryView) -> u16 {
         let busy = Handle::current()
             .metrics()
             .worker_total_busy_duration(WORKER);
--- a/bergamotswitch/examples/slopes/entry.rs
+++ b/bergamotswitch/examples/slopes/entry.rs
@@ -4,7 +4,7 @@
 
 use bergamotswitch_core::clock::Moment;
 use bergamotswitch_core::entry::{
-    AttemptEvent, EntryAction, EntryDesk, EntryEvent, EntryOptions, Reception,
+    AttemptEvent, EntryAction, EntryDispatcher, EntryEvent, EntryOptions, Reception,
 };
 use bergamotswitch_core::host::HostName;
 use bergamotswitch_core::permit::{OwnerMessage, OwnerReply, Permit, PermitId, Usage};
@@ -25,7 +25,7 @@
 
 /// An `EntryBench` is a desk with a clock and an owner of its own.
 struct EntryBench {
-    desk: EntryDesk,
+    desk: EntryDispatcher,
     now: Moment,
     sequence: u64,
     owner: HostName,
@@ -37,7 +37,7 @@
             .with_re_ask_interval(Duration::from_secs(1_000))
             .with_kept_count(1_000_000);
         let mut bench = EntryBench {
-            desk: EntryDesk::new(run_of(1), opts),
+            desk: EntryDispatcher::new(run_of(1), opts),
             now: Moment::from_millis(1_000),
             sequence: 0,
             owner: host_name(2),
