--- a/bergamotswitch-core/src/entry/desk/asking.rs
+++ b/bergamotswitch-core/src/entry/desk/asking.rs
@@ -19,7 +19,7 @@
 /// `None` where its deadline alone bounds the wait. A request whose first run broke
 /// off waits for the next one as long as it may: its caller has been served already.
 fn patience_of(record: &RequestRecord) -> Option<u32> {
-    let patience = record.submission.terms.patience?;
+    let patience = record.submission.options.first_answer_goal?;
     (record.dispatches == 0).then(|| to_millis(patience))
 }
 
@@ -92,7 +92,7 @@
             claim: self.claim_of(record),
             patience_ms: patience_of(record),
             quota_units: match record.dispatches {
-                0 => submission.terms.quota_units,
+                0 => submission.options.quota_units,
                 // What it took from the quota is taken already.
                 _ => 0,
             },
--- a/bergamotswitch-core/src/entry/desk/follow_up.rs
+++ b/bergamotswitch-core/src/entry/desk/follow_up.rs
@@ -124,7 +124,7 @@
         if self.options.has_fault(Fault::RetryAfterDispatch) {
             return true;
         }
-        let unseen = record.submission.terms.resumable || !passed_on(record, running);
+        let unseen = record.submission.options.resumable || !passed_on(record, running);
         record.may_rerun() && record.may_run_elsewhere() && unseen
     }
 
--- a/bergamotswitch-core/src/entry/desk/replies.rs
+++ b/bergamotswitch-core/src/entry/desk/replies.rs
@@ -170,7 +170,7 @@
             now,
             &record.shard,
             &submission.account,
-            submission.terms.quota_units,
+            submission.options.quota_units,
             self.host_count,
         );
     }
--- a/bergamotswitch-core/src/entry/desk/stopping.rs
+++ b/bergamotswitch-core/src/entry/desk/stopping.rs
@@ -83,7 +83,7 @@
         if self.bound.whole_by == Moment::NEVER {
             return true;
         }
-        if submission.terms.ends_at_deadline && deadline <= self.bound.whole_by {
+        if submission.options.ends_at_deadline && deadline <= self.bound.whole_by {
             return true;
         }
         let span = self.longest_run(now, submission);
--- a/bergamotswitch-core/src/entry/ledger.rs
+++ b/bergamotswitch-core/src/entry/ledger.rs
@@ -74,17 +74,17 @@
 
     /// Get whether work goes on although no caller follows it.
     pub(super) fn outlives_caller(&self) -> bool {
-        !self.submission.terms.ends_with_caller && (self.key.is_some() || !self.may_rerun())
+        !self.submission.options.ends_with_caller && (self.key.is_some() || !self.may_rerun())
     }
 
     /// Get whether someone may come back for its answer.
     pub(super) fn keeps_answer(&self) -> bool {
-        !self.submission.terms.ends_at_deadline && self.outlives_caller()
+        !self.submission.options.ends_at_deadline && self.outlives_caller()
     }
 
     /// Get whether one more target may run it after this one.
     pub(super) fn may_run_elsewhere(&self) -> bool {
-        let most = self.submission.terms.max_runs;
+        let most = self.submission.options.max_runs;
         most.is_none_or(|most| self.runs < most)
     }
 }
@@ -114,7 +114,7 @@
                 self.record.deadline.min(waiting.asked_at.plus(interval))
             }
             AttemptStage::Waiting(_) => self.record.deadline,
-            AttemptStage::Running(_) if self.record.submission.terms.ends_at_deadline => {
+            AttemptStage::Running(_) if self.record.submission.options.ends_at_deadline => {
                 self.record.deadline
             }
             // No timer cuts an answer that a caller follows or that must not
--- a/bergamotswitch-core/src/entry/mod.rs
+++ b/bergamotswitch-core/src/entry/mod.rs
@@ -30,7 +30,7 @@
 
 pub use desk::{EntryDispatcher, STOPPING_RETRY_AFTER};
 pub use options::{EntryOptions, Fault};
-pub use terms::CallTerms;
+pub use terms::CallOptions;
 pub use view::EntryView;
 
 /// A `Submission` is a checked request of a caller, without its body: that
@@ -63,7 +63,7 @@
     /// an answer, another run's output must not follow it.
     pub streaming: bool,
     /// What bounds it beyond the verdict.
-    pub terms: CallTerms,
+    pub options: CallOptions,
 }
 
 impl Submission {
--- a/bergamotswitch-core/src/entry/run_lengths.rs
+++ b/bergamotswitch-core/src/entry/run_lengths.rs
@@ -93,7 +93,7 @@
     pub(super) fn of(submission: &Submission) -> Self {
         CallSize {
             likely: submission.cost.decode,
-            most: submission.terms.most_output,
+            most: submission.options.max_output_tokens,
         }
     }
 
--- a/bergamotswitch-core/src/node/intake.rs
+++ b/bergamotswitch-core/src/node/intake.rs
@@ -27,7 +27,7 @@
             let refusal = refusal.with_retry_after(std::time::Duration::from_secs(1));
             return (Reception::Refused(refusal), self.finish(now));
         }
-        if submission.terms.keyed && !self.trusts_keys(now) {
+        if submission.options.key_authenticated && !self.trusts_keys(now) {
             let refusal = Refusal::before_acceptance(RefusalReason::KeyUnconfirmed);
             let refusal = refusal.with_retry_after(KEY_RETRY);
             return (Reception::Refused(refusal), self.finish(now));
--- a/bergamotswitch-core/tests/entry_grace.rs
+++ b/bergamotswitch-core/tests/entry_grace.rs
@@ -17,7 +17,7 @@
     let mut submission = submission();
     submission.deadline_in = deadline;
     submission.streaming = true;
-    submission.terms.ends_at_deadline = true;
+    submission.options.ends_at_deadline = true;
     submission
 }
 
@@ -60,7 +60,7 @@
 fn sized(likely: u32) -> Submission {
     let mut submission = submission();
     submission.cost.decode = likely;
-    submission.terms.most_output = Some(4_000);
+    submission.options.max_output_tokens = Some(4_000);
     submission
 }
 
@@ -255,10 +255,10 @@
     // One that names only its most tells nothing of its own length, and one that
     // names nothing still less.
     let mut most_alone = sized(40);
-    most_alone.terms.most_output = Some(40);
+    most_alone.options.max_output_tokens = Some(40);
     turned_away(&mut desk, most_alone);
     let mut unnamed = sized(40);
-    unnamed.terms.most_output = None;
+    unnamed.options.max_output_tokens = None;
     turned_away(&mut desk, unnamed);
 }
 
@@ -288,7 +288,7 @@
     turned_away(&mut desk, sized(40));
     // The most that a call may make bounds it whatever it is thought to need.
     let mut tiny = sized(20);
-    tiny.terms.most_output = Some(21);
+    tiny.options.max_output_tokens = Some(21);
     desk.begin(tiny, "t0");
 }
 
@@ -310,7 +310,7 @@
     turned_away(&mut desk, sized(400));
     // The most that it may make bounds it all the same.
     let mut bounded = sized(400);
-    bounded.terms.most_output = Some(401);
+    bounded.options.max_output_tokens = Some(401);
     desk.event(EntryEvent::WholeBy(desk.now.plus(LEFT * 2)));
     desk.begin(bounded, "t0");
 }
--- a/bergamotswitch-core/tests/entry_retries.rs
+++ b/bergamotswitch-core/tests/entry_retries.rs
@@ -145,8 +145,8 @@
 fn silent_stream() {
     let mut stream = submission();
     stream.streaming = true;
-    stream.terms.resumable = true;
-    stream.terms.max_runs = Some(2);
+    stream.options.resumable = true;
+    stream.options.max_runs = Some(2);
     let mut desk = TestDesk::new(EntryOptions::default());
     let first = desk.begin(stream, "t0");
     desk.attempt(first, AttemptEvent::FirstToken);
--- a/bergamotswitch-core/tests/entry_support/mod.rs
+++ b/bergamotswitch-core/tests/entry_support/mod.rs
@@ -9,7 +9,7 @@
 pub use bergamotswitch_core::clock::Moment;
 pub use bergamotswitch_core::contract::TargetContract;
 pub use bergamotswitch_core::entry::{
-    AttemptEvent, CallTerms, Conclusion, EntryAction, EntryDispatcher, EntryEvent, EntryOptions,
+    AttemptEvent, CallOptions, Conclusion, EntryAction, EntryDispatcher, EntryEvent, EntryOptions,
     Reception, Submission,
 };
 pub use bergamotswitch_core::host::{HostIncarnation, HostName, Incarnation};
@@ -81,7 +81,7 @@
 /// Get an idempotent submission without a key.
 pub fn submission() -> Submission {
     Submission {
-        terms: CallTerms::default(),
+        options: CallOptions::default(),
         account: name("crew"),
         pool: name("llm"),
         kind: PoolKind::Engine,
--- a/bergamotswitch-core/tests/quota_fleet/values.rs
+++ b/bergamotswitch-core/tests/quota_fleet/values.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use bergamotswitch_core::entry::{CallTerms, Submission};
+use bergamotswitch_core::entry::{CallOptions, Submission};
 use bergamotswitch_core::host::Standing;
 use bergamotswitch_core::pool::PoolKind;
 use bergamotswitch_core::request::TokenCost;
@@ -116,13 +116,13 @@
         prefixes: Vec::new(),
         deadline_in: Duration::from_secs(10),
         streaming: false,
-        terms: CallTerms {
+        options: CallOptions {
             max_runs: Some(2),
-            patience: Some(Duration::from_millis(800)),
+            first_answer_goal: Some(Duration::from_millis(800)),
             ends_at_deadline: true,
             quota_units: UNITS,
-            keyed: true,
-            ..CallTerms::default()
+            key_authenticated: true,
+            ..CallOptions::default()
         },
     }
 }
--- a/bergamotswitch-core/tests/stop_returns.rs
+++ b/bergamotswitch-core/tests/stop_returns.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bergamotswitch_core::clock::Moment;
-use bergamotswitch_core::entry::{CallTerms, Reception, Submission};
+use bergamotswitch_core::entry::{CallOptions, Reception, Submission};
 use bergamotswitch_core::host::{EntryHost, HostIncarnation, Incarnation, Standing};
 use bergamotswitch_core::node::{NodeCore, NodeEvent, NodeOptions, RosterSetup};
 use bergamotswitch_core::pool::PoolKind;
@@ -137,7 +137,7 @@
         prefixes: Vec::new(),
         deadline_in: Duration::from_secs(60),
         streaming: true,
-        terms: CallTerms::default(),
+        options: CallOptions::default(),
     }
 }
 
--- a/bergamotswitch-net/src/caller/engine_check.rs
+++ b/bergamotswitch-net/src/caller/engine_check.rs
@@ -1,6 +1,6 @@
 //! Provides the checks of requests to engines.
 
-use bergamotswitch_core::entry::{CallTerms, Submission};
+use bergamotswitch_core::entry::{CallOptions, Submission};
 use bergamotswitch_core::error::Findings;
 use bergamotswitch_core::pool::{PoolKind, PoolName};
 use bergamotswitch_core::publication::Publication;
@@ -72,7 +72,7 @@
         cost: body.cost,
         prefixes: body.prefixes,
         streaming: body.stream,
-        terms: CallTerms::default(),
+        options: CallOptions::default(),
     };
     let call = OutgoingCall {
         method: Method::POST,
--- a/bergamotswitch-net/src/caller/service_call.rs
+++ b/bergamotswitch-net/src/caller/service_call.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use bergamotswitch_core::entry::{CallTerms, Submission};
+use bergamotswitch_core::entry::{CallOptions, Submission};
 use bergamotswitch_core::error::Findings;
 use bergamotswitch_core::pool::{PoolKind, PoolName};
 use bergamotswitch_core::refusal::RefusalReason;
@@ -124,7 +124,7 @@
             cost: CALL_COST,
             prefixes: Vec::new(),
             streaming: false,
-            terms: CallTerms::default(),
+            options: CallOptions::default(),
         };
         let call = OutgoingCall {
             method: req.method().clone(),
--- a/bergamotswitch-net/src/gateway/call.rs
+++ b/bergamotswitch-net/src/gateway/call.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use bergamotswitch_core::client_account::AccountName;
-use bergamotswitch_core::entry::{CallTerms, STOPPING_RETRY_AFTER, Submission};
+use bergamotswitch_core::entry::{CallOptions, STOPPING_RETRY_AFTER, Submission};
 use bergamotswitch_core::pool::{PoolKind, PoolName};
 use bergamotswitch_core::publication::Publication;
 use bergamotswitch_core::refusal::{Refusal, RefusalReason};
@@ -209,19 +209,19 @@
             prefixes: Vec::new(),
             deadline_in: self.time_left,
             streaming: work.is_stream(),
-            terms: CallTerms {
+            options: CallOptions {
                 max_runs: Some(self.route.max_runs),
                 // Beyond, its answer would be late, and every place in the
                 // queue that it holds makes the next one late as well.
-                patience: Some(first_answer),
+                first_answer_goal: Some(first_answer),
                 resumable: work == RouteWork::ResumableStream,
                 ends_at_deadline: true,
                 ends_with_caller: work != RouteWork::NonIdempotent,
-                most_output: call.tokens.map(|tokens| tokens.most_output),
+                max_output_tokens: call.tokens.map(|tokens| tokens.most_output),
                 quota_units: self
                     .account
                     .map_or(0, |account| account.quota.units(tokens)),
-                keyed: self.account.is_some(),
+                key_authenticated: self.account.is_some(),
             },
         }
     }
--- a/bergamotswitch/examples/policies/traffic.rs
+++ b/bergamotswitch/examples/policies/traffic.rs
@@ -443,7 +443,7 @@
     let hosts = &deployment.publication.hosts.hosts;
     let pool_name: PoolName = pool.name.clone();
     let mut submission = Submission {
-        terms: bergamotswitch_core::entry::CallTerms::default(),
+        options: bergamotswitch_core::entry::CallOptions::default(),
         account: account.clone(),
         pool: pool_name.clone(),
         kind: pool.kind,
--- a/bergamotswitch/examples/slopes/world.rs
+++ b/bergamotswitch/examples/slopes/world.rs
@@ -254,7 +254,7 @@
 pub fn submission(sequence: u64, key: Option<String>) -> Submission {
     let guarded = key.is_some();
     Submission {
-        terms: bergamotswitch_core::entry::CallTerms::default(),
+        options: bergamotswitch_core::entry::CallOptions::default(),
         account: name(account((sequence % 280) as usize)),
         pool: name("drafting-lm-1"),
         kind: PoolKind::Engine,
