--- a/bergamotswitch-core/src/entry/desk/mod.rs
+++ b/bergamotswitch-core/src/entry/desk/mod.rs
@@ -22,7 +22,7 @@
 use super::quota_use::QuotaUse;
 use super::run_lengths::RunLengths;
 use super::view::EntryView;
-use super::{EntryAction, EntryEvent, OutcomeQuery, OutcomeView, Reception, Submission};
+use super::{EntryAction, EntryEvent, OutcomeQuery, OutcomeView, Submission, SubmitOutcome};
 use crate::clock::Moment;
 use crate::host::{HostIncarnation, HostName};
 use crate::pool::{PoolName, PoolShard};
@@ -106,7 +106,11 @@
     }
 
     /// Take in a caller's request.
-    pub fn submit(&mut self, now: Moment, submission: Submission) -> (Reception, Vec<EntryAction>) {
+    pub fn submit(
+        &mut self,
+        now: Moment,
+        submission: Submission,
+    ) -> (SubmitOutcome, Vec<EntryAction>) {
         let mut actions = Vec::new();
         self.notice_pause(now, &mut actions);
         let reception = self.receive(now, submission, &mut actions);
--- a/bergamotswitch-core/src/entry/desk/reception.rs
+++ b/bergamotswitch-core/src/entry/desk/reception.rs
@@ -10,7 +10,7 @@
 use crate::entry::options::Fault;
 use crate::entry::placement::ShardWish;
 use crate::entry::request_state::LiveRequest;
-use crate::entry::{EntryAction, Reception, Submission};
+use crate::entry::{EntryAction, Submission, SubmitOutcome};
 use crate::host::HostIncarnation;
 use crate::incident::Incident;
 use crate::refusal::{Refusal, RefusalReason};
@@ -26,7 +26,7 @@
         now: Moment,
         submission: Submission,
         actions: &mut Vec<EntryAction>,
-    ) -> Reception {
+    ) -> SubmitOutcome {
         let key = submission
             .key
             .as_ref()
@@ -89,9 +89,9 @@
         &mut self,
         holder: &HostIncarnation,
         actions: &mut Vec<EntryAction>,
-    ) -> Reception {
+    ) -> SubmitOutcome {
         if holder.host != self.me.host {
-            return Reception::Forward(holder.clone());
+            return SubmitOutcome::Forward(holder.clone());
         }
         let id = RequestId {
             incarnation: holder.incarnation,
@@ -101,13 +101,13 @@
         refused(Refusal::may_have_run(RefusalReason::Lost))
     }
 
-    fn attach(&mut self, id: RequestId, actions: &mut Vec<EntryAction>) -> Reception {
+    fn attach(&mut self, id: RequestId, actions: &mut Vec<EntryAction>) -> SubmitOutcome {
         if let Some(mut entry) = self.ledger.take(id) {
             entry.record.followed = true;
             self.ledger.put(entry);
         }
         actions.push(EntryAction::Note(Incident::ResubmissionAttached, id));
-        Reception::Attached(id)
+        SubmitOutcome::Attached(id)
     }
 
     fn accept(
@@ -116,7 +116,7 @@
         submission: Submission,
         key: Option<KeyId>,
         actions: &mut Vec<EntryAction>,
-    ) -> Reception {
+    ) -> SubmitOutcome {
         if submission.deadline_in.is_zero() {
             return refused(submission.refuse(RefusalReason::DeadlinePassed));
         }
@@ -168,10 +168,10 @@
         };
         let life = WaitingLife::Fresh(LiveRequest::accept(id));
         self.ask(now, record, life, actions);
-        Reception::Accepted(id)
+        SubmitOutcome::Accepted(id)
     }
 }
 
-fn refused(refusal: Refusal) -> Reception {
-    Reception::Refused(refusal)
+fn refused(refusal: Refusal) -> SubmitOutcome {
+    SubmitOutcome::Refused(refusal)
 }
--- a/bergamotswitch-core/src/entry/mod.rs
+++ b/bergamotswitch-core/src/entry/mod.rs
@@ -96,9 +96,9 @@
     }
 }
 
-/// A `Reception` is what becomes of a submission at once.
+/// A `SubmitOutcome` is what becomes of a submission at once.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Reception {
+pub enum SubmitOutcome {
     /// It is a new request under this id.
     Accepted(RequestId),
     /// It belongs to this request, running or ended; follow its answer.
--- a/bergamotswitch-core/src/node/intake.rs
+++ b/bergamotswitch-core/src/node/intake.rs
@@ -3,7 +3,7 @@
 use super::{NodeAction, NodeCore};
 use crate::address::{AddressAnswer, AddressBook, AddressQuery, HostHealth};
 use crate::clock::Moment;
-use crate::entry::{OutcomeQuery, OutcomeView, Reception, Submission};
+use crate::entry::{OutcomeQuery, OutcomeView, Submission, SubmitOutcome};
 use crate::host::EntryHost;
 use crate::membership::PeerView;
 use crate::refusal::{Refusal, RefusalReason};
@@ -14,7 +14,11 @@
 
 impl NodeCore {
     /// Take a caller's request.
-    pub fn submit(&mut self, now: Moment, submission: Submission) -> (Reception, Vec<NodeAction>) {
+    pub fn submit(
+        &mut self,
+        now: Moment,
+        submission: Submission,
+    ) -> (SubmitOutcome, Vec<NodeAction>) {
         self.notice_pause(now);
         if !self.is_ready(now) {
             // The desk was not asked: after a pause it may hold the request
@@ -25,16 +29,16 @@
                 false => Refusal::before_acceptance(RefusalReason::NotReady),
             };
             let refusal = refusal.with_retry_after(std::time::Duration::from_secs(1));
-            return (Reception::Refused(refusal), self.finish(now));
+            return (SubmitOutcome::Refused(refusal), self.finish(now));
         }
         if submission.options.key_authenticated && !self.trusts_keys(now) {
             let refusal = Refusal::before_acceptance(RefusalReason::KeyUnconfirmed);
             let refusal = refusal.with_retry_after(KEY_RETRY);
-            return (Reception::Refused(refusal), self.finish(now));
+            return (SubmitOutcome::Refused(refusal), self.finish(now));
         }
         let exposed = self.is_exposed(now, &submission);
         let (reception, actions) = self.desk.submit(now, submission);
-        if exposed && matches!(reception, Reception::Accepted(_)) {
+        if exposed && matches!(reception, SubmitOutcome::Accepted(_)) {
             self.exposure.counts.unmarked_exposure += 1;
         }
         self.queue_entry(actions);
--- a/bergamotswitch-core/tests/entry_grace.rs
+++ b/bergamotswitch-core/tests/entry_grace.rs
@@ -76,13 +76,13 @@
 }
 
 fn is_begun(desk: &mut TestDesk) -> bool {
-    matches!(desk.submit(submission()).0, Reception::Accepted(_))
+    matches!(desk.submit(submission()).0, SubmitOutcome::Accepted(_))
 }
 
 /// Get the claim of a submission that is turned away, and when it comes back.
 fn turned_away(desk: &mut TestDesk, submission: Submission) -> (RunClaim, Duration) {
     match desk.submit(submission).0 {
-        Reception::Refused(refusal) => {
+        SubmitOutcome::Refused(refusal) => {
             assert_eq!(refusal.reason(), RefusalReason::Stopping);
             let again = refusal.retry_after().expect("when to come back");
             (refusal.claim(), again)
@@ -449,7 +449,7 @@
     let mut copy = alert("key");
     copy.holder = Some(run_of("entry-2", 2));
     match desk.submit(copy).0 {
-        Reception::Refused(refusal) => assert_eq!(refusal.claim(), RunClaim::Unknown),
+        SubmitOutcome::Refused(refusal) => assert_eq!(refusal.claim(), RunClaim::Unknown),
         other => panic!("not refused: {other:?}"),
     }
 }
--- a/bergamotswitch-core/tests/entry_lifecycle.rs
+++ b/bergamotswitch-core/tests/entry_lifecycle.rs
@@ -7,9 +7,9 @@
 use bergamotswitch_core::refusal::{RetryReason, RunClaim, WasteCause};
 use entry_support::*;
 
-fn refusal_of(reception: Reception) -> (RefusalReason, RunClaim) {
+fn refusal_of(reception: SubmitOutcome) -> (RefusalReason, RunClaim) {
     match reception {
-        Reception::Refused(refusal) => (refusal.reason(), refusal.claim()),
+        SubmitOutcome::Refused(refusal) => (refusal.reason(), refusal.claim()),
         other => panic!("not refused: {other:?}"),
     }
 }
@@ -28,7 +28,7 @@
     let mut desk = TestDesk::new(EntryOptions::default());
     let (reception, actions) = desk.submit(submission());
     let ask = asks(&actions).remove(0);
-    assert_eq!(reception, Reception::Accepted(ask.attempt.request));
+    assert_eq!(reception, SubmitOutcome::Accepted(ask.attempt.request));
     assert_eq!(ask.claim, None);
     desk.start(ask.attempt, "t0");
     desk.now = desk.now.plus(Duration::from_millis(300));
@@ -274,7 +274,7 @@
 fn same_key() {
     let mut desk = TestDesk::new(EntryOptions::default());
     let id = desk.accept(alert("k"));
-    assert_eq!(desk.submit(alert("k")).0, Reception::Attached(id));
+    assert_eq!(desk.submit(alert("k")).0, SubmitOutcome::Attached(id));
     let mut other = alert("k");
     other.fingerprint = 2;
     let refusal = refusal_of(desk.submit(other).0);
@@ -299,7 +299,7 @@
     let refusal = refusal_of(desk.submit(alert("k1")).0);
     assert_eq!(refusal, (RefusalReason::OutcomeUnknown, RunClaim::Unknown));
     let kept = desk.submit(alert("k2")).0;
-    assert!(matches!(kept, Reception::Attached(_)));
+    assert!(matches!(kept, SubmitOutcome::Attached(_)));
 }
 
 // Symptom: a lost alert is run again. Sequence: the host restarts, the caller
@@ -322,7 +322,10 @@
     let elsewhere = run_of("entry-2", 5);
     let mut again = alert("k");
     again.holder = Some(elsewhere.clone());
-    assert_eq!(desk.submit(again).0, Reception::Forward(elsewhere.clone()));
+    assert_eq!(
+        desk.submit(again).0,
+        SubmitOutcome::Forward(elsewhere.clone())
+    );
 
     let attempt = first_attempt(desk.accept(alert("k")));
     let known = |holder| OwnerReply::KeyKnown { attempt, holder };
@@ -348,7 +351,7 @@
     first.holder = Some(run_of("entry-1", 1));
     let id = desk.accept(first.clone());
     first.resubmission = true;
-    assert_eq!(desk.submit(first).0, Reception::Attached(id));
+    assert_eq!(desk.submit(first).0, SubmitOutcome::Attached(id));
 }
 
 #[test]
@@ -393,7 +396,7 @@
     let actions = desk.attempt(attempt, AttemptEvent::Finished(usage()));
     assert_eq!(conclusions(&actions), vec![Conclusion::Answered]);
     let again = desk.submit(alert("k")).0;
-    assert_eq!(again, Reception::Attached(attempt.request));
+    assert_eq!(again, SubmitOutcome::Attached(attempt.request));
 }
 
 #[test]
--- a/bergamotswitch-core/tests/entry_support/mod.rs
+++ b/bergamotswitch-core/tests/entry_support/mod.rs
@@ -10,7 +10,7 @@
 pub use bergamotswitch_core::contract::TargetContract;
 pub use bergamotswitch_core::entry::{
     AttemptEvent, CallOptions, Conclusion, EntryAction, EntryDispatcher, EntryEvent, EntryOptions,
-    Reception, Submission,
+    Submission, SubmitOutcome,
 };
 pub use bergamotswitch_core::host::{HostIncarnation, HostName, Incarnation};
 pub use bergamotswitch_core::permit::{
@@ -140,14 +140,14 @@
         self.desk.handle(self.now, event)
     }
 
-    pub fn submit(&mut self, submission: Submission) -> (Reception, Vec<EntryAction>) {
+    pub fn submit(&mut self, submission: Submission) -> (SubmitOutcome, Vec<EntryAction>) {
         self.desk.submit(self.now, submission)
     }
 
     /// Accept a request and get its id.
     pub fn accept(&mut self, submission: Submission) -> RequestId {
         match self.submit(submission).0 {
-            Reception::Accepted(id) => id,
+            SubmitOutcome::Accepted(id) => id,
             other => panic!("not accepted: {other:?}"),
         }
     }
--- a/bergamotswitch-core/tests/entry_world/mod.rs
+++ b/bergamotswitch-core/tests/entry_world/mod.rs
@@ -162,20 +162,20 @@
         let desk = &mut self.hosts[host].desk;
         let (reception, actions) = desk.submit(self.now, submission.clone());
         match reception {
-            Reception::Accepted(id) => {
+            SubmitOutcome::Accepted(id) => {
                 self.count("requests");
                 self.hosts[host].stopped = false;
                 let run = self.hosts[host].run.clone();
                 self.callers.tell(identity.clone(), run);
                 self.oracle.accepted(id, identity, submission);
             }
-            Reception::Attached(id) => {
+            SubmitOutcome::Attached(id) => {
                 self.count("attached");
                 let fingerprint = submission.fingerprint;
                 self.oracle.attached(id, &identity, fingerprint);
             }
-            Reception::Forward(holder) => self.forward(identity, submission, holder),
-            Reception::Refused(_) => {}
+            SubmitOutcome::Forward(holder) => self.forward(identity, submission, holder),
+            SubmitOutcome::Refused(_) => {}
         }
         self.act(host, actions, false);
     }
--- a/bergamotswitch-core/tests/fleet_world/calls.rs
+++ b/bergamotswitch-core/tests/fleet_world/calls.rs
@@ -35,21 +35,21 @@
         };
         let (reception, actions) = core.submit(now, asked.clone());
         match reception {
-            Reception::Accepted(id) => {
+            SubmitOutcome::Accepted(id) => {
                 self.count("accepted");
                 let run = self.hosts[host].run.clone();
                 self.callers.tell(identity.clone(), run);
                 self.oracle.accepted(id, identity, asked);
             }
-            Reception::Attached(id) => {
+            SubmitOutcome::Attached(id) => {
                 self.count("attached");
                 self.oracle.attached(id, &identity, asked.fingerprint);
                 if self.hosts[host].forgotten.contains(&id) {
                     self.oracle.breach(Breach::OwnAnswer);
                 }
             }
-            Reception::Forward(holder) => self.forward(identity, asked, holder),
-            Reception::Refused(refusal) => {
+            SubmitOutcome::Forward(holder) => self.forward(identity, asked, holder),
+            SubmitOutcome::Refused(refusal) => {
                 self.count("turned away");
                 if refusal.claim() == RunClaim::NotRun {
                     self.oracle.told_not_run(&identity, &asked);
--- a/bergamotswitch-core/tests/node_bench/mod.rs
+++ b/bergamotswitch-core/tests/node_bench/mod.rs
@@ -184,7 +184,7 @@
         let (reception, actions) = self.core.submit(self.now, submission);
         self.actions.extend(actions);
         match reception {
-            Reception::Accepted(id) => id,
+            SubmitOutcome::Accepted(id) => id,
             other => panic!("not accepted: {other:?}"),
         }
     }
--- a/bergamotswitch-core/tests/node_limits.rs
+++ b/bergamotswitch-core/tests/node_limits.rs
@@ -261,13 +261,13 @@
         node.answer(alert(key), 600_000);
     }
     let (again, _) = node.core.submit(node.now, alert("a"));
-    let Reception::Refused(refusal) = again else {
+    let SubmitOutcome::Refused(refusal) = again else {
         panic!("{again:?}");
     };
     assert_eq!(refusal.reason(), RefusalReason::OutcomeUnknown);
     assert_eq!(refusal.claim(), RunClaim::Unknown);
     let (kept, _) = node.core.submit(node.now, alert("b"));
-    assert!(matches!(kept, Reception::Attached(_)), "{kept:?}");
+    assert!(matches!(kept, SubmitOutcome::Attached(_)), "{kept:?}");
 }
 
 // Symptom: an answer that was cut is called "not run", or is made once more.
--- a/bergamotswitch-core/tests/quota_fleet/mod.rs
+++ b/bergamotswitch-core/tests/quota_fleet/mod.rs
@@ -11,7 +11,7 @@
 
 pub use bergamotswitch_core::clock::Moment;
 use bergamotswitch_core::entry::{
-    AttemptEvent, Conclusion, EntryOptions, NotSentReason, Reception,
+    AttemptEvent, Conclusion, EntryOptions, NotSentReason, SubmitOutcome,
 };
 use bergamotswitch_core::host::{HostIncarnation, Incarnation};
 use bergamotswitch_core::link::{LinkEvent, LinkMessage};
@@ -304,7 +304,7 @@
             return false;
         };
         let (reception, actions) = core.submit(own, submission(account));
-        let Reception::Accepted(id) = reception else {
+        let SubmitOutcome::Accepted(id) = reception else {
             self.carry_out(index, actions);
             return false;
         };
--- a/bergamotswitch-core/tests/stop_returns.rs
+++ b/bergamotswitch-core/tests/stop_returns.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bergamotswitch_core::clock::Moment;
-use bergamotswitch_core::entry::{CallOptions, Reception, Submission};
+use bergamotswitch_core::entry::{CallOptions, Submission, SubmitOutcome};
 use bergamotswitch_core::host::{EntryHost, HostIncarnation, Incarnation, Standing};
 use bergamotswitch_core::node::{NodeCore, NodeEvent, NodeOptions, RosterSetup};
 use bergamotswitch_core::pool::PoolKind;
@@ -227,7 +227,7 @@
     /// Get when a caller comes back that is turned away now.
     fn turned_away(&mut self) -> Duration {
         match self.core.submit(self.now, submission()).0 {
-            Reception::Refused(refusal) => {
+            SubmitOutcome::Refused(refusal) => {
                 assert_eq!(refusal.reason(), RefusalReason::Stopping);
                 refusal.retry_after().expect("when to come back")
             }
--- a/bergamotswitch-net/src/handover.rs
+++ b/bergamotswitch-net/src/handover.rs
@@ -1,6 +1,6 @@
 //! Provides the handing of a checked request to the loop.
 
-use bergamotswitch_core::entry::{Reception, Submission};
+use bergamotswitch_core::entry::{Submission, SubmitOutcome};
 use bergamotswitch_core::host::HostIncarnation;
 use bergamotswitch_core::refusal::Refusal;
 use tokio::sync::oneshot;
@@ -58,11 +58,13 @@
 
 fn from_received(node: &NodeSender, received: Received) -> HandedOver {
     match (received.reception, received.answer) {
-        (Reception::Accepted(id) | Reception::Attached(id), Some(reader)) => {
+        (SubmitOutcome::Accepted(id) | SubmitOutcome::Attached(id), Some(reader)) => {
             HandedOver::Here(Box::new(AnswerFollower::new(node, id, reader)))
         }
-        (Reception::Accepted(_) | Reception::Attached(_), None) => HandedOver::AnswerDropped,
-        (Reception::Forward(holder), _) => HandedOver::Elsewhere(holder),
-        (Reception::Refused(refusal), _) => HandedOver::Refused(refusal),
+        (SubmitOutcome::Accepted(_) | SubmitOutcome::Attached(_), None) => {
+            HandedOver::AnswerDropped
+        }
+        (SubmitOutcome::Forward(holder), _) => HandedOver::Elsewhere(holder),
+        (SubmitOutcome::Refused(refusal), _) => HandedOver::Refused(refusal),
     }
 }
--- a/bergamotswitch-net/src/input.rs
+++ b/bergamotswitch-net/src/input.rs
@@ -1,7 +1,9 @@
 //! Provides what the tasks of a host tell its one loop.
 
 use bergamotswitch_core::address::{AddressAnswer, AddressQuery};
-use bergamotswitch_core::entry::{AttemptEvent, OutcomeQuery, OutcomeView, Reception, Submission};
+use bergamotswitch_core::entry::{
+    AttemptEvent, OutcomeQuery, OutcomeView, Submission, SubmitOutcome,
+};
 use bergamotswitch_core::host::{EntryHost, HostIncarnation};
 use bergamotswitch_core::link::LinkEvent;
 use bergamotswitch_core::refusal::RefusalReason;
@@ -38,7 +40,7 @@
 #[derive(Debug)]
 pub struct Received {
     /// What became of it.
-    pub reception: Reception,
+    pub reception: SubmitOutcome,
     /// The answer to follow, where the request is here.
     pub answer: Option<AnswerReader>,
 }
--- a/bergamotswitch-net/src/node/drive.rs
+++ b/bergamotswitch-net/src/node/drive.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bergamotswitch_core::clock::Moment;
-use bergamotswitch_core::entry::{AttemptEvent, Conclusion, Reception};
+use bergamotswitch_core::entry::{AttemptEvent, Conclusion, SubmitOutcome};
 use bergamotswitch_core::incident::Incident;
 use bergamotswitch_core::node::{NodeAction, NodeCore, NodeEvent};
 use bergamotswitch_core::pool::PoolKind;
@@ -263,15 +263,15 @@
 
     fn receive(
         &mut self,
-        reception: Reception,
+        reception: SubmitOutcome,
         call: OutgoingCall,
         label: RequestLabel,
     ) -> Received {
         let answer = match &reception {
-            Reception::Accepted(id) => Some(self.open.open(*id, call, label)),
-            Reception::Attached(id) => self.open.attach(*id),
-            Reception::Forward(_) => None,
-            Reception::Refused(refusal) => {
+            SubmitOutcome::Accepted(id) => Some(self.open.open(*id, call, label)),
+            SubmitOutcome::Attached(id) => self.open.attach(*id),
+            SubmitOutcome::Forward(_) => None,
+            SubmitOutcome::Refused(refusal) => {
                 self.metrics.refused(refusal.reason(), Some(label.tier));
                 let conclusion = Conclusion::Refused(refusal.clone());
                 label.note_end(self.clock.now(), None, &conclusion, 0);
--- a/bergamotswitch-net/src/node/drive/stopping.rs
+++ b/bergamotswitch-net/src/node/drive/stopping.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bergamotswitch_core::clock::Moment;
-use bergamotswitch_core::entry::{Conclusion, Reception};
+use bergamotswitch_core::entry::{Conclusion, SubmitOutcome};
 use bergamotswitch_core::incident::Incident;
 use bergamotswitch_core::node::NodeEvent;
 
@@ -117,7 +117,7 @@
     label.note_end(now, None, &Conclusion::Refused(refusal.clone()), 0);
     // A caller that is gone needs no answer.
     let _ = reply.send(Received {
-        reception: Reception::Refused(refusal),
+        reception: SubmitOutcome::Refused(refusal),
         answer: None,
     });
 }
--- a/bergamotswitch-net/tests/caller_requests/answers.rs
+++ b/bergamotswitch-net/tests/caller_requests/answers.rs
@@ -4,7 +4,7 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-use bergamotswitch_core::entry::Reception;
+use bergamotswitch_core::entry::SubmitOutcome;
 use bergamotswitch_core::refusal::{Refusal, RefusalReason};
 use bergamotswitch_net::answer::AnswerPart;
 use bergamotswitch_net::input::{NodeInput, Received};
@@ -161,7 +161,7 @@
     let refusal = Refusal::before_acceptance(RefusalReason::Overloaded)
         .with_retry_after(Duration::from_millis(2100));
     let received = Received {
-        reception: Reception::Refused(refusal),
+        reception: SubmitOutcome::Refused(refusal),
         answer: None,
     };
     let reply = host.submitted_reply().await;
--- a/bergamotswitch-net/tests/caller_requests/fake_loop.rs
+++ b/bergamotswitch-net/tests/caller_requests/fake_loop.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bergamotswitch_core::client_account::KeyHash;
-use bergamotswitch_core::entry::{Reception, Submission};
+use bergamotswitch_core::entry::{Submission, SubmitOutcome};
 use bergamotswitch_core::failure_domain::DomainName;
 use bergamotswitch_core::host::{HostIncarnation, HostName, Incarnation};
 use bergamotswitch_core::publication::Publication;
@@ -152,7 +152,7 @@
     pub fn accept(&self, reply: oneshot::Sender<Received>) -> AnswerWriter {
         let writer = AnswerWriter::new();
         let received = Received {
-            reception: Reception::Accepted(self.id(1)),
+            reception: SubmitOutcome::Accepted(self.id(1)),
             answer: Some(writer.reader()),
         };
         reply.send(received).expect("a caller that waits");
--- a/bergamotswitch-net/tests/caller_requests/forwarding.rs
+++ b/bergamotswitch-net/tests/caller_requests/forwarding.rs
@@ -1,6 +1,6 @@
 //! Requests that another host holds.
 
-use bergamotswitch_core::entry::Reception;
+use bergamotswitch_core::entry::SubmitOutcome;
 use bergamotswitch_core::host::HostIncarnation;
 use bergamotswitch_net::answer::AnswerPart;
 use bergamotswitch_net::input::{NodeInput, Received};
@@ -13,7 +13,7 @@
 
 async fn point_to(host: &mut FakeHost, holder: &HostIncarnation) {
     let received = Received {
-        reception: Reception::Forward(holder.clone()),
+        reception: SubmitOutcome::Forward(holder.clone()),
         answer: None,
     };
     let reply = host.submitted_reply().await;
--- a/bergamotswitch-net/tests/caller_requests/leaving.rs
+++ b/bergamotswitch-net/tests/caller_requests/leaving.rs
@@ -1,6 +1,6 @@
 //! Callers that go away.
 
-use bergamotswitch_core::entry::Reception;
+use bergamotswitch_core::entry::SubmitOutcome;
 use bergamotswitch_net::answer::{AnswerPart, AnswerWriter};
 use bergamotswitch_net::input::{NodeInput, Received};
 
@@ -42,7 +42,7 @@
     // The server must have seen the end of the connection.
     tokio::time::sleep(std::time::Duration::from_millis(50)).await;
     let received = Received {
-        reception: Reception::Accepted(host.id(1)),
+        reception: SubmitOutcome::Accepted(host.id(1)),
         answer: Some(AnswerWriter::new().reader()),
     };
     reply.send(received).expect("a task that waits");
--- a/bergamotswitch/examples/policies/node_policy.rs
+++ b/bergamotswitch/examples/policies/node_policy.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 
 use bergamotswitch_core::clock::Moment;
-use bergamotswitch_core::entry::{AttemptEvent, Conclusion, Reception};
+use bergamotswitch_core::entry::{AttemptEvent, Conclusion, SubmitOutcome};
 use bergamotswitch_core::host::{HostIncarnation, HostName, Incarnation};
 use bergamotswitch_core::link::LinkEvent;
 use bergamotswitch_core::node::{NodeAction, NodeCore, NodeEvent, NodeOptions};
@@ -177,10 +177,10 @@
         let (reception, actions) = self.hosts[request.host].node.submit(now, submission);
         let mut orders = Vec::new();
         match reception {
-            Reception::Accepted(id) => {
+            SubmitOutcome::Accepted(id) => {
                 self.requests.insert(id, index);
             }
-            Reception::Refused(refusal) => {
+            SubmitOutcome::Refused(refusal) => {
                 let ready = refusal.reason() != RefusalReason::NotReady;
                 assert!(ready, "hosts are ready when the load begins");
                 orders.push(Order::Conclude {
--- a/bergamotswitch/examples/slopes/entry.rs
+++ b/bergamotswitch/examples/slopes/entry.rs
@@ -4,7 +4,7 @@
 
 use bergamotswitch_core::clock::Moment;
 use bergamotswitch_core::entry::{
-    AttemptEvent, EntryAction, EntryDispatcher, EntryEvent, EntryOptions, Reception,
+    AttemptEvent, EntryAction, EntryDispatcher, EntryEvent, EntryOptions, SubmitOutcome,
 };
 use bergamotswitch_core::host::HostName;
 use bergamotswitch_core::permit::{OwnerMessage, OwnerReply, Permit, PermitId, Usage};
@@ -58,7 +58,7 @@
         self.sequence += 1;
         let key = keyed.then(|| format!("summary-2026-12-02-{:08}", self.sequence));
         let (reception, actions) = self.desk.submit(self.now, submission(self.sequence, key));
-        let Reception::Accepted(id) = reception else {
+        let SubmitOutcome::Accepted(id) = reception else {
             panic!("an accepted request, not {reception:?}");
         };
         let asked = actions.iter().find_map(|action| match action {
--- a/bergamotswitch/examples/slopes/fleet.rs
+++ b/bergamotswitch/examples/slopes/fleet.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bergamotswitch_core::clock::Moment;
-use bergamotswitch_core::entry::{AttemptEvent, Conclusion, Reception, Submission};
+use bergamotswitch_core::entry::{AttemptEvent, Conclusion, Submission, SubmitOutcome};
 use bergamotswitch_core::host::{HostIncarnation, HostName};
 use bergamotswitch_core::link::{LinkEvent, LinkMessage};
 use bergamotswitch_core::node::{NodeAction, NodeCore, NodeEvent, NodeOptions};
@@ -224,7 +224,7 @@
         let now = self.now;
         if let Some(node) = &mut self.nodes[index] {
             let (reception, actions) = node.core.submit(now, wanted);
-            if let Reception::Accepted(id) = reception {
+            if let SubmitOutcome::Accepted(id) = reception {
                 self.accepted_at.insert(id, now);
             }
             self.carry_out(index, actions);
