--- a/bergamotswitch-core/src/entry/desk/asking.rs
+++ b/bergamotswitch-core/src/entry/desk/asking.rs
@@ -152,7 +152,10 @@
     ) {
         self.counts.retried += 1;
         actions.push(EntryAction::CountRetry(reason));
-        actions.push(EntryAction::Note(Incident::AttemptRetried, record.id));
+        actions.push(EntryAction::LogIncident(
+            Incident::AttemptRetried,
+            record.id,
+        ));
         self.ask_anew(now, record, life, actions);
     }
 
--- a/bergamotswitch-core/src/entry/desk/ending.rs
+++ b/bergamotswitch-core/src/entry/desk/ending.rs
@@ -56,7 +56,10 @@
         refusal: Refusal,
         actions: &mut Vec<EntryAction>,
     ) {
-        actions.push(EntryAction::Note(Incident::RequestRefused, record.id));
+        actions.push(EntryAction::LogIncident(
+            Incident::RequestRefused,
+            record.id,
+        ));
         let tier = record.submission.verdict.tier;
         actions.push(EntryAction::CountRefusal(tier, refusal.reason()));
         if let Some(key) = &record.key
@@ -92,7 +95,7 @@
         if !record.keeps_answer() {
             // Its caller followed to the end, and could run it again. Kept
             // answers are a host's largest memory.
-            actions.push(EntryAction::Forget(record.id));
+            actions.push(EntryAction::DropAnswer(record.id));
             return;
         }
         let answer = KeptAnswer {
--- a/bergamotswitch-core/src/entry/desk/mod.rs
+++ b/bergamotswitch-core/src/entry/desk/mod.rs
@@ -122,13 +122,13 @@
     pub fn handle(&mut self, now: Moment, event: EntryEvent) -> Vec<EntryAction> {
         let mut actions = Vec::new();
         match event {
-            EntryEvent::Woke(_) => self.void_asks(now, &mut actions),
+            EntryEvent::ProcessPaused(_) => self.void_asks(now, &mut actions),
             _ => self.notice_pause(now, &mut actions),
         }
         match event {
             EntryEvent::CallerLeft(id) => self.caller_left(now, id, &mut actions),
             EntryEvent::Reply(host, reply) => self.owner_replied(now, host, reply, &mut actions),
-            EntryEvent::OwnerIs(shard, host) => self.owner_is(now, shard, host, &mut actions),
+            EntryEvent::OwnerChanged(shard, host) => self.owner_is(now, shard, host, &mut actions),
             EntryEvent::Attempt(attempt, event) => {
                 self.attempt_moved(now, attempt, event, &mut actions);
             }
@@ -137,16 +137,16 @@
                 self.move_waiting(now, &mut actions);
             }
             EntryEvent::TargetLeaving(target, leaving) => self.pools.set_leaving(target, leaving),
-            EntryEvent::Overlong(id) => self.stop_overlong(now, id, &mut actions),
+            EntryEvent::AnswerTooLong(id) => self.stop_overlong(now, id, &mut actions),
             EntryEvent::AnswerSize(id, bytes) => self.answers.note_bytes(id, bytes),
             EntryEvent::Stop => self.stopping = true,
-            EntryEvent::WholeBy(at) => self.set_whole_by(now, at, &mut actions),
-            EntryEvent::DoorShut => self.bound.is_shut = true,
-            EntryEvent::OthersBack(at) => self.bound.others_back = at,
+            EntryEvent::FinishBy(at) => self.set_whole_by(now, at, &mut actions),
+            EntryEvent::AdmissionClosed => self.bound.is_shut = true,
+            EntryEvent::HostsAvailableAt(at) => self.bound.others_back = at,
             EntryEvent::Hosts(count) => self.share_budgets(count),
             EntryEvent::Quotas(rates) => self.quota_use.set_rates(now, rates),
-            EntryEvent::CutOff => self.cut_off(now, &mut actions),
-            EntryEvent::Tick | EntryEvent::Woke(_) => self.turn_away(now, &mut actions),
+            EntryEvent::GraceExpired => self.cut_off(now, &mut actions),
+            EntryEvent::Tick | EntryEvent::ProcessPaused(_) => self.turn_away(now, &mut actions),
         }
         self.settle(now, &mut actions);
         actions
@@ -249,7 +249,7 @@
             if let Some(key) = &dropped.key {
                 self.keys.drop_answer(key, dropped.id, now);
             }
-            actions.push(EntryAction::Forget(dropped.id));
+            actions.push(EntryAction::DropAnswer(dropped.id));
         }
         self.keys.expire(now);
         let over = self.stopping && self.ledger.is_empty();
--- a/bergamotswitch-core/src/entry/desk/progress.rs
+++ b/bergamotswitch-core/src/entry/desk/progress.rs
@@ -51,10 +51,10 @@
                 self.put_back(record, running);
             }
             AttemptEvent::Resumed => {
-                actions.push(EntryAction::Note(Incident::StreamResumed, record.id));
+                actions.push(EntryAction::LogIncident(Incident::StreamResumed, record.id));
                 self.put_back(record, running);
             }
-            AttemptEvent::Silent => self.carry_on(now, record, running, actions),
+            AttemptEvent::Stalled => self.carry_on(now, record, running, actions),
             AttemptEvent::Finished(usage) => self.finished(now, record, running, usage, actions),
             AttemptEvent::NotSent(reason) => self.not_sent(now, record, running, reason, actions),
             AttemptEvent::Refused => self.refused_at(now, record, running, actions),
@@ -113,7 +113,7 @@
             NotSentReason::ConnectFailed => {
                 (ReleaseOutcome::Unreachable, RetryReason::ConnectFailed)
             }
-            NotSentReason::TargetGone => (ReleaseOutcome::Unused, RetryReason::PermitVoid),
+            NotSentReason::TargetUnavailable => (ReleaseOutcome::Unused, RetryReason::PermitVoid),
         };
         self.release(now, &record, &running, outcome, actions);
         self.retry_unsent(now, record, running, reason, retry, actions);
--- a/bergamotswitch-core/src/entry/desk/reception.rs
+++ b/bergamotswitch-core/src/entry/desk/reception.rs
@@ -97,7 +97,7 @@
             incarnation: holder.incarnation,
             sequence: UNKNOWN_SEQUENCE,
         };
-        actions.push(EntryAction::Note(Incident::RequestLost, id));
+        actions.push(EntryAction::LogIncident(Incident::RequestLost, id));
         refused(Refusal::may_have_run(RefusalReason::Lost))
     }
 
@@ -106,7 +106,7 @@
             entry.record.followed = true;
             self.ledger.put(entry);
         }
-        actions.push(EntryAction::Note(Incident::ResubmissionAttached, id));
+        actions.push(EntryAction::LogIncident(Incident::ResubmissionAttached, id));
         SubmitOutcome::Attached(id)
     }
 
--- a/bergamotswitch-core/src/entry/desk/replies.rs
+++ b/bergamotswitch-core/src/entry/desk/replies.rs
@@ -212,12 +212,18 @@
         };
         match entry.stage {
             AttemptStage::Waiting(waiting) if holder.host == self.me.host => {
-                actions.push(EntryAction::Note(Incident::RequestLost, entry.record.id));
+                actions.push(EntryAction::LogIncident(
+                    Incident::RequestLost,
+                    entry.record.id,
+                ));
                 let refusal = waiting.life.refuse(RefusalReason::Lost);
                 self.refuse(now, entry.record, refusal, actions);
             }
             AttemptStage::Waiting(waiting) if !self.may_forward(now, &entry.record.submission) => {
-                actions.push(EntryAction::Note(Incident::RequestLost, entry.record.id));
+                actions.push(EntryAction::LogIncident(
+                    Incident::RequestLost,
+                    entry.record.id,
+                ));
                 let refusal = waiting.life.refuse(RefusalReason::OutcomeUnknown);
                 self.refuse(now, entry.record, refusal, actions);
             }
--- a/bergamotswitch-core/src/entry/mod.rs
+++ b/bergamotswitch-core/src/entry/mod.rs
@@ -115,7 +115,7 @@
     /// The connection was never established.
     ConnectFailed,
     /// The target is leaving or unknown here.
-    TargetGone,
+    TargetUnavailable,
 }
 
 /// An `AttemptEvent` is what the network crate sees of one attempt.
@@ -135,7 +135,7 @@
     /// The stream goes on over a new connection.
     Resumed,
     /// The stream has paused for so long that its target may be gone.
-    Silent,
+    Stalled,
     /// The answer is whole.
     Finished(Usage),
     /// The connection broke or went silent and the stream was not resumed.
@@ -152,11 +152,11 @@
     Reply(HostName, OwnerReply),
     /// The acting owner of a shard, as this host sees it, has changed. Where
     /// no candidate is reachable, it is this host, with its own fraction.
-    OwnerIs(PoolShard, HostName),
+    OwnerChanged(PoolShard, HostName),
     /// An attempt makes progress.
     Attempt(AttemptId, AttemptEvent),
     /// The answer of a request in flight is longer than one may be.
-    Overlong(RequestId),
+    AnswerTooLong(RequestId),
     /// The answer of an ended request takes this memory, in bytes.
     AnswerSize(RequestId, u64),
     /// The published pools changed.
@@ -166,23 +166,23 @@
     /// A planned stop begins.
     Stop,
     /// In a planned stop that may not last, answers have to be whole by then.
-    WholeBy(Moment),
+    FinishBy(Moment),
     /// The addresses under which callers come have lapsed: no new request is
     /// taken.
-    DoorShut,
+    AdmissionClosed,
     /// In a planned stop, when enough hosts are expected to take callers again;
     /// none where they do now, or nobody can tell.
-    OthersBack(Option<Moment>),
+    HostsAvailableAt(Option<Moment>),
     /// How many hosts there are, this one among them.
     Hosts(usize),
     /// The quotas of client accounts, after a change.
     Quotas(Vec<(AccountName, QuotaRate)>),
     /// The planned stop may not last any longer: everything ends now.
-    CutOff,
+    GraceExpired,
     /// Time has passed.
     Tick,
     /// The process slept for this long; nothing that it believed is fresh.
-    Woke(Duration),
+    ProcessPaused(Duration),
 }
 
 /// A `Conclusion` is the one final outcome of a request.
@@ -219,11 +219,11 @@
     /// Tell the caller the outcome.
     Conclude(RequestId, Conclusion),
     /// Drop the kept answer of an ended request.
-    Forget(RequestId),
+    DropAnswer(RequestId),
     /// Hand a request over to the run that holds its key.
     Forward(RequestId, HostIncarnation),
     /// Log a numbered event about a request.
-    Note(Incident, RequestId),
+    LogIncident(Incident, RequestId),
     /// Count a refusal of a request that was accepted.
     CountRefusal(Tier, RefusalReason),
     /// Count the time from acceptance to the first dispatch.
--- a/bergamotswitch-core/src/node/carry_out.rs
+++ b/bergamotswitch-core/src/node/carry_out.rs
@@ -28,9 +28,9 @@
             EntryAction::Conclude(id, conclusion) => {
                 self.actions.push(NodeAction::Conclude(id, conclusion));
             }
-            EntryAction::Forget(id) => self.actions.push(NodeAction::Forget(id)),
+            EntryAction::DropAnswer(id) => self.actions.push(NodeAction::Forget(id)),
             EntryAction::Forward(id, holder) => self.actions.push(NodeAction::Forward(id, holder)),
-            EntryAction::Note(incident, id) => {
+            EntryAction::LogIncident(incident, id) => {
                 let text = format!("request={id}");
                 self.actions.push(NodeAction::Note(incident, text));
             }
@@ -68,7 +68,7 @@
             // The owner has a newer or older list of targets than this host:
             // nothing was sent, the request waits on.
             None => {
-                let event = AttemptEvent::NotSent(NotSentReason::TargetGone);
+                let event = AttemptEvent::NotSent(NotSentReason::TargetUnavailable);
                 self.tell_desk(now, EntryEvent::Attempt(attempt, event));
             }
         }
@@ -122,7 +122,7 @@
     /// sent again at another host could run twice after a quick restart.
     pub(super) fn retell_linked(&mut self, now: Moment, host: &HostName) {
         for shard in self.exposure.owned_by(host) {
-            self.tell_desk(now, EntryEvent::OwnerIs(shard, host.clone()));
+            self.tell_desk(now, EntryEvent::OwnerChanged(shard, host.clone()));
         }
     }
 
@@ -139,7 +139,7 @@
             .set_degraded(now, &shard, degraded, &self.publication);
         let owner = owner.unwrap_or_else(|| self.me.host.clone());
         self.exposure.owner_is(now, &shard, &owner);
-        self.tell_desk(now, EntryEvent::OwnerIs(shard, owner));
+        self.tell_desk(now, EntryEvent::OwnerChanged(shard, owner));
         self.watch_targets();
     }
 
--- a/bergamotswitch-core/src/node/core.rs
+++ b/bergamotswitch-core/src/node/core.rs
@@ -190,7 +190,7 @@
         match event {
             NodeEvent::CallerLeft(id) => self.tell_desk(now, EntryEvent::CallerLeft(id)),
             NodeEvent::Attempt(id, event) => self.tell_desk(now, EntryEvent::Attempt(id, event)),
-            NodeEvent::Overlong(id) => self.tell_desk(now, EntryEvent::Overlong(id)),
+            NodeEvent::Overlong(id) => self.tell_desk(now, EntryEvent::AnswerTooLong(id)),
             NodeEvent::AnswerSize(id, bytes) => {
                 self.tell_desk(now, EntryEvent::AnswerSize(id, bytes));
             }
@@ -219,8 +219,8 @@
             }
             NodeEvent::Stop => self.on_stop(now),
             NodeEvent::WholeBy(at) => self.on_whole_by(now, at),
-            NodeEvent::DoorShut => self.tell_desk(now, EntryEvent::DoorShut),
-            NodeEvent::CutOff => self.tell_desk(now, EntryEvent::CutOff),
+            NodeEvent::DoorShut => self.tell_desk(now, EntryEvent::AdmissionClosed),
+            NodeEvent::CutOff => self.tell_desk(now, EntryEvent::GraceExpired),
             NodeEvent::Tick => self.on_tick(now),
         }
         self.finish(now)
@@ -256,7 +256,7 @@
         self.tell_membership(now, MembershipEvent::Woke(gap));
         self.key_guards.restart(now);
         self.tell_book(now, RevisionEvent::Woke(gap));
-        self.tell_desk(now, EntryEvent::Woke(gap));
+        self.tell_desk(now, EntryEvent::ProcessPaused(gap));
         self.run_steps(now);
     }
 
@@ -299,7 +299,7 @@
         // What waits is turned away with the event below, and told when to come
         // back.
         self.review_returns(now);
-        self.tell_desk(now, EntryEvent::WholeBy(at));
+        self.tell_desk(now, EntryEvent::FinishBy(at));
     }
 
     fn on_link(&mut self, now: Moment, event: LinkEvent) {
--- a/bergamotswitch-core/src/node/returns.rs
+++ b/bergamotswitch-core/src/node/returns.rs
@@ -57,7 +57,7 @@
         let back_at = self.enough_at(now);
         if back_at != self.back_at {
             self.back_at = back_at;
-            self.tell_desk(now, EntryEvent::OthersBack(back_at));
+            self.tell_desk(now, EntryEvent::HostsAvailableAt(back_at));
         }
     }
 
--- a/bergamotswitch-core/tests/entry_grace.rs
+++ b/bergamotswitch-core/tests/entry_grace.rs
@@ -30,7 +30,7 @@
 
 fn stop(desk: &mut TestDesk, left: Duration) -> Vec<EntryAction> {
     let whole_by = desk.now.plus(left);
-    let mut actions = desk.event(EntryEvent::WholeBy(whole_by));
+    let mut actions = desk.event(EntryEvent::FinishBy(whole_by));
     actions.extend(desk.event(EntryEvent::Stop));
     actions
 }
@@ -205,7 +205,7 @@
     desk.begin(bounded(Duration::from_secs(20)), "t0");
     stop(&mut desk, LEFT);
     desk.pass(LEFT);
-    let actions = desk.event(EntryEvent::CutOff);
+    let actions = desk.event(EntryEvent::GraceExpired);
     let expected = (RefusalReason::Stopping, RunClaim::Unknown);
     assert_eq!(refusals(&actions), vec![expected, expected]);
     assert_eq!(releases(&actions).len(), 2);
@@ -229,14 +229,14 @@
     stop(&mut desk, LEFT);
     turned_away(&mut desk, submission());
     let back_at = desk.now.plus(Duration::from_secs(5));
-    desk.event(EntryEvent::OthersBack(Some(back_at)));
+    desk.event(EntryEvent::HostsAvailableAt(Some(back_at)));
     desk.pass(Duration::from_millis(1_100));
     // The caller comes back when hosts are back that can take it.
     let (claim, again) = turned_away(&mut desk, submission());
     assert_eq!(claim, RunClaim::NotRun);
     let wait = back_at.since(desk.now);
     assert!(wait <= again && again <= wait * 5 / 4, "{again:?}");
-    desk.event(EntryEvent::OthersBack(None));
+    desk.event(EntryEvent::HostsAvailableAt(None));
     let (_, again) = turned_away(&mut desk, submission());
     assert!(again < Duration::from_millis(500));
 }
@@ -311,7 +311,7 @@
     // The most that it may make bounds it all the same.
     let mut bounded = sized(400);
     bounded.options.max_output_tokens = Some(401);
-    desk.event(EntryEvent::WholeBy(desk.now.plus(LEFT * 2)));
+    desk.event(EntryEvent::FinishBy(desk.now.plus(LEFT * 2)));
     desk.begin(bounded, "t0");
 }
 
@@ -369,7 +369,7 @@
         // as wrong again.
         stop(&mut desk, Duration::from_secs(5));
         turned_away(&mut desk, sized(400));
-        desk.event(EntryEvent::WholeBy(desk.now.plus(LEFT)));
+        desk.event(EntryEvent::FinishBy(desk.now.plus(LEFT)));
         desk.begin(sized(400), "t0");
     }
 }
@@ -462,7 +462,7 @@
     let mut desk = TestDesk::new(EntryOptions::default());
     desk.event(EntryEvent::Stop);
     let waits = first_attempt(desk.accept(submission()));
-    desk.event(EntryEvent::DoorShut);
+    desk.event(EntryEvent::AdmissionClosed);
     turned_away(&mut desk, submission());
     desk.start(waits, "t0");
 }
@@ -472,7 +472,7 @@
 #[test]
 fn no_grace() {
     let mut desk = TestDesk::new(EntryOptions::default());
-    desk.event(EntryEvent::WholeBy(Moment::NEVER));
+    desk.event(EntryEvent::FinishBy(Moment::NEVER));
     desk.event(EntryEvent::Stop);
     desk.begin(submission(), "t0");
     assert_eq!(desk.pass(Duration::from_secs(20)), vec![]);
--- a/bergamotswitch-core/tests/entry_lifecycle.rs
+++ b/bergamotswitch-core/tests/entry_lifecycle.rs
@@ -43,7 +43,7 @@
         first_token: Some(Duration::from_millis(300)),
     }));
     // Nobody can come back for it, so it is not kept.
-    let forget = EntryAction::Forget(ask.attempt.request);
+    let forget = EntryAction::DropAnswer(ask.attempt.request);
     assert_eq!(actions.last(), Some(&forget));
     assert_eq!(desk.desk.view().kept_answers, 0);
 }
@@ -62,7 +62,7 @@
     assert_eq!(desk.desk.outcome(&by_id), OutcomeView::Answered(id));
     assert_eq!(desk.desk.outcome(&by_key), OutcomeView::Answered(id));
     let wake = desk.desk.next_wake().since(desk.now);
-    assert_eq!(desk.pass(wake), vec![EntryAction::Forget(id)]);
+    assert_eq!(desk.pass(wake), vec![EntryAction::DropAnswer(id)]);
     let unknown = OutcomeView::Unknown(RefusalReason::OutcomeUnknown);
     assert_eq!(desk.desk.outcome(&by_key), unknown);
     let other = OutcomeQuery::Id(RequestId {
@@ -119,7 +119,7 @@
         desk.now = desk.now.plus(Duration::from_secs(10));
         let mut actions = Vec::new();
         if told {
-            actions.extend(desk.event(EntryEvent::Woke(Duration::from_secs(10))));
+            actions.extend(desk.event(EntryEvent::ProcessPaused(Duration::from_secs(10))));
         }
         actions.extend(desk.grant(&permit));
         assert_eq!(starts(&actions), vec![]);
@@ -165,7 +165,7 @@
     assert_eq!(actions, vec![EntryAction::Send(name(OWNER), withdraw)]);
     let south = desk.desk.used_shards().remove(0);
     assert_eq!(south.domain, Some(name("south")));
-    let actions = desk.event(EntryEvent::OwnerIs(south, name(OWNER)));
+    let actions = desk.event(EntryEvent::OwnerChanged(south, name(OWNER)));
     assert_ne!(asks(&actions)[0].attempt, attempt);
 }
 
@@ -197,7 +197,7 @@
     let running = first_attempt(desk.accept(alert("k")));
     let permit = desk.start(running, "t0");
     let waiting = first_attempt(desk.accept(submission()));
-    let actions = desk.event(EntryEvent::OwnerIs(shard(), name("owner-2")));
+    let actions = desk.event(EntryEvent::OwnerChanged(shard(), name("owner-2")));
     match &actions[0] {
         EntryAction::Send(host, OwnerMessage::Retell { held, claims, .. }) => {
             assert_eq!(host.as_str(), "owner-2");
@@ -235,7 +235,7 @@
     let mut copy = alert("k");
     copy.resubmission = true;
     desk.accept(copy);
-    let actions = desk.event(EntryEvent::OwnerIs(shard(), name("owner-2")));
+    let actions = desk.event(EntryEvent::OwnerChanged(shard(), name("owner-2")));
     match &actions[0] {
         EntryAction::Send(_, OwnerMessage::Retell { claims, .. }) => assert_eq!(claims, &[]),
         other => panic!("not retold: {other:?}"),
@@ -293,7 +293,7 @@
     for key in ["k1", "k2"] {
         let attempt = desk.begin(alert(key), "t0");
         let actions = desk.attempt(attempt, AttemptEvent::Finished(usage()));
-        let dropped = matches!(actions.last(), Some(EntryAction::Forget(_)));
+        let dropped = matches!(actions.last(), Some(EntryAction::DropAnswer(_)));
         assert_eq!(dropped, key == "k2");
     }
     let refusal = refusal_of(desk.submit(alert("k1")).0);
@@ -483,7 +483,7 @@
             let mut desk = TestDesk::new(options);
             desk.event(EntryEvent::Pools(vec![pool(true)]));
             for place in ["north", "south"].map(place) {
-                desk.event(EntryEvent::OwnerIs(place, name("owner-1")));
+                desk.event(EntryEvent::OwnerChanged(place, name("owner-1")));
             }
             let actions = desk.submit(alert(&key)).1;
             places.extend(asks(&actions).into_iter().map(|ask| ask.shard));
--- a/bergamotswitch-core/tests/entry_retries.rs
+++ b/bergamotswitch-core/tests/entry_retries.rs
@@ -150,7 +150,7 @@
     let mut desk = TestDesk::new(EntryOptions::default());
     let first = desk.begin(stream, "t0");
     desk.attempt(first, AttemptEvent::FirstToken);
-    let actions = desk.attempt(first, AttemptEvent::Silent);
+    let actions = desk.attempt(first, AttemptEvent::Stalled);
     assert!(retried(&actions, RetryReason::ConnectionBroke));
     let aborted = |attempt| EntryAction::Abort {
         attempt,
@@ -160,7 +160,7 @@
     // The second run is the last one: its target is waited for.
     let second = asks(&actions)[0].attempt;
     desk.start(second, "t1");
-    assert_eq!(desk.attempt(second, AttemptEvent::Silent), vec![]);
+    assert_eq!(desk.attempt(second, AttemptEvent::Stalled), vec![]);
     let actions = desk.attempt(second, AttemptEvent::Finished(usage()));
     assert_eq!(conclusions(&actions), vec![Conclusion::Answered]);
 }
--- a/bergamotswitch-core/tests/entry_support/mod.rs
+++ b/bergamotswitch-core/tests/entry_support/mod.rs
@@ -132,7 +132,7 @@
             permits: 0,
         };
         desk.event(EntryEvent::Pools(vec![pool(false)]));
-        desk.event(EntryEvent::OwnerIs(shard(), name(OWNER)));
+        desk.event(EntryEvent::OwnerChanged(shard(), name(OWNER)));
         desk
     }
 
--- a/bergamotswitch-core/tests/entry_world/engines.rs
+++ b/bergamotswitch-core/tests/entry_world/engines.rs
@@ -54,14 +54,14 @@
         };
         let event = match c % 13 {
             0 => AttemptEvent::NotSent(NotSentReason::ConnectFailed),
-            1 => AttemptEvent::NotSent(NotSentReason::TargetGone),
+            1 => AttemptEvent::NotSent(NotSentReason::TargetUnavailable),
             2 | 3 => AttemptEvent::Refused,
             4 => AttemptEvent::Failed,
             5 | 6 => AttemptEvent::FirstToken,
             7 => AttemptEvent::Progress(5),
             8 => AttemptEvent::Resumed,
             9 | 10 => AttemptEvent::Broken(usage()),
-            11 => AttemptEvent::Silent,
+            11 => AttemptEvent::Stalled,
             _ => AttemptEvent::Finished(usage()),
         };
         self.engine_does(host, attempt, event);
@@ -79,7 +79,7 @@
             AttemptEvent::FirstToken
             | AttemptEvent::Progress(_)
             | AttemptEvent::Resumed
-            | AttemptEvent::Silent => {
+            | AttemptEvent::Stalled => {
                 flight.ran = true;
                 self.run_once_more(id, ran);
                 return self.handle(host, EntryEvent::Attempt(attempt, event));
--- a/bergamotswitch-core/tests/entry_world/mishaps.rs
+++ b/bergamotswitch-core/tests/entry_world/mishaps.rs
@@ -98,17 +98,17 @@
                 let span = Duration::from_millis(u64::from(c) * 20);
                 self.now = self.now.plus(span);
                 self.hosts[host].woke_at = self.step;
-                self.handle(host, EntryEvent::Woke(span));
+                self.handle(host, EntryEvent::ProcessPaused(span));
             }
             6 if self.hosts[host].stopping => {
                 let left = Duration::from_millis(u64::from(c) * 100);
                 let whole_by = self.now.plus(left);
-                self.handle(host, EntryEvent::WholeBy(whole_by));
+                self.handle(host, EntryEvent::FinishBy(whole_by));
             }
             // The grace of a stop is over.
             7 if self.hosts[host].stopping => {
                 self.count("cut stops");
-                self.handle(host, EntryEvent::CutOff);
+                self.handle(host, EntryEvent::GraceExpired);
                 self.crash(host);
             }
             _ => {}
--- a/bergamotswitch-core/tests/entry_world/mod.rs
+++ b/bergamotswitch-core/tests/entry_world/mod.rs
@@ -81,7 +81,7 @@
         for host in 0..HOSTS.len() {
             let fresh = world.fresh_host(host);
             world.hosts.push(fresh);
-            world.handle(host, EntryEvent::OwnerIs(shard(), name(OWNERS[0])));
+            world.handle(host, EntryEvent::OwnerChanged(shard(), name(OWNERS[0])));
         }
         world
     }
@@ -218,9 +218,9 @@
                 }
                 EntryAction::Stopped => self.stopped(host),
                 EntryAction::CountRetry(_) => self.count("retries"),
-                EntryAction::Note(Incident::RequestLost, _) => self.count("lost"),
-                EntryAction::Forget(_)
-                | EntryAction::Note(..)
+                EntryAction::LogIncident(Incident::RequestLost, _) => self.count("lost"),
+                EntryAction::DropAnswer(_)
+                | EntryAction::LogIncident(..)
                 | EntryAction::CountRefusal(..)
                 | EntryAction::CountWait(..)
                 | EntryAction::CountWaste(..)
@@ -273,7 +273,7 @@
                 self.handle(host, EntryEvent::Reply(name(OWNERS[owner]), reply));
             }
             Letter::OwnerIs(host, owner) => {
-                self.handle(host, EntryEvent::OwnerIs(shard(), name(OWNERS[owner])));
+                self.handle(host, EntryEvent::OwnerChanged(shard(), name(OWNERS[owner])));
             }
         }
     }
--- a/bergamotswitch-core/tests/fleet_world/engines.rs
+++ b/bergamotswitch-core/tests/fleet_world/engines.rs
@@ -75,7 +75,7 @@
             TargetMode::Slow => &[
                 (1_000, AttemptEvent::FirstToken),
                 (3_000, AttemptEvent::Progress(5)),
-                (4_000, AttemptEvent::Silent),
+                (4_000, AttemptEvent::Stalled),
                 (5_000, AttemptEvent::Resumed),
                 (7_000, finished),
             ],
@@ -96,7 +96,7 @@
             AttemptEvent::FirstToken
                 | AttemptEvent::Progress(_)
                 | AttemptEvent::Resumed
-                | AttemptEvent::Silent
+                | AttemptEvent::Stalled
         );
         let known = match goes_on {
             true => self.hosts[host].flights.contains(&attempt),
--- a/bergamotswitch-net/src/target_client/routed_call.rs
+++ b/bergamotswitch-net/src/target_client/routed_call.rs
@@ -301,7 +301,7 @@
                 Err(_) if has_begun => {
                     self.context
                         .note(Incident::StreamPaused, "no event in time");
-                    report.step(AttemptEvent::Silent);
+                    report.step(AttemptEvent::Stalled);
                 }
                 Err(_) => break "silent stream",
             }
--- a/bergamotswitch-net/tests/target_support/mod.rs
+++ b/bergamotswitch-net/tests/target_support/mod.rs
@@ -100,7 +100,7 @@
         AttemptEvent::FirstToken
         | AttemptEvent::Progress(_)
         | AttemptEvent::Resumed
-        | AttemptEvent::Silent => false,
+        | AttemptEvent::Stalled => false,
         AttemptEvent::NotSent(_)
         | AttemptEvent::Refused
         | AttemptEvent::Failed
--- a/bergamotswitch/examples/policies/baseline.rs
+++ b/bergamotswitch/examples/policies/baseline.rs
@@ -277,7 +277,7 @@
             AttemptEvent::FirstToken
                 | AttemptEvent::Progress(_)
                 | AttemptEvent::Resumed
-                | AttemptEvent::Silent
+                | AttemptEvent::Stalled
         ) {
             return Vec::new();
         }
--- a/bergamotswitch/examples/slopes/entry.rs
+++ b/bergamotswitch/examples/slopes/entry.rs
@@ -44,7 +44,7 @@
         };
         let pools = vec![pool(targets(target_count, 262_144))];
         bench.event(EntryEvent::Pools(pools));
-        bench.event(EntryEvent::OwnerIs(shard(None), bench.owner.clone()));
+        bench.event(EntryEvent::OwnerChanged(shard(None), bench.owner.clone()));
         bench
     }
 
