--- a/bergamotswitch-core/src/entry/desk/mod.rs
+++ b/bergamotswitch-core/src/entry/desk/mod.rs
@@ -68,8 +68,8 @@
     pub fn new(me: HostIncarnation, opts: EntryOptions) -> Self {
         EntryDispatcher {
             me,
-            ledger: RequestLedger::new(opts.re_ask_interval),
-            keys: KeyBook::new(opts.key_memory, opts.key_count),
+            ledger: RequestLedger::new(opts.permit_resend_interval),
+            keys: KeyBook::new(opts.key_retention, opts.max_keys),
             answers: AnswerShelf::default(),
             pools: PoolMap::new(opts.domain.clone()),
             owners: BTreeMap::new(),
@@ -155,7 +155,7 @@
     /// Get when the desk wants a tick.
     pub fn next_wake(&self) -> Moment {
         let pulse = match self.ledger.has_waiting() {
-            true => self.seen_at.plus(self.options.permit_age),
+            true => self.seen_at.plus(self.options.max_permit_age),
             false => Moment::NEVER,
         };
         self.ledger
@@ -265,7 +265,7 @@
     /// were given away meanwhile; one would see their queues grow after a
     /// pause.
     fn notice_pause(&mut self, now: Moment, actions: &mut Vec<EntryAction>) {
-        let bound = self.options.permit_age.saturating_mul(2);
+        let bound = self.options.max_permit_age.saturating_mul(2);
         if self.ledger.has_waiting() && now.since(self.seen_at) > bound {
             self.void_asks(now, actions);
         }
--- a/bergamotswitch-core/src/entry/desk/reception.rs
+++ b/bergamotswitch-core/src/entry/desk/reception.rs
@@ -72,7 +72,7 @@
 
     fn key_id(&self, account: &AccountName, key: &CallerKey) -> KeyId {
         let mut account = account.clone();
-        if self.options.has_fault(Fault::KeyAlone)
+        if self.options.has_fault(Fault::KeyWithoutAccount)
             && let Ok(anyone) = AccountName::try_from("anyone")
         {
             account = anyone;
--- a/bergamotswitch-core/src/entry/kept_answer.rs
+++ b/bergamotswitch-core/src/entry/kept_answer.rs
@@ -71,8 +71,9 @@
     ) -> Option<DroppedAnswer> {
         // Bounded by count alone, long answers would take a host's memory and
         // end its process with every request in it.
-        let excess = self.answers.len() > options.kept_count || self.bytes > options.kept_bytes;
-        let old = |id: &RequestId| self.ended_at(*id).plus(options.kept_for) <= now;
+        let excess =
+            self.answers.len() > options.max_kept_answers || self.bytes > options.max_kept_bytes;
+        let old = |id: &RequestId| self.ended_at(*id).plus(options.answer_retention) <= now;
         let from_keyless = self.keyless.front().is_some_and(|id| excess || old(id));
         let from_keyed = self.keyed.front().is_some_and(|id| excess || old(id));
         let id = match (from_keyless, from_keyed) {
@@ -94,7 +95,7 @@
         fronts
             .into_iter()
             .flatten()
-            .map(|id| self.ended_at(*id).plus(options.kept_for))
+            .map(|id| self.ended_at(*id).plus(options.answer_retention))
             .min()
             .unwrap_or(Moment::NEVER)
     }
--- a/bergamotswitch-core/src/entry/ledger.rs
+++ b/bergamotswitch-core/src/entry/ledger.rs
@@ -106,11 +106,11 @@
 
 impl LiveEntry {
     /// Get when the entry needs attention without an event.
-    fn due(&self, re_ask_interval: Duration) -> Moment {
+    fn due(&self, permit_resend_interval: Duration) -> Moment {
         match &self.stage {
             AttemptStage::Waiting(waiting) if waiting.asked.is_some() => {
                 let doublings = waiting.re_asks.min(MAX_RE_ASK_DOUBLINGS);
-                let interval = re_ask_interval.saturating_mul(1 << doublings);
+                let interval = permit_resend_interval.saturating_mul(1 << doublings);
                 self.record.deadline.min(waiting.asked_at.plus(interval))
             }
             AttemptStage::Waiting(_) => self.record.deadline,
@@ -136,7 +136,7 @@
     /// How many live requests each shard has. Counted anew with each event it
     /// would cost a look at every request.
     of_shard: BTreeMap<PoolShard, usize>,
-    re_ask_interval: Duration,
+    permit_resend_interval: Duration,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -147,20 +147,20 @@
 
 impl RequestLedger {
     /// Get an empty ledger.
-    pub(super) fn new(re_ask_interval: Duration) -> Self {
+    pub(super) fn new(permit_resend_interval: Duration) -> Self {
         RequestLedger {
             entries: BTreeMap::new(),
             due: BTreeSet::new(),
             waiting: 0,
             of_shard: BTreeMap::new(),
-            re_ask_interval,
+            permit_resend_interval,
         }
     }
 
     /// Put an entry in.
     pub(super) fn put(&mut self, entry: LiveEntry) {
         let id = entry.record.id;
-        let due = entry.due(self.re_ask_interval);
+        let due = entry.due(self.permit_resend_interval);
         self.due.insert(DueMark { due, id });
         if matches!(entry.stage, AttemptStage::Waiting(_)) {
             self.waiting += 1;
@@ -172,7 +172,7 @@
     /// Take an entry out.
     pub(super) fn take(&mut self, id: RequestId) -> Option<LiveEntry> {
         let entry = self.entries.remove(&id)?;
-        let due = entry.due(self.re_ask_interval);
+        let due = entry.due(self.permit_resend_interval);
         self.due.remove(&DueMark { due, id });
         if matches!(entry.stage, AttemptStage::Waiting(_)) {
             self.waiting -= 1;
--- a/bergamotswitch-core/src/entry/mod.rs
+++ b/bergamotswitch-core/src/entry/mod.rs
@@ -80,7 +80,7 @@
     }
 
     /// Get the refusal of a submission that a stopping host turns away.
-    pub fn turn_away(&self) -> Refusal {
+    pub fn stopping_refusal(&self) -> Refusal {
         self.refuse(RefusalReason::Stopping)
             .with_retry_after(STOPPING_RETRY_AFTER)
     }
--- a/bergamotswitch-core/src/entry/options.rs
+++ b/bergamotswitch-core/src/entry/options.rs
@@ -19,7 +19,7 @@
     /// Claim "not run" although a byte was handed to a socket.
     NotRunAfterWrite,
     /// Take the caller's key alone for the identity, without the account.
-    KeyAlone,
+    KeyWithoutAccount,
     /// Use a permit that came before a pause.
     PermitAfterPause,
 }
@@ -31,13 +31,13 @@
     pub(super) retry_rate: RetryRate,
     pub(super) attempts_per_request: u16,
     pub(super) retry_after: Duration,
-    pub(super) re_ask_interval: Duration,
-    pub(super) permit_age: Duration,
-    pub(super) kept_for: Duration,
-    pub(super) kept_count: usize,
-    pub(super) kept_bytes: u64,
-    pub(super) key_memory: Duration,
-    pub(super) key_count: usize,
+    pub(super) permit_resend_interval: Duration,
+    pub(super) max_permit_age: Duration,
+    pub(super) answer_retention: Duration,
+    pub(super) max_kept_answers: usize,
+    pub(super) max_kept_bytes: u64,
+    pub(super) key_retention: Duration,
+    pub(super) max_keys: usize,
     pub(super) fault: Option<Fault>,
 }
 
@@ -52,17 +52,17 @@
             retry_after: Duration::from_secs(1),
             // A lost permit delays a request by at most this; each waiting
             // request costs about 200 bytes in each interval.
-            re_ask_interval: Duration::from_secs(2),
+            permit_resend_interval: Duration::from_secs(2),
             // A loop that is this late was paused, not merely busy.
-            permit_age: Duration::from_secs(2),
-            kept_for: Duration::from_secs(600),
+            max_permit_age: Duration::from_secs(2),
+            answer_retention: Duration::from_secs(600),
             // Small answers need little more than their entry; the bytes bound
             // the large ones.
-            kept_count: 10_000,
+            max_kept_answers: 10_000,
             // A quarter of a host's 256 MB: a thousand answers of 400 tokens.
-            kept_bytes: 67_108_864,
-            key_memory: Duration::from_secs(86_400),
-            key_count: 100_000,
+            max_kept_bytes: 67_108_864,
+            key_retention: Duration::from_secs(86_400),
+            max_keys: 100_000,
             fault: None,
         }
     }
@@ -94,32 +94,32 @@
     }
 
     /// Set after which time an unanswered ask is sent again.
-    pub fn with_re_ask_interval(mut self, span: Duration) -> Self {
-        self.re_ask_interval = span.max(MIN_RE_ASK_INTERVAL);
+    pub fn with_permit_resend_interval(mut self, span: Duration) -> Self {
+        self.permit_resend_interval = span.max(MIN_RE_ASK_INTERVAL);
         self
     }
 
     /// Set how late the desk may be woken before permits under way are void.
-    pub fn with_permit_age(mut self, span: Duration) -> Self {
-        self.permit_age = span;
+    pub fn with_max_permit_age(mut self, span: Duration) -> Self {
+        self.max_permit_age = span;
         self
     }
 
     /// Set how long answers are kept.
-    pub fn with_kept_for(mut self, span: Duration) -> Self {
-        self.kept_for = span;
+    pub fn with_answer_retention(mut self, span: Duration) -> Self {
+        self.answer_retention = span;
         self
     }
 
     /// Set how many answers are kept.
-    pub fn with_kept_count(mut self, count: usize) -> Self {
-        self.kept_count = count;
+    pub fn with_max_kept_answers(mut self, count: usize) -> Self {
+        self.max_kept_answers = count;
         self
     }
 
     /// Set how many bytes of answers are kept.
-    pub fn with_kept_bytes(mut self, bytes: u64) -> Self {
-        self.kept_bytes = bytes;
+    pub fn with_max_kept_bytes(mut self, bytes: u64) -> Self {
+        self.max_kept_bytes = bytes;
         self
     }
 
@@ -127,21 +127,21 @@
     pub fn with_limits(mut self, limits: &FleetLimits) -> Self {
         self.retry_rate.permille = limits.retry_budget_permille as u32;
         self.with_attempts_per_request(limits.max_attempts as u16)
-            .with_permit_age(Duration::from_millis(limits.permit_lifetime_ms))
-            .with_kept_for(Duration::from_millis(limits.kept_answer_ms))
-            .with_kept_count(limits.kept_answers as usize)
-            .with_kept_bytes(limits.kept_answer_bytes)
+            .with_max_permit_age(Duration::from_millis(limits.permit_lifetime_ms))
+            .with_answer_retention(Duration::from_millis(limits.kept_answer_ms))
+            .with_max_kept_answers(limits.kept_answers as usize)
+            .with_max_kept_bytes(limits.kept_answer_bytes)
     }
 
     /// Set how long a key is remembered after its answer was dropped.
-    pub fn with_key_memory(mut self, span: Duration) -> Self {
-        self.key_memory = span;
+    pub fn with_key_retention(mut self, span: Duration) -> Self {
+        self.key_retention = span;
         self
     }
 
     /// Set how many keys are remembered after their answers were dropped.
-    pub fn with_key_count(mut self, count: usize) -> Self {
-        self.key_count = count;
+    pub fn with_max_keys(mut self, count: usize) -> Self {
+        self.max_keys = count;
         self
     }
 
--- a/bergamotswitch-core/tests/entry_fuzz.rs
+++ b/bergamotswitch-core/tests/entry_fuzz.rs
@@ -74,7 +74,7 @@
 
 #[test]
 fn key_alone() {
-    assert_eq!(caught(Fault::KeyAlone), Some(Breach::OwnAnswer));
+    assert_eq!(caught(Fault::KeyWithoutAccount), Some(Breach::OwnAnswer));
 }
 
 #[test]
--- a/bergamotswitch-core/tests/entry_lifecycle.rs
+++ b/bergamotswitch-core/tests/entry_lifecycle.rs
@@ -289,7 +289,7 @@
 // with the answer.
 #[test]
 fn dropped_answer() {
-    let mut desk = TestDesk::new(EntryOptions::default().with_kept_count(1));
+    let mut desk = TestDesk::new(EntryOptions::default().with_max_kept_answers(1));
     for key in ["k1", "k2"] {
         let attempt = desk.begin(alert(key), "t0");
         let actions = desk.attempt(attempt, AttemptEvent::Finished(usage()));
--- a/bergamotswitch-core/tests/entry_world/mod.rs
+++ b/bergamotswitch-core/tests/entry_world/mod.rs
@@ -74,7 +74,7 @@
 impl World {
     pub fn new(options: EntryOptions) -> Self {
         let mut world = World {
-            options: options.with_kept_count(4),
+            options: options.with_max_kept_answers(4),
             now: Moment::from_millis(1_000),
             ..World::default()
         };
--- a/bergamotswitch-core/tests/fleet_fuzz.rs
+++ b/bergamotswitch-core/tests/fleet_fuzz.rs
@@ -169,7 +169,10 @@
 
 #[test]
 fn key_alone() {
-    assert_eq!(caught_fault(Fault::KeyAlone), Some(Breach::OwnAnswer));
+    assert_eq!(
+        caught_fault(Fault::KeyWithoutAccount),
+        Some(Breach::OwnAnswer)
+    );
 }
 
 #[test]
--- a/bergamotswitch-core/tests/quota_fleet/setup.rs
+++ b/bergamotswitch-core/tests/quota_fleet/setup.rs
@@ -53,7 +53,7 @@
         .with_handover(Duration::from_millis(400));
     let values = [ROUTES_VALUE, TARGETS_VALUE].map(name::<ValueName>);
     NodeOptions {
-        entry: entry.with_re_ask_interval(Duration::from_millis(500)),
+        entry: entry.with_permit_resend_interval(Duration::from_millis(500)),
         owner: OwnerOptions::default().with_quota_tolerance(QuotaTolerance {
             window: WINDOW,
             part: OVERAGE * BURST_PART,
--- a/bergamotswitch-net/src/node/drive/stopping.rs
+++ b/bergamotswitch-net/src/node/drive/stopping.rs
@@ -111,7 +111,7 @@
     else {
         return;
     };
-    let refusal = submission.turn_away();
+    let refusal = submission.stopping_refusal();
     let label = RequestLabel::of(now, &submission, &call).with_stop(stop_at);
     metrics.refused(refusal.reason(), Some(label.tier));
     label.note_end(now, None, &Conclusion::Refused(refusal.clone()), 0);
--- a/bergamotswitch-net/src/node/gateway_setup.rs
+++ b/bergamotswitch-net/src/node/gateway_setup.rs
@@ -116,7 +116,7 @@
     let values = names.map(value_name).to_vec();
     NodeOptions {
         entry: EntryOptions::default()
-            .with_re_ask_interval(RE_ASK_INTERVAL)
+            .with_permit_resend_interval(RE_ASK_INTERVAL)
             .with_retry_rate(rate),
         owner: OwnerOptions::default()
             .with_probe_interval(PROBE_INTERVAL.0, PROBE_INTERVAL.1)
--- a/bergamotswitch/examples/slopes/entry.rs
+++ b/bergamotswitch/examples/slopes/entry.rs
@@ -34,8 +34,8 @@
 impl EntryBench {
     fn new(target_count: usize) -> Self {
         let opts = EntryOptions::default()
-            .with_re_ask_interval(Duration::from_secs(1_000))
-            .with_kept_count(1_000_000);
+            .with_permit_resend_interval(Duration::from_secs(1_000))
+            .with_max_kept_answers(1_000_000);
         let mut bench = EntryBench {
             desk: EntryDispatcher::new(run_of(1), opts),
             now: Moment::from_millis(1_000),
