--- a/bergamotswitch-core/src/entry/kept_answer.rs
+++ b/bergamotswitch-core/src/entry/answer_cache.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use super::key_book::KeyId;
+use super::key_store::KeyId;
 use super::options::EntryOptions;
 use super::{Conclusion, OutcomeView};
 use crate::clock::Moment;
@@ -18,26 +18,26 @@
     pub(super) bytes: u64,
 }
 
-/// An `AnswerShelf` keeps outcomes, bounded by time, count and bytes. Where there
+/// An `AnswerCache` keeps outcomes, bounded by time, count and bytes. Where there
 /// are too many, those without a key go first: nobody can resubmit them.
 #[derive(Debug, Default)]
-pub(super) struct AnswerShelf {
+pub(super) struct AnswerCache {
     answers: BTreeMap<RequestId, KeptAnswer>,
     keyed: VecDeque<RequestId>,
     keyless: VecDeque<RequestId>,
     bytes: u64,
 }
 
-/// A `DroppedAnswer` is an outcome that is kept no longer.
+/// A `EvictedAnswer` is an outcome that is kept no longer.
 #[derive(Debug)]
-pub(super) struct DroppedAnswer {
+pub(super) struct EvictedAnswer {
     pub(super) id: RequestId,
     pub(super) key: Option<KeyId>,
 }
 
-impl AnswerShelf {
+impl AnswerCache {
     /// Keep an outcome.
-    pub(super) fn keep(&mut self, id: RequestId, answer: KeptAnswer) {
+    pub(super) fn insert(&mut self, id: RequestId, answer: KeptAnswer) {
         match answer.key.is_some() {
             true => self.keyed.push_back(id),
             false => self.keyless.push_back(id),
@@ -47,7 +47,7 @@
     }
 
     /// Note what memory an ended request's answer takes.
-    pub(super) fn note_bytes(&mut self, id: RequestId, bytes: u64) {
+    pub(super) fn set_bytes(&mut self, id: RequestId, bytes: u64) {
         if let Some(answer) = self.answers.get_mut(&id) {
             self.bytes = self.bytes - answer.bytes + bytes;
             answer.bytes = bytes;
@@ -64,11 +64,7 @@
     }
 
     /// Take out one outcome that is too old or one too many.
-    pub(super) fn take_excess(
-        &mut self,
-        now: Moment,
-        options: &EntryOptions,
-    ) -> Option<DroppedAnswer> {
+    pub(super) fn evict(&mut self, now: Moment, options: &EntryOptions) -> Option<EvictedAnswer> {
         // Bounded by count alone, long answers would take a host's memory and
         // end its process with every request in it.
         let excess =
@@ -83,7 +79,7 @@
         };
         let answer = self.answers.remove(&id)?;
         self.bytes -= answer.bytes;
-        Some(DroppedAnswer {
+        Some(EvictedAnswer {
             id,
             key: answer.key,
         })
--- a/bergamotswitch-core/src/entry/attempt.rs
+++ b/bergamotswitch-core/src/entry/attempt.rs
@@ -4,38 +4,38 @@
 
 use super::Submission;
 use super::request_state::{Dispatched, LiveRequest, NotRunProof, Uncertain, Waiting};
-use super::run_lengths::RunSpan;
+use super::run_durations::RunTiming;
 use crate::clock::Moment;
 use crate::host::HostName;
 use crate::permit::{Permit, Usage};
 use crate::refusal::{Refusal, RefusalReason};
 
-/// A `WaitingLife` is the life of a request that waits for a permit.
+/// A `WaitingState` is the state of a request that waits for a permit.
 #[derive(Debug)]
-pub(super) enum WaitingLife {
+pub(super) enum WaitingState {
     /// No attempt ran.
     Fresh(LiveRequest<Waiting>),
     /// An earlier attempt may have run.
     Rerun(LiveRequest<Uncertain>),
 }
 
-impl WaitingLife {
-    /// Get the life after the decision to dispatch.
-    pub(super) fn dispatch(self) -> RunningLife {
+impl WaitingState {
+    /// Get the state after the decision to dispatch.
+    pub(super) fn dispatch(self) -> RunningState {
         match self {
-            WaitingLife::Fresh(request) => RunningLife::First(request.dispatch()),
-            WaitingLife::Rerun(request) => RunningLife::Again(request),
+            WaitingState::Fresh(request) => RunningState::FirstRun(request.dispatch()),
+            WaitingState::Rerun(request) => RunningState::Rerun(request),
         }
     }
 
-    /// End the request; the claim follows from its life.
+    /// End the request; the claim follows from its state.
     pub(super) fn refuse(self, reason: RefusalReason) -> Refusal {
         match self {
             // The owner knows, or suspects, another run of the same key: this
             // request was not run, but what its caller asks about may have.
-            WaitingLife::Fresh(_) if is_unknown(reason) => Refusal::may_have_run(reason),
-            WaitingLife::Fresh(request) => request.refuse(reason),
-            WaitingLife::Rerun(request) => request.give_up(reason),
+            WaitingState::Fresh(_) if is_unknown(reason) => Refusal::may_have_run(reason),
+            WaitingState::Fresh(request) => request.refuse(reason),
+            WaitingState::Rerun(request) => request.give_up(reason),
         }
     }
 }
@@ -45,37 +45,37 @@
     matches!(reason, RefusalReason::OutcomeUnknown | RefusalReason::Lost)
 }
 
-/// A `RunningLife` is the life of a request in flight.
+/// A `RunningState` is the state of a request in flight.
 #[derive(Debug)]
-pub(super) enum RunningLife {
+pub(super) enum RunningState {
     /// Every earlier attempt is proven not to have run.
-    First(LiveRequest<Dispatched>),
+    FirstRun(LiveRequest<Dispatched>),
     /// An earlier attempt may have run.
-    Again(LiveRequest<Uncertain>),
+    Rerun(LiveRequest<Uncertain>),
 }
 
-impl RunningLife {
-    /// Get the life after a proof that this attempt did not run.
-    pub(super) fn unrun(self, proof: NotRunProof) -> WaitingLife {
+impl RunningState {
+    /// Get the state after a proof that this attempt did not run.
+    pub(super) fn prove_not_run(self, proof: NotRunProof) -> WaitingState {
         match self {
-            RunningLife::First(request) => WaitingLife::Fresh(request.back_to_waiting(proof)),
-            RunningLife::Again(request) => WaitingLife::Rerun(request),
+            RunningState::FirstRun(request) => WaitingState::Fresh(request.back_to_waiting(proof)),
+            RunningState::Rerun(request) => WaitingState::Rerun(request),
         }
     }
 
-    /// Get the life in which another attempt follows one that may have run.
-    pub(super) fn rerun(self) -> WaitingLife {
+    /// Get the state in which another attempt follows one that may have run.
+    pub(super) fn rerun(self) -> WaitingState {
         match self {
-            RunningLife::First(request) => WaitingLife::Rerun(request.rerun()),
-            RunningLife::Again(request) => WaitingLife::Rerun(request),
+            RunningState::FirstRun(request) => WaitingState::Rerun(request.rerun()),
+            RunningState::Rerun(request) => WaitingState::Rerun(request),
         }
     }
 
     /// End the request without an answer: it may have run.
     pub(super) fn give_up(self, reason: RefusalReason) -> Refusal {
         match self {
-            RunningLife::First(request) => request.give_up(reason),
-            RunningLife::Again(request) => request.give_up(reason),
+            RunningState::FirstRun(request) => request.give_up(reason),
+            RunningState::Rerun(request) => request.give_up(reason),
         }
     }
 }
@@ -83,18 +83,18 @@
 /// A `WaitingAttempt` is an attempt that has no permit yet.
 #[derive(Debug)]
 pub(super) struct WaitingAttempt {
-    pub(super) life: WaitingLife,
-    /// The owner that was asked; none while no owner is known.
-    pub(super) asked: Option<HostName>,
-    pub(super) asked_at: Moment,
-    /// How often this attempt was asked for again at the same owner.
-    pub(super) re_asks: u32,
+    pub(super) state: WaitingState,
+    /// The owner that was requested_from; none while no owner is known.
+    pub(super) requested_from: Option<HostName>,
+    pub(super) requested_at: Moment,
+    /// How often this attempt was requested_from for again at the same owner.
+    pub(super) resends: u32,
 }
 
 /// A `RunningAttempt` is an attempt that was dispatched under a permit.
 #[derive(Debug)]
 pub(super) struct RunningAttempt {
-    pub(super) life: RunningLife,
+    pub(super) state: RunningState,
     pub(super) permit: Permit,
     pub(super) granted_by: HostName,
     pub(super) started_at: Moment,
@@ -104,13 +104,18 @@
 
 impl RunningAttempt {
     /// Get how long it has taken, for so many pieces.
-    pub(super) fn span(&self, now: Moment, submission: &Submission, pieces: u32) -> RunSpan {
+    pub(super) fn run_timing(
+        &self,
+        now: Moment,
+        submission: &Submission,
+        chunks: u32,
+    ) -> RunTiming {
         let first = self.first_token_at.unwrap_or(now);
-        RunSpan {
-            span: now.since(self.started_at),
-            first: first.since(self.started_at),
-            pieces,
-            output: submission.cost.decode,
+        RunTiming {
+            elapsed: now.since(self.started_at),
+            first_chunk: first.since(self.started_at),
+            chunks,
+            expected_output: submission.cost.decode,
         }
     }
 
--- a/bergamotswitch-core/src/entry/terms.rs
+++ b/bergamotswitch-core/src/entry/call_options.rs
@@ -1,4 +1,4 @@
-//! Provides the terms of a call: what bounds it beyond its rule's verdict.
+//! Provides the call_options of a call: what bounds it beyond its rule's verdict.
 
 use std::time::Duration;
 
--- a/bergamotswitch-core/src/entry/desk/aborting.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/aborting.rs
@@ -2,24 +2,24 @@
 //! tier, for a caller that left, past a deadline that nobody waits for.
 
 use super::EntryDispatcher;
-use super::follow_up::{count_waste, passed_on};
+use super::retries::{count_waste, has_streamed};
 use crate::clock::Moment;
 use crate::entry::EntryAction;
 use crate::entry::attempt::{AttemptStage, RunningAttempt};
-use crate::entry::ledger::{LiveEntry, RequestRecord};
+use crate::entry::request_table::{LiveEntry, RequestRecord};
 use crate::permit::{PermitId, ReleaseOutcome};
 use crate::refusal::{RefusalReason, RetryReason, WasteCause};
 use crate::request::{AttemptId, RequestId};
 
-/// An `AbortEnd` is why a request ends with the attempt that is stopped.
-pub(super) struct AbortEnd {
+/// An `AbortReason` is why a request ends with the attempt that is stopped.
+pub(super) struct AbortReason {
     cause: WasteCause,
     reason: RefusalReason,
 }
 
-impl AbortEnd {
+impl AbortReason {
     pub(super) fn new(cause: WasteCause, reason: RefusalReason) -> Self {
-        AbortEnd { cause, reason }
+        AbortReason { cause, reason }
     }
 }
 
@@ -32,7 +32,7 @@
         attempt: AttemptId,
         actions: &mut Vec<EntryAction>,
     ) {
-        let Some(entry) = self.ledger.take_attempt(attempt) else {
+        let Some(entry) = self.requests.take_attempt(attempt) else {
             return;
         };
         let LiveEntry { mut record, stage } = entry;
@@ -40,14 +40,14 @@
             AttemptStage::Running(running)
                 if running.permit.id == permit
                     && self.is_preemptible(&record)
-                    && !passed_on(&record, &running) =>
+                    && !has_streamed(&record, &running) =>
             {
                 self.abort(now, &record, &running, WasteCause::Preemption, actions);
                 record.preemptions = record.preemptions.saturating_add(1);
-                let life = running.life.rerun();
-                self.ask_again(now, record, life, RetryReason::Preempted, actions);
+                let state = running.state.rerun();
+                self.retry(now, record, state, RetryReason::Preempted, actions);
             }
-            stage => self.ledger.put(LiveEntry { record, stage }),
+            stage => self.requests.put(LiveEntry { record, stage }),
         }
     }
 
@@ -58,14 +58,14 @@
         id: RequestId,
         actions: &mut Vec<EntryAction>,
     ) {
-        let Some(entry) = self.ledger.take(id) else {
+        let Some(entry) = self.requests.take(id) else {
             return;
         };
         let LiveEntry { mut record, stage } = entry;
         match stage {
             AttemptStage::Waiting(waiting) => {
-                self.withdraw(&record, waiting.asked.as_ref(), actions);
-                let refusal = waiting.life.refuse(RefusalReason::CallerLeft);
+                self.withdraw(&record, waiting.requested_from.as_ref(), actions);
+                let refusal = waiting.state.refuse(RefusalReason::CallerLeft);
                 self.refuse(now, record, refusal, actions);
             }
             AttemptStage::Running(running) if record.outlives_caller() => {
@@ -73,53 +73,53 @@
                 self.put_back(record, running);
             }
             AttemptStage::Running(running) => {
-                let end = AbortEnd::new(WasteCause::CallerLeft, RefusalReason::CallerLeft);
-                self.abort_for_good(now, record, running, end, actions);
+                let end = AbortReason::new(WasteCause::CallerLeft, RefusalReason::CallerLeft);
+                self.abort_and_refuse(now, record, running, end, actions);
             }
         }
     }
 
     /// Stop an attempt whose deadline passed and that no caller follows.
-    pub(super) fn stop_late(
+    pub(super) fn abort_overdue(
         &mut self,
         now: Moment,
         record: RequestRecord,
         running: RunningAttempt,
         actions: &mut Vec<EntryAction>,
     ) {
-        let end = AbortEnd::new(WasteCause::Late, RefusalReason::DeadlinePassed);
-        self.abort_for_good(now, record, running, end, actions);
+        let end = AbortReason::new(WasteCause::Late, RefusalReason::DeadlinePassed);
+        self.abort_and_refuse(now, record, running, end, actions);
     }
 
     /// Stop an attempt whose answer is longer than one may be. An engine that
     /// never ends would otherwise take all memory, and the process would die
     /// with every request in it. No other run follows: it would end alike.
-    pub(super) fn stop_overlong(
+    pub(super) fn abort_overlong(
         &mut self,
         now: Moment,
         id: RequestId,
         actions: &mut Vec<EntryAction>,
     ) {
-        let Some(entry) = self.ledger.take(id) else {
+        let Some(entry) = self.requests.take(id) else {
             return;
         };
         let LiveEntry { record, stage } = entry;
         match stage {
             AttemptStage::Running(running) => {
-                let end = AbortEnd::new(WasteCause::Failed, RefusalReason::AnswerTruncated);
-                self.abort_for_good(now, record, running, end, actions);
+                let end = AbortReason::new(WasteCause::Failed, RefusalReason::AnswerTruncated);
+                self.abort_and_refuse(now, record, running, end, actions);
             }
-            stage => self.ledger.put(LiveEntry { record, stage }),
+            stage => self.requests.put(LiveEntry { record, stage }),
         }
     }
 
     /// Stop an attempt that no other one follows, and tell its caller.
-    pub(super) fn abort_for_good(
+    pub(super) fn abort_and_refuse(
         &mut self,
         now: Moment,
         record: RequestRecord,
         running: RunningAttempt,
-        end: AbortEnd,
+        end: AbortReason,
         actions: &mut Vec<EntryAction>,
     ) {
         self.abort(now, &record, &running, end.cause, actions);
@@ -128,7 +128,7 @@
     }
 
     /// Stop an attempt whose target is silent; its owner counts it as failed.
-    pub(super) fn abort_silent(
+    pub(super) fn abort_stalled(
         &mut self,
         now: Moment,
         record: &RequestRecord,
--- a/bergamotswitch-core/src/entry/desk/ending.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/completion.rs
@@ -3,9 +3,9 @@
 
 use super::EntryDispatcher;
 use crate::clock::Moment;
+use crate::entry::answer_cache::KeptAnswer;
 use crate::entry::attempt::{RunningAttempt, is_unknown};
-use crate::entry::kept_answer::KeptAnswer;
-use crate::entry::ledger::RequestRecord;
+use crate::entry::request_table::RequestRecord;
 use crate::entry::{Conclusion, EntryAction};
 use crate::incident::Incident;
 use crate::permit::{OwnerMessage, Release, ReleaseOutcome, Usage};
@@ -24,13 +24,13 @@
     ) {
         let rule = &record.submission.verdict.rule;
         let span = |usage: Usage| {
-            let pieces = usage.decode.max(running.decoded);
-            running.span(now, &record.submission, pieces)
+            let chunks = usage.decode.max(running.decoded);
+            running.run_timing(now, &record.submission, chunks)
         };
         match outcome {
-            ReleaseOutcome::Finished(usage) => self.lengths.note(rule, span(usage)),
+            ReleaseOutcome::Finished(usage) => self.durations.record(rule, span(usage)),
             ReleaseOutcome::Failed(usage) | ReleaseOutcome::Stopped(usage) => {
-                self.lengths.note_broken(rule, span(usage));
+                self.durations.record_aborted(rule, span(usage));
             }
             ReleaseOutcome::Unused | ReleaseOutcome::Unreachable | ReleaseOutcome::Refused => {}
         }
@@ -63,9 +63,9 @@
         let tier = record.submission.verdict.tier;
         actions.push(EntryAction::CountRefusal(tier, refusal.reason()));
         if let Some(key) = &record.key
-            && is_open(&record, &refusal)
+            && is_rerunnable(&record, &refusal)
         {
-            self.keys.open(key, now);
+            self.keys.allow_rerun(key, now);
         }
         // What holds for this copy need not hold for an earlier one, and that
         // is what a caller asks for that sends it again.
@@ -104,17 +104,17 @@
             conclusion,
             bytes: 0,
         };
-        self.answers.keep(record.id, answer);
+        self.answers.insert(record.id, answer);
     }
 }
 
 /// Get whether the key of a refused request may start a new run: it was not
 /// run here, or is harmless to run again. Were the refusal kept in its place,
 /// a caller told "not run" could never send the request again.
-fn is_open(record: &RequestRecord, refusal: &Refusal) -> bool {
+fn is_rerunnable(record: &RequestRecord, refusal: &Refusal) -> bool {
     record.may_rerun()
         || refusal.claim() == RunClaim::NotRun
         // Only an owner's word about another run of the key leads here; the
-        // owner is to be asked again next time.
+        // owner is to be requested_from again next time.
         || is_unknown(refusal.reason())
 }
--- a/bergamotswitch-core/src/entry/desk/mod.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/mod.rs
@@ -2,25 +2,25 @@
 //! the host accepted. It alone may dispatch them.
 
 mod aborting;
-mod asking;
-mod ending;
-mod follow_up;
+mod completion;
+mod permit_requests;
 mod progress;
-mod reception;
 mod replies;
+mod retries;
 mod stopping;
+mod submission;
 mod takeover;
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use super::answer_cache::AnswerCache;
 use super::attempt::AttemptStage;
-use super::kept_answer::AnswerShelf;
-use super::key_book::{KeyBook, KeyId};
-use super::ledger::RequestLedger;
+use super::key_store::{KeyId, KeyStore};
 use super::options::{EntryOptions, Fault};
 use super::placement::PoolMap;
 use super::quota_use::QuotaUse;
-use super::run_lengths::RunLengths;
+use super::request_table::RequestTable;
+use super::run_durations::RunDurations;
 use super::view::EntryView;
 use super::{EntryAction, EntryEvent, OutcomeQuery, OutcomeView, Submission, SubmitOutcome};
 use crate::clock::Moment;
@@ -34,14 +34,14 @@
 use stopping::StopBound;
 
 /// An `EntryDispatcher` holds the requests that this run of the host accepted, from
-/// reception to the one final outcome.
+/// submission to the one final outcome.
 #[derive(Debug)]
 pub struct EntryDispatcher {
     me: HostIncarnation,
     options: EntryOptions,
-    ledger: RequestLedger,
-    keys: KeyBook,
-    answers: AnswerShelf,
+    requests: RequestTable,
+    keys: KeyStore,
+    answers: AnswerCache,
     pools: PoolMap,
     owners: BTreeMap<PoolShard, HostName>,
     budgets: BTreeMap<PoolName, RetryBudget>,
@@ -49,11 +49,11 @@
     /// The most hosts that there were since this run began.
     host_count: usize,
     counts: DeskCounts,
-    seen_at: Moment,
-    lengths: RunLengths,
+    last_event_at: Moment,
+    durations: RunDurations,
     stopping: bool,
     bound: StopBound,
-    stop_told: bool,
+    stop_reported: bool,
 }
 
 #[derive(Debug, Default)]
@@ -68,20 +68,20 @@
     pub fn new(me: HostIncarnation, opts: EntryOptions) -> Self {
         EntryDispatcher {
             me,
-            ledger: RequestLedger::new(opts.permit_resend_interval),
-            keys: KeyBook::new(opts.key_retention, opts.max_keys),
-            answers: AnswerShelf::default(),
+            requests: RequestTable::new(opts.permit_resend_interval),
+            keys: KeyStore::new(opts.key_retention, opts.max_keys),
+            answers: AnswerCache::default(),
             pools: PoolMap::new(opts.domain.clone()),
             owners: BTreeMap::new(),
             budgets: BTreeMap::new(),
             quota_use: QuotaUse::default(),
             host_count: 1,
             counts: DeskCounts::default(),
-            seen_at: Moment::START,
-            lengths: RunLengths::default(),
+            last_event_at: Moment::START,
+            durations: RunDurations::default(),
             stopping: false,
             bound: StopBound::default(),
-            stop_told: false,
+            stop_reported: false,
             options: opts,
         }
     }
@@ -98,7 +98,7 @@
     /// Share the retry budgets among so many hosts. One that others have lost
     /// sight of goes on to retry, so the share does not grow while they are
     /// gone.
-    fn share_budgets(&mut self, hosts: usize) {
+    fn set_host_count(&mut self, hosts: usize) {
         self.host_count = self.host_count.max(hosts);
         for budget in self.budgets.values_mut() {
             budget.set_hosts(self.host_count);
@@ -112,53 +112,57 @@
         submission: Submission,
     ) -> (SubmitOutcome, Vec<EntryAction>) {
         let mut actions = Vec::new();
-        self.notice_pause(now, &mut actions);
-        let reception = self.receive(now, submission, &mut actions);
-        self.settle(now, &mut actions);
-        (reception, actions)
+        self.detect_pause(now, &mut actions);
+        let submission = self.receive(now, submission, &mut actions);
+        self.run_due(now, &mut actions);
+        (submission, actions)
     }
 
     /// Take in an event.
     pub fn handle(&mut self, now: Moment, event: EntryEvent) -> Vec<EntryAction> {
         let mut actions = Vec::new();
         match event {
-            EntryEvent::ProcessPaused(_) => self.void_asks(now, &mut actions),
-            _ => self.notice_pause(now, &mut actions),
+            EntryEvent::ProcessPaused(_) => self.renew_permit_requests(now, &mut actions),
+            _ => self.detect_pause(now, &mut actions),
         }
         match event {
             EntryEvent::CallerLeft(id) => self.caller_left(now, id, &mut actions),
             EntryEvent::Reply(host, reply) => self.owner_replied(now, host, reply, &mut actions),
-            EntryEvent::OwnerChanged(shard, host) => self.owner_is(now, shard, host, &mut actions),
+            EntryEvent::OwnerChanged(shard, host) => {
+                self.owner_changed(now, shard, host, &mut actions)
+            }
             EntryEvent::Attempt(attempt, event) => {
-                self.attempt_moved(now, attempt, event, &mut actions);
+                self.handle_attempt_event(now, attempt, event, &mut actions);
             }
             EntryEvent::Pools(pools) => {
                 self.pools.set_pools(pools);
-                self.move_waiting(now, &mut actions);
+                self.reassign_waiting(now, &mut actions);
             }
             EntryEvent::TargetLeaving(target, leaving) => self.pools.set_leaving(target, leaving),
-            EntryEvent::AnswerTooLong(id) => self.stop_overlong(now, id, &mut actions),
-            EntryEvent::AnswerSize(id, bytes) => self.answers.note_bytes(id, bytes),
+            EntryEvent::AnswerTooLong(id) => self.abort_overlong(now, id, &mut actions),
+            EntryEvent::AnswerSize(id, bytes) => self.answers.set_bytes(id, bytes),
             EntryEvent::Stop => self.stopping = true,
-            EntryEvent::FinishBy(at) => self.set_whole_by(now, at, &mut actions),
-            EntryEvent::AdmissionClosed => self.bound.is_shut = true,
-            EntryEvent::HostsAvailableAt(at) => self.bound.others_back = at,
-            EntryEvent::Hosts(count) => self.share_budgets(count),
+            EntryEvent::FinishBy(at) => self.set_finish_by(now, at, &mut actions),
+            EntryEvent::AdmissionClosed => self.bound.is_closed = true,
+            EntryEvent::HostsAvailableAt(at) => self.bound.hosts_available_at = at,
+            EntryEvent::Hosts(count) => self.set_host_count(count),
             EntryEvent::Quotas(rates) => self.quota_use.set_rates(now, rates),
-            EntryEvent::GraceExpired => self.cut_off(now, &mut actions),
-            EntryEvent::Tick | EntryEvent::ProcessPaused(_) => self.turn_away(now, &mut actions),
+            EntryEvent::GraceExpired => self.terminate(now, &mut actions),
+            EntryEvent::Tick | EntryEvent::ProcessPaused(_) => {
+                self.refuse_unfinishable(now, &mut actions)
+            }
         }
-        self.settle(now, &mut actions);
+        self.run_due(now, &mut actions);
         actions
     }
 
     /// Get when the desk wants a tick.
     pub fn next_wake(&self) -> Moment {
-        let pulse = match self.ledger.has_waiting() {
-            true => self.seen_at.plus(self.options.max_permit_age),
+        let pulse = match self.requests.has_waiting() {
+            true => self.last_event_at.plus(self.options.max_permit_age),
             false => Moment::NEVER,
         };
-        self.ledger
+        self.requests
             .next_due()
             .min(pulse)
             .min(self.answers.next_due(&self.options))
@@ -188,7 +192,7 @@
 
     /// Get whether nothing waits or runs.
     pub fn is_idle(&self) -> bool {
-        self.ledger.iter().next().is_none()
+        self.requests.iter().next().is_none()
     }
 
     /// Get the shards whose owner this host has to know: those with requests
@@ -197,8 +201,8 @@
     /// tell the next one its keys, and an unmarked retry at another host would
     /// run a second time.
     pub fn used_shards(&self) -> Vec<PoolShard> {
-        let live = self.ledger.shards().cloned();
-        let kept = self.keys.guarded_pools();
+        let live = self.requests.shards().cloned();
+        let kept = self.keys.run_once_pools();
         let kept = kept.flat_map(|pool| self.pools.shards_of(pool));
         let used: BTreeSet<PoolShard> = live.chain(kept).collect();
         used.into_iter().collect()
@@ -216,7 +220,7 @@
             stopping: self.stopping,
             ..EntryView::default()
         };
-        for entry in self.ledger.iter() {
+        for entry in self.requests.iter() {
             let tier = entry.record.submission.verdict.tier;
             match entry.stage {
                 AttemptStage::Waiting(_) => view.count_waiting(tier),
@@ -227,7 +231,7 @@
     }
 
     fn outcome_of(&self, id: RequestId) -> OutcomeView {
-        if let Some(entry) = self.ledger.get(id) {
+        if let Some(entry) = self.requests.get(id) {
             return match entry.stage {
                 AttemptStage::Waiting(_) => OutcomeView::Waiting(id),
                 AttemptStage::Running(_) => OutcomeView::Running(id),
@@ -240,23 +244,23 @@
     }
 
     /// Do what is due, and tell when a stop is complete.
-    fn settle(&mut self, now: Moment, actions: &mut Vec<EntryAction>) {
-        self.seen_at = now;
-        while let Some(entry) = self.ledger.take_due(now) {
-            self.attend(now, entry, actions);
+    fn run_due(&mut self, now: Moment, actions: &mut Vec<EntryAction>) {
+        self.last_event_at = now;
+        while let Some(entry) = self.requests.take_due(now) {
+            self.handle_due(now, entry, actions);
         }
-        while let Some(dropped) = self.answers.take_excess(now, &self.options) {
+        while let Some(dropped) = self.answers.evict(now, &self.options) {
             if let Some(key) = &dropped.key {
                 self.keys.drop_answer(key, dropped.id, now);
             }
             actions.push(EntryAction::DropAnswer(dropped.id));
         }
         self.keys.expire(now);
-        let over = self.stopping && self.ledger.is_empty();
-        if over && !self.stop_told {
+        let over = self.stopping && self.requests.is_empty();
+        if over && !self.stop_reported {
             actions.push(EntryAction::Stopped);
         }
-        self.stop_told = over;
+        self.stop_reported = over;
     }
 
     /// A process that slept may find permits in its sockets that were given
@@ -264,10 +268,10 @@
     /// desk asks for while something waits tells it by coming far too late. Without this check, work would go to targets whose slots
     /// were given away meanwhile; one would see their queues grow after a
     /// pause.
-    fn notice_pause(&mut self, now: Moment, actions: &mut Vec<EntryAction>) {
+    fn detect_pause(&mut self, now: Moment, actions: &mut Vec<EntryAction>) {
         let bound = self.options.max_permit_age.saturating_mul(2);
-        if self.ledger.has_waiting() && now.since(self.seen_at) > bound {
-            self.void_asks(now, actions);
+        if self.requests.has_waiting() && now.since(self.last_event_at) > bound {
+            self.renew_permit_requests(now, actions);
         }
     }
 
--- a/bergamotswitch-core/src/entry/desk/asking.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/permit_requests.rs
@@ -3,8 +3,8 @@
 use super::EntryDispatcher;
 use crate::clock::Moment;
 use crate::entry::EntryAction;
-use crate::entry::attempt::{AttemptStage, WaitingAttempt, WaitingLife, to_millis};
-use crate::entry::ledger::{LiveEntry, RequestRecord};
+use crate::entry::attempt::{AttemptStage, WaitingAttempt, WaitingState, to_millis};
+use crate::entry::request_table::{LiveEntry, RequestRecord};
 use crate::host::HostName;
 use crate::incident::Incident;
 use crate::permit::{Ask, KeyClaim, OwnerMessage};
@@ -18,33 +18,33 @@
 /// Get the time from its acceptance within which a request's answer should begin;
 /// `None` where its deadline alone bounds the wait. A request whose first run broke
 /// off waits for the next one as long as it may: its caller has been served already.
-fn patience_of(record: &RequestRecord) -> Option<u32> {
+fn first_answer_goal_ms(record: &RequestRecord) -> Option<u32> {
     let patience = record.submission.options.first_answer_goal?;
     (record.dispatches == 0).then(|| to_millis(patience))
 }
 
 impl EntryDispatcher {
     /// Let a request wait, and ask the shard's owner where one is known.
-    pub(super) fn ask(
+    pub(super) fn request_permit(
         &mut self,
         now: Moment,
         record: RequestRecord,
-        life: WaitingLife,
+        state: WaitingState,
         actions: &mut Vec<EntryAction>,
     ) {
-        let asked = self.owners.get(&record.shard).cloned();
-        if let Some(owner) = &asked {
-            let ask = self.ask_of(now, &record);
+        let requested_from = self.owners.get(&record.shard).cloned();
+        if let Some(owner) = &requested_from {
+            let ask = self.permit_request(now, &record);
             let message = OwnerMessage::Ask(Box::new(ask));
             actions.push(EntryAction::Send(owner.clone(), message));
         }
         let waiting = WaitingAttempt {
-            life,
-            asked,
-            asked_at: now,
-            re_asks: 0,
+            state,
+            requested_from,
+            requested_at: now,
+            resends: 0,
         };
-        self.ledger.put(LiveEntry {
+        self.requests.put(LiveEntry {
             record,
             stage: AttemptStage::Waiting(waiting),
         });
@@ -52,29 +52,29 @@
 
     /// Ask once more for the same attempt: the ask or its permit may be lost.
     /// Asking again is idempotent.
-    fn re_ask(
+    fn resend_request(
         &mut self,
         now: Moment,
         record: RequestRecord,
         waiting: WaitingAttempt,
         actions: &mut Vec<EntryAction>,
     ) {
-        if let Some(owner) = &waiting.asked {
-            let message = OwnerMessage::Ask(Box::new(self.ask_of(now, &record)));
+        if let Some(owner) = &waiting.requested_from {
+            let message = OwnerMessage::Ask(Box::new(self.permit_request(now, &record)));
             actions.push(EntryAction::Send(owner.clone(), message));
         }
         let waiting = WaitingAttempt {
-            asked_at: now,
-            re_asks: waiting.re_asks.saturating_add(1),
+            requested_at: now,
+            resends: waiting.resends.saturating_add(1),
             ..waiting
         };
-        self.ledger.put(LiveEntry {
+        self.requests.put(LiveEntry {
             record,
             stage: AttemptStage::Waiting(waiting),
         });
     }
 
-    fn ask_of(&self, now: Moment, record: &RequestRecord) -> Ask {
+    fn permit_request(&self, now: Moment, record: &RequestRecord) -> Ask {
         let submission = &record.submission;
         Ask {
             attempt: record.attempt_id(),
@@ -89,8 +89,8 @@
             domains: submission.verdict.domains.clone(),
             avoid: record.avoid.clone(),
             preemptible: self.is_preemptible(record),
-            claim: self.claim_of(record),
-            patience_ms: patience_of(record),
+            claim: self.key_claim(record),
+            patience_ms: first_answer_goal_ms(record),
             quota_units: match record.dispatches {
                 0 => submission.options.quota_units,
                 // What it took from the quota is taken already.
@@ -108,7 +108,7 @@
             && record.preemptions < self.options.attempts_per_request
     }
 
-    fn claim_of(&self, record: &RequestRecord) -> Option<KeyClaim> {
+    fn key_claim(&self, record: &RequestRecord) -> Option<KeyClaim> {
         let key = record.key.as_ref()?;
         match record.may_rerun() {
             true => None,
@@ -122,31 +122,31 @@
 
     /// Ask again under a new attempt's name, so that no permit of the earlier
     /// attempt can be taken for one of this.
-    pub(super) fn ask_anew(
+    pub(super) fn request_for_new_attempt(
         &mut self,
         now: Moment,
         mut record: RequestRecord,
-        life: WaitingLife,
+        state: WaitingState,
         actions: &mut Vec<EntryAction>,
     ) {
         let Some(attempt) = record.attempt.checked_add(1) else {
-            let refusal = life.refuse(RefusalReason::RetriesExhausted);
+            let refusal = state.refuse(RefusalReason::RetriesExhausted);
             return self.refuse(now, record, refusal, actions);
         };
         record.attempt = attempt;
-        let place = self.pools.shard_for(&record.wish());
+        let place = self.pools.shard_for(&record.shard_query());
         if let Some(shard) = place {
             record.shard = shard;
         }
-        self.ask(now, record, life, actions);
+        self.request_permit(now, record, state, actions);
     }
 
     /// Ask again for a stated reason, which is counted.
-    pub(super) fn ask_again(
+    pub(super) fn retry(
         &mut self,
         now: Moment,
         record: RequestRecord,
-        life: WaitingLife,
+        state: WaitingState,
         reason: RetryReason,
         actions: &mut Vec<EntryAction>,
     ) {
@@ -156,7 +156,7 @@
             Incident::AttemptRetried,
             record.id,
         ));
-        self.ask_anew(now, record, life, actions);
+        self.request_for_new_attempt(now, record, state, actions);
     }
 
     /// Try to spend one retry on a request.
@@ -176,7 +176,7 @@
         if attempts >= self.options.attempts_per_request {
             return Err(RefusalReason::RetriesExhausted);
         }
-        if !self.may_begin(now, &record.submission, record.deadline) {
+        if !self.may_start(now, &record.submission, record.deadline) {
             return Err(RefusalReason::Stopping);
         }
         match self.budget(now, record).try_spend(now) {
@@ -197,7 +197,7 @@
         record: &mut RequestRecord,
     ) -> Result<(), RefusalReason> {
         let in_time = now < record.deadline;
-        let fits = in_time && self.may_begin(now, &record.submission, record.deadline);
+        let fits = in_time && self.may_start(now, &record.submission, record.deadline);
         let spared = fits && record.reconnects < MAX_RECONNECTS;
         if spared && self.budget(now, record).try_reconnect() {
             record.reconnects += 1;
@@ -214,26 +214,31 @@
     }
 
     /// Attend to an entry whose time has come.
-    pub(super) fn attend(&mut self, now: Moment, entry: LiveEntry, actions: &mut Vec<EntryAction>) {
+    pub(super) fn handle_due(
+        &mut self,
+        now: Moment,
+        entry: LiveEntry,
+        actions: &mut Vec<EntryAction>,
+    ) {
         let LiveEntry { record, stage } = entry;
         match stage {
             AttemptStage::Waiting(waiting) if now >= record.deadline => {
-                self.withdraw(&record, waiting.asked.as_ref(), actions);
-                let refusal = waiting.life.refuse(RefusalReason::DeadlinePassed);
+                self.withdraw(&record, waiting.requested_from.as_ref(), actions);
+                let refusal = waiting.state.refuse(RefusalReason::DeadlinePassed);
                 self.refuse(now, record, refusal, actions);
             }
-            AttemptStage::Waiting(waiting) => self.re_ask(now, record, waiting, actions),
-            AttemptStage::Running(running) => self.stop_late(now, record, running, actions),
+            AttemptStage::Waiting(waiting) => self.resend_request(now, record, waiting, actions),
+            AttemptStage::Running(running) => self.abort_overdue(now, record, running, actions),
         }
     }
 
     pub(super) fn withdraw(
         &self,
         record: &RequestRecord,
-        asked: Option<&HostName>,
+        requested_from: Option<&HostName>,
         actions: &mut Vec<EntryAction>,
     ) {
-        if let Some(owner) = asked {
+        if let Some(owner) = requested_from {
             let message = OwnerMessage::Withdraw {
                 shard: record.shard.clone(),
                 attempt: record.attempt_id(),
--- a/bergamotswitch-core/src/entry/desk/progress.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/progress.rs
@@ -1,11 +1,11 @@
 //! Provides what becomes of attempts in flight.
 
 use super::EntryDispatcher;
-use super::follow_up::{FailedAttempt, count_waste};
+use super::retries::{FailedAttempt, count_waste};
 use crate::clock::Moment;
 use crate::entry::attempt::{AttemptStage, RunningAttempt};
-use crate::entry::ledger::{LiveEntry, RequestRecord};
 use crate::entry::request_state::NotRunProof;
+use crate::entry::request_table::{LiveEntry, RequestRecord};
 use crate::entry::{AttemptEvent, Conclusion, EntryAction, NotSentReason};
 use crate::incident::Incident;
 use crate::permit::{ReleaseOutcome, Usage};
@@ -15,24 +15,26 @@
 impl EntryDispatcher {
     /// Take in an attempt's progress. News of an attempt that is not the
     /// current one came late and changes nothing.
-    pub(super) fn attempt_moved(
+    pub(super) fn handle_attempt_event(
         &mut self,
         now: Moment,
         attempt: AttemptId,
         event: AttemptEvent,
         actions: &mut Vec<EntryAction>,
     ) {
-        let Some(entry) = self.ledger.take_attempt(attempt) else {
+        let Some(entry) = self.requests.take_attempt(attempt) else {
             return;
         };
         let LiveEntry { record, stage } = entry;
         match stage {
-            AttemptStage::Running(running) => self.run_on(now, record, running, event, actions),
-            stage => self.ledger.put(LiveEntry { record, stage }),
+            AttemptStage::Running(running) => {
+                self.handle_running_event(now, record, running, event, actions)
+            }
+            stage => self.requests.put(LiveEntry { record, stage }),
         }
     }
 
-    fn run_on(
+    fn handle_running_event(
         &mut self,
         now: Moment,
         record: RequestRecord,
@@ -54,17 +56,17 @@
                 actions.push(EntryAction::LogIncident(Incident::StreamResumed, record.id));
                 self.put_back(record, running);
             }
-            AttemptEvent::Stalled => self.carry_on(now, record, running, actions),
+            AttemptEvent::Stalled => self.replace_stalled(now, record, running, actions),
             AttemptEvent::Finished(usage) => self.finished(now, record, running, usage, actions),
             AttemptEvent::NotSent(reason) => self.not_sent(now, record, running, reason, actions),
-            AttemptEvent::Refused => self.refused_at(now, record, running, actions),
+            AttemptEvent::Refused => self.target_refused(now, record, running, actions),
             AttemptEvent::Failed => self.failed(now, record, running, actions),
             AttemptEvent::Broken(usage) => self.broken(now, record, running, usage, actions),
         }
     }
 
     pub(super) fn put_back(&mut self, record: RequestRecord, running: RunningAttempt) {
-        self.ledger.put(LiveEntry {
+        self.requests.put(LiveEntry {
             record,
             stage: AttemptStage::Running(running),
         });
@@ -119,7 +121,7 @@
         self.retry_unsent(now, record, running, reason, retry, actions);
     }
 
-    fn refused_at(
+    fn target_refused(
         &mut self,
         now: Moment,
         record: RequestRecord,
@@ -131,14 +133,14 @@
         let contract = self.pools.contract(pool, &running.permit.target);
         let reason = RetryReason::TargetRefused;
         match NotRunProof::of_refusal(&contract) {
-            Some(proof) => self.retry_unrun(now, record, running, proof, reason, actions),
+            Some(proof) => self.retry_not_run(now, record, running, proof, reason, actions),
             None => {
                 let failure = FailedAttempt {
                     reason,
                     refusal: RefusalReason::TargetFailed,
                     usage: Usage::default(),
                 };
-                self.retry_run(now, record, running, failure, actions);
+                self.retry_uncertain(now, record, running, failure, actions);
             }
         }
     }
@@ -158,8 +160,8 @@
         let retried = self.may_run_again(&record, &running) && self.try_retry(now, &record).is_ok();
         if retried {
             record.avoid_target(&running.permit.target);
-            let life = running.life.rerun();
-            return self.ask_again(now, record, life, RetryReason::TargetError, actions);
+            let state = running.state.rerun();
+            return self.retry(now, record, state, RetryReason::TargetError, actions);
         }
         let first_token = running.first_token_at;
         self.conclude(now, record, first_token, Conclusion::TargetError, actions);
@@ -189,6 +191,6 @@
             refusal,
             usage,
         };
-        self.retry_run(now, record, running, failure, actions);
+        self.retry_uncertain(now, record, running, failure, actions);
     }
 }
--- a/bergamotswitch-core/src/entry/desk/replies.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/replies.rs
@@ -4,7 +4,7 @@
 use crate::clock::Moment;
 use crate::entry::EntryAction;
 use crate::entry::attempt::{AttemptStage, RunningAttempt, WaitingAttempt};
-use crate::entry::ledger::{LiveEntry, RequestRecord};
+use crate::entry::request_table::{LiveEntry, RequestRecord};
 use crate::host::{HostIncarnation, HostName};
 use crate::incident::Incident;
 use crate::permit::{OwnerMessage, OwnerReply, Permit, PermitId, Release, ReleaseOutcome};
@@ -33,7 +33,7 @@
                 retry_after_ms,
             } => {
                 let retry_after = Duration::from_millis(retry_after_ms.into());
-                self.refused_by(now, &host, attempt, reason, retry_after, actions);
+                self.owner_refused(now, &host, attempt, reason, retry_after, actions);
             }
             OwnerReply::KeyKnown { attempt, holder } => {
                 self.key_known(now, attempt, holder, actions);
@@ -43,7 +43,7 @@
             }
             OwnerReply::Audit { shard, permits } => self.audit(host, shard, permits, actions),
             OwnerReply::WhoFollows { shard, round } => {
-                self.say_following(host, shard, round, actions);
+                self.confirm_following(host, shard, round, actions);
             }
             // Membership looks for the next owner.
             OwnerReply::NotOwner { .. } => {}
@@ -52,7 +52,7 @@
 
     /// Answer an owner that asks who follows it; one that is not followed gets
     /// no answer.
-    fn say_following(
+    fn confirm_following(
         &self,
         host: HostName,
         shard: PoolShard,
@@ -78,25 +78,25 @@
             // slot that is taken.
             return;
         }
-        let Some(entry) = self.ledger.take_attempt(permit.attempt) else {
-            return give_back(host, shard, &permit, actions);
+        let Some(entry) = self.requests.take_attempt(permit.attempt) else {
+            return return_permit(host, shard, &permit, actions);
         };
         let LiveEntry { record, stage } = entry;
         match stage {
-            AttemptStage::Waiting(waiting) if waiting.asked.as_ref() == Some(&host) => {
+            AttemptStage::Waiting(waiting) if waiting.requested_from.as_ref() == Some(&host) => {
                 self.use_permit(now, record, waiting, permit, actions);
             }
             // The attempt runs under another permit, or a former owner still
             // grants: the slot goes back, and the attempt stays as it is.
             stage => {
-                self.ledger.put(LiveEntry { record, stage });
-                give_back(host, shard, &permit, actions);
+                self.requests.put(LiveEntry { record, stage });
+                return_permit(host, shard, &permit, actions);
             }
         }
     }
 
     fn holds_permit(&self, permit: &Permit) -> bool {
-        let entry = self.ledger.get(permit.attempt.request);
+        let entry = self.requests.get(permit.attempt.request);
         match entry.map(|entry| &entry.stage) {
             Some(AttemptStage::Running(running)) => running.permit.id == permit.id,
             Some(AttemptStage::Waiting(_)) | None => false,
@@ -112,33 +112,34 @@
         permit: Permit,
         actions: &mut Vec<EntryAction>,
     ) {
-        let Some(owner) = waiting.asked else {
-            return self.ask(now, record, waiting.life, actions);
+        let Some(owner) = waiting.requested_from else {
+            return self.request_permit(now, record, waiting.state, actions);
         };
         if now >= record.deadline {
-            give_back(owner, record.shard.clone(), &permit, actions);
-            let refusal = waiting.life.refuse(RefusalReason::DeadlinePassed);
+            return_permit(owner, record.shard.clone(), &permit, actions);
+            let refusal = waiting.state.refuse(RefusalReason::DeadlinePassed);
             return self.refuse(now, record, refusal, actions);
         }
-        if !self.may_begin(now, &record.submission, record.deadline) {
-            give_back(owner, record.shard.clone(), &permit, actions);
-            let refusal = self.elsewhere(now, waiting.life.refuse(RefusalReason::Stopping));
+        if !self.may_start(now, &record.submission, record.deadline) {
+            return_permit(owner, record.shard.clone(), &permit, actions);
+            let refusal =
+                self.with_stop_retry_after(now, waiting.state.refuse(RefusalReason::Stopping));
             return self.refuse(now, record, refusal, actions);
         }
         let leaving = self.pools.is_leaving(&permit.target);
         if leaving || permit.lifetime_ms == 0 {
-            give_back(owner, record.shard.clone(), &permit, actions);
+            return_permit(owner, record.shard.clone(), &permit, actions);
             if leaving {
                 // The owner's list lags: without this it would grant the
                 // same target again.
                 record.avoid_target(&permit.target);
             }
             let reason = RetryReason::PermitVoid;
-            return self.ask_again(now, record, waiting.life, reason, actions);
+            return self.retry(now, record, waiting.state, reason, actions);
         }
         if record.dispatches == 0 {
             self.budget(now, &record).earn(now);
-            self.note_use(now, &record);
+            self.record_quota_use(now, &record);
             let tier = record.submission.verdict.tier;
             let waited = now.since(record.accepted_at);
             actions.push(EntryAction::CountWait(tier, waited));
@@ -148,7 +149,7 @@
         // The request is dispatched before the action says so: whatever goes
         // wrong from here on, nobody can claim that it was not run.
         let running = RunningAttempt {
-            life: waiting.life.dispatch(),
+            state: waiting.state.dispatch(),
             permit: permit.clone(),
             granted_by: owner,
             started_at: now,
@@ -156,7 +157,7 @@
             decoded: 0,
         };
         let attempt = record.attempt_id();
-        self.ledger.put(LiveEntry {
+        self.requests.put(LiveEntry {
             record,
             stage: AttemptStage::Running(running),
         });
@@ -164,9 +165,9 @@
     }
 
     /// Count a call's units as used, for the next owner of its shard.
-    fn note_use(&mut self, now: Moment, record: &RequestRecord) {
+    fn record_quota_use(&mut self, now: Moment, record: &RequestRecord) {
         let submission = &record.submission;
-        self.quota_use.note(
+        self.quota_use.record(
             now,
             &record.shard,
             &submission.account,
@@ -175,7 +176,7 @@
         );
     }
 
-    fn refused_by(
+    fn owner_refused(
         &mut self,
         now: Moment,
         host: &HostName,
@@ -184,15 +185,15 @@
         retry_after: Duration,
         actions: &mut Vec<EntryAction>,
     ) {
-        let Some(entry) = self.ledger.take_attempt(attempt) else {
+        let Some(entry) = self.requests.take_attempt(attempt) else {
             return;
         };
         match entry.stage {
-            AttemptStage::Waiting(waiting) if waiting.asked.as_ref() == Some(host) => {
-                let refusal = waiting.life.refuse(reason).with_retry_after(retry_after);
+            AttemptStage::Waiting(waiting) if waiting.requested_from.as_ref() == Some(host) => {
+                let refusal = waiting.state.refuse(reason).with_retry_after(retry_after);
                 self.refuse(now, entry.record, refusal, actions);
             }
-            stage => self.ledger.put(LiveEntry { stage, ..entry }),
+            stage => self.requests.put(LiveEntry { stage, ..entry }),
         }
     }
 
@@ -207,7 +208,7 @@
         if holder == self.me {
             return;
         }
-        let Some(entry) = self.ledger.take_attempt(attempt) else {
+        let Some(entry) = self.requests.take_attempt(attempt) else {
             return;
         };
         match entry.stage {
@@ -216,7 +217,7 @@
                     Incident::RequestLost,
                     entry.record.id,
                 ));
-                let refusal = waiting.life.refuse(RefusalReason::Lost);
+                let refusal = waiting.state.refuse(RefusalReason::Lost);
                 self.refuse(now, entry.record, refusal, actions);
             }
             AttemptStage::Waiting(waiting) if !self.may_forward(now, &entry.record.submission) => {
@@ -224,7 +225,7 @@
                     Incident::RequestLost,
                     entry.record.id,
                 ));
-                let refusal = waiting.life.refuse(RefusalReason::OutcomeUnknown);
+                let refusal = waiting.state.refuse(RefusalReason::OutcomeUnknown);
                 self.refuse(now, entry.record, refusal, actions);
             }
             AttemptStage::Waiting(_) => {
@@ -233,7 +234,7 @@
                 }
                 actions.push(EntryAction::Forward(entry.record.id, holder));
             }
-            stage => self.ledger.put(LiveEntry { stage, ..entry }),
+            stage => self.requests.put(LiveEntry { stage, ..entry }),
         }
     }
 
@@ -245,7 +246,7 @@
         actions: &mut Vec<EntryAction>,
     ) {
         let held: BTreeSet<PermitId> = self
-            .ledger
+            .requests
             .iter()
             .filter_map(|entry| match &entry.stage {
                 AttemptStage::Running(running) => Some(running.permit.id),
@@ -265,7 +266,12 @@
 }
 
 /// Give a permit back that no attempt uses.
-fn give_back(host: HostName, shard: PoolShard, permit: &Permit, actions: &mut Vec<EntryAction>) {
+fn return_permit(
+    host: HostName,
+    shard: PoolShard,
+    permit: &Permit,
+    actions: &mut Vec<EntryAction>,
+) {
     let release = Release {
         permit: permit.id,
         attempt: permit.attempt,
--- a/bergamotswitch-core/src/entry/desk/follow_up.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/retries.rs
@@ -2,10 +2,10 @@
 
 use super::EntryDispatcher;
 use crate::clock::Moment;
-use crate::entry::attempt::{RunningAttempt, WaitingLife};
-use crate::entry::ledger::RequestRecord;
+use crate::entry::attempt::{RunningAttempt, WaitingState};
 use crate::entry::options::Fault;
 use crate::entry::request_state::NotRunProof;
+use crate::entry::request_table::RequestRecord;
 use crate::entry::{EntryAction, NotSentReason};
 use crate::permit::Usage;
 use crate::refusal::{Refusal, RefusalReason, RetryReason, WasteCause};
@@ -29,13 +29,13 @@
         actions: &mut Vec<EntryAction>,
     ) {
         record.avoid_target(&running.permit.target);
-        let life = running.life.unrun(NotRunProof::of_unsent(sent));
+        let state = running.state.prove_not_run(NotRunProof::of_unsent(sent));
         let spent = self.try_reconnect(now, &mut record);
-        self.follow(now, record, life, spent.map(|()| reason), actions);
+        self.retry_or_refuse(now, record, state, spent.map(|()| reason), actions);
     }
 
     /// Follow up an attempt that is proven not to have run.
-    pub(super) fn retry_unrun(
+    pub(super) fn retry_not_run(
         &mut self,
         now: Moment,
         mut record: RequestRecord,
@@ -45,28 +45,28 @@
         actions: &mut Vec<EntryAction>,
     ) {
         record.avoid_target(&running.permit.target);
-        let life = running.life.unrun(proof);
+        let state = running.state.prove_not_run(proof);
         let spent = self.try_retry(now, &record);
-        self.follow(now, record, life, spent.map(|()| reason), actions);
+        self.retry_or_refuse(now, record, state, spent.map(|()| reason), actions);
     }
 
     /// Ask again where a retry was spent, for the reason of that retry; else give up.
-    fn follow(
+    fn retry_or_refuse(
         &mut self,
         now: Moment,
         record: RequestRecord,
-        life: WaitingLife,
+        state: WaitingState,
         spent: Result<RetryReason, RefusalReason>,
         actions: &mut Vec<EntryAction>,
     ) {
         match spent {
-            Ok(reason) => self.ask_again(now, record, life, reason, actions),
-            Err(refusal) => self.exhaust(now, record, life, refusal, actions),
+            Ok(reason) => self.retry(now, record, state, reason, actions),
+            Err(refusal) => self.refuse_retry(now, record, state, refusal, actions),
         }
     }
 
     /// Follow up an attempt that may have run.
-    pub(super) fn retry_run(
+    pub(super) fn retry_uncertain(
         &mut self,
         now: Moment,
         mut record: RequestRecord,
@@ -85,13 +85,13 @@
         match self.try_retry(now, &record) {
             Ok(()) => {
                 count_waste(&record, WasteCause::Retry, prefill, actions);
-                let life = running.life.rerun();
-                self.ask_again(now, record, life, failure.reason, actions);
+                let state = running.state.rerun();
+                self.retry(now, record, state, failure.reason, actions);
             }
             Err(reason) => {
                 count_waste(&record, WasteCause::Failed, prefill, actions);
-                let life = running.life.rerun();
-                self.exhaust(now, record, life, reason, actions);
+                let state = running.state.rerun();
+                self.refuse_retry(now, record, state, reason, actions);
             }
         }
     }
@@ -99,7 +99,7 @@
     /// Let another run carry a silent stream on, where one may begin now. Where
     /// none may, its target is waited for: its next event may be on its way, and
     /// to break off would lose its caller an answer that is being made.
-    pub(super) fn carry_on(
+    pub(super) fn replace_stalled(
         &mut self,
         now: Moment,
         mut record: RequestRecord,
@@ -113,9 +113,9 @@
             return self.put_back(record, running);
         }
         record.avoid_target(&running.permit.target);
-        self.abort_silent(now, &record, &running, actions);
-        let life = running.life.rerun();
-        self.ask_again(now, record, life, RetryReason::ConnectionBroke, actions);
+        self.abort_stalled(now, &record, &running, actions);
+        let state = running.state.rerun();
+        self.retry(now, record, state, RetryReason::ConnectionBroke, actions);
     }
 
     /// Get whether another run may follow one that may have run: not where it
@@ -124,24 +124,24 @@
         if self.options.has_fault(Fault::RetryAfterDispatch) {
             return true;
         }
-        let unseen = record.submission.options.resumable || !passed_on(record, running);
+        let unseen = record.submission.options.resumable || !has_streamed(record, running);
         record.may_rerun() && record.may_run_elsewhere() && unseen
     }
 
-    fn exhaust(
+    fn refuse_retry(
         &mut self,
         now: Moment,
         record: RequestRecord,
-        life: WaitingLife,
+        state: WaitingState,
         reason: RefusalReason,
         actions: &mut Vec<EntryAction>,
     ) {
         let refusal = match reason {
-            RefusalReason::RetriesExhausted => life
+            RefusalReason::RetriesExhausted => state
                 .refuse(reason)
                 .with_retry_after(self.options.retry_after),
-            RefusalReason::Stopping => self.elsewhere(now, life.refuse(reason)),
-            reason => life.refuse(reason),
+            RefusalReason::Stopping => self.with_stop_retry_after(now, state.refuse(reason)),
+            reason => state.refuse(reason),
         };
         self.refuse(now, record, refusal, actions);
     }
@@ -149,13 +149,13 @@
     pub(super) fn give_up(&self, running: RunningAttempt, reason: RefusalReason) -> Refusal {
         match self.options.has_fault(Fault::NotRunAfterWrite) {
             true => Refusal::before_acceptance(reason),
-            false => running.life.give_up(reason),
+            false => running.state.give_up(reason),
         }
     }
 }
 
 /// Get whether a caller may have seen some of the answer.
-pub(super) fn passed_on(record: &RequestRecord, running: &RunningAttempt) -> bool {
+pub(super) fn has_streamed(record: &RequestRecord, running: &RunningAttempt) -> bool {
     record.submission.streaming && running.first_token_at.is_some()
 }
 
--- a/bergamotswitch-core/src/entry/desk/stopping.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/stopping.rs
@@ -10,11 +10,11 @@
 use std::time::Duration;
 
 use super::EntryDispatcher;
-use super::aborting::AbortEnd;
+use super::aborting::AbortReason;
 use crate::clock::Moment;
 use crate::entry::attempt::AttemptStage;
-use crate::entry::ledger::LiveEntry;
-use crate::entry::run_lengths::{CallSize, RunSpan};
+use crate::entry::request_table::LiveEntry;
+use crate::entry::run_durations::{OutputEstimate, RunTiming};
 use crate::entry::{EntryAction, Submission};
 use crate::refusal::{Refusal, RefusalReason, WasteCause};
 
@@ -25,7 +25,7 @@
 
 /// Callers that are told to wait until others are back come over so many parts
 /// of the wait longer: all of them at once would fill the first host's queues.
-const SPREAD_PARTS: u32 = 4;
+const SPREAD_DIVISOR: u32 = 4;
 
 /// The step by which one caller's place in that spread follows another's, in
 /// parts of 65,536: the golden section keeps any number of them evenly apart.
@@ -35,22 +35,22 @@
 #[derive(Debug)]
 pub(super) struct StopBound {
     /// By when answers have to be whole; never where nothing bounds the stop.
-    whole_by: Moment,
+    finish_by: Moment,
     /// Whether no new request is taken.
-    pub(super) is_shut: bool,
+    pub(super) is_closed: bool,
     /// When enough other hosts take callers again, where few do.
-    pub(super) others_back: Option<Moment>,
+    pub(super) hosts_available_at: Option<Moment>,
     /// Where in the spread the next caller comes back.
-    place: u16,
+    spread_position: u16,
 }
 
 impl Default for StopBound {
     fn default() -> Self {
         StopBound {
-            whole_by: Moment::NEVER,
-            is_shut: false,
-            others_back: None,
-            place: 0,
+            finish_by: Moment::NEVER,
+            is_closed: false,
+            hosts_available_at: None,
+            spread_position: 0,
         }
     }
 }
@@ -58,81 +58,89 @@
 impl StopBound {
     /// Get when a caller comes back that is turned away now.
     fn retry_after(&mut self, now: Moment) -> Duration {
-        let wait = self.others_back.map_or(Duration::ZERO, |at| at.since(now));
+        let wait = self
+            .hosts_available_at
+            .map_or(Duration::ZERO, |at| at.since(now));
         if wait <= STOPPING_RETRY_AFTER {
             return STOPPING_RETRY_AFTER;
         }
-        self.place = self.place.wrapping_add(SPREAD_STEP);
-        let place = f64::from(self.place) / f64::from(u16::MAX);
-        wait + (wait / SPREAD_PARTS).mul_f64(place)
+        self.spread_position = self.spread_position.wrapping_add(SPREAD_STEP);
+        let place = f64::from(self.spread_position) / f64::from(u16::MAX);
+        wait + (wait / SPREAD_DIVISOR).mul_f64(place)
     }
 }
 
 impl EntryDispatcher {
     /// Take in by when answers have to be whole, and turn away what waits and
     /// will not be.
-    pub(super) fn set_whole_by(&mut self, now: Moment, at: Moment, actions: &mut Vec<EntryAction>) {
-        self.bound.whole_by = at;
-        self.turn_away(now, actions);
+    pub(super) fn set_finish_by(
+        &mut self,
+        now: Moment,
+        at: Moment,
+        actions: &mut Vec<EntryAction>,
+    ) {
+        self.bound.finish_by = at;
+        self.refuse_unfinishable(now, actions);
     }
 
     /// Get whether a run that begins now ends in time: its deadline ends it in
     /// any case, or recent runs tell that it takes far less than what is left.
     /// Work of which nobody can tell how long it takes does not begin.
-    pub(super) fn may_begin(&self, now: Moment, submission: &Submission, deadline: Moment) -> bool {
-        if self.bound.whole_by == Moment::NEVER {
+    pub(super) fn may_start(&self, now: Moment, submission: &Submission, deadline: Moment) -> bool {
+        if self.bound.finish_by == Moment::NEVER {
             return true;
         }
-        if submission.options.ends_at_deadline && deadline <= self.bound.whole_by {
+        if submission.options.ends_at_deadline && deadline <= self.bound.finish_by {
             return true;
         }
-        let span = self.longest_run(now, submission);
-        span.is_some_and(|span| now.plus(span) <= self.bound.whole_by)
+        let span = self.run_time_bound(now, submission);
+        span.is_some_and(|span| now.plus(span) <= self.bound.finish_by)
     }
 
     /// Get whether the answer of another host's request may still be passed on
     /// through this one: how long it takes is that host's to know.
     pub(super) fn may_forward(&self, now: Moment, submission: &Submission) -> bool {
-        self.may_begin(now, submission, Moment::NEVER)
+        self.may_start(now, submission, Moment::NEVER)
     }
 
     /// Get how long a run of a submission may take, as far as the recent runs of
     /// its rule and those under way tell.
-    fn longest_run(&self, now: Moment, submission: &Submission) -> Option<Duration> {
+    fn run_time_bound(&self, now: Moment, submission: &Submission) -> Option<Duration> {
         let rule = &submission.verdict.rule;
         let same_rule = |entry: &&LiveEntry| entry.record.submission.verdict.rule == *rule;
-        let entries = self.ledger.iter().filter(same_rule);
+        let entries = self.requests.iter().filter(same_rule);
         let running = entries.filter_map(|entry| match &entry.stage {
             AttemptStage::Running(running) => {
-                let pieces = running.decoded;
-                Some(running.span(now, &entry.record.submission, pieces))
+                let chunks = running.decoded;
+                Some(running.run_timing(now, &entry.record.submission, chunks))
             }
             AttemptStage::Waiting(_) => None,
         });
-        let under_way: Vec<RunSpan> = running.collect();
-        let size = CallSize::of(submission);
-        self.lengths.bound(rule, size, &under_way)
+        let in_flight: Vec<RunTiming> = running.collect();
+        let estimate = OutputEstimate::of(submission);
+        self.durations.bound(rule, estimate, &in_flight)
     }
 
     /// Refuse what waits and would not end in time: there is still time for it
     /// elsewhere.
-    pub(super) fn turn_away(&mut self, now: Moment, actions: &mut Vec<EntryAction>) {
-        if self.bound.whole_by == Moment::NEVER {
+    pub(super) fn refuse_unfinishable(&mut self, now: Moment, actions: &mut Vec<EntryAction>) {
+        if self.bound.finish_by == Moment::NEVER {
             return;
         }
-        for id in self.ledger.waiting_ids() {
-            let Some(entry) = self.ledger.take(id) else {
+        for id in self.requests.waiting_ids() {
+            let Some(entry) = self.requests.take(id) else {
                 continue;
             };
             let deadline = entry.record.deadline;
-            let fits = self.may_begin(now, &entry.record.submission, deadline);
+            let fits = self.may_start(now, &entry.record.submission, deadline);
             match entry.stage {
                 AttemptStage::Waiting(waiting) if !fits => {
-                    self.withdraw(&entry.record, waiting.asked.as_ref(), actions);
-                    let refusal = self.elsewhere(now, waiting.life.refuse(RefusalReason::Stopping));
+                    self.withdraw(&entry.record, waiting.requested_from.as_ref(), actions);
+                    let refusal = self
+                        .with_stop_retry_after(now, waiting.state.refuse(RefusalReason::Stopping));
                     self.refuse(now, entry.record, refusal, actions);
                 }
-                stage => self.ledger.put(LiveEntry { stage, ..entry }),
+                stage => self.requests.put(LiveEntry { stage, ..entry }),
             }
         }
     }
@@ -140,25 +148,25 @@
     /// End everything that is still open: the process is about to be killed, and
     /// a final answer, a permit given back and a line in the log are better than
     /// none.
-    pub(super) fn cut_off(&mut self, now: Moment, actions: &mut Vec<EntryAction>) {
+    pub(super) fn terminate(&mut self, now: Moment, actions: &mut Vec<EntryAction>) {
         // Nothing begins any more.
-        self.set_whole_by(now, Moment::START, actions);
-        for id in self.ledger.ids() {
-            let Some(entry) = self.ledger.take(id) else {
+        self.set_finish_by(now, Moment::START, actions);
+        for id in self.requests.ids() {
+            let Some(entry) = self.requests.take(id) else {
                 continue;
             };
             match entry.stage {
                 AttemptStage::Running(running) => {
-                    let end = AbortEnd::new(WasteCause::Failed, RefusalReason::Stopping);
-                    self.abort_for_good(now, entry.record, running, end, actions);
+                    let end = AbortReason::new(WasteCause::Failed, RefusalReason::Stopping);
+                    self.abort_and_refuse(now, entry.record, running, end, actions);
                 }
-                stage => self.ledger.put(LiveEntry { stage, ..entry }),
+                stage => self.requests.put(LiveEntry { stage, ..entry }),
             }
         }
     }
 
     /// Get the refusal of a request that another host can serve.
-    pub(super) fn elsewhere(&mut self, now: Moment, refusal: Refusal) -> Refusal {
+    pub(super) fn with_stop_retry_after(&mut self, now: Moment, refusal: Refusal) -> Refusal {
         refusal.with_retry_after(self.bound.retry_after(now))
     }
 }
--- a/bergamotswitch-core/src/entry/desk/reception.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/submission.rs
@@ -4,12 +4,12 @@
 use super::EntryDispatcher;
 use crate::client_account::AccountName;
 use crate::clock::Moment;
-use crate::entry::attempt::WaitingLife;
-use crate::entry::key_book::{KeyId, KeyRecord, KeyState};
-use crate::entry::ledger::{RequestRecord, guarded_key};
+use crate::entry::attempt::WaitingState;
+use crate::entry::key_store::{KeyId, KeyRecord, KeyState};
 use crate::entry::options::Fault;
-use crate::entry::placement::ShardWish;
+use crate::entry::placement::ShardQuery;
 use crate::entry::request_state::LiveRequest;
+use crate::entry::request_table::{RequestRecord, run_once_key};
 use crate::entry::{EntryAction, Submission, SubmitOutcome};
 use crate::host::HostIncarnation;
 use crate::incident::Incident;
@@ -48,11 +48,11 @@
                 return refused(submission.refuse(RefusalReason::KeyReused));
             }
             match record.state {
-                KeyState::Held => return self.attach(record.request, actions),
-                KeyState::Closed(_) => {
+                KeyState::Active => return self.attach(record.request, actions),
+                KeyState::Blocked(_) => {
                     return refused(Refusal::may_have_run(RefusalReason::OutcomeUnknown));
                 }
-                KeyState::Open(_) => {
+                KeyState::Rerunnable(_) => {
                     return self.accept(now, submission, Some(key.clone()), actions);
                 }
             }
@@ -61,10 +61,10 @@
         // not know it (any more): it may have run. A first submission names
         // the run of the address answer and is unknown by nature; refusing it
         // would turn away every caller that keeps to the interface.
-        let unheld = submission.resubmission
+        let unknown_resubmission = submission.resubmission
             && submission.holder.is_some()
             && (key.is_some() || !submission.may_rerun());
-        if unheld {
+        if unknown_resubmission {
             return refused(Refusal::may_have_run(RefusalReason::OutcomeUnknown));
         }
         self.accept(now, submission, key, actions)
@@ -102,9 +102,9 @@
     }
 
     fn attach(&mut self, id: RequestId, actions: &mut Vec<EntryAction>) -> SubmitOutcome {
-        if let Some(mut entry) = self.ledger.take(id) {
+        if let Some(mut entry) = self.requests.take(id) {
             entry.record.followed = true;
-            self.ledger.put(entry);
+            self.requests.put(entry);
         }
         actions.push(EntryAction::LogIncident(Incident::ResubmissionAttached, id));
         SubmitOutcome::Attached(id)
@@ -121,19 +121,19 @@
             return refused(submission.refuse(RefusalReason::DeadlinePassed));
         }
         let deadline = now.plus(submission.deadline_in);
-        if self.bound.is_shut || !self.may_begin(now, &submission, deadline) {
+        if self.bound.is_closed || !self.may_start(now, &submission, deadline) {
             let refusal = submission.refuse(RefusalReason::Stopping);
-            return refused(self.elsewhere(now, refusal));
+            return refused(self.with_stop_retry_after(now, refusal));
         }
         let sequence = self.counts.accepted + 1;
-        let wish = ShardWish {
+        let shard_query = ShardQuery {
             pool: &submission.pool,
             verdict: &submission.verdict,
             avoid: &[],
             spread: sequence,
-            guarded_key: guarded_key(&submission, key.as_ref()),
+            run_once_key: run_once_key(&submission, key.as_ref()),
         };
-        let Some(shard) = self.pools.shard_for(&wish) else {
+        let Some(shard) = self.pools.shard_for(&shard_query) else {
             return refused(submission.refuse(RefusalReason::NoTarget));
         };
         self.counts.accepted = sequence;
@@ -146,10 +146,10 @@
                 request: id,
                 fingerprint: submission.fingerprint,
                 pool: shard.pool.clone(),
-                guarded: !submission.may_rerun(),
-                state: KeyState::Held,
+                run_once: !submission.may_rerun(),
+                state: KeyState::Active,
             };
-            self.keys.hold(key.clone(), record);
+            self.keys.insert(key.clone(), record);
         }
         let record = RequestRecord {
             id,
@@ -166,8 +166,8 @@
             followed: true,
             submission,
         };
-        let life = WaitingLife::Fresh(LiveRequest::accept(id));
-        self.ask(now, record, life, actions);
+        let state = WaitingState::Fresh(LiveRequest::accept(id));
+        self.request_permit(now, record, state, actions);
         SubmitOutcome::Accepted(id)
     }
 }
--- a/bergamotswitch-core/src/entry/desk/takeover.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/takeover.rs
@@ -4,8 +4,8 @@
 use super::EntryDispatcher;
 use crate::clock::Moment;
 use crate::entry::EntryAction;
-use crate::entry::attempt::{AttemptStage, RunningAttempt, WaitingLife};
-use crate::entry::ledger::{LiveEntry, RequestRecord};
+use crate::entry::attempt::{AttemptStage, RunningAttempt, WaitingState};
+use crate::entry::request_table::{LiveEntry, RequestRecord};
 use crate::host::HostName;
 use crate::permit::{HeldWork, KeyClaim, OwnerMessage};
 use crate::pool::PoolShard;
@@ -17,29 +17,29 @@
 
 impl EntryDispatcher {
     /// Void every permit that may be under way: ask anew under new names.
-    pub(super) fn void_asks(&mut self, now: Moment, actions: &mut Vec<EntryAction>) {
+    pub(super) fn renew_permit_requests(&mut self, now: Moment, actions: &mut Vec<EntryAction>) {
         if self.may_use_permits_after_pause() {
             return;
         }
-        for id in self.ledger.waiting_ids() {
-            let Some(entry) = self.ledger.take(id) else {
+        for id in self.requests.waiting_ids() {
+            let Some(entry) = self.requests.take(id) else {
                 continue;
             };
             match entry.stage {
                 AttemptStage::Waiting(waiting)
-                    if waiting.asked.is_some() && now < entry.record.deadline =>
+                    if waiting.requested_from.is_some() && now < entry.record.deadline =>
                 {
-                    self.withdraw(&entry.record, waiting.asked.as_ref(), actions);
-                    self.ask_anew(now, entry.record, waiting.life, actions);
+                    self.withdraw(&entry.record, waiting.requested_from.as_ref(), actions);
+                    self.request_for_new_attempt(now, entry.record, waiting.state, actions);
                 }
-                stage => self.ledger.put(LiveEntry { stage, ..entry }),
+                stage => self.requests.put(LiveEntry { stage, ..entry }),
             }
         }
     }
 
     /// Take in a shard's owner: it learns what this host holds, and then
     /// everything that waits there.
-    pub(super) fn owner_is(
+    pub(super) fn owner_changed(
         &mut self,
         now: Moment,
         shard: PoolShard,
@@ -47,18 +47,18 @@
         actions: &mut Vec<EntryAction>,
     ) {
         self.owners.insert(shard.clone(), host.clone());
-        self.retell(&shard, &host, actions);
-        self.tell_use(now, &shard, &host, actions);
-        for id in self.ledger.waiting_ids() {
-            let Some(entry) = self.ledger.take(id) else {
+        self.report_held_work(&shard, &host, actions);
+        self.report_quota_use(now, &shard, &host, actions);
+        for id in self.requests.waiting_ids() {
+            let Some(entry) = self.requests.take(id) else {
                 continue;
             };
             let here = entry.record.shard == shard && now < entry.record.deadline;
             match entry.stage {
                 AttemptStage::Waiting(waiting) if here => {
-                    self.ask(now, entry.record, waiting.life, actions);
+                    self.request_permit(now, entry.record, waiting.state, actions);
                 }
-                stage => self.ledger.put(LiveEntry { stage, ..entry }),
+                stage => self.requests.put(LiveEntry { stage, ..entry }),
             }
         }
     }
@@ -68,9 +68,9 @@
     /// that has to doubt a marked copy's key would take it for known, and the
     /// copy would be a second run. Many keys go in several messages; each names all work, so that an
     /// owner may add messages up or let the later one replace the earlier.
-    fn retell(&self, shard: &PoolShard, host: &HostName, actions: &mut Vec<EntryAction>) {
+    fn report_held_work(&self, shard: &PoolShard, host: &HostName, actions: &mut Vec<EntryAction>) {
         let held: Vec<HeldWork> = self
-            .ledger
+            .requests
             .iter()
             .filter(|entry| entry.record.shard == *shard)
             .filter_map(|entry| match &entry.stage {
@@ -80,7 +80,7 @@
             .collect();
         let claims: Vec<KeyClaim> = self
             .keys
-            .guarded_hashes(&shard.pool, |id| !self.ledger.is_waiting(id))
+            .run_once_hashes(&shard.pool, |id| !self.requests.is_waiting(id))
             .into_iter()
             .map(|key| KeyClaim {
                 key,
@@ -104,14 +104,14 @@
 
     /// Tell an owner what is used of the accounts' quotas: one that takes over
     /// from a silent owner has no other way to know.
-    fn tell_use(
+    fn report_quota_use(
         &mut self,
         now: Moment,
         shard: &PoolShard,
         host: &HostName,
         actions: &mut Vec<EntryAction>,
     ) {
-        let used = self.quota_use.of_shard(now, shard, self.host_count);
+        let used = self.quota_use.shard_levels(now, shard, self.host_count);
         if let Some(used) = used {
             let message = OwnerMessage::QuotaUse {
                 shard: shard.clone(),
@@ -137,9 +137,9 @@
     }
 
     /// Move requests away from shards that no longer exist.
-    pub(super) fn move_waiting(&mut self, now: Moment, actions: &mut Vec<EntryAction>) {
-        for id in self.ledger.waiting_ids() {
-            let Some(entry) = self.ledger.take(id) else {
+    pub(super) fn reassign_waiting(&mut self, now: Moment, actions: &mut Vec<EntryAction>) {
+        for id in self.requests.waiting_ids() {
+            let Some(entry) = self.requests.take(id) else {
                 continue;
             };
             let stays = self
@@ -147,25 +147,25 @@
                 .allows(&entry.record.shard, &entry.record.submission.verdict);
             match entry.stage {
                 AttemptStage::Waiting(waiting) if !stays => {
-                    self.withdraw(&entry.record, waiting.asked.as_ref(), actions);
-                    self.move_one(now, entry.record, waiting.life, actions);
+                    self.withdraw(&entry.record, waiting.requested_from.as_ref(), actions);
+                    self.reassign(now, entry.record, waiting.state, actions);
                 }
-                stage => self.ledger.put(LiveEntry { stage, ..entry }),
+                stage => self.requests.put(LiveEntry { stage, ..entry }),
             }
         }
     }
 
-    fn move_one(
+    fn reassign(
         &mut self,
         now: Moment,
         record: RequestRecord,
-        life: WaitingLife,
+        state: WaitingState,
         actions: &mut Vec<EntryAction>,
     ) {
-        match self.pools.shard_for(&record.wish()) {
-            Some(_) => self.ask_anew(now, record, life, actions),
+        match self.pools.shard_for(&record.shard_query()) {
+            Some(_) => self.request_for_new_attempt(now, record, state, actions),
             None => {
-                let refusal = life.refuse(RefusalReason::NoTarget);
+                let refusal = state.refuse(RefusalReason::NoTarget);
                 self.refuse(now, record, refusal, actions);
             }
         }
--- a/bergamotswitch-core/src/entry/key_book.rs
+++ b/bergamotswitch-core/src/entry/key_store.rs
@@ -34,11 +34,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum KeyState {
     /// The request waits, runs, or its answer is kept: follow it.
-    Held,
+    Active,
     /// A new run does no harm: the request was not run, or may run again.
-    Open(Moment),
+    Rerunnable(Moment),
     /// The answer is gone and the request must not run twice.
-    Closed(Moment),
+    Blocked(Moment),
 }
 
 /// A `KeyRecord` is what is known of one key.
@@ -48,48 +48,48 @@
     pub(super) fingerprint: u128,
     pub(super) pool: PoolName,
     /// Whether the request must not run twice.
-    pub(super) guarded: bool,
+    pub(super) run_once: bool,
     pub(super) state: KeyState,
 }
 
 impl KeyRecord {
     /// Get whether another run under the key would be a second one.
-    fn is_guarded(&self) -> bool {
-        self.guarded && !matches!(self.state, KeyState::Open(_))
+    fn is_run_once(&self) -> bool {
+        self.run_once && !matches!(self.state, KeyState::Rerunnable(_))
     }
 }
 
 #[derive(Debug)]
-struct EndMark {
+struct KeyExpiry {
     key: KeyId,
     state: KeyState,
     until: Moment,
 }
 
-/// A `KeyBook` holds the keys of live requests, of kept answers and, for
+/// A `KeyStore` holds the keys of live requests, of kept answers and, for
 /// longer, of requests whose answers are gone. Were a key forgotten with its
 /// answer, a late resubmission would run a second time.
 #[derive(Debug)]
-pub(super) struct KeyBook {
+pub(super) struct KeyStore {
     records: BTreeMap<KeyId, KeyRecord>,
     /// How many keys of each pool must not run twice. It is asked for after
     /// every event; a count over all records would be felt then.
-    guarded: BTreeMap<PoolName, usize>,
-    ended: VecDeque<EndMark>,
-    memory: Duration,
-    count: usize,
+    run_once: BTreeMap<PoolName, usize>,
+    expiries: VecDeque<KeyExpiry>,
+    retention: Duration,
+    max_keys: usize,
 }
 
-impl KeyBook {
+impl KeyStore {
     /// Get an empty book that remembers ended keys for `memory`, at most
     /// `count` of them.
-    pub(super) fn new(memory: Duration, count: usize) -> Self {
-        KeyBook {
+    pub(super) fn new(retention: Duration, max_keys: usize) -> Self {
+        KeyStore {
             records: BTreeMap::new(),
-            guarded: BTreeMap::new(),
-            ended: VecDeque::new(),
-            memory,
-            count,
+            run_once: BTreeMap::new(),
+            expiries: VecDeque::new(),
+            retention,
+            max_keys,
         }
     }
 
@@ -99,10 +99,10 @@
     }
 
     /// Enter the key of a new request.
-    pub(super) fn hold(&mut self, key: KeyId, record: KeyRecord) {
+    pub(super) fn insert(&mut self, key: KeyId, record: KeyRecord) {
         self.remove(&key);
-        if record.is_guarded() {
-            *self.guarded.entry(record.pool.clone()).or_default() += 1;
+        if record.is_run_once() {
+            *self.run_once.entry(record.pool.clone()).or_default() += 1;
         }
         self.records.insert(key, record);
     }
@@ -110,24 +110,24 @@
     /// Remove the key of a request that another host holds.
     pub(super) fn remove(&mut self, key: &KeyId) {
         if let Some(record) = self.records.remove(key)
-            && record.is_guarded()
+            && record.is_run_once()
         {
-            self.unguard(&record.pool);
+            self.decrement(&record.pool);
         }
     }
 
-    fn unguard(&mut self, pool: &PoolName) {
-        if let Some(count) = self.guarded.get_mut(pool) {
+    fn decrement(&mut self, pool: &PoolName) {
+        if let Some(count) = self.run_once.get_mut(pool) {
             *count -= 1;
             if *count == 0 {
-                self.guarded.remove(pool);
+                self.run_once.remove(pool);
             }
         }
     }
 
     /// Let a new submission of the key run.
-    pub(super) fn open(&mut self, key: &KeyId, now: Moment) {
-        self.end(key, KeyState::Open(now), now);
+    pub(super) fn allow_rerun(&mut self, key: &KeyId, now: Moment) {
+        self.end(key, KeyState::Rerunnable(now), now);
     }
 
     /// Note that the answer of `request` was dropped. A key that serves a
@@ -136,58 +136,58 @@
         let Some(record) = self.records.get(key) else {
             return;
         };
-        if record.request != request || record.state != KeyState::Held {
+        if record.request != request || record.state != KeyState::Active {
             return;
         }
-        match record.guarded {
-            true => self.end(key, KeyState::Closed(now), now),
-            false => self.end(key, KeyState::Open(now), now),
+        match record.run_once {
+            true => self.end(key, KeyState::Blocked(now), now),
+            false => self.end(key, KeyState::Rerunnable(now), now),
         }
     }
 
     /// Forget ended keys that are too old or too many.
     pub(super) fn expire(&mut self, now: Moment) {
-        while let Some(mark) = self.ended.front() {
-            if mark.until > now && self.ended.len() <= self.count {
+        while let Some(expiry) = self.expiries.front() {
+            if expiry.until > now && self.expiries.len() <= self.max_keys {
                 return;
             }
-            let current = self.records.get(&mark.key).map(|record| record.state);
-            let key = mark.key.clone();
-            if current == Some(mark.state) {
+            let current = self.records.get(&expiry.key).map(|record| record.state);
+            let key = expiry.key.clone();
+            if current == Some(expiry.state) {
                 self.remove(&key);
             }
-            self.ended.pop_front();
+            self.expiries.pop_front();
         }
     }
 
     /// Get when the oldest ended key is to be forgotten.
     pub(super) fn next_due(&self) -> Moment {
-        match self.ended.front() {
-            Some(mark) => mark.until,
+        match self.expiries.front() {
+            Some(expiry) => expiry.until,
             None => Moment::NEVER,
         }
     }
 
     /// Get the hashes of the keys of a pool that must not run twice, as far as
-    /// the requests that they serve are wanted. Every
+    /// the requests that they serve are include. Every
     /// shard's owner learns them all: where the pools change, another shard
     /// may be asked for a key.
-    pub(super) fn guarded_hashes(
+    pub(super) fn run_once_hashes(
         &self,
         pool: &PoolName,
-        wanted: impl Fn(RequestId) -> bool,
+        include: impl Fn(RequestId) -> bool,
     ) -> Vec<u128> {
         self.records
             .iter()
-            .filter(|(_, record)| record.is_guarded() && record.pool == *pool)
-            .filter(|(_, record)| wanted(record.request))
+            .filter(|(_, record)| record.is_run_once() && record.pool == *pool)
+            .filter(|(_, record)| include(record.request))
             .map(|(key, _)| key.hash())
             .collect()
     }
 
     /// Get the pools of the keys that must not run twice.
-    pub(super) fn guarded_pools(&self) -> impl Iterator<Item = &PoolName> {
-        self.guarded.keys()
+    pub(super) fn run_once_pools(&self) -> impl Iterator<Item = &PoolName> {
+        self.run_once.keys()
     }
 
     /// Get the number of keys.
@@ -198,11 +198,11 @@
     fn end(&mut self, key: &KeyId, state: KeyState, now: Moment) {
         if let Some(mut record) = self.records.get(key).cloned() {
             record.state = state;
-            self.hold(key.clone(), record);
-            self.ended.push_back(EndMark {
+            self.insert(key.clone(), record);
+            self.expiries.push_back(KeyExpiry {
                 key: key.clone(),
                 state,
-                until: now.plus(self.memory),
+                until: now.plus(self.retention),
             });
         }
     }
--- a/bergamotswitch-core/src/entry/mod.rs
+++ b/bergamotswitch-core/src/entry/mod.rs
@@ -1,17 +1,17 @@
 //! Provides the entry side: it accepts requests, asks owners for permits,
 //! dispatches, retries and remembers outcomes.
 
+mod answer_cache;
 mod attempt;
-mod desk;
-mod kept_answer;
-mod key_book;
-mod ledger;
+mod call_options;
+mod dispatcher;
+mod key_store;
 mod options;
 mod placement;
 mod quota_use;
 pub mod request_state;
-mod run_lengths;
-mod terms;
+mod request_table;
+mod run_durations;
 mod view;
 
 use std::time::Duration;
@@ -28,9 +28,9 @@
 use crate::rules::{Tier, Verdict};
 use crate::target::TargetName;
 
-pub use desk::{EntryDispatcher, STOPPING_RETRY_AFTER};
+pub use call_options::CallOptions;
+pub use dispatcher::{EntryDispatcher, STOPPING_RETRY_AFTER};
 pub use options::{EntryOptions, Fault};
-pub use terms::CallOptions;
 pub use view::EntryView;
 
 /// A `Submission` is a checked request of a caller, without its body: that
--- a/bergamotswitch-core/src/entry/placement.rs
+++ b/bergamotswitch-core/src/entry/placement.rs
@@ -9,9 +9,9 @@
 use crate::rules::Verdict;
 use crate::target::{PoolTarget, TargetName};
 
-/// A `ShardWish` is what decides the shard at which to ask for a request.
+/// A `ShardQuery` is what decides the shard at which to ask for a request.
 #[derive(Debug)]
-pub(super) struct ShardWish<'a> {
+pub(super) struct ShardQuery<'a> {
     pub(super) pool: &'a PoolName,
     pub(super) verdict: &'a Verdict,
     /// Targets that the request failed on.
@@ -19,7 +19,7 @@
     /// Spreads requests over foreign domains.
     pub(super) spread: u64,
     /// The hash of the key, where the request must not run twice.
-    pub(super) guarded_key: Option<u128>,
+    pub(super) run_once_key: Option<u128>,
 }
 
 /// A `PoolMap` is this host's view of the pools.
@@ -77,24 +77,24 @@
 
     /// Get the shard at which to ask, or `None` where the rule lets the
     /// request run nowhere.
-    pub(super) fn shard_for(&self, wish: &ShardWish) -> Option<PoolShard> {
-        let shards = self.shards(wish.pool, wish.verdict);
-        if let Some(home) = self.home_of_key(&shards, wish) {
+    pub(super) fn shard_for(&self, shard_query: &ShardQuery) -> Option<PoolShard> {
+        let shards = self.shards(shard_query.pool, shard_query.verdict);
+        if let Some(home) = self.home_shard(&shards, shard_query) {
             return Some(home.clone());
         }
-        let hopeful: Vec<&PoolShard> = shards
+        let usable: Vec<&PoolShard> = shards
             .iter()
-            .filter(|shard| self.has_hope(shard, wish.avoid))
+            .filter(|shard| self.has_usable_target(shard, shard_query.avoid))
             .collect();
-        let own = hopeful
+        let own = usable
             .iter()
             .find(|shard| shard.domain.is_some() && shard.domain == self.domain);
         if let Some(shard) = own {
             return Some((*shard).clone());
         }
-        if !hopeful.is_empty() {
-            let index = wish.spread % hopeful.len() as u64;
-            return Some(hopeful[index as usize].clone());
+        if !usable.is_empty() {
+            let index = shard_query.spread % usable.len() as u64;
+            return Some(usable[index as usize].clone());
         }
         // Every target failed or leaves: a target that failed before is
         // better than none.
@@ -106,12 +106,17 @@
     /// host. Were each host to ask in its own domain, two owners would each
     /// permit the key once, and an unmarked retry at another host would run it
     /// twice.
-    fn home_of_key<'a>(&self, shards: &'a [PoolShard], wish: &ShardWish) -> Option<&'a PoolShard> {
-        let key = wish.guarded_key?;
+    fn home_shard<'a>(
+        &self,
+        shards: &'a [PoolShard],
+        shard_query: &ShardQuery,
+    ) -> Option<&'a PoolShard> {
+        let key = shard_query.run_once_key?;
         let count = u128::try_from(shards.len()).ok()?;
         let index = usize::try_from(key.checked_rem(count)?).ok()?;
         let home = shards.get(index)?;
-        self.has_hope(home, wish.avoid).then_some(home)
+        self.has_usable_target(home, shard_query.avoid)
+            .then_some(home)
     }
 
     /// Get all shards of a pool.
@@ -156,7 +161,7 @@
     }
 
     /// Get whether a shard has a target that neither failed nor leaves.
-    fn has_hope(&self, shard: &PoolShard, avoid: &[TargetName]) -> bool {
+    fn has_usable_target(&self, shard: &PoolShard, avoid: &[TargetName]) -> bool {
         let Some(pool) = self.pools.get(&shard.pool) else {
             return true;
         };
--- a/bergamotswitch-core/src/entry/quota_use.rs
+++ b/bergamotswitch-core/src/entry/quota_use.rs
@@ -10,16 +10,16 @@
 use crate::pool::PoolShard;
 use crate::pool_owner::QuotaRate;
 
-/// A `QuotaDebt` is what calls of one account used that has not come back.
+/// A `QuotaLoad` is what calls of one account used that has not come back.
 #[derive(Debug)]
-struct QuotaDebt {
+struct QuotaLoad {
     units: f64,
     at: Moment,
 }
 
-impl QuotaDebt {
+impl QuotaLoad {
     /// Let in what has come back since the last time.
-    fn settle(&mut self, now: Moment, rate: f64) {
+    fn drain(&mut self, now: Moment, rate: f64) {
         let span = now.since(self.at).as_secs_f64();
         self.units = (self.units - span * rate).max(0.0);
         self.at = now;
@@ -35,7 +35,7 @@
 #[derive(Debug, Default)]
 pub(super) struct QuotaUse {
     rates: HashMap<AccountName, QuotaRate>,
-    debts: BTreeMap<PoolShard, HashMap<AccountName, QuotaDebt>>,
+    loads: BTreeMap<PoolShard, HashMap<AccountName, QuotaLoad>>,
     /// Since when uses are known; what this host's former run let in is not.
     known_since: Option<Moment>,
 }
@@ -45,14 +45,14 @@
     pub(super) fn set_rates(&mut self, now: Moment, rates: Vec<(AccountName, QuotaRate)>) {
         self.rates = rates.into_iter().collect();
         let rates = &self.rates;
-        for debts in self.debts.values_mut() {
-            debts.retain(|account, _| rates.contains_key(account));
+        for loads in self.loads.values_mut() {
+            loads.retain(|account, _| rates.contains_key(account));
         }
         self.known_since.get_or_insert(now);
     }
 
     /// Take note of a call that runs, at one of so many hosts.
-    pub(super) fn note(
+    pub(super) fn record(
         &mut self,
         now: Moment,
         shard: &PoolShard,
@@ -63,35 +63,35 @@
         let Some(rate) = self.rates.get(account).filter(|_| units > 0) else {
             return;
         };
-        let debts = self.debts.entry(shard.clone()).or_default();
-        let debt = debts.entry(account.clone()).or_insert(QuotaDebt {
+        let loads = self.loads.entry(shard.clone()).or_default();
+        let load = loads.entry(account.clone()).or_insert(QuotaLoad {
             units: 0.0,
             at: now,
         });
-        debt.settle(now, rate.rate / hosts as f64);
-        debt.units = (debt.units + f64::from(units)).min(rate.burst);
+        load.drain(now, rate.rate / hosts as f64);
+        load.units = (load.units + f64::from(units)).min(rate.burst);
     }
 
     /// Get what a new owner of the shard has to know; `None` before any quota is
     /// known. Where this host's former run may have let in more, its whole share of
     /// a bucket counts as used.
-    pub(super) fn of_shard(
+    pub(super) fn shard_levels(
         &mut self,
         now: Moment,
         shard: &PoolShard,
         hosts: usize,
     ) -> Option<Vec<QuotaLevel>> {
         let age = now.since(self.known_since?);
-        let mut debts = self.debts.get_mut(shard);
+        let mut loads = self.loads.get_mut(shard);
         let mut used = Vec::new();
         for (account, rate) in &self.rates {
-            let debt = debts.as_mut().and_then(|debts| debts.get_mut(account));
-            let units = match debt {
+            let load = loads.as_mut().and_then(|loads| loads.get_mut(account));
+            let units = match load {
                 _ if age < rate.fill_time() => rate.burst / hosts as f64,
                 None => continue,
-                Some(debt) => {
-                    debt.settle(now, rate.rate / hosts as f64);
-                    debt.units
+                Some(load) => {
+                    load.drain(now, rate.rate / hosts as f64);
+                    load.units
                 }
             };
             if units > 0.0 {
--- a/bergamotswitch-core/src/entry/request_state.rs
+++ b/bergamotswitch-core/src/entry/request_state.rs
@@ -3,7 +3,7 @@
 //! Only a waiting request can yield the claim "not run". Without the types a
 //! refusal after a write would still compile, the caller would send the
 //! request again and it would run twice; one would notice it only in an
-//! engine's ledger.
+//! engine's request_table.
 //!
 //! ```compile_fail,E0599
 //! use bergamotswitch_core::entry::request_state::{Dispatched, LiveRequest};
--- a/bergamotswitch-core/src/entry/ledger.rs
+++ b/bergamotswitch-core/src/entry/request_table.rs
@@ -1,12 +1,12 @@
-//! Provides the ledger of live requests, ordered by when they need attention.
+//! Provides the request_table of live requests, ordered by when they need attention.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use super::Submission;
 use super::attempt::AttemptStage;
-use super::key_book::KeyId;
-use super::placement::ShardWish;
+use super::key_store::KeyId;
+use super::placement::ShardQuery;
 use crate::clock::Moment;
 use crate::pool::PoolShard;
 use crate::request::{AttemptId, RequestId};
@@ -15,7 +15,7 @@
 /// The most doublings of the re-ask interval. Links deliver in order, so an
 /// ask is lost with its link only, and then the owner is announced anew: what
 /// the re-ask repairs is rare, and long queues must not cost traffic.
-const MAX_RE_ASK_DOUBLINGS: u32 = 3;
+const MAX_RESEND_DOUBLINGS: u32 = 3;
 
 /// A `RequestRecord` is what is known of a live request apart from its stage.
 #[derive(Debug)]
@@ -50,13 +50,13 @@
     }
 
     /// Get what decides the shard at which to ask.
-    pub(super) fn wish(&self) -> ShardWish<'_> {
-        ShardWish {
+    pub(super) fn shard_query(&self) -> ShardQuery<'_> {
+        ShardQuery {
             pool: &self.submission.pool,
             verdict: &self.submission.verdict,
             avoid: &self.avoid,
             spread: self.id.sequence,
-            guarded_key: guarded_key(&self.submission, self.key.as_ref()),
+            run_once_key: run_once_key(&self.submission, self.key.as_ref()),
         }
     }
 
@@ -90,7 +90,7 @@
 }
 
 /// Get the hash of the key of a submission that must not run twice.
-pub(super) fn guarded_key(submission: &Submission, key: Option<&KeyId>) -> Option<u128> {
+pub(super) fn run_once_key(submission: &Submission, key: Option<&KeyId>) -> Option<u128> {
     match submission.may_rerun() {
         true => None,
         false => key.map(KeyId::hash),
@@ -108,10 +108,12 @@
     /// Get when the entry needs attention without an event.
     fn due(&self, permit_resend_interval: Duration) -> Moment {
         match &self.stage {
-            AttemptStage::Waiting(waiting) if waiting.asked.is_some() => {
-                let doublings = waiting.re_asks.min(MAX_RE_ASK_DOUBLINGS);
+            AttemptStage::Waiting(waiting) if waiting.requested_from.is_some() => {
+                let doublings = waiting.resends.min(MAX_RESEND_DOUBLINGS);
                 let interval = permit_resend_interval.saturating_mul(1 << doublings);
-                self.record.deadline.min(waiting.asked_at.plus(interval))
+                self.record
+                    .deadline
+                    .min(waiting.requested_at.plus(interval))
             }
             AttemptStage::Waiting(_) => self.record.deadline,
             AttemptStage::Running(_) if self.record.submission.options.ends_at_deadline => {
@@ -126,33 +128,33 @@
     }
 }
 
-/// A `RequestLedger` holds the live requests. An entry is taken out to be
+/// A `RequestTable` holds the live requests. An entry is taken out to be
 /// changed and put back, which keeps the order of due times right.
 #[derive(Debug)]
-pub(super) struct RequestLedger {
+pub(super) struct RequestTable {
     entries: BTreeMap<RequestId, LiveEntry>,
-    due: BTreeSet<DueMark>,
+    due: BTreeSet<DueEntry>,
     waiting: usize,
     /// How many live requests each shard has. Counted anew with each event it
     /// would cost a look at every request.
-    of_shard: BTreeMap<PoolShard, usize>,
+    shard_counts: BTreeMap<PoolShard, usize>,
     permit_resend_interval: Duration,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct DueMark {
+struct DueEntry {
     due: Moment,
     id: RequestId,
 }
 
-impl RequestLedger {
-    /// Get an empty ledger.
+impl RequestTable {
+    /// Get an empty request_table.
     pub(super) fn new(permit_resend_interval: Duration) -> Self {
-        RequestLedger {
+        RequestTable {
             entries: BTreeMap::new(),
             due: BTreeSet::new(),
             waiting: 0,
-            of_shard: BTreeMap::new(),
+            shard_counts: BTreeMap::new(),
             permit_resend_interval,
         }
     }
@@ -161,7 +163,7 @@
     pub(super) fn put(&mut self, entry: LiveEntry) {
         let id = entry.record.id;
         let due = entry.due(self.permit_resend_interval);
-        self.due.insert(DueMark { due, id });
+        self.due.insert(DueEntry { due, id });
         if matches!(entry.stage, AttemptStage::Waiting(_)) {
             self.waiting += 1;
         }
@@ -173,33 +175,33 @@
     pub(super) fn take(&mut self, id: RequestId) -> Option<LiveEntry> {
         let entry = self.entries.remove(&id)?;
         let due = entry.due(self.permit_resend_interval);
-        self.due.remove(&DueMark { due, id });
+        self.due.remove(&DueEntry { due, id });
         if matches!(entry.stage, AttemptStage::Waiting(_)) {
             self.waiting -= 1;
         }
-        self.discount_shard(&entry.record.shard);
+        self.uncount_shard(&entry.record.shard);
         Some(entry)
     }
 
     fn count_shard(&mut self, shard: &PoolShard) {
-        match self.of_shard.get_mut(shard) {
+        match self.shard_counts.get_mut(shard) {
             Some(count) => *count += 1,
-            None => drop(self.of_shard.insert(shard.clone(), 1)),
+            None => drop(self.shard_counts.insert(shard.clone(), 1)),
         }
     }
 
-    fn discount_shard(&mut self, shard: &PoolShard) {
-        if let Some(count) = self.of_shard.get_mut(shard) {
+    fn uncount_shard(&mut self, shard: &PoolShard) {
+        if let Some(count) = self.shard_counts.get_mut(shard) {
             *count -= 1;
             if *count == 0 {
-                self.of_shard.remove(shard);
+                self.shard_counts.remove(shard);
             }
         }
     }
 
     /// Get the shards with live requests.
     pub(super) fn shards(&self) -> impl Iterator<Item = &PoolShard> {
-        self.of_shard.keys()
+        self.shard_counts.keys()
     }
 
     /// Take the entry out whose current attempt this is.
--- a/bergamotswitch-core/src/entry/view.rs
+++ b/bergamotswitch-core/src/entry/view.rs
@@ -29,16 +29,16 @@
 
 impl EntryView {
     pub(super) fn count_waiting(&mut self, tier: Tier) {
-        self.waiting[slot(tier)] += 1;
+        self.waiting[tier_index(tier)] += 1;
     }
 
     pub(super) fn count_running(&mut self, tier: Tier) {
-        self.running[slot(tier)] += 1;
+        self.running[tier_index(tier)] += 1;
     }
 }
 
 /// A checked rule never names a tier beyond the last; a clamp keeps a view
 /// from ending the process where one does.
-fn slot(tier: Tier) -> usize {
+fn tier_index(tier: Tier) -> usize {
     usize::from(tier.0).min(GATEWAY_TIER_COUNT - 1)
 }
--- a/bergamotswitch-core/src/retry.rs
+++ b/bergamotswitch-core/src/retry.rs
@@ -10,7 +10,7 @@
 /// What may be saved up for each first attempt of the last window: one part in
 /// so many of what it earned. What is spent in a window is a third more than
 /// what is earned in it at most.
-const SAVED_PART: u64 = 3;
+const SAVED_DIVISOR: u64 = 3;
 
 /// The parts of a host's share of the slack: two may be saved up, one comes in
 /// each window, and a new process begins with one, or with one whole retry.
@@ -62,7 +62,7 @@
 }
 
 impl RecentCount {
-    fn move_on(&mut self, now: Moment, window: Duration) {
+    fn advance(&mut self, now: Moment, window: Duration) {
         let slot = (window / SLOTS as u32).as_micros().max(1);
         let number = (now.since(Moment::START).as_micros() / slot) as u64;
         let passed = number.saturating_sub(self.newest).min(SLOTS as u64);
@@ -73,7 +73,7 @@
         self.newest = self.newest.max(number);
     }
 
-    fn note(&mut self) {
+    fn record(&mut self) {
         let slot = (self.newest % SLOTS as u64) as usize;
         self.slots[slot] = self.slots[slot].saturating_add(1);
     }
@@ -121,8 +121,8 @@
         };
         // Less than a whole retry would be none: on a large fleet the first
         // failure after each start would be its caller's.
-        let begin = (budget.share() / SHARE_PARTS).max(ONE_RETRY);
-        budget.saved = begin.min(budget.saved_share());
+        let initial = (budget.share() / SHARE_PARTS).max(ONE_RETRY);
+        budget.saved = initial.min(budget.saved_share());
         budget
     }
 
@@ -139,7 +139,7 @@
     /// Earn the fraction of one first attempt.
     pub fn earn(&mut self, now: Moment) {
         self.refill(now);
-        self.recent.note();
+        self.recent.record();
         self.add(u64::from(self.rate.permille));
     }
 
@@ -183,14 +183,14 @@
 
     fn add(&mut self, thousandths: u64) {
         let recent = self.recent.total() * u64::from(self.rate.permille);
-        let most = self.saved_share() + recent / SAVED_PART;
+        let most = self.saved_share() + recent / SAVED_DIVISOR;
         self.saved = (self.saved + thousandths).min(most);
     }
 
     /// Let in what time gives back, so that a quiet pool's failures can be
     /// retried, and drop what may not be kept any longer.
     fn refill(&mut self, now: Moment) {
-        self.recent.move_on(now, self.rate.window);
+        self.recent.advance(now, self.rate.window);
         let window = self.rate.window.as_micros().max(1);
         let span = now.since(self.refilled_at).as_micros();
         let part = u128::from(self.share() / SHARE_PARTS);
