--- a/bergamotswitch-core/src/entry/answer_cache.rs
+++ b/bergamotswitch-core/src/entry/answer_cache.rs
@@ -1,4 +1,4 @@
-//! Provides the outcomes that are kept for resubmissions and questions.
+//! Provides the cache of outcomes for resubmissions and outcome queries.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,18 +8,19 @@
 use crate::clock::Moment;
 use crate::request::RequestId;
 
-/// A `KeptAnswer` is the outcome of an ended request.
+/// A `KeptAnswer` is the stored outcome of an ended request.
 #[derive(Debug)]
 pub(super) struct KeptAnswer {
     pub(super) key: Option<KeyId>,
     pub(super) ended_at: Moment,
     pub(super) conclusion: Conclusion,
-    /// The memory that it takes, once told.
+    /// The memory used by the answer; 0 until it is reported.
     pub(super) bytes: u64,
 }
 
-/// An `AnswerCache` keeps outcomes, bounded by time, count and bytes. Where there
-/// are too many, those without a key go first: nobody can resubmit them.
+/// An `AnswerCache` stores outcomes, limited by age, count and bytes. Above a
+/// limit, outcomes without a key are evicted first, as they cannot be
+/// resubmitted.
 #[derive(Debug, Default)]
 pub(super) struct AnswerCache {
     answers: BTreeMap<RequestId, KeptAnswer>,
@@ -28,7 +29,7 @@
     bytes: u64,
 }
 
-/// A `EvictedAnswer` is an outcome that is kept no longer.
+/// An `EvictedAnswer` is an outcome that was removed from the cache.
 #[derive(Debug)]
 pub(super) struct EvictedAnswer {
     pub(super) id: RequestId,
@@ -36,7 +37,7 @@
 }
 
 impl AnswerCache {
-    /// Keep an outcome.
+    /// Store an outcome.
     pub(super) fn insert(&mut self, id: RequestId, answer: KeptAnswer) {
         match answer.key.is_some() {
             true => self.keyed.push_back(id),
@@ -46,7 +47,7 @@
         self.answers.insert(id, answer);
     }
 
-    /// Note what memory an ended request's answer takes.
+    /// Set the memory used by the answer of an ended request.
     pub(super) fn set_bytes(&mut self, id: RequestId, bytes: u64) {
         if let Some(answer) = self.answers.get_mut(&id) {
             self.bytes = self.bytes - answer.bytes + bytes;
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Get what is known of an ended request.
+    /// Get the outcome of an ended request, if it is stored.
     pub(super) fn view(&self, id: RequestId) -> Option<OutcomeView> {
         let answer = self.answers.get(&id)?;
         match &answer.conclusion {
@@ -63,10 +64,10 @@
         }
     }
 
-    /// Take out one outcome that is too old or one too many.
+    /// Evict one outcome that exceeds the maximum age, count or memory.
     pub(super) fn evict(&mut self, now: Moment, options: &EntryOptions) -> Option<EvictedAnswer> {
-        // Bounded by count alone, long answers would take a host's memory and
-        // end its process with every request in it.
+        // The limit on bytes keeps long answers from exhausting the memory of
+        // the process.
         let excess =
             self.answers.len() > options.max_kept_answers || self.bytes > options.max_kept_bytes;
         let old = |id: &RequestId| self.ended_at(*id).plus(options.answer_retention) <= now;
@@ -85,7 +86,7 @@
         })
     }
 
-    /// Get when the oldest outcome is to be dropped.
+    /// Get the time at which the oldest outcome expires.
     pub(super) fn next_due(&self, options: &EntryOptions) -> Moment {
         let fronts = [self.keyed.front(), self.keyless.front()];
         fronts
@@ -96,12 +97,11 @@
             .unwrap_or(Moment::NEVER)
     }
 
-    /// Get the memory that the answers take.
+    /// Get the memory used by all answers, in bytes.
     pub(super) fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// Get the number of outcomes.
     pub(super) fn len(&self) -> usize {
         self.answers.len()
     }
--- a/bergamotswitch-core/src/entry/attempt.rs
+++ b/bergamotswitch-core/src/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! Provides the attempts of a live request, each with its typestate.
+//! Provides the attempts of a live request, with their typestate.
 
 use std::time::Duration;
 
@@ -13,14 +13,12 @@
 /// A `WaitingState` is the state of a request that waits for a permit.
 #[derive(Debug)]
 pub(super) enum WaitingState {
-    /// No attempt ran.
     Fresh(LiveRequest<Waiting>),
-    /// An earlier attempt may have run.
     Rerun(LiveRequest<Uncertain>),
 }
 
 impl WaitingState {
-    /// Get the state after the decision to dispatch.
+    /// Get the state after the decision to dispatch the request.
     pub(super) fn dispatch(self) -> RunningState {
         match self {
             WaitingState::Fresh(request) => RunningState::FirstRun(request.dispatch()),
@@ -28,11 +26,12 @@
         }
     }
 
-    /// End the request; the claim follows from its state.
+    /// End the request with a refusal, whose run claim follows from the state.
     pub(super) fn refuse(self, reason: RefusalReason) -> Refusal {
         match self {
-            // The owner knows, or suspects, another run of the same key: this
-            // request was not run, but what its caller asks about may have.
+            // The owner knows or suspects another run of the same key. This
+            // submission did not run, but the request that its caller asks
+            // about may have.
             WaitingState::Fresh(_) if is_unknown(reason) => Refusal::may_have_run(reason),
             WaitingState::Fresh(request) => request.refuse(reason),
             WaitingState::Rerun(request) => request.give_up(reason),
@@ -40,7 +39,7 @@
     }
 }
 
-/// Get whether a reason says that another run of the same key may exist.
+/// Get whether a reason means that another run of the same key may exist.
 pub(super) fn is_unknown(reason: RefusalReason) -> bool {
     matches!(reason, RefusalReason::OutcomeUnknown | RefusalReason::Lost)
 }
@@ -48,7 +47,7 @@
 /// A `RunningState` is the state of a request in flight.
 #[derive(Debug)]
 pub(super) enum RunningState {
-    /// Every earlier attempt is proven not to have run.
+    /// Every earlier attempt provably did not run.
     FirstRun(LiveRequest<Dispatched>),
     /// An earlier attempt may have run.
     Rerun(LiveRequest<Uncertain>),
@@ -63,7 +62,7 @@
         }
     }
 
-    /// Get the state in which another attempt follows one that may have run.
+    /// Get the state for another attempt after one that may have run.
     pub(super) fn rerun(self) -> WaitingState {
         match self {
             RunningState::FirstRun(request) => WaitingState::Rerun(request.rerun()),
@@ -71,7 +70,7 @@
         }
     }
 
-    /// End the request without an answer: it may have run.
+    /// End the request without an answer; it may have run.
     pub(super) fn give_up(self, reason: RefusalReason) -> Refusal {
         match self {
             RunningState::FirstRun(request) => request.give_up(reason),
@@ -80,14 +79,14 @@
     }
 }
 
-/// A `WaitingAttempt` is an attempt that has no permit yet.
+/// A `WaitingAttempt` is an attempt that waits for a permit.
 #[derive(Debug)]
 pub(super) struct WaitingAttempt {
     pub(super) state: WaitingState,
-    /// The owner that was requested_from; none while no owner is known.
+    /// The owner to which the permit request was sent, if one is known.
     pub(super) requested_from: Option<HostName>,
     pub(super) requested_at: Moment,
-    /// How often this attempt was requested_from for again at the same owner.
+    /// The number of times the permit request was sent again to that owner.
     pub(super) resends: u32,
 }
 
@@ -103,7 +102,7 @@
 }
 
 impl RunningAttempt {
-    /// Get how long it has taken, for so many pieces.
+    /// Get the timing of the run so far, given the number of chunks received.
     pub(super) fn run_timing(
         &self,
         now: Moment,
@@ -119,8 +118,8 @@
         }
     }
 
-    /// Get what the attempt used when it is stopped at `now`. The engine
-    /// admits a prompt on arrival, so the whole estimate counts.
+    /// Get the usage of an attempt that is stopped at `now`. An engine admits
+    /// the whole prompt on arrival, so the full prefill estimate counts.
     pub(super) fn usage(&self, now: Moment, prefill: u32) -> Usage {
         let first_token = self.first_token_at.unwrap_or(now);
         Usage {
@@ -133,14 +132,14 @@
     }
 }
 
-/// An `AttemptStage` is where the current attempt of a request stands.
+/// An `AttemptStage` is the stage of a request's current attempt.
 #[derive(Debug)]
 pub(super) enum AttemptStage {
     Waiting(WaitingAttempt),
     Running(RunningAttempt),
 }
 
-/// Get a span in whole milliseconds, as messages carry it.
+/// Convert a duration to whole milliseconds, the unit of peer messages.
 pub(super) fn to_millis(span: Duration) -> u32 {
     u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
 }
--- a/bergamotswitch-core/src/entry/call_options.rs
+++ b/bergamotswitch-core/src/entry/call_options.rs
@@ -1,26 +1,30 @@
-//! Provides the call_options of a call: what bounds it beyond its rule's verdict.
+//! Provides the options of a call: limits in addition to its rule's verdict.
 
 use std::time::Duration;
 
-/// A `CallOptions` is what bounds one call beyond its rule's verdict. The
-/// default adds nothing.
+/// A `CallOptions` holds the limits of one call in addition to its rule's
+/// verdict. The default adds none.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallOptions {
-    /// The most targets that may run it; the fleet's bound where absent.
+    /// The maximum number of targets that may run the call, or `None` for the
+    /// limit of the fleet.
     pub max_runs: Option<u16>,
-    /// The longest wait for a permit; until the deadline where absent.
+    /// The time from acceptance within which the answer should begin, or `None`
+    /// if only the deadline applies.
     pub first_answer_goal: Option<Duration>,
-    /// Whether its stream may go on at another target after events were
+    /// Whether the stream may continue at another target after events were
     /// passed on.
     pub resumable: bool,
-    /// Whether it ends at its deadline although a caller follows it.
+    /// Whether the call ends at its deadline even if a caller follows it.
     pub ends_at_deadline: bool,
-    /// Whether it ends when its caller leaves although it may not run again.
+    /// Whether the call ends when its caller disconnects, even if it must not
+    /// be rerun.
     pub ends_with_caller: bool,
-    /// The most output tokens that its answer may have, where it says so.
+    /// The maximum number of output tokens, if the call states it.
     pub max_output_tokens: Option<u32>,
-    /// The units that it takes from its account's quota.
+    /// The units that the call takes from its account's quota.
     pub quota_units: u32,
-    /// Whether a key let it in that may have been revoked since.
+    /// Whether the call was authenticated by a key, which may have been revoked
+    /// since.
     pub key_authenticated: bool,
 }
--- a/bergamotswitch-core/src/entry/dispatcher/aborting.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/aborting.rs
@@ -1,5 +1,5 @@
-//! Provides the ways in which an attempt in flight is stopped: for a higher
-//! tier, for a caller that left, past a deadline that nobody waits for.
+//! Provides the handling of attempts that are stopped in flight: preemption,
+//! disconnected callers, passed deadlines and oversized answers.
 
 use super::EntryDispatcher;
 use super::retries::{count_waste, has_streamed};
@@ -11,7 +11,7 @@
 use crate::refusal::{RefusalReason, RetryReason, WasteCause};
 use crate::request::{AttemptId, RequestId};
 
-/// An `AbortReason` is why a request ends with the attempt that is stopped.
+/// An `AbortReason` is why a request ends together with its aborted attempt.
 pub(super) struct AbortReason {
     cause: WasteCause,
     reason: RefusalReason,
@@ -24,7 +24,7 @@
 }
 
 impl EntryDispatcher {
-    /// Stop an attempt for work of a higher tier, where that does no harm.
+    /// Abort an attempt in favor of a higher tier, if it can be rerun safely.
     pub(super) fn preempt(
         &mut self,
         now: Moment,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The last caller that followed a request left.
+    /// Handle the disconnect of the last caller that followed a request.
     pub(super) fn caller_left(
         &mut self,
         now: Moment,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Stop an attempt whose deadline passed and that no caller follows.
+    /// Abort an attempt whose deadline passed and that no caller follows.
     pub(super) fn abort_overdue(
         &mut self,
         now: Moment,
@@ -91,9 +91,10 @@
         self.abort_and_refuse(now, record, running, end, actions);
     }
 
-    /// Stop an attempt whose answer is longer than one may be. An engine that
-    /// never ends would otherwise take all memory, and the process would die
-    /// with every request in it. No other run follows: it would end alike.
+    /// Abort an attempt whose answer exceeds the size limit. An engine that
+    /// never stops generating would otherwise exhaust the memory of the
+    /// process. There is no retry, as another run would exceed the limit as
+    /// well.
     pub(super) fn abort_overlong(
         &mut self,
         now: Moment,
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Stop an attempt that no other one follows, and tell its caller.
+    /// Abort an attempt and refuse its request without a retry.
     pub(super) fn abort_and_refuse(
         &mut self,
         now: Moment,
@@ -127,7 +128,8 @@
         self.refuse(now, record, refusal, actions);
     }
 
-    /// Stop an attempt whose target is silent; its owner counts it as failed.
+    /// Abort an attempt whose stream has stalled. Its owner counts it as
+    /// failed.
     pub(super) fn abort_stalled(
         &mut self,
         now: Moment,
--- a/bergamotswitch-core/src/entry/dispatcher/completion.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/completion.rs
@@ -1,5 +1,5 @@
-//! Provides the end of a request: its permit given back, its one outcome, its
-//! answer kept.
+//! Provides the completion of requests: releasing the permit, reporting the
+//! outcome and storing the answer.
 
 use super::EntryDispatcher;
 use crate::clock::Moment;
@@ -12,8 +12,8 @@
 use crate::refusal::{Refusal, RunClaim};
 
 impl EntryDispatcher {
-    /// Give the permit of an attempt back, to who acts as owner now: it heard
-    /// of the permit when it took over.
+    /// Release the permit of an attempt to the acting owner, to which this host
+    /// reported the permit at takeover.
     pub(super) fn release(
         &mut self,
         now: Moment,
@@ -48,7 +48,7 @@
         actions.push(EntryAction::Send(host, message));
     }
 
-    /// End a request without an answer of a target.
+    /// End a request without an answer from a target.
     pub(super) fn refuse(
         &mut self,
         now: Moment,
@@ -67,8 +67,8 @@
         {
             self.keys.allow_rerun(key, now);
         }
-        // What holds for this copy need not hold for an earlier one, and that
-        // is what a caller asks for that sends it again.
+        // A caller that resubmits a request asks about all copies of it, and an
+        // earlier copy may have run even if this one did not.
         let refusal = match record.submission.may_have_run_before() {
             true => refusal.with_unknown_run(),
             false => refusal,
@@ -76,8 +76,8 @@
         self.conclude(now, record, None, Conclusion::Refused(refusal), actions);
     }
 
-    /// End a request: the caller is told, and the outcome is kept where
-    /// someone may come back for it.
+    /// End a request: report its outcome to the caller, and store it if a
+    /// resubmission may ask for it.
     pub(super) fn conclude(
         &mut self,
         now: Moment,
@@ -93,8 +93,8 @@
             first_token: first_token_at.map(|at| at.since(record.accepted_at)),
         });
         if !record.keeps_answer() {
-            // Its caller followed to the end, and could run it again. Kept
-            // answers are a host's largest memory.
+            // The caller received the answer and could run the request again.
+            // Stored answers are a host's largest use of memory.
             actions.push(EntryAction::DropAnswer(record.id));
             return;
         }
@@ -108,13 +108,14 @@
     }
 }
 
-/// Get whether the key of a refused request may start a new run: it was not
-/// run here, or is harmless to run again. Were the refusal kept in its place,
-/// a caller told "not run" could never send the request again.
+/// Get whether the key of a refused request may start a new run: the request
+/// did not run here, or can be rerun safely. If the refusal were stored under
+/// the key, a caller that was told "not run" could never submit the request
+/// again.
 fn is_rerunnable(record: &RequestRecord, refusal: &Refusal) -> bool {
     record.may_rerun()
         || refusal.claim() == RunClaim::NotRun
-        // Only an owner's word about another run of the key leads here; the
-        // owner is to be requested_from again next time.
+        // The owner reported another run of the key. It has to be asked again
+        // for the next submission.
         || is_unknown(refusal.reason())
 }
--- a/bergamotswitch-core/src/entry/dispatcher/mod.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/mod.rs
@@ -1,5 +1,5 @@
-//! Provides the entry desk, which decides for the requests that this run of
-//! the host accepted. It alone may dispatch them.
+//! Provides the entry dispatcher, which manages the requests that this
+//! incarnation of the host accepted. No other component may dispatch them.
 
 mod aborting;
 mod completion;
@@ -33,8 +33,8 @@
 pub use stopping::STOPPING_RETRY_AFTER;
 use stopping::StopBound;
 
-/// An `EntryDispatcher` holds the requests that this run of the host accepted, from
-/// submission to the one final outcome.
+/// An `EntryDispatcher` manages the requests that this incarnation of the host
+/// accepted, from submission to their final outcome.
 #[derive(Debug)]
 pub struct EntryDispatcher {
     me: HostIncarnation,
@@ -46,7 +46,7 @@
     owners: BTreeMap<PoolShard, HostName>,
     budgets: BTreeMap<PoolName, RetryBudget>,
     quota_use: QuotaUse,
-    /// The most hosts that there were since this run began.
+    /// The maximum number of hosts seen by this incarnation.
     host_count: usize,
     counts: DeskCounts,
     last_event_at: Moment,
@@ -64,7 +64,7 @@
 }
 
 impl EntryDispatcher {
-    /// Get a desk without requests for this run of the host.
+    /// Get a dispatcher without requests for this incarnation of the host.
     pub fn new(me: HostIncarnation, opts: EntryOptions) -> Self {
         EntryDispatcher {
             me,
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Put other bounds in force; what they exclude is dropped with the next
-    /// event.
+    /// Replace the options. Whatever exceeds the new limits is dropped with the
+    /// next event.
     pub fn set_opts(&mut self, opts: EntryOptions) {
         for budget in self.budgets.values_mut() {
             budget.set_rate(opts.retry_rate);
@@ -95,9 +95,9 @@
         self.options = opts;
     }
 
-    /// Share the retry budgets among so many hosts. One that others have lost
-    /// sight of goes on to retry, so the share does not grow while they are
-    /// gone.
+    /// Divide the retry budgets among the maximum number of hosts seen so far.
+    /// A host that the others cannot reach may still retry, so its share is not
+    /// redistributed.
     fn set_host_count(&mut self, hosts: usize) {
         self.host_count = self.host_count.max(hosts);
         for budget in self.budgets.values_mut() {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Take in a caller's request.
+    /// Submit a caller's request.
     pub fn submit(
         &mut self,
         now: Moment,
@@ -118,7 +118,7 @@
         (submission, actions)
     }
 
-    /// Take in an event.
+    /// Handle an event.
     pub fn handle(&mut self, now: Moment, event: EntryEvent) -> Vec<EntryAction> {
         let mut actions = Vec::new();
         match event {
@@ -156,7 +156,7 @@
         actions
     }
 
-    /// Get when the desk wants a tick.
+    /// Get the time at which the dispatcher needs the next tick.
     pub fn next_wake(&self) -> Moment {
         let pulse = match self.requests.has_waiting() {
             true => self.last_event_at.plus(self.options.max_permit_age),
@@ -169,8 +169,8 @@
             .min(self.keys.next_due())
     }
 
-    /// Get what is known of a request. A question by the id of another run
-    /// is answered `lost`: ask the live peers' runs before.
+    /// Get the known outcome of a request. An id of another incarnation yields
+    /// `lost`, so query the live peers' incarnations first.
     pub fn outcome(&self, query: &OutcomeQuery) -> OutcomeView {
         match query {
             OutcomeQuery::Id(id) if id.incarnation != self.me.incarnation => {
@@ -190,25 +190,25 @@
         }
     }
 
-    /// Get whether nothing waits or runs.
+    /// Get whether no request waits or runs.
     pub fn is_idle(&self) -> bool {
         self.requests.iter().next().is_none()
     }
 
-    /// Get the shards whose owner this host has to know: those with requests
-    /// that wait or run, and those of pools with keys that must not run twice.
-    /// A host that lost sight of the owner with its last request would not
-    /// tell the next one its keys, and an unmarked retry at another host would
-    /// run a second time.
+    /// Get the shards whose owner this host has to know: those with live
+    /// requests, and those of pools with keys that must not run twice. If this
+    /// host stopped tracking the owner after its last request, it would not
+    /// report its keys to the next owner, and an unmarked resubmission at
+    /// another host would run a second time.
     pub fn used_shards(&self) -> Vec<PoolShard> {
         let live = self.requests.shards().cloned();
-        let kept = self.keys.run_once_pools();
-        let kept = kept.flat_map(|pool| self.pools.shards_of(pool));
-        let used: BTreeSet<PoolShard> = live.chain(kept).collect();
+        let run_once = self.keys.run_once_pools();
+        let run_once = run_once.flat_map(|pool| self.pools.shards_of(pool));
+        let used: BTreeSet<PoolShard> = live.chain(run_once).collect();
         used.into_iter().collect()
     }
 
-    /// Get a view for operators.
+    /// Get the current status for operators.
     pub fn view(&self) -> EntryView {
         let mut view = EntryView {
             kept_answers: self.answers.len(),
@@ -243,7 +243,8 @@
         }
     }
 
-    /// Do what is due, and tell when a stop is complete.
+    /// Process expired timers and cache entries, and report when a shutdown is
+    /// complete.
     fn run_due(&mut self, now: Moment, actions: &mut Vec<EntryAction>) {
         self.last_event_at = now;
         while let Some(entry) = self.requests.take_due(now) {
@@ -256,18 +257,18 @@
             actions.push(EntryAction::DropAnswer(dropped.id));
         }
         self.keys.expire(now);
-        let over = self.stopping && self.requests.is_empty();
-        if over && !self.stop_reported {
+        let complete = self.stopping && self.requests.is_empty();
+        if complete && !self.stop_reported {
             actions.push(EntryAction::Stopped);
         }
-        self.stop_reported = over;
+        self.stop_reported = complete;
     }
 
-    /// A process that slept may find permits in its sockets that were given
-    /// long ago. Where the loop did not say so, the tick that the
-    /// desk asks for while something waits tells it by coming far too late. Without this check, work would go to targets whose slots
-    /// were given away meanwhile; one would see their queues grow after a
-    /// pause.
+    /// Detect a pause of the process and replace the pending permit requests.
+    /// Permits that were read after a pause may have expired, and their slots
+    /// may have been granted to other requests. If no pause was reported, a
+    /// late tick shows it: the dispatcher requests ticks at short intervals
+    /// while requests wait.
     fn detect_pause(&mut self, now: Moment, actions: &mut Vec<EntryAction>) {
         let bound = self.options.max_permit_age.saturating_mul(2);
         if self.requests.has_waiting() && now.since(self.last_event_at) > bound {
--- a/bergamotswitch-core/src/entry/dispatcher/permit_requests.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/permit_requests.rs
@@ -1,4 +1,4 @@
-//! Provides the waiting side: asks, asking again and the bounds of retries.
+//! Provides permit requests, their retransmission and the limits on retries.
 
 use super::EntryDispatcher;
 use crate::clock::Moment;
@@ -11,20 +11,22 @@
 use crate::refusal::{RefusalReason, RetryReason};
 use crate::retry::RetryBudget;
 
-/// The most targets of one request that cannot be reached and cost no retry.
-/// After so many, the fault is likely this host's own.
+/// The maximum number of failed connections of one request that do not cost a
+/// retry. Beyond this number, the fault is probably local to this host.
 const MAX_RECONNECTS: u16 = 8;
 
-/// Get the time from its acceptance within which a request's answer should begin;
-/// `None` where its deadline alone bounds the wait. A request whose first run broke
-/// off waits for the next one as long as it may: its caller has been served already.
+/// Get the time from acceptance within which the answer should begin, in
+/// milliseconds, or `None` if only the deadline limits the wait. It does not
+/// apply to a request that was dispatched before: its retry waits until the
+/// deadline.
 fn first_answer_goal_ms(record: &RequestRecord) -> Option<u32> {
-    let patience = record.submission.options.first_answer_goal?;
-    (record.dispatches == 0).then(|| to_millis(patience))
+    let goal = record.submission.options.first_answer_goal?;
+    (record.dispatches == 0).then(|| to_millis(goal))
 }
 
 impl EntryDispatcher {
-    /// Let a request wait, and ask the shard's owner where one is known.
+    /// Put a request into the waiting stage and send a permit request to the
+    /// shard's owner, if one is known.
     pub(super) fn request_permit(
         &mut self,
         now: Moment,
@@ -50,8 +52,8 @@
         });
     }
 
-    /// Ask once more for the same attempt: the ask or its permit may be lost.
-    /// Asking again is idempotent.
+    /// Send the permit request of an attempt again, as it or its permit may be
+    /// lost. The owner treats it as idempotent.
     fn resend_request(
         &mut self,
         now: Moment,
@@ -93,15 +95,15 @@
             patience_ms: first_answer_goal_ms(record),
             quota_units: match record.dispatches {
                 0 => submission.options.quota_units,
-                // What it took from the quota is taken already.
+                // The quota was charged at the first dispatch.
                 _ => 0,
             },
         }
     }
 
-    /// Get whether a request may be stopped for a higher tier. After as many
-    /// preemptions as it may have attempts it may not: each costs its prefill
-    /// again, and it would never end.
+    /// Get whether a request may be preempted. The number of preemptions is
+    /// limited to the number of attempts, as each one repeats the prefill and
+    /// the request might otherwise never finish.
     pub(super) fn is_preemptible(&self, record: &RequestRecord) -> bool {
         record.submission.verdict.preemptible
             && record.may_rerun()
@@ -120,8 +122,8 @@
         }
     }
 
-    /// Ask again under a new attempt's name, so that no permit of the earlier
-    /// attempt can be taken for one of this.
+    /// Request a permit under a new attempt number, so that a permit of the
+    /// earlier attempt cannot be used for this one.
     pub(super) fn request_for_new_attempt(
         &mut self,
         now: Moment,
@@ -141,7 +143,7 @@
         self.request_permit(now, record, state, actions);
     }
 
-    /// Ask again for a stated reason, which is counted.
+    /// Retry a request for the given reason, which is counted.
     pub(super) fn retry(
         &mut self,
         now: Moment,
@@ -163,7 +165,7 @@
     ///
     /// # Errors
     ///
-    /// Returns why there must be none.
+    /// Returns the reason why the request must not be retried.
     pub(super) fn try_retry(
         &mut self,
         now: Moment,
@@ -185,12 +187,12 @@
         }
     }
 
-    /// Try to let a request that reached no target go to another one. It costs a
-    /// retry only where reconnects are used up.
+    /// Try to reconnect a request that reached no target to another one. This
+    /// costs a retry only if no reconnects are left.
     ///
     /// # Errors
     ///
-    /// Returns why there must be none.
+    /// Returns the reason why the request must not be retried.
     pub(super) fn try_reconnect(
         &mut self,
         now: Moment,
@@ -198,8 +200,8 @@
     ) -> Result<(), RefusalReason> {
         let in_time = now < record.deadline;
         let fits = in_time && self.may_start(now, &record.submission, record.deadline);
-        let spared = fits && record.reconnects < MAX_RECONNECTS;
-        if spared && self.budget(now, record).try_reconnect() {
+        let free = fits && record.reconnects < MAX_RECONNECTS;
+        if free && self.budget(now, record).try_reconnect() {
             record.reconnects += 1;
             return Ok(());
         }
@@ -213,7 +215,7 @@
             .or_insert_with(|| RetryBudget::new(rate, hosts, now))
     }
 
-    /// Attend to an entry whose time has come.
+    /// Handle an entry whose timer has expired.
     pub(super) fn handle_due(
         &mut self,
         now: Moment,
--- a/bergamotswitch-core/src/entry/dispatcher/progress.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/progress.rs
@@ -1,4 +1,4 @@
-//! Provides what becomes of attempts in flight.
+//! Provides the handling of events from attempts in flight.
 
 use super::EntryDispatcher;
 use super::retries::{FailedAttempt, count_waste};
@@ -13,8 +13,8 @@
 use crate::request::AttemptId;
 
 impl EntryDispatcher {
-    /// Take in an attempt's progress. News of an attempt that is not the
-    /// current one came late and changes nothing.
+    /// Handle an event of an attempt. Events of an attempt that is not the
+    /// current one are ignored.
     pub(super) fn handle_attempt_event(
         &mut self,
         now: Moment,
@@ -95,7 +95,7 @@
         self.conclude(now, record, first_token, Conclusion::Answered, actions);
     }
 
-    /// Earn a reconnect by an answer that begins, once for each.
+    /// Earn a reconnect for an answer that begins, once per attempt.
     fn earn_reconnect(&mut self, now: Moment, record: &RequestRecord, running: &RunningAttempt) {
         if running.first_token_at.is_none() {
             self.budget(now, record).earn_reconnect();
@@ -110,7 +110,7 @@
         reason: NotSentReason,
         actions: &mut Vec<EntryAction>,
     ) {
-        // A target that is gone here says nothing of a target that fails.
+        // A target that is draining or unknown here has not failed.
         let (outcome, retry) = match reason {
             NotSentReason::ConnectFailed => {
                 (ReleaseOutcome::Unreachable, RetryReason::ConnectFailed)
@@ -145,8 +145,8 @@
         }
     }
 
-    /// The target answered with an error. Where nothing follows, that error
-    /// is the answer.
+    /// Handle an error response of the target. It is passed on as the answer
+    /// unless the request is retried.
     fn failed(
         &mut self,
         now: Moment,
--- a/bergamotswitch-core/src/entry/dispatcher/replies.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/replies.rs
@@ -1,4 +1,4 @@
-//! Provides what owners' replies lead to.
+//! Provides the handling of owners' replies.
 
 use super::EntryDispatcher;
 use crate::clock::Moment;
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 impl EntryDispatcher {
-    /// Take in an owner's reply.
+    /// Handle an owner's reply.
     pub(super) fn owner_replied(
         &mut self,
         now: Moment,
@@ -45,13 +45,13 @@
             OwnerReply::WhoFollows { shard, round } => {
                 self.confirm_following(host, shard, round, actions);
             }
-            // Membership looks for the next owner.
+            // The membership module looks for the next owner.
             OwnerReply::NotOwner { .. } => {}
         }
     }
 
-    /// Answer an owner that asks who follows it; one that is not followed gets
-    /// no answer.
+    /// Confirm to an owner that this host follows it. An owner that is not
+    /// followed gets no answer.
     fn confirm_following(
         &self,
         host: HostName,
@@ -74,8 +74,8 @@
         actions: &mut Vec<EntryAction>,
     ) {
         if self.holds_permit(&permit) {
-            // A duplicate of the permit in use: giving it back would free a
-            // slot that is taken.
+            // This is a duplicate of the permit in use. Returning it would free
+            // an occupied slot.
             return;
         }
         let Some(entry) = self.requests.take_attempt(permit.attempt) else {
@@ -86,8 +86,8 @@
             AttemptStage::Waiting(waiting) if waiting.requested_from.as_ref() == Some(&host) => {
                 self.use_permit(now, record, waiting, permit, actions);
             }
-            // The attempt runs under another permit, or a former owner still
-            // grants: the slot goes back, and the attempt stays as it is.
+            // The attempt runs under another permit, or the permit comes from a
+            // former owner. Return the permit and leave the attempt as it is.
             stage => {
                 self.requests.put(LiveEntry { record, stage });
                 return_permit(host, shard, &permit, actions);
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Dispatch under a permit, unless it is void.
+    /// Dispatch an attempt under a permit, unless the permit is void.
     fn use_permit(
         &mut self,
         now: Moment,
@@ -130,7 +130,7 @@
         if leaving || permit.lifetime_ms == 0 {
             return_permit(owner, record.shard.clone(), &permit, actions);
             if leaving {
-                // The owner's list lags: without this it would grant the
+                // The owner's target list may be outdated; it would grant the
                 // same target again.
                 record.avoid_target(&permit.target);
             }
@@ -146,8 +146,8 @@
         }
         record.dispatches = record.dispatches.saturating_add(1);
         self.counts.dispatched += 1;
-        // The request is dispatched before the action says so: whatever goes
-        // wrong from here on, nobody can claim that it was not run.
+        // The state changes to dispatched before the action is emitted, so the
+        // request can no longer be reported as "not run".
         let running = RunningAttempt {
             state: waiting.state.dispatch(),
             permit: permit.clone(),
@@ -164,7 +164,8 @@
         actions.push(EntryAction::Start { attempt, permit });
     }
 
-    /// Count a call's units as used, for the next owner of its shard.
+    /// Record the quota units of a request, to be reported to the next owner of
+    /// its shard.
     fn record_quota_use(&mut self, now: Moment, record: &RequestRecord) {
         let submission = &record.submission;
         self.quota_use.record(
@@ -197,7 +198,8 @@
         }
     }
 
-    /// Another run holds the key: this request is not run here.
+    /// Handle the reply that another host incarnation holds the key. The
+    /// request does not run here.
     fn key_known(
         &mut self,
         now: Moment,
@@ -265,7 +267,7 @@
     }
 }
 
-/// Give a permit back that no attempt uses.
+/// Return an unused permit to its owner.
 fn return_permit(
     host: HostName,
     shard: PoolShard,
--- a/bergamotswitch-core/src/entry/dispatcher/retries.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/retries.rs
@@ -1,4 +1,4 @@
-//! Provides what follows an attempt that ended without a whole answer.
+//! Provides the handling of attempts that ended without a complete answer.
 
 use super::EntryDispatcher;
 use crate::clock::Moment;
@@ -10,7 +10,7 @@
 use crate::permit::Usage;
 use crate::refusal::{Refusal, RefusalReason, RetryReason, WasteCause};
 
-/// A `FailedAttempt` is what an attempt leaves behind that may have run.
+/// A `FailedAttempt` is a failed attempt that may have run.
 pub(super) struct FailedAttempt {
     pub(super) reason: RetryReason,
     pub(super) refusal: RefusalReason,
@@ -18,7 +18,7 @@
 }
 
 impl EntryDispatcher {
-    /// Follow up an attempt that reached no target.
+    /// Retry a request whose attempt never reached its target.
     pub(super) fn retry_unsent(
         &mut self,
         now: Moment,
@@ -34,7 +34,7 @@
         self.retry_or_refuse(now, record, state, spent.map(|()| reason), actions);
     }
 
-    /// Follow up an attempt that is proven not to have run.
+    /// Retry a request whose attempt provably did not run.
     pub(super) fn retry_not_run(
         &mut self,
         now: Moment,
@@ -50,7 +50,7 @@
         self.retry_or_refuse(now, record, state, spent.map(|()| reason), actions);
     }
 
-    /// Ask again where a retry was spent, for the reason of that retry; else give up.
+    /// Retry a request if a retry was spent, and refuse it otherwise.
     fn retry_or_refuse(
         &mut self,
         now: Moment,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Follow up an attempt that may have run.
+    /// Retry a request whose attempt may have run, if that is allowed.
     pub(super) fn retry_uncertain(
         &mut self,
         now: Moment,
@@ -96,9 +96,9 @@
         }
     }
 
-    /// Let another run carry a silent stream on, where one may begin now. Where
-    /// none may, its target is waited for: its next event may be on its way, and
-    /// to break off would lose its caller an answer that is being made.
+    /// Replace an attempt whose stream has stalled by another one, if a retry
+    /// is allowed now. Otherwise the attempt continues, as its target may still
+    /// produce the rest of the answer.
     pub(super) fn replace_stalled(
         &mut self,
         now: Moment,
@@ -118,8 +118,9 @@
         self.retry(now, record, state, RetryReason::ConnectionBroke, actions);
     }
 
-    /// Get whether another run may follow one that may have run: not where it
-    /// would do harm, nor where a caller has seen some of an answer.
+    /// Get whether a request may be retried after an attempt that may have run.
+    /// It may not if it is not idempotent, or if its caller has received part
+    /// of an answer that cannot be resumed.
     pub(super) fn may_run_again(&self, record: &RequestRecord, running: &RunningAttempt) -> bool {
         if self.options.has_fault(Fault::RetryAfterDispatch) {
             return true;
@@ -154,7 +155,7 @@
     }
 }
 
-/// Get whether a caller may have seen some of the answer.
+/// Get whether the caller may have received part of the answer.
 pub(super) fn has_streamed(record: &RequestRecord, running: &RunningAttempt) -> bool {
     record.submission.streaming && running.first_token_at.is_some()
 }
--- a/bergamotswitch-core/src/entry/dispatcher/stopping.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/stopping.rs
@@ -1,11 +1,11 @@
-//! Provides the desk's part of a planned stop whose process is killed at the
-//! end of its grace.
+//! Provides the part of a graceful shutdown that is limited by a grace period.
 //!
-//! Without it a stopping host takes work that needs longer than the grace has
-//! left: its process is killed in the middle of answers, and callers that could
-//! have been served by another host lose them. One sees 109 and 207 in its log,
-//! and connections that close in the middle of an answer. So it begins only
-//! what ends in time, and tells everything else at once that it has not run.
+//! The process is killed at the end of the grace period, which truncates every
+//! answer that is still in progress. A stopping host therefore starts only work
+//! that finishes in time, and refuses everything else at once as "not run", so
+//! that another host can serve it. Work that was cut off shows up as events 109
+//! and 207 in the log, and as connections that close in the middle of an
+//! answer.
 
 use std::time::Duration;
 
@@ -18,29 +18,32 @@
 use crate::entry::{EntryAction, Submission};
 use crate::refusal::{Refusal, RefusalReason, WasteCause};
 
-/// When a caller comes back that a stopping host turns away while others take
-/// callers. Another host serves it at once; the pause keeps callers that stay at
-/// this address from asking it without end.
+/// The retry delay for callers refused by a stopping host while other hosts
+/// accept requests. It keeps a caller that stays at this address from retrying
+/// in a tight loop.
 pub const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// Callers that are told to wait until others are back come over so many parts
-/// of the wait longer: all of them at once would fill the first host's queues.
+/// The fraction of the wait over which retries are spread after the other hosts
+/// return. Simultaneous retries would fill the queues of the first host.
 const SPREAD_DIVISOR: u32 = 4;
 
-/// The step by which one caller's place in that spread follows another's, in
-/// parts of 65,536: the golden section keeps any number of them evenly apart.
+/// The distance between the positions of successive callers in the spread, in
+/// units of 1/65,536. A golden ratio step keeps any number of positions evenly
+/// distributed.
 const SPREAD_STEP: u16 = 40_503;
 
-/// A `StopBound` is what a planned stop that may not last sets to new work.
+/// A `StopBound` is the limit that a graceful shutdown puts on new work.
 #[derive(Debug)]
 pub(super) struct StopBound {
-    /// By when answers have to be whole; never where nothing bounds the stop.
+    /// The time by which answers must be complete; `NEVER` without a grace
+    /// period.
     finish_by: Moment,
-    /// Whether no new request is taken.
+    /// Whether new requests are refused.
     pub(super) is_closed: bool,
-    /// When enough other hosts take callers again, where few do.
+    /// The time at which enough other hosts accept requests again, if too few
+    /// do now.
     pub(super) hosts_available_at: Option<Moment>,
-    /// Where in the spread the next caller comes back.
+    /// The position of the next caller in the spread of retries.
     spread_position: u16,
 }
 
@@ -56,7 +59,7 @@
 }
 
 impl StopBound {
-    /// Get when a caller comes back that is turned away now.
+    /// Get the retry delay for a caller that is refused now.
     fn retry_after(&mut self, now: Moment) -> Duration {
         let wait = self
             .hosts_available_at
@@ -71,8 +74,8 @@
 }
 
 impl EntryDispatcher {
-    /// Take in by when answers have to be whole, and turn away what waits and
-    /// will not be.
+    /// Set the time by which answers must be complete, and refuse waiting
+    /// requests that would not finish by then.
     pub(super) fn set_finish_by(
         &mut self,
         now: Moment,
@@ -83,9 +86,9 @@
         self.refuse_unfinishable(now, actions);
     }
 
-    /// Get whether a run that begins now ends in time: its deadline ends it in
-    /// any case, or recent runs tell that it takes far less than what is left.
-    /// Work of which nobody can tell how long it takes does not begin.
+    /// Get whether a run that starts now finishes in time: either its deadline
+    /// ends it before the grace period does, or its estimated duration fits.
+    /// Work of unknown duration is not started.
     pub(super) fn may_start(&self, now: Moment, submission: &Submission, deadline: Moment) -> bool {
         if self.bound.finish_by == Moment::NEVER {
             return true;
@@ -97,14 +100,14 @@
         span.is_some_and(|span| now.plus(span) <= self.bound.finish_by)
     }
 
-    /// Get whether the answer of another host's request may still be passed on
-    /// through this one: how long it takes is that host's to know.
+    /// Get whether an answer may still be proxied from another host. Its
+    /// deadline is not known here, so only the estimated duration counts.
     pub(super) fn may_forward(&self, now: Moment, submission: &Submission) -> bool {
         self.may_start(now, submission, Moment::NEVER)
     }
 
-    /// Get how long a run of a submission may take, as far as the recent runs of
-    /// its rule and those under way tell.
+    /// Get an upper bound for the duration of a run, from the recent and
+    /// current runs of its rule.
     fn run_time_bound(&self, now: Moment, submission: &Submission) -> Option<Duration> {
         let rule = &submission.verdict.rule;
         let same_rule = |entry: &&LiveEntry| entry.record.submission.verdict.rule == *rule;
@@ -121,8 +124,8 @@
         self.durations.bound(rule, estimate, &in_flight)
     }
 
-    /// Refuse what waits and would not end in time: there is still time for it
-    /// elsewhere.
+    /// Refuse waiting requests that would not finish in time, while another
+    /// host can still serve them.
     pub(super) fn refuse_unfinishable(&mut self, now: Moment, actions: &mut Vec<EntryAction>) {
         if self.bound.finish_by == Moment::NEVER {
             return;
@@ -145,11 +148,11 @@
         }
     }
 
-    /// End everything that is still open: the process is about to be killed, and
-    /// a final answer, a permit given back and a line in the log are better than
-    /// none.
+    /// End all remaining requests shortly before the process is killed, so that
+    /// callers get a final answer, owners get their permits back and the log is
+    /// complete.
     pub(super) fn terminate(&mut self, now: Moment, actions: &mut Vec<EntryAction>) {
-        // Nothing begins any more.
+        // Nothing may start from here on.
         self.set_finish_by(now, Moment::START, actions);
         for id in self.requests.ids() {
             let Some(entry) = self.requests.take(id) else {
@@ -165,7 +168,8 @@
         }
     }
 
-    /// Get the refusal of a request that another host can serve.
+    /// Add the retry delay to the refusal of a request that another host can
+    /// serve.
     pub(super) fn with_stop_retry_after(&mut self, now: Moment, refusal: Refusal) -> Refusal {
         refusal.with_retry_after(self.bound.retry_after(now))
     }
--- a/bergamotswitch-core/src/entry/dispatcher/submission.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/submission.rs
@@ -1,5 +1,5 @@
-//! Provides the reception of submissions: a new request, one that is known,
-//! or one that belongs elsewhere.
+//! Provides the handling of submissions: new requests, resubmissions and
+//! requests that another host incarnation holds.
 
 use super::EntryDispatcher;
 use crate::client_account::AccountName;
@@ -16,11 +16,11 @@
 use crate::refusal::{Refusal, RefusalReason};
 use crate::request::{CallerKey, RequestId};
 
-/// The sequence that stands for a request whose number is not known.
+/// The sequence in the id of a request whose sequence is not known.
 const UNKNOWN_SEQUENCE: u64 = 0;
 
 impl EntryDispatcher {
-    /// Decide what becomes of a submission.
+    /// Decide how to handle a submission.
     pub(super) fn receive(
         &mut self,
         now: Moment,
@@ -31,7 +31,8 @@
             .key
             .as_ref()
             .map(|key| self.key_id(&submission.account, key));
-        // First comes the run that the caller names: only that run knows.
+        // An incarnation named by the caller takes precedence, as only that one
+        // knows the request.
         if let Some(holder) = &submission.holder
             && *holder != self.me
         {
@@ -40,7 +41,7 @@
                 false => refused(Refusal::may_have_run(RefusalReason::Stopping)),
             };
         }
-        // Then what this run knows of the key.
+        // Otherwise, use what this incarnation knows of the key.
         if let Some(key) = &key
             && let Some(record) = self.keys.get(key).cloned()
         {
@@ -57,10 +58,10 @@
                 }
             }
         }
-        // This run was said to hold the request that is sent again but does
-        // not know it (any more): it may have run. A first submission names
-        // the run of the address answer and is unknown by nature; refusing it
-        // would turn away every caller that keeps to the interface.
+        // This incarnation was named as the holder of a resubmitted request but
+        // does not know it, so the request may have run. A first submission
+        // names an incarnation as well, taken from the address answer, and must
+        // not be refused here.
         let unknown_resubmission = submission.resubmission
             && submission.holder.is_some()
             && (key.is_some() || !submission.may_rerun());
@@ -83,8 +84,9 @@
         }
     }
 
-    /// The named run is another one. An earlier run of this host is gone, and
-    /// what it held is lost; any other host speaks for itself.
+    /// Handle a submission that names another incarnation. Requests of an
+    /// earlier incarnation of this host are lost; requests of another host are
+    /// forwarded.
     fn receive_foreign(
         &mut self,
         holder: &HostIncarnation,
@@ -126,14 +128,14 @@
             return refused(self.with_stop_retry_after(now, refusal));
         }
         let sequence = self.counts.accepted + 1;
-        let shard_query = ShardQuery {
+        let query = ShardQuery {
             pool: &submission.pool,
             verdict: &submission.verdict,
             avoid: &[],
             spread: sequence,
             run_once_key: run_once_key(&submission, key.as_ref()),
         };
-        let Some(shard) = self.pools.shard_for(&shard_query) else {
+        let Some(shard) = self.pools.shard_for(&query) else {
             return refused(submission.refuse(RefusalReason::NoTarget));
         };
         self.counts.accepted = sequence;
--- a/bergamotswitch-core/src/entry/dispatcher/takeover.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/takeover.rs
@@ -1,5 +1,5 @@
-//! Provides what a change around the waiting requests leads to: a pause, a
-//! new owner, new pools.
+//! Provides the handling of waiting requests after a process pause, a change of
+//! owner or a change of the pools.
 
 use super::EntryDispatcher;
 use crate::clock::Moment;
@@ -11,12 +11,13 @@
 use crate::pool::PoolShard;
 use crate::refusal::RefusalReason;
 
-/// The most key claims in one message: with a host name of the greatest
-/// length they stay well below the largest message between hosts.
+/// The maximum number of key claims per message. With host names of maximum
+/// length, the message stays well below the size limit between hosts.
 const CLAIMS_PER_MESSAGE: usize = 4_096;
 
 impl EntryDispatcher {
-    /// Void every permit that may be under way: ask anew under new names.
+    /// Invalidate all permits that may be in transit by requesting new ones
+    /// under new attempt numbers.
     pub(super) fn renew_permit_requests(&mut self, now: Moment, actions: &mut Vec<EntryAction>) {
         if self.may_use_permits_after_pause() {
             return;
@@ -37,8 +38,8 @@
         }
     }
 
-    /// Take in a shard's owner: it learns what this host holds, and then
-    /// everything that waits there.
+    /// Handle a new owner of a shard: report the work and keys that this host
+    /// holds, and then request permits for the waiting requests.
     pub(super) fn owner_changed(
         &mut self,
         now: Moment,
@@ -63,11 +64,12 @@
         }
     }
 
-    /// Tell an owner of work in flight and of keys that must not run twice.
-    /// A request that waits claims its key with its ask: told here, an owner
-    /// that has to doubt a marked copy's key would take it for known, and the
-    /// copy would be a second run. Many keys go in several messages; each names all work, so that an
-    /// owner may add messages up or let the later one replace the earlier.
+    /// Report work in flight and keys that must not run twice to an owner. Keys
+    /// of waiting requests are left out, as their permit request carries the
+    /// claim. An owner would otherwise take the key of a marked resubmission
+    /// for known, and grant it a second run. Each message repeats all work in
+    /// flight, so that the owner may either merge the messages or replace an
+    /// earlier one by a later one.
     fn report_held_work(&self, shard: &PoolShard, host: &HostName, actions: &mut Vec<EntryAction>) {
         let held: Vec<HeldWork> = self
             .requests
@@ -102,8 +104,8 @@
         }
     }
 
-    /// Tell an owner what is used of the accounts' quotas: one that takes over
-    /// from a silent owner has no other way to know.
+    /// Report the quota used by client accounts to an owner. An owner that
+    /// takes over from an unresponsive one has no other source for it.
     fn report_quota_use(
         &mut self,
         now: Moment,
@@ -136,7 +138,8 @@
         }
     }
 
-    /// Move requests away from shards that no longer exist.
+    /// Reassign waiting requests whose shard no longer exists or is no longer
+    /// allowed.
     pub(super) fn reassign_waiting(&mut self, now: Moment, actions: &mut Vec<EntryAction>) {
         for id in self.requests.waiting_ids() {
             let Some(entry) = self.requests.take(id) else {
--- a/bergamotswitch-core/src/entry/key_store.rs
+++ b/bergamotswitch-core/src/entry/key_store.rs
@@ -1,4 +1,4 @@
-//! Provides the callers' keys that this run of the host knows.
+//! Provides the store of caller keys known to this incarnation of the host.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -10,8 +10,8 @@
 use crate::pool::PoolName;
 use crate::request::{CallerKey, RequestId};
 
-/// A `KeyId` is a caller's key with its client account: two accounts may use
-/// the same key for different requests.
+/// A `KeyId` is a caller key together with its client account, as two accounts
+/// may use the same key for different requests.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct KeyId {
     pub(super) account: AccountName,
@@ -19,29 +19,33 @@
 }
 
 impl KeyId {
-    /// Get the xxh3-128 of account and key, as owners know it.
+    /// Get the xxh3-128 of account and key, by which owners identify the key.
     pub(super) fn hash(&self) -> u128 {
         let mut hasher = Xxh3::new();
         hasher.update(self.account.as_str().as_bytes());
-        // No name holds a zero byte, so no two pairs run into one text.
+        // Names contain no zero byte, so the separator keeps different pairs
+        // distinct.
         hasher.update(&[0]);
         hasher.update(self.key.as_str().as_bytes());
         hasher.digest128()
     }
 }
 
-/// A `KeyState` is what a resubmission of the key meets.
+/// A `KeyState` determines how a resubmission of a key is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum KeyState {
-    /// The request waits, runs, or its answer is kept: follow it.
+    /// The request is live or its answer is stored. A resubmission attaches to
+    /// it.
     Active,
-    /// A new run does no harm: the request was not run, or may run again.
+    /// The request did not run, or can be rerun safely. A resubmission starts a
+    /// new run.
     Rerunnable(Moment),
-    /// The answer is gone and the request must not run twice.
+    /// The answer was dropped and the request must not run twice. A
+    /// resubmission is refused.
     Blocked(Moment),
 }
 
-/// A `KeyRecord` is what is known of one key.
+/// A `KeyRecord` is the request and the state of one key.
 #[derive(Clone, Debug)]
 pub(super) struct KeyRecord {
     pub(super) request: RequestId,
@@ -53,7 +57,7 @@
 }
 
 impl KeyRecord {
-    /// Get whether another run under the key would be a second one.
+    /// Get whether a new run under the key would be a forbidden second run.
     fn is_run_once(&self) -> bool {
         self.run_once && !matches!(self.state, KeyState::Rerunnable(_))
     }
@@ -66,14 +70,14 @@
     until: Moment,
 }
 
-/// A `KeyStore` holds the keys of live requests, of kept answers and, for
-/// longer, of requests whose answers are gone. Were a key forgotten with its
-/// answer, a late resubmission would run a second time.
+/// A `KeyStore` holds the keys of live requests, of stored answers and, for a
+/// longer time, of requests whose answers were dropped. If a key were dropped
+/// together with its answer, a late resubmission would run a second time.
 #[derive(Debug)]
 pub(super) struct KeyStore {
     records: BTreeMap<KeyId, KeyRecord>,
-    /// How many keys of each pool must not run twice. It is asked for after
-    /// every event; a count over all records would be felt then.
+    /// The number of keys per pool that must not run twice. It is read after
+    /// every event, so it is not computed by iterating over the records.
     run_once: BTreeMap<PoolName, usize>,
     expiries: VecDeque<KeyExpiry>,
     retention: Duration,
@@ -81,8 +85,8 @@
 }
 
 impl KeyStore {
-    /// Get an empty book that remembers ended keys for `memory`, at most
-    /// `count` of them.
+    /// Get an empty store that keeps the keys of ended requests for
+    /// `retention`, up to `max_keys` of them.
     pub(super) fn new(retention: Duration, max_keys: usize) -> Self {
         KeyStore {
             records: BTreeMap::new(),
@@ -93,12 +97,11 @@
         }
     }
 
-    /// Get the record of a key.
     pub(super) fn get(&self, key: &KeyId) -> Option<&KeyRecord> {
         self.records.get(key)
     }
 
-    /// Enter the key of a new request.
+    /// Insert the key of a new request.
     pub(super) fn insert(&mut self, key: KeyId, record: KeyRecord) {
         self.remove(&key);
         if record.is_run_once() {
@@ -107,7 +110,7 @@
         self.records.insert(key, record);
     }
 
-    /// Remove the key of a request that another host holds.
+    /// Remove a key, for example one that another host holds.
     pub(super) fn remove(&mut self, key: &KeyId) {
         if let Some(record) = self.records.remove(key)
             && record.is_run_once()
@@ -125,13 +128,13 @@
         }
     }
 
-    /// Let a new submission of the key run.
+    /// Allow a new run for a submission of the key.
     pub(super) fn allow_rerun(&mut self, key: &KeyId, now: Moment) {
         self.end(key, KeyState::Rerunnable(now), now);
     }
 
-    /// Note that the answer of `request` was dropped. A key that serves a
-    /// later request by now is left alone.
+    /// Handle the removal of the answer of `request`. The key is left unchanged
+    /// if it already belongs to a later request.
     pub(super) fn drop_answer(&mut self, key: &KeyId, request: RequestId, now: Moment) {
         let Some(record) = self.records.get(key) else {
             return;
@@ -145,7 +148,8 @@
         }
     }
 
-    /// Forget ended keys that are too old or too many.
+    /// Remove keys of ended requests that exceed the retention or the maximum
+    /// count.
     pub(super) fn expire(&mut self, now: Moment) {
         while let Some(expiry) = self.expiries.front() {
             if expiry.until > now && self.expiries.len() <= self.max_keys {
@@ -160,7 +164,7 @@
         }
     }
 
-    /// Get when the oldest ended key is to be forgotten.
+    /// Get the time at which the oldest key of an ended request expires.
     pub(super) fn next_due(&self) -> Moment {
         match self.expiries.front() {
             Some(expiry) => expiry.until,
@@ -168,10 +172,9 @@
         }
     }
 
-    /// Get the hashes of the keys of a pool that must not run twice, as far as
-    /// the requests that they serve are include. Every
-    /// shard's owner learns them all: where the pools change, another shard
-    /// may be asked for a key.
+    /// Get the hashes of a pool's keys that must not run twice, limited to the
+    /// requests that `include` selects. They are reported to the owner of every
+    /// shard, as a change of the pools may assign a key to another shard.
     pub(super) fn run_once_hashes(
         &self,
         pool: &PoolName,
@@ -185,12 +188,11 @@
             .collect()
     }
 
-    /// Get the pools of the keys that must not run twice.
+    /// Get the pools that have keys that must not run twice.
     pub(super) fn run_once_pools(&self) -> impl Iterator<Item = &PoolName> {
         self.run_once.keys()
     }
 
-    /// Get the number of keys.
     pub(super) fn len(&self) -> usize {
         self.records.len()
     }
--- a/bergamotswitch-core/src/entry/mod.rs
+++ b/bergamotswitch-core/src/entry/mod.rs
@@ -1,5 +1,5 @@
-//! Provides the entry side: it accepts requests, asks owners for permits,
-//! dispatches, retries and remembers outcomes.
+//! Provides the entry side of a host: it accepts requests, obtains permits from
+//! owners, dispatches, retries and stores outcomes.
 
 mod answer_cache;
 mod attempt;
@@ -33,61 +33,65 @@
 pub use options::{EntryOptions, Fault};
 pub use view::EntryView;
 
-/// A `Submission` is a checked request of a caller, without its body: that
-/// stays with the network crate under the request's id.
+/// A `Submission` is a validated request of a caller without its body, which
+/// the network crate keeps under the request's id.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Submission {
-    /// The client account, authenticated.
+    /// The authenticated client account.
     pub account: AccountName,
-    /// The pool.
+    /// The pool whose targets may run the request.
     pub pool: PoolName,
-    /// How its targets are spoken to.
+    /// The protocol kind of the pool's targets.
     pub kind: PoolKind,
-    /// What the first matching rule says, made stricter by the caller's marks.
+    /// The verdict of the first matching rule, restricted further by the
+    /// caller's request fields.
     pub verdict: Verdict,
-    /// The caller's key.
+    /// The caller's idempotency key.
     pub key: Option<CallerKey>,
-    /// The run that the caller was told to hold its request.
+    /// The host incarnation that holds the request, according to the caller.
     pub holder: Option<HostIncarnation>,
-    /// Whether the caller marked it as a resubmission.
+    /// Whether the caller marked the request as a resubmission.
     pub resubmission: bool,
-    /// The xxh3-128 of path and body: a key must not be used for two.
+    /// The xxh3-128 of path and body, which detects a key that is reused for
+    /// another request.
     pub fingerprint: u128,
     /// The estimated cost.
     pub cost: TokenCost,
-    /// The hashes of the prompt's beginnings.
+    /// The hashes of the prompt's prefixes.
     pub prefixes: Vec<PrefixHash>,
-    /// The time until the answer is of no use.
+    /// The time left until the deadline.
     pub deadline_in: Duration,
-    /// Whether output is passed on as it comes. Once a caller has seen some of
-    /// an answer, another run's output must not follow it.
+    /// Whether output is passed on as it arrives. Output of another run must
+    /// not follow output that the caller has already received.
     pub streaming: bool,
-    /// What bounds it beyond the verdict.
+    /// The limits that apply in addition to the verdict.
     pub options: CallOptions,
 }
 
 impl Submission {
-    /// Get whether a second run would do no harm.
+    /// Get whether a second run is safe.
     pub(crate) fn may_rerun(&self) -> bool {
         self.verdict.idempotent && !self.verdict.dispatch_once
     }
 
-    /// Get whether an earlier copy may have run that this run of the host does
-    /// not know of. Its caller says that it sends it again; and it names no
-    /// run, or it is one of which copies that ran are not remembered.
+    /// Get whether an earlier copy may have run without the knowledge of this
+    /// incarnation. This is so for a resubmission that names no incarnation, or
+    /// that can be rerun safely, as earlier runs of such requests are not
+    /// remembered.
     pub(crate) fn may_have_run_before(&self) -> bool {
         self.resubmission && (self.holder.is_none() || self.may_rerun())
     }
 
-    /// Get the refusal of a submission that a stopping host turns away.
+    /// Get the refusal of a submission that arrives during a shutdown.
     pub fn stopping_refusal(&self) -> Refusal {
         self.refuse(RefusalReason::Stopping)
             .with_retry_after(STOPPING_RETRY_AFTER)
     }
 
-    /// Get the refusal of a submission that this run does not accept. A caller
-    /// that asks for all copies must not be told "not run" for one of them: it
-    /// would send the request anew, and it would run twice.
+    /// Get the refusal of a submission that is not accepted. A resubmission
+    /// asks about all copies of a request, so it must not be answered "not run"
+    /// on account of this copy: the caller would submit the request again and
+    /// it would run twice.
     pub(crate) fn refuse(&self, reason: RefusalReason) -> Refusal {
         match self.may_have_run_before() {
             true => Refusal::may_have_run(reason),
@@ -96,176 +100,179 @@
     }
 }
 
-/// A `SubmitOutcome` is what becomes of a submission at once.
+/// A `SubmitOutcome` is the immediate result of a submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SubmitOutcome {
-    /// It is a new request under this id.
+    /// The submission is a new request with this id.
     Accepted(RequestId),
-    /// It belongs to this request, running or ended; follow its answer.
+    /// The submission belongs to this live or ended request, whose answer it
+    /// gets.
     Attached(RequestId),
-    /// Another run of a host holds it; forward it there.
+    /// Another host incarnation holds the request, which has to be forwarded
+    /// there.
     Forward(HostIncarnation),
-    /// It is refused.
+    /// The submission is refused.
     Refused(Refusal),
 }
 
-/// A `NotSentReason` is why no byte of an attempt was handed to a socket.
+/// A `NotSentReason` is the reason why no byte of an attempt was written to a
+/// socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotSentReason {
-    /// The connection was never established.
+    /// The connection could not be established.
     ConnectFailed,
-    /// The target is leaving or unknown here.
+    /// The target is draining, or unknown to this host.
     TargetUnavailable,
 }
 
-/// An `AttemptEvent` is what the network crate sees of one attempt.
+/// An `AttemptEvent` is an event of one attempt, reported by the network crate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEvent {
-    /// No byte was handed to a socket.
+    /// No byte was written to a socket.
     NotSent(NotSentReason),
-    /// The target's whole answer is a refusal (429 or 503).
+    /// The target answered with a refusal (429 or 503).
     Refused,
-    /// The target's whole answer is an error (other 4xx and 5xx); it is
-    /// passed on if nothing follows.
+    /// The target answered with an error (other 4xx and 5xx), which is passed
+    /// on unless the request is retried.
     Failed,
-    /// The first output token came.
+    /// The first output token arrived.
     FirstToken,
-    /// Output went on; tokens received so far.
+    /// More output arrived; carries the number of tokens received so far.
     Progress(u32),
-    /// The stream goes on over a new connection.
+    /// The stream was resumed over a new connection.
     Resumed,
-    /// The stream has paused for so long that its target may be gone.
+    /// The stream has been idle for so long that its target may have failed.
     Stalled,
-    /// The answer is whole.
+    /// The answer is complete.
     Finished(Usage),
-    /// The connection broke or went silent and the stream was not resumed.
+    /// The connection broke or timed out, and the stream was not resumed.
     Broken(Usage),
 }
 
-/// An `EntryEvent` is one thing that happens to the entry side. Submissions
-/// come through `EntryDispatcher::submit`.
+/// An `EntryEvent` is an event for the entry side. Requests are submitted with
+/// [`EntryDispatcher::submit`] instead.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EntryEvent {
-    /// The last caller that follows a request went away.
+    /// The last caller that followed a request disconnected.
     CallerLeft(RequestId),
-    /// An owner says something.
+    /// An owner sent a reply.
     Reply(HostName, OwnerReply),
-    /// The acting owner of a shard, as this host sees it, has changed. Where
-    /// no candidate is reachable, it is this host, with its own fraction.
+    /// This host's view of the acting owner of a shard changed. If no candidate
+    /// is reachable, this host itself acts as owner of a fraction of the slots.
     OwnerChanged(PoolShard, HostName),
-    /// An attempt makes progress.
+    /// An attempt reported an event.
     Attempt(AttemptId, AttemptEvent),
-    /// The answer of a request in flight is longer than one may be.
+    /// The answer of a request in flight exceeds the size limit.
     AnswerTooLong(RequestId),
-    /// The answer of an ended request takes this memory, in bytes.
+    /// The answer of an ended request uses this memory, in bytes.
     AnswerSize(RequestId, u64),
     /// The published pools changed.
     Pools(Vec<TargetPool>),
-    /// A target is leaving (or back), in this host's own view.
+    /// A target started or stopped draining, in this host's own view.
     TargetLeaving(TargetName, bool),
-    /// A planned stop begins.
+    /// A graceful shutdown begins.
     Stop,
-    /// In a planned stop that may not last, answers have to be whole by then.
+    /// Answers have to be complete by this time, due to the grace period of a
+    /// shutdown.
     FinishBy(Moment),
-    /// The addresses under which callers come have lapsed: no new request is
-    /// taken.
+    /// The address leases of callers have expired: new requests are refused.
     AdmissionClosed,
-    /// In a planned stop, when enough hosts are expected to take callers again;
-    /// none where they do now, or nobody can tell.
+    /// The time at which enough hosts are expected to accept requests again,
+    /// during a shutdown. `None` if enough hosts accept requests now, or if the
+    /// time is unknown.
     HostsAvailableAt(Option<Moment>),
-    /// How many hosts there are, this one among them.
+    /// The number of hosts, including this one, changed.
     Hosts(usize),
-    /// The quotas of client accounts, after a change.
+    /// The quotas of client accounts changed.
     Quotas(Vec<(AccountName, QuotaRate)>),
-    /// The planned stop may not last any longer: everything ends now.
+    /// The grace period of the shutdown is over: all requests end now.
     GraceExpired,
     /// Time has passed.
     Tick,
-    /// The process slept for this long; nothing that it believed is fresh.
+    /// The process was paused for this duration, so its state may be outdated.
     ProcessPaused(Duration),
 }
 
-/// A `Conclusion` is the one final outcome of a request.
+/// A `Conclusion` is the final outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Conclusion {
-    /// The answer is whole.
+    /// The answer is complete.
     Answered,
     /// The target's error is the answer.
     TargetError,
-    /// There is no answer of a target.
+    /// The request is refused without an answer from a target.
     Refused(Refusal),
 }
 
-/// An `EntryAction` is one thing that the entry side wants done.
+/// An `EntryAction` is an action that the entry side requests from its host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EntryAction {
-    /// Send a message to a shard's owner (which may be this host).
+    /// Send a message to a shard's owner, which may be this host.
     Send(HostName, OwnerMessage),
-    /// Dispatch: connect and send the request's body to the target.
+    /// Dispatch an attempt: connect to the target and send the request's body.
     Start {
         /// The attempt.
         attempt: AttemptId,
-        /// The permit; its target is where to.
+        /// The permit, which names the target.
         permit: Permit,
     },
-    /// Stop an attempt and, where asked, cancel it at its target. What it
-    /// delivered is dropped: nobody has seen it, or the request is over.
+    /// Stop an attempt and drop the output that was not passed on.
     Abort {
         /// The attempt.
         attempt: AttemptId,
         /// Whether to cancel the stream at the target.
         cancel: bool,
     },
-    /// Tell the caller the outcome.
+    /// Report the final outcome to the caller.
     Conclude(RequestId, Conclusion),
-    /// Drop the kept answer of an ended request.
+    /// Drop the stored answer of an ended request.
     DropAnswer(RequestId),
-    /// Hand a request over to the run that holds its key.
+    /// Forward a request to the host incarnation that holds its key.
     Forward(RequestId, HostIncarnation),
-    /// Log a numbered event about a request.
+    /// Log an incident of a request.
     LogIncident(Incident, RequestId),
-    /// Count a refusal of a request that was accepted.
+    /// Count the refusal of an accepted request.
     CountRefusal(Tier, RefusalReason),
     /// Count the time from acceptance to the first dispatch.
     CountWait(Tier, Duration),
     /// Count a retry.
     CountRetry(RetryReason),
-    /// Count prompt tokens processed for nothing.
+    /// Count wasted prompt tokens.
     CountWaste(Tier, WasteCause, u32),
-    /// Count what an ended request was: its tier, whether its whole answer
-    /// came within its deadline, and its time to the first token.
+    /// Count an ended request.
     CountEnd {
-        /// The tier.
+        /// The tier of the request.
         tier: Tier,
-        /// Whole and in time.
+        /// Whether the answer was complete before the deadline.
         good: bool,
-        /// From acceptance to the first token.
+        /// The time from acceptance to the first token.
         first_token: Option<Duration>,
     },
-    /// The stop is complete: nothing waits or runs.
+    /// The shutdown is complete: no request waits or runs.
     Stopped,
 }
 
-/// An `OutcomeQuery` names the request whose outcome is asked for.
+/// An `OutcomeQuery` identifies the request whose outcome is queried.
 #[derive(Clone, Debug)]
 pub enum OutcomeQuery {
-    /// By its id.
+    /// Query by request id.
     Id(RequestId),
-    /// By client account and caller's key.
+    /// Query by client account and caller key.
     Key(AccountName, CallerKey),
 }
 
-/// An `OutcomeView` is what this host knows of a request.
+/// An `OutcomeView` is the state of a request as known to this host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OutcomeView {
-    /// It waits for a permit.
+    /// The request waits for a permit.
     Waiting(RequestId),
-    /// It was dispatched and runs.
+    /// The request was dispatched and is running.
     Running(RequestId),
-    /// It ended with a whole answer, which is kept.
+    /// The request ended with an answer, which is stored.
     Answered(RequestId),
-    /// It ended without an answer.
+    /// The request ended without an answer.
     Refused(RequestId, Refusal),
-    /// This run does not know it; the reason is `lost` or `outcome-unknown`.
+    /// The request is not known here; the reason is `lost` or
+    /// `outcome-unknown`.
     Unknown(RefusalReason),
 }
--- a/bergamotswitch-core/src/entry/options.rs
+++ b/bergamotswitch-core/src/entry/options.rs
@@ -6,25 +6,25 @@
 use crate::publication::FleetLimits;
 use crate::retry::RetryRate;
 
-/// The shortest re-ask interval: a shorter one would make the timer spin.
-const MIN_RE_ASK_INTERVAL: Duration = Duration::from_millis(1);
+/// The minimum resend interval, which keeps the timer from spinning.
+const MIN_PERMIT_RESEND_INTERVAL: Duration = Duration::from_millis(1);
 
-/// A `Fault` is a deliberate fault, by which tests show that the oracle of
-/// the stateful fuzzing catches it. No setting leads here.
+/// A `Fault` is an injected fault. Tests use it to show that the oracle of the
+/// stateful fuzzing detects it; no setting enables it.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Run a request again although it was dispatched and must not be.
+    /// Retry a request after a dispatch that must not be repeated.
     RetryAfterDispatch,
-    /// Claim "not run" although a byte was handed to a socket.
+    /// Claim "not run" after a byte was written to a socket.
     NotRunAfterWrite,
-    /// Take the caller's key alone for the identity, without the account.
+    /// Identify a request by its caller key without the client account.
     KeyWithoutAccount,
-    /// Use a permit that came before a pause.
+    /// Use a permit that was granted before a pause.
     PermitAfterPause,
 }
 
-/// An `EntryOptions` sets up an [`EntryDispatcher`](super::EntryDispatcher).
+/// An `EntryOptions` configures an [`EntryDispatcher`](super::EntryDispatcher).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryOptions {
     pub(super) domain: Option<DomainName>,
@@ -46,20 +46,19 @@
         EntryOptions {
             domain: None,
             retry_rate: RetryRate::default(),
-            // Three targets that fail one after the other point to the
-            // request or the pool; a fourth would be wasted prefill.
+            // If three targets fail in a row, the request or the pool is at
+            // fault, and further attempts would only waste prefill.
             attempts_per_request: 3,
             retry_after: Duration::from_secs(1),
-            // A lost permit delays a request by at most this; each waiting
-            // request costs about 200 bytes in each interval.
+            // This is the delay caused by a lost permit.
             permit_resend_interval: Duration::from_secs(2),
-            // A loop that is this late was paused, not merely busy.
+            // A busy event loop is delayed by much less than this.
             max_permit_age: Duration::from_secs(2),
             answer_retention: Duration::from_secs(600),
-            // Small answers need little more than their entry; the bytes bound
-            // the large ones.
+            // This limits small answers, while the limit on bytes applies to
+            // large ones.
             max_kept_answers: 10_000,
-            // A quarter of a host's 256 MB: a thousand answers of 400 tokens.
+            // A quarter of the 256 MB of a host.
             max_kept_bytes: 67_108_864,
             key_retention: Duration::from_secs(86_400),
             max_keys: 100_000,
@@ -69,61 +68,61 @@
 }
 
 impl EntryOptions {
-    /// Set the failure domain in which the host stands.
+    /// Set the failure domain of the host.
     pub fn with_domain(mut self, domain: DomainName) -> Self {
         self.domain = Some(domain);
         self
     }
 
-    /// Set how fast each pool's retry budget fills.
+    /// Set the refill rate of each pool's retry budget.
     pub fn with_retry_rate(mut self, rate: RetryRate) -> Self {
         self.retry_rate = rate;
         self
     }
 
-    /// Set the most dispatches of one request, at least 1.
+    /// Set the maximum number of dispatches of one request, at least 1.
     pub fn with_attempts_per_request(mut self, count: u16) -> Self {
         self.attempts_per_request = count.max(1);
         self
     }
 
-    /// Set when a caller should come back after retries are exhausted.
+    /// Set the retry delay reported to callers when retries are exhausted.
     pub fn with_retry_after(mut self, span: Duration) -> Self {
         self.retry_after = span;
         self
     }
 
-    /// Set after which time an unanswered ask is sent again.
+    /// Set the interval after which an unanswered permit request is sent again.
     pub fn with_permit_resend_interval(mut self, span: Duration) -> Self {
-        self.permit_resend_interval = span.max(MIN_RE_ASK_INTERVAL);
+        self.permit_resend_interval = span.max(MIN_PERMIT_RESEND_INTERVAL);
         self
     }
 
-    /// Set how late the desk may be woken before permits under way are void.
+    /// Set the maximum delay of a tick before permits in transit become void.
     pub fn with_max_permit_age(mut self, span: Duration) -> Self {
         self.max_permit_age = span;
         self
     }
 
-    /// Set how long answers are kept.
+    /// Set how long answers are stored.
     pub fn with_answer_retention(mut self, span: Duration) -> Self {
         self.answer_retention = span;
         self
     }
 
-    /// Set how many answers are kept.
+    /// Set the maximum number of stored answers.
     pub fn with_max_kept_answers(mut self, count: usize) -> Self {
         self.max_kept_answers = count;
         self
     }
 
-    /// Set how many bytes of answers are kept.
+    /// Set the maximum memory used by stored answers, in bytes.
     pub fn with_max_kept_bytes(mut self, bytes: u64) -> Self {
         self.max_kept_bytes = bytes;
         self
     }
 
-    /// Set what the published limits bound.
+    /// Apply the published limits.
     pub fn with_limits(mut self, limits: &FleetLimits) -> Self {
         self.retry_rate.permille = limits.retry_budget_permille as u32;
         self.with_attempts_per_request(limits.max_attempts as u16)
@@ -133,19 +132,20 @@
             .with_max_kept_bytes(limits.kept_answer_bytes)
     }
 
-    /// Set how long a key is remembered after its answer was dropped.
+    /// Set how long a key is kept after its answer was dropped.
     pub fn with_key_retention(mut self, span: Duration) -> Self {
         self.key_retention = span;
         self
     }
 
-    /// Set how many keys are remembered after their answers were dropped.
+    /// Set the maximum number of keys that are kept after their answers were
+    /// dropped.
     pub fn with_max_keys(mut self, count: usize) -> Self {
         self.max_keys = count;
         self
     }
 
-    /// Set a deliberate fault.
+    /// Inject a fault.
     #[doc(hidden)]
     pub fn with_fault(mut self, fault: Fault) -> Self {
         self.fault = Some(fault);
--- a/bergamotswitch-core/src/entry/placement.rs
+++ b/bergamotswitch-core/src/entry/placement.rs
@@ -1,5 +1,5 @@
-//! Provides where a request may run: the shards of the published pools and
-//! the targets that are leaving in this host's view.
+//! Provides the selection of the shard on which a request may run, based on the
+//! published pools and the draining targets.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,16 +9,16 @@
 use crate::rules::Verdict;
 use crate::target::{PoolTarget, TargetName};
 
-/// A `ShardQuery` is what decides the shard at which to ask for a request.
+/// A `ShardQuery` selects the shard for a permit request.
 #[derive(Debug)]
 pub(super) struct ShardQuery<'a> {
     pub(super) pool: &'a PoolName,
     pub(super) verdict: &'a Verdict,
-    /// Targets that the request failed on.
+    /// Targets on which the request failed.
     pub(super) avoid: &'a [TargetName],
-    /// Spreads requests over foreign domains.
+    /// A number that distributes requests over the shards of other domains.
     pub(super) spread: u64,
-    /// The hash of the key, where the request must not run twice.
+    /// The hash of the key, if the request must not run twice.
     pub(super) run_once_key: Option<u128>,
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl PoolMap {
-    /// Get an empty view of a host in this failure domain.
+    /// Get an empty view for a host in this failure domain.
     pub(super) fn new(domain: Option<DomainName>) -> Self {
         PoolMap {
             domain,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Take in the published pools.
+    /// Replace the published pools.
     pub(super) fn set_pools(&mut self, pools: Vec<TargetPool>) {
         self.pools = pools
             .into_iter()
@@ -47,7 +47,7 @@
             .collect();
     }
 
-    /// Note whether a target is leaving.
+    /// Set whether a target is draining.
     pub(super) fn set_leaving(&mut self, target: TargetName, leaving: bool) {
         match leaving {
             true => self.leaving.insert(target),
@@ -55,12 +55,11 @@
         };
     }
 
-    /// Get whether a target is leaving.
     pub(super) fn is_leaving(&self, target: &TargetName) -> bool {
         self.leaving.contains(target)
     }
 
-    /// Get a target's contract; an unknown target promises nothing.
+    /// Get the contract of a target. An unknown target guarantees nothing.
     pub(super) fn contract(&self, pool: &PoolName, target: &TargetName) -> TargetContract {
         let pool = self.pools.get(pool);
         let known = pool.and_then(|pool| pool.targets.iter().find(|each| each.name == *target));
@@ -70,75 +69,68 @@
         }
     }
 
-    /// Get whether a request may still wait at a shard.
+    /// Get whether a request may wait in the queue of a shard.
     pub(super) fn allows(&self, shard: &PoolShard, verdict: &Verdict) -> bool {
         self.shards(&shard.pool, verdict).contains(shard)
     }
 
-    /// Get the shard at which to ask, or `None` where the rule lets the
-    /// request run nowhere.
-    pub(super) fn shard_for(&self, shard_query: &ShardQuery) -> Option<PoolShard> {
-        let shards = self.shards(shard_query.pool, shard_query.verdict);
-        if let Some(home) = self.home_shard(&shards, shard_query) {
+    /// Get the shard for a permit request, or `None` if the rule allows none.
+    pub(super) fn shard_for(&self, query: &ShardQuery) -> Option<PoolShard> {
+        let shards = self.shards(query.pool, query.verdict);
+        if let Some(home) = self.home_shard(&shards, query) {
             return Some(home.clone());
         }
         let usable: Vec<&PoolShard> = shards
             .iter()
-            .filter(|shard| self.has_usable_target(shard, shard_query.avoid))
+            .filter(|shard| self.has_usable_target(shard, query.avoid))
             .collect();
-        let own = usable
+        let local = usable
             .iter()
             .find(|shard| shard.domain.is_some() && shard.domain == self.domain);
-        if let Some(shard) = own {
+        if let Some(shard) = local {
             return Some((*shard).clone());
         }
         if !usable.is_empty() {
-            let index = shard_query.spread % usable.len() as u64;
+            let index = query.spread % usable.len() as u64;
             return Some(usable[index as usize].clone());
         }
-        // Every target failed or leaves: a target that failed before is
-        // better than none.
-        let own = shards.iter().find(|shard| shard.domain == self.domain);
-        own.or(shards.first()).cloned()
+        // Every target failed or is draining. Try a failed target rather than
+        // none.
+        let local = shards.iter().find(|shard| shard.domain == self.domain);
+        local.or(shards.first()).cloned()
     }
 
-    /// Get the shard of a key that must not run twice: the same one at every
-    /// host. Were each host to ask in its own domain, two owners would each
-    /// permit the key once, and an unmarked retry at another host would run it
-    /// twice.
-    fn home_shard<'a>(
-        &self,
-        shards: &'a [PoolShard],
-        shard_query: &ShardQuery,
-    ) -> Option<&'a PoolShard> {
-        let key = shard_query.run_once_key?;
+    /// Get the shard of a key that must not run twice, which is the same on
+    /// every host. If each host used the shard of its own domain, two owners
+    /// would each grant a permit for the key, and an unmarked resubmission at
+    /// another host would run a second time.
+    fn home_shard<'a>(&self, shards: &'a [PoolShard], query: &ShardQuery) -> Option<&'a PoolShard> {
+        let key = query.run_once_key?;
         let count = u128::try_from(shards.len()).ok()?;
         let index = usize::try_from(key.checked_rem(count)?).ok()?;
         let home = shards.get(index)?;
-        self.has_usable_target(home, shard_query.avoid)
-            .then_some(home)
+        self.has_usable_target(home, query.avoid).then_some(home)
     }
 
-    /// Get all shards of a pool.
     pub(super) fn shards_of(&self, name: &PoolName) -> Vec<PoolShard> {
         self.shards_in(name, &[])
     }
 
-    /// Get the shards where a rule lets a request of the pool run.
+    /// Get the shards of a pool on which a rule allows a request to run.
     fn shards(&self, name: &PoolName, verdict: &Verdict) -> Vec<PoolShard> {
         self.shards_in(name, &verdict.domains)
     }
 
-    /// Get the shards of a pool in these failure domains, or in all where
-    /// none is named.
+    /// Get the shards of a pool in the given failure domains, or all shards if
+    /// none is given.
     fn shards_in(&self, name: &PoolName, allowed: &[DomainName]) -> Vec<PoolShard> {
-        let whole = PoolShard {
+        let unsharded = PoolShard {
             pool: name.clone(),
             domain: None,
         };
         let Some(pool) = self.pools.get(name) else {
-            // The pools may not have arrived yet; the owner will know.
-            return vec![whole];
+            // The pools may not have been published yet; the owner decides.
+            return vec![unsharded];
         };
         let allowed = |target: &&PoolTarget| allowed.is_empty() || allowed.contains(&target.domain);
         let domains: BTreeSet<&DomainName> = pool
@@ -156,11 +148,11 @@
                 })
                 .collect(),
             false if domains.is_empty() => Vec::new(),
-            false => vec![whole],
+            false => vec![unsharded],
         }
     }
 
-    /// Get whether a shard has a target that neither failed nor leaves.
+    /// Get whether a shard has a target that neither failed nor is draining.
     fn has_usable_target(&self, shard: &PoolShard, avoid: &[TargetName]) -> bool {
         let Some(pool) = self.pools.get(&shard.pool) else {
             return true;
--- a/bergamotswitch-core/src/entry/quota_use.rs
+++ b/bergamotswitch-core/src/entry/quota_use.rs
@@ -1,5 +1,5 @@
-//! Provides what this host's callers used of their accounts' quotas lately, for
-//! an owner that takes over from one that is silent.
+//! Provides the recent quota usage of this host's callers, which is reported to
+//! an owner that takes over from an unresponsive one.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use crate::pool::PoolShard;
 use crate::pool_owner::QuotaRate;
 
-/// A `QuotaLoad` is what calls of one account used that has not come back.
+/// A `QuotaLoad` is the level of one account's leaky bucket.
 #[derive(Debug)]
 struct QuotaLoad {
     units: f64,
@@ -18,7 +18,7 @@
 }
 
 impl QuotaLoad {
-    /// Let in what has come back since the last time.
+    /// Subtract what has drained since the last update.
     fn drain(&mut self, now: Moment, rate: f64) {
         let span = now.since(self.at).as_secs_f64();
         self.units = (self.units - span * rate).max(0.0);
@@ -26,22 +26,23 @@
     }
 }
 
-/// A `QuotaUse` is what calls of each account used at this host beyond what this
-/// host's share of the account's rate has given back since.
+/// A `QuotaUse` is the quota usage of each account at this host, less what this
+/// host's share of the account's rate has restored since.
 ///
-/// Whatever an owner lets in runs at an entry host. So the uses of all hosts
-/// together are no less than what is missing in the owner's bucket, and tell its
-/// successor how much is left, although the owner is silent.
+/// Every call that an owner admits runs at an entry host. The sum over all
+/// hosts is therefore at least what is missing from the owner's bucket, which
+/// lets a successor restore the bucket without the former owner.
 #[derive(Debug, Default)]
 pub(super) struct QuotaUse {
     rates: HashMap<AccountName, QuotaRate>,
     loads: BTreeMap<PoolShard, HashMap<AccountName, QuotaLoad>>,
-    /// Since when uses are known; what this host's former run let in is not.
+    /// The start of the recorded usage. Calls admitted by an earlier
+    /// incarnation of this host are not included.
     known_since: Option<Moment>,
 }
 
 impl QuotaUse {
-    /// Put other rates in force.
+    /// Replace the quota rates.
     pub(super) fn set_rates(&mut self, now: Moment, rates: Vec<(AccountName, QuotaRate)>) {
         self.rates = rates.into_iter().collect();
         let rates = &self.rates;
@@ -51,7 +52,7 @@
         self.known_since.get_or_insert(now);
     }
 
-    /// Take note of a call that runs, at one of so many hosts.
+    /// Record the usage of a call. The rate is divided by the number of hosts.
     pub(super) fn record(
         &mut self,
         now: Moment,
@@ -72,9 +73,9 @@
         load.units = (load.units + f64::from(units)).min(rate.burst);
     }
 
-    /// Get what a new owner of the shard has to know; `None` before any quota is
-    /// known. Where this host's former run may have let in more, its whole share of
-    /// a bucket counts as used.
+    /// Get the usage to be reported to a new owner of the shard, or `None`
+    /// before any quota is known. While an earlier incarnation of this host may
+    /// have admitted more calls, its whole share of a bucket counts as used.
     pub(super) fn shard_levels(
         &mut self,
         now: Moment,
@@ -106,7 +107,7 @@
 }
 
 impl QuotaRate {
-    /// Get how long an empty bucket takes to fill.
+    /// Get the time in which an empty bucket refills.
     pub(crate) fn fill_time(&self) -> Duration {
         let seconds = self.burst / self.rate.max(f64::MIN_POSITIVE);
         Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
--- a/bergamotswitch-core/src/entry/request_state.rs
+++ b/bergamotswitch-core/src/entry/request_state.rs
@@ -1,26 +1,26 @@
-//! Provides a request's life cycle as typestate: waiting, dispatched, ended.
+//! Provides the life cycle of a request as a typestate: waiting, dispatched,
+//! ended.
 //!
-//! Only a waiting request can yield the claim "not run". Without the types a
-//! refusal after a write would still compile, the caller would send the
-//! request again and it would run twice; one would notice it only in an
-//! engine's request_table.
+//! The claim "not run" is available only for a waiting request. This makes it a
+//! compile error to refuse a request as "not run" after a write, upon which the
+//! caller would submit it again and it would run twice.
 //!
 //! ```compile_fail,E0599
 //! use bergamotswitch_core::entry::request_state::{Dispatched, LiveRequest};
 //! use bergamotswitch_core::refusal::RefusalReason;
 //!
-//! fn lie(request: LiveRequest<Dispatched>) {
-//!     // A dispatched request has no `refuse`: it may have run.
+//! fn refuse(request: LiveRequest<Dispatched>) {
+//!     // A dispatched request has no `refuse`, as it may have run.
 //!     let _ = request.refuse(RefusalReason::Overloaded);
 //! }
 //! ```
 //!
-//! Nor does a proof about one attempt clear an earlier one.
+//! A proof about one attempt does not apply to an earlier one.
 //!
 //! ```compile_fail,E0599
 //! use bergamotswitch_core::entry::request_state::{LiveRequest, NotRunProof, Uncertain};
 //!
-//! fn lie(request: LiveRequest<Uncertain>, proof: NotRunProof) {
+//! fn reset(request: LiveRequest<Uncertain>, proof: NotRunProof) {
 //!     // The proof is about the latest attempt; an earlier one may have run.
 //!     let _ = request.back_to_waiting(proof);
 //! }
@@ -31,35 +31,38 @@
 use crate::refusal::{Refusal, RefusalReason};
 use crate::request::RequestId;
 
-/// The state of a request of which no byte was handed to a socket.
+/// A `Waiting` is the state of a request of which no byte was written to a
+/// socket.
 #[derive(Debug)]
 pub enum Waiting {}
 
-/// The state of a request of which a byte may have reached a target.
+/// A `Dispatched` is the state of a request of which a byte may have reached a
+/// target.
 #[derive(Debug)]
 pub enum Dispatched {}
 
-/// The state of an idempotent request of which an earlier attempt may have
-/// run. A proof about a later attempt says nothing of the earlier one, so no
-/// way leads back to [`Waiting`].
+/// An `Uncertain` is the state of an idempotent request of which an earlier
+/// attempt may have run. A proof about a later attempt does not cover the
+/// earlier one, so there is no transition back to [`Waiting`].
 #[derive(Debug)]
 pub enum Uncertain {}
 
-/// A `LiveRequest` is a request's identity in one state of its life. It is
-/// neither `Clone` nor `Copy`: each request has one.
+/// A `LiveRequest` is the identity of a live request, typed by its state. It is
+/// neither `Clone` nor `Copy`, so each request has exactly one.
 #[derive(Debug)]
 pub struct LiveRequest<State> {
     id: RequestId,
     state: PhantomData<State>,
 }
 
-/// A `NotRunProof` is a target's proof that a dispatched attempt did not run.
-/// It is made only where the contract or the protocol says so.
+/// A `NotRunProof` is a proof that a dispatched attempt did not run, as
+/// guaranteed by the target's contract or by the protocol.
 #[derive(Debug)]
 pub struct NotRunProof(());
 
 impl NotRunProof {
-    /// Get the proof that lies in a refusal, where the contract says so.
+    /// Get the proof from a target's refusal, if its contract guarantees that a
+    /// refused request did not run.
     pub fn of_refusal(contract: &crate::contract::TargetContract) -> Option<Self> {
         match contract.refusal_means_not_run {
             true => Some(NotRunProof(())),
@@ -67,7 +70,7 @@
         }
     }
 
-    /// Get the proof that no byte was handed to a socket.
+    /// Get the proof from the fact that no byte was written to a socket.
     pub fn of_unsent(_reason: super::NotSentReason) -> Self {
         NotRunProof(())
     }
@@ -81,7 +84,7 @@
 }
 
 impl LiveRequest<Waiting> {
-    /// Get a new request.
+    /// Get a new request in the waiting state.
     pub fn accept(id: RequestId) -> Self {
         LiveRequest {
             id,
@@ -89,7 +92,7 @@
         }
     }
 
-    /// Get the request in the state after the decision to dispatch.
+    /// Get the request in the dispatched state.
     pub fn dispatch(self) -> LiveRequest<Dispatched> {
         LiveRequest {
             id: self.id,
@@ -97,25 +100,25 @@
         }
     }
 
-    /// End the request: it was not run.
+    /// End the request with the claim that it did not run.
     pub fn refuse(self, reason: RefusalReason) -> Refusal {
         Refusal::while_waiting(reason)
     }
 }
 
 impl LiveRequest<Dispatched> {
-    /// Get the request back into waiting on a proof that it did not run.
+    /// Get the request in the waiting state, given a proof that it did not run.
     pub fn back_to_waiting(self, _proof: NotRunProof) -> LiveRequest<Waiting> {
         LiveRequest::accept(self.id)
     }
 
-    /// End the request without an answer: it may have run.
+    /// End the request without an answer; it may have run.
     pub fn give_up(self, reason: RefusalReason) -> Refusal {
         Refusal::may_have_run(reason)
     }
 
-    /// Get the request in the state in which another attempt may follow
-    /// although this one may have run.
+    /// Get the request in the state for another attempt after one that may have
+    /// run.
     pub fn rerun(self) -> LiveRequest<Uncertain> {
         LiveRequest {
             id: self.id,
@@ -125,7 +128,7 @@
 }
 
 impl LiveRequest<Uncertain> {
-    /// End the request without an answer: it may have run.
+    /// End the request without an answer; it may have run.
     pub fn give_up(self, reason: RefusalReason) -> Refusal {
         Refusal::may_have_run(reason)
     }
--- a/bergamotswitch-core/src/entry/request_table.rs
+++ b/bergamotswitch-core/src/entry/request_table.rs
@@ -1,4 +1,4 @@
-//! Provides the request_table of live requests, ordered by when they need attention.
+//! Provides the table of live requests, with a timer for each.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,12 +12,13 @@
 use crate::request::{AttemptId, RequestId};
 use crate::target::TargetName;
 
-/// The most doublings of the re-ask interval. Links deliver in order, so an
-/// ask is lost with its link only, and then the owner is announced anew: what
-/// the re-ask repairs is rare, and long queues must not cost traffic.
+/// The maximum number of doublings of the resend interval. Links deliver in
+/// order, so a permit request is lost only with its link, after which the owner
+/// is announced again. A long interval limits the traffic of long queues.
 const MAX_RESEND_DOUBLINGS: u32 = 3;
 
-/// A `RequestRecord` is what is known of a live request apart from its stage.
+/// A `RequestRecord` is the state of a live request that does not depend on its
+/// stage.
 #[derive(Debug)]
 pub(super) struct RequestRecord {
     pub(super) id: RequestId,
@@ -26,22 +27,22 @@
     pub(super) shard: PoolShard,
     pub(super) accepted_at: Moment,
     pub(super) deadline: Moment,
-    /// The number of the current attempt.
+    /// The number of the current attempt, from 0.
     pub(super) attempt: u16,
     pub(super) dispatches: u16,
-    /// The dispatches that reached no target and were paid by a reconnect.
+    /// The dispatches that reached no target and were paid for by a reconnect.
     pub(super) reconnects: u16,
-    /// The dispatches that are not proven not to have run.
+    /// The dispatches that may have run.
     pub(super) runs: u16,
     pub(super) preemptions: u16,
-    /// Targets that this request already failed on.
+    /// Targets on which this request failed.
     pub(super) avoid: Vec<TargetName>,
-    /// Whether a caller follows the answer.
+    /// Whether a caller is waiting for the answer.
     pub(super) followed: bool,
 }
 
 impl RequestRecord {
-    /// Get the name of the current attempt.
+    /// Get the id of the current attempt.
     pub(super) fn attempt_id(&self) -> AttemptId {
         AttemptId {
             request: self.id,
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Get what decides the shard at which to ask.
+    /// Get the query that selects the shard for a permit request.
     pub(super) fn shard_query(&self) -> ShardQuery<'_> {
         ShardQuery {
             pool: &self.submission.pool,
@@ -60,36 +61,36 @@
         }
     }
 
-    /// Note a target that this request should not be sent to again.
+    /// Exclude a target from further attempts of this request.
     pub(super) fn avoid_target(&mut self, target: &TargetName) {
         if !self.avoid.contains(target) {
             self.avoid.push(target.clone());
         }
     }
 
-    /// Get whether a second run would do no harm.
+    /// Get whether a second run is safe.
     pub(super) fn may_rerun(&self) -> bool {
         self.submission.may_rerun()
     }
 
-    /// Get whether work goes on although no caller follows it.
+    /// Get whether the request continues after its caller has disconnected.
     pub(super) fn outlives_caller(&self) -> bool {
         !self.submission.options.ends_with_caller && (self.key.is_some() || !self.may_rerun())
     }
 
-    /// Get whether someone may come back for its answer.
+    /// Get whether a resubmission or query may ask for the answer later.
     pub(super) fn keeps_answer(&self) -> bool {
         !self.submission.options.ends_at_deadline && self.outlives_caller()
     }
 
-    /// Get whether one more target may run it after this one.
+    /// Get whether the limit on runs allows another run after this one.
     pub(super) fn may_run_elsewhere(&self) -> bool {
         let most = self.submission.options.max_runs;
         most.is_none_or(|most| self.runs < most)
     }
 }
 
-/// Get the hash of the key of a submission that must not run twice.
+/// Get the hash of the key of a submission, if it must not run twice.
 pub(super) fn run_once_key(submission: &Submission, key: Option<&KeyId>) -> Option<u128> {
     match submission.may_rerun() {
         true => None,
@@ -97,7 +98,7 @@
     }
 }
 
-/// A `LiveEntry` is one live request.
+/// A `LiveEntry` is one live request with its current stage.
 #[derive(Debug)]
 pub(super) struct LiveEntry {
     pub(super) record: RequestRecord,
@@ -105,7 +106,7 @@
 }
 
 impl LiveEntry {
-    /// Get when the entry needs attention without an event.
+    /// Get the time at which the entry's timer expires.
     fn due(&self, permit_resend_interval: Duration) -> Moment {
         match &self.stage {
             AttemptStage::Waiting(waiting) if waiting.requested_from.is_some() => {
@@ -119,8 +120,8 @@
             AttemptStage::Running(_) if self.record.submission.options.ends_at_deadline => {
                 self.record.deadline
             }
-            // No timer cuts an answer that a caller follows or that must not
-            // be made twice.
+            // An answer that a caller follows, or that must not be produced
+            // twice, is not ended by a timer.
             AttemptStage::Running(_) if self.record.followed => Moment::NEVER,
             AttemptStage::Running(_) if !self.record.may_rerun() => Moment::NEVER,
             AttemptStage::Running(_) => self.record.deadline,
@@ -128,15 +129,15 @@
     }
 }
 
-/// A `RequestTable` holds the live requests. An entry is taken out to be
-/// changed and put back, which keeps the order of due times right.
+/// A `RequestTable` holds the live requests. An entry has to be taken out for a
+/// change and put back, which keeps the timer index consistent.
 #[derive(Debug)]
 pub(super) struct RequestTable {
     entries: BTreeMap<RequestId, LiveEntry>,
     due: BTreeSet<DueEntry>,
     waiting: usize,
-    /// How many live requests each shard has. Counted anew with each event it
-    /// would cost a look at every request.
+    /// The number of live requests of each shard. It is read after every event,
+    /// so it is not computed by iterating over the entries.
     shard_counts: BTreeMap<PoolShard, usize>,
     permit_resend_interval: Duration,
 }
@@ -148,7 +149,6 @@
 }
 
 impl RequestTable {
-    /// Get an empty request_table.
     pub(super) fn new(permit_resend_interval: Duration) -> Self {
         RequestTable {
             entries: BTreeMap::new(),
@@ -159,7 +159,6 @@
         }
     }
 
-    /// Put an entry in.
     pub(super) fn put(&mut self, entry: LiveEntry) {
         let id = entry.record.id;
         let due = entry.due(self.permit_resend_interval);
@@ -171,7 +170,6 @@
         self.entries.insert(id, entry);
     }
 
-    /// Take an entry out.
     pub(super) fn take(&mut self, id: RequestId) -> Option<LiveEntry> {
         let entry = self.entries.remove(&id)?;
         let due = entry.due(self.permit_resend_interval);
@@ -199,12 +197,11 @@
         }
     }
 
-    /// Get the shards with live requests.
     pub(super) fn shards(&self) -> impl Iterator<Item = &PoolShard> {
         self.shard_counts.keys()
     }
 
-    /// Take the entry out whose current attempt this is.
+    /// Take out the entry whose current attempt is `attempt`.
     pub(super) fn take_attempt(&mut self, attempt: AttemptId) -> Option<LiveEntry> {
         let entry = self.entries.get(&attempt.request)?;
         match entry.record.attempt_id() == attempt {
@@ -213,7 +210,7 @@
         }
     }
 
-    /// Take the first entry out that is due at `now`.
+    /// Take out the first entry whose timer has expired at `now`.
     pub(super) fn take_due(&mut self, now: Moment) -> Option<LiveEntry> {
         let mark = *self.due.first()?;
         match mark.due <= now {
@@ -222,22 +219,18 @@
         }
     }
 
-    /// Get an entry.
     pub(super) fn get(&self, id: RequestId) -> Option<&LiveEntry> {
         self.entries.get(&id)
     }
 
-    /// Get the entries.
     pub(super) fn iter(&self) -> impl Iterator<Item = &LiveEntry> {
         self.entries.values()
     }
 
-    /// Get the ids of all requests.
     pub(super) fn ids(&self) -> Vec<RequestId> {
         self.entries.keys().copied().collect()
     }
 
-    /// Get the ids of the requests that wait for a permit.
     pub(super) fn waiting_ids(&self) -> Vec<RequestId> {
         self.entries
             .values()
@@ -246,23 +239,21 @@
             .collect()
     }
 
-    /// Get whether a request waits for a permit.
     pub(super) fn is_waiting(&self, id: RequestId) -> bool {
         let entry = self.entries.get(&id);
         entry.is_some_and(|entry| matches!(entry.stage, AttemptStage::Waiting(_)))
     }
 
-    /// Get whether some request waits for a permit.
+    /// Get whether any request waits for a permit.
     pub(super) fn has_waiting(&self) -> bool {
         self.waiting > 0
     }
 
-    /// Get whether nothing waits or runs.
     pub(super) fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Get when the first entry needs attention.
+    /// Get the time at which the first timer expires.
     pub(super) fn next_due(&self) -> Moment {
         match self.due.first() {
             Some(mark) => mark.due,
--- a/bergamotswitch-core/src/entry/run_durations.rs
+++ b/bergamotswitch-core/src/entry/run_durations.rs
@@ -1,5 +1,5 @@
-//! Provides how long recent runs took, by rule, and how long another one may
-//! take.
+//! Provides the durations of recent runs by rule, and an upper bound for the
+//! next run.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -7,69 +7,69 @@
 use super::Submission;
 use crate::rules::RuleName;
 
-/// How many runs of a rule are remembered: a host that serves ten a second
-/// follows a change of its targets within some seconds.
+/// The number of recent runs that are kept per rule. It is small enough to
+/// adapt within seconds to a change of the targets.
 const WINDOW: usize = 64;
 
-/// The least runs that tell anything: the longest of fewer is shorter than one
-/// run in ten.
+/// The minimum number of runs for an estimate. With fewer samples, one run in
+/// ten would exceed the longest sample.
 const MIN_SAMPLES: usize = 16;
 
-/// Guesses are similar that are at least so large a part of each other: callers
-/// are right about short answers and wrong about long ones.
+/// The ratio up to which two output estimates count as similar. Callers
+/// estimate short answers well and long ones badly.
 const SIMILARITY_DIVISOR: u32 = 2;
 
-/// The most rules that are remembered; beyond, all begin anew. A fleet has some
-/// hundred.
+/// The maximum number of rules. All records are dropped when it is exceeded.
 const MAX_RULES: usize = 2_048;
 
-/// How many times the longest of recent runs is taken for a bound where a call
-/// tells nothing of its own length: lengths vary hundredfold.
+/// The safety factor on the longest recent run, for calls without an estimate
+/// of their output. Durations vary by orders of magnitude.
 const DURATION_FACTOR: u32 = 4;
 
-/// How many times the longest of recent times to the first piece is taken for a
-/// bound: it is a target's queue and prompt, whatever the call says of its answer.
+/// The safety factor on the longest recent time to the first chunk, which
+/// depends on the target's queue and the prompt, and not on the length of the
+/// answer.
 const FIRST_CHUNK_FACTOR: u32 = 3;
 
-/// How many times the most chunks of recent runs, for the output that was guessed,
-/// are taken for a bound.
+/// The safety factor on the largest recent ratio of chunks to expected output.
 const CHUNK_FACTOR: f64 = 2.0;
 
-/// The least output that is told apart, in tokens: of smaller guesses the runs
-/// take as many chunks.
+/// The smallest output estimate that is distinguished, in tokens. Runs with
+/// smaller estimates produce as many chunks.
 const MIN_EXPECTED_OUTPUT: u32 = 16;
 
-/// The least chunks from which a run tells its pace: fewer come in one burst.
+/// The minimum number of chunks of a run from which a chunk interval is
+/// derived. Fewer chunks arrive in one burst.
 const MIN_PACE_CHUNKS: u32 = 4;
 
-/// The least runs from which the pace of the next one is told.
+/// The minimum number of runs with a chunk interval for an estimate by chunks.
 const MIN_PACE_RUNS: usize = 4;
 
-/// How old the count of chunks of a run under way may be: targets' answers
-/// report it as often.
+/// The maximum age of the chunk count of a current run; it matches the interval
+/// at which progress is reported.
 const CHUNK_COUNT_MAX_AGE: Duration = Duration::from_millis(200);
 
-/// A `RunTiming` is how long a run took, or has taken so far.
+/// A `RunTiming` is the timing of an ended or current run.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RunTiming {
     pub(super) elapsed: Duration,
-    /// To its first piece; all of it where none has come.
+    /// The time to the first chunk, or the elapsed time if there is none.
     pub(super) first_chunk: Duration,
-    /// The chunks of its answer.
+    /// The number of chunks of the answer.
     pub(super) chunks: u32,
-    /// The output that it was thought to need, in tokens.
+    /// The estimated output, in tokens.
     pub(super) expected_output: u32,
 }
 
 impl RunTiming {
-    /// Get the time for each piece after the first, where there were enough.
+    /// Get the mean interval between chunks, or `None` for too few chunks.
     fn chunk_interval(&self) -> Option<Duration> {
         let rest = self.elapsed.saturating_sub(self.first_chunk);
         (self.chunks >= MIN_PACE_CHUNKS).then(|| rest / (self.chunks - 1))
     }
 
-    /// Get the least time for each piece of a run under way, whose chunks of the
-    /// last moment are not counted yet.
+    /// Get a lower bound for the chunk interval of a current run, whose chunk
+    /// count may be slightly outdated.
     fn min_chunk_interval(&self) -> Duration {
         let rest = self
             .elapsed
@@ -77,13 +77,13 @@
         rest / self.chunks.max(1)
     }
 
-    /// Get its chunks for each token that was thought of.
+    /// Get the ratio of chunks to expected output tokens.
     fn chunks_per_token(&self) -> f64 {
         f64::from(self.chunks) / f64::from(self.expected_output.max(MIN_EXPECTED_OUTPUT))
     }
 }
 
-/// A `OutputEstimate` is what a call says of its output, in tokens.
+/// An `OutputEstimate` is a call's estimate of its output, in tokens.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OutputEstimate {
     expected: u32,
@@ -91,7 +91,6 @@
 }
 
 impl OutputEstimate {
-    /// Get the estimate of a submission.
     pub(super) fn of(submission: &Submission) -> Self {
         OutputEstimate {
             expected: submission.cost.decode,
@@ -99,21 +98,23 @@
         }
     }
 
-    /// Get the most output where it is told apart from the expected one; else
-    /// nothing says how long this answer will be among the others.
+    /// Get the maximum output, if it differs from the expected output. If they
+    /// are equal, the expected output was not stated separately and says
+    /// nothing about the length of the answer.
     fn distinct_max(self) -> Option<u32> {
         self.most.filter(|most| *most > self.expected)
     }
 }
 
-/// A `RunDurations` is how long recent runs took, from dispatch to their end.
+/// A `RunDurations` holds the timings of recent runs by rule, from dispatch to
+/// the end of the run.
 #[derive(Debug, Default)]
 pub(super) struct RunDurations {
     recent: HashMap<RuleName, VecDeque<RunTiming>>,
 }
 
 impl RunDurations {
-    /// Take in how long a run took to its whole answer.
+    /// Record a run with a complete answer.
     pub(super) fn record(&mut self, rule: &RuleName, run: RunTiming) {
         let Some(runs) = self.recent.get_mut(rule) else {
             if self.recent.len() >= MAX_RULES {
@@ -128,9 +129,9 @@
         runs.push_back(run);
     }
 
-    /// Take in how long a run had taken when it was broken off. It tells of a
-    /// longer run, or nothing: failures that come at once would otherwise fill
-    /// the window and push the whole runs out.
+    /// Record a run that was aborted or failed, if it lasted longer than all
+    /// recent runs. A burst of early failures would otherwise displace the
+    /// complete runs.
     pub(super) fn record_aborted(&mut self, rule: &RuleName, run: RunTiming) {
         let runs = self.recent.get(rule).into_iter().flatten();
         let longest = runs.map(|run| run.elapsed).max();
@@ -139,8 +140,9 @@
         }
     }
 
-    /// Get how long a run of a call may take beside those under way: targets
-    /// that have just become slow end none. `None` where too few runs were seen.
+    /// Get an upper bound for the duration of a run, or `None` if too few runs
+    /// were recorded. Current runs are taken into account because targets that
+    /// have just become slow complete none.
     pub(super) fn bound(
         &self,
         rule: &RuleName,
@@ -158,12 +160,11 @@
     }
 }
 
-/// Get the bound of a call that tells its expected output: its chunks, at the
-/// slowest pace. Lengths vary hundredfold, pace and what comes of guesses hardly;
-/// without it all work of a rule would be taken for as long as its longest.
-/// Where few guesses as large as this one were put to the test, the most that it
-/// may make is its bound: a host that had seen short answers alone would take a
-/// long one for what its caller thinks, and cut it.
+/// Get the bound for a call with an output estimate: the expected number of
+/// chunks at the largest recent chunk interval. Unlike durations, chunk
+/// intervals and the errors of estimates vary little within a rule. If too few
+/// runs had a similar estimate, the maximum output is used instead, as errors
+/// of small estimates don't apply to large ones.
 fn chunk_bound(
     runs: &VecDeque<RunTiming>,
     in_flight: &[RunTiming],
@@ -174,11 +175,11 @@
     if ended.len() < MIN_PACE_RUNS {
         return None;
     }
-    let so_far = in_flight.iter().map(RunTiming::min_chunk_interval);
-    let pace = ended.into_iter().chain(so_far).max()?;
+    let current = in_flight.iter().map(RunTiming::min_chunk_interval);
+    let pace = ended.into_iter().chain(current).max()?;
     let all = || runs.iter().chain(in_flight);
     let first = all().map(|run| run.first_chunk).max()?;
-    // Each piece holds a token or more.
+    // Each chunk holds at least one token.
     let most = f64::from(most);
     let chunks = match has_similar(runs, expected) {
         true => {
@@ -191,17 +192,17 @@
     Some(first * FIRST_CHUNK_FACTOR + pace.mul_f64(chunks))
 }
 
-/// Get whether enough guesses about as large as this one, or larger, were put to
-/// the test.
+/// Get whether enough recent runs had an estimate about as large as this one,
+/// or larger.
 fn has_similar(runs: &VecDeque<RunTiming>, expected: u32) -> bool {
     let least = expected.max(MIN_EXPECTED_OUTPUT) / SIMILARITY_DIVISOR;
     let similar = runs.iter().filter(|run| run.expected_output >= least);
     similar.count() >= MIN_SAMPLES
 }
 
-/// Get the bound of any call. One that is thought to need more output than all
-/// recent runs is as many times longer: a host that had seen short answers alone
-/// would otherwise take an answer thirty times as long for one of these, and cut it.
+/// Get the bound for a call without a usable output estimate. It is scaled up
+/// if the call expects more output than all recent runs, so that a long answer
+/// is not mistaken for a short one.
 fn duration_bound(runs: &VecDeque<RunTiming>, in_flight: &[RunTiming], expected: u32) -> Duration {
     let longest = runs.iter().map(|run| run.elapsed).max().unwrap_or_default();
     let most = runs
@@ -209,7 +210,7 @@
         .map(|run| run.expected_output)
         .max()
         .unwrap_or(0);
-    let chunks_per_token = (f64::from(expected) / f64::from(most.max(1))).max(1.0);
+    let scale = (f64::from(expected) / f64::from(most.max(1))).max(1.0);
     let ages = in_flight.iter().map(|run| run.elapsed);
-    ages.fold(longest.mul_f64(chunks_per_token), Duration::max) * DURATION_FACTOR
+    ages.fold(longest.mul_f64(scale), Duration::max) * DURATION_FACTOR
 }
--- a/bergamotswitch-core/src/entry/view.rs
+++ b/bergamotswitch-core/src/entry/view.rs
@@ -1,21 +1,21 @@
-//! Provides the entry side's view of itself for operators.
+//! Provides the status of the entry side for operators.
 
 use serde::Serialize;
 
 use crate::rules::{GATEWAY_TIER_COUNT, Tier};
 
-/// A `EntryView` is what an entry desk holds now.
+/// An `EntryView` is the current status of an entry dispatcher.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct EntryView {
     /// Requests that wait for a permit, by tier.
     pub waiting: [u32; GATEWAY_TIER_COUNT],
     /// Requests in flight, by tier.
     pub running: [u32; GATEWAY_TIER_COUNT],
-    /// Outcomes kept for resubmissions and questions.
+    /// Outcomes stored for resubmissions and queries.
     pub kept_answers: usize,
-    /// The memory of their answers, in bytes.
+    /// Memory used by the stored answers, in bytes.
     pub kept_answer_bytes: u64,
-    /// Callers' keys remembered.
+    /// Caller keys in the key store.
     pub known_keys: usize,
     /// Requests accepted since the start.
     pub accepted: u64,
@@ -23,7 +23,7 @@
     pub dispatched: u64,
     /// Attempts that followed another one, since the start.
     pub retried: u64,
-    /// Whether a planned stop is under way.
+    /// Whether a graceful shutdown is in progress.
     pub stopping: bool,
 }
 
@@ -37,8 +37,8 @@
     }
 }
 
-/// A checked rule never names a tier beyond the last; a clamp keeps a view
-/// from ending the process where one does.
+/// Get the index of a tier. A validated rule never names a tier beyond the last
+/// one; clamping avoids a panic if one does.
 fn tier_index(tier: Tier) -> usize {
     usize::from(tier.0).min(GATEWAY_TIER_COUNT - 1)
 }
--- a/bergamotswitch-core/src/refusal.rs
+++ b/bergamotswitch-core/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Provides refusals and retries by reason; each reason has a counter.
+//! Provides the reasons of refusals and retries, each with its own counter.
 
 use std::fmt;
 use std::time::Duration;
@@ -14,10 +14,10 @@
         }
 
         impl $name {
-            /// Every reason.
+            /// All reasons in declaration order.
             pub const ALL: &'static [$name] = &[$($name::$variant,)*];
 
-            /// Get the reason's code, as in answers, logs and metrics.
+            /// Get the code used in answers, logs and metrics.
             pub const fn as_str(self) -> &'static str {
                 match self {
                     $($name::$variant => $text,)*
@@ -34,99 +34,105 @@
 }
 
 reasons! {
-    /// A `RefusalReason` is why a request gets no answer of a target.
+    /// A `RefusalReason` is the reason why a request gets no answer from a
+    /// target.
     RefusalReason {
         /// The body or a field is malformed.
         BadRequest = "bad-request",
         /// The body is larger than allowed.
         TooLarge = "too-large",
-        /// The bearer key belongs to no client account.
+        /// The API key belongs to no client account.
         UnknownAccount = "unknown-account",
-        /// No pool has the name.
+        /// No pool has this name.
         UnknownPool = "unknown-pool",
         /// No rule matches.
         NoRule = "no-rule",
-        /// No allowed target exists where the rule lets the request run.
+        /// The pool has no target on which the rule allows the request to run.
         NoTarget = "no-target",
-        /// The deadline lies in the past, passed while the request waited, or
+        /// The deadline is in the past, passed while the request waited, or
         /// left too little time for a run.
         DeadlinePassed = "deadline-passed",
-        /// Shed: the fleet keeps only work of this tier or higher ones.
+        /// Load shedding: the fleet accepts only requests of this tier or
+        /// higher.
         Overloaded = "overloaded",
-        /// Shed for work of a higher tier.
+        /// The request was shed in favor of a higher tier.
         ShedForHigherTier = "shed-for-higher-tier",
-        /// The retry budget or the request's bound is used up.
+        /// The retry budget or the maximum number of attempts is exhausted.
         RetriesExhausted = "retries-exhausted",
         /// The target failed after dispatch and no second run is allowed.
         TargetFailed = "target-failed",
-        /// The answer broke off and could not be resumed.
+        /// The answer was interrupted and could not be resumed.
         AnswerTruncated = "answer-truncated",
-        /// The accepting run of the host is gone; the request may have run.
+        /// The host incarnation that accepted the request has ended; the
+        /// request may have run.
         Lost = "lost",
-        /// What became of the key is no longer, or not yet, known.
+        /// The outcome for the key is no longer known, or not yet.
         OutcomeUnknown = "outcome-unknown",
-        /// The same key is used for another request.
+        /// The key was already used for a different request.
         KeyReused = "key-reused",
         /// The host is stopping.
         Stopping = "stopping",
         /// The host has no valid configuration yet.
         NotReady = "not-ready",
-        /// The caller went away before dispatch.
+        /// The caller disconnected.
         CallerLeft = "caller-left",
-        /// The client account has used up its quota.
+        /// The quota of the client account is exhausted.
         OverQuota = "over-quota",
-        /// No route leads anywhere from this host name and path.
+        /// No route matches the host name and path.
         NoRoute = "no-route",
-        /// It is not known any more whether the caller's key still holds.
+        /// It is currently unknown whether the API key of the caller is still
+        /// valid.
         KeyUnconfirmed = "key-unconfirmed",
     }
 }
 
 reasons! {
-    /// A `RetryReason` is why an attempt follows another one.
+    /// A `RetryReason` is the reason why another attempt follows.
     RetryReason {
-        /// The connection was never established.
+        /// The connection could not be established.
         ConnectFailed = "connect-failed",
-        /// The target refused, and its contract says that it did not run.
+        /// The target refused the request and its contract guarantees that a
+        /// refused request did not run.
         TargetRefused = "target-refused",
-        /// The permit came too late or its target is leaving.
+        /// The permit expired or its target is draining.
         PermitVoid = "permit-void",
-        /// The request is idempotent and its connection broke.
+        /// The connection broke and the request is idempotent.
         ConnectionBroke = "connection-broke",
-        /// The request is idempotent and its target answered with an error.
+        /// The target answered with an error and the request is idempotent.
         TargetError = "target-error",
-        /// The request is idempotent and its stream was stopped for a higher tier.
+        /// The stream was preempted by a higher tier and the request is
+        /// idempotent.
         Preempted = "preempted",
     }
 }
 
 reasons! {
-    /// A `WasteCause` is why prompt tokens were processed for nothing.
+    /// A `WasteCause` is the reason why prompt tokens were processed in vain.
     WasteCause {
-        /// The attempt was followed by another one.
+        /// The request was retried.
         Retry = "retry",
-        /// The stream was stopped for work of a higher tier.
+        /// The stream was preempted by a higher tier.
         Preemption = "preemption",
-        /// The caller went away.
+        /// The caller disconnected.
         CallerLeft = "caller-left",
-        /// The answer came after the deadline.
+        /// The answer was completed after the deadline.
         Late = "late",
-        /// The attempt failed and nothing followed.
+        /// The attempt failed and was not retried.
         Failed = "failed",
     }
 }
 
-/// A `RunClaim` is what the system says about whether a refused request ran.
+/// A `RunClaim` states whether a refused request may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunClaim {
-    /// It was not run, and never will be.
+    /// The request did not run and never will.
     NotRun,
-    /// It may have been run.
+    /// The request may have run.
     Unknown,
 }
 
 impl RunClaim {
-    /// Get the word that answers carry in `ran`.
+    /// Get the value of the `ran` field in answers.
     pub const fn as_str(self) -> &'static str {
         match self {
             RunClaim::NotRun => "no",
@@ -135,9 +141,9 @@
     }
 }
 
-/// A `Refusal` is a final answer without a target's answer. The claim "not
-/// run" can only be made before a request exists or from one that waits:
-/// see [`crate::entry::request_state`].
+/// A `Refusal` is the final answer to a request that got none from a target.
+/// The claim "not run" is available only before acceptance or for a waiting
+/// request, see [`crate::entry::request_state`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
     reason: RefusalReason,
@@ -146,7 +152,7 @@
 }
 
 impl Refusal {
-    /// Get the refusal of an input that never became a request.
+    /// Get the refusal of an input that was not accepted as a request.
     pub fn before_acceptance(reason: RefusalReason) -> Self {
         Refusal {
             reason,
@@ -155,7 +161,7 @@
         }
     }
 
-    /// Get a refusal that leaves open whether the request ran.
+    /// Get a refusal that does not rule out that the request ran.
     pub fn may_have_run(reason: RefusalReason) -> Self {
         Refusal {
             reason,
@@ -164,18 +170,18 @@
         }
     }
 
-    /// Get the refusal of a request that waits.
+    /// Get the refusal of a waiting request.
     pub(crate) fn while_waiting(reason: RefusalReason) -> Self {
         Refusal::before_acceptance(reason)
     }
 
-    /// Leave open whether the request ran.
+    /// Change the claim so that it does not rule out that the request ran.
     pub(crate) fn with_unknown_run(mut self) -> Self {
         self.claim = RunClaim::Unknown;
         self
     }
 
-    /// Set when the caller should come back.
+    /// Set the delay after which the caller should retry.
     pub fn with_retry_after(mut self, span: Duration) -> Self {
         self.retry_after = Some(span);
         self
@@ -186,12 +192,12 @@
         self.reason
     }
 
-    /// Get what is claimed about the run.
+    /// Get the claim about the run.
     pub fn claim(&self) -> RunClaim {
         self.claim
     }
 
-    /// Get when the caller should come back.
+    /// Get the delay after which the caller should retry.
     pub fn retry_after(&self) -> Option<Duration> {
         self.retry_after
     }
--- a/bergamotswitch-core/src/request.rs
+++ b/bergamotswitch-core/src/request.rs
@@ -1,4 +1,4 @@
-//! Provides a request's identity, cost and life cycle.
+//! Provides the identity, the caller key and the cost estimate of a request.
 
 use std::fmt;
 
@@ -6,13 +6,13 @@
 
 use crate::host::Incarnation;
 
-/// A `RequestId` names a request by the run of the host that accepted it.
-/// Only that run may ever dispatch it.
+/// A `RequestId` identifies a request by the host incarnation that accepted it.
+/// Only that incarnation may dispatch it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId {
     /// The accepting host's incarnation.
     pub incarnation: Incarnation,
-    /// The number of the request at that host.
+    /// The sequence number of the request at that host.
     pub sequence: u64,
 }
 
@@ -22,8 +22,8 @@
     }
 }
 
-/// An `AttemptId` names one attempt to run a request: one ask, at most one
-/// permit, at most one dispatch.
+/// An `AttemptId` identifies one attempt to run a request, which has one permit
+/// request, at most one permit and at most one dispatch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
     /// The request.
@@ -38,16 +38,16 @@
     }
 }
 
-/// The longest caller's key in bytes.
+/// The maximum length of a caller key in bytes.
 pub const MAX_KEY_LEN: usize = 128;
 
-/// A `CallerKey` is the caller's own name for a request, unique inside its
-/// client account; the HTTP field is `Idempotency-Key`.
+/// A `CallerKey` is an idempotency key chosen by the caller, unique within its
+/// client account. The HTTP field is `Idempotency-Key`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct CallerKey(String);
 
-/// A `KeyError` is the reason why a text is no caller's key.
+/// A `KeyError` is the error for a text that is not a valid caller key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyError;
 
@@ -84,8 +84,8 @@
     }
 }
 
-/// A `TokenCost` is an estimate of what a request costs an engine, in tokens.
-/// A plain call costs one prompt token and one output token.
+/// A `TokenCost` is the estimated cost of a request, in tokens. A plain call
+/// costs one prompt token and one output token.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenCost {
     /// Prompt tokens.
@@ -95,20 +95,20 @@
 }
 
 impl TokenCost {
-    /// Get the sum of both.
+    /// Get the total number of tokens.
     pub fn total(self) -> u64 {
         u64::from(self.prefill) + u64::from(self.decode)
     }
 }
 
-/// A `PrefixHash` is the xxh3 of a prompt's beginning up to a block's end; a
-/// request carries one for each block, shortest first.
+/// A `PrefixHash` is the xxh3 of a prompt up to the end of a block. A request
+/// carries one for each block, shortest prefix first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PrefixHash(pub u64);
 
-/// The bytes of prompt text that one prefix block spans.
+/// The size of a prefix block in bytes of prompt text.
 pub const PREFIX_BLOCK_BYTES: usize = 1024;
 
-/// The most prefix hashes that an ask carries. Later blocks of a longer
-/// prompt are not hashed: 16 hashes are 128 bytes on the wire.
+/// The maximum number of prefix hashes in a permit request. Further blocks of a
+/// longer prompt are not hashed.
 pub const MAX_PREFIX_HASHES: usize = 16;
--- a/bergamotswitch-core/src/retry.rs
+++ b/bergamotswitch-core/src/retry.rs
@@ -1,48 +1,48 @@
-//! Provides the retry budget: a bound on how much load retries add.
+//! Provides the retry budget, which limits the load added by retries.
 
 use std::time::Duration;
 
 use crate::clock::Moment;
 
-/// Thousandths of one retry; whole numbers keep the budget exact.
+/// One retry in thousandths, the unit of the budget. Integers keep it exact.
 const ONE_RETRY: u64 = 1_000;
 
-/// What may be saved up for each first attempt of the last window: one part in
-/// so many of what it earned. What is spent in a window is a third more than
-/// what is earned in it at most.
+/// The divisor of what the first attempts of the last window earned, up to
+/// which a budget may save. This limits the retries of a window to a third more
+/// than is earned in it.
 const SAVED_DIVISOR: u64 = 3;
 
-/// The parts of a host's share of the slack: two may be saved up, one comes in
-/// each window, and a new process begins with one, or with one whole retry.
+/// The number of parts of a host's share of the slack: two may be saved, one is
+/// refilled in each window, and a new process starts with one, or with one
+/// retry if that is more.
 const SHARE_PARTS: u64 = 4;
 const SAVED_SHARE: u64 = 2;
 
-/// The most that a host's share of the slack may be, in thousandths. Alone in
-/// its own view at first, a host would take the whole slack for its share.
+/// The maximum share of the slack per host, in thousandths. A host that has not
+/// discovered the others yet would otherwise take the whole slack.
 const MAX_SHARE: u64 = 8 * ONE_RETRY;
 
-/// The most reconnects that are saved up: a host meets the dead targets of a
-/// large pool one after the other, and no host needs to meet all of them.
+/// The maximum number of saved reconnects. A host does not need to connect to
+/// every failed target of a large pool.
 const MAX_RECONNECTS: u32 = 32;
 
-/// The parts of a window in which first attempts are counted.
+/// The number of slots into which a window is divided for counting.
 const SLOTS: usize = 10;
 
-/// A `RetryRate` says how fast a budget fills.
+/// A `RetryRate` is the refill rate of a retry budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryRate {
     /// Retries earned by each first attempt, in thousandths.
     pub permille: u32,
-    /// Retries that all hosts together may make beyond those in one window.
+    /// Additional retries that all hosts together may make in one window.
     pub slack: u32,
-    /// The window.
+    /// The length of the window.
     pub window: Duration,
 }
 
 impl Default for RetryRate {
-    /// One retry in ten first attempts: enough for single failing targets,
-    /// and a pool that is wholly down sees a tenth more load, not a multiple.
-    /// The slack lets each of eight hosts save up three more.
+    /// One retry for ten first attempts covers single failing targets, and
+    /// limits the additional load on a pool that is down to a tenth.
     fn default() -> Self {
         RetryRate {
             permille: 100,
@@ -52,12 +52,12 @@
     }
 }
 
-/// A `RecentCount` is how many first attempts there were in the last window.
-/// It leaves out a part of the window rather than count more than that.
+/// A `RecentCount` is a sliding count of the first attempts in the last window.
+/// It omits the oldest part of the window rather than exceed it.
 #[derive(Clone, Debug, Default)]
 struct RecentCount {
     slots: [u32; SLOTS],
-    /// The number of the newest slot since the clock's start.
+    /// The number of the newest slot, counted from the start of the clock.
     newest: u64,
 }
 
@@ -83,21 +83,19 @@
     }
 }
 
-/// A `RetryBudget` is one host's part of a pool's retries. Without it, every
-/// request to a pool that is down would be tried several times, and the load
-/// would keep the pool down; one would notice it as attempts that far exceed
-/// requests.
+/// A `RetryBudget` is one host's share of the retries of a pool. It prevents
+/// retry storms, in which a pool that is down is kept down by the load of
+/// retries.
 ///
-/// What all hosts together retry in a window follows from what they saved up
-/// before it and earn in it. So a host may save up its share of the slack and a
-/// part of what it earned lately; a constant for each host would grow with the
-/// fleet.
+/// The number of retries of all hosts in a window follows from what they saved
+/// before it and what they earn in it. A host may therefore save only its share
+/// of the slack and a part of what it earned recently. A constant limit per
+/// host would grow with the fleet.
 ///
-/// An attempt that reached no target has put no load on any. Where it cost a
-/// retry, a few dead targets would use up the retries of a pool whose other
-/// targets stand idle, and one would see refusals of requests that nobody ran.
-/// So answers that begin earn reconnects, which are spent first: a pool that
-/// answers nobody earns none.
+/// An attempt that reached no target put no load on any. If it cost a retry, a
+/// few failed targets could exhaust the retries of a pool whose other targets
+/// are idle. Answers that begin therefore earn reconnects, which are spent
+/// first. A pool without answers earns none.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     rate: RetryRate,
@@ -109,7 +107,7 @@
 }
 
 impl RetryBudget {
-    /// Get the budget of one of so many hosts.
+    /// Get the budget of one of `hosts` hosts.
     pub fn new(rate: RetryRate, hosts: usize, now: Moment) -> Self {
         let mut budget = RetryBudget {
             rate,
@@ -119,31 +117,31 @@
             refilled_at: now,
             recent: RecentCount::default(),
         };
-        // Less than a whole retry would be none: on a large fleet the first
-        // failure after each start would be its caller's.
+        // A fraction of a retry could not be spent, so on a large fleet the
+        // first failure after each start would not be retried.
         let initial = (budget.share() / SHARE_PARTS).max(ONE_RETRY);
         budget.saved = initial.min(budget.saved_share());
         budget
     }
 
-    /// Put another rate in force; what was saved stays, as far as it allows.
+    /// Set the rate. Savings are kept as far as the new rate allows.
     pub fn set_rate(&mut self, rate: RetryRate) {
         self.rate = rate;
     }
 
-    /// Share the slack among so many hosts from now on.
+    /// Set the number of hosts that share the slack.
     pub fn set_hosts(&mut self, hosts: usize) {
         self.hosts = hosts.max(1) as u64;
     }
 
-    /// Earn the fraction of one first attempt.
+    /// Earn the fraction of a retry that belongs to one first attempt.
     pub fn earn(&mut self, now: Moment) {
         self.refill(now);
         self.recent.record();
         self.add(u64::from(self.rate.permille));
     }
 
-    /// Try to spend one retry; get whether there was one.
+    /// Try to spend one retry and get whether one was left.
     pub fn try_spend(&mut self, now: Moment) -> bool {
         self.refill(now);
         if self.saved < ONE_RETRY {
@@ -153,19 +151,19 @@
         true
     }
 
-    /// Earn a reconnect by an answer.
+    /// Earn one reconnect for an answer that begins.
     pub fn earn_reconnect(&mut self) {
         self.reconnects = (self.reconnects + 1).min(MAX_RECONNECTS);
     }
 
-    /// Try to spend one reconnect; get whether there was one.
+    /// Try to spend one reconnect and get whether one was left.
     pub fn try_reconnect(&mut self) -> bool {
         let had_one = self.reconnects > 0;
         self.reconnects = self.reconnects.saturating_sub(1);
         had_one
     }
 
-    /// Get the whole retries left.
+    /// Get the number of whole retries left.
     pub fn left(&self) -> u64 {
         self.saved / ONE_RETRY
     }
@@ -176,7 +174,7 @@
         share.min(MAX_SHARE)
     }
 
-    /// Get what may be saved up of this host's share, in thousandths.
+    /// Get the part of the share that may be saved, in thousandths.
     fn saved_share(&self) -> u64 {
         self.share() * SAVED_SHARE / SHARE_PARTS
     }
@@ -187,15 +185,15 @@
         self.saved = (self.saved + thousandths).min(most);
     }
 
-    /// Let in what time gives back, so that a quiet pool's failures can be
-    /// retried, and drop what may not be kept any longer.
+    /// Add what is refilled over time, so that failures of a pool with little
+    /// traffic can be retried, and drop savings above the limit.
     fn refill(&mut self, now: Moment) {
         self.recent.advance(now, self.rate.window);
         let window = self.rate.window.as_micros().max(1);
         let span = now.since(self.refilled_at).as_micros();
         let part = u128::from(self.share() / SHARE_PARTS);
         let gain = u64::try_from(span * part / window).unwrap_or(u64::MAX / 2);
-        // What is less than a thousandth waits until it is one.
+        // A gain of less than a thousandth is carried over.
         if gain > 0 {
             self.refilled_at = now;
         }
