--- a/bergamotswitch-core/src/entry/dispatcher/mod.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/mod.rs
@@ -138,7 +138,9 @@
                 self.pools.set_pools(pools);
                 self.reassign_waiting(now, &mut actions);
             }
-            EntryEvent::TargetLeaving(target, leaving) => self.pools.set_leaving(target, leaving),
+            EntryEvent::TargetDraining(target, draining) => {
+                self.pools.set_draining(target, draining)
+            }
             EntryEvent::AnswerTooLong(id) => self.abort_overlong(now, id, &mut actions),
             EntryEvent::AnswerSize(id, bytes) => self.answers.set_bytes(id, bytes),
             EntryEvent::Stop => self.stopping = true,
--- a/bergamotswitch-core/src/entry/dispatcher/replies.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/replies.rs
@@ -126,10 +126,10 @@
                 self.with_stop_retry_after(now, waiting.state.refuse(RefusalReason::Stopping));
             return self.refuse(now, record, refusal, actions);
         }
-        let leaving = self.pools.is_leaving(&permit.target);
-        if leaving || permit.lifetime_ms == 0 {
+        let draining = self.pools.is_draining(&permit.target);
+        if draining || permit.lifetime_ms == 0 {
             return_permit(owner, record.shard.clone(), &permit, actions);
-            if leaving {
+            if draining {
                 // The owner's target list may be outdated; it would grant the
                 // same target again.
                 record.avoid_target(&permit.target);
--- a/bergamotswitch-core/src/entry/mod.rs
+++ b/bergamotswitch-core/src/entry/mod.rs
@@ -169,7 +169,7 @@
     /// The published pools changed.
     Pools(Vec<TargetPool>),
     /// A target started or stopped draining, in this host's own view.
-    TargetLeaving(TargetName, bool),
+    TargetDraining(TargetName, bool),
     /// A graceful shutdown begins.
     Stop,
     /// Answers have to be complete by this time, due to the grace period of a
--- a/bergamotswitch-core/src/entry/placement.rs
+++ b/bergamotswitch-core/src/entry/placement.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Default)]
 pub(super) struct PoolMap {
     pools: BTreeMap<PoolName, TargetPool>,
-    leaving: BTreeSet<TargetName>,
+    draining: BTreeSet<TargetName>,
     domain: Option<DomainName>,
 }
 
@@ -48,15 +48,15 @@
     }
 
     /// Set whether a target is draining.
-    pub(super) fn set_leaving(&mut self, target: TargetName, leaving: bool) {
-        match leaving {
-            true => self.leaving.insert(target),
-            false => self.leaving.remove(&target),
+    pub(super) fn set_draining(&mut self, target: TargetName, draining: bool) {
+        match draining {
+            true => self.draining.insert(target),
+            false => self.draining.remove(&target),
         };
     }
 
-    pub(super) fn is_leaving(&self, target: &TargetName) -> bool {
-        self.leaving.contains(target)
+    pub(super) fn is_draining(&self, target: &TargetName) -> bool {
+        self.draining.contains(target)
     }
 
     /// Get the contract of a target. An unknown target guarantees nothing.
@@ -162,6 +162,6 @@
             .filter(|target| {
                 shard.domain.is_none() || shard.domain.as_ref() == Some(&target.domain)
             })
-            .any(|target| !avoid.contains(&target.name) && !self.is_leaving(&target.name))
+            .any(|target| !avoid.contains(&target.name) && !self.is_draining(&target.name))
     }
 }
--- a/bergamotswitch-core/src/node/published.rs
+++ b/bergamotswitch-core/src/node/published.rs
@@ -95,7 +95,7 @@
     fn tell_leaving(&mut self, now: Moment) {
         for (target, standing) in self.publication.target_standings() {
             let leaving = standing == Standing::Leaving;
-            self.tell_desk(now, EntryEvent::TargetLeaving(target, leaving));
+            self.tell_desk(now, EntryEvent::TargetDraining(target, leaving));
         }
     }
 }
--- a/bergamotswitch-core/tests/entry_lifecycle.rs
+++ b/bergamotswitch-core/tests/entry_lifecycle.rs
@@ -96,7 +96,7 @@
 fn leaving_target() {
     let mut desk = TestDesk::new(EntryOptions::default());
     let attempt = first_attempt(desk.accept(submission()));
-    desk.event(EntryEvent::TargetLeaving(name("t0"), true));
+    desk.event(EntryEvent::TargetDraining(name("t0"), true));
     let permit = desk.permit(attempt, "t0");
     let actions = desk.grant(&permit);
     assert_eq!(starts(&actions), vec![]);
--- a/bergamotswitch-core/tests/entry_world/mishaps.rs
+++ b/bergamotswitch-core/tests/entry_world/mishaps.rs
@@ -63,7 +63,7 @@
                     true => self.hosts[host].leaving.insert(target.clone()),
                     false => self.hosts[host].leaving.remove(&target),
                 };
-                self.handle(host, EntryEvent::TargetLeaving(target, leaving));
+                self.handle(host, EntryEvent::TargetDraining(target, leaving));
             }
             _ if c.is_multiple_of(2) => {
                 // News of an attempt that is over, late or doubled.
