--- a/bergamotswitch-core/tests/entry_fuzz.rs
+++ b/bergamotswitch-core/tests/entry_fuzz.rs
@@ -16,11 +16,11 @@
 const EVENTS: std::ops::RangeInclusive<usize> = 40..=400;
 
 /// Get the events of a run.
-fn draw(run: u64) -> Vec<WorldEvent> {
+fn generate_events(run: u64) -> Vec<WorldEvent> {
     bergamotswitch_draw::draw(&any::<Vec<WorldEvent>>().with().len(EVENTS), run)
 }
 
-fn play(options: EntryOptions, events: &[WorldEvent]) -> Result<World, Breach> {
+fn run_events(options: EntryOptions, events: &[WorldEvent]) -> Result<World, Breach> {
     let mut world = World::new(options);
     for event in events {
         world.take(*event)?;
@@ -34,8 +34,8 @@
     let mut count = 0;
     let mut reach = RunReach::default();
     for run in 0..RUNS {
-        let events = draw(run);
-        match play(EntryOptions::default(), &events) {
+        let events = generate_events(run);
+        match run_events(EntryOptions::default(), &events) {
             Ok(world) => add_counts(&mut reach, &world.reach),
             Err(breach) => panic!("run {run}: {breach:?}"),
         }
@@ -50,10 +50,10 @@
 }
 
 /// Play runs with a deliberate fault until the oracle objects.
-fn caught(fault: Fault) -> Option<Breach> {
+fn find_breach(fault: Fault) -> Option<Breach> {
     let options = EntryOptions::default().with_fault(fault);
     let breach = |run| {
-        let breach = play(options.clone(), &draw(run)).err()?;
+        let breach = run_events(options.clone(), &generate_events(run)).err()?;
         println!("{fault:?}: run {run}, {breach:?}");
         Some(breach)
     };
@@ -62,22 +62,28 @@
 
 #[test]
 fn retry_after_dispatch() {
-    let breach = caught(Fault::RetryAfterDispatch);
+    let breach = find_breach(Fault::RetryAfterDispatch);
     let expected = [Breach::DispatchOnce, Breach::RunOnce];
     assert!(breach.is_some_and(|breach| expected.contains(&breach)));
 }
 
 #[test]
 fn claim_after_write() {
-    assert_eq!(caught(Fault::NotRunAfterWrite), Some(Breach::NotRun));
+    assert_eq!(find_breach(Fault::NotRunAfterWrite), Some(Breach::NotRun));
 }
 
 #[test]
-fn key_alone() {
-    assert_eq!(caught(Fault::KeyWithoutAccount), Some(Breach::OwnAnswer));
+fn key_without_account() {
+    assert_eq!(
+        find_breach(Fault::KeyWithoutAccount),
+        Some(Breach::OwnAnswer)
+    );
 }
 
 #[test]
 fn permit_after_pause() {
-    assert_eq!(caught(Fault::PermitAfterPause), Some(Breach::StalePermit));
+    assert_eq!(
+        find_breach(Fault::PermitAfterPause),
+        Some(Breach::StalePermit)
+    );
 }
--- a/bergamotswitch-core/tests/entry_grace.rs
+++ b/bergamotswitch-core/tests/entry_grace.rs
@@ -6,7 +6,7 @@
 use entry_support::*;
 
 /// What is left of the grace when the tests' stops begin.
-const LEFT: Duration = Duration::from_secs(7);
+const GRACE_LEFT: Duration = Duration::from_secs(7);
 /// The time between two ticks.
 const STEP: Duration = Duration::from_millis(100);
 /// More runs than a host needs to tell anything of their lengths.
@@ -22,7 +22,7 @@
 }
 
 /// Get a call that may run once.
-fn unsafe_call(deadline: Duration) -> Submission {
+fn non_idempotent(deadline: Duration) -> Submission {
     let mut submission = bounded(deadline);
     submission.verdict.idempotent = false;
     submission
@@ -36,7 +36,7 @@
 }
 
 /// Let many runs take so long.
-fn learn(desk: &mut TestDesk, span: Duration) {
+fn record_runs(desk: &mut TestDesk, span: Duration) {
     for _ in 0..MANY_RUNS {
         let attempt = desk.begin(submission(), "t0");
         desk.pass(span);
@@ -44,50 +44,50 @@
     }
 }
 
-/// Let a run of a submission take so long, for so many pieces.
-fn learn_one(desk: &mut TestDesk, submission: Submission, span: Duration, pieces: u32) {
+/// Let a run of a submission take so long, for so many chunks.
+fn record_run(desk: &mut TestDesk, submission: Submission, span: Duration, chunks: u32) {
     let attempt = desk.begin(submission, "t0");
     desk.attempt(attempt, AttemptEvent::FirstToken);
     desk.pass(span);
     let usage = Usage {
-        decode: pieces,
+        decode: chunks,
         ..usage()
     };
     desk.attempt(attempt, AttemptEvent::Finished(usage));
 }
 
 /// Get a call whose caller thinks that it needs so many tokens of at most 4,000.
-fn sized(likely: u32) -> Submission {
+fn with_estimate(expected: u32) -> Submission {
     let mut submission = submission();
-    submission.cost.decode = likely;
+    submission.cost.decode = expected;
     submission.options.max_output_tokens = Some(4_000);
     submission
 }
 
 /// Let runs of very different sizes go at one pace: 20 ms for each of their
-/// pieces, which hold about 8 tokens.
-fn learn_sizes(desk: &mut TestDesk) {
+/// chunks, which hold about 8 tokens.
+fn record_mixed_runs(desk: &mut TestDesk) {
     for _ in 0..MANY_RUNS {
-        learn_one(desk, sized(40), Duration::from_millis(100), 5);
+        record_run(desk, with_estimate(40), Duration::from_millis(100), 5);
     }
     for _ in 0..MANY_RUNS {
-        learn_one(desk, sized(2_000), Duration::from_secs(5), 250);
+        record_run(desk, with_estimate(2_000), Duration::from_secs(5), 250);
     }
 }
 
-fn is_begun(desk: &mut TestDesk) -> bool {
+fn is_accepted(desk: &mut TestDesk) -> bool {
     matches!(desk.submit(submission()).0, SubmitOutcome::Accepted(_))
 }
 
 /// Get the claim of a submission that is turned away, and when it comes back.
-fn turned_away(desk: &mut TestDesk, submission: Submission) -> (RunClaim, Duration) {
+fn refused_while_stopping(desk: &mut TestDesk, submission: Submission) -> (RunClaim, Duration) {
     match desk.submit(submission).0 {
         SubmitOutcome::Refused(refusal) => {
             assert_eq!(refusal.reason(), RefusalReason::Stopping);
-            let again = refusal.retry_after().expect("when to come back");
-            (refusal.claim(), again)
+            let retry_after = refusal.retry_after().expect("a retry delay");
+            (refusal.claim(), retry_after)
         }
-        other => panic!("not turned away: {other:?}"),
+        other => panic!("not refused: {other:?}"),
     }
 }
 
@@ -109,11 +109,11 @@
 #[test]
 fn long_work() {
     let mut desk = TestDesk::new(EntryOptions::default());
-    stop(&mut desk, LEFT);
+    stop(&mut desk, GRACE_LEFT);
     desk.pass(Duration::from_millis(3_200));
-    let (claim, again) = turned_away(&mut desk, bounded(Duration::from_secs(12)));
+    let (claim, retry_after) = refused_while_stopping(&mut desk, bounded(Duration::from_secs(12)));
     assert_eq!(claim, RunClaim::NotRun);
-    assert!(again < Duration::from_millis(500));
+    assert!(retry_after < Duration::from_millis(500));
     // What its deadline ends in time is served as before.
     desk.begin(bounded(Duration::from_secs(3)), "t0");
 }
@@ -124,37 +124,37 @@
 #[test]
 fn unknown_length() {
     let mut desk = TestDesk::new(EntryOptions::default());
-    stop(&mut desk, LEFT);
-    turned_away(&mut desk, submission());
+    stop(&mut desk, GRACE_LEFT);
+    refused_while_stopping(&mut desk, submission());
 }
 
 #[test]
 fn known_lengths() {
     let mut desk = TestDesk::new(EntryOptions::default());
-    learn(&mut desk, Duration::from_millis(200));
-    stop(&mut desk, LEFT);
+    record_runs(&mut desk, Duration::from_millis(200));
+    stop(&mut desk, GRACE_LEFT);
     desk.begin(submission(), "t0");
     // Recent runs tell no bound that is as small as what is left now.
-    desk.pass(LEFT - Duration::from_millis(300));
-    turned_away(&mut desk, submission());
+    desk.pass(GRACE_LEFT - Duration::from_millis(300));
+    refused_while_stopping(&mut desk, submission());
 }
 
 // Symptom: a request that waited at a stopping host is cut off. Sequence: it
-// waits for a place while the grace runs out; a permit comes late. Cause: only
+// waiting for a place while the grace runs out; a permit comes late. Cause: only
 // callers were turned away, not what they had left with the host.
 #[test]
 fn late_permit() {
     let mut desk = TestDesk::new(EntryOptions::default());
     let attempt = first_attempt(desk.accept(bounded(Duration::from_secs(6))));
-    stop(&mut desk, LEFT);
-    let again = desk.begin(bounded(Duration::from_secs(5)), "t0");
+    stop(&mut desk, GRACE_LEFT);
+    let retried = desk.begin(bounded(Duration::from_secs(5)), "t0");
     // It failed at its first target, and its deadline is where it was.
-    desk.attempt(again, AttemptEvent::Refused);
+    desk.attempt(retried, AttemptEvent::Refused);
     desk.start(attempt, "t0");
     let mut slow = TestDesk::new(EntryOptions::default());
-    learn(&mut slow, Duration::from_millis(500));
+    record_runs(&mut slow, Duration::from_millis(500));
     let attempt = first_attempt(slow.accept(submission()));
-    stop(&mut slow, LEFT);
+    stop(&mut slow, GRACE_LEFT);
     // Runs take two seconds at most; the next tick would find too little left.
     for _ in 0..49 {
         assert_eq!(refusals(&slow.pass(STEP)), vec![]);
@@ -174,10 +174,10 @@
 fn waiting_work() {
     let mut desk = TestDesk::new(EntryOptions::default());
     desk.accept(bounded(Duration::from_secs(12)));
-    let fits = first_attempt(desk.accept(bounded(Duration::from_secs(6))));
+    let fitting = first_attempt(desk.accept(bounded(Duration::from_secs(6))));
     let expected = (RefusalReason::Stopping, RunClaim::NotRun);
-    assert_eq!(refusals(&stop(&mut desk, LEFT)), vec![expected]);
-    desk.start(fits, "t0");
+    assert_eq!(refusals(&stop(&mut desk, GRACE_LEFT)), vec![expected]);
+    desk.start(fitting, "t0");
 }
 
 // Symptom: a call that failed at its first target hangs until the process is
@@ -188,7 +188,7 @@
 fn second_attempt() {
     let mut desk = TestDesk::new(EntryOptions::default());
     let attempt = desk.begin(submission(), "t0");
-    stop(&mut desk, LEFT);
+    stop(&mut desk, GRACE_LEFT);
     let mut actions = desk.attempt(attempt, AttemptEvent::Broken(usage()));
     actions.extend(desk.pass(Duration::from_millis(100)));
     let expected = (RefusalReason::Stopping, RunClaim::Unknown);
@@ -199,12 +199,12 @@
 // connections, owners miss permits, logs have no line. Cause: the end of the
 // grace was left to the kill.
 #[test]
-fn last_words() {
+fn grace_expired() {
     let mut desk = TestDesk::new(EntryOptions::default());
-    desk.begin(unsafe_call(Duration::from_secs(20)), "t0");
+    desk.begin(non_idempotent(Duration::from_secs(20)), "t0");
     desk.begin(bounded(Duration::from_secs(20)), "t0");
-    stop(&mut desk, LEFT);
-    desk.pass(LEFT);
+    stop(&mut desk, GRACE_LEFT);
+    desk.pass(GRACE_LEFT);
     let actions = desk.event(EntryEvent::GraceExpired);
     let expected = (RefusalReason::Stopping, RunClaim::Unknown);
     assert_eq!(refusals(&actions), vec![expected, expected]);
@@ -218,27 +218,30 @@
 // third of the grace. Cause: a host that few others could stand in for took what
 // nine in ten recent runs would fit, and so cut one in ten of what it took.
 #[test]
-fn few_others() {
+fn few_other_hosts() {
     let mut desk = TestDesk::new(EntryOptions::default());
     for _ in 0..MANY_RUNS {
-        learn_one(&mut desk, submission(), Duration::from_millis(100), 1);
+        record_run(&mut desk, submission(), Duration::from_millis(100), 1);
     }
     for _ in 0..MANY_RUNS / 10 {
-        learn_one(&mut desk, submission(), Duration::from_secs(8), 1);
+        record_run(&mut desk, submission(), Duration::from_secs(8), 1);
     }
-    stop(&mut desk, LEFT);
-    turned_away(&mut desk, submission());
+    stop(&mut desk, GRACE_LEFT);
+    refused_while_stopping(&mut desk, submission());
     let back_at = desk.now.plus(Duration::from_secs(5));
     desk.event(EntryEvent::HostsAvailableAt(Some(back_at)));
     desk.pass(Duration::from_millis(1_100));
     // The caller comes back when hosts are back that can take it.
-    let (claim, again) = turned_away(&mut desk, submission());
+    let (claim, retry_after) = refused_while_stopping(&mut desk, submission());
     assert_eq!(claim, RunClaim::NotRun);
     let wait = back_at.since(desk.now);
-    assert!(wait <= again && again <= wait * 5 / 4, "{again:?}");
+    assert!(
+        wait <= retry_after && retry_after <= wait * 5 / 4,
+        "{retry_after:?}"
+    );
     desk.event(EntryEvent::HostsAvailableAt(None));
-    let (_, again) = turned_away(&mut desk, submission());
-    assert!(again < Duration::from_millis(500));
+    let (_, retry_after) = refused_while_stopping(&mut desk, submission());
+    assert!(retry_after < Duration::from_millis(500));
 }
 
 // Symptom: callers are turned away whom a stopping host could have served.
@@ -246,48 +249,48 @@
 // about how long; SIGTERM; a short one is asked for. Cause: all work of a rule was
 // taken for as long as its longest.
 #[test]
-fn named_size() {
+fn output_estimate() {
     let mut desk = TestDesk::new(EntryOptions::default());
-    learn_sizes(&mut desk);
-    stop(&mut desk, LEFT);
-    desk.begin(sized(40), "t0");
-    turned_away(&mut desk, sized(2_000));
+    record_mixed_runs(&mut desk);
+    stop(&mut desk, GRACE_LEFT);
+    desk.begin(with_estimate(40), "t0");
+    refused_while_stopping(&mut desk, with_estimate(2_000));
     // One that names only its most tells nothing of its own length, and one that
     // names nothing still less.
-    let mut most_alone = sized(40);
-    most_alone.options.max_output_tokens = Some(40);
-    turned_away(&mut desk, most_alone);
-    let mut unnamed = sized(40);
+    let mut max_only = with_estimate(40);
+    max_only.options.max_output_tokens = Some(40);
+    refused_while_stopping(&mut desk, max_only);
+    let mut unnamed = with_estimate(40);
     unnamed.options.max_output_tokens = None;
-    turned_away(&mut desk, unnamed);
+    refused_while_stopping(&mut desk, unnamed);
 }
 
 // Symptom: an answer that was taken as a short one is cut. Sequence: a target
 // becomes slow; the runs that have ended were fast. Cause: the pace of runs under
 // way was not asked.
 #[test]
-fn slow_pace() {
+fn slow_target() {
     let mut desk = TestDesk::new(EntryOptions::default());
-    learn_sizes(&mut desk);
-    let attempt = desk.begin(sized(40), "t0");
+    record_mixed_runs(&mut desk);
+    let attempt = desk.begin(with_estimate(40), "t0");
     desk.attempt(attempt, AttemptEvent::FirstToken);
     desk.pass(Duration::from_secs(4));
     desk.attempt(attempt, AttemptEvent::Progress(4));
-    stop(&mut desk, LEFT);
-    turned_away(&mut desk, sized(40));
+    stop(&mut desk, GRACE_LEFT);
+    refused_while_stopping(&mut desk, with_estimate(40));
 }
 
 // Symptom and sequence: as above. Cause: callers' estimates that had become too
 // small were believed.
 #[test]
-fn short_guesses() {
+fn underestimated_output() {
     let mut desk = TestDesk::new(EntryOptions::default());
-    learn_sizes(&mut desk);
-    learn_one(&mut desk, sized(40), Duration::from_secs(4), 200);
-    stop(&mut desk, LEFT);
-    turned_away(&mut desk, sized(40));
+    record_mixed_runs(&mut desk);
+    record_run(&mut desk, with_estimate(40), Duration::from_secs(4), 200);
+    stop(&mut desk, GRACE_LEFT);
+    refused_while_stopping(&mut desk, with_estimate(40));
     // The most that a call may make bounds it whatever it is thought to need.
-    let mut tiny = sized(20);
+    let mut tiny = with_estimate(20);
     tiny.options.max_output_tokens = Some(21);
     desk.begin(tiny, "t0");
 }
@@ -297,80 +300,80 @@
 // asks for ten times as much, by an estimate that is a third of what it takes.
 // Cause: what became of small guesses was believed of a large one.
 #[test]
-fn larger_guesses() {
+fn large_estimate() {
     let mut desk = TestDesk::new(EntryOptions::default());
     for _ in 0..MANY_RUNS {
-        learn_one(&mut desk, sized(40), Duration::from_millis(100), 5);
+        record_run(&mut desk, with_estimate(40), Duration::from_millis(100), 5);
     }
     for _ in 0..MANY_RUNS / 10 {
-        learn_one(&mut desk, sized(400), Duration::from_secs(1), 50);
+        record_run(&mut desk, with_estimate(400), Duration::from_secs(1), 50);
     }
-    stop(&mut desk, LEFT);
-    desk.begin(sized(40), "t0");
-    turned_away(&mut desk, sized(400));
+    stop(&mut desk, GRACE_LEFT);
+    desk.begin(with_estimate(40), "t0");
+    refused_while_stopping(&mut desk, with_estimate(400));
     // The most that it may make bounds it all the same.
-    let mut bounded = sized(400);
+    let mut bounded = with_estimate(400);
     bounded.options.max_output_tokens = Some(401);
-    desk.event(EntryEvent::FinishBy(desk.now.plus(LEFT * 2)));
+    desk.event(EntryEvent::FinishBy(desk.now.plus(GRACE_LEFT * 2)));
     desk.begin(bounded, "t0");
 }
 
 /// Get a call as above of another rule.
-fn of_rule(rule: &str, likely: u32) -> Submission {
-    let mut submission = sized(likely);
+fn of_rule(rule: &str, expected: u32) -> Submission {
+    let mut submission = with_estimate(expected);
     submission.verdict.rule = name(rule);
     submission
 }
 
 // Guards against a guess that is believed because those of another rule were right.
 #[test]
-fn other_guesses() {
+fn estimates_by_rule() {
     let mut desk = TestDesk::new(EntryOptions::default());
     for _ in 0..MANY_RUNS {
-        learn_one(&mut desk, of_rule("other", 400), Duration::from_secs(1), 50);
-        learn_one(
+        record_run(&mut desk, of_rule("other", 400), Duration::from_secs(1), 50);
+        record_run(
             &mut desk,
             of_rule("rule", 40),
             Duration::from_millis(100),
             5,
         );
     }
-    stop(&mut desk, LEFT);
+    stop(&mut desk, GRACE_LEFT);
     desk.begin(of_rule("other", 400), "t0");
-    turned_away(&mut desk, of_rule("rule", 400));
+    refused_while_stopping(&mut desk, of_rule("rule", 400));
 }
 
 // Guards against a guess that is believed by a host that has seen few runs.
 #[test]
-fn early_guesses() {
+fn too_few_runs() {
     for runs in [0, 1, 8, 15] {
         let mut desk = TestDesk::new(EntryOptions::default());
         for _ in 0..runs {
-            learn_one(&mut desk, sized(40), Duration::from_millis(100), 5);
+            record_run(&mut desk, with_estimate(40), Duration::from_millis(100), 5);
         }
-        stop(&mut desk, LEFT);
-        turned_away(&mut desk, sized(40));
+        stop(&mut desk, GRACE_LEFT);
+        refused_while_stopping(&mut desk, with_estimate(40));
     }
 }
 
 // Guards against runs that are cut where several callers guess a third of what
 // their answers take.
 #[test]
-fn wrong_guesses() {
+fn wrong_estimates() {
     for wrong in [1, 4, MANY_RUNS] {
         let mut desk = TestDesk::new(EntryOptions::default());
         for _ in 0..MANY_RUNS {
-            learn_one(&mut desk, sized(400), Duration::from_secs(1), 50);
+            record_run(&mut desk, with_estimate(400), Duration::from_secs(1), 50);
         }
         for _ in 0..wrong {
-            learn_one(&mut desk, sized(400), Duration::from_secs(3), 150);
+            record_run(&mut desk, with_estimate(400), Duration::from_secs(3), 150);
         }
         // Three seconds and the first piece's time would do; it may be twice
-        // as wrong again.
+        // as wrong retry_after.
         stop(&mut desk, Duration::from_secs(5));
-        turned_away(&mut desk, sized(400));
-        desk.event(EntryEvent::FinishBy(desk.now.plus(LEFT)));
-        desk.begin(sized(400), "t0");
+        refused_while_stopping(&mut desk, with_estimate(400));
+        desk.event(EntryEvent::FinishBy(desk.now.plus(GRACE_LEFT)));
+        desk.begin(with_estimate(400), "t0");
     }
 }
 
@@ -379,9 +382,9 @@
 // as many callers leave; a stop begins with two seconds left. Cause: runs that
 // were broken off were taken for short ones and pushed the whole ones out.
 #[test]
-fn broken_runs() {
+fn aborted_runs() {
     let mut desk = TestDesk::new(EntryOptions::default());
-    learn(&mut desk, Duration::from_secs(3));
+    record_runs(&mut desk, Duration::from_secs(3));
     for _ in 0..64 {
         let id = desk.accept(submission());
         desk.start(first_attempt(id), "t0");
@@ -395,20 +398,20 @@
         desk.event(EntryEvent::CallerLeft(id));
     }
     stop(&mut desk, Duration::from_secs(2));
-    assert!(!is_begun(&mut desk));
+    assert!(!is_accepted(&mut desk));
 }
 
 // Symptom: as above. Sequence: all targets become slow just before the stop;
 // runs of a tenth of a second last for ten. Cause: only runs that had ended told
 // of their lengths.
 #[test]
-fn runs_under_way() {
+fn runs_in_flight() {
     let mut desk = TestDesk::new(EntryOptions::default());
-    learn(&mut desk, Duration::from_millis(100));
+    record_runs(&mut desk, Duration::from_millis(100));
     desk.begin(submission(), "t0");
     desk.pass(Duration::from_secs(10));
     stop(&mut desk, Duration::from_secs(2));
-    assert!(!is_begun(&mut desk));
+    assert!(!is_accepted(&mut desk));
 }
 
 // Symptom: an answer of five seconds is cut at a host whose answers took a tenth
@@ -418,12 +421,12 @@
 #[test]
 fn larger_call() {
     let mut desk = TestDesk::new(EntryOptions::default());
-    learn(&mut desk, Duration::from_millis(130));
+    record_runs(&mut desk, Duration::from_millis(130));
     stop(&mut desk, Duration::from_secs(4));
-    assert!(is_begun(&mut desk));
+    assert!(is_accepted(&mut desk));
     let mut large = submission();
     large.cost.decode *= 30;
-    turned_away(&mut desk, large);
+    refused_while_stopping(&mut desk, large);
 }
 
 // Symptom: a caller gets "may have run" in place of its target's own error.
@@ -433,7 +436,7 @@
 fn error_kept() {
     let mut desk = TestDesk::new(EntryOptions::default());
     let attempt = desk.begin(submission(), "t0");
-    stop(&mut desk, LEFT);
+    stop(&mut desk, GRACE_LEFT);
     let actions = desk.attempt(attempt, AttemptEvent::Failed);
     assert_eq!(conclusions(&actions), vec![Conclusion::TargetError]);
 }
@@ -443,9 +446,9 @@
 // was handed over whatever its answer may take. Whether it runs there is not
 // known here.
 #[test]
-fn copies_elsewhere() {
+fn forwarded_copy() {
     let mut desk = TestDesk::new(EntryOptions::default());
-    stop(&mut desk, LEFT);
+    stop(&mut desk, GRACE_LEFT);
     let mut copy = alert("key");
     copy.holder = Some(run_of("entry-2", 2));
     match desk.submit(copy).0 {
@@ -458,19 +461,19 @@
 // calls beyond the time for which they may keep the address. Cause: they were
 // taken until nothing ran.
 #[test]
-fn door_shut() {
+fn admission_closed() {
     let mut desk = TestDesk::new(EntryOptions::default());
     desk.event(EntryEvent::Stop);
-    let waits = first_attempt(desk.accept(submission()));
+    let waiting = first_attempt(desk.accept(submission()));
     desk.event(EntryEvent::AdmissionClosed);
-    turned_away(&mut desk, submission());
-    desk.start(waits, "t0");
+    refused_while_stopping(&mut desk, submission());
+    desk.start(waiting, "t0");
 }
 
 // Symptom: a stop that nothing bounds turns callers away, or cuts them. Cause:
 // a bound taken for granted.
 #[test]
-fn no_grace() {
+fn no_grace_period() {
     let mut desk = TestDesk::new(EntryOptions::default());
     desk.event(EntryEvent::FinishBy(Moment::NEVER));
     desk.event(EntryEvent::Stop);
--- a/bergamotswitch-core/tests/entry_lifecycle.rs
+++ b/bergamotswitch-core/tests/entry_lifecycle.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn whole_way() {
+fn complete_request() {
     let mut desk = TestDesk::new(EntryOptions::default());
     let (reception, actions) = desk.submit(submission());
     let ask = asks(&actions).remove(0);
@@ -77,7 +77,7 @@
 // twice, the second time while the first attempt runs, then another permit for
 // it. Cause: a permit taken for the right to run.
 #[test]
-fn doubled_permit() {
+fn duplicate_permit() {
     let mut desk = TestDesk::new(EntryOptions::default());
     let attempt = first_attempt(desk.accept(alert("k")));
     let permit = desk.start(attempt, "t0");
@@ -93,7 +93,7 @@
 // target leaves, then the owner, whose list lags, grants it. Cause: the permit
 // believed more than the host's own view.
 #[test]
-fn leaving_target() {
+fn draining_target() {
     let mut desk = TestDesk::new(EntryOptions::default());
     let attempt = first_attempt(desk.accept(submission()));
     desk.event(EntryEvent::TargetDraining(name("t0"), true));
@@ -112,13 +112,13 @@
 // woke. Cause: the permit's lifetime counted from when it was read.
 #[test]
 fn paused_process() {
-    for told in [true, false] {
+    for reported in [true, false] {
         let mut desk = TestDesk::new(EntryOptions::default());
         let attempt = first_attempt(desk.accept(submission()));
         let permit = desk.permit(attempt, "t0");
         desk.now = desk.now.plus(Duration::from_secs(10));
         let mut actions = Vec::new();
-        if told {
+        if reported {
             actions.extend(desk.event(EntryEvent::ProcessPaused(Duration::from_secs(10))));
         }
         actions.extend(desk.grant(&permit));
@@ -190,7 +190,7 @@
 
 // Symptom: a new owner gives a running request's slot away and lets its key
 // run again. Sequence: the owner changes while work runs and waits. Cause:
-// the new owner was asked before it was told.
+// the new owner was asked before it was reported.
 #[test]
 fn owner_change() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -204,7 +204,7 @@
             assert_eq!(held[0].permit, permit.id);
             assert_eq!(claims[0].holder, run_of("entry-1", 1));
         }
-        other => panic!("not retold first: {other:?}"),
+        other => panic!("held work not reported first: {other:?}"),
     }
     assert_eq!(asks(&actions)[0].attempt, waiting);
     // The former owner's permit is not used; an audit finds the one in use.
@@ -226,11 +226,11 @@
 
 // Symptom: an alert goes out twice although its second copy was marked as a
 // resubmission. Sequence: the owner dies; the copy, sent to another host,
-// waits for the next owner, which holds no such key. Cause: the host told the
+// waits for the next owner, which holds no such key. Cause: the host reported the
 // new owner the key of the waiting copy as one that it holds, so the owner,
 // which has to doubt every marked key that it does not know, knew it.
 #[test]
-fn waiting_copy() {
+fn waiting_resubmission() {
     let mut desk = TestDesk::new(EntryOptions::default());
     let mut copy = alert("k");
     copy.resubmission = true;
@@ -238,7 +238,7 @@
     let actions = desk.event(EntryEvent::OwnerChanged(shard(), name("owner-2")));
     match &actions[0] {
         EntryAction::Send(_, OwnerMessage::Retell { claims, .. }) => assert_eq!(claims, &[]),
-        other => panic!("not retold: {other:?}"),
+        other => panic!("held work not reported: {other:?}"),
     }
     let claim = asks(&actions)[0].claim.clone();
     assert!(claim.is_some_and(|claim| claim.resubmission));
@@ -249,7 +249,7 @@
 // the marked one finds no owner, no target or no room here. Cause: a host
 // spoke for its own copy where the caller asked for all of them.
 #[test]
-fn unsure_copy() {
+fn uncertain_resubmission() {
     let mut copy = alert("k");
     copy.resubmission = true;
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -259,11 +259,11 @@
     // The key stays free: the copy was not run here.
     let attempt = first_attempt(desk.accept(copy.clone()));
     let refused = refused_for(RefusalReason::Overloaded, attempt);
-    let unsure = (RefusalReason::Overloaded, RunClaim::Unknown);
-    assert_eq!(refusals(&desk.reply(refused)), vec![unsure]);
+    let uncertain = (RefusalReason::Overloaded, RunClaim::Unknown);
+    assert_eq!(refusals(&desk.reply(refused)), vec![uncertain]);
     copy.verdict.domains = vec![name("east")];
-    let nowhere = (RefusalReason::NoTarget, RunClaim::Unknown);
-    assert_eq!(refusal_of(desk.submit(copy.clone()).0), nowhere);
+    let no_target = (RefusalReason::NoTarget, RunClaim::Unknown);
+    assert_eq!(refusal_of(desk.submit(copy.clone()).0), no_target);
     // A caller that names this run asks for what this run knows.
     copy.holder = Some(run_of("entry-1", 1));
     let known = (RefusalReason::NoTarget, RunClaim::NotRun);
@@ -303,10 +303,10 @@
 }
 
 // Symptom: a lost alert is run again. Sequence: the host restarts, the caller
-// names the run that it was told, or the owner names it. Cause: a successor
+// names the run that it was reported, or the owner names it. Cause: a successor
 // that answers for its predecessor.
 #[test]
-fn other_run() {
+fn other_incarnation() {
     let mut desk = TestDesk::new(EntryOptions::default());
     let holders = [
         (run_of("entry-1", 9), RefusalReason::Lost),
@@ -340,12 +340,12 @@
     assert_eq!(refusals(&actions), vec![lost]);
 }
 
-// Symptom: a caller that keeps to the interface is told that its new alert
+// Symptom: a caller that keeps to the interface is reported that its new alert
 // may have run. Sequence: it names the run of the address answer, as asked,
 // when it sends the alert for the first time. Cause: naming a run was taken
 // for a resubmission.
 #[test]
-fn named_first() {
+fn named_holder() {
     let mut desk = TestDesk::new(EntryOptions::default());
     let mut first = alert("k");
     first.holder = Some(run_of("entry-1", 1));
@@ -377,8 +377,8 @@
     let mut desk = TestDesk::new(EntryOptions::default());
     let waiting = desk.accept(submission());
     let actions = desk.event(EntryEvent::CallerLeft(waiting));
-    let gone = (RefusalReason::CallerLeft, RunClaim::NotRun);
-    assert_eq!(refusals(&actions), vec![gone]);
+    let left_caller = (RefusalReason::CallerLeft, RunClaim::NotRun);
+    assert_eq!(refusals(&actions), vec![left_caller]);
 
     let attempt = desk.begin(submission(), "t0");
     let actions = desk.event(EntryEvent::CallerLeft(attempt.request));
@@ -422,7 +422,7 @@
     assert!(actions.contains(&waste));
 }
 
-fn place(domain: &str) -> PoolShard {
+fn shard_in(domain: &str) -> PoolShard {
     PoolShard {
         domain: Some(name(domain)),
         ..shard()
@@ -458,12 +458,12 @@
     let mut desk = TestDesk::new(options);
     desk.event(EntryEvent::Pools(vec![pool(true)]));
     let id = desk.accept(submission());
-    assert_eq!(desk.desk.used_shards(), vec![place("south")]);
+    assert_eq!(desk.desk.used_shards(), vec![shard_in("south")]);
     desk.event(EntryEvent::CallerLeft(id));
     let mut northern = submission();
     northern.verdict.domains = vec![name("north")];
     desk.accept(northern.clone());
-    assert_eq!(desk.desk.used_shards(), vec![place("north")]);
+    assert_eq!(desk.desk.used_shards(), vec![shard_in("north")]);
     northern.verdict.domains = vec![name("east")];
     let refusal = refusal_of(desk.submit(northern).0);
     assert_eq!(refusal, (RefusalReason::NoTarget, RunClaim::NotRun));
@@ -473,24 +473,24 @@
 // to hosts of two domains, whose shards have two owners. Cause: no owner sees
 // both asks.
 #[test]
-fn one_owner_a_key() {
+fn one_owner_per_key() {
     let mut seen = std::collections::BTreeSet::new();
     for number in 0..16 {
         let key = format!("k{number}");
-        let mut places = Vec::new();
+        let mut shards = Vec::new();
         for domain in ["north", "south"] {
             let options = EntryOptions::default().with_domain(name(domain));
             let mut desk = TestDesk::new(options);
             desk.event(EntryEvent::Pools(vec![pool(true)]));
-            for place in ["north", "south"].map(place) {
-                desk.event(EntryEvent::OwnerChanged(place, name("owner-1")));
+            for shard in ["north", "south"].map(shard_in) {
+                desk.event(EntryEvent::OwnerChanged(shard, name("owner-1")));
             }
             let actions = desk.submit(alert(&key)).1;
-            places.extend(asks(&actions).into_iter().map(|ask| ask.shard));
+            shards.extend(asks(&actions).into_iter().map(|ask| ask.shard));
         }
-        assert_eq!(places.len(), 2);
-        assert_eq!(places[0], places[1]);
-        seen.insert(places.remove(0));
+        assert_eq!(shards.len(), 2);
+        assert_eq!(shards[0], shards[1]);
+        seen.insert(shards.remove(0));
     }
     assert_eq!(seen.len(), 2);
 }
--- a/bergamotswitch-core/tests/entry_retries.rs
+++ b/bergamotswitch-core/tests/entry_retries.rs
@@ -180,15 +180,15 @@
 // turn than a request may have attempts. Cause: a target that was not reached
 // cost an attempt and a retry, like one that the request put load on.
 #[test]
-fn dead_targets() {
-    const DEAD: usize = 5;
+fn unreachable_targets() {
+    const UNREACHABLE: usize = 5;
     let mut desk = TestDesk::new(EntryOptions::default());
-    for _ in 0..DEAD {
+    for _ in 0..UNREACHABLE {
         let attempt = desk.begin(submission(), "t0");
         desk.attempt(attempt, AttemptEvent::Finished(usage()));
     }
     let mut attempt = desk.begin(submission(), "t0");
-    for _ in 0..DEAD {
+    for _ in 0..UNREACHABLE {
         let actions = desk.attempt(attempt, UNSENT);
         attempt = asks(&actions).first().expect("asked again").attempt;
         desk.start(attempt, "t0");
--- a/bergamotswitch-core/tests/retry_budgets.rs
+++ b/bergamotswitch-core/tests/retry_budgets.rs
@@ -26,13 +26,13 @@
     fleet
 }
 
-fn inside(moments: &[Moment], from: Moment, to: Moment) -> usize {
+fn count_between(moments: &[Moment], from: Moment, to: Moment) -> usize {
     let first = moments.partition_point(|at| *at < from);
     let last = moments.partition_point(|at| *at < to);
     last.saturating_sub(first)
 }
 
-fn back(moment: Moment, span: Duration) -> Moment {
+fn earlier(moment: Moment, span: Duration) -> Moment {
     let since = moment.since(Moment::START);
     Moment::START.plus(since.saturating_sub(span))
 }
@@ -40,27 +40,28 @@
 /// Assert that no window has more retries than the users bear: the ratio of
 /// the requests in it, in the one before it or in the one half a window before
 /// it, and the slack. Get the most retries in one window.
-fn assert_borne(fleet: &QuotaFleet, slack: f64, case: &str) -> usize {
+fn assert_within_ratio(fleet: &QuotaFleet, slack: f64, case: &str) -> usize {
     let mut sent: Vec<Moment> = fleet.calls.values().map(|call| call.sent_at).collect();
     sent.sort();
     let mut most = 0;
     for begin in &fleet.retries {
         let end = begin.plus(RETRY_WINDOW);
-        let retries = inside(&fleet.retries, *begin, end);
+        let retries = count_between(&fleet.retries, *begin, end);
         let windows = [Duration::ZERO, RETRY_WINDOW / 2, RETRY_WINDOW];
-        let requests = windows.map(|span| inside(&sent, back(*begin, span), back(end, span)));
+        let requests =
+            windows.map(|span| count_between(&sent, earlier(*begin, span), earlier(end, span)));
         let requests = requests.into_iter().max().unwrap_or(0);
-        let borne = requests as f64 * RATIO + slack;
+        let allowed = requests as f64 * RATIO + slack;
         assert!(
-            retries as f64 <= borne,
-            "{case}: {retries} retries from {begin:?}, {borne} borne"
+            retries as f64 <= allowed,
+            "{case}: {retries} retries from {begin:?}, {allowed} allowed"
         );
         most = most.max(retries);
     }
     most
 }
 
-fn stop_in_turn(fleet: &mut QuotaFleet, traffic: impl Fn(&mut QuotaFleet)) {
+fn restart_in_turn(fleet: &mut QuotaFleet, traffic: impl Fn(&mut QuotaFleet)) {
     for host in 0..HOSTS {
         fleet.stop(host);
         fleet.pass(Duration::from_millis(600), &traffic);
@@ -88,13 +89,13 @@
 // Cause: what a host may save was a constant, whatever the slack of the
 // settings and the number of the hosts.
 #[test]
-fn saved_up() {
+fn saved_retries() {
     const SLACK: f64 = 56.0;
     let mut fleet = start(SLACK);
     fleet.pass(Duration::from_secs(20), steady);
     fleet.all_fail = true;
-    stop_in_turn(&mut fleet, steady);
-    let most = assert_borne(&fleet, SLACK, "saved up");
+    restart_in_turn(&mut fleet, steady);
+    let most = assert_within_ratio(&fleet, SLACK, "saved retries");
     // What the users bear is used, too: half of the ratio of 2,000 requests.
     assert!(most >= 200, "only {most}");
 }
@@ -103,11 +104,11 @@
 // stopped and started in turn. Cause: each new process began with retries of
 // its own.
 #[test]
-fn begun_anew() {
+fn restarted_hosts() {
     const SLACK: f64 = 8.0;
     let mut fleet = start(SLACK);
     fleet.pass(Duration::from_secs(20), quiet);
     fleet.all_fail = true;
-    stop_in_turn(&mut fleet, quiet);
-    assert_borne(&fleet, SLACK, "begun anew");
+    restart_in_turn(&mut fleet, quiet);
+    assert_within_ratio(&fleet, SLACK, "restarted hosts");
 }
--- a/bergamotswitch-core/tests/stop_returns.rs
+++ b/bergamotswitch-core/tests/stop_returns.rs
@@ -1,5 +1,5 @@
 //! When callers come back that a stopping host turns away: with few others, when
-//! enough of them are expected to take callers again.
+//! enough of them are expected to take callers retry_after.
 
 use std::time::Duration;
 
@@ -23,13 +23,13 @@
 /// The hosts of the fleet, the one under test among them.
 const HOSTS: usize = 8;
 /// How long stops last until answers have to be whole.
-const SPAN: Duration = Duration::from_millis(7_600);
+const GRACE_LEFT: Duration = Duration::from_millis(7_600);
 /// From then until the next process takes callers.
-const MARGIN: Duration = Duration::from_secs(1);
+const START_MARGIN: Duration = Duration::from_secs(1);
 /// When a caller comes back that another host can serve.
-const AT_ONCE: Duration = Duration::from_millis(50);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 /// The time between two pieces of news of a host.
-const NEWS: Duration = Duration::from_millis(200);
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(200);
 
 const READY: MemberFlags = MemberFlags {
     ready: true,
@@ -182,19 +182,19 @@
         host
     }
 
-    /// Let time pass; the others tell their state all the while.
+    /// Let time pass; the others send_gossip their state all the while.
     fn pass(&mut self, span: Duration) {
         let until = self.now.plus(span);
         while self.now < until {
-            self.now = self.now.plus(NEWS);
+            self.now = self.now.plus(GOSSIP_INTERVAL);
             for index in 1..HOSTS {
-                self.tell(index);
+                self.send_gossip(index);
             }
             self.core.handle(self.now, NodeEvent::Tick);
         }
     }
 
-    fn tell(&mut self, index: usize) {
+    fn send_gossip(&mut self, index: usize) {
         let Some(flags) = self.others[index] else {
             return;
         };
@@ -220,30 +220,33 @@
 
     fn stop(&mut self) {
         self.core.handle(self.now, NodeEvent::Stop);
-        let whole_by = self.now.plus(SPAN);
+        let whole_by = self.now.plus(GRACE_LEFT);
         self.core.handle(self.now, NodeEvent::WholeBy(whole_by));
     }
 
     /// Get when a caller comes back that is turned away now.
-    fn turned_away(&mut self) -> Duration {
+    fn refused_retry_after(&mut self) -> Duration {
         match self.core.submit(self.now, submission()).0 {
             SubmitOutcome::Refused(refusal) => {
                 assert_eq!(refusal.reason(), RefusalReason::Stopping);
-                refusal.retry_after().expect("when to come back")
+                refusal.retry_after().expect("a retry delay")
             }
-            other => panic!("not turned away: {other:?}"),
+            other => panic!("not refused: {other:?}"),
         }
     }
 
     /// Check that a caller is told to come back then, or a quarter of the wait
     /// later at most.
-    fn assert_back_at(&mut self, at: Moment) {
+    fn assert_retry_at(&mut self, at: Moment) {
         let wait = at.since(self.now);
-        let again = self.turned_away();
+        let retry_after = self.refused_retry_after();
         // News takes a round to be heard.
-        let least = wait.saturating_sub(NEWS);
-        let most = (wait + NEWS) * 5 / 4;
-        assert!(least <= again && again <= most, "{again:?} for {wait:?}");
+        let least = wait.saturating_sub(GOSSIP_INTERVAL);
+        let most = (wait + GOSSIP_INTERVAL) * 5 / 4;
+        assert!(
+            least <= retry_after && retry_after <= most,
+            "{retry_after:?} for {wait:?}"
+        );
     }
 }
 
@@ -252,18 +255,18 @@
 // meets, every 50 ms, until its attempts are used up. Cause: that another host
 // takes what one turns away was taken for granted.
 #[test]
-fn crowded_stop() {
+fn most_hosts_stopping() {
     let mut host = StoppingHost::new();
-    let left_at = host.now;
+    let stopped_at = host.now;
     host.set(1..HOSTS - 1, Some(LEAVING));
     host.pass(Duration::from_secs(1));
     host.stop();
-    let back_at = left_at.plus(SPAN + MARGIN);
-    host.assert_back_at(back_at);
+    let back_at = stopped_at.plus(GRACE_LEFT + START_MARGIN);
+    host.assert_retry_at(back_at);
     // Hosts that have ended are silent, and still expected.
     host.set(1..HOSTS - 1, None);
     host.pass(Duration::from_secs(5));
-    host.assert_back_at(back_at);
+    host.assert_retry_at(back_at);
 }
 
 #[test]
@@ -272,7 +275,7 @@
     host.set(1..HOSTS, Some(LEAVING));
     host.pass(Duration::from_secs(1));
     host.stop();
-    let mut waits: Vec<Duration> = (0..100).map(|_| host.turned_away()).collect();
+    let mut waits: Vec<Duration> = (0..100).map(|_| host.refused_retry_after()).collect();
     waits.sort();
     let (first, last) = (waits[0], waits[99]);
     let widest = waits.windows(2).map(|pair| pair[1] - pair[0]).max();
@@ -281,12 +284,12 @@
 }
 
 #[test]
-fn calm_stop() {
+fn few_hosts_stopping() {
     let mut host = StoppingHost::new();
     host.set(1..3, Some(LEAVING));
     host.pass(Duration::from_secs(1));
     host.stop();
-    assert_eq!(host.turned_away(), AT_ONCE);
+    assert_eq!(host.refused_retry_after(), MIN_RETRY_AFTER);
 }
 
 // A host that starts is not back; one that takes callers is.
@@ -294,45 +297,45 @@
 fn hosts_back() {
     let mut host = StoppingHost::new();
     host.set(1..HOSTS, Some(LEAVING));
-    let left_at = host.now;
+    let stopped_at = host.now;
     host.pass(Duration::from_secs(1));
     host.stop();
     host.set(1..4, Some(STARTING));
     host.pass(Duration::from_secs(2));
-    host.assert_back_at(left_at.plus(SPAN + MARGIN));
+    host.assert_retry_at(stopped_at.plus(GRACE_LEFT + START_MARGIN));
     host.set(1..4, Some(READY));
     host.pass(Duration::from_secs(1));
-    assert_eq!(host.turned_away(), AT_ONCE);
+    assert_eq!(host.refused_retry_after(), MIN_RETRY_AFTER);
 }
 
 // Hosts that have left for good are not waited for.
 #[test]
-fn hosts_gone() {
+fn departed_hosts() {
     let mut host = StoppingHost::new();
     host.set(1..HOSTS - 1, Some(LEAVING));
     host.pass(Duration::from_secs(1));
     host.set(1..HOSTS - 1, None);
     host.pass(Duration::from_secs(60));
     host.stop();
-    assert_eq!(host.turned_away(), AT_ONCE);
+    assert_eq!(host.refused_retry_after(), MIN_RETRY_AFTER);
 }
 
 #[test]
 fn reloaded_grace() {
     let mut host = StoppingHost::new();
     host.set(1..HOSTS, Some(LEAVING));
-    let left_at = host.now;
+    let stopped_at = host.now;
     host.pass(Duration::from_secs(1));
     host.stop();
     let span = Duration::from_secs(4);
     let whole_by = host.now.plus(span);
     host.core.handle(host.now, NodeEvent::WholeBy(whole_by));
-    host.assert_back_at(left_at.plus(span + MARGIN));
+    host.assert_retry_at(stopped_at.plus(span + START_MARGIN));
 }
 
-// Where nothing kills a process, nobody can tell when it is back.
+// Where nothing kills a process, nobody can send_gossip when it is back.
 #[test]
-fn no_grace() {
+fn no_grace_period() {
     let mut host = StoppingHost::new();
     host.set(1..HOSTS, Some(LEAVING));
     host.pass(Duration::from_secs(1));
@@ -340,5 +343,5 @@
     host.core
         .handle(host.now, NodeEvent::WholeBy(Moment::NEVER));
     host.core.handle(host.now, NodeEvent::DoorShut);
-    assert_eq!(host.turned_away(), AT_ONCE);
+    assert_eq!(host.refused_retry_after(), MIN_RETRY_AFTER);
 }
