--- a/bergamotswitch-core/tests/entry_fuzz.rs
+++ b/bergamotswitch-core/tests/entry_fuzz.rs
@@ -1,4 +1,4 @@
-//! Tests of the entry side by stateful fuzzing against a naive oracle.
+//! Tests of the entry side by stateful fuzzing, compared with a simple oracle.
 
 mod entry_support;
 mod entry_world;
@@ -9,13 +9,12 @@
 use entry_world::{World, WorldEvent};
 use oracle::{Breach, RunReach, add_counts};
 
-/// The number of runs.
 const RUNS: u64 = 3_000;
 
-/// The number of events in a run.
+/// The number of events per run.
 const EVENTS: std::ops::RangeInclusive<usize> = 40..=400;
 
-/// Get the events of a run.
+/// Generate the events of a run.
 fn generate_events(run: u64) -> Vec<WorldEvent> {
     bergamotswitch_draw::draw(&any::<Vec<WorldEvent>>().with().len(EVENTS), run)
 }
@@ -49,7 +48,7 @@
     assert!(counts.iter().all(|count| *count > RUNS));
 }
 
-/// Play runs with a deliberate fault until the oracle objects.
+/// Run with an injected fault until the oracle detects it.
 fn find_breach(fault: Fault) -> Option<Breach> {
     let options = EntryOptions::default().with_fault(fault);
     let breach = |run| {
--- a/bergamotswitch-core/tests/entry_grace.rs
+++ b/bergamotswitch-core/tests/entry_grace.rs
@@ -1,18 +1,18 @@
-//! Tests of a planned stop whose process is killed at the end of its grace.
+//! Tests of a graceful shutdown that is limited by a grace period.
 
 mod entry_support;
 
 use bergamotswitch_core::refusal::RunClaim;
 use entry_support::*;
 
-/// What is left of the grace when the tests' stops begin.
+/// The part of the grace period that is left when a shutdown begins.
 const GRACE_LEFT: Duration = Duration::from_secs(7);
-/// The time between two ticks.
+/// The interval between ticks.
 const STEP: Duration = Duration::from_millis(100);
-/// More runs than a host needs to tell anything of their lengths.
+/// More runs than are needed for an estimate of their durations.
 const MANY_RUNS: usize = 20;
 
-/// Get a call that ends at its deadline, as those of the gateway do.
+/// Get a call that ends at its deadline, like a call of the gateway.
 fn bounded(deadline: Duration) -> Submission {
     let mut submission = submission();
     submission.deadline_in = deadline;
@@ -21,7 +21,7 @@
     submission
 }
 
-/// Get a call that may run once.
+/// Get a call that must not be rerun.
 fn non_idempotent(deadline: Duration) -> Submission {
     let mut submission = bounded(deadline);
     submission.verdict.idempotent = false;
@@ -35,7 +35,7 @@
     actions
 }
 
-/// Let many runs take so long.
+/// Record many runs of the given duration.
 fn record_runs(desk: &mut TestDesk, span: Duration) {
     for _ in 0..MANY_RUNS {
         let attempt = desk.begin(submission(), "t0");
@@ -44,7 +44,7 @@
     }
 }
 
-/// Let a run of a submission take so long, for so many chunks.
+/// Record one run of the given duration and number of chunks.
 fn record_run(desk: &mut TestDesk, submission: Submission, span: Duration, chunks: u32) {
     let attempt = desk.begin(submission, "t0");
     desk.attempt(attempt, AttemptEvent::FirstToken);
@@ -56,7 +56,7 @@
     desk.attempt(attempt, AttemptEvent::Finished(usage));
 }
 
-/// Get a call whose caller thinks that it needs so many tokens of at most 4,000.
+/// Get a call with an estimate of its output and a maximum of 4,000 tokens.
 fn with_estimate(expected: u32) -> Submission {
     let mut submission = submission();
     submission.cost.decode = expected;
@@ -64,8 +64,8 @@
     submission
 }
 
-/// Let runs of very different sizes go at one pace: 20 ms for each of their
-/// chunks, which hold about 8 tokens.
+/// Record runs of very different output at the same chunk interval of 20 ms,
+/// with about 8 tokens per chunk.
 fn record_mixed_runs(desk: &mut TestDesk) {
     for _ in 0..MANY_RUNS {
         record_run(desk, with_estimate(40), Duration::from_millis(100), 5);
@@ -79,7 +79,8 @@
     matches!(desk.submit(submission()).0, SubmitOutcome::Accepted(_))
 }
 
-/// Get the claim of a submission that is turned away, and when it comes back.
+/// Get the run claim and the retry delay of a submission that is refused
+/// because of the shutdown.
 fn refused_while_stopping(desk: &mut TestDesk, submission: Submission) -> (RunClaim, Duration) {
     match desk.submit(submission).0 {
         SubmitOutcome::Refused(refusal) => {
@@ -102,10 +103,8 @@
         .collect()
 }
 
-// Symptom: a caller's connection closes in the middle of its answer, eight
-// seconds after its host got SIGTERM. Sequence: the host takes a long request
-// 3.2 s after the signal, its run needs five seconds, and the process is killed
-// at the end of its grace. Cause: whether work could end in time was not asked.
+// Guards against truncated answers: a stopping host must not start a run that
+// cannot finish before the process is killed.
 #[test]
 fn long_work() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -114,13 +113,11 @@
     let (claim, retry_after) = refused_while_stopping(&mut desk, bounded(Duration::from_secs(12)));
     assert_eq!(claim, RunClaim::NotRun);
     assert!(retry_after < Duration::from_millis(500));
-    // What its deadline ends in time is served as before.
+    // Calls that their deadline ends in time are still served.
     desk.begin(bounded(Duration::from_secs(3)), "t0");
 }
 
-// Symptom: as above, for work without a deadline that ends it. Sequence: a stop
-// begins at a host that saw too few runs. Cause: that nobody can tell a length
-// was taken for a short one.
+// Guards against starting a run of unknown duration during a shutdown.
 #[test]
 fn unknown_length() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -134,28 +131,28 @@
     record_runs(&mut desk, Duration::from_millis(200));
     stop(&mut desk, GRACE_LEFT);
     desk.begin(submission(), "t0");
-    // Recent runs tell no bound that is as small as what is left now.
+    // Recent runs no longer fit into what is left now.
     desk.pass(GRACE_LEFT - Duration::from_millis(300));
     refused_while_stopping(&mut desk, submission());
 }
 
-// Symptom: a request that waited at a stopping host is cut off. Sequence: it
-// waiting for a place while the grace runs out; a permit comes late. Cause: only
-// callers were turned away, not what they had left with the host.
+// Guards against truncated answers of requests that were already waiting when
+// the shutdown began and get a permit late.
 #[test]
 fn late_permit() {
     let mut desk = TestDesk::new(EntryOptions::default());
     let attempt = first_attempt(desk.accept(bounded(Duration::from_secs(6))));
     stop(&mut desk, GRACE_LEFT);
     let retried = desk.begin(bounded(Duration::from_secs(5)), "t0");
-    // It failed at its first target, and its deadline is where it was.
+    // The first target refuses it; its deadline is unchanged.
     desk.attempt(retried, AttemptEvent::Refused);
     desk.start(attempt, "t0");
     let mut slow = TestDesk::new(EntryOptions::default());
     record_runs(&mut slow, Duration::from_millis(500));
     let attempt = first_attempt(slow.accept(submission()));
     stop(&mut slow, GRACE_LEFT);
-    // Runs take two seconds at most; the next tick would find too little left.
+    // Runs have a bound of two seconds; the next tick would find too little
+    // left.
     for _ in 0..49 {
         assert_eq!(refusals(&slow.pass(STEP)), vec![]);
     }
@@ -168,8 +165,8 @@
     assert_eq!(refusals(&actions), vec![expected]);
 }
 
-// Symptom: as above, with no permit at all. Cause: waiting work was looked at
-// only with its permit; its caller could have been served elsewhere meanwhile.
+// Guards against waiting requests that are refused only when a permit arrives,
+// instead of while another host could still serve them.
 #[test]
 fn waiting_work() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -180,10 +177,8 @@
     desk.start(fitting, "t0");
 }
 
-// Symptom: a call that failed at its first target hangs until the process is
-// killed. Sequence: the stop has little time left when the first target fails.
-// Cause: another attempt began whatever it needs. It may have run, and is told
-// so.
+// Guards against a retry that cannot finish before the process is killed. As
+// the first attempt may have run, the claim is "unknown".
 #[test]
 fn second_attempt() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -195,9 +190,8 @@
     assert_eq!(refusals(&actions), vec![expected]);
 }
 
-// Symptom: a killed process tells nothing of what it held: callers see closed
-// connections, owners miss permits, logs have no line. Cause: the end of the
-// grace was left to the kill.
+// Guards against a process that is killed with open requests: callers would get
+// no answer, owners no permits, and the log no entry.
 #[test]
 fn grace_expired() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -212,11 +206,8 @@
     assert!(actions.contains(&EntryAction::Stopped));
 }
 
-// Symptom: an answer that was asked for 1.1 s after the signal is cut at the end
-// of the grace. Sequence: nearly all hosts stop together; runs of the call's rule
-// take 0.1 s nine times in ten and eight seconds else; it is asked for in the first
-// third of the grace. Cause: a host that few others could stand in for took what
-// nine in ten recent runs would fit, and so cut one in ten of what it took.
+// Guards against truncated answers while most hosts stop together: one recent
+// run in ten takes longer than the grace period, so the run must not start.
 #[test]
 fn few_other_hosts() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -231,7 +222,7 @@
     let back_at = desk.now.plus(Duration::from_secs(5));
     desk.event(EntryEvent::HostsAvailableAt(Some(back_at)));
     desk.pass(Duration::from_millis(1_100));
-    // The caller comes back when hosts are back that can take it.
+    // The caller is told to retry when enough hosts accept requests again.
     let (claim, retry_after) = refused_while_stopping(&mut desk, submission());
     assert_eq!(claim, RunClaim::NotRun);
     let wait = back_at.since(desk.now);
@@ -244,10 +235,8 @@
     assert!(retry_after < Duration::from_millis(500));
 }
 
-// Symptom: callers are turned away whom a stopping host could have served.
-// Sequence: answers of a rule are 40 to 2,000 tokens long, and their callers say
-// about how long; SIGTERM; a short one is asked for. Cause: all work of a rule was
-// taken for as long as its longest.
+// Guards against refusing short calls that fit, because other calls of the same
+// rule run much longer.
 #[test]
 fn output_estimate() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -255,8 +244,8 @@
     stop(&mut desk, GRACE_LEFT);
     desk.begin(with_estimate(40), "t0");
     refused_while_stopping(&mut desk, with_estimate(2_000));
-    // One that names only its most tells nothing of its own length, and one that
-    // names nothing still less.
+    // A call that states only its maximum output, or no output at all, has no
+    // usable estimate.
     let mut max_only = with_estimate(40);
     max_only.options.max_output_tokens = Some(40);
     refused_while_stopping(&mut desk, max_only);
@@ -265,9 +254,8 @@
     refused_while_stopping(&mut desk, unnamed);
 }
 
-// Symptom: an answer that was taken as a short one is cut. Sequence: a target
-// becomes slow; the runs that have ended were fast. Cause: the pace of runs under
-// way was not asked.
+// Guards against ignoring the chunk interval of runs in flight when a target
+// has become slow.
 #[test]
 fn slow_target() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -280,8 +268,7 @@
     refused_while_stopping(&mut desk, with_estimate(40));
 }
 
-// Symptom and sequence: as above. Cause: callers' estimates that had become too
-// small were believed.
+// Guards against relying on estimates that recent runs have exceeded.
 #[test]
 fn underestimated_output() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -289,16 +276,14 @@
     record_run(&mut desk, with_estimate(40), Duration::from_secs(4), 200);
     stop(&mut desk, GRACE_LEFT);
     refused_while_stopping(&mut desk, with_estimate(40));
-    // The most that a call may make bounds it whatever it is thought to need.
+    // The maximum output limits a call regardless of its estimate.
     let mut tiny = with_estimate(20);
     tiny.options.max_output_tokens = Some(21);
     desk.begin(tiny, "t0");
 }
 
-// Symptom: an answer of 6.6 s that was asked for 1.1 s after the signal is cut.
-// Sequence: nearly all runs of the rule are short, with right estimates; a caller
-// asks for ten times as much, by an estimate that is a third of what it takes.
-// Cause: what became of small guesses was believed of a large one.
+// Guards against applying the accuracy of small output estimates to a large
+// one.
 #[test]
 fn large_estimate() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -311,21 +296,22 @@
     stop(&mut desk, GRACE_LEFT);
     desk.begin(with_estimate(40), "t0");
     refused_while_stopping(&mut desk, with_estimate(400));
-    // The most that it may make bounds it all the same.
+    // The maximum output still limits the call.
     let mut bounded = with_estimate(400);
     bounded.options.max_output_tokens = Some(401);
     desk.event(EntryEvent::FinishBy(desk.now.plus(GRACE_LEFT * 2)));
     desk.begin(bounded, "t0");
 }
 
-/// Get a call as above of another rule.
+/// Get a call with an output estimate for the given rule.
 fn of_rule(rule: &str, expected: u32) -> Submission {
     let mut submission = with_estimate(expected);
     submission.verdict.rule = name(rule);
     submission
 }
 
-// Guards against a guess that is believed because those of another rule were right.
+// Guards against relying on an estimate because those of another rule were
+// right.
 #[test]
 fn estimates_by_rule() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -343,7 +329,7 @@
     refused_while_stopping(&mut desk, of_rule("rule", 400));
 }
 
-// Guards against a guess that is believed by a host that has seen few runs.
+// Guards against relying on an estimate after too few runs.
 #[test]
 fn too_few_runs() {
     for runs in [0, 1, 8, 15] {
@@ -356,8 +342,8 @@
     }
 }
 
-// Guards against runs that are cut where several callers guess a third of what
-// their answers take.
+// Guards against truncated runs when several callers underestimate their output
+// by a factor of three.
 #[test]
 fn wrong_estimates() {
     for wrong in [1, 4, MANY_RUNS] {
@@ -368,8 +354,8 @@
         for _ in 0..wrong {
             record_run(&mut desk, with_estimate(400), Duration::from_secs(3), 150);
         }
-        // Three seconds and the first piece's time would do; it may be twice
-        // as wrong retry_after.
+        // The bound leaves room for an estimate that is wrong by twice as much
+        // again.
         stop(&mut desk, Duration::from_secs(5));
         refused_while_stopping(&mut desk, with_estimate(400));
         desk.event(EntryEvent::FinishBy(desk.now.plus(GRACE_LEFT)));
@@ -377,10 +363,8 @@
     }
 }
 
-// Symptom: answers are cut at the end of a grace although recent runs fit it.
-// Sequence: whole runs take three seconds; a target fails 64 times at once, or
-// as many callers leave; a stop begins with two seconds left. Cause: runs that
-// were broken off were taken for short ones and pushed the whole ones out.
+// Guards against short aborted or failed runs that displace complete runs from
+// the window and lower the bound.
 #[test]
 fn aborted_runs() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -401,9 +385,8 @@
     assert!(!is_accepted(&mut desk));
 }
 
-// Symptom: as above. Sequence: all targets become slow just before the stop;
-// runs of a tenth of a second last for ten. Cause: only runs that had ended told
-// of their lengths.
+// Guards against a bound from ended runs alone when all targets have become
+// slow just before the shutdown.
 #[test]
 fn runs_in_flight() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -414,10 +397,8 @@
     assert!(!is_accepted(&mut desk));
 }
 
-// Symptom: an answer of five seconds is cut at a host whose answers took a tenth
-// of a second so far. Sequence: it is asked for 3.5 s after the signal and is
-// thought to need thirty times their output. Cause: the longest recent run
-// bounded it whatever it was thought to need itself.
+// Guards against a bound from recent short answers for a call that expects much
+// more output.
 #[test]
 fn larger_call() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -429,9 +410,8 @@
     refused_while_stopping(&mut desk, large);
 }
 
-// Symptom: a caller gets "may have run" in place of its target's own error.
-// Sequence: the error comes at a stopping host with too little left for another
-// attempt. Cause: the error was dropped for an attempt that could not begin.
+// Guards against replacing the target's error by a refusal when a retry can no
+// longer start.
 #[test]
 fn error_kept() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -441,10 +421,8 @@
     assert_eq!(conclusions(&actions), vec![Conclusion::TargetError]);
 }
 
-// Symptom: an answer that is passed on from another host is cut at the end of
-// the grace. Sequence: a copy for that host comes to one that stops. Cause: it
-// was handed over whatever its answer may take. Whether it runs there is not
-// known here.
+// Guards against forwarding a resubmission whose answer would be truncated at
+// this host. Whether the request runs at the other host is not known here.
 #[test]
 fn forwarded_copy() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -457,9 +435,8 @@
     }
 }
 
-// Symptom: a stop under load never ends. Sequence: callers go on sending short
-// calls beyond the time for which they may keep the address. Cause: they were
-// taken until nothing ran.
+// Guards against a shutdown that never ends because callers keep submitting
+// short calls after their address lease has expired.
 #[test]
 fn admission_closed() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -470,8 +447,8 @@
     desk.start(waiting, "t0");
 }
 
-// Symptom: a stop that nothing bounds turns callers away, or cuts them. Cause:
-// a bound taken for granted.
+// Guards against refusing or aborting requests in a shutdown without a grace
+// period.
 #[test]
 fn no_grace_period() {
     let mut desk = TestDesk::new(EntryOptions::default());
--- a/bergamotswitch-core/tests/entry_lifecycle.rs
+++ b/bergamotswitch-core/tests/entry_lifecycle.rs
@@ -1,4 +1,4 @@
-//! Tests of a request's way from reception to its one outcome.
+//! Tests of the life cycle of a request from submission to its outcome.
 
 mod entry_support;
 
@@ -42,7 +42,7 @@
         good: true,
         first_token: Some(Duration::from_millis(300)),
     }));
-    // Nobody can come back for it, so it is not kept.
+    // The request cannot be resubmitted, so its answer is not stored.
     let forget = EntryAction::DropAnswer(ask.attempt.request);
     assert_eq!(actions.last(), Some(&forget));
     assert_eq!(desk.desk.view().kept_answers, 0);
@@ -73,9 +73,8 @@
     assert_eq!(desk.desk.outcome(&other), lost);
 }
 
-// Symptom: an engine runs a request twice. Sequence: the owner's permit comes
-// twice, the second time while the first attempt runs, then another permit for
-// it. Cause: a permit taken for the right to run.
+// Guards against running a request twice when its permit is duplicated or a
+// second one is granted.
 #[test]
 fn duplicate_permit() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -89,9 +88,8 @@
     assert_eq!(releases(&actions)[0].outcome, ReleaseOutcome::Unused);
 }
 
-// Symptom: work reaches a leaving target. Sequence: this host hears that the
-// target leaves, then the owner, whose list lags, grants it. Cause: the permit
-// believed more than the host's own view.
+// Guards against dispatching to a target that is draining in this host's view
+// while the owner's target list is outdated.
 #[test]
 fn draining_target() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -107,9 +105,8 @@
     desk.start(ask.attempt, "t1");
 }
 
-// Symptom: after a pause, work goes to slots that were given away. Sequence:
-// a permit lies in the socket while the process sleeps, and is read after it
-// woke. Cause: the permit's lifetime counted from when it was read.
+// Guards against using a permit that was granted before a pause of the process
+// and read after it, when its slot may have been granted to another request.
 #[test]
 fn paused_process() {
     for reported in [true, false] {
@@ -130,8 +127,7 @@
     }
 }
 
-// Symptom: a request waits for ever. Sequence: its permit is lost on the way.
-// Cause: nobody asks again.
+// Guards against a request that waits forever because its permit was lost.
 #[test]
 fn lost_permit() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -141,7 +137,7 @@
     let ask = asks(&actions).remove(0);
     assert_eq!(ask.attempt, attempt);
     assert_eq!(u128::from(ask.waited_ms), wake.as_millis());
-    // A long wait in a queue costs less and less.
+    // The resend interval grows while the request waits.
     let mut repeats = 0;
     for _ in 0..100 {
         repeats += asks(&desk.pass(Duration::from_millis(250))).len();
@@ -149,9 +145,8 @@
     assert_eq!(repeats, 2);
 }
 
-// Symptom: a request waits for a shard that no owner orders. Sequence: the
-// published pools are split by domain while it waits. Cause: the shard chosen
-// once for all.
+// Guards against a request that waits at a shard that no longer exists, after
+// its pool was sharded by failure domain.
 #[test]
 fn split_pool() {
     let options = EntryOptions::default().with_domain(name("south"));
@@ -169,9 +164,8 @@
     assert_ne!(asks(&actions)[0].attempt, attempt);
 }
 
-// Symptom: a target works on what nobody waits for. Sequence: the permit comes
-// in the same moment as the deadline, before any tick. Cause: the deadline
-// left to the timer alone.
+// Guards against dispatching a request whose permit arrives at its deadline,
+// before any tick.
 #[test]
 fn late_permit() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -188,9 +182,9 @@
     assert_eq!(refusals(&actions), vec![not_run]);
 }
 
-// Symptom: a new owner gives a running request's slot away and lets its key
-// run again. Sequence: the owner changes while work runs and waits. Cause:
-// the new owner was asked before it was reported.
+// Guards against a new owner that grants the slot of a running request, or a
+// second run of its key: work in flight is reported to it before permits are
+// requested.
 #[test]
 fn owner_change() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -207,7 +201,8 @@
         other => panic!("held work not reported first: {other:?}"),
     }
     assert_eq!(asks(&actions)[0].attempt, waiting);
-    // The former owner's permit is not used; an audit finds the one in use.
+    // The former owner's permit is not used, and an audit confirms the permit
+    // in use.
     let late = desk.permit(waiting, "t0");
     let actions = desk.grant(&late);
     assert_eq!(starts(&actions), vec![]);
@@ -224,11 +219,9 @@
     assert_eq!(desk.reply(audit), vec![answer]);
 }
 
-// Symptom: an alert goes out twice although its second copy was marked as a
-// resubmission. Sequence: the owner dies; the copy, sent to another host,
-// waits for the next owner, which holds no such key. Cause: the host reported the
-// new owner the key of the waiting copy as one that it holds, so the owner,
-// which has to doubt every marked key that it does not know, knew it.
+// Guards against a second run of a marked resubmission: if the key of the
+// waiting request were reported as held, a new owner would take it for known
+// and grant a permit.
 #[test]
 fn waiting_resubmission() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -244,10 +237,8 @@
     assert!(claim.is_some_and(|claim| claim.resubmission));
 }
 
-// Symptom: a caller asks after its alert, hears that it was not run, sends it
-// anew and it goes out twice. Sequence: the first copy runs at another host;
-// the marked one finds no owner, no target or no room here. Cause: a host
-// spoke for its own copy where the caller asked for all of them.
+// Guards against answering "not run" to a marked resubmission: it asks about
+// all copies, and another one may have run at another host.
 #[test]
 fn uncertain_resubmission() {
     let mut copy = alert("k");
@@ -256,7 +247,7 @@
     desk.accept(copy.clone());
     let late = (RefusalReason::DeadlinePassed, RunClaim::Unknown);
     assert_eq!(refusals(&desk.pass(DEADLINE)), vec![late]);
-    // The key stays free: the copy was not run here.
+    // The key remains usable, as this copy did not run here.
     let attempt = first_attempt(desk.accept(copy.clone()));
     let refused = refused_for(RefusalReason::Overloaded, attempt);
     let uncertain = (RefusalReason::Overloaded, RunClaim::Unknown);
@@ -264,7 +255,7 @@
     copy.verdict.domains = vec![name("east")];
     let no_target = (RefusalReason::NoTarget, RunClaim::Unknown);
     assert_eq!(refusal_of(desk.submit(copy.clone()).0), no_target);
-    // A caller that names this run asks for what this run knows.
+    // A caller that names this incarnation asks only about what this one knows.
     copy.holder = Some(run_of("entry-1", 1));
     let known = (RefusalReason::NoTarget, RunClaim::NotRun);
     assert_eq!(refusal_of(desk.submit(copy).0), known);
@@ -284,9 +275,8 @@
     assert_ne!(desk.accept(neighbour), id);
 }
 
-// Symptom: an alert goes out twice. Sequence: it is answered, its answer is
-// dropped for room, and the caller sends it again. Cause: the key forgotten
-// with the answer.
+// Guards against a second run after the answer was evicted and its key
+// forgotten.
 #[test]
 fn dropped_answer() {
     let mut desk = TestDesk::new(EntryOptions::default().with_max_kept_answers(1));
@@ -302,9 +292,8 @@
     assert!(matches!(kept, SubmitOutcome::Attached(_)));
 }
 
-// Symptom: a lost alert is run again. Sequence: the host restarts, the caller
-// names the run that it was reported, or the owner names it. Cause: a successor
-// that answers for its predecessor.
+// Guards against running a request of an earlier incarnation again after a
+// restart of the host.
 #[test]
 fn other_incarnation() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -340,10 +329,8 @@
     assert_eq!(refusals(&actions), vec![lost]);
 }
 
-// Symptom: a caller that keeps to the interface is reported that its new alert
-// may have run. Sequence: it names the run of the address answer, as asked,
-// when it sends the alert for the first time. Cause: naming a run was taken
-// for a resubmission.
+// Guards against treating a first submission as a resubmission because it names
+// the incarnation from the address answer.
 #[test]
 fn named_holder() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -357,8 +344,8 @@
 #[test]
 fn refused_by_owner() {
     let mut desk = TestDesk::new(EntryOptions::default());
-    // Each time the key is free again: it was not run here, and next time the
-    // owner may know more.
+    // The key remains usable each time, as the request did not run here and the
+    // owner may know more next time.
     let reasons = [
         (RefusalReason::Overloaded, RunClaim::NotRun),
         (RefusalReason::OutcomeUnknown, RunClaim::Unknown),
@@ -414,7 +401,7 @@
     assert_eq!(refusals(&actions), vec![not_run, unknown]);
     let outcome = desk.desk.outcome(&OutcomeQuery::Id(waiting));
     assert!(matches!(outcome, OutcomeView::Refused(..)));
-    // The answer that a caller follows is not cut, but counts as late.
+    // An answer that a caller follows is not aborted, but counts as late.
     desk.now = desk.now.plus(Duration::from_millis(1));
     let actions = desk.attempt(followed, AttemptEvent::Finished(usage()));
     assert_eq!(conclusions(&actions), vec![Conclusion::Answered]);
@@ -429,10 +416,8 @@
     }
 }
 
-// Symptom: an answered alert runs again at another host. Sequence: nothing
-// waits or runs at its entry host any more; the owner, which knows the key,
-// dies; the caller sends it again elsewhere, unmarked. Cause: a host that
-// lost sight of the owner with its last request tells the next one nothing.
+// Guards against a second run at another host after a change of owner: a host
+// without live requests still has to report its keys to the new owner.
 #[test]
 fn idle_holder() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -446,7 +431,7 @@
         let kept = key.map(|_| shard());
         assert_eq!(desk.desk.used_shards(), Vec::from_iter(kept));
     }
-    // Forgotten, it is no reason any more.
+    // The owner is no longer tracked after the keys have expired.
     desk.pass(Duration::from_secs(90_000));
     desk.pass(Duration::from_secs(90_000));
     assert_eq!(desk.desk.used_shards(), vec![]);
@@ -469,9 +454,8 @@
     assert_eq!(refusal, (RefusalReason::NoTarget, RunClaim::NotRun));
 }
 
-// Symptom: an alert goes out twice. Sequence: a caller without a mark sends it
-// to hosts of two domains, whose shards have two owners. Cause: no owner sees
-// both asks.
+// Guards against a second run of an unmarked resubmission at a host of another
+// failure domain: both hosts have to request the permit from the same owner.
 #[test]
 fn one_owner_per_key() {
     let mut seen = std::collections::BTreeSet::new();
--- a/bergamotswitch-core/tests/entry_retries.rs
+++ b/bergamotswitch-core/tests/entry_retries.rs
@@ -1,4 +1,5 @@
-//! Tests of retries: only where provably not run or harmless, and bounded.
+//! Tests of retries, which are limited in number and allowed only if the
+//! request provably did not run or can be rerun safely.
 
 mod entry_support;
 
@@ -10,7 +11,7 @@
 
 const UNSENT: AttemptEvent = AttemptEvent::NotSent(NotSentReason::ConnectFailed);
 
-/// Get the claim of the one refusal among the actions.
+/// Get the reason and claim of the only refusal among the actions.
 fn refused(actions: &[EntryAction]) -> Option<(RefusalReason, RunClaim)> {
     match conclusions(actions).as_slice() {
         [Conclusion::Refused(refusal)] => Some((refusal.reason(), refusal.claim())),
@@ -18,7 +19,7 @@
     }
 }
 
-/// Run one attempt of a submission on `t0` or `t1` and get what follows.
+/// Run one attempt of a submission on a target and get the resulting actions.
 fn fail_once(submission: Submission, target: &str, events: &[AttemptEvent]) -> Vec<EntryAction> {
     let mut desk = TestDesk::new(EntryOptions::default());
     let attempt = desk.begin(submission, target);
@@ -43,7 +44,8 @@
 
 #[test]
 fn refused_attempt() {
-    // `t0` promises that a refusal means "not run", `t1` does not.
+    // The contract of `t0` guarantees that a refused request did not run, that
+    // of `t1` does not.
     let actions = fail_once(alert("k"), "t0", &[AttemptEvent::Refused]);
     assert!(retried(&actions, RetryReason::TargetRefused));
     let actions = fail_once(alert("k"), "t1", &[AttemptEvent::Refused]);
@@ -66,7 +68,8 @@
     let mut once = submission();
     once.verdict.dispatch_once = true;
     assert_eq!(refused(&fail_once(once, "t0", &[broken])), Some(unknown));
-    // Once a caller has seen a token, another run's must not follow it.
+    // Output of another run must not follow output that the caller has
+    // received.
     let mut stream = submission();
     stream.streaming = true;
     let actions = fail_once(stream, "t0", &[AttemptEvent::FirstToken, broken]);
@@ -82,10 +85,8 @@
     assert_eq!(conclusions(&actions), vec![Conclusion::TargetError]);
 }
 
-// Symptom: a request that ran is said not to have run. Sequence: the first
-// attempt of an idempotent request breaks, the second is never sent, and the
-// caller leaves or retries are used up. Cause: the proof about the second
-// attempt taken for one about the request.
+// Guards against the claim "not run" after a first attempt that may have run:
+// the proof that a later attempt did not run does not cover it.
 #[test]
 fn earlier_attempt() {
     let options = EntryOptions::default().with_attempts_per_request(2);
@@ -106,7 +107,8 @@
     let actions = desk.attempt(attempt, UNSENT);
     let not_run = (RefusalReason::RetriesExhausted, RunClaim::NotRun);
     assert_eq!(refused(&actions), Some(not_run));
-    // What was not run may be sent again, also by the run's own name.
+    // A request that did not run may be submitted again, also if it names the
+    // incarnation that refused it.
     let mut again = alert("k");
     again.holder = Some(run_of("entry-1", 1));
     assert_ne!(desk.accept(again), attempt.request);
@@ -122,7 +124,7 @@
     assert!(retried(&actions, RetryReason::Preempted));
     let waste = EntryAction::CountWaste(Tier(1), WasteCause::Preemption, 100);
     assert!(actions.contains(&waste));
-    // The stopped attempt's news come too late.
+    // Events of the aborted attempt are ignored.
     let late = desk.attempt(attempt, AttemptEvent::Finished(usage()));
     assert_eq!(late, vec![]);
 
@@ -138,9 +140,7 @@
     assert_eq!(desk.reply(preempt(permit.id, attempt)), vec![]);
 }
 
-// Symptom: a caller's stream is cut while its target works on it. Sequence: a
-// stream that may be carried on pauses for a second; no other run may follow.
-// Cause: the pause was taken for the end of the run.
+// Guards against aborting a stalled stream when no other run may follow.
 #[test]
 fn silent_stream() {
     let mut stream = submission();
@@ -157,7 +157,7 @@
         cancel: true,
     };
     assert!(actions.contains(&aborted(first)));
-    // The second run is the last one: its target is waited for.
+    // No further run is allowed, so the stalled one continues.
     let second = asks(&actions)[0].attempt;
     desk.start(second, "t1");
     assert_eq!(desk.attempt(second, AttemptEvent::Stalled), vec![]);
@@ -175,10 +175,8 @@
     assert_eq!(refused(&actions), Some(late));
 }
 
-// Symptom: a request is refused as out of retries while targets stand idle.
-// Sequence: a host serves many requests; then one meets more dead targets in
-// turn than a request may have attempts. Cause: a target that was not reached
-// cost an attempt and a retry, like one that the request put load on.
+// Guards against using up attempts and retries on targets that cannot be
+// reached, while other targets are idle.
 #[test]
 fn unreachable_targets() {
     const UNREACHABLE: usize = 5;
@@ -197,9 +195,8 @@
     assert_eq!(conclusions(&actions), vec![Conclusion::Answered]);
 }
 
-// Symptom: the first failed call of a host that has just started is its
-// caller's. Sequence: a large fleet is replaced; a quiet pool's call fails at
-// its target. Cause: the host began with a part of one retry.
+// Guards against a budget that starts with less than one retry on a large
+// fleet, so that the first failure after a start is not retried.
 #[test]
 fn first_retry() {
     const HOSTS: usize = 195;
@@ -214,13 +211,12 @@
     assert!(retried(&actions, RetryReason::TargetError));
 }
 
-// Symptom: a pool that is down stays down under a multiple of its load.
-// Sequence: each target refuses the connection, and each request is tried
-// again. Cause: retries bounded by request alone.
+// Guards against a retry storm that keeps a failed pool down.
 #[test]
 fn pool_down() {
     const REQUESTS: usize = 2_000;
-    // A quarter of the slack is there at the start, another comes in the time.
+    // A quarter of the slack is available at the start, and another one is
+    // refilled during the test.
     let rate = RetryRate {
         slack: 8,
         ..RetryRate::default()
--- a/bergamotswitch-core/tests/entry_stop.rs
+++ b/bergamotswitch-core/tests/entry_stop.rs
@@ -1,4 +1,4 @@
-//! Tests of the planned stop.
+//! Tests of a graceful shutdown without a grace period.
 
 mod entry_support;
 
@@ -12,9 +12,8 @@
     assert_eq!(desk.event(EntryEvent::Tick), vec![]);
 }
 
-// Symptom: a planned stop cuts answers off. Sequence: a stop signal comes while
-// one request runs, one waits, and a caller with an old address answer sends a
-// third. Cause: the stop taken for an end.
+// Guards against a shutdown that ends running or waiting requests, or refuses
+// those of callers with an old address answer.
 #[test]
 fn stop_under_work() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -30,7 +29,7 @@
         let stopped = actions.contains(&EntryAction::Stopped);
         assert_eq!(stopped, attempt == late);
     }
-    // A request that comes after all takes the word back.
+    // Another request makes the shutdown incomplete again.
     let last = desk.accept(submission());
     assert!(!desk.event(EntryEvent::Tick).contains(&EntryAction::Stopped));
     let actions = desk.event(EntryEvent::CallerLeft(last));
--- a/bergamotswitch-core/tests/retry_budgets.rs
+++ b/bergamotswitch-core/tests/retry_budgets.rs
@@ -1,4 +1,4 @@
-//! The retry budget of a pool over all hosts of a fleet.
+//! Tests of the retry budget of a pool over all hosts of a fleet.
 
 mod quota_fleet;
 
@@ -6,15 +6,14 @@
 use bergamotswitch_core::retry::RetryRate;
 use quota_fleet::*;
 
-/// The retries for each request that the users bear in one window, and the
-/// window.
+/// The allowed ratio of retries to requests in one window, and the window.
 const RATIO: f64 = 0.2;
 const RETRY_WINDOW: Duration = Duration::from_secs(10);
 
-/// The part of the ratio that hosts earn.
+/// The part of the ratio that is earned by first attempts.
 const EARNED: f64 = 0.7;
 
-/// Start a fleet whose runs go well.
+/// Start a fleet without failing runs.
 fn start(slack: f64) -> QuotaFleet {
     let entry = EntryOptions::default().with_retry_rate(RetryRate {
         permille: (RATIO * EARNED * 1_000.0) as u32,
@@ -37,9 +36,10 @@
     Moment::START.plus(since.saturating_sub(span))
 }
 
-/// Assert that no window has more retries than the users bear: the ratio of
-/// the requests in it, in the one before it or in the one half a window before
-/// it, and the slack. Get the most retries in one window.
+/// Assert that the retries of each window are within the ratio plus the slack,
+/// where the requests are counted in that window, in the one before it or in
+/// the one that starts half a window earlier. Get the largest number of retries
+/// in one window.
 fn assert_within_ratio(fleet: &QuotaFleet, slack: f64, case: &str) -> usize {
     let mut sent: Vec<Moment> = fleet.calls.values().map(|call| call.sent_at).collect();
     sent.sort();
@@ -83,11 +83,9 @@
     }
 }
 
-// Symptom: targets that all fail get far more repeats than the users bear.
-// Sequence: a pool is well for a while, and each host saves up retries; then
-// all its targets fail at once, and hosts are stopped and started in turn.
-// Cause: what a host may save was a constant, whatever the slack of the
-// settings and the number of the hosts.
+// Guards against savings per host that don't depend on the slack and the number
+// of hosts: after a healthy period, all targets fail while hosts are restarted
+// in turn.
 #[test]
 fn saved_retries() {
     const SLACK: f64 = 56.0;
@@ -96,13 +94,12 @@
     fleet.all_fail = true;
     restart_in_turn(&mut fleet, steady);
     let most = assert_within_ratio(&fleet, SLACK, "saved retries");
-    // What the users bear is used, too: half of the ratio of 2,000 requests.
+    // The budget is also used: half of the ratio for 2,000 requests.
     assert!(most >= 200, "only {most}");
 }
 
-// Symptom: a quiet pool gets more repeats than the users bear while hosts are
-// stopped and started in turn. Cause: each new process began with retries of
-// its own.
+// Guards against new processes that each start with retries of their own, while
+// hosts of a pool with little traffic are restarted in turn.
 #[test]
 fn restarted_hosts() {
     const SLACK: f64 = 8.0;
--- a/bergamotswitch-core/tests/stop_returns.rs
+++ b/bergamotswitch-core/tests/stop_returns.rs
@@ -1,5 +1,5 @@
-//! When callers come back that a stopping host turns away: with few others, when
-//! enough of them are expected to take callers retry_after.
+//! Tests of the retry delay for callers that a stopping host refuses, in
+//! particular when most other hosts are stopping too.
 
 use std::time::Duration;
 
@@ -20,15 +20,15 @@
 use bergamotswitch_core::rules::{Tier, Verdict};
 use bergamotswitch_core::target_list::{TargetEntry, TargetList};
 
-/// The hosts of the fleet, the one under test among them.
+/// The number of hosts in the fleet, including the one under test.
 const HOSTS: usize = 8;
-/// How long stops last until answers have to be whole.
+/// The time left until answers must be complete.
 const GRACE_LEFT: Duration = Duration::from_millis(7_600);
-/// From then until the next process takes callers.
+/// The time from then until the restarted process accepts requests.
 const START_MARGIN: Duration = Duration::from_secs(1);
-/// When a caller comes back that another host can serve.
+/// The retry delay while other hosts accept requests.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// The time between two pieces of news of a host.
+/// The interval between gossip messages of a host.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(200);
 
 const READY: MemberFlags = MemberFlags {
@@ -141,8 +141,8 @@
     }
 }
 
-/// A `StoppingHost` is the host under test, and what the others say of
-/// themselves.
+/// A `StoppingHost` is the host under test with the flags that the other hosts
+/// announce.
 struct StoppingHost {
     core: NodeCore,
     now: Moment,
@@ -150,7 +150,7 @@
 }
 
 impl StoppingHost {
-    /// Get the host among others that all take callers.
+    /// Get the host in a fleet where all others accept requests.
     fn new() -> Self {
         let now = Moment::START;
         let me = HostIncarnation {
@@ -182,7 +182,7 @@
         host
     }
 
-    /// Let time pass; the others send_gossip their state all the while.
+    /// Advance the time, while the other hosts announce their flags.
     fn pass(&mut self, span: Duration) {
         let until = self.now.plus(span);
         while self.now < until {
@@ -224,7 +224,7 @@
         self.core.handle(self.now, NodeEvent::WholeBy(whole_by));
     }
 
-    /// Get when a caller comes back that is turned away now.
+    /// Get the retry delay of a caller that is refused now.
     fn refused_retry_after(&mut self) -> Duration {
         match self.core.submit(self.now, submission()).0 {
             SubmitOutcome::Refused(refusal) => {
@@ -235,12 +235,12 @@
         }
     }
 
-    /// Check that a caller is told to come back then, or a quarter of the wait
-    /// later at most.
+    /// Assert that the retry delay ends at the given time, or up to a quarter
+    /// of the wait later.
     fn assert_retry_at(&mut self, at: Moment) {
         let wait = at.since(self.now);
         let retry_after = self.refused_retry_after();
-        // News takes a round to be heard.
+        // A gossip message takes one interval to arrive.
         let least = wait.saturating_sub(GOSSIP_INTERVAL);
         let most = (wait + GOSSIP_INTERVAL) * 5 / 4;
         assert!(
@@ -250,10 +250,8 @@
     }
 }
 
-// Symptom: callers give up although hosts are back some seconds later. Sequence:
-// nearly all hosts stop within a second; a caller is turned away by each that it
-// meets, every 50 ms, until its attempts are used up. Cause: that another host
-// takes what one turns away was taken for granted.
+// Guards against callers that exhaust their attempts within seconds while
+// nearly all hosts are stopping.
 #[test]
 fn most_hosts_stopping() {
     let mut host = StoppingHost::new();
@@ -263,7 +261,7 @@
     host.stop();
     let back_at = stopped_at.plus(GRACE_LEFT + START_MARGIN);
     host.assert_retry_at(back_at);
-    // Hosts that have ended are silent, and still expected.
+    // Hosts that have stopped send no gossip but are still expected to return.
     host.set(1..HOSTS - 1, None);
     host.pass(Duration::from_secs(5));
     host.assert_retry_at(back_at);
@@ -292,7 +290,7 @@
     assert_eq!(host.refused_retry_after(), MIN_RETRY_AFTER);
 }
 
-// A host that starts is not back; one that takes callers is.
+// A starting host does not count as returned until it is ready.
 #[test]
 fn hosts_back() {
     let mut host = StoppingHost::new();
@@ -308,7 +306,7 @@
     assert_eq!(host.refused_retry_after(), MIN_RETRY_AFTER);
 }
 
-// Hosts that have left for good are not waited for.
+// Hosts that have left permanently are not expected to return.
 #[test]
 fn departed_hosts() {
     let mut host = StoppingHost::new();
@@ -333,7 +331,7 @@
     host.assert_retry_at(stopped_at.plus(span + START_MARGIN));
 }
 
-// Where nothing kills a process, nobody can send_gossip when it is back.
+// Without a grace period, the time of return is unknown.
 #[test]
 fn no_grace_period() {
     let mut host = StoppingHost::new();
