--- a/bergamotswitch-core/src/entry/answer_cache.rs
+++ b/bergamotswitch-core/src/entry/answer_cache.rs
@@ -70,9 +70,9 @@
         // the process.
         let excess =
             self.answers.len() > options.max_kept_answers || self.bytes > options.max_kept_bytes;
-        let old = |id: &RequestId| self.ended_at(*id).plus(options.answer_retention) <= now;
-        let from_keyless = self.keyless.front().is_some_and(|id| excess || old(id));
-        let from_keyed = self.keyed.front().is_some_and(|id| excess || old(id));
+        let expired = |id: &RequestId| self.ended_at(*id).plus(options.answer_retention) <= now;
+        let from_keyless = self.keyless.front().is_some_and(|id| excess || expired(id));
+        let from_keyed = self.keyed.front().is_some_and(|id| excess || expired(id));
         let id = match (from_keyless, from_keyed) {
             (true, _) => self.keyless.pop_front()?,
             (false, true) => self.keyed.pop_front()?,
--- a/bergamotswitch-core/src/entry/attempt.rs
+++ b/bergamotswitch-core/src/entry/attempt.rs
@@ -32,7 +32,7 @@
             // The owner knows or suspects another run of the same key. This
             // submission did not run, but the request that its caller asks
             // about may have.
-            WaitingState::Fresh(_) if is_unknown(reason) => Refusal::may_have_run(reason),
+            WaitingState::Fresh(_) if may_have_other_run(reason) => Refusal::may_have_run(reason),
             WaitingState::Fresh(request) => request.refuse(reason),
             WaitingState::Rerun(request) => request.give_up(reason),
         }
@@ -40,7 +40,7 @@
 }
 
 /// Get whether a reason means that another run of the same key may exist.
-pub(super) fn is_unknown(reason: RefusalReason) -> bool {
+pub(super) fn may_have_other_run(reason: RefusalReason) -> bool {
     matches!(reason, RefusalReason::OutcomeUnknown | RefusalReason::Lost)
 }
 
--- a/bergamotswitch-core/src/entry/dispatcher/completion.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/completion.rs
@@ -4,7 +4,7 @@
 use super::EntryDispatcher;
 use crate::clock::Moment;
 use crate::entry::answer_cache::KeptAnswer;
-use crate::entry::attempt::{RunningAttempt, is_unknown};
+use crate::entry::attempt::{RunningAttempt, may_have_other_run};
 use crate::entry::request_table::RequestRecord;
 use crate::entry::{Conclusion, EntryAction};
 use crate::incident::Incident;
@@ -117,5 +117,5 @@
         || refusal.claim() == RunClaim::NotRun
         // The owner reported another run of the key. It has to be asked again
         // for the next submission.
-        || is_unknown(refusal.reason())
+        || may_have_other_run(refusal.reason())
 }
--- a/bergamotswitch-core/src/entry/dispatcher/mod.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/mod.rs
@@ -48,7 +48,7 @@
     quota_use: QuotaUse,
     /// The maximum number of hosts seen by this incarnation.
     host_count: usize,
-    counts: DeskCounts,
+    counts: DispatcherCounts,
     last_event_at: Moment,
     durations: RunDurations,
     stopping: bool,
@@ -57,7 +57,7 @@
 }
 
 #[derive(Debug, Default)]
-struct DeskCounts {
+struct DispatcherCounts {
     accepted: u64,
     dispatched: u64,
     retried: u64,
@@ -76,7 +76,7 @@
             budgets: BTreeMap::new(),
             quota_use: QuotaUse::default(),
             host_count: 1,
-            counts: DeskCounts::default(),
+            counts: DispatcherCounts::default(),
             last_event_at: Moment::START,
             durations: RunDurations::default(),
             stopping: false,
@@ -113,9 +113,9 @@
     ) -> (SubmitOutcome, Vec<EntryAction>) {
         let mut actions = Vec::new();
         self.detect_pause(now, &mut actions);
-        let submission = self.receive(now, submission, &mut actions);
+        let outcome = self.receive(now, submission, &mut actions);
         self.run_due(now, &mut actions);
-        (submission, actions)
+        (outcome, actions)
     }
 
     /// Handle an event.
--- a/bergamotswitch-core/src/entry/dispatcher/permit_requests.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/permit_requests.rs
@@ -136,8 +136,8 @@
             return self.refuse(now, record, refusal, actions);
         };
         record.attempt = attempt;
-        let place = self.pools.shard_for(&record.shard_query());
-        if let Some(shard) = place {
+        let shard = self.pools.shard_for(&record.shard_query());
+        if let Some(shard) = shard {
             record.shard = shard;
         }
         self.request_permit(now, record, state, actions);
--- a/bergamotswitch-core/src/entry/dispatcher/stopping.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/stopping.rs
@@ -68,8 +68,8 @@
             return STOPPING_RETRY_AFTER;
         }
         self.spread_position = self.spread_position.wrapping_add(SPREAD_STEP);
-        let place = f64::from(self.spread_position) / f64::from(u16::MAX);
-        wait + (wait / SPREAD_DIVISOR).mul_f64(place)
+        let position = f64::from(self.spread_position) / f64::from(u16::MAX);
+        wait + (wait / SPREAD_DIVISOR).mul_f64(position)
     }
 }
 
--- a/bergamotswitch-core/tests/entry_lifecycle.rs
+++ b/bergamotswitch-core/tests/entry_lifecycle.rs
@@ -7,8 +7,8 @@
 use bergamotswitch_core::refusal::{RetryReason, RunClaim, WasteCause};
 use entry_support::*;
 
-fn refusal_of(reception: SubmitOutcome) -> (RefusalReason, RunClaim) {
-    match reception {
+fn refusal_of(outcome: SubmitOutcome) -> (RefusalReason, RunClaim) {
+    match outcome {
         SubmitOutcome::Refused(refusal) => (refusal.reason(), refusal.claim()),
         other => panic!("not refused: {other:?}"),
     }
@@ -26,9 +26,9 @@
 #[test]
 fn complete_request() {
     let mut desk = TestDesk::new(EntryOptions::default());
-    let (reception, actions) = desk.submit(submission());
+    let (outcome, actions) = desk.submit(submission());
     let ask = asks(&actions).remove(0);
-    assert_eq!(reception, SubmitOutcome::Accepted(ask.attempt.request));
+    assert_eq!(outcome, SubmitOutcome::Accepted(ask.attempt.request));
     assert_eq!(ask.claim, None);
     desk.start(ask.attempt, "t0");
     desk.now = desk.now.plus(Duration::from_millis(300));
