--- a/bergamotswitch-core/src/entry/desk/ending.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/completion.rs
@@ -1,19 +1,19 @@
-//! Provides the end of a request: its permit given back, its one outcome, its
-//! answer kept.
+//! Provides the completion of requests: releasing the permit, reporting the
+//! outcome and storing the answer.
 
-use super::EntryDesk;
+use super::EntryDispatcher;
 use crate::clock::Moment;
-use crate::entry::attempt::{RunningAttempt, is_unknown};
-use crate::entry::kept_answer::KeptAnswer;
-use crate::entry::ledger::RequestRecord;
+use crate::entry::answer_cache::KeptAnswer;
+use crate::entry::attempt::{RunningAttempt, may_have_other_run};
+use crate::entry::request_table::RequestRecord;
 use crate::entry::{Conclusion, EntryAction};
 use crate::incident::Incident;
 use crate::permit::{OwnerMessage, Release, ReleaseOutcome, Usage};
 use crate::refusal::{Refusal, RunClaim};
 
-impl EntryDesk {
-    /// Give the permit of an attempt back, to who acts as owner now: it heard
-    /// of the permit when it took over.
+impl EntryDispatcher {
+    /// Release the permit of an attempt to the acting owner, to which this host
+    /// reported the permit at takeover.
     pub(super) fn release(
         &mut self,
         now: Moment,
@@ -24,13 +24,13 @@
     ) {
         let rule = &record.submission.verdict.rule;
         let span = |usage: Usage| {
-            let pieces = usage.decode.max(running.decoded);
-            running.span(now, &record.submission, pieces)
+            let chunks = usage.decode.max(running.decoded);
+            running.run_timing(now, &record.submission, chunks)
         };
         match outcome {
-            ReleaseOutcome::Finished(usage) => self.lengths.note(rule, span(usage)),
+            ReleaseOutcome::Finished(usage) => self.durations.record(rule, span(usage)),
             ReleaseOutcome::Failed(usage) | ReleaseOutcome::Stopped(usage) => {
-                self.lengths.note_broken(rule, span(usage));
+                self.durations.record_aborted(rule, span(usage));
             }
             ReleaseOutcome::Unused | ReleaseOutcome::Unreachable | ReleaseOutcome::Refused => {}
         }
@@ -48,7 +48,7 @@
         actions.push(EntryAction::Send(host, message));
     }
 
-    /// End a request without an answer of a target.
+    /// End a request without an answer from a target.
     pub(super) fn refuse(
         &mut self,
         now: Moment,
@@ -56,16 +56,19 @@
         refusal: Refusal,
         actions: &mut Vec<EntryAction>,
     ) {
-        actions.push(EntryAction::Note(Incident::RequestRefused, record.id));
+        actions.push(EntryAction::LogIncident(
+            Incident::RequestRefused,
+            record.id,
+        ));
         let tier = record.submission.verdict.tier;
         actions.push(EntryAction::CountRefusal(tier, refusal.reason()));
         if let Some(key) = &record.key
-            && is_open(&record, &refusal)
+            && is_rerunnable(&record, &refusal)
         {
-            self.keys.open(key, now);
+            self.keys.allow_rerun(key, now);
         }
-        // What holds for this copy need not hold for an earlier one, and that
-        // is what a caller asks for that sends it again.
+        // A caller that resubmits a request asks about all copies of it, and an
+        // earlier copy may have run even if this one did not.
         let refusal = match record.submission.may_have_run_before() {
             true => refusal.with_unknown_run(),
             false => refusal,
@@ -73,8 +76,8 @@
         self.conclude(now, record, None, Conclusion::Refused(refusal), actions);
     }
 
-    /// End a request: the caller is told, and the outcome is kept where
-    /// someone may come back for it.
+    /// End a request: report its outcome to the caller, and store it if a
+    /// resubmission may ask for it.
     pub(super) fn conclude(
         &mut self,
         now: Moment,
@@ -90,9 +93,9 @@
             first_token: first_token_at.map(|at| at.since(record.accepted_at)),
         });
         if !record.keeps_answer() {
-            // Its caller followed to the end, and could run it again. Kept
-            // answers are a host's largest memory.
-            actions.push(EntryAction::Forget(record.id));
+            // The caller received the answer and could run the request again.
+            // Stored answers are a host's largest use of memory.
+            actions.push(EntryAction::DropAnswer(record.id));
             return;
         }
         let answer = KeptAnswer {
@@ -101,17 +104,18 @@
             conclusion,
             bytes: 0,
         };
-        self.answers.keep(record.id, answer);
+        self.answers.insert(record.id, answer);
     }
 }
 
-/// Get whether the key of a refused request may start a new run: it was not
-/// run here, or is harmless to run again. Were the refusal kept in its place,
-/// a caller told "not run" could never send the request again.
-fn is_open(record: &RequestRecord, refusal: &Refusal) -> bool {
+/// Get whether the key of a refused request may start a new run: the request
+/// did not run here, or can be rerun safely. If the refusal were stored under
+/// the key, a caller that was told "not run" could never submit the request
+/// again.
+fn is_rerunnable(record: &RequestRecord, refusal: &Refusal) -> bool {
     record.may_rerun()
         || refusal.claim() == RunClaim::NotRun
-        // Only an owner's word about another run of the key leads here; the
-        // owner is to be asked again next time.
-        || is_unknown(refusal.reason())
+        // The owner reported another run of the key. It has to be asked again
+        // for the next submission.
+        || may_have_other_run(refusal.reason())
 }
--- a/bergamotswitch-core/src/entry/desk/asking.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/permit_requests.rs
@@ -1,80 +1,82 @@
-//! Provides the waiting side: asks, asking again and the bounds of retries.
+//! Provides permit requests, their retransmission and the limits on retries.
 
-use super::EntryDesk;
+use super::EntryDispatcher;
 use crate::clock::Moment;
 use crate::entry::EntryAction;
-use crate::entry::attempt::{AttemptStage, WaitingAttempt, WaitingLife, to_millis};
-use crate::entry::ledger::{LiveEntry, RequestRecord};
+use crate::entry::attempt::{AttemptStage, WaitingAttempt, WaitingState, to_millis};
+use crate::entry::request_table::{LiveEntry, RequestRecord};
 use crate::host::HostName;
 use crate::incident::Incident;
 use crate::permit::{Ask, KeyClaim, OwnerMessage};
 use crate::refusal::{RefusalReason, RetryReason};
 use crate::retry::RetryBudget;
 
-/// The most targets of one request that cannot be reached and cost no retry.
-/// After so many, the fault is likely this host's own.
+/// The maximum number of failed connections of one request that do not cost a
+/// retry. Beyond this number, the fault is probably local to this host.
 const MAX_RECONNECTS: u16 = 8;
 
-/// Get the time from its acceptance within which a request's answer should begin;
-/// `None` where its deadline alone bounds the wait. A request whose first run broke
-/// off waits for the next one as long as it may: its caller has been served already.
-fn patience_of(record: &RequestRecord) -> Option<u32> {
-    let patience = record.submission.terms.patience?;
-    (record.dispatches == 0).then(|| to_millis(patience))
+/// Get the time from acceptance within which the answer should begin, in
+/// milliseconds, or `None` if only the deadline limits the wait. It does not
+/// apply to a request that was dispatched before: its retry waits until the
+/// deadline.
+fn first_answer_goal_ms(record: &RequestRecord) -> Option<u32> {
+    let goal = record.submission.options.first_answer_goal?;
+    (record.dispatches == 0).then(|| to_millis(goal))
 }
 
-impl EntryDesk {
-    /// Let a request wait, and ask the shard's owner where one is known.
-    pub(super) fn ask(
+impl EntryDispatcher {
+    /// Put a request into the waiting stage and send a permit request to the
+    /// shard's owner, if one is known.
+    pub(super) fn request_permit(
         &mut self,
         now: Moment,
         record: RequestRecord,
-        life: WaitingLife,
+        state: WaitingState,
         actions: &mut Vec<EntryAction>,
     ) {
-        let asked = self.owners.get(&record.shard).cloned();
-        if let Some(owner) = &asked {
-            let ask = self.ask_of(now, &record);
+        let requested_from = self.owners.get(&record.shard).cloned();
+        if let Some(owner) = &requested_from {
+            let ask = self.permit_request(now, &record);
             let message = OwnerMessage::Ask(Box::new(ask));
             actions.push(EntryAction::Send(owner.clone(), message));
         }
         let waiting = WaitingAttempt {
-            life,
-            asked,
-            asked_at: now,
-            re_asks: 0,
+            state,
+            requested_from,
+            requested_at: now,
+            resends: 0,
         };
-        self.ledger.put(LiveEntry {
+        self.requests.put(LiveEntry {
             record,
             stage: AttemptStage::Waiting(waiting),
         });
     }
 
-    /// Ask once more for the same attempt: the ask or its permit may be lost.
-    /// Asking again is idempotent.
-    fn re_ask(
+    /// Send the permit request of an attempt again, as it or its permit may be
+    /// lost. The owner treats it as idempotent.
+    fn resend_request(
         &mut self,
         now: Moment,
         record: RequestRecord,
         waiting: WaitingAttempt,
         actions: &mut Vec<EntryAction>,
     ) {
-        if let Some(owner) = &waiting.asked {
-            let message = OwnerMessage::Ask(Box::new(self.ask_of(now, &record)));
+        if let Some(owner) = &waiting.requested_from {
+            let message = OwnerMessage::Ask(Box::new(self.permit_request(now, &record)));
             actions.push(EntryAction::Send(owner.clone(), message));
         }
         let waiting = WaitingAttempt {
-            asked_at: now,
-            re_asks: waiting.re_asks.saturating_add(1),
+            requested_at: now,
+            resends: waiting.resends.saturating_add(1),
             ..waiting
         };
-        self.ledger.put(LiveEntry {
+        self.requests.put(LiveEntry {
             record,
             stage: AttemptStage::Waiting(waiting),
         });
     }
 
-    fn ask_of(&self, now: Moment, record: &RequestRecord) -> Ask {
+    fn permit_request(&self, now: Moment, record: &RequestRecord) -> Ask {
         let submission = &record.submission;
         Ask {
             attempt: record.attempt_id(),
@@ -89,26 +91,26 @@
             domains: submission.verdict.domains.clone(),
             avoid: record.avoid.clone(),
             preemptible: self.is_preemptible(record),
-            claim: self.claim_of(record),
-            first_answer_ms: patience_of(record),
+            claim: self.key_claim(record),
+            first_answer_ms: first_answer_goal_ms(record),
             quota_units: match record.dispatches {
-                0 => submission.terms.quota_units,
-                // What it took from the quota is taken already.
+                0 => submission.options.quota_units,
+                // The quota was charged at the first dispatch.
                 _ => 0,
             },
         }
     }
 
-    /// Get whether a request may be stopped for a higher tier. After as many
-    /// preemptions as it may have attempts it may not: each costs its prefill
-    /// again, and it would never end.
+    /// Get whether a request may be preempted. The number of preemptions is
+    /// limited to the number of attempts, as each one repeats the prefill and
+    /// the request might otherwise never finish.
     pub(super) fn is_preemptible(&self, record: &RequestRecord) -> bool {
         record.submission.verdict.preemptible
             && record.may_rerun()
             && record.preemptions < self.options.attempts_per_request
     }
 
-    fn claim_of(&self, record: &RequestRecord) -> Option<KeyClaim> {
+    fn key_claim(&self, record: &RequestRecord) -> Option<KeyClaim> {
         let key = record.key.as_ref()?;
         match record.may_rerun() {
             true => None,
@@ -120,47 +122,50 @@
         }
     }
 
-    /// Ask again under a new attempt's name, so that no permit of the earlier
-    /// attempt can be taken for one of this.
-    pub(super) fn ask_anew(
+    /// Request a permit under a new attempt number, so that a permit of the
+    /// earlier attempt cannot be used for this one.
+    pub(super) fn request_for_new_attempt(
         &mut self,
         now: Moment,
         mut record: RequestRecord,
-        life: WaitingLife,
+        state: WaitingState,
         actions: &mut Vec<EntryAction>,
     ) {
         let Some(attempt) = record.attempt.checked_add(1) else {
-            let refusal = life.refuse(RefusalReason::RetriesExhausted);
+            let refusal = state.refuse(RefusalReason::RetriesExhausted);
             return self.refuse(now, record, refusal, actions);
         };
         record.attempt = attempt;
-        let place = self.pools.shard_for(&record.wish());
-        if let Some(shard) = place {
+        let shard = self.pools.shard_for(&record.shard_query());
+        if let Some(shard) = shard {
             record.shard = shard;
         }
-        self.ask(now, record, life, actions);
+        self.request_permit(now, record, state, actions);
     }
 
-    /// Ask again for a stated reason, which is counted.
-    pub(super) fn ask_again(
+    /// Retry a request for the given reason, which is counted.
+    pub(super) fn retry(
         &mut self,
         now: Moment,
         record: RequestRecord,
-        life: WaitingLife,
+        state: WaitingState,
         reason: RetryReason,
         actions: &mut Vec<EntryAction>,
     ) {
         self.counts.retried += 1;
         actions.push(EntryAction::CountRetry(reason));
-        actions.push(EntryAction::Note(Incident::AttemptRetried, record.id));
-        self.ask_anew(now, record, life, actions);
+        actions.push(EntryAction::LogIncident(
+            Incident::AttemptRetried,
+            record.id,
+        ));
+        self.request_for_new_attempt(now, record, state, actions);
     }
 
     /// Try to spend one retry on a request.
     ///
     /// # Errors
     ///
-    /// Returns why there must be none.
+    /// Returns the reason why the request must not be retried.
     pub(super) fn try_retry(
         &mut self,
         now: Moment,
@@ -173,7 +178,7 @@
         if attempts >= self.options.attempts_per_request {
             return Err(RefusalReason::RetriesExhausted);
         }
-        if !self.may_begin(now, &record.submission, record.deadline) {
+        if !self.may_start(now, &record.submission, record.deadline) {
             return Err(RefusalReason::Stopping);
         }
         match self.budget(now, record).try_spend(now) {
@@ -182,21 +187,21 @@
         }
     }
 
-    /// Try to let a request that reached no target go to another one. It costs a
-    /// retry only where reconnects are used up.
+    /// Try to reconnect a request that reached no target to another one. This
+    /// costs a retry only if no reconnects are left.
     ///
     /// # Errors
     ///
-    /// Returns why there must be none.
+    /// Returns the reason why the request must not be retried.
     pub(super) fn try_reconnect(
         &mut self,
         now: Moment,
         record: &mut RequestRecord,
     ) -> Result<(), RefusalReason> {
         let in_time = now < record.deadline;
-        let fits = in_time && self.may_begin(now, &record.submission, record.deadline);
-        let spared = fits && record.reconnects < MAX_RECONNECTS;
-        if spared && self.budget(now, record).try_reconnect() {
+        let fits = in_time && self.may_start(now, &record.submission, record.deadline);
+        let free = fits && record.reconnects < MAX_RECONNECTS;
+        if free && self.budget(now, record).try_reconnect() {
             record.reconnects += 1;
             return Ok(());
         }
@@ -210,27 +215,32 @@
             .or_insert_with(|| RetryBudget::new(rate, hosts, now))
     }
 
-    /// Attend to an entry whose time has come.
-    pub(super) fn attend(&mut self, now: Moment, entry: LiveEntry, actions: &mut Vec<EntryAction>) {
+    /// Handle an entry whose timer has expired.
+    pub(super) fn handle_due(
+        &mut self,
+        now: Moment,
+        entry: LiveEntry,
+        actions: &mut Vec<EntryAction>,
+    ) {
         let LiveEntry { record, stage } = entry;
         match stage {
             AttemptStage::Waiting(waiting) if now >= record.deadline => {
-                self.withdraw(&record, waiting.asked.as_ref(), actions);
-                let refusal = waiting.life.refuse(RefusalReason::DeadlinePassed);
+                self.withdraw(&record, waiting.requested_from.as_ref(), actions);
+                let refusal = waiting.state.refuse(RefusalReason::DeadlinePassed);
                 self.refuse(now, record, refusal, actions);
             }
-            AttemptStage::Waiting(waiting) => self.re_ask(now, record, waiting, actions),
-            AttemptStage::Running(running) => self.stop_late(now, record, running, actions),
+            AttemptStage::Waiting(waiting) => self.resend_request(now, record, waiting, actions),
+            AttemptStage::Running(running) => self.abort_overdue(now, record, running, actions),
         }
     }
 
     pub(super) fn withdraw(
         &self,
         record: &RequestRecord,
-        asked: Option<&HostName>,
+        requested_from: Option<&HostName>,
         actions: &mut Vec<EntryAction>,
     ) {
-        if let Some(owner) = asked {
+        if let Some(owner) = requested_from {
             let message = OwnerMessage::Withdraw {
                 shard: record.shard.clone(),
                 attempt: record.attempt_id(),
--- a/bergamotswitch-core/src/entry/desk/replies.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/replies.rs
@@ -1,10 +1,10 @@
-//! Provides what owners' replies lead to.
+//! Provides the handling of owners' replies.
 
-use super::EntryDesk;
+use super::EntryDispatcher;
 use crate::clock::Moment;
 use crate::entry::EntryAction;
 use crate::entry::attempt::{AttemptStage, RunningAttempt, WaitingAttempt};
-use crate::entry::ledger::{LiveEntry, RequestRecord};
+use crate::entry::request_table::{LiveEntry, RequestRecord};
 use crate::host::{HostIncarnation, HostName};
 use crate::incident::Incident;
 use crate::permit::{OwnerMessage, OwnerReply, Permit, PermitId, Release, ReleaseOutcome};
@@ -14,8 +14,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-impl EntryDesk {
-    /// Take in an owner's reply.
+impl EntryDispatcher {
+    /// Handle an owner's reply.
     pub(super) fn owner_replied(
         &mut self,
         now: Moment,
@@ -33,7 +33,7 @@
                 retry_after_ms,
             } => {
                 let retry_after = Duration::from_millis(retry_after_ms.into());
-                self.refused_by(now, &host, attempt, reason, retry_after, actions);
+                self.owner_refused(now, &host, attempt, reason, retry_after, actions);
             }
             OwnerReply::KeyHeld { attempt, holder } => {
                 self.key_known(now, attempt, holder, actions);
@@ -43,16 +43,16 @@
             }
             OwnerReply::Audit { shard, permits } => self.audit(host, shard, permits, actions),
             OwnerReply::ConfirmOwner { shard, round } => {
-                self.say_following(host, shard, round, actions);
+                self.confirm_following(host, shard, round, actions);
             }
-            // Membership looks for the next owner.
+            // The membership module looks for the next owner.
             OwnerReply::NotOwner { .. } => {}
         }
     }
 
-    /// Answer an owner that asks who follows it; one that is not followed gets
-    /// no answer.
-    fn say_following(
+    /// Confirm to an owner that this host follows it. An owner that is not
+    /// followed gets no answer.
+    fn confirm_following(
         &self,
         host: HostName,
         shard: PoolShard,
@@ -74,36 +74,36 @@
         actions: &mut Vec<EntryAction>,
     ) {
         if self.holds_permit(&permit) {
-            // A duplicate of the permit in use: giving it back would free a
-            // slot that is taken.
+            // This is a duplicate of the permit in use. Returning it would free
+            // an occupied slot.
             return;
         }
-        let Some(entry) = self.ledger.take_attempt(permit.attempt) else {
-            return give_back(host, shard, &permit, actions);
+        let Some(entry) = self.requests.take_attempt(permit.attempt) else {
+            return return_permit(host, shard, &permit, actions);
         };
         let LiveEntry { record, stage } = entry;
         match stage {
-            AttemptStage::Waiting(waiting) if waiting.asked.as_ref() == Some(&host) => {
+            AttemptStage::Waiting(waiting) if waiting.requested_from.as_ref() == Some(&host) => {
                 self.use_permit(now, record, waiting, permit, actions);
             }
-            // The attempt runs under another permit, or a former owner still
-            // grants: the slot goes back, and the attempt stays as it is.
+            // The attempt runs under another permit, or the permit comes from a
+            // former owner. Return the permit and leave the attempt as it is.
             stage => {
-                self.ledger.put(LiveEntry { record, stage });
-                give_back(host, shard, &permit, actions);
+                self.requests.put(LiveEntry { record, stage });
+                return_permit(host, shard, &permit, actions);
             }
         }
     }
 
     fn holds_permit(&self, permit: &Permit) -> bool {
-        let entry = self.ledger.get(permit.attempt.request);
+        let entry = self.requests.get(permit.attempt.request);
         match entry.map(|entry| &entry.stage) {
             Some(AttemptStage::Running(running)) => running.permit.id == permit.id,
             Some(AttemptStage::Waiting(_)) | None => false,
         }
     }
 
-    /// Dispatch under a permit, unless it is void.
+    /// Dispatch an attempt under a permit, unless the permit is void.
     fn use_permit(
         &mut self,
         now: Moment,
@@ -112,43 +112,44 @@
         permit: Permit,
         actions: &mut Vec<EntryAction>,
     ) {
-        let Some(owner) = waiting.asked else {
-            return self.ask(now, record, waiting.life, actions);
+        let Some(owner) = waiting.requested_from else {
+            return self.request_permit(now, record, waiting.state, actions);
         };
         if now >= record.deadline {
-            give_back(owner, record.shard.clone(), &permit, actions);
-            let refusal = waiting.life.refuse(RefusalReason::DeadlinePassed);
+            return_permit(owner, record.shard.clone(), &permit, actions);
+            let refusal = waiting.state.refuse(RefusalReason::DeadlinePassed);
             return self.refuse(now, record, refusal, actions);
         }
-        if !self.may_begin(now, &record.submission, record.deadline) {
-            give_back(owner, record.shard.clone(), &permit, actions);
-            let refusal = self.elsewhere(now, waiting.life.refuse(RefusalReason::Stopping));
+        if !self.may_start(now, &record.submission, record.deadline) {
+            return_permit(owner, record.shard.clone(), &permit, actions);
+            let refusal =
+                self.with_stop_retry_after(now, waiting.state.refuse(RefusalReason::Stopping));
             return self.refuse(now, record, refusal, actions);
         }
-        let leaving = self.pools.is_leaving(&permit.target);
-        if leaving || permit.lifetime_ms == 0 {
-            give_back(owner, record.shard.clone(), &permit, actions);
-            if leaving {
-                // The owner's list lags: without this it would grant the
+        let draining = self.pools.is_draining(&permit.target);
+        if draining || permit.lifetime_ms == 0 {
+            return_permit(owner, record.shard.clone(), &permit, actions);
+            if draining {
+                // The owner's target list may be outdated; it would grant the
                 // same target again.
                 record.avoid_target(&permit.target);
             }
             let reason = RetryReason::PermitVoid;
-            return self.ask_again(now, record, waiting.life, reason, actions);
+            return self.retry(now, record, waiting.state, reason, actions);
         }
         if record.dispatches == 0 {
             self.budget(now, &record).earn(now);
-            self.note_use(now, &record);
+            self.record_quota_use(now, &record);
             let tier = record.submission.verdict.tier;
             let waited = now.since(record.accepted_at);
             actions.push(EntryAction::CountWait(tier, waited));
         }
         record.dispatches = record.dispatches.saturating_add(1);
         self.counts.dispatched += 1;
-        // The request is dispatched before the action says so: whatever goes
-        // wrong from here on, nobody can claim that it was not run.
+        // The state changes to dispatched before the action is emitted, so the
+        // request can no longer be reported as "not run".
         let running = RunningAttempt {
-            life: waiting.life.dispatch(),
+            state: waiting.state.dispatch(),
             permit: permit.clone(),
             granted_by: owner,
             started_at: now,
@@ -156,26 +157,27 @@
             decoded: 0,
         };
         let attempt = record.attempt_id();
-        self.ledger.put(LiveEntry {
+        self.requests.put(LiveEntry {
             record,
             stage: AttemptStage::Running(running),
         });
         actions.push(EntryAction::Start { attempt, permit });
     }
 
-    /// Count a call's units as used, for the next owner of its shard.
-    fn note_use(&mut self, now: Moment, record: &RequestRecord) {
+    /// Record the quota units of a request, to be reported to the next owner of
+    /// its shard.
+    fn record_quota_use(&mut self, now: Moment, record: &RequestRecord) {
         let submission = &record.submission;
-        self.quota_use.note(
+        self.quota_use.record(
             now,
             &record.shard,
             &submission.account,
-            submission.terms.quota_units,
+            submission.options.quota_units,
             self.host_count,
         );
     }
 
-    fn refused_by(
+    fn owner_refused(
         &mut self,
         now: Moment,
         host: &HostName,
@@ -184,19 +186,20 @@
         retry_after: Duration,
         actions: &mut Vec<EntryAction>,
     ) {
-        let Some(entry) = self.ledger.take_attempt(attempt) else {
+        let Some(entry) = self.requests.take_attempt(attempt) else {
             return;
         };
         match entry.stage {
-            AttemptStage::Waiting(waiting) if waiting.asked.as_ref() == Some(host) => {
-                let refusal = waiting.life.refuse(reason).with_retry_after(retry_after);
+            AttemptStage::Waiting(waiting) if waiting.requested_from.as_ref() == Some(host) => {
+                let refusal = waiting.state.refuse(reason).with_retry_after(retry_after);
                 self.refuse(now, entry.record, refusal, actions);
             }
-            stage => self.ledger.put(LiveEntry { stage, ..entry }),
+            stage => self.requests.put(LiveEntry { stage, ..entry }),
         }
     }
 
-    /// Another run holds the key: this request is not run here.
+    /// Handle the reply that another host incarnation holds the key. The
+    /// request does not run here.
     fn key_known(
         &mut self,
         now: Moment,
@@ -207,18 +210,24 @@
         if holder == self.me {
             return;
         }
-        let Some(entry) = self.ledger.take_attempt(attempt) else {
+        let Some(entry) = self.requests.take_attempt(attempt) else {
             return;
         };
         match entry.stage {
             AttemptStage::Waiting(waiting) if holder.host == self.me.host => {
-                actions.push(EntryAction::Note(Incident::RequestLost, entry.record.id));
-                let refusal = waiting.life.refuse(RefusalReason::Lost);
+                actions.push(EntryAction::LogIncident(
+                    Incident::RequestLost,
+                    entry.record.id,
+                ));
+                let refusal = waiting.state.refuse(RefusalReason::Lost);
                 self.refuse(now, entry.record, refusal, actions);
             }
             AttemptStage::Waiting(waiting) if !self.may_forward(now, &entry.record.submission) => {
-                actions.push(EntryAction::Note(Incident::RequestLost, entry.record.id));
-                let refusal = waiting.life.refuse(RefusalReason::OutcomeUnknown);
+                actions.push(EntryAction::LogIncident(
+                    Incident::RequestLost,
+                    entry.record.id,
+                ));
+                let refusal = waiting.state.refuse(RefusalReason::OutcomeUnknown);
                 self.refuse(now, entry.record, refusal, actions);
             }
             AttemptStage::Waiting(_) => {
@@ -227,7 +236,7 @@
                 }
                 actions.push(EntryAction::Forward(entry.record.id, holder));
             }
-            stage => self.ledger.put(LiveEntry { stage, ..entry }),
+            stage => self.requests.put(LiveEntry { stage, ..entry }),
         }
     }
 
@@ -239,7 +248,7 @@
         actions: &mut Vec<EntryAction>,
     ) {
         let held: BTreeSet<PermitId> = self
-            .ledger
+            .requests
             .iter()
             .filter_map(|entry| match &entry.stage {
                 AttemptStage::Running(running) => Some(running.permit.id),
@@ -258,8 +267,13 @@
     }
 }
 
-/// Give a permit back that no attempt uses.
-fn give_back(host: HostName, shard: PoolShard, permit: &Permit, actions: &mut Vec<EntryAction>) {
+/// Return an unused permit to its owner.
+fn return_permit(
+    host: HostName,
+    shard: PoolShard,
+    permit: &Permit,
+    actions: &mut Vec<EntryAction>,
+) {
     let release = Release {
         permit: permit.id,
         attempt: permit.attempt,
--- a/bergamotswitch-core/src/entry/desk/reception.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/submission.rs
@@ -1,37 +1,38 @@
-//! Provides the reception of submissions: a new request, one that is known,
-//! or one that belongs elsewhere.
+//! Provides the handling of submissions: new requests, resubmissions and
+//! requests that another host incarnation holds.
 
-use super::EntryDesk;
+use super::EntryDispatcher;
 use crate::client_account::AccountName;
 use crate::clock::Moment;
-use crate::entry::attempt::WaitingLife;
-use crate::entry::key_book::{KeyId, KeyRecord, KeyState};
-use crate::entry::ledger::{RequestRecord, guarded_key};
+use crate::entry::attempt::WaitingState;
+use crate::entry::key_store::{KeyId, KeyRecord, KeyState};
 use crate::entry::options::Fault;
-use crate::entry::placement::ShardWish;
+use crate::entry::placement::ShardQuery;
 use crate::entry::request_state::LiveRequest;
-use crate::entry::{EntryAction, Reception, Submission};
+use crate::entry::request_table::{RequestRecord, run_once_key};
+use crate::entry::{EntryAction, Submission, SubmitOutcome};
 use crate::host::HostIncarnation;
 use crate::incident::Incident;
 use crate::refusal::{Refusal, RefusalReason};
 use crate::request::{CallerKey, RequestId};
 
-/// The sequence that stands for a request whose number is not known.
+/// The sequence in the id of a request whose sequence is not known.
 const UNKNOWN_SEQUENCE: u64 = 0;
 
-impl EntryDesk {
-    /// Decide what becomes of a submission.
+impl EntryDispatcher {
+    /// Decide how to handle a submission.
     pub(super) fn receive(
         &mut self,
         now: Moment,
         submission: Submission,
         actions: &mut Vec<EntryAction>,
-    ) -> Reception {
+    ) -> SubmitOutcome {
         let key = submission
             .key
             .as_ref()
             .map(|key| self.key_id(&submission.account, key));
-        // First comes the run that the caller names: only that run knows.
+        // An incarnation named by the caller takes precedence, as only that one
+        // knows the request.
         if let Some(holder) = &submission.holder
             && *holder != self.me
         {
@@ -40,7 +41,7 @@
                 false => refused(Refusal::may_have_run(RefusalReason::Stopping)),
             };
         }
-        // Then what this run knows of the key.
+        // Otherwise, use what this incarnation knows of the key.
         if let Some(key) = &key
             && let Some(record) = self.keys.get(key).cloned()
         {
@@ -48,23 +49,23 @@
                 return refused(submission.refuse(RefusalReason::KeyReused));
             }
             match record.state {
-                KeyState::Held => return self.attach(record.request, actions),
-                KeyState::Closed(_) => {
+                KeyState::Active => return self.attach(record.request, actions),
+                KeyState::Blocked(_) => {
                     return refused(Refusal::may_have_run(RefusalReason::OutcomeUnknown));
                 }
-                KeyState::Open(_) => {
+                KeyState::Rerunnable(_) => {
                     return self.accept(now, submission, Some(key.clone()), actions);
                 }
             }
         }
-        // This run was said to hold the request that is sent again but does
-        // not know it (any more): it may have run. A first submission names
-        // the run of the address answer and is unknown by nature; refusing it
-        // would turn away every caller that keeps to the interface.
-        let unheld = submission.resubmission
+        // This incarnation was named as the holder of a resubmitted request but
+        // does not know it, so the request may have run. A first submission
+        // names an incarnation as well, taken from the address answer, and must
+        // not be refused here.
+        let unknown_resubmission = submission.resubmission
             && submission.holder.is_some()
             && (key.is_some() || !submission.may_rerun());
-        if unheld {
+        if unknown_resubmission {
             return refused(Refusal::may_have_run(RefusalReason::OutcomeUnknown));
         }
         self.accept(now, submission, key, actions)
@@ -72,7 +73,7 @@
 
     fn key_id(&self, account: &AccountName, key: &CallerKey) -> KeyId {
         let mut account = account.clone();
-        if self.options.has_fault(Fault::KeyAlone)
+        if self.options.has_fault(Fault::KeyWithoutAccount)
             && let Ok(anyone) = AccountName::try_from("anyone")
         {
             account = anyone;
@@ -83,31 +84,32 @@
         }
     }
 
-    /// The named run is another one. An earlier run of this host is gone, and
-    /// what it held is lost; any other host speaks for itself.
+    /// Handle a submission that names another incarnation. Requests of an
+    /// earlier incarnation of this host are lost; requests of another host are
+    /// forwarded.
     fn receive_foreign(
         &mut self,
         holder: &HostIncarnation,
         actions: &mut Vec<EntryAction>,
-    ) -> Reception {
+    ) -> SubmitOutcome {
         if holder.host != self.me.host {
-            return Reception::Forward(holder.clone());
+            return SubmitOutcome::Forward(holder.clone());
         }
         let id = RequestId {
             incarnation: holder.incarnation,
             sequence: UNKNOWN_SEQUENCE,
         };
-        actions.push(EntryAction::Note(Incident::RequestLost, id));
+        actions.push(EntryAction::LogIncident(Incident::RequestLost, id));
         refused(Refusal::may_have_run(RefusalReason::Lost))
     }
 
-    fn attach(&mut self, id: RequestId, actions: &mut Vec<EntryAction>) -> Reception {
-        if let Some(mut entry) = self.ledger.take(id) {
+    fn attach(&mut self, id: RequestId, actions: &mut Vec<EntryAction>) -> SubmitOutcome {
+        if let Some(mut entry) = self.requests.take(id) {
             entry.record.followed = true;
-            self.ledger.put(entry);
+            self.requests.put(entry);
         }
-        actions.push(EntryAction::Note(Incident::ResubmissionAttached, id));
-        Reception::Attached(id)
+        actions.push(EntryAction::LogIncident(Incident::ResubmissionAttached, id));
+        SubmitOutcome::Attached(id)
     }
 
     fn accept(
@@ -116,24 +118,24 @@
         submission: Submission,
         key: Option<KeyId>,
         actions: &mut Vec<EntryAction>,
-    ) -> Reception {
+    ) -> SubmitOutcome {
         if submission.deadline_in.is_zero() {
             return refused(submission.refuse(RefusalReason::DeadlinePassed));
         }
         let deadline = now.plus(submission.deadline_in);
-        if self.bound.is_shut || !self.may_begin(now, &submission, deadline) {
+        if self.bound.is_closed || !self.may_start(now, &submission, deadline) {
             let refusal = submission.refuse(RefusalReason::Stopping);
-            return refused(self.elsewhere(now, refusal));
+            return refused(self.with_stop_retry_after(now, refusal));
         }
         let sequence = self.counts.accepted + 1;
-        let wish = ShardWish {
+        let query = ShardQuery {
             pool: &submission.pool,
             verdict: &submission.verdict,
             avoid: &[],
             spread: sequence,
-            guarded_key: guarded_key(&submission, key.as_ref()),
+            run_once_key: run_once_key(&submission, key.as_ref()),
         };
-        let Some(shard) = self.pools.shard_for(&wish) else {
+        let Some(shard) = self.pools.shard_for(&query) else {
             return refused(submission.refuse(RefusalReason::NoTarget));
         };
         self.counts.accepted = sequence;
@@ -146,10 +148,10 @@
                 request: id,
                 fingerprint: submission.fingerprint,
                 pool: shard.pool.clone(),
-                guarded: !submission.may_rerun(),
-                state: KeyState::Held,
+                run_once: !submission.may_rerun(),
+                state: KeyState::Active,
             };
-            self.keys.hold(key.clone(), record);
+            self.keys.insert(key.clone(), record);
         }
         let record = RequestRecord {
             id,
@@ -166,12 +168,12 @@
             followed: true,
             submission,
         };
-        let life = WaitingLife::Fresh(LiveRequest::accept(id));
-        self.ask(now, record, life, actions);
-        Reception::Accepted(id)
+        let state = WaitingState::Fresh(LiveRequest::accept(id));
+        self.request_permit(now, record, state, actions);
+        SubmitOutcome::Accepted(id)
     }
 }
 
-fn refused(refusal: Refusal) -> Reception {
-    Reception::Refused(refusal)
+fn refused(refusal: Refusal) -> SubmitOutcome {
+    SubmitOutcome::Refused(refusal)
 }
--- a/bergamotswitch-core/src/entry/desk/takeover.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/takeover.rs
@@ -1,45 +1,46 @@
-//! Provides what a change around the waiting requests leads to: a pause, a
-//! new owner, new pools.
+//! Provides the handling of waiting requests after a process pause, a change of
+//! owner or a change of the pools.
 
-use super::EntryDesk;
+use super::EntryDispatcher;
 use crate::clock::Moment;
 use crate::entry::EntryAction;
-use crate::entry::attempt::{AttemptStage, RunningAttempt, WaitingLife};
-use crate::entry::ledger::{LiveEntry, RequestRecord};
+use crate::entry::attempt::{AttemptStage, RunningAttempt, WaitingState};
+use crate::entry::request_table::{LiveEntry, RequestRecord};
 use crate::host::HostName;
 use crate::permit::{InFlightWork, KeyClaim, OwnerMessage};
 use crate::pool::PoolShard;
 use crate::refusal::RefusalReason;
 
-/// The most key claims in one message: with a host name of the greatest
-/// length they stay well below the largest message between hosts.
+/// The maximum number of key claims per message. With host names of maximum
+/// length, the message stays well below the size limit between hosts.
 const CLAIMS_PER_MESSAGE: usize = 4_096;
 
-impl EntryDesk {
-    /// Void every permit that may be under way: ask anew under new names.
-    pub(super) fn void_asks(&mut self, now: Moment, actions: &mut Vec<EntryAction>) {
+impl EntryDispatcher {
+    /// Invalidate all permits that may be in transit by requesting new ones
+    /// under new attempt numbers.
+    pub(super) fn renew_permit_requests(&mut self, now: Moment, actions: &mut Vec<EntryAction>) {
         if self.may_use_permits_after_pause() {
             return;
         }
-        for id in self.ledger.waiting_ids() {
-            let Some(entry) = self.ledger.take(id) else {
+        for id in self.requests.waiting_ids() {
+            let Some(entry) = self.requests.take(id) else {
                 continue;
             };
             match entry.stage {
                 AttemptStage::Waiting(waiting)
-                    if waiting.asked.is_some() && now < entry.record.deadline =>
+                    if waiting.requested_from.is_some() && now < entry.record.deadline =>
                 {
-                    self.withdraw(&entry.record, waiting.asked.as_ref(), actions);
-                    self.ask_anew(now, entry.record, waiting.life, actions);
+                    self.withdraw(&entry.record, waiting.requested_from.as_ref(), actions);
+                    self.request_for_new_attempt(now, entry.record, waiting.state, actions);
                 }
-                stage => self.ledger.put(LiveEntry { stage, ..entry }),
+                stage => self.requests.put(LiveEntry { stage, ..entry }),
             }
         }
     }
 
-    /// Take in a shard's owner: it learns what this host holds, and then
-    /// everything that waits there.
-    pub(super) fn owner_is(
+    /// Handle a new owner of a shard: report the work and keys that this host
+    /// holds, and then request permits for the waiting requests.
+    pub(super) fn owner_changed(
         &mut self,
         now: Moment,
         shard: PoolShard,
@@ -47,30 +48,31 @@
         actions: &mut Vec<EntryAction>,
     ) {
         self.owners.insert(shard.clone(), host.clone());
-        self.retell(&shard, &host, actions);
-        self.tell_use(now, &shard, &host, actions);
-        for id in self.ledger.waiting_ids() {
-            let Some(entry) = self.ledger.take(id) else {
+        self.report_held_work(&shard, &host, actions);
+        self.report_quota_use(now, &shard, &host, actions);
+        for id in self.requests.waiting_ids() {
+            let Some(entry) = self.requests.take(id) else {
                 continue;
             };
             let here = entry.record.shard == shard && now < entry.record.deadline;
             match entry.stage {
                 AttemptStage::Waiting(waiting) if here => {
-                    self.ask(now, entry.record, waiting.life, actions);
+                    self.request_permit(now, entry.record, waiting.state, actions);
                 }
-                stage => self.ledger.put(LiveEntry { stage, ..entry }),
+                stage => self.requests.put(LiveEntry { stage, ..entry }),
             }
         }
     }
 
-    /// Tell an owner of work in flight and of keys that must not run twice.
-    /// A request that waits claims its key with its ask: told here, an owner
-    /// that has to doubt a marked copy's key would take it for known, and the
-    /// copy would be a second run. Many keys go in several messages; each names all work, so that an
-    /// owner may add messages up or let the later one replace the earlier.
-    fn retell(&self, shard: &PoolShard, host: &HostName, actions: &mut Vec<EntryAction>) {
+    /// Report work in flight and keys that must not run twice to an owner. Keys
+    /// of waiting requests are left out, as their permit request carries the
+    /// claim. An owner would otherwise take the key of a marked resubmission
+    /// for known, and grant it a second run. Each message repeats all work in
+    /// flight, so that the owner may either merge the messages or replace an
+    /// earlier one by a later one.
+    fn report_held_work(&self, shard: &PoolShard, host: &HostName, actions: &mut Vec<EntryAction>) {
         let held: Vec<InFlightWork> = self
-            .ledger
+            .requests
             .iter()
             .filter(|entry| entry.record.shard == *shard)
             .filter_map(|entry| match &entry.stage {
@@ -80,7 +82,7 @@
             .collect();
         let claims: Vec<KeyClaim> = self
             .keys
-            .guarded_hashes(&shard.pool, |id| !self.ledger.is_waiting(id))
+            .run_once_hashes(&shard.pool, |id| !self.requests.is_waiting(id))
             .into_iter()
             .map(|key| KeyClaim {
                 key,
@@ -102,16 +104,16 @@
         }
     }
 
-    /// Tell an owner what is used of the accounts' quotas: one that takes over
-    /// from a silent owner has no other way to know.
-    fn tell_use(
+    /// Report the quota used by client accounts to an owner. An owner that
+    /// takes over from an unresponsive one has no other source for it.
+    fn report_quota_use(
         &mut self,
         now: Moment,
         shard: &PoolShard,
         host: &HostName,
         actions: &mut Vec<EntryAction>,
     ) {
-        let used = self.quota_use.of_shard(now, shard, self.host_count);
+        let used = self.quota_use.shard_levels(now, shard, self.host_count);
         if let Some(used) = used {
             let message = OwnerMessage::QuotaUse {
                 shard: shard.clone(),
@@ -136,10 +138,11 @@
         }
     }
 
-    /// Move requests away from shards that no longer exist.
-    pub(super) fn move_waiting(&mut self, now: Moment, actions: &mut Vec<EntryAction>) {
-        for id in self.ledger.waiting_ids() {
-            let Some(entry) = self.ledger.take(id) else {
+    /// Reassign waiting requests whose shard no longer exists or is no longer
+    /// allowed.
+    pub(super) fn reassign_waiting(&mut self, now: Moment, actions: &mut Vec<EntryAction>) {
+        for id in self.requests.waiting_ids() {
+            let Some(entry) = self.requests.take(id) else {
                 continue;
             };
             let stays = self
@@ -147,25 +150,25 @@
                 .allows(&entry.record.shard, &entry.record.submission.verdict);
             match entry.stage {
                 AttemptStage::Waiting(waiting) if !stays => {
-                    self.withdraw(&entry.record, waiting.asked.as_ref(), actions);
-                    self.move_one(now, entry.record, waiting.life, actions);
+                    self.withdraw(&entry.record, waiting.requested_from.as_ref(), actions);
+                    self.reassign(now, entry.record, waiting.state, actions);
                 }
-                stage => self.ledger.put(LiveEntry { stage, ..entry }),
+                stage => self.requests.put(LiveEntry { stage, ..entry }),
             }
         }
     }
 
-    fn move_one(
+    fn reassign(
         &mut self,
         now: Moment,
         record: RequestRecord,
-        life: WaitingLife,
+        state: WaitingState,
         actions: &mut Vec<EntryAction>,
     ) {
-        match self.pools.shard_for(&record.wish()) {
-            Some(_) => self.ask_anew(now, record, life, actions),
+        match self.pools.shard_for(&record.shard_query()) {
+            Some(_) => self.request_for_new_attempt(now, record, state, actions),
             None => {
-                let refusal = life.refuse(RefusalReason::NoTarget);
+                let refusal = state.refuse(RefusalReason::NoTarget);
                 self.refuse(now, record, refusal, actions);
             }
         }
--- a/bergamotswitch-core/src/node/actions.rs
+++ b/bergamotswitch-core/src/node/actions.rs
@@ -29,9 +29,9 @@
             EntryAction::Conclude(id, conclusion) => {
                 self.actions.push(NodeAction::Conclude(id, conclusion));
             }
-            EntryAction::Forget(id) => self.actions.push(NodeAction::DropAnswer(id)),
+            EntryAction::DropAnswer(id) => self.actions.push(NodeAction::DropAnswer(id)),
             EntryAction::Forward(id, holder) => self.actions.push(NodeAction::Forward(id, holder)),
-            EntryAction::Note(incident, id) => {
+            EntryAction::LogIncident(incident, id) => {
                 let text = format!("request={id}");
                 self.actions.push(NodeAction::LogIncident(incident, text));
             }
@@ -69,7 +69,7 @@
             // The owner and this host may use different revisions of the target list.
             // Nothing was sent, so the request keeps waiting.
             None => {
-                let event = AttemptEvent::NotSent(NotSentReason::TargetGone);
+                let event = AttemptEvent::NotSent(NotSentReason::TargetUnavailable);
                 self.notify_entry(now, EntryEvent::Attempt(attempt, event));
             }
         }
@@ -125,7 +125,7 @@
     /// quick restart of the owner.
     pub(super) fn resync_linked(&mut self, now: Moment, host: &HostName) {
         for shard in self.exposure.owned_by(host) {
-            self.notify_entry(now, EntryEvent::OwnerIs(shard, host.clone()));
+            self.notify_entry(now, EntryEvent::OwnerChanged(shard, host.clone()));
         }
     }
 
@@ -143,7 +143,7 @@
             .set_degraded(now, &shard, degraded, &self.publication);
         let owner = owner.unwrap_or_else(|| self.me.host.clone());
         self.exposure.record_owner(now, &shard, &owner);
-        self.notify_entry(now, EntryEvent::OwnerIs(shard, owner));
+        self.notify_entry(now, EntryEvent::OwnerChanged(shard, owner));
         self.watch_targets();
     }
 
--- a/bergamotswitch-core/src/node/core.rs
+++ b/bergamotswitch-core/src/node/core.rs
@@ -13,7 +13,7 @@
 use super::shards::ShardSet;
 use super::{NodeAction, NodeEvent};
 use crate::clock::Moment;
-use crate::entry::{EntryAction, EntryDesk, EntryEvent, EntryOptions};
+use crate::entry::{EntryAction, EntryDispatcher, EntryEvent, EntryOptions};
 use crate::failure_domain::DomainName;
 use crate::host::{EntryHost, HostIncarnation, HostName};
 use crate::incident::Incident;
@@ -108,7 +108,7 @@
     pub(super) me: HostIncarnation,
     pub(super) domain: DomainName,
     pub(super) publication: Publication,
-    pub(super) entry: EntryDesk,
+    pub(super) entry: EntryDispatcher,
     pub(super) shards: ShardSet,
     pub(super) membership: Membership,
     pub(super) revisions: RevisionReplica,
@@ -138,7 +138,7 @@
             ..opts
         };
         NodeCore {
-            entry: EntryDesk::new(me.clone(), opts.entry.clone()),
+            entry: EntryDispatcher::new(me.clone(), opts.entry.clone()),
             shards: ShardSet::new(me.clone(), opts.owner.clone()),
             membership: Membership::new(me.clone(), opts.membership.clone(), now),
             revisions: RevisionReplica::new(me.clone(), domain.clone(), opts.revision.clone(), now),
@@ -193,7 +193,7 @@
         match event {
             NodeEvent::CallerDisconnected(id) => self.notify_entry(now, EntryEvent::CallerLeft(id)),
             NodeEvent::Attempt(id, event) => self.notify_entry(now, EntryEvent::Attempt(id, event)),
-            NodeEvent::AnswerTooLong(id) => self.notify_entry(now, EntryEvent::Overlong(id)),
+            NodeEvent::AnswerTooLong(id) => self.notify_entry(now, EntryEvent::AnswerTooLong(id)),
             NodeEvent::AnswerSize(id, bytes) => {
                 self.notify_entry(now, EntryEvent::AnswerSize(id, bytes));
             }
@@ -224,8 +224,8 @@
             }
             NodeEvent::Stop => self.on_stop(now),
             NodeEvent::AnswerDeadline(at) => self.on_answer_deadline(now, at),
-            NodeEvent::AdmissionClosed => self.notify_entry(now, EntryEvent::DoorShut),
-            NodeEvent::GraceExpired => self.notify_entry(now, EntryEvent::CutOff),
+            NodeEvent::AdmissionClosed => self.notify_entry(now, EntryEvent::AdmissionClosed),
+            NodeEvent::GraceExpired => self.notify_entry(now, EntryEvent::GraceExpired),
             NodeEvent::Tick => self.on_tick(now),
         }
         self.finish(now)
@@ -262,7 +262,7 @@
         self.notify_membership(now, MembershipEvent::Resumed(gap));
         self.key_guards.reset(now);
         self.notify_revisions(now, RevisionEvent::Resumed(gap));
-        self.notify_entry(now, EntryEvent::Woke(gap));
+        self.notify_entry(now, EntryEvent::ProcessPaused(gap));
         self.run_queue(now);
     }
 
@@ -306,7 +306,7 @@
         // Update the expected return of other hosts first: the entry component refuses
         // waiting requests on the event below, and sets their retry time from it.
         self.review_host_returns(now);
-        self.notify_entry(now, EntryEvent::WholeBy(at));
+        self.notify_entry(now, EntryEvent::FinishBy(at));
     }
 
     fn on_link(&mut self, now: Moment, event: LinkEvent) {
--- a/bergamotswitch-core/src/node/host_returns.rs
+++ b/bergamotswitch-core/src/node/host_returns.rs
@@ -57,7 +57,7 @@
         let hosts_back_at = self.enough_hosts_at(now);
         if hosts_back_at != self.hosts_back_at {
             self.hosts_back_at = hosts_back_at;
-            self.notify_entry(now, EntryEvent::OthersBack(hosts_back_at));
+            self.notify_entry(now, EntryEvent::HostsAvailableAt(hosts_back_at));
         }
     }
 
--- a/bergamotswitch-core/src/node/intake.rs
+++ b/bergamotswitch-core/src/node/intake.rs
@@ -4,7 +4,7 @@
 use super::{NodeAction, NodeCore};
 use crate::address::{AddressAnswer, AddressBook, AddressQuery, HostHealth};
 use crate::clock::Moment;
-use crate::entry::{OutcomeQuery, OutcomeView, Reception, Submission};
+use crate::entry::{OutcomeQuery, OutcomeView, Submission, SubmitOutcome};
 use crate::host::EntryHost;
 use crate::membership::PeerView;
 use crate::refusal::{Refusal, RefusalReason};
@@ -15,7 +15,11 @@
 
 impl NodeCore {
     /// Submit a request of a caller.
-    pub fn submit(&mut self, now: Moment, submission: Submission) -> (Reception, Vec<NodeAction>) {
+    pub fn submit(
+        &mut self,
+        now: Moment,
+        submission: Submission,
+    ) -> (SubmitOutcome, Vec<NodeAction>) {
         self.detect_pause(now);
         if !self.is_ready(now) {
             // The entry component was not consulted: after a pause it may still hold
@@ -26,16 +30,16 @@
                 false => Refusal::before_acceptance(RefusalReason::NotReady),
             };
             let refusal = refusal.with_retry_after(std::time::Duration::from_secs(1));
-            return (Reception::Refused(refusal), self.finish(now));
+            return (SubmitOutcome::Refused(refusal), self.finish(now));
         }
-        if submission.terms.keyed && !self.trusts_keys(now) {
+        if submission.options.key_authenticated && !self.trusts_keys(now) {
             let refusal = Refusal::before_acceptance(RefusalReason::KeyUnconfirmed);
             let refusal = refusal.with_retry_after(KEY_RETRY_AFTER);
-            return (Reception::Refused(refusal), self.finish(now));
+            return (SubmitOutcome::Refused(refusal), self.finish(now));
         }
         let exposed = self.is_exposed(now, &submission);
         let (reception, actions) = self.entry.submit(now, submission);
-        if exposed && matches!(reception, Reception::Accepted(_)) {
+        if exposed && matches!(reception, SubmitOutcome::Accepted(_)) {
             self.exposure.counts.unmarked_exposure += 1;
         }
         self.queue_entry(actions);
--- a/bergamotswitch-core/src/node/published.rs
+++ b/bergamotswitch-core/src/node/published.rs
@@ -96,7 +96,7 @@
     fn notify_leaving(&mut self, now: Moment) {
         for (target, standing) in self.publication.target_standings() {
             let leaving = standing == Standing::Leaving;
-            self.notify_entry(now, EntryEvent::TargetLeaving(target, leaving));
+            self.notify_entry(now, EntryEvent::TargetDraining(target, leaving));
         }
     }
 }
--- a/bergamotswitch-core/src/node/view.rs
+++ b/bergamotswitch-core/src/node/view.rs
@@ -4,7 +4,7 @@
 
 use super::{NodeCore, NodeCounts};
 use crate::clock::Moment;
-use crate::entry::DeskView;
+use crate::entry::EntryView;
 use crate::membership::PeerView;
 use crate::pool::PoolShard;
 use crate::pool_owner::ShardView;
@@ -31,7 +31,7 @@
     /// Inconsistencies between values that are each valid.
     pub cross_findings: Vec<String>,
     /// The requests at this host.
-    pub desk: DeskView,
+    pub desk: EntryView,
     /// The shards that this host owns.
     pub owns: Vec<PoolShard>,
     /// The state of every shard for which this host acts as owner, including degraded
--- a/bergamotswitch-core/tests/entry_fuzz.rs
+++ b/bergamotswitch-core/tests/entry_fuzz.rs
@@ -1,4 +1,4 @@
-//! Tests of the entry side by stateful fuzzing against a naive oracle.
+//! Tests of the entry side by stateful fuzzing, compared with a simple oracle.
 
 mod entry_support;
 mod entry_world;
@@ -9,18 +9,17 @@
 use entry_world::{World, WorldEvent};
 use oracle::{Breach, RunReach, add_counts};
 
-/// The number of runs.
 const RUNS: u64 = 3_000;
 
-/// The number of events in a run.
+/// The number of events per run.
 const EVENTS: std::ops::RangeInclusive<usize> = 40..=400;
 
-/// Get the events of a run.
-fn draw(run: u64) -> Vec<WorldEvent> {
+/// Generate the events of a run.
+fn generate_events(run: u64) -> Vec<WorldEvent> {
     bergamotswitch_draw::draw(&any::<Vec<WorldEvent>>().with().len(EVENTS), run)
 }
 
-fn play(options: EntryOptions, events: &[WorldEvent]) -> Result<World, Breach> {
+fn run_events(options: EntryOptions, events: &[WorldEvent]) -> Result<World, Breach> {
     let mut world = World::new(options);
     for event in events {
         world.take(*event)?;
@@ -34,8 +33,8 @@
     let mut count = 0;
     let mut reach = RunReach::default();
     for run in 0..RUNS {
-        let events = draw(run);
-        match play(EntryOptions::default(), &events) {
+        let events = generate_events(run);
+        match run_events(EntryOptions::default(), &events) {
             Ok(world) => add_counts(&mut reach, &world.reach),
             Err(breach) => panic!("run {run}: {breach:?}"),
         }
@@ -49,11 +48,11 @@
     assert!(counts.iter().all(|count| *count > RUNS));
 }
 
-/// Play runs with a deliberate fault until the oracle objects.
-fn caught(fault: Fault) -> Option<Breach> {
+/// Run with an injected fault until the oracle detects it.
+fn find_breach(fault: Fault) -> Option<Breach> {
     let options = EntryOptions::default().with_fault(fault);
     let breach = |run| {
-        let breach = play(options.clone(), &draw(run)).err()?;
+        let breach = run_events(options.clone(), &generate_events(run)).err()?;
         println!("{fault:?}: run {run}, {breach:?}");
         Some(breach)
     };
@@ -62,22 +61,28 @@
 
 #[test]
 fn retry_after_dispatch() {
-    let breach = caught(Fault::RetryAfterDispatch);
+    let breach = find_breach(Fault::RetryAfterDispatch);
     let expected = [Breach::DispatchOnce, Breach::RunOnce];
     assert!(breach.is_some_and(|breach| expected.contains(&breach)));
 }
 
 #[test]
 fn claim_after_write() {
-    assert_eq!(caught(Fault::NotRunAfterWrite), Some(Breach::NotRun));
+    assert_eq!(find_breach(Fault::NotRunAfterWrite), Some(Breach::NotRun));
 }
 
 #[test]
-fn key_alone() {
-    assert_eq!(caught(Fault::KeyAlone), Some(Breach::OwnAnswer));
+fn key_without_account() {
+    assert_eq!(
+        find_breach(Fault::KeyWithoutAccount),
+        Some(Breach::OwnAnswer)
+    );
 }
 
 #[test]
 fn permit_after_pause() {
-    assert_eq!(caught(Fault::PermitAfterPause), Some(Breach::StalePermit));
+    assert_eq!(
+        find_breach(Fault::PermitAfterPause),
+        Some(Breach::StalePermit)
+    );
 }
--- a/bergamotswitch-core/tests/entry_grace.rs
+++ b/bergamotswitch-core/tests/entry_grace.rs
@@ -1,28 +1,28 @@
-//! Tests of a planned stop whose process is killed at the end of its grace.
+//! Tests of a graceful shutdown that is limited by a grace period.
 
 mod entry_support;
 
 use bergamotswitch_core::refusal::RunClaim;
 use entry_support::*;
 
-/// What is left of the grace when the tests' stops begin.
-const LEFT: Duration = Duration::from_secs(7);
-/// The time between two ticks.
+/// The part of the grace period that is left when a shutdown begins.
+const GRACE_LEFT: Duration = Duration::from_secs(7);
+/// The interval between ticks.
 const STEP: Duration = Duration::from_millis(100);
-/// More runs than a host needs to tell anything of their lengths.
+/// More runs than are needed for an estimate of their durations.
 const MANY_RUNS: usize = 20;
 
-/// Get a call that ends at its deadline, as those of the gateway do.
+/// Get a call that ends at its deadline, like a call of the gateway.
 fn bounded(deadline: Duration) -> Submission {
     let mut submission = submission();
     submission.deadline_in = deadline;
     submission.streaming = true;
-    submission.terms.ends_at_deadline = true;
+    submission.options.ends_at_deadline = true;
     submission
 }
 
-/// Get a call that may run once.
-fn unsafe_call(deadline: Duration) -> Submission {
+/// Get a call that must not be rerun.
+fn non_idempotent(deadline: Duration) -> Submission {
     let mut submission = bounded(deadline);
     submission.verdict.idempotent = false;
     submission
@@ -30,13 +30,13 @@
 
 fn stop(desk: &mut TestDesk, left: Duration) -> Vec<EntryAction> {
     let whole_by = desk.now.plus(left);
-    let mut actions = desk.event(EntryEvent::WholeBy(whole_by));
+    let mut actions = desk.event(EntryEvent::FinishBy(whole_by));
     actions.extend(desk.event(EntryEvent::Stop));
     actions
 }
 
-/// Let many runs take so long.
-fn learn(desk: &mut TestDesk, span: Duration) {
+/// Record many runs of the given duration.
+fn record_runs(desk: &mut TestDesk, span: Duration) {
     for _ in 0..MANY_RUNS {
         let attempt = desk.begin(submission(), "t0");
         desk.pass(span);
@@ -44,50 +44,51 @@
     }
 }
 
-/// Let a run of a submission take so long, for so many pieces.
-fn learn_one(desk: &mut TestDesk, submission: Submission, span: Duration, pieces: u32) {
+/// Record one run of the given duration and number of chunks.
+fn record_run(desk: &mut TestDesk, submission: Submission, span: Duration, chunks: u32) {
     let attempt = desk.begin(submission, "t0");
     desk.attempt(attempt, AttemptEvent::FirstToken);
     desk.pass(span);
     let usage = Usage {
-        decode: pieces,
+        decode: chunks,
         ..usage()
     };
     desk.attempt(attempt, AttemptEvent::Finished(usage));
 }
 
-/// Get a call whose caller thinks that it needs so many tokens of at most 4,000.
-fn sized(likely: u32) -> Submission {
+/// Get a call with an estimate of its output and a maximum of 4,000 tokens.
+fn with_estimate(expected: u32) -> Submission {
     let mut submission = submission();
-    submission.cost.decode = likely;
-    submission.terms.most_output = Some(4_000);
+    submission.cost.decode = expected;
+    submission.options.max_output_tokens = Some(4_000);
     submission
 }
 
-/// Let runs of very different sizes go at one pace: 20 ms for each of their
-/// pieces, which hold about 8 tokens.
-fn learn_sizes(desk: &mut TestDesk) {
+/// Record runs of very different output at the same chunk interval of 20 ms,
+/// with about 8 tokens per chunk.
+fn record_mixed_runs(desk: &mut TestDesk) {
     for _ in 0..MANY_RUNS {
-        learn_one(desk, sized(40), Duration::from_millis(100), 5);
+        record_run(desk, with_estimate(40), Duration::from_millis(100), 5);
     }
     for _ in 0..MANY_RUNS {
-        learn_one(desk, sized(2_000), Duration::from_secs(5), 250);
+        record_run(desk, with_estimate(2_000), Duration::from_secs(5), 250);
     }
 }
 
-fn is_begun(desk: &mut TestDesk) -> bool {
-    matches!(desk.submit(submission()).0, Reception::Accepted(_))
+fn is_accepted(desk: &mut TestDesk) -> bool {
+    matches!(desk.submit(submission()).0, SubmitOutcome::Accepted(_))
 }
 
-/// Get the claim of a submission that is turned away, and when it comes back.
-fn turned_away(desk: &mut TestDesk, submission: Submission) -> (RunClaim, Duration) {
+/// Get the run claim and the retry delay of a submission that is refused
+/// because of the shutdown.
+fn refused_while_stopping(desk: &mut TestDesk, submission: Submission) -> (RunClaim, Duration) {
     match desk.submit(submission).0 {
-        Reception::Refused(refusal) => {
+        SubmitOutcome::Refused(refusal) => {
             assert_eq!(refusal.reason(), RefusalReason::Stopping);
-            let again = refusal.retry_after().expect("when to come back");
-            (refusal.claim(), again)
+            let retry_after = refusal.retry_after().expect("a retry delay");
+            (refusal.claim(), retry_after)
         }
-        other => panic!("not turned away: {other:?}"),
+        other => panic!("not refused: {other:?}"),
     }
 }
 
@@ -102,60 +103,56 @@
         .collect()
 }
 
-// Symptom: a caller's connection closes in the middle of its answer, eight
-// seconds after its host got SIGTERM. Sequence: the host takes a long request
-// 3.2 s after the signal, its run needs five seconds, and the process is killed
-// at the end of its grace. Cause: whether work could end in time was not asked.
+// Guards against truncated answers: a stopping host must not start a run that
+// cannot finish before the process is killed.
 #[test]
 fn long_work() {
     let mut desk = TestDesk::new(EntryOptions::default());
-    stop(&mut desk, LEFT);
+    stop(&mut desk, GRACE_LEFT);
     desk.pass(Duration::from_millis(3_200));
-    let (claim, again) = turned_away(&mut desk, bounded(Duration::from_secs(12)));
+    let (claim, retry_after) = refused_while_stopping(&mut desk, bounded(Duration::from_secs(12)));
     assert_eq!(claim, RunClaim::NotRun);
-    assert!(again < Duration::from_millis(500));
-    // What its deadline ends in time is served as before.
+    assert!(retry_after < Duration::from_millis(500));
+    // Calls that their deadline ends in time are still served.
     desk.begin(bounded(Duration::from_secs(3)), "t0");
 }
 
-// Symptom: as above, for work without a deadline that ends it. Sequence: a stop
-// begins at a host that saw too few runs. Cause: that nobody can tell a length
-// was taken for a short one.
+// Guards against starting a run of unknown duration during a shutdown.
 #[test]
 fn unknown_length() {
     let mut desk = TestDesk::new(EntryOptions::default());
-    stop(&mut desk, LEFT);
-    turned_away(&mut desk, submission());
+    stop(&mut desk, GRACE_LEFT);
+    refused_while_stopping(&mut desk, submission());
 }
 
 #[test]
 fn known_lengths() {
     let mut desk = TestDesk::new(EntryOptions::default());
-    learn(&mut desk, Duration::from_millis(200));
-    stop(&mut desk, LEFT);
+    record_runs(&mut desk, Duration::from_millis(200));
+    stop(&mut desk, GRACE_LEFT);
     desk.begin(submission(), "t0");
-    // Recent runs tell no bound that is as small as what is left now.
-    desk.pass(LEFT - Duration::from_millis(300));
-    turned_away(&mut desk, submission());
+    // Recent runs no longer fit into what is left now.
+    desk.pass(GRACE_LEFT - Duration::from_millis(300));
+    refused_while_stopping(&mut desk, submission());
 }
 
-// Symptom: a request that waited at a stopping host is cut off. Sequence: it
-// waits for a place while the grace runs out; a permit comes late. Cause: only
-// callers were turned away, not what they had left with the host.
+// Guards against truncated answers of requests that were already waiting when
+// the shutdown began and get a permit late.
 #[test]
 fn late_permit() {
     let mut desk = TestDesk::new(EntryOptions::default());
     let attempt = first_attempt(desk.accept(bounded(Duration::from_secs(6))));
-    stop(&mut desk, LEFT);
-    let again = desk.begin(bounded(Duration::from_secs(5)), "t0");
-    // It failed at its first target, and its deadline is where it was.
-    desk.attempt(again, AttemptEvent::Refused);
+    stop(&mut desk, GRACE_LEFT);
+    let retried = desk.begin(bounded(Duration::from_secs(5)), "t0");
+    // The first target refuses it; its deadline is unchanged.
+    desk.attempt(retried, AttemptEvent::Refused);
     desk.start(attempt, "t0");
     let mut slow = TestDesk::new(EntryOptions::default());
-    learn(&mut slow, Duration::from_millis(500));
+    record_runs(&mut slow, Duration::from_millis(500));
     let attempt = first_attempt(slow.accept(submission()));
-    stop(&mut slow, LEFT);
-    // Runs take two seconds at most; the next tick would find too little left.
+    stop(&mut slow, GRACE_LEFT);
+    // Runs have a bound of two seconds; the next tick would find too little
+    // left.
     for _ in 0..49 {
         assert_eq!(refusals(&slow.pass(STEP)), vec![]);
     }
@@ -168,220 +165,210 @@
     assert_eq!(refusals(&actions), vec![expected]);
 }
 
-// Symptom: as above, with no permit at all. Cause: waiting work was looked at
-// only with its permit; its caller could have been served elsewhere meanwhile.
+// Guards against waiting requests that are refused only when a permit arrives,
+// instead of while another host could still serve them.
 #[test]
 fn waiting_work() {
     let mut desk = TestDesk::new(EntryOptions::default());
     desk.accept(bounded(Duration::from_secs(12)));
-    let fits = first_attempt(desk.accept(bounded(Duration::from_secs(6))));
+    let fitting = first_attempt(desk.accept(bounded(Duration::from_secs(6))));
     let expected = (RefusalReason::Stopping, RunClaim::NotRun);
-    assert_eq!(refusals(&stop(&mut desk, LEFT)), vec![expected]);
-    desk.start(fits, "t0");
+    assert_eq!(refusals(&stop(&mut desk, GRACE_LEFT)), vec![expected]);
+    desk.start(fitting, "t0");
 }
 
-// Symptom: a call that failed at its first target hangs until the process is
-// killed. Sequence: the stop has little time left when the first target fails.
-// Cause: another attempt began whatever it needs. It may have run, and is told
-// so.
+// Guards against a retry that cannot finish before the process is killed. As
+// the first attempt may have run, the claim is "unknown".
 #[test]
 fn second_attempt() {
     let mut desk = TestDesk::new(EntryOptions::default());
     let attempt = desk.begin(submission(), "t0");
-    stop(&mut desk, LEFT);
+    stop(&mut desk, GRACE_LEFT);
     let mut actions = desk.attempt(attempt, AttemptEvent::Broken(usage()));
     actions.extend(desk.pass(Duration::from_millis(100)));
     let expected = (RefusalReason::Stopping, RunClaim::Unknown);
     assert_eq!(refusals(&actions), vec![expected]);
 }
 
-// Symptom: a killed process tells nothing of what it held: callers see closed
-// connections, owners miss permits, logs have no line. Cause: the end of the
-// grace was left to the kill.
+// Guards against a process that is killed with open requests: callers would get
+// no answer, owners no permits, and the log no entry.
 #[test]
-fn last_words() {
+fn grace_expired() {
     let mut desk = TestDesk::new(EntryOptions::default());
-    desk.begin(unsafe_call(Duration::from_secs(20)), "t0");
+    desk.begin(non_idempotent(Duration::from_secs(20)), "t0");
     desk.begin(bounded(Duration::from_secs(20)), "t0");
-    stop(&mut desk, LEFT);
-    desk.pass(LEFT);
-    let actions = desk.event(EntryEvent::CutOff);
+    stop(&mut desk, GRACE_LEFT);
+    desk.pass(GRACE_LEFT);
+    let actions = desk.event(EntryEvent::GraceExpired);
     let expected = (RefusalReason::Stopping, RunClaim::Unknown);
     assert_eq!(refusals(&actions), vec![expected, expected]);
     assert_eq!(releases(&actions).len(), 2);
     assert!(actions.contains(&EntryAction::Stopped));
 }
 
-// Symptom: an answer that was asked for 1.1 s after the signal is cut at the end
-// of the grace. Sequence: nearly all hosts stop together; runs of the call's rule
-// take 0.1 s nine times in ten and eight seconds else; it is asked for in the first
-// third of the grace. Cause: a host that few others could stand in for took what
-// nine in ten recent runs would fit, and so cut one in ten of what it took.
+// Guards against truncated answers while most hosts stop together: one recent
+// run in ten takes longer than the grace period, so the run must not start.
 #[test]
-fn few_others() {
+fn few_other_hosts() {
     let mut desk = TestDesk::new(EntryOptions::default());
     for _ in 0..MANY_RUNS {
-        learn_one(&mut desk, submission(), Duration::from_millis(100), 1);
+        record_run(&mut desk, submission(), Duration::from_millis(100), 1);
     }
     for _ in 0..MANY_RUNS / 10 {
-        learn_one(&mut desk, submission(), Duration::from_secs(8), 1);
+        record_run(&mut desk, submission(), Duration::from_secs(8), 1);
     }
-    stop(&mut desk, LEFT);
-    turned_away(&mut desk, submission());
+    stop(&mut desk, GRACE_LEFT);
+    refused_while_stopping(&mut desk, submission());
     let back_at = desk.now.plus(Duration::from_secs(5));
-    desk.event(EntryEvent::OthersBack(Some(back_at)));
+    desk.event(EntryEvent::HostsAvailableAt(Some(back_at)));
     desk.pass(Duration::from_millis(1_100));
-    // The caller comes back when hosts are back that can take it.
-    let (claim, again) = turned_away(&mut desk, submission());
+    // The caller is told to retry when enough hosts accept requests again.
+    let (claim, retry_after) = refused_while_stopping(&mut desk, submission());
     assert_eq!(claim, RunClaim::NotRun);
     let wait = back_at.since(desk.now);
-    assert!(wait <= again && again <= wait * 5 / 4, "{again:?}");
-    desk.event(EntryEvent::OthersBack(None));
-    let (_, again) = turned_away(&mut desk, submission());
-    assert!(again < Duration::from_millis(500));
+    assert!(
+        wait <= retry_after && retry_after <= wait * 5 / 4,
+        "{retry_after:?}"
+    );
+    desk.event(EntryEvent::HostsAvailableAt(None));
+    let (_, retry_after) = refused_while_stopping(&mut desk, submission());
+    assert!(retry_after < Duration::from_millis(500));
 }
 
-// Symptom: callers are turned away whom a stopping host could have served.
-// Sequence: answers of a rule are 40 to 2,000 tokens long, and their callers say
-// about how long; SIGTERM; a short one is asked for. Cause: all work of a rule was
-// taken for as long as its longest.
+// Guards against refusing short calls that fit, because other calls of the same
+// rule run much longer.
 #[test]
-fn named_size() {
+fn output_estimate() {
     let mut desk = TestDesk::new(EntryOptions::default());
-    learn_sizes(&mut desk);
-    stop(&mut desk, LEFT);
-    desk.begin(sized(40), "t0");
-    turned_away(&mut desk, sized(2_000));
-    // One that names only its most tells nothing of its own length, and one that
-    // names nothing still less.
-    let mut most_alone = sized(40);
-    most_alone.terms.most_output = Some(40);
-    turned_away(&mut desk, most_alone);
-    let mut unnamed = sized(40);
-    unnamed.terms.most_output = None;
-    turned_away(&mut desk, unnamed);
-}
-
-// Symptom: an answer that was taken as a short one is cut. Sequence: a target
-// becomes slow; the runs that have ended were fast. Cause: the pace of runs under
-// way was not asked.
+    record_mixed_runs(&mut desk);
+    stop(&mut desk, GRACE_LEFT);
+    desk.begin(with_estimate(40), "t0");
+    refused_while_stopping(&mut desk, with_estimate(2_000));
+    // A call that states only its maximum output, or no output at all, has no
+    // usable estimate.
+    let mut max_only = with_estimate(40);
+    max_only.options.max_output_tokens = Some(40);
+    refused_while_stopping(&mut desk, max_only);
+    let mut unnamed = with_estimate(40);
+    unnamed.options.max_output_tokens = None;
+    refused_while_stopping(&mut desk, unnamed);
+}
+
+// Guards against ignoring the chunk interval of runs in flight when a target
+// has become slow.
 #[test]
-fn slow_pace() {
+fn slow_target() {
     let mut desk = TestDesk::new(EntryOptions::default());
-    learn_sizes(&mut desk);
-    let attempt = desk.begin(sized(40), "t0");
+    record_mixed_runs(&mut desk);
+    let attempt = desk.begin(with_estimate(40), "t0");
     desk.attempt(attempt, AttemptEvent::FirstToken);
     desk.pass(Duration::from_secs(4));
     desk.attempt(attempt, AttemptEvent::Progress(4));
-    stop(&mut desk, LEFT);
-    turned_away(&mut desk, sized(40));
+    stop(&mut desk, GRACE_LEFT);
+    refused_while_stopping(&mut desk, with_estimate(40));
 }
 
-// Symptom and sequence: as above. Cause: callers' estimates that had become too
-// small were believed.
+// Guards against relying on estimates that recent runs have exceeded.
 #[test]
-fn short_guesses() {
+fn underestimated_output() {
     let mut desk = TestDesk::new(EntryOptions::default());
-    learn_sizes(&mut desk);
-    learn_one(&mut desk, sized(40), Duration::from_secs(4), 200);
-    stop(&mut desk, LEFT);
-    turned_away(&mut desk, sized(40));
-    // The most that a call may make bounds it whatever it is thought to need.
-    let mut tiny = sized(20);
-    tiny.terms.most_output = Some(21);
+    record_mixed_runs(&mut desk);
+    record_run(&mut desk, with_estimate(40), Duration::from_secs(4), 200);
+    stop(&mut desk, GRACE_LEFT);
+    refused_while_stopping(&mut desk, with_estimate(40));
+    // The maximum output limits a call regardless of its estimate.
+    let mut tiny = with_estimate(20);
+    tiny.options.max_output_tokens = Some(21);
     desk.begin(tiny, "t0");
 }
 
-// Symptom: an answer of 6.6 s that was asked for 1.1 s after the signal is cut.
-// Sequence: nearly all runs of the rule are short, with right estimates; a caller
-// asks for ten times as much, by an estimate that is a third of what it takes.
-// Cause: what became of small guesses was believed of a large one.
+// Guards against applying the accuracy of small output estimates to a large
+// one.
 #[test]
-fn larger_guesses() {
+fn large_estimate() {
     let mut desk = TestDesk::new(EntryOptions::default());
     for _ in 0..MANY_RUNS {
-        learn_one(&mut desk, sized(40), Duration::from_millis(100), 5);
+        record_run(&mut desk, with_estimate(40), Duration::from_millis(100), 5);
     }
     for _ in 0..MANY_RUNS / 10 {
-        learn_one(&mut desk, sized(400), Duration::from_secs(1), 50);
+        record_run(&mut desk, with_estimate(400), Duration::from_secs(1), 50);
     }
-    stop(&mut desk, LEFT);
-    desk.begin(sized(40), "t0");
-    turned_away(&mut desk, sized(400));
-    // The most that it may make bounds it all the same.
-    let mut bounded = sized(400);
-    bounded.terms.most_output = Some(401);
-    desk.event(EntryEvent::WholeBy(desk.now.plus(LEFT * 2)));
+    stop(&mut desk, GRACE_LEFT);
+    desk.begin(with_estimate(40), "t0");
+    refused_while_stopping(&mut desk, with_estimate(400));
+    // The maximum output still limits the call.
+    let mut bounded = with_estimate(400);
+    bounded.options.max_output_tokens = Some(401);
+    desk.event(EntryEvent::FinishBy(desk.now.plus(GRACE_LEFT * 2)));
     desk.begin(bounded, "t0");
 }
 
-/// Get a call as above of another rule.
-fn of_rule(rule: &str, likely: u32) -> Submission {
-    let mut submission = sized(likely);
+/// Get a call with an output estimate for the given rule.
+fn of_rule(rule: &str, expected: u32) -> Submission {
+    let mut submission = with_estimate(expected);
     submission.verdict.rule = name(rule);
     submission
 }
 
-// Guards against a guess that is believed because those of another rule were right.
+// Guards against relying on an estimate because those of another rule were
+// right.
 #[test]
-fn other_guesses() {
+fn estimates_by_rule() {
     let mut desk = TestDesk::new(EntryOptions::default());
     for _ in 0..MANY_RUNS {
-        learn_one(&mut desk, of_rule("other", 400), Duration::from_secs(1), 50);
-        learn_one(
+        record_run(&mut desk, of_rule("other", 400), Duration::from_secs(1), 50);
+        record_run(
             &mut desk,
             of_rule("rule", 40),
             Duration::from_millis(100),
             5,
         );
     }
-    stop(&mut desk, LEFT);
+    stop(&mut desk, GRACE_LEFT);
     desk.begin(of_rule("other", 400), "t0");
-    turned_away(&mut desk, of_rule("rule", 400));
+    refused_while_stopping(&mut desk, of_rule("rule", 400));
 }
 
-// Guards against a guess that is believed by a host that has seen few runs.
+// Guards against relying on an estimate after too few runs.
 #[test]
-fn early_guesses() {
+fn too_few_runs() {
     for runs in [0, 1, 8, 15] {
         let mut desk = TestDesk::new(EntryOptions::default());
         for _ in 0..runs {
-            learn_one(&mut desk, sized(40), Duration::from_millis(100), 5);
+            record_run(&mut desk, with_estimate(40), Duration::from_millis(100), 5);
         }
-        stop(&mut desk, LEFT);
-        turned_away(&mut desk, sized(40));
+        stop(&mut desk, GRACE_LEFT);
+        refused_while_stopping(&mut desk, with_estimate(40));
     }
 }
 
-// Guards against runs that are cut where several callers guess a third of what
-// their answers take.
+// Guards against truncated runs when several callers underestimate their output
+// by a factor of three.
 #[test]
-fn wrong_guesses() {
+fn wrong_estimates() {
     for wrong in [1, 4, MANY_RUNS] {
         let mut desk = TestDesk::new(EntryOptions::default());
         for _ in 0..MANY_RUNS {
-            learn_one(&mut desk, sized(400), Duration::from_secs(1), 50);
+            record_run(&mut desk, with_estimate(400), Duration::from_secs(1), 50);
         }
         for _ in 0..wrong {
-            learn_one(&mut desk, sized(400), Duration::from_secs(3), 150);
+            record_run(&mut desk, with_estimate(400), Duration::from_secs(3), 150);
         }
-        // Three seconds and the first piece's time would do; it may be twice
-        // as wrong again.
+        // The bound leaves room for an estimate that is wrong by twice as much
+        // again.
         stop(&mut desk, Duration::from_secs(5));
-        turned_away(&mut desk, sized(400));
-        desk.event(EntryEvent::WholeBy(desk.now.plus(LEFT)));
-        desk.begin(sized(400), "t0");
+        refused_while_stopping(&mut desk, with_estimate(400));
+        desk.event(EntryEvent::FinishBy(desk.now.plus(GRACE_LEFT)));
+        desk.begin(with_estimate(400), "t0");
     }
 }
 
-// Symptom: answers are cut at the end of a grace although recent runs fit it.
-// Sequence: whole runs take three seconds; a target fails 64 times at once, or
-// as many callers leave; a stop begins with two seconds left. Cause: runs that
-// were broken off were taken for short ones and pushed the whole ones out.
+// Guards against short aborted or failed runs that displace complete runs from
+// the window and lower the bound.
 #[test]
-fn broken_runs() {
+fn aborted_runs() {
     let mut desk = TestDesk::new(EntryOptions::default());
-    learn(&mut desk, Duration::from_secs(3));
+    record_runs(&mut desk, Duration::from_secs(3));
     for _ in 0..64 {
         let id = desk.accept(submission());
         desk.start(first_attempt(id), "t0");
@@ -395,84 +382,77 @@
         desk.event(EntryEvent::CallerLeft(id));
     }
     stop(&mut desk, Duration::from_secs(2));
-    assert!(!is_begun(&mut desk));
+    assert!(!is_accepted(&mut desk));
 }
 
-// Symptom: as above. Sequence: all targets become slow just before the stop;
-// runs of a tenth of a second last for ten. Cause: only runs that had ended told
-// of their lengths.
+// Guards against a bound from ended runs alone when all targets have become
+// slow just before the shutdown.
 #[test]
-fn runs_under_way() {
+fn runs_in_flight() {
     let mut desk = TestDesk::new(EntryOptions::default());
-    learn(&mut desk, Duration::from_millis(100));
+    record_runs(&mut desk, Duration::from_millis(100));
     desk.begin(submission(), "t0");
     desk.pass(Duration::from_secs(10));
     stop(&mut desk, Duration::from_secs(2));
-    assert!(!is_begun(&mut desk));
+    assert!(!is_accepted(&mut desk));
 }
 
-// Symptom: an answer of five seconds is cut at a host whose answers took a tenth
-// of a second so far. Sequence: it is asked for 3.5 s after the signal and is
-// thought to need thirty times their output. Cause: the longest recent run
-// bounded it whatever it was thought to need itself.
+// Guards against a bound from recent short answers for a call that expects much
+// more output.
 #[test]
 fn larger_call() {
     let mut desk = TestDesk::new(EntryOptions::default());
-    learn(&mut desk, Duration::from_millis(130));
+    record_runs(&mut desk, Duration::from_millis(130));
     stop(&mut desk, Duration::from_secs(4));
-    assert!(is_begun(&mut desk));
+    assert!(is_accepted(&mut desk));
     let mut large = submission();
     large.cost.decode *= 30;
-    turned_away(&mut desk, large);
+    refused_while_stopping(&mut desk, large);
 }
 
-// Symptom: a caller gets "may have run" in place of its target's own error.
-// Sequence: the error comes at a stopping host with too little left for another
-// attempt. Cause: the error was dropped for an attempt that could not begin.
+// Guards against replacing the target's error by a refusal when a retry can no
+// longer start.
 #[test]
 fn error_kept() {
     let mut desk = TestDesk::new(EntryOptions::default());
     let attempt = desk.begin(submission(), "t0");
-    stop(&mut desk, LEFT);
+    stop(&mut desk, GRACE_LEFT);
     let actions = desk.attempt(attempt, AttemptEvent::Failed);
     assert_eq!(conclusions(&actions), vec![Conclusion::TargetError]);
 }
 
-// Symptom: an answer that is passed on from another host is cut at the end of
-// the grace. Sequence: a copy for that host comes to one that stops. Cause: it
-// was handed over whatever its answer may take. Whether it runs there is not
-// known here.
+// Guards against forwarding a resubmission whose answer would be truncated at
+// this host. Whether the request runs at the other host is not known here.
 #[test]
-fn copies_elsewhere() {
+fn forwarded_copy() {
     let mut desk = TestDesk::new(EntryOptions::default());
-    stop(&mut desk, LEFT);
+    stop(&mut desk, GRACE_LEFT);
     let mut copy = alert("key");
     copy.holder = Some(run_of("entry-2", 2));
     match desk.submit(copy).0 {
-        Reception::Refused(refusal) => assert_eq!(refusal.claim(), RunClaim::Unknown),
+        SubmitOutcome::Refused(refusal) => assert_eq!(refusal.claim(), RunClaim::Unknown),
         other => panic!("not refused: {other:?}"),
     }
 }
 
-// Symptom: a stop under load never ends. Sequence: callers go on sending short
-// calls beyond the time for which they may keep the address. Cause: they were
-// taken until nothing ran.
+// Guards against a shutdown that never ends because callers keep submitting
+// short calls after their address lease has expired.
 #[test]
-fn door_shut() {
+fn admission_closed() {
     let mut desk = TestDesk::new(EntryOptions::default());
     desk.event(EntryEvent::Stop);
-    let waits = first_attempt(desk.accept(submission()));
-    desk.event(EntryEvent::DoorShut);
-    turned_away(&mut desk, submission());
-    desk.start(waits, "t0");
+    let waiting = first_attempt(desk.accept(submission()));
+    desk.event(EntryEvent::AdmissionClosed);
+    refused_while_stopping(&mut desk, submission());
+    desk.start(waiting, "t0");
 }
 
-// Symptom: a stop that nothing bounds turns callers away, or cuts them. Cause:
-// a bound taken for granted.
+// Guards against refusing or aborting requests in a shutdown without a grace
+// period.
 #[test]
-fn no_grace() {
+fn no_grace_period() {
     let mut desk = TestDesk::new(EntryOptions::default());
-    desk.event(EntryEvent::WholeBy(Moment::NEVER));
+    desk.event(EntryEvent::FinishBy(Moment::NEVER));
     desk.event(EntryEvent::Stop);
     desk.begin(submission(), "t0");
     assert_eq!(desk.pass(Duration::from_secs(20)), vec![]);
--- a/bergamotswitch-core/tests/entry_lifecycle.rs
+++ b/bergamotswitch-core/tests/entry_lifecycle.rs
@@ -1,4 +1,4 @@
-//! Tests of a request's way from reception to its one outcome.
+//! Tests of the life cycle of a request from submission to its outcome.
 
 mod entry_support;
 
@@ -7,9 +7,9 @@
 use bergamotswitch_core::refusal::{RetryReason, RunClaim, WasteCause};
 use entry_support::*;
 
-fn refusal_of(reception: Reception) -> (RefusalReason, RunClaim) {
-    match reception {
-        Reception::Refused(refusal) => (refusal.reason(), refusal.claim()),
+fn refusal_of(outcome: SubmitOutcome) -> (RefusalReason, RunClaim) {
+    match outcome {
+        SubmitOutcome::Refused(refusal) => (refusal.reason(), refusal.claim()),
         other => panic!("not refused: {other:?}"),
     }
 }
@@ -24,11 +24,11 @@
 }
 
 #[test]
-fn whole_way() {
+fn complete_request() {
     let mut desk = TestDesk::new(EntryOptions::default());
-    let (reception, actions) = desk.submit(submission());
+    let (outcome, actions) = desk.submit(submission());
     let ask = asks(&actions).remove(0);
-    assert_eq!(reception, Reception::Accepted(ask.attempt.request));
+    assert_eq!(outcome, SubmitOutcome::Accepted(ask.attempt.request));
     assert_eq!(ask.claim, None);
     desk.start(ask.attempt, "t0");
     desk.now = desk.now.plus(Duration::from_millis(300));
@@ -42,8 +42,8 @@
         good: true,
         first_token: Some(Duration::from_millis(300)),
     }));
-    // Nobody can come back for it, so it is not kept.
-    let forget = EntryAction::Forget(ask.attempt.request);
+    // The request cannot be resubmitted, so its answer is not stored.
+    let forget = EntryAction::DropAnswer(ask.attempt.request);
     assert_eq!(actions.last(), Some(&forget));
     assert_eq!(desk.desk.view().kept_answers, 0);
 }
@@ -62,7 +62,7 @@
     assert_eq!(desk.desk.outcome(&by_id), OutcomeView::Answered(id));
     assert_eq!(desk.desk.outcome(&by_key), OutcomeView::Answered(id));
     let wake = desk.desk.next_wake().since(desk.now);
-    assert_eq!(desk.pass(wake), vec![EntryAction::Forget(id)]);
+    assert_eq!(desk.pass(wake), vec![EntryAction::DropAnswer(id)]);
     let unknown = OutcomeView::Unknown(RefusalReason::OutcomeUnknown);
     assert_eq!(desk.desk.outcome(&by_key), unknown);
     let other = OutcomeQuery::Id(RequestId {
@@ -73,11 +73,10 @@
     assert_eq!(desk.desk.outcome(&other), lost);
 }
 
-// Symptom: an engine runs a request twice. Sequence: the owner's permit comes
-// twice, the second time while the first attempt runs, then another permit for
-// it. Cause: a permit taken for the right to run.
+// Guards against running a request twice when its permit is duplicated or a
+// second one is granted.
 #[test]
-fn doubled_permit() {
+fn duplicate_permit() {
     let mut desk = TestDesk::new(EntryOptions::default());
     let attempt = first_attempt(desk.accept(alert("k")));
     let permit = desk.start(attempt, "t0");
@@ -89,14 +88,13 @@
     assert_eq!(releases(&actions)[0].outcome, ReleaseOutcome::Unused);
 }
 
-// Symptom: work reaches a leaving target. Sequence: this host hears that the
-// target leaves, then the owner, whose list lags, grants it. Cause: the permit
-// believed more than the host's own view.
+// Guards against dispatching to a target that is draining in this host's view
+// while the owner's target list is outdated.
 #[test]
-fn leaving_target() {
+fn draining_target() {
     let mut desk = TestDesk::new(EntryOptions::default());
     let attempt = first_attempt(desk.accept(submission()));
-    desk.event(EntryEvent::TargetLeaving(name("t0"), true));
+    desk.event(EntryEvent::TargetDraining(name("t0"), true));
     let permit = desk.permit(attempt, "t0");
     let actions = desk.grant(&permit);
     assert_eq!(starts(&actions), vec![]);
@@ -107,19 +105,18 @@
     desk.start(ask.attempt, "t1");
 }
 
-// Symptom: after a pause, work goes to slots that were given away. Sequence:
-// a permit lies in the socket while the process sleeps, and is read after it
-// woke. Cause: the permit's lifetime counted from when it was read.
+// Guards against using a permit that was granted before a pause of the process
+// and read after it, when its slot may have been granted to another request.
 #[test]
 fn paused_process() {
-    for told in [true, false] {
+    for reported in [true, false] {
         let mut desk = TestDesk::new(EntryOptions::default());
         let attempt = first_attempt(desk.accept(submission()));
         let permit = desk.permit(attempt, "t0");
         desk.now = desk.now.plus(Duration::from_secs(10));
         let mut actions = Vec::new();
-        if told {
-            actions.extend(desk.event(EntryEvent::Woke(Duration::from_secs(10))));
+        if reported {
+            actions.extend(desk.event(EntryEvent::ProcessPaused(Duration::from_secs(10))));
         }
         actions.extend(desk.grant(&permit));
         assert_eq!(starts(&actions), vec![]);
@@ -130,8 +127,7 @@
     }
 }
 
-// Symptom: a request waits for ever. Sequence: its permit is lost on the way.
-// Cause: nobody asks again.
+// Guards against a request that waits forever because its permit was lost.
 #[test]
 fn lost_permit() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -141,7 +137,7 @@
     let ask = asks(&actions).remove(0);
     assert_eq!(ask.attempt, attempt);
     assert_eq!(u128::from(ask.waited_ms), wake.as_millis());
-    // A long wait in a queue costs less and less.
+    // The resend interval grows while the request waits.
     let mut repeats = 0;
     for _ in 0..100 {
         repeats += asks(&desk.pass(Duration::from_millis(250))).len();
@@ -149,9 +145,8 @@
     assert_eq!(repeats, 2);
 }
 
-// Symptom: a request waits for a shard that no owner orders. Sequence: the
-// published pools are split by domain while it waits. Cause: the shard chosen
-// once for all.
+// Guards against a request that waits at a shard that no longer exists, after
+// its pool was sharded by failure domain.
 #[test]
 fn split_pool() {
     let options = EntryOptions::default().with_domain(name("south"));
@@ -165,13 +160,12 @@
     assert_eq!(actions, vec![EntryAction::Send(name(OWNER), withdraw)]);
     let south = desk.desk.used_shards().remove(0);
     assert_eq!(south.domain, Some(name("south")));
-    let actions = desk.event(EntryEvent::OwnerIs(south, name(OWNER)));
+    let actions = desk.event(EntryEvent::OwnerChanged(south, name(OWNER)));
     assert_ne!(asks(&actions)[0].attempt, attempt);
 }
 
-// Symptom: a target works on what nobody waits for. Sequence: the permit comes
-// in the same moment as the deadline, before any tick. Cause: the deadline
-// left to the timer alone.
+// Guards against dispatching a request whose permit arrives at its deadline,
+// before any tick.
 #[test]
 fn late_permit() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -188,26 +182,27 @@
     assert_eq!(refusals(&actions), vec![not_run]);
 }
 
-// Symptom: a new owner gives a running request's slot away and lets its key
-// run again. Sequence: the owner changes while work runs and waits. Cause:
-// the new owner was asked before it was told.
+// Guards against a new owner that grants the slot of a running request, or a
+// second run of its key: work in flight is reported to it before permits are
+// requested.
 #[test]
 fn owner_change() {
     let mut desk = TestDesk::new(EntryOptions::default());
     let running = first_attempt(desk.accept(alert("k")));
     let permit = desk.start(running, "t0");
     let waiting = first_attempt(desk.accept(submission()));
-    let actions = desk.event(EntryEvent::OwnerIs(shard(), name("owner-2")));
+    let actions = desk.event(EntryEvent::OwnerChanged(shard(), name("owner-2")));
     match &actions[0] {
         EntryAction::Send(host, OwnerMessage::Resync { held, claims, .. }) => {
             assert_eq!(host.as_str(), "owner-2");
             assert_eq!(held[0].permit, permit.id);
             assert_eq!(claims[0].holder, run_of("entry-1", 1));
         }
-        other => panic!("not retold first: {other:?}"),
+        other => panic!("held work not reported first: {other:?}"),
     }
     assert_eq!(asks(&actions)[0].attempt, waiting);
-    // The former owner's permit is not used; an audit finds the one in use.
+    // The former owner's permit is not used, and an audit confirms the permit
+    // in use.
     let late = desk.permit(waiting, "t0");
     let actions = desk.grant(&late);
     assert_eq!(starts(&actions), vec![]);
@@ -224,47 +219,43 @@
     assert_eq!(desk.reply(audit), vec![answer]);
 }
 
-// Symptom: an alert goes out twice although its second copy was marked as a
-// resubmission. Sequence: the owner dies; the copy, sent to another host,
-// waits for the next owner, which holds no such key. Cause: the host told the
-// new owner the key of the waiting copy as one that it holds, so the owner,
-// which has to doubt every marked key that it does not know, knew it.
+// Guards against a second run of a marked resubmission: if the key of the
+// waiting request were reported as held, a new owner would take it for known
+// and grant a permit.
 #[test]
-fn waiting_copy() {
+fn waiting_resubmission() {
     let mut desk = TestDesk::new(EntryOptions::default());
     let mut copy = alert("k");
     copy.resubmission = true;
     desk.accept(copy);
-    let actions = desk.event(EntryEvent::OwnerIs(shard(), name("owner-2")));
+    let actions = desk.event(EntryEvent::OwnerChanged(shard(), name("owner-2")));
     match &actions[0] {
         EntryAction::Send(_, OwnerMessage::Resync { claims, .. }) => assert_eq!(claims, &[]),
-        other => panic!("not retold: {other:?}"),
+        other => panic!("held work not reported: {other:?}"),
     }
     let claim = asks(&actions)[0].claim.clone();
     assert!(claim.is_some_and(|claim| claim.resubmission));
 }
 
-// Symptom: a caller asks after its alert, hears that it was not run, sends it
-// anew and it goes out twice. Sequence: the first copy runs at another host;
-// the marked one finds no owner, no target or no room here. Cause: a host
-// spoke for its own copy where the caller asked for all of them.
+// Guards against answering "not run" to a marked resubmission: it asks about
+// all copies, and another one may have run at another host.
 #[test]
-fn unsure_copy() {
+fn uncertain_resubmission() {
     let mut copy = alert("k");
     copy.resubmission = true;
     let mut desk = TestDesk::new(EntryOptions::default());
     desk.accept(copy.clone());
     let late = (RefusalReason::DeadlinePassed, RunClaim::Unknown);
     assert_eq!(refusals(&desk.pass(DEADLINE)), vec![late]);
-    // The key stays free: the copy was not run here.
+    // The key remains usable, as this copy did not run here.
     let attempt = first_attempt(desk.accept(copy.clone()));
     let refused = refused_for(RefusalReason::Overloaded, attempt);
-    let unsure = (RefusalReason::Overloaded, RunClaim::Unknown);
-    assert_eq!(refusals(&desk.reply(refused)), vec![unsure]);
+    let uncertain = (RefusalReason::Overloaded, RunClaim::Unknown);
+    assert_eq!(refusals(&desk.reply(refused)), vec![uncertain]);
     copy.verdict.domains = vec![name("east")];
-    let nowhere = (RefusalReason::NoTarget, RunClaim::Unknown);
-    assert_eq!(refusal_of(desk.submit(copy.clone()).0), nowhere);
-    // A caller that names this run asks for what this run knows.
+    let no_target = (RefusalReason::NoTarget, RunClaim::Unknown);
+    assert_eq!(refusal_of(desk.submit(copy.clone()).0), no_target);
+    // A caller that names this incarnation asks only about what this one knows.
     copy.holder = Some(run_of("entry-1", 1));
     let known = (RefusalReason::NoTarget, RunClaim::NotRun);
     assert_eq!(refusal_of(desk.submit(copy).0), known);
@@ -274,7 +265,7 @@
 fn same_key() {
     let mut desk = TestDesk::new(EntryOptions::default());
     let id = desk.accept(alert("k"));
-    assert_eq!(desk.submit(alert("k")).0, Reception::Attached(id));
+    assert_eq!(desk.submit(alert("k")).0, SubmitOutcome::Attached(id));
     let mut other = alert("k");
     other.fingerprint = 2;
     let refusal = refusal_of(desk.submit(other).0);
@@ -284,29 +275,27 @@
     assert_ne!(desk.accept(neighbour), id);
 }
 
-// Symptom: an alert goes out twice. Sequence: it is answered, its answer is
-// dropped for room, and the caller sends it again. Cause: the key forgotten
-// with the answer.
+// Guards against a second run after the answer was evicted and its key
+// forgotten.
 #[test]
 fn dropped_answer() {
-    let mut desk = TestDesk::new(EntryOptions::default().with_kept_count(1));
+    let mut desk = TestDesk::new(EntryOptions::default().with_max_kept_answers(1));
     for key in ["k1", "k2"] {
         let attempt = desk.begin(alert(key), "t0");
         let actions = desk.attempt(attempt, AttemptEvent::Finished(usage()));
-        let dropped = matches!(actions.last(), Some(EntryAction::Forget(_)));
+        let dropped = matches!(actions.last(), Some(EntryAction::DropAnswer(_)));
         assert_eq!(dropped, key == "k2");
     }
     let refusal = refusal_of(desk.submit(alert("k1")).0);
     assert_eq!(refusal, (RefusalReason::OutcomeUnknown, RunClaim::Unknown));
     let kept = desk.submit(alert("k2")).0;
-    assert!(matches!(kept, Reception::Attached(_)));
+    assert!(matches!(kept, SubmitOutcome::Attached(_)));
 }
 
-// Symptom: a lost alert is run again. Sequence: the host restarts, the caller
-// names the run that it was told, or the owner names it. Cause: a successor
-// that answers for its predecessor.
+// Guards against running a request of an earlier incarnation again after a
+// restart of the host.
 #[test]
-fn other_run() {
+fn other_incarnation() {
     let mut desk = TestDesk::new(EntryOptions::default());
     let holders = [
         (run_of("entry-1", 9), RefusalReason::Lost),
@@ -322,7 +311,10 @@
     let elsewhere = run_of("entry-2", 5);
     let mut again = alert("k");
     again.holder = Some(elsewhere.clone());
-    assert_eq!(desk.submit(again).0, Reception::Forward(elsewhere.clone()));
+    assert_eq!(
+        desk.submit(again).0,
+        SubmitOutcome::Forward(elsewhere.clone())
+    );
 
     let attempt = first_attempt(desk.accept(alert("k")));
     let known = |holder| OwnerReply::KeyHeld { attempt, holder };
@@ -337,25 +329,23 @@
     assert_eq!(refusals(&actions), vec![lost]);
 }
 
-// Symptom: a caller that keeps to the interface is told that its new alert
-// may have run. Sequence: it names the run of the address answer, as asked,
-// when it sends the alert for the first time. Cause: naming a run was taken
-// for a resubmission.
+// Guards against treating a first submission as a resubmission because it names
+// the incarnation from the address answer.
 #[test]
-fn named_first() {
+fn named_holder() {
     let mut desk = TestDesk::new(EntryOptions::default());
     let mut first = alert("k");
     first.holder = Some(run_of("entry-1", 1));
     let id = desk.accept(first.clone());
     first.resubmission = true;
-    assert_eq!(desk.submit(first).0, Reception::Attached(id));
+    assert_eq!(desk.submit(first).0, SubmitOutcome::Attached(id));
 }
 
 #[test]
 fn refused_by_owner() {
     let mut desk = TestDesk::new(EntryOptions::default());
-    // Each time the key is free again: it was not run here, and next time the
-    // owner may know more.
+    // The key remains usable each time, as the request did not run here and the
+    // owner may know more next time.
     let reasons = [
         (RefusalReason::Overloaded, RunClaim::NotRun),
         (RefusalReason::OutcomeUnknown, RunClaim::Unknown),
@@ -374,8 +364,8 @@
     let mut desk = TestDesk::new(EntryOptions::default());
     let waiting = desk.accept(submission());
     let actions = desk.event(EntryEvent::CallerLeft(waiting));
-    let gone = (RefusalReason::CallerLeft, RunClaim::NotRun);
-    assert_eq!(refusals(&actions), vec![gone]);
+    let left_caller = (RefusalReason::CallerLeft, RunClaim::NotRun);
+    assert_eq!(refusals(&actions), vec![left_caller]);
 
     let attempt = desk.begin(submission(), "t0");
     let actions = desk.event(EntryEvent::CallerLeft(attempt.request));
@@ -393,7 +383,7 @@
     let actions = desk.attempt(attempt, AttemptEvent::Finished(usage()));
     assert_eq!(conclusions(&actions), vec![Conclusion::Answered]);
     let again = desk.submit(alert("k")).0;
-    assert_eq!(again, Reception::Attached(attempt.request));
+    assert_eq!(again, SubmitOutcome::Attached(attempt.request));
 }
 
 #[test]
@@ -411,7 +401,7 @@
     assert_eq!(refusals(&actions), vec![not_run, unknown]);
     let outcome = desk.desk.outcome(&OutcomeQuery::Id(waiting));
     assert!(matches!(outcome, OutcomeView::Refused(..)));
-    // The answer that a caller follows is not cut, but counts as late.
+    // An answer that a caller follows is not aborted, but counts as late.
     desk.now = desk.now.plus(Duration::from_millis(1));
     let actions = desk.attempt(followed, AttemptEvent::Finished(usage()));
     assert_eq!(conclusions(&actions), vec![Conclusion::Answered]);
@@ -419,17 +409,15 @@
     assert!(actions.contains(&waste));
 }
 
-fn place(domain: &str) -> PoolShard {
+fn shard_in(domain: &str) -> PoolShard {
     PoolShard {
         domain: Some(name(domain)),
         ..shard()
     }
 }
 
-// Symptom: an answered alert runs again at another host. Sequence: nothing
-// waits or runs at its entry host any more; the owner, which knows the key,
-// dies; the caller sends it again elsewhere, unmarked. Cause: a host that
-// lost sight of the owner with its last request tells the next one nothing.
+// Guards against a second run at another host after a change of owner: a host
+// without live requests still has to report its keys to the new owner.
 #[test]
 fn idle_holder() {
     let mut desk = TestDesk::new(EntryOptions::default());
@@ -443,7 +431,7 @@
         let kept = key.map(|_| shard());
         assert_eq!(desk.desk.used_shards(), Vec::from_iter(kept));
     }
-    // Forgotten, it is no reason any more.
+    // The owner is no longer tracked after the keys have expired.
     desk.pass(Duration::from_secs(90_000));
     desk.pass(Duration::from_secs(90_000));
     assert_eq!(desk.desk.used_shards(), vec![]);
@@ -455,39 +443,38 @@
     let mut desk = TestDesk::new(options);
     desk.event(EntryEvent::Pools(vec![pool(true)]));
     let id = desk.accept(submission());
-    assert_eq!(desk.desk.used_shards(), vec![place("south")]);
+    assert_eq!(desk.desk.used_shards(), vec![shard_in("south")]);
     desk.event(EntryEvent::CallerLeft(id));
     let mut northern = submission();
     northern.verdict.domains = vec![name("north")];
     desk.accept(northern.clone());
-    assert_eq!(desk.desk.used_shards(), vec![place("north")]);
+    assert_eq!(desk.desk.used_shards(), vec![shard_in("north")]);
     northern.verdict.domains = vec![name("east")];
     let refusal = refusal_of(desk.submit(northern).0);
     assert_eq!(refusal, (RefusalReason::NoTarget, RunClaim::NotRun));
 }
 
-// Symptom: an alert goes out twice. Sequence: a caller without a mark sends it
-// to hosts of two domains, whose shards have two owners. Cause: no owner sees
-// both asks.
+// Guards against a second run of an unmarked resubmission at a host of another
+// failure domain: both hosts have to request the permit from the same owner.
 #[test]
-fn one_owner_a_key() {
+fn one_owner_per_key() {
     let mut seen = std::collections::BTreeSet::new();
     for number in 0..16 {
         let key = format!("k{number}");
-        let mut places = Vec::new();
+        let mut shards = Vec::new();
         for domain in ["north", "south"] {
             let options = EntryOptions::default().with_domain(name(domain));
             let mut desk = TestDesk::new(options);
             desk.event(EntryEvent::Pools(vec![pool(true)]));
-            for place in ["north", "south"].map(place) {
-                desk.event(EntryEvent::OwnerIs(place, name("owner-1")));
+            for shard in ["north", "south"].map(shard_in) {
+                desk.event(EntryEvent::OwnerChanged(shard, name("owner-1")));
             }
             let actions = desk.submit(alert(&key)).1;
-            places.extend(asks(&actions).into_iter().map(|ask| ask.shard));
+            shards.extend(asks(&actions).into_iter().map(|ask| ask.shard));
         }
-        assert_eq!(places.len(), 2);
-        assert_eq!(places[0], places[1]);
-        seen.insert(places.remove(0));
+        assert_eq!(shards.len(), 2);
+        assert_eq!(shards[0], shards[1]);
+        seen.insert(shards.remove(0));
     }
     assert_eq!(seen.len(), 2);
 }
--- a/bergamotswitch-core/tests/entry_support/mod.rs
+++ b/bergamotswitch-core/tests/entry_support/mod.rs
@@ -9,8 +9,8 @@
 pub use bergamotswitch_core::clock::Moment;
 pub use bergamotswitch_core::contract::TargetContract;
 pub use bergamotswitch_core::entry::{
-    AttemptEvent, CallTerms, Conclusion, EntryAction, EntryDesk, EntryEvent, EntryOptions,
-    Reception, Submission,
+    AttemptEvent, CallOptions, Conclusion, EntryAction, EntryDispatcher, EntryEvent, EntryOptions,
+    Submission, SubmitOutcome,
 };
 pub use bergamotswitch_core::host::{HostIncarnation, HostName, Incarnation};
 pub use bergamotswitch_core::permit::{
@@ -81,7 +81,7 @@
 /// Get an idempotent submission without a key.
 pub fn submission() -> Submission {
     Submission {
-        terms: CallTerms::default(),
+        options: CallOptions::default(),
         account: name("crew"),
         pool: name("llm"),
         kind: PoolKind::Engine,
@@ -119,7 +119,7 @@
 
 /// A `TestDesk` is a desk with a clock and an owner.
 pub struct TestDesk {
-    pub desk: EntryDesk,
+    pub desk: EntryDispatcher,
     pub now: Moment,
     permits: u64,
 }
@@ -127,12 +127,12 @@
 impl TestDesk {
     pub fn new(options: EntryOptions) -> Self {
         let mut desk = TestDesk {
-            desk: EntryDesk::new(run_of("entry-1", 1), options),
+            desk: EntryDispatcher::new(run_of("entry-1", 1), options),
             now: Moment::from_millis(1_000),
             permits: 0,
         };
         desk.event(EntryEvent::Pools(vec![pool(false)]));
-        desk.event(EntryEvent::OwnerIs(shard(), name(OWNER)));
+        desk.event(EntryEvent::OwnerChanged(shard(), name(OWNER)));
         desk
     }
 
@@ -140,14 +140,14 @@
         self.desk.handle(self.now, event)
     }
 
-    pub fn submit(&mut self, submission: Submission) -> (Reception, Vec<EntryAction>) {
+    pub fn submit(&mut self, submission: Submission) -> (SubmitOutcome, Vec<EntryAction>) {
         self.desk.submit(self.now, submission)
     }
 
     /// Accept a request and get its id.
     pub fn accept(&mut self, submission: Submission) -> RequestId {
         match self.submit(submission).0 {
-            Reception::Accepted(id) => id,
+            SubmitOutcome::Accepted(id) => id,
             other => panic!("not accepted: {other:?}"),
         }
     }
--- a/bergamotswitch-core/tests/entry_world/mod.rs
+++ b/bergamotswitch-core/tests/entry_world/mod.rs
@@ -37,7 +37,7 @@
 
 struct WorldHost {
     run: HostIncarnation,
-    desk: EntryDesk,
+    desk: EntryDispatcher,
     flights: BTreeMap<AttemptId, Flight>,
     ended: Vec<AttemptId>,
     leaving: BTreeSet<TargetName>,
@@ -74,14 +74,14 @@
 impl World {
     pub fn new(options: EntryOptions) -> Self {
         let mut world = World {
-            options: options.with_kept_count(4),
+            options: options.with_max_kept_answers(4),
             now: Moment::from_millis(1_000),
             ..World::default()
         };
         for host in 0..HOSTS.len() {
             let fresh = world.fresh_host(host);
             world.hosts.push(fresh);
-            world.handle(host, EntryEvent::OwnerIs(shard(), name(OWNERS[0])));
+            world.handle(host, EntryEvent::OwnerChanged(shard(), name(OWNERS[0])));
         }
         world
     }
@@ -89,7 +89,7 @@
     fn fresh_host(&mut self, host: usize) -> WorldHost {
         self.runs += 1;
         let run = run_of(HOSTS[host], self.runs);
-        let mut desk = EntryDesk::new(run.clone(), self.options.clone());
+        let mut desk = EntryDispatcher::new(run.clone(), self.options.clone());
         desk.handle(self.now, EntryEvent::Pools(vec![pool(false)]));
         WorldHost {
             run,
@@ -162,20 +162,20 @@
         let desk = &mut self.hosts[host].desk;
         let (reception, actions) = desk.submit(self.now, submission.clone());
         match reception {
-            Reception::Accepted(id) => {
+            SubmitOutcome::Accepted(id) => {
                 self.count("requests");
                 self.hosts[host].stopped = false;
                 let run = self.hosts[host].run.clone();
                 self.callers.tell(identity.clone(), run);
                 self.oracle.accepted(id, identity, submission);
             }
-            Reception::Attached(id) => {
+            SubmitOutcome::Attached(id) => {
                 self.count("attached");
                 let fingerprint = submission.fingerprint;
                 self.oracle.attached(id, &identity, fingerprint);
             }
-            Reception::Forward(holder) => self.forward(identity, submission, holder),
-            Reception::Refused(_) => {}
+            SubmitOutcome::Forward(holder) => self.forward(identity, submission, holder),
+            SubmitOutcome::Refused(_) => {}
         }
         self.act(host, actions, false);
     }
@@ -218,9 +218,9 @@
                 }
                 EntryAction::Stopped => self.stopped(host),
                 EntryAction::CountRetry(_) => self.count("retries"),
-                EntryAction::Note(Incident::RequestLost, _) => self.count("lost"),
-                EntryAction::Forget(_)
-                | EntryAction::Note(..)
+                EntryAction::LogIncident(Incident::RequestLost, _) => self.count("lost"),
+                EntryAction::DropAnswer(_)
+                | EntryAction::LogIncident(..)
                 | EntryAction::CountRefusal(..)
                 | EntryAction::CountWait(..)
                 | EntryAction::CountWaste(..)
@@ -273,7 +273,7 @@
                 self.handle(host, EntryEvent::Reply(name(OWNERS[owner]), reply));
             }
             Letter::OwnerIs(host, owner) => {
-                self.handle(host, EntryEvent::OwnerIs(shard(), name(OWNERS[owner])));
+                self.handle(host, EntryEvent::OwnerChanged(shard(), name(OWNERS[owner])));
             }
         }
     }
--- a/bergamotswitch-core/tests/stop_returns.rs
+++ b/bergamotswitch-core/tests/stop_returns.rs
@@ -1,10 +1,10 @@
-//! When callers come back that a stopping host turns away: with few others, when
-//! enough of them are expected to take callers again.
+//! Tests of the retry delay for callers that a stopping host refuses, in
+//! particular when most other hosts are stopping too.
 
 use std::time::Duration;
 
 use bergamotswitch_core::clock::Moment;
-use bergamotswitch_core::entry::{CallTerms, Reception, Submission};
+use bergamotswitch_core::entry::{CallOptions, Submission, SubmitOutcome};
 use bergamotswitch_core::host::{EntryHost, HostIncarnation, Incarnation, Standing};
 use bergamotswitch_core::node::{NodeCore, NodeEvent, NodeOptions, RosterSetup};
 use bergamotswitch_core::pool::PoolKind;
@@ -20,16 +20,16 @@
 use bergamotswitch_core::rules::{Tier, Verdict};
 use bergamotswitch_core::target_list::{TargetEntry, TargetList};
 
-/// The hosts of the fleet, the one under test among them.
+/// The number of hosts in the fleet, including the one under test.
 const HOSTS: usize = 8;
-/// How long stops last until answers have to be whole.
-const SPAN: Duration = Duration::from_millis(7_600);
-/// From then until the next process takes callers.
-const MARGIN: Duration = Duration::from_secs(1);
-/// When a caller comes back that another host can serve.
-const AT_ONCE: Duration = Duration::from_millis(50);
-/// The time between two pieces of news of a host.
-const NEWS: Duration = Duration::from_millis(200);
+/// The time left until answers must be complete.
+const GRACE_LEFT: Duration = Duration::from_millis(7_600);
+/// The time from then until the restarted process accepts requests.
+const START_MARGIN: Duration = Duration::from_secs(1);
+/// The retry delay while other hosts accept requests.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
+/// The interval between gossip messages of a host.
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(200);
 
 const READY: MemberFlags = MemberFlags {
     ready: true,
@@ -137,12 +137,12 @@
         prefixes: Vec::new(),
         deadline_in: Duration::from_secs(60),
         streaming: true,
-        terms: CallTerms::default(),
+        options: CallOptions::default(),
     }
 }
 
-/// A `StoppingHost` is the host under test, and what the others say of
-/// themselves.
+/// A `StoppingHost` is the host under test with the flags that the other hosts
+/// announce.
 struct StoppingHost {
     core: NodeCore,
     now: Moment,
@@ -150,7 +150,7 @@
 }
 
 impl StoppingHost {
-    /// Get the host among others that all take callers.
+    /// Get the host in a fleet where all others accept requests.
     fn new() -> Self {
         let now = Moment::START;
         let me = HostIncarnation {
@@ -182,19 +182,19 @@
         host
     }
 
-    /// Let time pass; the others tell their state all the while.
+    /// Advance the time, while the other hosts announce their flags.
     fn pass(&mut self, span: Duration) {
         let until = self.now.plus(span);
         while self.now < until {
-            self.now = self.now.plus(NEWS);
+            self.now = self.now.plus(GOSSIP_INTERVAL);
             for index in 1..HOSTS {
-                self.tell(index);
+                self.send_gossip(index);
             }
             self.core.handle(self.now, NodeEvent::Tick);
         }
     }
 
-    fn tell(&mut self, index: usize) {
+    fn send_gossip(&mut self, index: usize) {
         let Some(flags) = self.others[index] else {
             return;
         };
@@ -220,51 +220,52 @@
 
     fn stop(&mut self) {
         self.core.handle(self.now, NodeEvent::Stop);
-        let whole_by = self.now.plus(SPAN);
+        let whole_by = self.now.plus(GRACE_LEFT);
         self.core
             .handle(self.now, NodeEvent::AnswerDeadline(whole_by));
     }
 
-    /// Get when a caller comes back that is turned away now.
-    fn turned_away(&mut self) -> Duration {
+    /// Get the retry delay of a caller that is refused now.
+    fn refused_retry_after(&mut self) -> Duration {
         match self.core.submit(self.now, submission()).0 {
-            Reception::Refused(refusal) => {
+            SubmitOutcome::Refused(refusal) => {
                 assert_eq!(refusal.reason(), RefusalReason::Stopping);
-                refusal.retry_after().expect("when to come back")
+                refusal.retry_after().expect("a retry delay")
             }
-            other => panic!("not turned away: {other:?}"),
+            other => panic!("not refused: {other:?}"),
         }
     }
 
-    /// Check that a caller is told to come back then, or a quarter of the wait
-    /// later at most.
-    fn assert_back_at(&mut self, at: Moment) {
+    /// Assert that the retry delay ends at the given time, or up to a quarter
+    /// of the wait later.
+    fn assert_retry_at(&mut self, at: Moment) {
         let wait = at.since(self.now);
-        let again = self.turned_away();
-        // News takes a round to be heard.
-        let least = wait.saturating_sub(NEWS);
-        let most = (wait + NEWS) * 5 / 4;
-        assert!(least <= again && again <= most, "{again:?} for {wait:?}");
+        let retry_after = self.refused_retry_after();
+        // A gossip message takes one interval to arrive.
+        let least = wait.saturating_sub(GOSSIP_INTERVAL);
+        let most = (wait + GOSSIP_INTERVAL) * 5 / 4;
+        assert!(
+            least <= retry_after && retry_after <= most,
+            "{retry_after:?} for {wait:?}"
+        );
     }
 }
 
-// Symptom: callers give up although hosts are back some seconds later. Sequence:
-// nearly all hosts stop within a second; a caller is turned away by each that it
-// meets, every 50 ms, until its attempts are used up. Cause: that another host
-// takes what one turns away was taken for granted.
+// Guards against callers that exhaust their attempts within seconds while
+// nearly all hosts are stopping.
 #[test]
-fn crowded_stop() {
+fn most_hosts_stopping() {
     let mut host = StoppingHost::new();
-    let left_at = host.now;
+    let stopped_at = host.now;
     host.set(1..HOSTS - 1, Some(LEAVING));
     host.pass(Duration::from_secs(1));
     host.stop();
-    let back_at = left_at.plus(SPAN + MARGIN);
-    host.assert_back_at(back_at);
-    // Hosts that have ended are silent, and still expected.
+    let back_at = stopped_at.plus(GRACE_LEFT + START_MARGIN);
+    host.assert_retry_at(back_at);
+    // Hosts that have stopped send no gossip but are still expected to return.
     host.set(1..HOSTS - 1, None);
     host.pass(Duration::from_secs(5));
-    host.assert_back_at(back_at);
+    host.assert_retry_at(back_at);
 }
 
 #[test]
@@ -273,7 +274,7 @@
     host.set(1..HOSTS, Some(LEAVING));
     host.pass(Duration::from_secs(1));
     host.stop();
-    let mut waits: Vec<Duration> = (0..100).map(|_| host.turned_away()).collect();
+    let mut waits: Vec<Duration> = (0..100).map(|_| host.refused_retry_after()).collect();
     waits.sort();
     let (first, last) = (waits[0], waits[99]);
     let widest = waits.windows(2).map(|pair| pair[1] - pair[0]).max();
@@ -282,59 +283,59 @@
 }
 
 #[test]
-fn calm_stop() {
+fn few_hosts_stopping() {
     let mut host = StoppingHost::new();
     host.set(1..3, Some(LEAVING));
     host.pass(Duration::from_secs(1));
     host.stop();
-    assert_eq!(host.turned_away(), AT_ONCE);
+    assert_eq!(host.refused_retry_after(), MIN_RETRY_AFTER);
 }
 
-// A host that starts is not back; one that takes callers is.
+// A starting host does not count as returned until it is ready.
 #[test]
 fn hosts_back() {
     let mut host = StoppingHost::new();
     host.set(1..HOSTS, Some(LEAVING));
-    let left_at = host.now;
+    let stopped_at = host.now;
     host.pass(Duration::from_secs(1));
     host.stop();
     host.set(1..4, Some(STARTING));
     host.pass(Duration::from_secs(2));
-    host.assert_back_at(left_at.plus(SPAN + MARGIN));
+    host.assert_retry_at(stopped_at.plus(GRACE_LEFT + START_MARGIN));
     host.set(1..4, Some(READY));
     host.pass(Duration::from_secs(1));
-    assert_eq!(host.turned_away(), AT_ONCE);
+    assert_eq!(host.refused_retry_after(), MIN_RETRY_AFTER);
 }
 
-// Hosts that have left for good are not waited for.
+// Hosts that have left permanently are not expected to return.
 #[test]
-fn hosts_gone() {
+fn departed_hosts() {
     let mut host = StoppingHost::new();
     host.set(1..HOSTS - 1, Some(LEAVING));
     host.pass(Duration::from_secs(1));
     host.set(1..HOSTS - 1, None);
     host.pass(Duration::from_secs(60));
     host.stop();
-    assert_eq!(host.turned_away(), AT_ONCE);
+    assert_eq!(host.refused_retry_after(), MIN_RETRY_AFTER);
 }
 
 #[test]
 fn reloaded_grace() {
     let mut host = StoppingHost::new();
     host.set(1..HOSTS, Some(LEAVING));
-    let left_at = host.now;
+    let stopped_at = host.now;
     host.pass(Duration::from_secs(1));
     host.stop();
     let span = Duration::from_secs(4);
     let whole_by = host.now.plus(span);
     host.core
         .handle(host.now, NodeEvent::AnswerDeadline(whole_by));
-    host.assert_back_at(left_at.plus(span + MARGIN));
+    host.assert_retry_at(stopped_at.plus(span + START_MARGIN));
 }
 
-// Where nothing kills a process, nobody can tell when it is back.
+// Without a grace period, the time of return is unknown.
 #[test]
-fn no_grace() {
+fn no_grace_period() {
     let mut host = StoppingHost::new();
     host.set(1..HOSTS, Some(LEAVING));
     host.pass(Duration::from_secs(1));
@@ -342,5 +343,5 @@
     host.core
         .handle(host.now, NodeEvent::AnswerDeadline(Moment::NEVER));
     host.core.handle(host.now, NodeEvent::AdmissionClosed);
-    assert_eq!(host.turned_away(), AT_ONCE);
+    assert_eq!(host.refused_retry_after(), MIN_RETRY_AFTER);
 }
--- a/bergamotswitch-net/src/node/drive/stopping.rs
+++ b/bergamotswitch-net/src/node/drive/stopping.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bergamotswitch_core::clock::Moment;
-use bergamotswitch_core::entry::{Conclusion, Reception};
+use bergamotswitch_core::entry::{Conclusion, SubmitOutcome};
 use bergamotswitch_core::incident::Incident;
 use bergamotswitch_core::node::NodeEvent;
 
@@ -111,13 +111,13 @@
     else {
         return;
     };
-    let refusal = submission.turn_away();
+    let refusal = submission.stopping_refusal();
     let label = RequestLabel::of(now, &submission, &call).with_stop(stop_at);
     metrics.refused(refusal.reason(), Some(label.tier));
     label.note_end(now, None, &Conclusion::Refused(refusal.clone()), 0);
     // A caller that is gone needs no answer.
     let _ = reply.send(Received {
-        reception: Reception::Refused(refusal),
+        reception: SubmitOutcome::Refused(refusal),
         answer: None,
     });
 }
--- a/bergamotswitch/examples/slopes/entry.rs
+++ b/bergamotswitch/examples/slopes/entry.rs
@@ -4,7 +4,7 @@
 
 use bergamotswitch_core::clock::Moment;
 use bergamotswitch_core::entry::{
-    AttemptEvent, EntryAction, EntryDesk, EntryEvent, EntryOptions, Reception,
+    AttemptEvent, EntryAction, EntryDispatcher, EntryEvent, EntryOptions, SubmitOutcome,
 };
 use bergamotswitch_core::host::HostName;
 use bergamotswitch_core::permit::{OwnerMessage, OwnerReply, Permit, PermitId, Usage};
@@ -25,7 +25,7 @@
 
 /// An `EntryBench` is a desk with a clock and an owner of its own.
 struct EntryBench {
-    desk: EntryDesk,
+    desk: EntryDispatcher,
     now: Moment,
     sequence: u64,
     owner: HostName,
@@ -34,17 +34,17 @@
 impl EntryBench {
     fn new(target_count: usize) -> Self {
         let opts = EntryOptions::default()
-            .with_re_ask_interval(Duration::from_secs(1_000))
-            .with_kept_count(1_000_000);
+            .with_permit_resend_interval(Duration::from_secs(1_000))
+            .with_max_kept_answers(1_000_000);
         let mut bench = EntryBench {
-            desk: EntryDesk::new(run_of(1), opts),
+            desk: EntryDispatcher::new(run_of(1), opts),
             now: Moment::from_millis(1_000),
             sequence: 0,
             owner: host_name(2),
         };
         let pools = vec![pool(targets(target_count, 262_144))];
         bench.event(EntryEvent::Pools(pools));
-        bench.event(EntryEvent::OwnerIs(shard(None), bench.owner.clone()));
+        bench.event(EntryEvent::OwnerChanged(shard(None), bench.owner.clone()));
         bench
     }
 
@@ -58,7 +58,7 @@
         self.sequence += 1;
         let key = keyed.then(|| format!("summary-2026-12-02-{:08}", self.sequence));
         let (reception, actions) = self.desk.submit(self.now, submission(self.sequence, key));
-        let Reception::Accepted(id) = reception else {
+        let SubmitOutcome::Accepted(id) = reception else {
             panic!("an accepted request, not {reception:?}");
         };
         let asked = actions.iter().find_map(|action| match action {
