--- a/bergamotswitch-core/src/node/core.rs
+++ b/bergamotswitch-core/src/node/core.rs
@@ -22,7 +22,7 @@
 use crate::permit::{OwnerMessage, OwnerReply};
 use crate::pool_owner::{OwnerAction, OwnerEvent, OwnerOptions};
 use crate::publication::{FleetLimits, Publication};
-use crate::revision::{RevisionAction, RevisionBook, RevisionEvent, RevisionOptions};
+use crate::revision::{RevisionAction, RevisionEvent, RevisionOptions, RevisionReplica};
 use crate::roster::{Roster, RosterOptions};
 use crate::target_list::TargetRegister;
 
@@ -109,7 +109,7 @@
     pub(super) desk: EntryDesk,
     pub(super) shards: ShardSet,
     pub(super) membership: Membership,
-    pub(super) book: RevisionBook,
+    pub(super) book: RevisionReplica,
     pub(super) stopping: bool,
     pub(super) planned_end: Option<PlannedEnd>,
     /// When enough hosts take callers again, as the desk was told last.
@@ -138,7 +138,7 @@
             desk: EntryDesk::new(me.clone(), opts.entry.clone()),
             shards: ShardSet::new(me.clone(), opts.owner.clone()),
             membership: Membership::new(me.clone(), opts.membership.clone(), now),
-            book: RevisionBook::new(me.clone(), domain.clone(), opts.revision.clone(), now),
+            book: RevisionReplica::new(me.clone(), domain.clone(), opts.revision.clone(), now),
             publication: match opts.roster {
                 Some(_) => Publication::routed(opts.limits.clone().unwrap_or_default()),
                 None => Publication::default(),
@@ -253,9 +253,9 @@
         self.actions
             .push(NodeAction::Note(Incident::PauseDetected, text));
         self.wake_roster(now);
-        self.tell_membership(now, MembershipEvent::Woke(gap));
+        self.tell_membership(now, MembershipEvent::Resumed(gap));
         self.key_guards.restart(now);
-        self.tell_book(now, RevisionEvent::Woke(gap));
+        self.tell_book(now, RevisionEvent::Resumed(gap));
         self.tell_desk(now, EntryEvent::Woke(gap));
         self.run_steps(now);
     }
@@ -284,7 +284,7 @@
         // Peers hear of the stop before this: the heartbeats that tell it wait
         // in front of it.
         self.run_steps(now);
-        for shard in self.membership.acts_for() {
+        for shard in self.membership.acting_shards() {
             self.hand_over(now, &shard, STOP_HAND_OVER);
         }
         self.tell_desk(now, EntryEvent::Stop);
@@ -323,7 +323,7 @@
     fn on_message(&mut self, now: Moment, host: HostName, message: LinkMessage) {
         match message {
             LinkMessage::Heartbeat(beat) => {
-                self.tell_membership(now, MembershipEvent::Heard(host, beat));
+                self.tell_membership(now, MembershipEvent::Heartbeat(host, beat));
                 return;
             }
             LinkMessage::ToOwner(message) => self.on_owner_message(now, host.clone(), message),
--- a/bergamotswitch-core/src/revision/spreading.rs
+++ b/bergamotswitch-core/src/revision/propagation.rs
@@ -1,27 +1,28 @@
-//! Provides the spreading of values between hosts.
+//! Provides the propagation of values between hosts.
 //!
-//! Hosts that asked are sent each change at once. Relays and other readers
-//! mostly know it already, so they are told its revision a little later, and
-//! send what they have where they lack it: the change itself travels each link
-//! downwards, its mark alone upwards.
+//! Each change is sent at once to the hosts that poll this one. Relays and
+//! other readers usually have it already, so only its revision is announced to
+//! them, with a delay, and they request the change if they lack it. A change
+//! thus travels each link downstream, and only its mark upstream.
 
 use std::time::Duration;
 
-use super::book::{CatchUp, RevisionBook};
+use super::replica::{CatchUp, RevisionReplica};
 use super::{PublishedValue, Revision, RevisionAction, RevisionMark, RevisionMessage, ValueName};
 use crate::clock::Moment;
 use crate::host::HostName;
 
-/// Time for a change to come by its ordinary way before it is asked for.
-const GRACE: Duration = Duration::from_millis(100);
-/// Time for an answer before the next peer is asked.
-const CATCH_UP_AFTER: Duration = Duration::from_millis(500);
-/// A value up to this size is sent unasked; a larger one is fetched from one
-/// peer, or several relays would each send up to a megabyte.
-const UNASKED_LEN: usize = 8 * 1024;
+/// The time for a change to arrive by regular propagation before it is
+/// requested.
+const PROPAGATION_DELAY: Duration = Duration::from_millis(100);
+/// The time to wait for an answer before the next peer is asked.
+const CATCH_UP_INTERVAL: Duration = Duration::from_millis(500);
+/// The largest value that is sent without a request. A larger one is fetched
+/// from one peer; otherwise several relays would each send it.
+const MAX_UNREQUESTED_LEN: usize = 8 * 1024;
 
-impl RevisionBook {
-    pub(super) fn take_message(
+impl RevisionReplica {
+    pub(super) fn handle_message(
         &mut self,
         now: Moment,
         host: HostName,
@@ -33,7 +34,7 @@
             None => return,
         }
         match message {
-            RevisionMessage::Marks(marks) => self.take_marks(now, host, marks, actions),
+            RevisionMessage::Marks(marks) => self.handle_marks(now, host, marks, actions),
             RevisionMessage::Change {
                 name,
                 from,
@@ -41,9 +42,9 @@
                 checksum,
                 patch,
             } => {
-                self.know(now, &host, &name, to);
+                self.record_revision(now, &host, &name, to);
                 let body = match self.values.get(&name) {
-                    Some(book) if book.seen() < to => book.apply(from, &patch, checksum),
+                    Some(replica) if replica.seen() < to => replica.apply(from, &patch, checksum),
                     _ => return,
                 };
                 match body {
@@ -53,11 +54,11 @@
                             revision: to,
                             body,
                         };
-                        self.take_value(now, value, actions);
+                        self.accept_value(now, value, actions);
                     }
-                    // A gap, or another text under the same revision. The
-                    // whole value puts both right.
-                    None => self.want(now, host, name, actions),
+                    // A gap in the revisions, or a different text under the
+                    // same revision. The complete value resolves both.
+                    None => self.request_whole(now, host, name, actions),
                 }
             }
             RevisionMessage::Want(name) => self.send_whole(now, &host, &name, actions),
@@ -70,59 +71,61 @@
                 revision,
                 age_ms,
             } => {
-                self.know(now, &host, &name, revision);
-                self.take_confirmed(&name, asked_at, revision, age_ms);
+                self.record_revision(now, &host, &name, revision);
+                self.handle_confirmed(&name, asked_at, revision, age_ms);
             }
             RevisionMessage::Whole(value) => {
-                self.know(now, &host, &value.name, value.revision);
-                self.take_value(now, value, actions);
+                self.record_revision(now, &host, &value.name, value.revision);
+                self.accept_value(now, value, actions);
             }
         }
     }
 
-    /// Take a value from wherever it came, if it is a higher revision.
-    pub(super) fn take_value(
+    /// Accept a value from the service or a peer, if its revision is higher
+    /// than the one held.
+    pub(super) fn accept_value(
         &mut self,
         now: Moment,
         value: PublishedValue,
         actions: &mut Vec<RevisionAction>,
     ) {
         let name = value.name.clone();
-        let book = match self.values.get_mut(&name) {
-            Some(book) => book,
+        let replica = match self.values.get_mut(&name) {
+            Some(replica) => replica,
             None => return,
         };
-        if !book.take(value.clone(), self.opts.kept_bases) {
+        if !replica.take(value.clone(), self.opts.kept_bases) {
             return;
         }
-        actions.push(RevisionAction::Offer(value));
+        actions.push(RevisionAction::Validate(value));
         let (best, seen) = (self.best_known(&name), self.seen(&name));
         match self.catch_ups.get_mut(&name) {
             Some(_) if best <= seen => {
                 self.catch_ups.remove(&name);
             }
-            // What it lacked has come; what it lacks now counts anew.
+            // The missing revision arrived; the lag is counted from now for the
+            // next one.
             Some(plan) if plan.lacks <= seen => {
                 plan.lacks = best;
                 plan.since = now;
             }
             Some(_) | None => {}
         }
-        self.announce_at = self.announce_at.min(now.plus(GRACE));
-        let asking: Vec<HostName> = self
+        self.announce_at = self.announce_at.min(now.plus(PROPAGATION_DELAY));
+        let subscribers: Vec<HostName> = self
             .peers
             .iter()
-            .filter(|(host, peer)| peer.asked_until > now && !self.links.contains_key(*host))
+            .filter(|(host, peer)| peer.subscribed_until > now && !self.links.contains_key(*host))
             .map(|(host, _)| host.clone())
             .collect();
-        for host in asking {
+        for host in subscribers {
             self.push(now, &host, &name, actions);
         }
     }
 
     pub(super) fn seen(&self, name: &ValueName) -> Revision {
         match self.values.get(name) {
-            Some(book) => book.seen(),
+            Some(replica) => replica.seen(),
             None => Revision::default(),
         }
     }
@@ -132,7 +135,13 @@
         known.max().unwrap_or_default()
     }
 
-    fn know(&mut self, now: Moment, host: &HostName, name: &ValueName, revision: Revision) {
+    fn record_revision(
+        &mut self,
+        now: Moment,
+        host: &HostName,
+        name: &ValueName,
+        revision: Revision,
+    ) {
         if !self.values.contains_key(name) {
             return;
         }
@@ -141,37 +150,37 @@
             revision,
         };
         if let Some(peer) = self.peers.get_mut(host) {
-            peer.take_mark(now, &mark);
+            peer.record_mark(now, &mark);
         }
     }
 
     fn marks(&self) -> Vec<RevisionMark> {
         self.values
             .iter()
-            .map(|(name, book)| RevisionMark {
+            .map(|(name, replica)| RevisionMark {
                 name: name.clone(),
-                revision: book.seen(),
+                revision: replica.seen(),
             })
             .collect()
     }
 
-    fn take_marks(
+    fn handle_marks(
         &mut self,
         now: Moment,
         host: HostName,
         marks: Vec<RevisionMark>,
         actions: &mut Vec<RevisionAction>,
     ) {
-        self.vouched = true;
-        let asked = !marks.is_empty();
+        self.peer_confirmed = true;
+        let is_poll = !marks.is_empty();
         for mark in marks {
             if !self.values.contains_key(&mark.name) {
                 continue;
             }
-            self.know(now, &host, &mark.name, mark.revision);
+            self.record_revision(now, &host, &mark.name, mark.revision);
             if mark.revision > self.seen(&mark.name) {
                 let plan = CatchUp {
-                    at: now.plus(GRACE),
+                    at: now.plus(PROPAGATION_DELAY),
                     tries: 0,
                     lacks: mark.revision,
                     since: now,
@@ -181,29 +190,29 @@
                 self.push(now, &host, &mark.name, actions);
             }
         }
-        if asked && !self.links.contains_key(&host) {
+        if is_poll && !self.links.contains_key(&host) {
             self.answer(now, host, actions);
         }
     }
 
-    /// Answer a peer that counts on this host. The answer without marks is
-    /// not answered again: two hosts would go on forever.
+    /// Answer the poll of a peer. An answer without marks is not answered
+    /// again, which would loop forever.
     fn answer(&mut self, now: Moment, host: HostName, actions: &mut Vec<RevisionAction>) {
         let all = self.marks();
         let peer = match self.peers.get_mut(&host) {
             Some(peer) => peer,
             None => return,
         };
-        peer.asked_until = now.plus(self.opts.silent_after);
-        let marks = match peer.told_all {
+        peer.subscribed_until = now.plus(self.opts.silent_after);
+        let marks = match peer.sent_all {
             true => Vec::new(),
             false => all,
         };
-        peer.told_all = true;
+        peer.sent_all = true;
         actions.push(RevisionAction::Send(host, RevisionMessage::Marks(marks)));
     }
 
-    /// Send a peer that is behind what it lacks, in its shortest form.
+    /// Send a peer that is behind the missing change in its shortest form.
     fn push(
         &mut self,
         now: Moment,
@@ -211,23 +220,25 @@
         name: &ValueName,
         actions: &mut Vec<RevisionAction>,
     ) {
-        let (book, peer) = match (self.values.get_mut(name), self.peers.get_mut(host)) {
-            (Some(book), Some(peer)) => (book, peer),
+        let (replica, peer) = match (self.values.get_mut(name), self.peers.get_mut(host)) {
+            (Some(replica), Some(peer)) => (replica, peer),
             _ => return,
         };
-        let seen = book.seen();
+        let seen = replica.seen();
         let known = match peer.known(name) {
             Some(known) if known < seen => known,
             _ => return,
         };
-        let change = book.change_from(known);
-        let value = match book.value() {
+        let change = replica.change_from(known);
+        let value = match replica.value() {
             Some(value) => value,
             None => return,
         };
         let message = match change {
             Some(change) => change,
-            None if value.body.len() <= UNASKED_LEN => RevisionMessage::Whole(value.clone()),
+            None if value.body.len() <= MAX_UNREQUESTED_LEN => {
+                RevisionMessage::Whole(value.clone())
+            }
             None => {
                 peer.announce(name, seen);
                 let mark = RevisionMark {
@@ -239,29 +250,29 @@
                 return;
             }
         };
-        peer.sent(now, name, seen);
+        peer.record_sent(now, name, seen);
         actions.push(RevisionAction::Send(host.clone(), message));
     }
 
-    fn want(
+    fn request_whole(
         &mut self,
         now: Moment,
         host: HostName,
         name: ValueName,
         actions: &mut Vec<RevisionAction>,
     ) {
-        let at = now.plus(CATCH_UP_AFTER);
-        let earlier = self.catch_ups.get(&name);
-        // Several relays send the same change over the same gap; one whole
+        let at = now.plus(CATCH_UP_INTERVAL);
+        let pending = self.catch_ups.get(&name);
+        // Several relays send the same change across the same gap; one complete
         // value is enough.
-        if earlier.is_some_and(|plan| plan.tries > 0 && now < plan.at) {
+        if pending.is_some_and(|plan| plan.tries > 0 && now < plan.at) {
             return;
         }
         let plan = CatchUp {
             at,
             tries: 1,
-            lacks: earlier.map_or_else(|| self.best_known(&name), |plan| plan.lacks),
-            since: earlier.map_or(now, |plan| plan.since),
+            lacks: pending.map_or_else(|| self.best_known(&name), |plan| plan.lacks),
+            since: pending.map_or(now, |plan| plan.since),
         };
         self.catch_ups.insert(name.clone(), plan);
         actions.push(RevisionAction::Send(host, RevisionMessage::Want(name)));
@@ -274,41 +285,42 @@
         name: &ValueName,
         actions: &mut Vec<RevisionAction>,
     ) {
-        let value = match self.values.get(name).and_then(|book| book.value()) {
+        let value = match self.values.get(name).and_then(|replica| replica.value()) {
             Some(value) => value.clone(),
             None => return,
         };
         if let Some(peer) = self.peers.get_mut(host) {
-            peer.sent(now, name, value.revision);
+            peer.record_sent(now, name, value.revision);
         }
         let message = RevisionMessage::Whole(value);
         actions.push(RevisionAction::Send(host.clone(), message));
     }
 
-    /// Ask the relays: with all marks at first, then with one after another.
-    pub(super) fn ask_relays(&mut self, now: Moment, actions: &mut Vec<RevisionAction>) {
+    /// Poll the relays: first with the marks of all values, then with one mark
+    /// at a time.
+    pub(super) fn poll_relays(&mut self, now: Moment, actions: &mut Vec<RevisionAction>) {
         let marks = self.marks();
         for host in self.links.keys() {
             let peer = match self.peers.get_mut(host) {
-                Some(peer) if peer.ask_at <= now => peer,
+                Some(peer) if peer.poll_at <= now => peer,
                 _ => continue,
             };
-            peer.ask_at = now.plus(self.opts.keepalive);
-            // What was sent to a silent peer may be lost, so the first
-            // question that reaches it again names all values.
-            let asked = match peer.is_heard(now, self.opts.silent_after) {
+            peer.poll_at = now.plus(self.opts.keepalive);
+            // Messages to a silent peer may have been lost, so the marks of all
+            // values are sent until it answers.
+            let polled = match peer.is_heard(now, self.opts.silent_after) {
                 false => marks.clone(),
                 true => {
-                    peer.turn = (peer.turn + 1) % marks.len().max(1);
-                    marks.get(peer.turn).cloned().into_iter().collect()
+                    peer.polled_index = (peer.polled_index + 1) % marks.len().max(1);
+                    marks.get(peer.polled_index).cloned().into_iter().collect()
                 }
             };
-            let message = RevisionMessage::Marks(asked);
+            let message = RevisionMessage::Marks(polled);
             actions.push(RevisionAction::Send(host.clone(), message));
         }
     }
 
-    /// Tell relays and other readers of revisions that they may lack.
+    /// Announce to relays and other readers the revisions that they may lack.
     pub(super) fn announce(&mut self, now: Moment, actions: &mut Vec<RevisionAction>) {
         if now < self.announce_at {
             return;
@@ -320,17 +332,18 @@
                 Some(peer) => peer,
                 None => continue,
             };
-            let mut news = marks.clone();
-            news.retain(|mark| peer.announce(&mark.name, mark.revision));
-            if !news.is_empty() {
-                let message = RevisionMessage::Marks(news);
+            let mut updates = marks.clone();
+            updates.retain(|mark| peer.announce(&mark.name, mark.revision));
+            if !updates.is_empty() {
+                let message = RevisionMessage::Marks(updates);
                 actions.push(RevisionAction::Send(host.clone(), message));
             }
         }
     }
 
-    /// Ask a peer that is ahead: first by this host's mark, which a change
-    /// answers, then for the whole value.
+    /// Request missing values from peers that are ahead: first by sending this
+    /// host's mark, which is answered with a patch, then by requesting the
+    /// complete value.
     pub(super) fn catch_up(&mut self, now: Moment, actions: &mut Vec<RevisionAction>) {
         let due: Vec<(ValueName, CatchUp)> = self
             .catch_ups
@@ -361,7 +374,7 @@
             };
             actions.push(RevisionAction::Send(host, message));
             let next = CatchUp {
-                at: now.plus(CATCH_UP_AFTER),
+                at: now.plus(CATCH_UP_INTERVAL),
                 tries: tries + 1,
                 ..plan
             };
@@ -369,15 +382,15 @@
         }
     }
 
-    /// Get when something is next to be sent to peers.
-    pub(super) fn next_spread(&self) -> Moment {
-        let asks = self
+    /// Get when the next message to a peer is due.
+    pub(super) fn next_send(&self) -> Moment {
+        let polls = self
             .links
             .keys()
             .filter_map(|host| self.peers.get(host))
-            .map(|peer| peer.ask_at);
+            .map(|peer| peer.poll_at);
         let catch_ups = self.catch_ups.values().map(|plan| plan.at);
-        let next = asks.chain(catch_ups).min().unwrap_or(Moment::NEVER);
+        let next = polls.chain(catch_ups).min().unwrap_or(Moment::NEVER);
         next.min(self.announce_at)
     }
 }
--- a/bergamotswitch-core/src/revision/value_patch.rs
+++ b/bergamotswitch-core/src/revision/value_patch.rs
@@ -1,9 +1,9 @@
-//! Provides the difference of two JSON texts as JSON Patch.
+//! Provides the difference between two JSON texts as a JSON Patch.
 //!
-//! `json_patch::diff` compares arrays place by place: a host that leaves the
-//! middle of the host list changes every entry behind it, and the patch is
-//! larger than the list. So arrays are aligned here by their equal elements;
-//! the patch's form and its application are the library's.
+//! `json_patch::diff` compares arrays by index: removing an entry from the
+//! middle of the host list would change every later entry, and the patch would
+//! be larger than the list. So arrays are aligned here by their equal elements.
+//! The patch format and its application come from `json_patch`.
 
 use std::collections::HashSet;
 
@@ -12,7 +12,7 @@
 use serde_json::{Map, Value};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Get the canonical text of a JSON text: keys in order, no blanks.
+/// Get the canonical form of a JSON text: sorted keys, no whitespace.
 pub(super) fn canonical(text: &str) -> Option<String> {
     let value: Value = serde_json::from_str(text).ok()?;
     serde_json::to_string(&value).ok()
@@ -23,17 +23,17 @@
     xxh3_64(canonical.as_bytes())
 }
 
-/// Get the patch that leads from one JSON text to another, as JSON text.
-pub(super) fn between(from: &str, to: &str) -> Option<String> {
+/// Get the patch from one JSON text to another, as JSON text.
+pub(super) fn diff(from: &str, to: &str) -> Option<String> {
     let from: Value = serde_json::from_str(from).ok()?;
     let to: Value = serde_json::from_str(to).ok()?;
-    let mut differ = Differ::default();
-    differ.compare(&from, &to);
-    serde_json::to_string(&Patch(differ.operations)).ok()
+    let mut diff = JsonDiff::default();
+    diff.compare(&from, &to);
+    serde_json::to_string(&Patch(diff.operations)).ok()
 }
 
-/// Get the canonical text that the patch leads to, where it applies and the
-/// result has the checksum.
+/// Get the canonical text that results from a patch; `None` if the patch does
+/// not apply or the checksum does not match.
 pub(super) fn apply(from: &str, patch: &str, expected: u64) -> Option<String> {
     let mut value: Value = serde_json::from_str(from).ok()?;
     let patch: Patch = serde_json::from_str(patch).ok()?;
@@ -46,12 +46,12 @@
 }
 
 #[derive(Default)]
-struct Differ {
-    place: PointerBuf,
+struct JsonDiff {
+    pointer: PointerBuf,
     operations: Vec<PatchOperation>,
 }
 
-impl Differ {
+impl JsonDiff {
     fn compare(&mut self, from: &Value, to: &Value) {
         match (from, to) {
             _ if from == to => {}
@@ -63,23 +63,23 @@
 
     fn compare_objects(&mut self, from: &Map<String, Value>, to: &Map<String, Value>) {
         for key in from.keys().filter(|key| !to.contains_key(*key)) {
-            self.place.push_back(key);
+            self.pointer.push_back(key);
             self.remove();
-            self.place.pop_back();
+            self.pointer.pop_back();
         }
         for (key, value) in to {
-            self.place.push_back(key);
+            self.pointer.push_back(key);
             match from.get(key) {
                 Some(earlier) => self.compare(earlier, value),
                 None => self.add(value),
             }
-            self.place.pop_back();
+            self.pointer.pop_back();
         }
     }
 
-    /// Walk both arrays at once. Each step mends the place that it stands at,
-    /// so the result is right whatever step is chosen; an element that the
-    /// other side lacks decides which step is short.
+    /// Walk both arrays in parallel. Each step makes the element at the current
+    /// index right, so the result is correct whichever step is taken; checking
+    /// which elements the other array lacks only keeps the patch short.
     fn compare_arrays(&mut self, from: &[Value], to: &[Value]) {
         let from_hashes: Vec<u64> = from.iter().map(hash).collect();
         let to_hashes: Vec<u64> = to.iter().map(hash).collect();
@@ -87,7 +87,7 @@
         let to_set: HashSet<u64> = to_hashes.iter().copied().collect();
         let (mut old, mut new) = (0, 0);
         while old < from.len() || new < to.len() {
-            self.place.push_back(new);
+            self.pointer.push_back(new);
             let dropped = old < from.len() && !to_set.contains(&from_hashes[old]);
             let added = new < to.len() && !from_set.contains(&to_hashes[new]);
             let both = old < from.len() && new < to.len();
@@ -102,13 +102,13 @@
                 self.add(&to[new]);
                 new += 1;
             }
-            self.place.pop_back();
+            self.pointer.pop_back();
         }
     }
 
     fn add(&mut self, value: &Value) {
         self.operations.push(PatchOperation::Add(AddOperation {
-            path: self.place.clone(),
+            path: self.pointer.clone(),
             value: value.clone(),
         }));
     }
@@ -116,14 +116,14 @@
     fn remove(&mut self) {
         self.operations
             .push(PatchOperation::Remove(RemoveOperation {
-                path: self.place.clone(),
+                path: self.pointer.clone(),
             }));
     }
 
     fn replace(&mut self, value: &Value) {
         self.operations
             .push(PatchOperation::Replace(ReplaceOperation {
-                path: self.place.clone(),
+                path: self.pointer.clone(),
                 value: value.clone(),
             }));
     }
--- a/bergamotswitch-core/src/roster/machine.rs
+++ b/bergamotswitch-core/src/roster/machine.rs
@@ -11,18 +11,18 @@
 use crate::clock::Moment;
 use crate::host::{EntryHost, HostList, HostName, Standing};
 
-/// The most marks in one message: with the sender's record they stay within
-/// one unfragmented datagram.
+/// The maximum number of marks in one message. With the sender's record they
+/// fit into one unfragmented datagram.
 const MARKS_PER_MESSAGE: usize = 100;
 
-/// The most records in one message, for the same reason.
+/// The maximum number of records in one message, for the same reason.
 const RECORDS_PER_MESSAGE: usize = 8;
 
-/// One round in so many also goes to a seed and to a silent host: without
-/// it, two halves of a fleet that a cut has parted would never meet again.
-const ROUNDS_PER_REUNION: u64 = 4;
+/// Every so many rounds, messages also go to a seed and to a silent host, so
+/// that two halves of a fleet find each other again after a partition.
+const ROUNDS_PER_REJOIN: u64 = 4;
 
-/// A `Roster` is the fleet's hosts as this host has heard of them.
+/// A `Roster` is the set of hosts in the fleet as known to this host by gossip.
 #[derive(Debug)]
 pub struct Roster {
     me: EntryHost,
@@ -31,19 +31,19 @@
     seeds: Vec<SocketAddr>,
     members: BTreeMap<HostName, KnownMember>,
     names: BTreeMap<u32, HostName>,
-    /// What is added to the time since the start to give the own stamp.
+    /// Added to the time since the process's start to get this host's stamp.
     stamp_base: u64,
     round_at: Moment,
     rounds: u64,
     draws: u64,
     seed: u64,
-    listed: HostList,
+    reported: HostList,
 }
 
 impl Roster {
-    /// Get the roster of a host that has just started. `stamp_base` is the
-    /// time of day in milliseconds at the process's start; `seed` spreads the
-    /// choice of whom to tell.
+    /// Create the roster of a host that has just started. `stamp_base` is the
+    /// time of day in milliseconds at the process's start; `seed` seeds the
+    /// random choice of recipients.
     pub fn new(me: EntryHost, seeds: Vec<SocketAddr>, stamp_base: u64, seed: u64) -> Self {
         Roster {
             me,
@@ -57,7 +57,7 @@
             rounds: 0,
             draws: 0,
             seed,
-            listed: HostList::default(),
+            reported: HostList::default(),
         }
     }
 
@@ -72,69 +72,72 @@
         self.seeds = seeds;
     }
 
-    /// Set the own state. A change is told at once: callers must not be sent
-    /// to a host that stops.
+    /// Set this host's flags. A change is sent at once, so that callers are not
+    /// directed to a stopping host.
     pub fn set_flags(&mut self, now: Moment, flags: MemberFlags) {
         if flags != self.flags {
-            self.discount_sleep(now);
+            self.discount_suspension(now);
             self.flags = flags;
             self.round_at = now;
         }
     }
 
-    /// Get when the next round is due.
+    /// Get the time of the next round.
     pub fn next_wake(&self) -> Moment {
         self.round_at
     }
 
-    /// Count no silence of the others from when a round was due and did not come.
+    /// Exclude from the silence of the other hosts the time by which this
+    /// host's round is overdue.
     ///
-    /// A process that stands still for a second hears nobody. Taken for the
-    /// others' silence, it would be alone when it wakes: one would see it act as
-    /// owner beside the owner, and refuse what waits there, until their next
-    /// messages. What a round is late beyond its whole interval counts for nobody.
-    /// A host that is always that late, for want of a processor, notices others'
-    /// ends later, after twice the time at most.
-    fn discount_sleep(&mut self, now: Moment) {
-        let slept = now.since(self.awake_until());
-        if slept.is_zero() {
+    /// A process that gets no CPU for a second receives no messages. If that
+    /// counted as silence of the others, it would consider itself alone when it
+    /// resumes: it would act as a second owner and refuse waiting requests
+    /// until their next messages arrive. Only the delay beyond one round
+    /// interval is excluded. A host whose rounds are always late, for lack of
+    /// CPU time, detects failures of others later, after at most twice the
+    /// timeout.
+    fn discount_suspension(&mut self, now: Moment) {
+        let suspended = now.since(self.next_round_deadline());
+        if suspended.is_zero() {
             return;
         }
         let silent_after = self.silent_after();
         for member in self.members.values_mut() {
-            member.excuse(now, slept, silent_after);
+            member.discount(now, suspended, silent_after);
         }
         self.round_at = now;
     }
 
-    /// Get until when this host was surely awake, if it is late by now.
-    fn awake_until(&self) -> Moment {
+    /// Get the time by which the next round should have run; past it, this host
+    /// counts as suspended.
+    fn next_round_deadline(&self) -> Moment {
         self.round_at.plus(self.opts.round_interval)
     }
 
-    /// Count all others as heard of now: the process slept, and its own
-    /// silence is no evidence against them.
-    pub fn woke(&mut self, now: Moment) {
+    /// Reset the silence of all other hosts after a suspension of this process,
+    /// which is no evidence against them.
+    pub fn resume(&mut self, now: Moment) {
         for member in self.members.values_mut() {
-            member.hear(now);
+            member.record_heard(now);
         }
         self.round_at = now;
     }
 
-    /// Begin a round where one is due.
+    /// Run a round, if one is due, and get the messages to send.
     pub fn tick(&mut self, now: Moment) -> Vec<RosterAction> {
         if now < self.round_at {
             return Vec::new();
         }
-        self.discount_sleep(now);
+        self.discount_suspension(now);
         self.round_at = now.plus(self.opts.round_interval);
         self.rounds += 1;
         let forget_after = self.opts.forget_after;
         self.members
             .retain(|_, member| now.since(member.heard_at) < forget_after);
-        let targets = self.round_targets(now);
+        let recipients = self.round_recipients(now);
         let message = self.message(now, Vec::new(), Vec::new());
-        targets
+        recipients
             .into_iter()
             .map(|to| RosterAction {
                 to,
@@ -143,39 +146,39 @@
             .collect()
     }
 
-    /// Take in a message; get the answer where one is of use.
-    pub fn hear(&mut self, now: Moment, message: RosterMessage) -> Vec<RosterAction> {
-        self.discount_sleep(now);
+    /// Handle a message and get the answer, if one is needed.
+    pub fn handle(&mut self, now: Moment, message: RosterMessage) -> Vec<RosterAction> {
+        self.discount_suspension(now);
         let sender = message.sender;
         let to = sender.host.link_address;
-        let base = sender.stamp;
-        let newcomer = !self.members.contains_key(&sender.host.name);
-        self.learn(now, sender);
+        let sender_stamp = sender.stamp;
+        let is_new = !self.members.contains_key(&sender.host.name);
+        self.merge_record(now, sender);
         for record in message.records {
-            self.learn(now, record);
+            self.merge_record(now, record);
         }
         let mut wants = Vec::new();
         for mark in message.marks {
-            if !self.take_mark(now, base, mark) {
+            if !self.merge_mark(now, sender_stamp, mark) {
                 wants.push(mark.id);
             }
         }
         wants.truncate(RECORDS_PER_MESSAGE);
         let records = self.records_of(now, &message.wants);
-        if wants.is_empty() && records.is_empty() && !newcomer {
+        if wants.is_empty() && records.is_empty() && !is_new {
             return Vec::new();
         }
         let message = self.message(now, records, wants);
         vec![RosterAction { to, message }]
     }
 
-    /// Get the hosts that are counted on, this one among them.
+    /// Get the hosts that are live, including this one.
     pub fn hosts(&self, now: Moment) -> HostList {
         let mut hosts: Vec<EntryHost> = self
             .live(now)
-            .map(|member| standing_host(&member.record))
+            .map(|member| host_with_standing(&member.record))
             .collect();
-        hosts.push(standing_host(&self.own_record(now)));
+        hosts.push(host_with_standing(&self.own_record(now)));
         hosts.sort_by(|first, second| first.name.cmp(&second.name));
         HostList {
             hosts,
@@ -183,25 +186,24 @@
         }
     }
 
-    /// Get whether another host was heard of, or enough time has passed for
-    /// there to be none. A host that takes callers before it knows how many
-    /// there are would take a whole fleet's share of everything for its own.
-    pub fn is_settled(&self, now: Moment) -> bool {
+    /// Get whether another host is known, or enough time has passed to conclude
+    /// that there is none. A host that accepted callers before it knows the
+    /// fleet size would use the whole fleet's quotas alone.
+    pub fn is_discovery_complete(&self, now: Moment) -> bool {
         !self.members.is_empty() || now.since(Moment::START) >= self.opts.alone_after
     }
 
-    /// Get the hosts that are counted on where they have changed since the
-    /// last call.
+    /// Get the live hosts, if they have changed since the last call.
     pub fn changed_hosts(&mut self, now: Moment) -> Option<HostList> {
         let hosts = self.hosts(now);
-        if hosts == self.listed {
+        if hosts == self.reported {
             return None;
         }
-        self.listed = hosts.clone();
+        self.reported = hosts.clone();
         Some(hosts)
     }
 
-    /// Get the hosts that take callers, this one among them where it does.
+    /// Get the hosts that accept callers, including this one if it does.
     pub fn ready_hosts(&self, now: Moment) -> Vec<EntryHost> {
         let own = self.own_record(now);
         let others = self.live(now).map(|member| &member.record);
@@ -212,10 +214,13 @@
             .collect()
     }
 
-    /// Get when each other host that has stopped, and is not back, was first heard
-    /// to stop. One that stops tells it, and falls silent as it ends.
-    pub fn left_hosts(&self) -> impl Iterator<Item = Moment> {
-        self.members.values().filter_map(|member| member.left_at)
+    /// Get, for each other host that has left and not returned, when it was
+    /// first reported as leaving. A stopping host announces that it is leaving
+    /// and falls silent when it ends.
+    pub fn leave_times(&self) -> impl Iterator<Item = Moment> {
+        self.members
+            .values()
+            .filter_map(|member| member.leaving_since)
     }
 
     fn live(&self, now: Moment) -> impl Iterator<Item = &KnownMember> {
@@ -224,10 +229,10 @@
     }
 
     fn is_heard(&self, now: Moment, member: &KnownMember) -> bool {
-        now.min(self.awake_until()).since(member.heard_at) < self.silent_after()
+        now.min(self.next_round_deadline()).since(member.heard_at) < self.silent_after()
     }
 
-    /// Get the time after which a silent host of this fleet is not counted on.
+    /// Get the time after which a silent host does not count as live.
     fn silent_after(&self) -> Duration {
         self.opts.silent_after(self.members.len() + 1)
     }
@@ -279,10 +284,10 @@
         known.take(RECORDS_PER_MESSAGE).collect()
     }
 
-    /// Take in a mark; get whether its host is known.
-    fn take_mark(&mut self, now: Moment, base: u64, mark: MemberMark) -> bool {
+    /// Merge a mark. Get whether its host is known.
+    fn merge_mark(&mut self, now: Moment, sender_stamp: u64, mark: MemberMark) -> bool {
         if mark.id == MemberMark::id_of(&self.me.name) {
-            self.outgrow(now, base.wrapping_sub(mark.behind as u64));
+            self.raise_stamp(now, sender_stamp.wrapping_sub(mark.behind as u64));
             return true;
         }
         let Some(name) = self.names.get(&mark.id) else {
@@ -291,19 +296,19 @@
         let Some(member) = self.members.get_mut(name) else {
             return false;
         };
-        let stamp = base.wrapping_sub(mark.behind as u64);
+        let stamp = sender_stamp.wrapping_sub(mark.behind as u64);
         if stamp > member.record.stamp {
             member.record.stamp = stamp;
             member.record.flags = mark.flags;
-            member.hear(now);
-            member.note_leaving(now);
+            member.record_heard(now);
+            member.update_leaving(now);
         }
         true
     }
 
-    fn learn(&mut self, now: Moment, record: MemberRecord) {
+    fn merge_record(&mut self, now: Moment, record: MemberRecord) {
         if record.host.name == self.me.name {
-            self.outgrow(now, record.stamp);
+            self.raise_stamp(now, record.stamp);
             return;
         }
         let name = record.host.name.clone();
@@ -311,23 +316,23 @@
         if known.is_some_and(|known| known.record.stamp >= record.stamp) {
             return;
         }
-        let left_at = known.and_then(|known| known.left_at);
+        let leaving_since = known.and_then(|known| known.leaving_since);
         self.names.insert(MemberMark::id_of(&name), name.clone());
         let mut member = KnownMember {
             record,
             heard_at: now,
-            excused: Duration::ZERO,
-            left_at,
+            discounted: Duration::ZERO,
+            leaving_since,
         };
-        member.note_leaving(now);
+        member.update_leaving(now);
         self.members.insert(name, member);
     }
 
-    /// Keep the own stamp above what others hold of this host. After a
-    /// restart with the time of day set back, others would take news of the
-    /// new run for older than that of the former one and count this host as
-    /// silent.
-    fn outgrow(&mut self, now: Moment, stamp: u64) {
+    /// Keep this host's stamp above the one that others hold. After a restart
+    /// with the clock set back, others would ignore updates of the new
+    /// incarnation as older than those of the previous one, and consider this
+    /// host silent.
+    fn raise_stamp(&mut self, now: Moment, stamp: u64) {
         let own = self.own_stamp(now);
         if stamp > own {
             self.stamp_base += stamp - own + 1;
@@ -335,27 +340,27 @@
         }
     }
 
-    /// Get whom to tell in this round: some that are counted on, all seeds
-    /// while there is nobody, and now and then a seed and a silent host.
-    fn round_targets(&mut self, now: Moment) -> Vec<SocketAddr> {
+    /// Get the recipients of this round: some live hosts, or all seeds if there
+    /// are none; every few rounds also a seed and a silent host.
+    fn round_recipients(&mut self, now: Moment) -> Vec<SocketAddr> {
         let mut live: Vec<SocketAddr> = self.live(now).map(address_of).collect();
         if live.is_empty() {
             return self.other_seeds();
         }
-        let mut targets = Vec::new();
+        let mut recipients = Vec::new();
         for _ in 0..self.opts.fanout.min(live.len()) {
             let index = self.draw(live.len());
-            targets.push(live.swap_remove(index));
+            recipients.push(live.swap_remove(index));
         }
-        if self.rounds.is_multiple_of(ROUNDS_PER_REUNION) {
+        if self.rounds.is_multiple_of(ROUNDS_PER_REJOIN) {
             let silent = self.members.values();
             let silent = silent.filter(|member| !self.is_heard(now, member));
             let silent: Vec<SocketAddr> = silent.map(address_of).collect();
-            targets.extend(self.pick(silent));
+            recipients.extend(self.pick(silent));
             let seeds = self.other_seeds();
-            targets.extend(self.pick(seeds));
+            recipients.extend(self.pick(seeds));
         }
-        targets
+        recipients
     }
 
     fn other_seeds(&self) -> Vec<SocketAddr> {
@@ -368,7 +373,7 @@
         addresses.get(index).copied()
     }
 
-    /// Get a number below `count`; 0 where there is none.
+    /// Get a pseudo-random number below `count`, or 0 if `count` is 0.
     fn draw(&mut self, count: usize) -> usize {
         self.draws += 1;
         let mut bytes = self.seed.to_le_bytes().to_vec();
@@ -382,7 +387,7 @@
     member.record.host.link_address
 }
 
-fn standing_host(record: &MemberRecord) -> EntryHost {
+fn host_with_standing(record: &MemberRecord) -> EntryHost {
     EntryHost {
         standing: match record.flags.leaving {
             true => Standing::Leaving,
--- a/bergamotswitch-core/tests/revision_adoption.rs
+++ b/bergamotswitch-core/tests/revision_adoption.rs
@@ -1,153 +1,145 @@
-//! Tests of adoption: it never goes back, and bad revisions change nothing.
+//! Tests of adoption: revisions never decrease, and invalid revisions change
+//! nothing.
 
-mod spread;
+mod replica_net;
 
 use bergamotswitch_core::revision::{LIMITS_VALUE, RevisionMark};
-use spread::*;
+use replica_net::*;
 
 #[test]
 fn service_down() {
-    // Symptom: hosts that start during an outage have no rules.
-    // Events: the service goes down; a host is replaced.
-    // Cause: a starting host knew only the service.
-    let mut net = Net::settled(8, 2);
+    // Guards against a host that starts without rules during an outage of the
+    // service.
+    let mut net = Net::converged(8, 2);
     let hosts = hosts_body(0..9, 2);
     net.publish(HOSTS_VALUE, 2, hosts);
     net.run(secs(5));
-    net.rules_then(5, secs(2));
-    // The host list is a service of its own and stays up.
+    net.publish_rules(5, secs(2));
+    // The host list comes from a service of its own, which stays up.
     let rules = net.service.remove(&name(RULES_VALUE)).unwrap();
     net.add(8);
     net.run(secs(5));
-    assert_eq!(net.force(&host(8), RULES_VALUE), 5);
-    assert!(!net.nodes[&host(8)].book.standing().alone);
+    assert_eq!(net.in_force(&host(8), RULES_VALUE), 5);
+    assert!(!net.nodes[&host(8)].replica.status().alone);
     assert_eq!(net.nodes[&host(8)].in_force[&rules.name].2, rules.body);
 }
 
 #[test]
 fn started_alone() {
-    // Symptom: nobody can tell that a lone host may have stale rules.
-    // Events: one host starts, none of its peers answers.
-    // Cause: the service's word counted as much as a peer's.
+    // Guards against a host without peers that reports its revisions as
+    // confirmed by a peer.
     let mut net = Net::start(1, 1);
     net.run(Duration::from_secs(1));
-    assert!(!net.nodes[&host(0)].book.is_caught_up(net.now));
+    assert!(!net.nodes[&host(0)].replica.is_caught_up(net.now));
     net.run(secs(9));
-    assert_eq!(net.forces(RULES_VALUE), (1, 1));
-    assert!(net.nodes[&host(0)].book.standing().alone);
-    assert!(net.nodes[&host(0)].book.is_caught_up(net.now));
-    assert_eq!(net.noted(Incident::StartedWithoutPeer), 1);
+    assert_eq!(net.in_force_range(RULES_VALUE), (1, 1));
+    assert!(net.nodes[&host(0)].replica.status().alone);
+    assert!(net.nodes[&host(0)].replica.is_caught_up(net.now));
+    assert_eq!(net.log_count(Incident::StartedWithoutPeer), 1);
 }
 
 #[test]
 fn service_stale() {
-    // Symptom: withdrawn rules are in force again.
-    // Events: the service falls back to an old revision, for long, while
-    // hosts sleep and wake.
-    // Cause: the service's answer replaced what the host had.
-    let mut net = Net::settled(8, 2);
-    net.rules_then(7, secs(5));
-    net.rules_then(3, secs(120));
-    let sleeper = net.readers()[0].clone();
-    net.pause(&sleeper);
+    // Guards against withdrawn rules in force again after the service returns
+    // to an old revision, also on hosts that were suspended.
+    let mut net = Net::converged(8, 2);
+    net.publish_rules(7, secs(5));
+    net.publish_rules(3, secs(120));
+    let suspended = net.readers()[0].clone();
+    net.pause(&suspended);
     net.run(secs(60));
-    net.resume(&sleeper, secs(60));
+    net.resume(&suspended, secs(60));
     net.run(secs(20));
-    assert_eq!(net.forces(RULES_VALUE), (7, 7));
-    assert!(net.noted(Incident::RevisionStale) >= 1);
-    net.rules_then(8, secs(9));
-    assert_eq!(net.forces(RULES_VALUE), (8, 8));
+    assert_eq!(net.in_force_range(RULES_VALUE), (7, 7));
+    assert!(net.log_count(Incident::RevisionStale) >= 1);
+    net.publish_rules(8, secs(9));
+    assert_eq!(net.in_force_range(RULES_VALUE), (8, 8));
 }
 
 #[test]
 fn service_flaps() {
-    // Symptom: rules change to and fro.
-    // Events: two replicas, one behind, answer in turn.
-    // Cause: the last answer won.
-    let mut net = Net::settled(8, 2);
-    net.rules_then(9, secs(5));
+    // Guards against rules that alternate between two revisions while a current
+    // and a stale replica of the service answer in turn.
+    let mut net = Net::converged(8, 2);
+    net.publish_rules(9, secs(5));
     net.reset_counts();
     for turn in 0..60 {
         let revision = if turn % 2 == 0 { 4 } else { 9 };
-        net.rules_then(revision, secs(1));
+        net.publish_rules(revision, secs(1));
     }
-    assert_eq!(net.forces(RULES_VALUE), (9, 9));
+    assert_eq!(net.in_force_range(RULES_VALUE), (9, 9));
     let most = net.nodes.values().map(|node| node.reads).max().unwrap();
     assert!(most <= 72, "{most} reads in a minute");
 }
 
 #[test]
-fn parted_and_healed() {
-    // Symptom: one half of the fleet keeps old rules.
-    // Events: a partition; only one side reaches the service; it heals.
-    // Cause: what was sent into the cut counted as received.
+fn partition_healed() {
+    // Guards against old rules in one half of the fleet after a partition,
+    // because changes sent during the partition counted as received.
     let turns = (0..6).map(|turn| (32, turn));
     for (hosts, turn) in [(8, 0), (128, 0)].into_iter().chain(turns) {
-        let mut net = Net::settled(hosts, 4);
+        let mut net = Net::converged(hosts, 4);
         for index in (0..hosts).filter(|index| index % 4 < 2) {
-            net.sides.insert(host(index), 1);
+            net.partitions.insert(host(index), 1);
             net.no_service.insert(host(index));
         }
-        net.rules_then(2, secs(9));
-        assert_eq!(net.forces(RULES_VALUE), (1, 2));
-        // Heal between two keepalives, not just before one, and at each turn
-        // of the values that they name.
+        net.publish_rules(2, secs(9));
+        assert_eq!(net.in_force_range(RULES_VALUE), (1, 2));
+        // Heal between two keepalives rather than just before one, and at each
+        // position of the rotation of marks in the polls.
         net.run(Duration::from_millis(60_900 + 2000 * turn));
-        net.rules_then(3, secs(9));
-        assert_eq!(net.forces(RULES_VALUE), (1, 3));
-        net.sides.clear();
+        net.publish_rules(3, secs(9));
+        assert_eq!(net.in_force_range(RULES_VALUE), (1, 3));
+        net.partitions.clear();
         let healed = net.now;
         net.run(secs(9));
-        assert_eq!(net.forces(RULES_VALUE), (3, 3));
-        let took = net.last_at(RULES_VALUE).since(healed);
+        assert_eq!(net.in_force_range(RULES_VALUE), (3, 3));
+        let took = net.last_in_force_at(RULES_VALUE).since(healed);
         println!("{hosts} hosts, turn {turn}: {took:?} after healing");
     }
 }
 
 #[test]
 fn all_replaced() {
-    // Symptom: after a rolling replacement the fleet has old rules.
-    // Events: the service is stale; each host in turn is replaced.
-    // Cause: the newest revision lived only in hosts that are gone.
-    let mut net = Net::settled(8, 2);
-    net.rules_then(6, secs(5));
+    // Guards against old rules after a rolling replacement of all hosts while
+    // the service is stale.
+    let mut net = Net::converged(8, 2);
+    net.publish_rules(6, secs(5));
     net.publish(RULES_VALUE, 2, rules_body(2, 200));
     let mut names: Vec<usize> = (0..8).collect();
-    for place in 0..8 {
-        let fresh = 100 + place;
-        net.add(fresh);
+    for index in 0..8 {
+        let added = 100 + index;
+        net.add(added);
         net.run(secs(3));
-        net.kill(&host(names[place]));
-        names[place] = fresh;
+        net.kill(&host(names[index]));
+        names[index] = added;
         let list = hosts_body(names.clone(), 2);
-        net.publish(HOSTS_VALUE, place as u64 + 2, list);
+        net.publish(HOSTS_VALUE, index as u64 + 2, list);
         net.run(secs(9));
-        assert_eq!(net.forces(RULES_VALUE), (6, 6));
-        assert_eq!(net.forces(HOSTS_VALUE).0, place as u64 + 2);
+        assert_eq!(net.in_force_range(RULES_VALUE), (6, 6));
+        assert_eq!(net.in_force_range(HOSTS_VALUE).0, index as u64 + 2);
     }
-    // No fresh host ever held the stale revision in force.
+    // No new host ever had the stale revision in force.
     for node in net.nodes.values() {
-        let offers = node.offers.iter();
-        let rules = offers.filter(|offer| offer.0 == name(RULES_VALUE));
-        assert!(rules.clone().all(|offer| offer.1 == Revision(6)));
+        let validations = node.validations.iter();
+        let rules = validations.filter(|validation| validation.0 == name(RULES_VALUE));
+        assert!(rules.clone().all(|validation| validation.1 == Revision(6)));
         assert_eq!(rules.count(), 1);
     }
 }
 
 #[test]
 fn bad_revision() {
-    // Symptom: a faulty publication is in force on some hosts.
-    // Events: a faulty revision, then a good one.
-    // Cause: hosts that only hear it from peers did not check it, or hosts
-    // that refused it did not pass it on.
-    let mut net = Net::settled(16, 2);
+    // Guards against an invalid revision in force on hosts that receive it from
+    // peers, and against hosts that do not forward a revision they refused.
+    let mut net = Net::converged(16, 2);
     let bad = rules_body(2, 200).replace("\"bad\":false", "\"bad\":true");
     net.publish(RULES_VALUE, 2, bad);
     net.run(secs(9));
-    assert_eq!(net.forces(RULES_VALUE), (1, 1));
-    assert_eq!(net.noted(Incident::RevisionRefused), 16);
+    assert_eq!(net.in_force_range(RULES_VALUE), (1, 1));
+    assert_eq!(net.log_count(Incident::RevisionRefused), 16);
     for node in net.nodes.values() {
-        let values = node.book.standing().values;
+        let values = node.replica.status().values;
         let rules = values.iter().find(|v| v.name == name(RULES_VALUE)).unwrap();
         let refused = rules.refused.as_ref().unwrap();
         assert_eq!(refused.revision, Revision(2));
@@ -155,45 +147,45 @@
         assert_eq!(rules.in_force, Some(Revision(1)));
         assert_eq!(rules.seen, Some(Revision(2)));
     }
-    net.rules_then(3, secs(9));
-    assert_eq!(net.forces(RULES_VALUE), (3, 3));
+    net.publish_rules(3, secs(9));
+    assert_eq!(net.in_force_range(RULES_VALUE), (3, 3));
     for node in net.nodes.values() {
-        let values = node.book.standing().values;
+        let values = node.replica.status().values;
         assert!(values.iter().all(|value| value.refused.is_none()));
     }
 }
 
 #[test]
 fn large_value_once() {
-    // Symptom: a megabyte travels to each host several times.
-    // Events: a large value is rewritten whole, so no change is smaller.
-    // Cause: each relay sent it unasked.
-    let mut net = Net::settled(16, 2);
+    // Guards against a large value sent to each host several times when it is
+    // rewritten completely.
+    let mut net = Net::converged(16, 2);
     net.reset_counts();
     let texts: Vec<String> = (0..20_000).map(|i| format!("entry {i}")).collect();
     let body = serde_json::to_string(&texts).unwrap();
     let len = body.len();
     net.publish("pools", 2, body);
     net.run(secs(9));
-    assert_eq!(net.forces("pools"), (2, 2));
+    assert_eq!(net.in_force_range("pools"), (2, 2));
     let bytes: usize = net.nodes.values().map(|node| node.bytes).sum();
     println!("{:.2} copies a host", bytes as f64 / len as f64 / 16.0);
-    // Quotes are escaped in the message, so a copy counts a little more.
+    // Quotes are escaped in the message, so a copy counts as slightly more
+    // bytes.
     assert!(bytes < len * 16 * 3 / 2);
 }
 
-fn lone_book() -> RevisionBook {
+fn single_replica() -> RevisionReplica {
     let run = HostIncarnation {
         host: host(0),
         incarnation: Incarnation(1),
     };
     let domain = "domain-0".try_into().unwrap();
     let opts = RevisionOptions::default();
-    let mut book = RevisionBook::new(run, domain, opts, Moment::START);
+    let mut replica = RevisionReplica::new(run, domain, opts, Moment::START);
     let list = serde_json::from_str(&hosts_body(0..2, 1)).unwrap();
-    book.handle(Moment::START, RevisionEvent::Hosts(list));
-    book.handle(Moment::START, RevisionEvent::PeerUp(host(1)));
-    book
+    replica.handle(Moment::START, RevisionEvent::Hosts(list));
+    replica.handle(Moment::START, RevisionEvent::PeerUp(host(1)));
+    replica
 }
 
 fn mark(value: &str, revision: u64) -> RevisionMark {
@@ -214,13 +206,12 @@
 
 #[test]
 fn gap_and_mismatch() {
-    // Symptom: two hosts have different texts under one revision.
-    // Events: a change comes whose base is missing, or differs here.
-    // Cause: a patch was applied to whatever was there.
+    // Guards against different texts under one revision when the base of a
+    // patch is missing or differs.
     for (held, from) in [(1, 2), (2, 2)] {
-        let mut book = lone_book();
+        let mut replica = single_replica();
         let now = Moment::from_millis(10);
-        book.handle(now, RevisionEvent::Peer(host(1), whole(held, "{\"a\":1}")));
+        replica.handle(now, RevisionEvent::Peer(host(1), whole(held, "{\"a\":1}")));
         let change = RevisionMessage::Change {
             name: name(RULES_VALUE),
             from: Revision(from),
@@ -228,19 +219,19 @@
             checksum: 42,
             patch: r#"[{"op":"replace","path":"/a","value":2}]"#.into(),
         };
-        let actions = book.handle(now, RevisionEvent::Peer(host(1), change));
+        let actions = replica.handle(now, RevisionEvent::Peer(host(1), change));
         assert!(wants(&actions), "{actions:?}");
-        assert_eq!(book.standing().values[5].seen, Some(Revision(held)));
-        let actions = book.handle(now, RevisionEvent::Peer(host(1), whole(3, "{\"a\":2}")));
-        let offered = |action: &RevisionAction| matches!(action, RevisionAction::Offer(_));
-        assert!(actions.iter().any(offered));
+        assert_eq!(replica.status().values[5].seen, Some(Revision(held)));
+        let actions = replica.handle(now, RevisionEvent::Peer(host(1), whole(3, "{\"a\":2}")));
+        let validated = |action: &RevisionAction| matches!(action, RevisionAction::Validate(_));
+        assert!(actions.iter().any(validated));
     }
 }
 
 #[test]
-fn never_back() {
+fn never_reverts() {
     bergamotswitch_draw::for_each::<Vec<(u8, u8, bool)>>(1000, |steps| {
-        let mut book = lone_book();
+        let mut replica = single_replica();
         let mut now = Moment::from_millis(1);
         let mut highest = 0;
         let mut in_force = 0;
@@ -256,15 +247,16 @@
                     let mark = mark(RULES_VALUE, revision);
                     RevisionEvent::Peer(host(1), RevisionMessage::Marks(vec![mark]))
                 }
-                3 => RevisionEvent::Woke(secs(5)),
+                3 => RevisionEvent::Resumed(secs(5)),
                 4 => RevisionEvent::ReadFailed(name(RULES_VALUE)),
                 _ => RevisionEvent::Tick,
             };
-            for action in book.handle(now, event) {
-                let RevisionAction::Offer(value) = action else {
+            for action in replica.handle(now, event) {
+                let RevisionAction::Validate(value) = action else {
                     continue;
                 };
-                // Each revision is offered once, each higher than the last.
+                // Each revision is validated once, and each is higher than the
+                // previous one.
                 assert!(value.revision.0 > highest);
                 highest = value.revision.0;
                 let mut findings = bergamotswitch_core::error::Findings::new();
@@ -274,33 +266,33 @@
                     findings.add("/a", "x", "y");
                 }
                 let verdict = findings.into_result(());
-                book.settle(now, &value.name, value.revision, verdict);
+                replica.record_verdict(now, &value.name, value.revision, verdict);
             }
-            let marks = book.in_force();
+            let marks = replica.in_force();
             let held = marks.first().map_or(0, |mark| mark.revision.0);
             assert_eq!(held, in_force);
-            assert!(book.next_wake() > now);
+            assert!(replica.next_wake() > now);
         }
     });
 }
 
-/// Take two revisions at a book, and get what it sends a peer that has the
-/// first.
+/// Feed two revisions to a replica, and get the message that it sends to a peer
+/// that has the first.
 fn change_between(value: &str, before: &str, after: &str) -> RevisionMessage {
-    let mut book = lone_book();
+    let mut replica = single_replica();
     let now = Moment::from_millis(10);
     for (revision, body) in [(1, before), (2, after)] {
         let value = published(value, revision, body);
-        book.handle(
+        replica.handle(
             now,
             RevisionEvent::Peer(host(1), RevisionMessage::Whole(value)),
         );
     }
     let mark = mark(value, 1);
-    // The peer came back without what it had sent before.
-    book.handle(now, RevisionEvent::PeerUp(host(1)));
+    // The peer reconnected and no longer has what it sent before.
+    replica.handle(now, RevisionEvent::PeerUp(host(1)));
     let marks = RevisionMessage::Marks(vec![mark]);
-    let actions = book.handle(now, RevisionEvent::Peer(host(1), marks));
+    let actions = replica.handle(now, RevisionEvent::Peer(host(1), marks));
     let sent = actions.into_iter().filter_map(|action| match action {
         RevisionAction::Send(_, RevisionMessage::Marks(_)) => None,
         RevisionAction::Send(_, message) => Some(message),
@@ -311,9 +303,8 @@
 
 #[test]
 fn host_list_change() {
-    // Symptom: each replaced host sends the whole host list round the fleet.
-    // Events: a host in the middle of a list of 380 goes, another one comes.
-    // Cause: arrays compared place by place differ in every later entry.
+    // Guards against a complete host list sent for each replaced host: removing
+    // an entry from the middle must not change all later ones in the patch.
     let before = hosts_body(0..380, 8);
     let after = hosts_body((0..380).filter(|index| *index != 100).chain([400]), 8);
     let message = change_between(HOSTS_VALUE, &before, &after);
@@ -339,43 +330,42 @@
         let after = texts(&after[..after.len().min(12)]);
         let message = change_between(RULES_VALUE, &before, &after);
         assert!(matches!(message, RevisionMessage::Change { .. }));
-        let mut book = lone_book();
+        let mut replica = single_replica();
         let now = Moment::from_millis(10);
-        book.handle(now, RevisionEvent::Peer(host(1), whole(1, &before)));
-        let actions = book.handle(now, RevisionEvent::Peer(host(1), message));
-        let offered = RevisionAction::Offer(published(RULES_VALUE, 2, after));
-        assert!(actions.contains(&offered), "{actions:?}");
+        replica.handle(now, RevisionEvent::Peer(host(1), whole(1, &before)));
+        let actions = replica.handle(now, RevisionEvent::Peer(host(1), message));
+        let validated = RevisionAction::Validate(published(RULES_VALUE, 2, after));
+        assert!(actions.contains(&validated), "{actions:?}");
     });
 }
 
 #[test]
-fn turns_after_outage() {
-    // Symptom: rules come into force half a minute after the service is back.
-    // Sequence: all reads fail for a while and use the budget up; the service
-    // comes back. Cause: the reads took their turns in the order of the names,
-    // and those of the first names were due again before the last one's turn.
+fn call_order_after_outage() {
+    // Guards against rules that take effect long after an outage because the
+    // values called first are due again before the last one's turn.
     for outage in 20..80 {
-        let mut book = lone_book();
+        let mut replica = single_replica();
         let back = Moment::START.plus(secs(outage));
         let mut now = Moment::START;
-        let mut told = BTreeMap::new();
+        let mut answered = BTreeMap::new();
         for begun in [HOSTS_VALUE, LIMITS_VALUE] {
-            book.handle(now, RevisionEvent::ReadFailed(name(begun)));
+            replica.handle(now, RevisionEvent::ReadFailed(name(begun)));
         }
         while now < back.plus(secs(9)) {
             now = now.plus(Duration::from_millis(100));
-            let mut actions = book.handle(now, RevisionEvent::Tick);
+            let mut actions = replica.handle(now, RevisionEvent::Tick);
             while let Some(action) = actions.pop() {
                 let event = match action {
                     RevisionAction::Read(value) | RevisionAction::Watch(value, _) if now < back => {
                         RevisionEvent::ReadFailed(value)
                     }
-                    // The first answer brings news, later watches wait.
+                    // The first answer brings a new revision; later watches
+                    // wait.
                     RevisionAction::Read(value) | RevisionAction::Watch(value, _) => {
-                        if told.contains_key(&value) {
+                        if answered.contains_key(&value) {
                             continue;
                         }
-                        told.insert(value.clone(), now);
+                        answered.insert(value.clone(), now);
                         RevisionEvent::Read(PublishedValue {
                             name: value,
                             revision: Revision(1),
@@ -384,9 +374,9 @@
                     }
                     _ => continue,
                 };
-                actions.extend(book.handle(now, event));
+                actions.extend(replica.handle(now, event));
             }
         }
-        assert_eq!(told.len(), 6, "outage of {outage} s: {told:?}");
+        assert_eq!(answered.len(), 6, "outage of {outage} s: {answered:?}");
     }
 }
