--- a/bergamotswitch-net/src/answer.rs
+++ b/bergamotswitch-net/src/answer.rs
@@ -155,14 +155,14 @@
     }
 
     /// Get the number of pieces of data kept.
-    pub fn pieces(&self) -> usize {
+    pub fn data_part_count(&self) -> usize {
         let log = lock(&self.log);
         let data = |part: &&AnswerPart| matches!(part, AnswerPart::Data(_));
         log.parts.iter().filter(data).count()
     }
 
     /// Get the id of the last event that was added.
-    pub fn last_event(&self) -> Option<String> {
+    pub fn last_event_id(&self) -> Option<String> {
         lock(&self.log).last_event.clone()
     }
 
@@ -219,7 +219,7 @@
     /// answer was dropped unfinished, or where it began anew after a part was
     /// taken: what follows then belongs to another attempt, and behind the
     /// parts taken it would pass for a whole answer that no target gave.
-    /// To read an answer that may still begin anew, use [`AnswerReader::whole`].
+    /// To read an answer that may still begin anew, use [`AnswerReader::collect`].
     pub async fn next(&mut self) -> Option<AnswerPart> {
         loop {
             self.length.mark_unchanged();
@@ -246,7 +246,10 @@
     /// the caller can be shown them. Get the answer's first part then,
     /// without passing it; none where the answer was dropped unfinished. What
     /// is taken earlier could belong to an attempt that is dropped.
-    pub async fn begun(&mut self, shows: impl Fn(&[AnswerPart]) -> bool) -> Option<AnswerPart> {
+    pub async fn wait_for_start(
+        &mut self,
+        shows: impl Fn(&[AnswerPart]) -> bool,
+    ) -> Option<AnswerPart> {
         loop {
             self.length.mark_unchanged();
             let first = {
@@ -265,7 +268,7 @@
 
     /// Wait until the answer is over, and get all its parts. Parts of an
     /// attempt that was dropped on the way are never seen.
-    pub async fn whole(mut self) -> Vec<AnswerPart> {
+    pub async fn collect(mut self) -> Vec<AnswerPart> {
         loop {
             self.length.mark_unchanged();
             let parts = {
--- a/bergamotswitch-net/src/follower.rs
+++ b/bergamotswitch-net/src/follower.rs
@@ -62,7 +62,10 @@
     /// shown, or is over, and get its first part without passing it. Until then
     /// the attempt may be followed by another one.
     pub(crate) async fn begun(&mut self, shows: impl Fn(&[AnswerPart]) -> bool) -> AnswerPart {
-        self.reader.begun(shows).await.unwrap_or_else(dropped_part)
+        self.reader
+            .wait_for_start(shows)
+            .await
+            .unwrap_or_else(dropped_part)
     }
 
     /// Get the next part. After the last one there is none; an answer that
@@ -84,7 +87,7 @@
     /// Wait until the answer is over, and get its parts; the last one is
     /// always there.
     pub(crate) async fn whole(mut self) -> Vec<AnswerPart> {
-        let mut parts = self.reader.whole().await;
+        let mut parts = self.reader.collect().await;
         self.guard.disarm();
         if parts.is_empty() {
             parts.push(dropped_part());
--- a/bergamotswitch-net/src/gateway/call.rs
+++ b/bergamotswitch-net/src/gateway/call.rs
@@ -246,8 +246,8 @@
                 account: self.account.map(|account| account.name.clone()),
                 deadline: received_at + self.time_left,
                 is_stream: work.is_stream(),
-                first_wait: may_rerun.then_some(silent_after),
-                gap_wait: may_rerun.then_some(STREAM_GAP),
+                start_timeout: may_rerun.then_some(silent_after),
+                gap_timeout: may_rerun.then_some(STREAM_GAP),
             }),
         }
     }
--- a/bergamotswitch-net/src/node/drive.rs
+++ b/bergamotswitch-net/src/node/drive.rs
@@ -352,7 +352,7 @@
         };
         // What an earlier attempt delivered was seen by nobody, but for events
         // of a stream that this one carries on after the last of them.
-        if request.answer.last_event().is_none() {
+        if request.answer.last_event_id().is_none() {
             request.answer.clear();
         }
         let answer = request.answer.clone();
@@ -364,7 +364,7 @@
         let Some(request) = self.open.get(id) else {
             return;
         };
-        let pieces = request.answer.pieces();
+        let pieces = request.answer.data_part_count();
         request.label.note_end(now, Some(id), &conclusion, pieces);
         let part = match conclusion {
             Conclusion::Answered | Conclusion::TargetError => AnswerPart::End,
@@ -385,7 +385,7 @@
         }
         // The host list changes often, and says nothing of targets.
         if name.as_str() != HOSTS_VALUE {
-            self.targets.note_starts(&publication.pools);
+            self.targets.record_target_starts(&publication.pools);
         }
         self.platform.set_limits(limits);
         self.open.set_max_answer_bytes(limits.max_answer_bytes);
--- a/bergamotswitch-net/src/node/drive/reports.rs
+++ b/bergamotswitch-net/src/node/drive/reports.rs
@@ -86,7 +86,7 @@
         let now = self.now();
         for (id, request) in self.open.live() {
             self.metrics.incident(Incident::RequestOpen);
-            let pieces = request.answer.pieces();
+            let pieces = request.answer.data_part_count();
             request.label.note_open(now, id, times, pieces);
         }
     }
--- a/bergamotswitch-net/src/node/gateway_setup.rs
+++ b/bergamotswitch-net/src/node/gateway_setup.rs
@@ -161,7 +161,7 @@
     TargetClientOptions::default()
         .with_connect_timeout(Duration::from_millis(1_000))
         .with_idle_reuse(IDLE_REUSE)
-        .with_kept_per_target(KEPT_PER_TARGET)
+        .with_max_idle_per_target(KEPT_PER_TARGET)
         .with_keepalive(SILENT_PROBE)
         .with_user_timeout(UNACKED_LIMIT)
 }
--- a/bergamotswitch-net/src/target_client/connection.rs
+++ b/bergamotswitch-net/src/target_client/connection.rs
@@ -166,7 +166,7 @@
         list.retain(KeptConnection::is_usable);
         let told = idle_timeout.map(|span| span.saturating_sub(IDLE_MARGIN));
         let reuse = told.map_or(options.idle_reuse, |told| told.min(options.idle_reuse));
-        if list.len() < options.kept_per_target {
+        if list.len() < options.max_idle_per_target {
             list.push(KeptConnection {
                 connection,
                 use_until: Instant::now() + reuse,
--- a/bergamotswitch-net/src/target_client/mod.rs
+++ b/bergamotswitch-net/src/target_client/mod.rs
@@ -166,7 +166,7 @@
     /// started again lead to a process that is gone. Where it died behind a cut
     /// no reset ever tells, and a call sent on one would wait until its target
     /// counts as silent.
-    pub fn note_starts(&mut self, pools: &PoolBook) {
+    pub fn record_target_starts(&mut self, pools: &PoolBook) {
         let targets = pools.pools().iter().flat_map(|pool| &pool.targets);
         let mut starts = HashMap::new();
         for target in targets {
--- a/bergamotswitch-net/src/target_client/options.rs
+++ b/bergamotswitch-net/src/target_client/options.rs
@@ -24,7 +24,7 @@
     /// silent unnoticed.
     pub idle_reuse: Duration,
     /// The most kept connections to one target.
-    pub kept_per_target: usize,
+    pub max_idle_per_target: usize,
     /// Whether streams are checked for silence. Off only for measuring.
     pub liveness: bool,
     /// The gap in a stream after which the target is asked for its status.
@@ -72,7 +72,7 @@
             // two seconds, 56 or 57 of 60 answers came whole past three silences;
             // with new connections all did, at one round trip more each.
             idle_reuse: Duration::ZERO,
-            kept_per_target: 8,
+            max_idle_per_target: 8,
             liveness: true,
             // The slowest ordinary gap between tokens is far below a second,
             // so only stalled streams cost a question.
@@ -113,7 +113,7 @@
         /// Set how long after its last traffic a connection is used again.
         with_idle_reuse, idle_reuse: Duration;
         /// Set the most kept connections to one target.
-        with_kept_per_target, kept_per_target: usize;
+        with_max_idle_per_target, max_idle_per_target: usize;
         /// Set whether streams are checked for silence.
         with_liveness, liveness: bool;
         /// Set the gap after which a target is asked for its status.
--- a/bergamotswitch-net/src/target_client/routed_call.rs
+++ b/bergamotswitch-net/src/target_client/routed_call.rs
@@ -44,9 +44,9 @@
     pub is_stream: bool,
     /// How long the answer may take to begin before the target counts as
     /// silent; until the deadline where absent.
-    pub first_wait: Option<Duration>,
+    pub start_timeout: Option<Duration>,
     /// How long a stream that has begun may pause before its target may be gone.
-    pub gap_wait: Option<Duration>,
+    pub gap_timeout: Option<Duration>,
 }
 
 /// How the content type of a series of events begins.
@@ -66,7 +66,7 @@
     };
     let mut meter = UsageMeter::start(context.options.progress_period);
     match context
-        .send_first(request, silence(routed.first_wait))
+        .send_first(request, silence(routed.start_timeout))
         .await
     {
         Ok(first) => read(context, routed, first, &mut meter, report).await,
@@ -102,7 +102,7 @@
     routed: &RoutedCall,
 ) -> Option<TargetRequest> {
     let mut headers = (*routed.fields).clone();
-    let last_event = context.answer.last_event();
+    let last_event = context.answer.last_event_id();
     let head = OutgoingHead {
         target: &context.target.name,
         account: routed.account.as_ref(),
@@ -195,7 +195,7 @@
     ) -> CallEnd {
         // The answer of a stream that is carried on has begun already; an
         // error cannot follow it.
-        let has_begun = self.context.answer.last_event().is_some();
+        let has_begun = self.context.answer.last_event_id().is_some();
         let collected = Limited::new(body, MAX_BODY_BYTES).collect().await;
         let Ok(bytes) = collected.map(|collected| collected.to_bytes()) else {
             self.context
@@ -224,7 +224,7 @@
         report: &AttemptReport,
     ) -> CallEnd {
         let mut blocks = EventBlocks::default();
-        let mut head_pushed = self.context.answer.last_event().is_some();
+        let mut head_pushed = self.context.answer.last_event_id().is_some();
         loop {
             let frame = match self.next_frame(&mut body, meter, report).await {
                 Ok(Some(frame)) => frame,
@@ -283,11 +283,11 @@
         meter: &UsageMeter,
         report: &AttemptReport,
     ) -> Result<Option<hyper::body::Frame<bytes::Bytes>>, CallEnd> {
-        let carries_on = self.context.answer.last_event().is_some();
+        let carries_on = self.context.answer.last_event_id().is_some();
         let has_begun = carries_on || !meter.is_first();
         let wait = match meter.is_first() {
-            true => self.routed.first_wait,
-            false => self.routed.gap_wait,
+            true => self.routed.start_timeout,
+            false => self.routed.gap_timeout,
         };
         let cause = loop {
             let next = match wait {
--- a/bergamotswitch-net/tests/limits_in_force.rs
+++ b/bergamotswitch-net/tests/limits_in_force.rs
@@ -13,7 +13,7 @@
 use bergamotswitch_net::platform::PlatformOptions;
 use bergamotswitch_net::target_client::TargetClientOptions;
 use bytes::Bytes;
-use target_support::{CallRig, PATIENCE, start_engine, target_at};
+use target_support::{CallHarness, TEST_TIMEOUT, start_engine, target_at};
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
@@ -53,14 +53,14 @@
 async fn faster_load_poll() {
     let engine = start_engine(true).await;
     let slow = TargetClientOptions::default().with_load_period(Duration::from_secs(3_600));
-    let mut rig = CallRig::new(slow.clone());
+    let mut rig = CallHarness::new(slow.clone());
     rig.client
         .watch_targets(&[target_at(engine.address(), true)]);
     rig.client
         .set_options(slow.with_load_period(Duration::from_millis(10)));
     let mut reports = 0;
     while reports < 5 {
-        let input = timeout(PATIENCE, rig.inbox.recv()).await;
+        let input = timeout(TEST_TIMEOUT, rig.inbox.recv()).await;
         if let Some(NodeInput::Load(..)) = input.expect("a load report in time") {
             reports += 1;
         }
--- a/bergamotswitch-net/tests/silent_connections.rs
+++ b/bergamotswitch-net/tests/silent_connections.rs
@@ -66,7 +66,7 @@
         let engine = start_engine(true).await;
         let target = target_at(engine.address(), true);
         let gap = options.idle_probe;
-        let mut rig = CallRig::new(options);
+        let mut rig = CallHarness::new(options);
         let call = engine_call("draft", 200);
         let (_, reference) = rig.start(&target, PoolKind::Engine, &call);
         rig.events().await;
@@ -92,7 +92,7 @@
     // resume streams, so the rest cannot be had; it does tell its status.
     let engine = start_engine(false).await;
     let target = target_at(engine.address(), false);
-    let mut rig = CallRig::new(quick_options());
+    let mut rig = CallHarness::new(quick_options());
     rig.start(&target, PoolKind::Engine, &engine_call("draft", 2_000));
     rig.first_token().await;
     silence_open(&engine);
@@ -107,7 +107,7 @@
     // stream's id must be asked for by the request's.
     let engine = start_engine(true).await;
     let target = target_at(start_relay(engine.address()).await, true);
-    let mut rig = CallRig::new(quick_options());
+    let mut rig = CallHarness::new(quick_options());
     let (attempt, answer) = rig.start(&target, PoolKind::Engine, &engine_call("draft", 20));
     let events = rig.events().await;
     assert_eq!(events[0], AttemptEvent::Resumed);
@@ -122,7 +122,7 @@
     // response's head came, so the stream's id must be asked for.
     let engine = start_engine(true).await;
     let target = target_at(start_relay(engine.address()).await, true);
-    let mut rig = CallRig::new(TargetClientOptions::default());
+    let mut rig = CallHarness::new(TargetClientOptions::default());
     let (attempt, _) = rig.start(&target, PoolKind::Engine, &engine_call("log", 50_000));
     let id = attempt.to_string();
     while engine.board().run_count(&id) == 0 {
@@ -144,7 +144,7 @@
         let board = engine.board();
         board.set(|switches| switches.silent = SilenceMode::All);
         let options = quick_options().with_unseen_grace(Duration::from_millis(300));
-        let mut rig = CallRig::new(options);
+        let mut rig = CallHarness::new(options);
         rig.start(&target, PoolKind::Engine, &engine_call("draft", 5));
         // The kernel accepts the connection; then only that one is silent.
         sleep(Duration::from_millis(50)).await;
@@ -166,7 +166,7 @@
     let options = quick_options()
         .with_probe_timeout(Duration::from_millis(100))
         .with_probe_misses(3);
-    let mut rig = CallRig::new(options);
+    let mut rig = CallHarness::new(options);
     rig.start(&target, PoolKind::Engine, &engine_call("draft", 2_000));
     rig.first_token().await;
     engine
@@ -187,7 +187,7 @@
     let service = started.expect("a plain service");
     service.board().set(|switches| switches.delay_ms = 50);
     let target = target_at(service.address(), false);
-    let mut rig = CallRig::new(quick_options());
+    let mut rig = CallHarness::new(quick_options());
     let (attempt, answer) = rig.start(&target, PoolKind::Plain, &engine_call("receipt", 1));
     let id = attempt.to_string();
     while service.board().run_count(&id) == 0 {
@@ -216,7 +216,7 @@
     let listener = TcpListener::bind(ANYWHERE).await.expect("a port");
     let target = target_at(listener.local_addr().expect("an address"), false);
     let options = quick_options().with_user_timeout(Duration::from_millis(1_000));
-    let mut rig = CallRig::new(options);
+    let mut rig = CallHarness::new(options);
     let long_log = "sky ".repeat(4 << 20);
     rig.start(&target, PoolKind::Plain, &engine_call(&long_log, 1));
     let (_unread, _) = listener.accept().await.expect("a connection");
@@ -236,7 +236,7 @@
 async fn whole_answers(options: TargetClientOptions) -> usize {
     let engine = start_engine(true).await;
     let target = target_at(engine.address(), true);
-    let mut rig = CallRig::new(options);
+    let mut rig = CallHarness::new(options);
     let call = engine_call("draft", 100);
     let mut attempts = Vec::new();
     for index in 0..CALLS {
--- a/bergamotswitch-net/tests/target_calls.rs
+++ b/bergamotswitch-net/tests/target_calls.rs
@@ -41,7 +41,7 @@
     let (engine, service) = (start_engine(false).await, start_plain().await);
     engine.board().set(&change);
     service.board().set(&change);
-    let mut rig = CallRig::new(TargetClientOptions::default());
+    let mut rig = CallHarness::new(TargetClientOptions::default());
     let mut results = Vec::new();
     for (address, kind) in [
         (engine.address(), PoolKind::Engine),
@@ -65,7 +65,7 @@
 async fn engine_answer() {
     let engine = start_engine(true).await;
     let target = target_at(engine.address(), true);
-    let mut rig = CallRig::new(TargetClientOptions::default());
+    let mut rig = CallHarness::new(TargetClientOptions::default());
     let (attempt, answer) = rig.start(&target, PoolKind::Engine, &engine_call("draft", 150));
     let events = rig.events().await;
     let [AttemptEvent::FirstToken, .., AttemptEvent::Finished(usage)] = events.as_slice() else {
@@ -84,7 +84,7 @@
 async fn plain_answer() {
     let service = start_plain().await;
     let target = target_at(service.address(), false);
-    let mut rig = CallRig::new(TargetClientOptions::default());
+    let mut rig = CallHarness::new(TargetClientOptions::default());
     let (attempt, answer) = rig.start(&target, PoolKind::Plain, &plain_call("consent"));
     let events = rig.events().await;
     assert!(matches!(
@@ -108,7 +108,7 @@
     let listener = TcpListener::bind(ANYWHERE).await.expect("a port");
     let target = target_at(listener.local_addr().expect("an address"), true);
     drop(listener);
-    let mut rig = CallRig::new(TargetClientOptions::default());
+    let mut rig = CallHarness::new(TargetClientOptions::default());
     for kind in [PoolKind::Engine, PoolKind::Plain] {
         let (_, answer) = rig.start(&target, kind, &engine_call("draft", 5));
         let not_sent = AttemptEvent::NotSent(NotSentReason::ConnectFailed);
@@ -129,7 +129,7 @@
             drop(stream);
         }
     });
-    let mut rig = CallRig::new(TargetClientOptions::default());
+    let mut rig = CallHarness::new(TargetClientOptions::default());
     for kind in [PoolKind::Engine, PoolKind::Plain] {
         rig.start(&target, kind, &engine_call("draft", 5));
         let events = rig.events().await;
@@ -144,7 +144,7 @@
     let engine = start_engine(true).await;
     let target = target_at(engine.address(), true);
     let bound = Duration::from_millis(500);
-    let mut rig = CallRig::new(TargetClientOptions::default().with_idle_reuse(bound));
+    let mut rig = CallHarness::new(TargetClientOptions::default().with_idle_reuse(bound));
     let call = engine_call("draft", 5);
     rig.start(&target, PoolKind::Engine, &call);
     rig.events().await;
@@ -200,7 +200,7 @@
     // engine still has the stream, which a later connection brings whole.
     let engine = start_engine(true).await;
     let target = target_at(engine.address(), true);
-    let mut rig = CallRig::new(TargetClientOptions::default());
+    let mut rig = CallHarness::new(TargetClientOptions::default());
     engine.board().set(|switches| switches.crossed = true);
     let (attempt, answer) = rig.start(&target, PoolKind::Engine, &engine_call("draft", 20));
     let id = attempt.to_string();
@@ -221,7 +221,7 @@
     // ends early; the rest is asked for by id and offset, without a new run.
     let engine = start_engine(true).await;
     let target = target_at(engine.address(), true);
-    let mut rig = CallRig::new(TargetClientOptions::default());
+    let mut rig = CallHarness::new(TargetClientOptions::default());
     let call = engine_call("draft", 60);
     let (_, reference) = rig.start(&target, PoolKind::Engine, &call);
     rig.events().await;
@@ -242,7 +242,7 @@
     // Symptom: as above. Every connection is cut after 25 events.
     let engine = start_engine(true).await;
     let target = target_at(engine.address(), true);
-    let mut rig = CallRig::new(TargetClientOptions::default());
+    let mut rig = CallHarness::new(TargetClientOptions::default());
     engine.board().set(|switches| switches.drop = Some(25));
     let (attempt, answer) = rig.start(&target, PoolKind::Engine, &engine_call("draft", 90));
     let events = rig.events().await;
@@ -262,7 +262,7 @@
     for comes_back in [true, false] {
         let engine = start_engine(true).await;
         let target = target_at(engine.address(), true);
-        let mut rig = CallRig::new(TargetClientOptions::default());
+        let mut rig = CallHarness::new(TargetClientOptions::default());
         rig.start(&target, PoolKind::Engine, &engine_call("draft", 2_000));
         rig.first_token().await;
         match comes_back {
@@ -282,7 +282,7 @@
         let engine = start_engine(resumes).await;
         engine.board().set(|switches| switches.slow = 300.0);
         let target = target_at(engine.address(), resumes);
-        let mut rig = CallRig::new(quick_options().with_probe_misses(2));
+        let mut rig = CallHarness::new(quick_options().with_probe_misses(2));
         rig.start(&target, PoolKind::Engine, &engine_call("clause", 2));
         let events = rig.events().await;
         assert!(matches!(events.last(), Some(AttemptEvent::Finished(_))));
@@ -294,7 +294,7 @@
 async fn cancelled_stream() {
     let engine = start_engine(true).await;
     let target = target_at(engine.address(), true);
-    let mut rig = CallRig::new(TargetClientOptions::default());
+    let mut rig = CallHarness::new(TargetClientOptions::default());
     let (attempt, _) = rig.start(&target, PoolKind::Engine, &engine_call("log", 50_000));
     rig.first_token().await;
     rig.client.abort(attempt, true);
@@ -311,13 +311,13 @@
     let engine = start_engine(true).await;
     let target = target_at(engine.address(), true);
     let options = TargetClientOptions::default().with_load_period(Duration::from_millis(20));
-    let mut rig = CallRig::new(options);
+    let mut rig = CallHarness::new(options);
     rig.client.watch_targets(std::slice::from_ref(&target));
     let long_prompt = "sky ".repeat(2_000);
     rig.start(&target, PoolKind::Engine, &engine_call(&long_prompt, 2_000));
     let (mut loaded, mut warm) = (false, false);
     while !loaded || !warm {
-        let waiting = timeout(PATIENCE, rig.inbox.recv());
+        let waiting = timeout(TEST_TIMEOUT, rig.inbox.recv());
         match waiting.await.expect("no report in time") {
             Some(NodeInput::Load(name, report)) if name == target.name => {
                 loaded |= report.running == 1 && report.outstanding_tokens > 0;
--- a/bergamotswitch-net/tests/target_support/mod.rs
+++ b/bergamotswitch-net/tests/target_support/mod.rs
@@ -23,22 +23,22 @@
 use tokio::time::{sleep, timeout};
 
 /// Far above what any test takes.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A free loopback address.
 pub const ANYWHERE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// A `CallRig` is a client and the loop's end of its reports.
-pub struct CallRig {
+/// A `CallHarness` is a client and the loop's end of its reports.
+pub struct CallHarness {
     pub client: TargetClient,
     pub inbox: mpsc::UnboundedReceiver<NodeInput>,
     next: u64,
 }
 
-impl CallRig {
+impl CallHarness {
     pub fn new(options: TargetClientOptions) -> Self {
         let (sender, inbox) = mpsc::unbounded_channel();
-        CallRig {
+        CallHarness {
             client: TargetClient::new(options, sender),
             inbox,
             next: 0,
@@ -68,7 +68,7 @@
 
     /// Get the next event of any attempt.
     pub async fn next_event(&mut self) -> (AttemptId, AttemptEvent) {
-        let waiting = timeout(PATIENCE, self.inbox.recv());
+        let waiting = timeout(TEST_TIMEOUT, self.inbox.recv());
         match waiting.await.expect("no event in time") {
             Some(NodeInput::Attempt(attempt, event)) => (attempt, event),
             other => panic!("not an attempt's event: {other:?}"),
@@ -112,7 +112,7 @@
 /// Get the parts of an answer of an ended attempt.
 pub async fn parts_of(answer: AnswerWriter) -> Vec<AnswerPart> {
     answer.push(AnswerPart::End);
-    let mut parts = answer.reader().whole().await;
+    let mut parts = answer.reader().collect().await;
     parts.pop();
     parts
 }
@@ -195,5 +195,7 @@
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(PATIENCE, cancelled).await.expect("a cancelled run");
+    timeout(TEST_TIMEOUT, cancelled)
+        .await
+        .expect("a cancelled run");
 }
