--- a/bergamotswitch-net/src/answer.rs
+++ b/bergamotswitch-net/src/answer.rs
@@ -60,9 +60,9 @@
     /// Whether data came that was not kept, since the answer was too long.
     overlong: bool,
     /// How often the answer began anew.
-    beginnings: u64,
+    generation: u64,
     /// The id of the last event of a stream that another target may carry on.
-    last_event: Option<String>,
+    last_event_id: Option<String>,
 }
 
 impl AnswerLog {
@@ -98,7 +98,7 @@
     log: Arc<Mutex<AnswerLog>>,
     length: watch::Receiver<usize>,
     next: usize,
-    beginning: u64,
+    generation: u64,
 }
 
 fn lock(log: &Mutex<AnswerLog>) -> MutexGuard<'_, AnswerLog> {
@@ -136,7 +136,7 @@
             if let Some(bound) = &self.bound
                 && bytes > bound.bytes
             {
-                return note_overlong(&mut log, bound);
+                return report_overlong(&mut log, bound);
             }
             log.bytes = bytes;
         }
@@ -149,7 +149,7 @@
     /// Add an event of a stream that another target may carry on after it.
     pub fn push_event(&self, bytes: Bytes, id: Option<String>) {
         if id.is_some() {
-            lock(&self.log).last_event = id;
+            lock(&self.log).last_event_id = id;
         }
         self.push(AnswerPart::Data(bytes));
     }
@@ -163,7 +163,7 @@
 
     /// Get the id of the last event that was added.
     pub fn last_event_id(&self) -> Option<String> {
-        lock(&self.log).last_event.clone()
+        lock(&self.log).last_event_id.clone()
     }
 
     /// Drop what was written: an attempt failed before any caller saw it.
@@ -172,8 +172,8 @@
         log.parts.clear();
         log.bytes = 0;
         log.overlong = false;
-        log.beginnings += 1;
-        log.last_event = None;
+        log.generation += 1;
+        log.last_event_id = None;
         drop(log);
         self.length.send_replace(0);
     }
@@ -194,12 +194,12 @@
             log: Arc::clone(&self.log),
             length: self.length.subscribe(),
             next: 0,
-            beginning: 0,
+            generation: 0,
         }
     }
 }
 
-fn note_overlong(log: &mut AnswerLog, bound: &AnswerBound) {
+fn report_overlong(log: &mut AnswerLog, bound: &AnswerBound) {
     if log.overlong {
         return;
     }
@@ -226,9 +226,9 @@
             {
                 let log = lock(&self.log);
                 if self.next == 0 {
-                    self.beginning = log.beginnings;
+                    self.generation = log.generation;
                 }
-                if self.beginning != log.beginnings {
+                if self.generation != log.generation {
                     return None;
                 }
                 if let Some(part) = log.parts.get(self.next) {
--- a/bergamotswitch-net/src/platform/call.rs
+++ b/bergamotswitch-net/src/platform/call.rs
@@ -94,7 +94,7 @@
         .header(header::HOST, service.to_string())
         .body(Empty::<Bytes>::new())
         .map_err(|_| CallError::Answer)?;
-    let asked = async {
+    let answering = async {
         let answer = requests
             .send_request(request)
             .await
@@ -119,7 +119,7 @@
         std::future::pending::<()>().await;
     };
     tokio::select! {
-        answer = asked => answer,
+        answer = answering => answer,
         () = driven => Err(CallError::Connection),
     }
 }
@@ -144,11 +144,11 @@
     // An answer to another question, through whatever stands between, must
     // not come into force under this name.
     let named = envelope.name.as_deref();
-    let crossed = match name.as_str() {
+    let mismatched = match name.as_str() {
         HOSTS_VALUE => named.is_some_and(|found| found != HOSTS_VALUE),
         other => named != Some(other),
     };
-    if crossed {
+    if mismatched {
         return Err(CallError::Answer);
     }
     // Written anew, the same value gives the same text at every host.
--- a/bergamotswitch-net/src/platform/client.rs
+++ b/bergamotswitch-net/src/platform/client.rs
@@ -92,8 +92,8 @@
     fn start(&mut self, name: &ValueName, kind: CallKind) {
         // The same call again would only ask the service twice, and where
         // each call replaced the one before, a slow answer would never come.
-        let known = self.tasks.get(name);
-        if known.is_some_and(|known| known.kind == kind && !known.task.is_finished()) {
+        let running = self.tasks.get(name);
+        if running.is_some_and(|running| running.kind == kind && !running.task.is_finished()) {
             return;
         }
         let group = match name.as_str() {
@@ -105,7 +105,7 @@
         let node = self.node.clone();
         let value_name = name.clone();
         let task = TaskGuard::spawn(async move {
-            let event = match ask_in_turn(&group, &value_name, kind, &opts, &calls).await {
+            let event = match call_in_turn(&group, &value_name, kind, &opts, &calls).await {
                 Ok(CallAnswer::Value(value)) => PlatformEvent::Read(value),
                 Ok(CallAnswer::Unchanged) => PlatformEvent::Unchanged(value_name),
                 Err(_) => PlatformEvent::Failed(value_name),
@@ -119,7 +119,7 @@
 
 /// Ask the services in turn, from the one that answered last, until one
 /// answers. The error is that of the last one.
-async fn ask_in_turn(
+async fn call_in_turn(
     group: &ServiceGroup,
     name: &ValueName,
     kind: CallKind,
--- a/bergamotswitch-net/src/platform/options.rs
+++ b/bergamotswitch-net/src/platform/options.rs
@@ -21,7 +21,7 @@
 
 /// Of as many calls the watches at rest take three; the rest is for reads
 /// after failures.
-const CALLS_OF_FOUR: u64 = 4;
+const WATCH_SHARE_DENOMINATOR: u64 = 4;
 
 /// A `PlatformOptions` is the set of time limits of all calls.
 #[derive(Clone, Debug)]
@@ -78,6 +78,6 @@
 fn watch_wait(reads_per_minute: u64) -> Duration {
     let values = RevisionOptions::default().value_count() as u64;
     let minute = Duration::from_secs(60).as_millis() as u64;
-    let millis = values * minute * CALLS_OF_FOUR / (3 * reads_per_minute.max(1));
+    let millis = values * minute * WATCH_SHARE_DENOMINATOR / (3 * reads_per_minute.max(1));
     Duration::from_millis(millis).clamp(MIN_WATCH_WAIT, MAX_WATCH_WAIT)
 }
--- a/bergamotswitch-net/src/store_source/connection.rs
+++ b/bergamotswitch-net/src/store_source/connection.rs
@@ -24,9 +24,9 @@
 /// are written a third longer.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
 
-/// A `CallLoss` is why a call brought nothing.
+/// A `StoreCallError` is why a call brought nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum CallLoss {
+pub(super) enum StoreCallError {
     /// No connection, or it broke.
     Connection,
     /// No whole answer came in time.
@@ -39,14 +39,14 @@
     TooMany,
 }
 
-impl fmt::Display for CallLoss {
+impl fmt::Display for StoreCallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            CallLoss::Connection => write!(f, "no connection"),
-            CallLoss::Timeout => write!(f, "no answer in time"),
-            CallLoss::Status(status) => write!(f, "status {status}"),
-            CallLoss::Fault(fault) => write!(f, "{fault}"),
-            CallLoss::TooMany => write!(f, "too many pages"),
+            StoreCallError::Connection => write!(f, "no connection"),
+            StoreCallError::Timeout => write!(f, "no answer in time"),
+            StoreCallError::Status(status) => write!(f, "status {status}"),
+            StoreCallError::Fault(fault) => write!(f, "{fault}"),
+            StoreCallError::TooMany => write!(f, "too many pages"),
         }
     }
 }
@@ -57,7 +57,7 @@
     _task: TaskGuard,
 }
 
-/// A `StoreConnection` is a kept connection to the store. After any loss the
+/// A `StoreConnection` is a kept connection to the store. After any error the
 /// next call takes a new one: where an answer was lost, nothing more comes
 /// over the old one.
 #[derive(Debug)]
@@ -81,7 +81,7 @@
         path: &str,
         limit: Duration,
         calls: &AtomicU64,
-    ) -> Result<(StatusCode, Bytes), CallLoss> {
+    ) -> Result<(StatusCode, Bytes), StoreCallError> {
         let kept = self.open.take().filter(|open| open.sender.is_ready());
         let mut open = match kept {
             Some(open) => open,
@@ -89,19 +89,19 @@
         };
         calls.fetch_add(1, Ordering::Relaxed);
         let exchanged = timeout(limit, self.exchange(&mut open, path)).await;
-        let answer = exchanged.map_err(|_| CallLoss::Timeout)??;
+        let answer = exchanged.map_err(|_| StoreCallError::Timeout)??;
         self.open = Some(open);
         Ok(answer)
     }
 
-    async fn dial(&self) -> Result<OpenConnection, CallLoss> {
+    async fn dial(&self) -> Result<OpenConnection, StoreCallError> {
         let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address));
         let stream = connecting
             .await
-            .map_err(|_| CallLoss::Timeout)?
-            .map_err(|_| CallLoss::Connection)?;
+            .map_err(|_| StoreCallError::Timeout)?
+            .map_err(|_| StoreCallError::Connection)?;
         let handshake = http1::handshake(TokioIo::new(stream));
-        let (sender, connection) = handshake.await.map_err(|_| CallLoss::Connection)?;
+        let (sender, connection) = handshake.await.map_err(|_| StoreCallError::Connection)?;
         let task = TaskGuard::spawn(async move {
             // The call sees the same error at its end.
             let _ = connection.await;
@@ -116,19 +116,19 @@
         &self,
         open: &mut OpenConnection,
         path: &str,
-    ) -> Result<(StatusCode, Bytes), CallLoss> {
+    ) -> Result<(StatusCode, Bytes), StoreCallError> {
         let request = Request::builder()
             .uri(path)
             .header(header::HOST, self.address.to_string())
             .body(Empty::<Bytes>::new())
-            .map_err(|_| CallLoss::Connection)?;
+            .map_err(|_| StoreCallError::Connection)?;
         let sending = open.sender.send_request(request);
-        let answer = sending.await.map_err(|_| CallLoss::Connection)?;
+        let answer = sending.await.map_err(|_| StoreCallError::Connection)?;
         let status = answer.status();
         let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES)
             .collect()
             .await
-            .map_err(|_| CallLoss::Connection)?;
+            .map_err(|_| StoreCallError::Connection)?;
         Ok((status, body.to_bytes()))
     }
 }
--- a/bergamotswitch-net/src/store_source/cursor.rs
+++ b/bergamotswitch-net/src/store_source/cursor.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use http::StatusCode;
 
-use super::connection::{CallLoss, StoreConnection};
+use super::connection::{StoreCallError, StoreConnection};
 
 /// How long the store may take for an answer beyond the wait that it was
 /// asked for. It answers in milliseconds; on bad days it takes sixty times
@@ -18,11 +18,11 @@
 /// The most pages of one read: some ten thousand items.
 const MAX_PAGES: usize = 32;
 
-/// A `StoreNews` is what one step brought.
+/// A `StoreUpdate` is what one step brought.
 #[derive(Debug)]
-pub(super) enum StoreNews {
+pub(super) enum StoreUpdate {
     /// All items as of a revision.
-    Whole {
+    Snapshot {
         /// The items.
         items: Vec<StoreItem>,
         /// The revision.
@@ -61,7 +61,7 @@
     }
 
     /// Make the next step: a read of all items, or a watch.
-    pub(super) async fn next(&mut self, calls: &AtomicU64) -> Result<StoreNews, CallLoss> {
+    pub(super) async fn next(&mut self, calls: &AtomicU64) -> Result<StoreUpdate, StoreCallError> {
         let Some(beyond) = self.as_of else {
             return self.read_all(calls).await;
         };
@@ -73,24 +73,24 @@
             self.as_of = None;
             return self.read_all(calls).await;
         }
-        let body = checked(status, body)?;
-        let found = store::read_changes(&body).map_err(CallLoss::Fault)?;
+        let body = check_status(status, body)?;
+        let found = store::read_changes(&body).map_err(StoreCallError::Fault)?;
         self.as_of = Some(found.as_of.max(beyond));
-        Ok(StoreNews::Changes {
+        Ok(StoreUpdate::Changes {
             changes: found.changes,
             as_of: found.as_of,
         })
     }
 
-    async fn read_all(&mut self, calls: &AtomicU64) -> Result<StoreNews, CallLoss> {
+    async fn read_all(&mut self, calls: &AtomicU64) -> Result<StoreUpdate, StoreCallError> {
         let mut items: Vec<StoreItem> = Vec::new();
         let mut as_of = None;
         for _ in 0..MAX_PAGES {
             let after = items.last().map(|item| item.key.clone());
             let path = store::page_path(self.prefix, after.as_deref());
             let (status, body) = self.connection.get(&path, ANSWER_TIMEOUT, calls).await?;
-            let body = checked(status, body)?;
-            let page = store::read_page(&body).map_err(CallLoss::Fault)?;
+            let body = check_status(status, body)?;
+            let page = store::read_page(&body).map_err(StoreCallError::Fault)?;
             // Pages are no snapshot: what changed while they were read is
             // told again by the first watch, which begins before all of them.
             let first = *as_of.get_or_insert(page.as_of);
@@ -98,19 +98,19 @@
             items.extend(page.items);
             if !has_more {
                 self.as_of = Some(first);
-                return Ok(StoreNews::Whole {
+                return Ok(StoreUpdate::Snapshot {
                     items,
                     as_of: first,
                 });
             }
         }
-        Err(CallLoss::TooMany)
+        Err(StoreCallError::TooMany)
     }
 }
 
-fn checked(status: StatusCode, body: Bytes) -> Result<Bytes, CallLoss> {
+fn check_status(status: StatusCode, body: Bytes) -> Result<Bytes, StoreCallError> {
     match status {
         StatusCode::OK => Ok(body),
-        other => Err(CallLoss::Status(other)),
+        other => Err(StoreCallError::Status(other)),
     }
 }
--- a/bergamotswitch-net/src/store_source/unread_entries.rs
+++ b/bergamotswitch-net/src/store_source/entry_reader.rs
@@ -16,15 +16,15 @@
 /// of the first thousand.
 const MAX_LOGGED: usize = 1_000;
 
-/// An `UnreadEntries` knows whose unreadable entries were logged. Another writer
+/// An `EntryReader` knows whose unreadable entries were logged. Another writer
 /// may write over an entry several times a second, for hours: one line a key is
 /// logged until the key is good again or gone.
 #[derive(Debug, Default)]
-pub(super) struct UnreadEntries {
+pub(super) struct EntryReader {
     logged: BTreeSet<String>,
 }
 
-impl UnreadEntries {
+impl EntryReader {
     /// Try to read a target's entry.
     ///
     /// # Errors
@@ -38,7 +38,7 @@
                 Ok(entry)
             }
             Err(fault) => {
-                if self.is_first(&item.key) {
+                if self.should_log(&item.key) {
                     journal::write(
                         Incident::EntryUnreadable,
                         &[("key", &item.key), ("cause", &fault)],
@@ -50,11 +50,11 @@
     }
 
     /// Take note that a key is gone.
-    pub(super) fn forget(&mut self, key: &str) {
+    pub(super) fn remove(&mut self, key: &str) {
         self.logged.remove(key);
     }
 
-    fn is_first(&mut self, key: &str) -> bool {
+    fn should_log(&mut self, key: &str) -> bool {
         self.logged.len() < MAX_LOGGED && self.logged.insert(key.to_owned())
     }
 }
--- a/bergamotswitch-net/src/store_source/mod.rs
+++ b/bergamotswitch-net/src/store_source/mod.rs
@@ -3,7 +3,7 @@
 
 mod connection;
 mod cursor;
-mod unread_entries;
+mod entry_reader;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,9 +23,9 @@
 use crate::input::{NodeInput, NodeSender, PlatformEvent};
 use crate::journal;
 use crate::task_guard::TaskGuard;
-use connection::CallLoss;
-use cursor::{StoreCursor, StoreNews};
-use unread_entries::UnreadEntries;
+use connection::StoreCallError;
+use cursor::{StoreCursor, StoreUpdate};
+use entry_reader::EntryReader;
 
 /// How long a watch of the routes waits. A watch confirms the moment at which
 /// it was sent, so this bounds the age of what is known of keys; keys cease
@@ -40,7 +40,7 @@
 const TARGETS_WAIT: Duration = Duration::from_millis(1_500);
 
 /// Shared with the call in flight, of which there is one at a time.
-type SharedUnread = Arc<std::sync::Mutex<UnreadEntries>>;
+type SharedEntryReader = Arc<std::sync::Mutex<EntryReader>>;
 
 /// A `StoreSource` reads and watches the store. Each read or watch ends with
 /// one event, unless a later one takes its place.
@@ -52,7 +52,7 @@
     cursors: BTreeMap<ValueName, Arc<Mutex<StoreCursor>>>,
     /// The call in flight for each value.
     tasks: BTreeMap<ValueName, TaskGuard>,
-    unread: SharedUnread,
+    reader: SharedEntryReader,
 }
 
 impl StoreSource {
@@ -65,7 +65,7 @@
             calls: Arc::default(),
             cursors: BTreeMap::new(),
             tasks: BTreeMap::new(),
-            unread: SharedUnread::default(),
+            reader: SharedEntryReader::default(),
         }
     }
 
@@ -79,14 +79,14 @@
         let cursor = self.cursor(name);
         let calls = Arc::clone(&self.calls);
         let node = self.node.clone();
-        let unread = Arc::clone(&self.unread);
+        let reader = Arc::clone(&self.reader);
         let value = name.clone();
         let task = TaskGuard::spawn(async move {
             let mut cursor = cursor.lock().await;
-            let news = cursor.next(&calls).await;
-            let input = match news {
-                Ok(news) => input_of(&value, news, &unread),
-                Err(loss) => failed(&value, loss),
+            let update = cursor.next(&calls).await;
+            let input = match update {
+                Ok(update) => to_input(&value, update, &reader),
+                Err(error) => failure_input(&value, error),
             };
             // The loop is gone only while the process ends.
             let _ = node.send(input);
@@ -107,32 +107,32 @@
     }
 }
 
-fn input_of(name: &ValueName, news: StoreNews, unread: &SharedUnread) -> NodeInput {
+fn to_input(name: &ValueName, update: StoreUpdate, reader: &SharedEntryReader) -> NodeInput {
     match name.as_str() {
         TARGETS_VALUE => {
-            let mut unread = unread.lock().unwrap_or_else(PoisonError::into_inner);
-            NodeInput::Targets(target_news(news, &mut unread))
+            let mut reader = reader.lock().unwrap_or_else(PoisonError::into_inner);
+            NodeInput::Targets(target_update(update, &mut reader))
         }
-        ROUTES_VALUE => NodeInput::Platform(routes_event(name, news)),
+        ROUTES_VALUE => NodeInput::Platform(routes_event(name, update)),
         _ => NodeInput::Platform(PlatformEvent::Failed(name.clone())),
     }
 }
 
-fn failed(name: &ValueName, loss: CallLoss) -> NodeInput {
+fn failure_input(name: &ValueName, error: StoreCallError) -> NodeInput {
     journal::write(
         Incident::ServiceCallFailed,
-        &[("value", name), ("cause", &loss)],
+        &[("value", name), ("cause", &error)],
     );
     NodeInput::Platform(PlatformEvent::Failed(name.clone()))
 }
 
-fn target_news(news: StoreNews, unread: &mut UnreadEntries) -> TargetUpdate {
-    match news {
-        StoreNews::Whole { items, as_of } => {
+fn target_update(update: StoreUpdate, reader: &mut EntryReader) -> TargetUpdate {
+    match update {
+        StoreUpdate::Snapshot { items, as_of } => {
             let mut entries = Vec::with_capacity(items.len());
             let mut unreadable = Vec::new();
             for item in &items {
-                match unread.read(item) {
+                match reader.read(item) {
                     Ok(entry) => entries.push(entry),
                     Err(name) => unreadable.extend(name),
                 }
@@ -143,27 +143,27 @@
                 as_of,
             }
         }
-        StoreNews::Changes { changes, as_of } => TargetUpdate::Changes {
+        StoreUpdate::Changes { changes, as_of } => TargetUpdate::Changes {
             changes: changes
                 .iter()
-                .filter_map(|change| change_of(change, unread))
+                .filter_map(|change| to_change(change, reader))
                 .collect(),
             as_of,
         },
     }
 }
 
-fn change_of(change: &StoreChange, unread: &mut UnreadEntries) -> Option<(u64, TargetChange)> {
+fn to_change(change: &StoreChange, reader: &mut EntryReader) -> Option<(u64, TargetChange)> {
     match change {
         StoreChange::Set(item) => {
-            let change = match unread.read(item) {
+            let change = match reader.read(item) {
                 Ok(entry) => TargetChange::Set(entry),
                 Err(name) => TargetChange::Unreadable(name?),
             };
             Some((item.revision, change))
         }
         StoreChange::Removed { key, revision } => {
-            unread.forget(key);
+            reader.remove(key);
             let name = registration::target_name(key)?;
             Some((*revision, TargetChange::Removed(name)))
         }
@@ -171,10 +171,12 @@
 }
 
 /// Get the event of the newest routes among the news.
-fn routes_event(name: &ValueName, news: StoreNews) -> PlatformEvent {
-    let newest = match news {
-        StoreNews::Whole { items, .. } => items.into_iter().find(|item| item.key == config::KEY),
-        StoreNews::Changes { changes, .. } => changes.into_iter().rev().find_map(set_routes),
+fn routes_event(name: &ValueName, update: StoreUpdate) -> PlatformEvent {
+    let newest = match update {
+        StoreUpdate::Snapshot { items, .. } => {
+            items.into_iter().find(|item| item.key == config::KEY)
+        }
+        StoreUpdate::Changes { changes, .. } => changes.into_iter().rev().find_map(routes_item),
     };
     let Some(item) = newest else {
         return PlatformEvent::Unchanged(name.clone());
@@ -194,7 +196,7 @@
     }
 }
 
-fn set_routes(change: StoreChange) -> Option<StoreItem> {
+fn routes_item(change: StoreChange) -> Option<StoreItem> {
     match change {
         StoreChange::Set(item) if item.key == config::KEY => Some(item),
         _ => None,
