--- a/bergamotswitch-net/src/target_client/attempt_report.rs
+++ b/bergamotswitch-net/src/target_client/attempt_report.rs
@@ -82,7 +82,12 @@
 }
 
 /// Log an incident of an attempt at a target.
-pub(super) fn note(incident: Incident, attempt: AttemptId, target: &TargetName, cause: &str) {
+pub(super) fn log_incident(
+    incident: Incident,
+    attempt: AttemptId,
+    target: &TargetName,
+    cause: &str,
+) {
     let pairs: [(&str, &dyn fmt::Display); 3] =
         [("attempt", &attempt), ("to", target), ("cause", &cause)];
     journal::write(incident, &pairs);
--- a/bergamotswitch-net/src/target_client/call_context.rs
+++ b/bergamotswitch-net/src/target_client/call_context.rs
@@ -16,8 +16,8 @@
 use hyper::body::Incoming;
 use tokio::time::timeout;
 
-use super::attempt_report::note;
-use super::connection::{KeptConnections, TargetConnection, TargetRequest};
+use super::attempt_report::log_incident;
+use super::connection::{IdleConnections, TargetConnection, TargetRequest};
 use super::event_stream::MAX_EVENT_BYTES;
 use super::options::TargetClientOptions;
 use super::silence_watch::SilenceVerdict;
@@ -91,7 +91,7 @@
     /// The bounds.
     pub options: Arc<TargetClientOptions>,
     /// Idle connections.
-    pub kept: KeptConnections,
+    pub idle_connections: IdleConnections,
     /// Where the answer goes.
     pub answer: AnswerWriter,
     /// What an abort must know.
@@ -107,21 +107,21 @@
     pub response: Response<Incoming>,
 }
 
-/// A `SendLoss` is why no response's head came.
+/// A `SendError` is why no response's head came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum SendLoss {
+pub(super) enum SendError {
     /// No connection was established.
     NotConnected,
     /// The connection ended.
     Dropped,
     /// The connection was quiet and is given up.
-    Quiet(SilenceVerdict),
+    Unresponsive(SilenceVerdict),
 }
 
 impl CallContext {
     /// Log an incident of this call.
-    pub fn note(&self, incident: Incident, cause: &str) {
-        note(incident, self.attempt, &self.target.name, cause);
+    pub fn log_incident(&self, incident: Incident, cause: &str) {
+        log_incident(incident, self.attempt, &self.target.name, cause);
     }
 
     /// Get the request; `None` where the call cannot be written as HTTP.
@@ -143,13 +143,13 @@
         &self,
         request: TargetRequest,
         verdict: impl Future<Output = SilenceVerdict>,
-    ) -> Result<FirstResponse, SendLoss> {
+    ) -> Result<FirstResponse, SendError> {
         let address = self.target.address;
-        let kept = self.kept.take(address);
-        let mut is_kept = kept.is_some();
-        let mut connection = match kept {
+        let idle = self.idle_connections.take(address);
+        let mut is_reused = idle.is_some();
+        let mut connection = match idle {
             Some(connection) => connection,
-            None => self.dial().await.ok_or(SendLoss::NotConnected)?,
+            None => self.dial().await.ok_or(SendError::NotConnected)?,
         };
         self.trace.mark_sent();
         let mut request = request;
@@ -158,7 +158,7 @@
             let sent = tokio::select! {
                 biased;
                 sent = connection.send(request) => sent,
-                verdict = &mut verdict => return Err(SendLoss::Quiet(verdict)),
+                verdict = &mut verdict => return Err(SendError::Unresponsive(verdict)),
             };
             let failure = match sent {
                 Ok(response) => {
@@ -171,10 +171,10 @@
             };
             // A kept connection that the target closed just now took nothing
             // of the request, which then goes over a new one.
-            let unsent = failure.unsent.filter(|_| is_kept);
-            request = unsent.ok_or(SendLoss::Dropped)?;
-            connection = self.dial().await.ok_or(SendLoss::Dropped)?;
-            is_kept = false;
+            let unsent = failure.unsent.filter(|_| is_reused);
+            request = unsent.ok_or(SendError::Dropped)?;
+            connection = self.dial().await.ok_or(SendError::Dropped)?;
+            is_reused = false;
         }
     }
 
@@ -189,7 +189,7 @@
     }
 
     /// Get whether the response names another request as its own.
-    pub fn is_crossed(&self, response: &Response<Incoming>) -> bool {
+    pub fn is_mismatched(&self, response: &Response<Incoming>) -> bool {
         match response.headers().get(REQUEST_ID) {
             Some(id) => id.as_bytes() != self.request_id.as_bytes(),
             None => false,
@@ -211,7 +211,7 @@
     }
 
     /// Read an error answer to its end and pass it on, whole or not at all.
-    pub async fn pass_error(&self, response: Response<Incoming>, usage: Usage) -> CallEnd {
+    pub async fn forward_error(&self, response: Response<Incoming>, usage: Usage) -> CallEnd {
         let (head, body) = response.into_parts();
         let reading = Limited::new(body, MAX_EVENT_BYTES).collect();
         match timeout(ERROR_BODY_WAIT, reading).await {
@@ -221,14 +221,14 @@
                 CallEnd::Failed
             }
             Ok(Err(_)) | Err(_) => {
-                self.note(Incident::AnswerRejected, "error answer cut off");
+                self.log_incident(Incident::AnswerRejected, "error answer cut off");
                 CallEnd::Broken(usage)
             }
         }
     }
 
     /// Answer in the target's place that the call cannot be written as HTTP.
-    pub fn refuse_unwritable(&self) -> CallEnd {
+    pub fn reject_malformed(&self) -> CallEnd {
         self.answer.push(AnswerPart::Head {
             status: StatusCode::BAD_REQUEST.as_u16(),
             content_type: "text/plain".to_owned(),
--- a/bergamotswitch-net/src/target_client/connection.rs
+++ b/bergamotswitch-net/src/target_client/connection.rs
@@ -59,7 +59,7 @@
         let stream = connecting
             .await
             .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-        set_probes(&stream, options)?;
+        configure_socket(&stream, options)?;
         let handshake = http1::handshake(TokioIo::new(stream));
         let (sender, connection) = handshake.await.map_err(io::Error::other)?;
         let task = TaskGuard::spawn(async move {
@@ -100,7 +100,7 @@
 /// Without it a call to a plain service over such a path would wait for good;
 /// one would see attempts that never end. An unacknowledged probe (idle) or
 /// unacknowledged data (sending) ends the connection with an error.
-fn set_probes(stream: &TcpStream, options: &TargetClientOptions) -> io::Result<()> {
+fn configure_socket(stream: &TcpStream, options: &TargetClientOptions) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
@@ -114,34 +114,34 @@
 }
 
 #[derive(Debug)]
-struct KeptConnection {
+struct IdleConnection {
     connection: TargetConnection,
     /// Until when it is used again.
     use_until: Instant,
 }
 
-impl KeptConnection {
+impl IdleConnection {
     fn is_usable(&self) -> bool {
         Instant::now() < self.use_until && self.connection.is_idle()
     }
 }
 
-/// A `KeptConnections` is the idle connections of all targets.
+/// A `IdleConnections` is the idle connections of all targets.
 #[derive(Clone, Debug, Default)]
-pub struct KeptConnections(Arc<Mutex<HashMap<SocketAddr, Vec<KeptConnection>>>>);
+pub struct IdleConnections(Arc<Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>>);
 
-impl KeptConnections {
+impl IdleConnections {
     /// Get a connection that had traffic within the bound, if one is kept.
     /// Older ones are closed.
     pub fn take(&self, address: SocketAddr) -> Option<TargetConnection> {
         let mut map = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let list = map.get_mut(&address)?;
-        list.retain(KeptConnection::is_usable);
+        list.retain(IdleConnection::is_usable);
         let found = list.pop();
         if list.is_empty() {
             map.remove(&address);
         }
-        found.map(|kept| kept.connection)
+        found.map(|idle| idle.connection)
     }
 
     /// Close the idle connections to an address.
@@ -163,11 +163,13 @@
         }
         let mut map = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let list = map.entry(connection.address).or_default();
-        list.retain(KeptConnection::is_usable);
-        let told = idle_timeout.map(|span| span.saturating_sub(IDLE_MARGIN));
-        let reuse = told.map_or(options.idle_reuse, |told| told.min(options.idle_reuse));
+        list.retain(IdleConnection::is_usable);
+        let advertised = idle_timeout.map(|span| span.saturating_sub(IDLE_MARGIN));
+        let reuse = advertised.map_or(options.idle_reuse, |advertised| {
+            advertised.min(options.idle_reuse)
+        });
         if list.len() < options.max_idle_per_target {
-            list.push(KeptConnection {
+            list.push(IdleConnection {
                 connection,
                 use_until: Instant::now() + reuse,
             });
--- a/bergamotswitch-net/src/target_client/engine_call.rs
+++ b/bergamotswitch-net/src/target_client/engine_call.rs
@@ -12,7 +12,7 @@
 use tokio::time::timeout;
 
 use super::attempt_report::AttemptReport;
-use super::call_context::{CallContext, CallEnd, SendLoss, is_refusal};
+use super::call_context::{CallContext, CallEnd, SendError, is_refusal};
 use super::connection::TargetConnection;
 use super::event_stream::{EventParser, ServerEvent};
 use super::silence_watch::{SilenceVerdict, SilenceWatch};
@@ -29,9 +29,9 @@
 // body ends later is not kept.
 const BODY_END_WAIT: Duration = Duration::from_millis(50);
 
-/// A `StreamLoss` is why a connection brings no more of a stream.
+/// A `StreamError` is why a connection brings no more of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum StreamLoss {
+pub(super) enum StreamError {
     /// The connection ended early.
     Dropped,
     /// The connection is silent.
@@ -39,22 +39,22 @@
     /// Events are missing.
     Gap,
     /// The answer of another request came.
-    Crossed,
+    RequestMismatch,
     /// An event cannot be read.
     Malformed,
     /// Nothing listens at the engine's address.
-    Closed,
+    ConnectionRefused,
     /// The engine never saw the request.
-    Unseen,
+    UnknownRequest,
     /// The engine does not answer or does not know the stream.
-    Gone,
+    Unavailable,
 }
 
-impl From<SilenceVerdict> for StreamLoss {
+impl From<SilenceVerdict> for StreamError {
     fn from(verdict: SilenceVerdict) -> Self {
         match verdict {
-            SilenceVerdict::Silent => StreamLoss::Silent,
-            SilenceVerdict::Gone => StreamLoss::Gone,
+            SilenceVerdict::Silent => StreamError::Silent,
+            SilenceVerdict::Unavailable => StreamError::Unavailable,
         }
     }
 }
@@ -66,11 +66,11 @@
     body: Incoming,
 }
 
-/// An `Opening` is what became of the first send.
+/// An `OpenOutcome` is what became of the first send.
 #[derive(Debug)]
-enum Opening {
+enum OpenOutcome {
     Stream(OpenStream),
-    Lost(StreamLoss),
+    Failed(StreamError),
     Ended(CallEnd),
 }
 
@@ -82,7 +82,7 @@
     meter: UsageMeter,
     pub(super) stream: Option<StreamId>,
     pub(super) offset: u64,
-    headed: bool,
+    head_pushed: bool,
 }
 
 impl<'a> EngineCall<'a> {
@@ -94,57 +94,67 @@
             meter: UsageMeter::start(context.options.progress_period),
             stream: None,
             offset: 0,
-            headed: false,
+            head_pushed: false,
         }
     }
 
     /// Run the call to its end.
     pub async fn run(mut self, call: &OutgoingCall) -> CallEnd {
-        let mut loss = match self.open(call).await {
-            Opening::Ended(end) => return end,
-            Opening::Lost(loss) => loss,
-            Opening::Stream(stream) => match self.read(stream).await {
+        let mut error = match self.open(call).await {
+            OpenOutcome::Ended(end) => return end,
+            OpenOutcome::Failed(error) => error,
+            OpenOutcome::Stream(stream) => match self.read(stream).await {
                 Ok(()) => return CallEnd::Finished(self.meter.usage()),
-                Err(loss) => loss,
+                Err(error) => error,
             },
         };
         // Each round but the last one brings at least one event more.
         loop {
-            self.note_loss(loss);
-            if !self.may_resume(loss) {
+            self.log_stream_error(error);
+            if !self.may_resume(error) {
                 return CallEnd::Broken(self.meter.usage());
             }
-            loss = match self.resume().await {
+            error = match self.resume().await {
                 Ok(()) => return CallEnd::Finished(self.meter.usage()),
-                Err(loss) => loss,
+                Err(error) => error,
             };
         }
     }
 
     /// Log why a connection is given up.
-    pub(super) fn note_loss(&self, loss: StreamLoss) {
+    pub(super) fn log_stream_error(&self, error: StreamError) {
         let context = self.context;
-        match loss {
-            StreamLoss::Silent => context.note(Incident::ConnectionSilent, "engine got further"),
-            StreamLoss::Gone | StreamLoss::Closed | StreamLoss::Unseen => {
-                context.note(Incident::ConnectionSilent, "engine gone");
+        match error {
+            StreamError::Silent => {
+                context.log_incident(Incident::ConnectionSilent, "engine got further")
+            }
+            StreamError::Unavailable
+            | StreamError::ConnectionRefused
+            | StreamError::UnknownRequest => {
+                context.log_incident(Incident::ConnectionSilent, "engine gone");
+            }
+            StreamError::Gap => context.log_incident(Incident::AnswerRejected, "events missing"),
+            StreamError::RequestMismatch => {
+                context.log_incident(Incident::AnswerRejected, "foreign request id")
+            }
+            StreamError::Malformed => {
+                context.log_incident(Incident::AnswerRejected, "event malformed")
             }
-            StreamLoss::Gap => context.note(Incident::AnswerRejected, "events missing"),
-            StreamLoss::Crossed => context.note(Incident::AnswerRejected, "foreign request id"),
-            StreamLoss::Malformed => context.note(Incident::AnswerRejected, "event malformed"),
             // The resumption has its own line.
-            StreamLoss::Dropped if context.target.contract.resumes => {}
-            StreamLoss::Dropped => context.note(Incident::AnswerRejected, "answer cut off"),
+            StreamError::Dropped if context.target.contract.resumes => {}
+            StreamError::Dropped => {
+                context.log_incident(Incident::AnswerRejected, "answer cut off")
+            }
         }
     }
 
     /// Get whether the rest of the stream may be asked for.
-    pub(super) fn may_resume(&self, loss: StreamLoss) -> bool {
-        let allowed = match loss {
-            StreamLoss::Dropped | StreamLoss::Silent | StreamLoss::Gap => true,
-            StreamLoss::Closed | StreamLoss::Unseen => true,
-            StreamLoss::Crossed => self.context.options.resume_crossed,
-            StreamLoss::Malformed | StreamLoss::Gone => false,
+    pub(super) fn may_resume(&self, error: StreamError) -> bool {
+        let allowed = match error {
+            StreamError::Dropped | StreamError::Silent | StreamError::Gap => true,
+            StreamError::ConnectionRefused | StreamError::UnknownRequest => true,
+            StreamError::RequestMismatch => self.context.options.resume_mismatched,
+            StreamError::Malformed | StreamError::Unavailable => false,
         };
         allowed && self.context.target.contract.resumes
     }
@@ -161,39 +171,39 @@
     }
 
     /// Connect, send the request and wait for the response's head.
-    async fn open(&mut self, call: &OutgoingCall) -> Opening {
+    async fn open(&mut self, call: &OutgoingCall) -> OpenOutcome {
         let Some(request) = self.context.request(call) else {
-            return Opening::Ended(self.context.refuse_unwritable());
+            return OpenOutcome::Ended(self.context.reject_malformed());
         };
         let verdict = self.watch().verdict();
         match self.context.send_first(request, verdict).await {
-            Ok(first) => self.judge_head(first.connection, first.response).await,
-            Err(SendLoss::NotConnected) => Opening::Ended(CallEnd::NotSent),
-            Err(SendLoss::Dropped) => Opening::Lost(StreamLoss::Dropped),
-            Err(SendLoss::Quiet(verdict)) => Opening::Lost(verdict.into()),
+            Ok(first) => self.check_head(first.connection, first.response).await,
+            Err(SendError::NotConnected) => OpenOutcome::Ended(CallEnd::NotSent),
+            Err(SendError::Dropped) => OpenOutcome::Failed(StreamError::Dropped),
+            Err(SendError::Unresponsive(verdict)) => OpenOutcome::Failed(verdict.into()),
         }
     }
 
-    async fn judge_head(
+    async fn check_head(
         &mut self,
         connection: TargetConnection,
         response: Response<Incoming>,
-    ) -> Opening {
-        if self.context.is_crossed(&response) {
-            return Opening::Lost(StreamLoss::Crossed);
+    ) -> OpenOutcome {
+        if self.context.is_mismatched(&response) {
+            return OpenOutcome::Failed(StreamError::RequestMismatch);
         }
         let status = response.status();
         if is_refusal(status) {
-            return Opening::Ended(CallEnd::Refused);
+            return OpenOutcome::Ended(CallEnd::Refused);
         }
         if !status.is_success() {
             let usage = self.meter.usage();
-            return Opening::Ended(self.context.pass_error(response, usage).await);
+            return OpenOutcome::Ended(self.context.forward_error(response, usage).await);
         }
         if !is_event_stream(&response) {
-            return Opening::Lost(StreamLoss::Malformed);
+            return OpenOutcome::Failed(StreamError::Malformed);
         }
-        Opening::Stream(self.accept_head(connection, response))
+        OpenOutcome::Stream(self.accept_head(connection, response))
     }
 
     /// Take a stream's head in, and get the stream.
@@ -203,8 +213,8 @@
         response: Response<Incoming>,
     ) -> OpenStream {
         let (head, body) = response.into_parts();
-        if !self.headed {
-            self.headed = true;
+        if !self.head_pushed {
+            self.head_pushed = true;
             self.context.push_head(&head);
         }
         let named = head.headers.get(STREAM_ID);
@@ -224,12 +234,12 @@
     }
 
     /// Read events until the last one.
-    pub(super) async fn read(&mut self, mut stream: OpenStream) -> Result<(), StreamLoss> {
+    pub(super) async fn read(&mut self, mut stream: OpenStream) -> Result<(), StreamError> {
         let mut parser = EventParser::new();
         loop {
             let piece = self.next_piece(&mut stream.body).await?;
             parser.feed(&piece);
-            while let Some(event) = parser.next_event().map_err(|_| StreamLoss::Malformed)? {
+            while let Some(event) = parser.next_event().map_err(|_| StreamError::Malformed)? {
                 if self.accept(event)? {
                     self.keep(stream).await;
                     return Ok(());
@@ -238,29 +248,29 @@
         }
     }
 
-    async fn next_piece(&self, body: &mut Incoming) -> Result<Bytes, StreamLoss> {
+    async fn next_piece(&self, body: &mut Incoming) -> Result<Bytes, StreamError> {
         // The body goes first: what is read already is taken before any
         // timer is believed, which may be late after a pause of this process.
         tokio::select! {
             biased;
             frame = body.frame() => match frame {
                 Some(Ok(frame)) => Ok(frame.into_data().unwrap_or_default()),
-                Some(Err(_)) | None => Err(StreamLoss::Dropped),
+                Some(Err(_)) | None => Err(StreamError::Dropped),
             },
             verdict = self.watch().verdict() => Err(verdict.into()),
         }
     }
 
     /// Check an event and pass it on. Get whether it was the last one.
-    fn accept(&mut self, event: ServerEvent) -> Result<bool, StreamLoss> {
+    fn accept(&mut self, event: ServerEvent) -> Result<bool, StreamError> {
         if event.data.as_ref() == DONE {
             self.advance(event.id)?;
             return Ok(true);
         }
         let chunk: StreamChunk =
-            serde_json::from_slice(&event.data).map_err(|_| StreamLoss::Malformed)?;
+            serde_json::from_slice(&event.data).map_err(|_| StreamError::Malformed)?;
         if chunk.id != self.context.request_id {
-            return Err(StreamLoss::Crossed);
+            return Err(StreamError::RequestMismatch);
         }
         self.advance(event.id)?;
         self.context.answer.push(AnswerPart::Data(event.data));
@@ -272,9 +282,9 @@
         Ok(false)
     }
 
-    fn advance(&mut self, id: Option<u64>) -> Result<(), StreamLoss> {
+    fn advance(&mut self, id: Option<u64>) -> Result<(), StreamError> {
         if id != Some(self.offset + 1) {
-            return Err(StreamLoss::Gap);
+            return Err(StreamError::Gap);
         }
         self.offset += 1;
         Ok(())
@@ -287,8 +297,8 @@
         }
         let rest = timeout(BODY_END_WAIT, stream.body.frame()).await;
         if let Ok(None) = rest {
-            let kept = &self.context.kept;
-            kept.keep(stream.connection, &self.context.options, None);
+            let idle_connections = &self.context.idle_connections;
+            idle_connections.keep(stream.connection, &self.context.options, None);
         }
     }
 }
--- a/bergamotswitch-net/src/target_client/event_blocks.rs
+++ b/bergamotswitch-net/src/target_client/event_blocks.rs
@@ -12,11 +12,11 @@
     pub id: Option<String>,
 }
 
-/// An `EventBlocks` cuts a stream into whole events. Half an event is never
+/// An `EventSplitter` cuts a stream into whole events. Half an event is never
 /// passed on: a target may break off in the middle of one, and another target
 /// goes on after the last whole one.
 #[derive(Debug, Default)]
-pub struct EventBlocks {
+pub struct EventSplitter {
     buffer: BytesMut,
     scan: BlockScan,
 }
@@ -33,7 +33,7 @@
     in_line: bool,
 }
 
-impl EventBlocks {
+impl EventSplitter {
     /// Add bytes as they came.
     pub fn add(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
@@ -56,7 +56,7 @@
     }
 }
 
-impl Iterator for EventBlocks {
+impl Iterator for EventSplitter {
     type Item = EventBlock;
 
     /// Get the next whole event.
--- a/bergamotswitch-net/src/target_client/load_watch.rs
+++ b/bergamotswitch-net/src/target_client/load_watch.rs
@@ -14,7 +14,7 @@
 use super::connection::TargetConnection;
 use super::event_stream::EventParser;
 use super::options::TargetClientOptions;
-use super::stream_status::{QuestionError, ask_over, bare_request};
+use super::stream_status::{QueryError, empty_request, query_over};
 use crate::input::{NodeInput, NodeSender};
 use crate::task_guard::TaskGuard;
 
@@ -22,8 +22,8 @@
 const CACHE_PATH: &str = "/v1/cache-events";
 
 // The pauses after failed tries to get cache events.
-const FIRST_PAUSE: Duration = Duration::from_millis(200);
-const LONGEST_PAUSE: Duration = Duration::from_secs(10);
+const MIN_BACKOFF: Duration = Duration::from_millis(200);
+const MAX_BACKOFF: Duration = Duration::from_secs(10);
 
 #[derive(Deserialize)]
 struct CacheEvent {
@@ -47,7 +47,7 @@
         events: &NodeSender,
     ) -> Self {
         let load = poll_load(target.clone(), Arc::clone(options), events.clone());
-        let cache = follow_cache(target.clone(), Arc::clone(options), events.clone());
+        let cache = follow_cache_events(target.clone(), Arc::clone(options), events.clone());
         LoadWatch {
             target: target.clone(),
             _load: TaskGuard::spawn(load),
@@ -64,10 +64,10 @@
 async fn poll_load(target: PoolTarget, options: Arc<TargetClientOptions>, events: NodeSender) {
     let mut connection = None;
     while !events.is_closed() {
-        let asked = Instant::now();
-        if let Ok(mut report) = ask_load(&target, &mut connection, &options).await {
+        let sent_at = Instant::now();
+        if let Ok(mut report) = query_load(&target, &mut connection, &options).await {
             // The report aged on its way as well, at most by the round trip.
-            let trip = u32::try_from(asked.elapsed().as_millis()).unwrap_or(u32::MAX);
+            let trip = u32::try_from(sent_at.elapsed().as_millis()).unwrap_or(u32::MAX);
             report.age_ms = report.age_ms.saturating_add(trip);
             let _ = events.send(NodeInput::Load(target.name.clone(), report));
         } else {
@@ -79,68 +79,72 @@
     }
 }
 
-async fn ask_load(
+async fn query_load(
     target: &PoolTarget,
-    kept: &mut Option<TargetConnection>,
+    idle: &mut Option<TargetConnection>,
     options: &TargetClientOptions,
-) -> Result<LoadReport, QuestionError> {
-    let request = bare_request(Method::GET, target.address, LOAD_PATH);
-    let request = request.ok_or(QuestionError::Malformed)?;
-    let mut connection = match kept.take() {
+) -> Result<LoadReport, QueryError> {
+    let request = empty_request(Method::GET, target.address, LOAD_PATH);
+    let request = request.ok_or(QueryError::Malformed)?;
+    let mut connection = match idle.take() {
         Some(connection) => connection,
         None => TargetConnection::dial(target.address, options)
             .await
-            .map_err(|_| QuestionError::NoAnswer)?,
+            .map_err(|_| QueryError::NoAnswer)?,
     };
-    let body = ask_over(&mut connection, request, options).await?;
-    let report = serde_json::from_slice(&body).map_err(|_| QuestionError::Malformed)?;
-    *kept = Some(connection);
+    let body = query_over(&mut connection, request, options).await?;
+    let report = serde_json::from_slice(&body).map_err(|_| QueryError::Malformed)?;
+    *idle = Some(connection);
     Ok(report)
 }
 
-async fn follow_cache(target: PoolTarget, options: Arc<TargetClientOptions>, events: NodeSender) {
-    let mut pause = FIRST_PAUSE;
+async fn follow_cache_events(
+    target: PoolTarget,
+    options: Arc<TargetClientOptions>,
+    events: NodeSender,
+) {
+    let mut backoff = MIN_BACKOFF;
     while !events.is_closed() {
-        match read_cache(&target, &options, &events).await {
-            Ok(()) => pause = FIRST_PAUSE,
-            Err(_) => pause = (pause * 2).min(LONGEST_PAUSE),
+        match read_cache_events(&target, &options, &events).await {
+            Ok(()) => backoff = MIN_BACKOFF,
+            Err(_) => backoff = (backoff * 2).min(MAX_BACKOFF),
         }
-        sleep(pause.mul_f64(rand::random_range(0.5..1.0))).await;
+        sleep(backoff.mul_f64(rand::random_range(0.5..1.0))).await;
     }
 }
 
 /// Follow the cache events of one connection. Ends without an error where the
 /// connection brought some: cache events are hints with gaps, so a quiet or
 /// broken connection is simply replaced.
-async fn read_cache(
+async fn read_cache_events(
     target: &PoolTarget,
     options: &TargetClientOptions,
     events: &NodeSender,
-) -> Result<(), QuestionError> {
-    let request = bare_request(Method::GET, target.address, CACHE_PATH);
-    let request = request.ok_or(QuestionError::Malformed)?;
+) -> Result<(), QueryError> {
+    let request = empty_request(Method::GET, target.address, CACHE_PATH);
+    let request = request.ok_or(QueryError::Malformed)?;
     let mut connection = TargetConnection::dial(target.address, options)
         .await
-        .map_err(|_| QuestionError::NoAnswer)?;
+        .map_err(|_| QueryError::NoAnswer)?;
     let sent = timeout(options.probe_timeout, connection.send(request)).await;
     let Ok(Ok(response)) = sent else {
-        return Err(QuestionError::NoAnswer);
+        return Err(QueryError::NoAnswer);
     };
     if !response.status().is_success() {
-        return Err(QuestionError::NotFound);
+        return Err(QueryError::NotFound);
     }
     let mut body = response.into_body();
     let mut parser = EventParser::new();
     while let Ok(Some(Ok(frame))) = timeout(options.cache_idle, body.frame()).await {
         parser.feed(&frame.into_data().unwrap_or_default());
-        while let Some(event) = parser.next_event().map_err(|_| QuestionError::Malformed)? {
-            send_cache(target, &event.data, events);
+        while let Some(event) = parser.next_event().map_err(|_| QueryError::Malformed)? {
+            send_cache_event(target, &event.data, events);
         }
     }
     Ok(())
 }
 
-fn send_cache(target: &PoolTarget, data: &Bytes, events: &NodeSender) {
+fn send_cache_event(target: &PoolTarget, data: &Bytes, events: &NodeSender) {
     let Ok(event) = serde_json::from_slice::<CacheEvent>(data) else {
         return;
     };
--- a/bergamotswitch-net/src/target_client/mod.rs
+++ b/bergamotswitch-net/src/target_client/mod.rs
@@ -32,7 +32,7 @@
 
 use self::attempt_report::{AbortFlag, AttemptReport};
 use self::call_context::{CallContext, CallEnd, CallTrace};
-use self::connection::KeptConnections;
+use self::connection::IdleConnections;
 use self::engine_call::EngineCall;
 use self::load_watch::LoadWatch;
 pub use self::options::TargetClientOptions;
@@ -65,7 +65,7 @@
 pub struct TargetClient {
     options: Arc<TargetClientOptions>,
     events: NodeSender,
-    kept: KeptConnections,
+    idle_connections: IdleConnections,
     calls: HashMap<AttemptId, CallGuard>,
     sweep_at: usize,
     watches: HashMap<TargetName, LoadWatch>,
@@ -79,7 +79,7 @@
         TargetClient {
             options: Arc::new(options),
             events,
-            kept: KeptConnections::default(),
+            idle_connections: IdleConnections::default(),
             calls: HashMap::new(),
             sweep_at: FIRST_SWEEP,
             watches: HashMap::new(),
@@ -118,7 +118,7 @@
             request_id: attempt.to_string(),
             target: target.clone(),
             options: Arc::clone(&self.options),
-            kept: self.kept.clone(),
+            idle_connections: self.idle_connections.clone(),
             answer,
             trace: trace.clone(),
         };
@@ -139,13 +139,13 @@
             return;
         };
         if cancel && guard.target.contract.cancels && guard.trace.is_sent() {
-            let order = StreamCancel {
+            let stream_cancel = StreamCancel {
                 target: guard.target.clone(),
                 request_id: attempt.to_string(),
                 trace: guard.trace.clone(),
                 options: Arc::clone(&self.options),
             };
-            tokio::spawn(order.run());
+            tokio::spawn(stream_cancel.run());
         }
     }
 
@@ -175,7 +175,7 @@
             };
             let known = self.starts.get(&target.name);
             if known.is_some_and(|known| *known != start) {
-                self.kept.forget(target.address);
+                self.idle_connections.forget(target.address);
             }
             starts.insert(target.name.clone(), start);
         }
--- a/bergamotswitch-net/src/target_client/options.rs
+++ b/bergamotswitch-net/src/target_client/options.rs
@@ -40,13 +40,13 @@
     /// How long a connection may lag behind what its target says it sent.
     pub silent_grace: Duration,
     /// How long a target may say that it never saw the request.
-    pub unseen_grace: Duration,
+    pub unknown_request_grace: Duration,
     /// The resume attempts in a row that bring nothing new.
     pub resume_attempts: u32,
     /// The pause before the second resume attempt; it doubles from there.
     pub resume_backoff: Duration,
     /// Whether a stream that carried a foreign chunk may be resumed.
-    pub resume_crossed: bool,
+    pub resume_mismatched: bool,
     /// The least time between two progress reports of one attempt.
     pub progress_period: Duration,
     /// The idle time of a connection after which the kernel probes it.
@@ -81,14 +81,14 @@
             probe_timeout: Duration::from_millis(1_000),
             probe_misses: 5,
             silent_grace: Duration::from_millis(300),
-            unseen_grace: Duration::from_secs(5),
+            unknown_request_grace: Duration::from_secs(5),
             // Together some 13 seconds: longer than most partitions between
             // failure domains, and a draft is lost after them.
             resume_attempts: 12,
             resume_backoff: Duration::from_millis(50),
             // The caller is owed its whole answer even where answers crossed;
             // resuming asks the target for this stream by its own id.
-            resume_crossed: true,
+            resume_mismatched: true,
             progress_period: Duration::from_millis(200),
             keepalive: Duration::from_secs(5),
             user_timeout: Duration::from_secs(15),
@@ -127,13 +127,13 @@
         /// Set how long a connection may lag behind its target's word.
         with_silent_grace, silent_grace: Duration;
         /// Set how long a target may say that it never saw the request.
-        with_unseen_grace, unseen_grace: Duration;
+        with_unknown_request_grace, unknown_request_grace: Duration;
         /// Set the resume attempts in a row that bring nothing new.
         with_resume_attempts, resume_attempts: u32;
         /// Set the pause before the second resume attempt.
         with_resume_backoff, resume_backoff: Duration;
         /// Set whether a stream with a foreign chunk may be resumed.
-        with_resume_crossed, resume_crossed: bool;
+        with_resume_mismatched, resume_mismatched: bool;
         /// Set the least time between two progress reports.
         with_progress_period, progress_period: Duration;
         /// Set the idle time after which the kernel probes a connection.
--- a/bergamotswitch-net/src/target_client/plain_call.rs
+++ b/bergamotswitch-net/src/target_client/plain_call.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 
 use super::attempt_report::AttemptReport;
-use super::call_context::{CallContext, CallEnd, FirstResponse, SendLoss, is_refusal};
+use super::call_context::{CallContext, CallEnd, FirstResponse, SendError, is_refusal};
 use super::usage_meter::{UsageMeter, report_step};
 use crate::answer::AnswerPart;
 use crate::input::OutgoingCall;
@@ -20,15 +20,15 @@
     report: &AttemptReport,
 ) -> CallEnd {
     let Some(request) = context.request(call) else {
-        return context.refuse_unwritable();
+        return context.reject_malformed();
     };
     let mut meter = UsageMeter::start(context.options.progress_period);
     // A plain service cannot be asked how far it got: a quiet one is waited
     // for until the kernel or the loop ends the call.
     match context.send_first(request, pending()).await {
         Ok(first) => read(context, &call.method, first, &mut meter, report).await,
-        Err(SendLoss::NotConnected) => CallEnd::NotSent,
-        Err(SendLoss::Dropped | SendLoss::Quiet(_)) => CallEnd::Broken(meter.usage()),
+        Err(SendError::NotConnected) => CallEnd::NotSent,
+        Err(SendError::Dropped | SendError::Unresponsive(_)) => CallEnd::Broken(meter.usage()),
     }
 }
 
@@ -43,8 +43,8 @@
         connection,
         response,
     } = first;
-    if context.is_crossed(&response) {
-        context.note(Incident::AnswerRejected, "foreign request id");
+    if context.is_mismatched(&response) {
+        context.log_incident(Incident::AnswerRejected, "foreign request id");
         return CallEnd::Broken(meter.usage());
     }
     let status = response.status();
@@ -52,11 +52,11 @@
         return CallEnd::Refused;
     }
     if !is_delimited(method, &response) {
-        context.note(Incident::AnswerRejected, "end of answer not marked");
+        context.log_incident(Incident::AnswerRejected, "end of answer not marked");
         return CallEnd::Broken(meter.usage());
     }
     if status.is_client_error() || status.is_server_error() {
-        return context.pass_error(response, meter.usage()).await;
+        return context.forward_error(response, meter.usage()).await;
     }
     let (head, mut body) = response.into_parts();
     context.push_head(&head);
@@ -64,7 +64,7 @@
     while let Some(frame) = body.frame().await {
         // A body that ends before its length or its last chunk is an error.
         let Ok(frame) = frame else {
-            context.note(Incident::AnswerRejected, "answer cut off");
+            context.log_incident(Incident::AnswerRejected, "answer cut off");
             return CallEnd::Broken(meter.usage());
         };
         if let Ok(piece) = frame.into_data() {
@@ -72,7 +72,9 @@
             report_step(meter.add_plain(), report);
         }
     }
-    context.kept.keep(connection, &context.options, None);
+    context
+        .idle_connections
+        .keep(connection, &context.options, None);
     CallEnd::Finished(meter.usage())
 }
 
--- a/bergamotswitch-net/src/target_client/routed_call.rs
+++ b/bergamotswitch-net/src/target_client/routed_call.rs
@@ -17,9 +17,9 @@
 use tokio::time::timeout;
 
 use super::attempt_report::AttemptReport;
-use super::call_context::{CallContext, CallEnd, FirstResponse, SendLoss};
+use super::call_context::{CallContext, CallEnd, FirstResponse, SendError};
 use super::connection::{TargetConnection, TargetRequest};
-use super::event_blocks::EventBlocks;
+use super::event_blocks::EventSplitter;
 use super::silence_watch::SilenceVerdict;
 use super::usage_meter::{UsageMeter, report_step};
 use crate::answer::AnswerPart;
@@ -59,38 +59,38 @@
     report: &AttemptReport,
 ) -> CallEnd {
     let Some(routed) = &call.routed else {
-        return context.refuse_unwritable();
+        return context.reject_malformed();
     };
     let Some(request) = request(context, call, routed) else {
-        return context.refuse_unwritable();
+        return context.reject_malformed();
     };
     let mut meter = UsageMeter::start(context.options.progress_period);
     match context
-        .send_first(request, silence(routed.start_timeout))
+        .send_first(request, wait_for_silence(routed.start_timeout))
         .await
     {
         Ok(first) => read(context, routed, first, &mut meter, report).await,
-        Err(SendLoss::NotConnected) => CallEnd::NotSent,
-        Err(SendLoss::Dropped) => {
-            context.note(
+        Err(SendError::NotConnected) => CallEnd::NotSent,
+        Err(SendError::Dropped) => {
+            context.log_incident(
                 Incident::AnswerRejected,
                 "connection closed before an answer",
             );
             CallEnd::Broken(meter.usage())
         }
-        Err(SendLoss::Quiet(_)) => {
-            context.note(Incident::ConnectionSilent, "no answer began in time");
+        Err(SendError::Unresponsive(_)) => {
+            context.log_incident(Incident::ConnectionSilent, "no answer began in time");
             CallEnd::Broken(meter.usage())
         }
     }
 }
 
 /// Wait until a target counts as silent.
-async fn silence(wait: Option<Duration>) -> SilenceVerdict {
+async fn wait_for_silence(wait: Option<Duration>) -> SilenceVerdict {
     match wait {
         Some(wait) => {
             tokio::time::sleep(wait).await;
-            SilenceVerdict::Gone
+            SilenceVerdict::Unavailable
         }
         None => pending().await,
     }
@@ -143,7 +143,7 @@
             true => "answer without the target's signature",
             false => "answer to another request",
         };
-        context.note(Incident::AnswerRejected, cause);
+        context.log_incident(Incident::AnswerRejected, cause);
         return CallEnd::Broken(meter.usage());
     }
     let reading = AnswerReading {
@@ -171,7 +171,7 @@
     let reading = Limited::new(body, MAX_BYTES).collect();
     if let Ok(Ok(_)) = timeout(WAIT, reading).await {
         context
-            .kept
+            .idle_connections
             .keep(connection, &context.options, idle_timeout);
     }
 }
@@ -199,7 +199,7 @@
         let collected = Limited::new(body, MAX_BODY_BYTES).collect().await;
         let Ok(bytes) = collected.map(|collected| collected.to_bytes()) else {
             self.context
-                .note(Incident::AnswerRejected, "answer cut off");
+                .log_incident(Incident::AnswerRejected, "answer cut off");
             return CallEnd::Broken(meter.usage());
         };
         let success = self.head.status.is_success();
@@ -223,7 +223,7 @@
         meter: &mut UsageMeter,
         report: &AttemptReport,
     ) -> CallEnd {
-        let mut blocks = EventBlocks::default();
+        let mut splitter = EventSplitter::default();
         let mut head_pushed = self.context.answer.last_event_id().is_some();
         loop {
             let frame = match self.next_frame(&mut body, meter, report).await {
@@ -234,8 +234,8 @@
             let Ok(bytes) = frame.into_data() else {
                 continue;
             };
-            blocks.add(&bytes);
-            for block in blocks.by_ref() {
+            splitter.add(&bytes);
+            for block in splitter.by_ref() {
                 if !head_pushed {
                     self.push_head();
                     head_pushed = true;
@@ -243,9 +243,9 @@
                 report_step(meter.add_event(), report);
                 self.context.answer.push_event(block.bytes, block.id);
             }
-            if blocks.rest_len() > MAX_BODY_BYTES {
+            if splitter.rest_len() > MAX_BODY_BYTES {
                 self.context
-                    .note(Incident::AnswerRejected, "event too long");
+                    .log_incident(Incident::AnswerRejected, "event too long");
                 return CallEnd::Broken(meter.usage());
             }
         }
@@ -253,15 +253,15 @@
         // without a length ends with its connection, also where its target stops
         // in the middle of an event. Passed on, half an event would look like the
         // end of a whole answer, and what may be carried on would not be.
-        if blocks.is_in_event() && self.has_events() {
+        if splitter.is_in_event() && self.has_events() {
             self.context
-                .note(Incident::AnswerRejected, "stream ended inside an event");
+                .log_incident(Incident::AnswerRejected, "stream ended inside an event");
             return CallEnd::Broken(meter.usage());
         }
         if !head_pushed {
             self.push_head();
         }
-        let rest = blocks.take_rest();
+        let rest = splitter.take_rest();
         if !rest.is_empty() {
             self.context.answer.push(AnswerPart::Data(rest));
         }
@@ -283,9 +283,9 @@
         meter: &UsageMeter,
         report: &AttemptReport,
     ) -> Result<Option<hyper::body::Frame<bytes::Bytes>>, CallEnd> {
-        let carries_on = self.context.answer.last_event_id().is_some();
-        let has_begun = carries_on || !meter.is_first();
-        let wait = match meter.is_first() {
+        let is_resumed = self.context.answer.last_event_id().is_some();
+        let has_begun = is_resumed || !meter.awaits_first();
+        let wait = match meter.awaits_first() {
             true => self.routed.start_timeout,
             false => self.routed.gap_timeout,
         };
@@ -300,13 +300,13 @@
                 Ok(Some(Err(_))) => break "stream cut off",
                 Err(_) if has_begun => {
                     self.context
-                        .note(Incident::StreamStalled, "no event in time");
+                        .log_incident(Incident::StreamStalled, "no event in time");
                     report.step(AttemptEvent::Silent);
                 }
                 Err(_) => break "silent stream",
             }
         };
-        self.context.note(Incident::AnswerRejected, cause);
+        self.context.log_incident(Incident::AnswerRejected, cause);
         Err(CallEnd::Broken(meter.usage()))
     }
 
@@ -319,7 +319,7 @@
     }
 
     fn keep(self) {
-        let kept = &self.context.kept;
-        kept.keep(self.connection, &self.context.options, self.idle_timeout);
+        let idle_connections = &self.context.idle_connections;
+        idle_connections.keep(self.connection, &self.context.options, self.idle_timeout);
     }
 }
--- a/bergamotswitch-net/src/target_client/silence_watch.rs
+++ b/bergamotswitch-net/src/target_client/silence_watch.rs
@@ -10,7 +10,7 @@
 use tokio::time::{Instant, sleep};
 
 use super::options::TargetClientOptions;
-use super::stream_status::{QuestionError, StreamId, ask_status};
+use super::stream_status::{QueryError, StreamId, query_status};
 
 /// A `SilenceVerdict` is why a quiet connection is given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -18,7 +18,7 @@
     /// The engine got further than the connection brought.
     Silent,
     /// The engine or the stream is gone.
-    Gone,
+    Unavailable,
 }
 
 /// A `StatusFinding` is what one question says of a quiet connection.
@@ -31,9 +31,9 @@
     /// The stream ended without its last event, or is not known any more.
     Ended,
     /// The engine never saw the request.
-    Unseen,
+    UnknownRequest,
     /// There was no usable answer.
-    Missed,
+    NoAnswer,
 }
 
 /// A `SilenceWatch` asks about one stream while its connection is quiet.
@@ -64,7 +64,7 @@
         let quiet_since = Instant::now();
         let mut misses = 0;
         loop {
-            let finding = self.ask().await;
+            let finding = self.query().await;
             match finding {
                 StatusFinding::Slow => misses = 0,
                 StatusFinding::Ahead => {
@@ -75,19 +75,19 @@
                 }
                 StatusFinding::Ended => {
                     sleep(self.options.silent_grace).await;
-                    return SilenceVerdict::Gone;
+                    return SilenceVerdict::Unavailable;
                 }
-                StatusFinding::Unseen => {
+                StatusFinding::UnknownRequest => {
                     // The request may still be in flight to the engine.
                     misses = 0;
-                    if quiet_since.elapsed() >= self.options.unseen_grace {
-                        return SilenceVerdict::Gone;
+                    if quiet_since.elapsed() >= self.options.unknown_request_grace {
+                        return SilenceVerdict::Unavailable;
                     }
                 }
-                StatusFinding::Missed => {
+                StatusFinding::NoAnswer => {
                     misses += 1;
                     if misses >= self.options.probe_misses {
-                        return SilenceVerdict::Gone;
+                        return SilenceVerdict::Unavailable;
                     }
                 }
             }
@@ -95,20 +95,20 @@
         }
     }
 
-    async fn ask(&self) -> StatusFinding {
-        let asked = ask_status(self.address, self.request_id, self.stream, self.options).await;
-        match asked {
+    async fn query(&self) -> StatusFinding {
+        let answer = query_status(self.address, self.request_id, self.stream, self.options).await;
+        match answer {
             Ok(status) if status.done || status.offset > self.offset => StatusFinding::Ahead,
             Ok(status) if status.running => StatusFinding::Slow,
             Ok(_) => StatusFinding::Ended,
             // Without the promise the engine may know the stream and still
             // not the question, so its answer says only that it is alive. A
             // slow stream is then waited for; kernel probes cover the path.
-            Err(QuestionError::Unsupported) => StatusFinding::Slow,
-            Err(QuestionError::NotFound) if !self.resumes => StatusFinding::Slow,
-            Err(QuestionError::NotFound) if self.stream.is_some() => StatusFinding::Ended,
-            Err(QuestionError::NotFound) => StatusFinding::Unseen,
-            Err(QuestionError::NoAnswer | QuestionError::Malformed) => StatusFinding::Missed,
+            Err(QueryError::Unsupported) => StatusFinding::Slow,
+            Err(QueryError::NotFound) if !self.resumes => StatusFinding::Slow,
+            Err(QueryError::NotFound) if self.stream.is_some() => StatusFinding::Ended,
+            Err(QueryError::NotFound) => StatusFinding::UnknownRequest,
+            Err(QueryError::NoAnswer | QueryError::Malformed) => StatusFinding::NoAnswer,
         }
     }
 }
--- a/bergamotswitch-net/src/target_client/stream_cancel.rs
+++ b/bergamotswitch-net/src/target_client/stream_cancel.rs
@@ -8,11 +8,11 @@
 
 use super::call_context::CallTrace;
 use super::options::TargetClientOptions;
-use super::stream_status::{QuestionError, StreamId, ask_anew, ask_status};
+use super::stream_status::{QueryError, StreamId, query, query_status};
 
 // The tries to tell an engine. An engine that hears none of them runs the
 // stream to its end, which wastes capacity but harms nobody.
-const CANCEL_TRIES: u32 = 5;
+const CANCEL_ATTEMPTS: u32 = 5;
 
 /// A `StreamCancel` is the order to an engine to stop one stream.
 #[derive(Debug)]
@@ -30,24 +30,24 @@
 impl StreamCancel {
     /// Tell the engine, a bounded number of times.
     pub async fn run(self) {
-        let mut pause = self.options.resume_backoff;
-        for _ in 0..CANCEL_TRIES {
+        let mut backoff = self.options.resume_backoff;
+        for _ in 0..CANCEL_ATTEMPTS {
             match self.try_once().await {
                 Ok(()) => return,
                 Err(error) => log::debug!(target_name:% = self.target.name; "no cancel: {error}"),
             }
-            sleep(pause).await;
-            pause *= 2;
+            sleep(backoff).await;
+            backoff *= 2;
         }
     }
 
-    async fn try_once(&self) -> Result<(), QuestionError> {
+    async fn try_once(&self) -> Result<(), QueryError> {
         let id = self.find_stream().await?;
         let path = format!("/v1/streams/{id}");
-        let asked = ask_anew(Method::DELETE, self.target.address, &path, &self.options).await;
-        match asked {
+        let answer = query(Method::DELETE, self.target.address, &path, &self.options).await;
+        match answer {
             // A stream that is no longer known needs no cancel.
-            Ok(_) | Err(QuestionError::NotFound) => Ok(()),
+            Ok(_) | Err(QueryError::NotFound) => Ok(()),
             Err(error) => Err(error),
         }
     }
@@ -55,12 +55,12 @@
     /// Get the stream's id. A call that was stopped before its response's
     /// head asks for it; the request itself may arrive only after the
     /// question.
-    async fn find_stream(&self) -> Result<StreamId, QuestionError> {
+    async fn find_stream(&self) -> Result<StreamId, QueryError> {
         if let Some(id) = self.trace.stream() {
             return Ok(id);
         }
         let address = self.target.address;
-        let status = ask_status(address, &self.request_id, None, &self.options).await?;
-        status.stream_id().ok_or(QuestionError::Malformed)
+        let status = query_status(address, &self.request_id, None, &self.options).await?;
+        status.stream_id().ok_or(QueryError::Malformed)
     }
 }
--- a/bergamotswitch-net/src/target_client/stream_resume.rs
+++ b/bergamotswitch-net/src/target_client/stream_resume.rs
@@ -1,4 +1,4 @@
-//! Provides the resuming of a stream: its rest is asked for by id and offset
+//! Provides the resuming of a stream: its rest is answer for by id and offset
 //! over a new connection, which is no second run.
 
 use std::io::ErrorKind;
@@ -10,8 +10,8 @@
 use tokio::time::{sleep, timeout};
 
 use super::connection::TargetConnection;
-use super::engine_call::{EngineCall, OpenStream, StreamLoss, is_event_stream};
-use super::stream_status::{QuestionError, StreamId, ask_status, bare_request};
+use super::engine_call::{EngineCall, OpenStream, StreamError, is_event_stream};
+use super::stream_status::{QueryError, StreamId, empty_request, query_status};
 
 // The longest pause between two resume attempts.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
@@ -24,7 +24,7 @@
 impl EngineCall<'_> {
     /// Go on with the stream over new connections until its end, or until
     /// the attempts in a row without a new event are used up.
-    pub(super) async fn resume(&mut self) -> Result<(), StreamLoss> {
+    pub(super) async fn resume(&mut self) -> Result<(), StreamError> {
         let options = &self.context.options;
         let before = self.offset;
         let mut backoff = options.resume_backoff;
@@ -37,79 +37,80 @@
             let stream = match self.reopen().await {
                 Ok(stream) => stream,
                 // The next try may find the engine back.
-                Err(StreamLoss::Dropped) => continue,
-                Err(StreamLoss::Closed | StreamLoss::Unseen) => {
+                Err(StreamError::Dropped) => continue,
+                Err(StreamError::ConnectionRefused | StreamError::UnknownRequest) => {
                     denials += 1;
                     match denials < MAX_DENIALS {
                         true => continue,
-                        false => return Err(StreamLoss::Gone),
+                        false => return Err(StreamError::Unavailable),
                     }
                 }
-                Err(loss) if !self.may_resume(loss) => return Err(loss),
-                Err(loss) => {
-                    self.note_loss(loss);
+                Err(error) if !self.may_resume(error) => return Err(error),
+                Err(error) => {
+                    self.log_stream_error(error);
                     continue;
                 }
             };
-            self.context.note(Incident::StreamResumed, "resumed");
+            self.context
+                .log_incident(Incident::StreamResumed, "resumed");
             self.report.step(AttemptEvent::Resumed);
             match self.read(stream).await {
                 Ok(()) => return Ok(()),
-                Err(loss) if self.offset > before => return Err(loss),
-                Err(loss) if !self.may_resume(loss) => return Err(loss),
-                Err(loss) => self.note_loss(loss),
+                Err(error) if self.offset > before => return Err(error),
+                Err(error) if !self.may_resume(error) => return Err(error),
+                Err(error) => self.log_stream_error(error),
             }
         }
-        Err(StreamLoss::Gone)
+        Err(StreamError::Unavailable)
     }
 
     /// Try once to ask for the rest of the stream over a new connection.
-    async fn reopen(&mut self) -> Result<OpenStream, StreamLoss> {
+    async fn reopen(&mut self) -> Result<OpenStream, StreamError> {
         let context = self.context;
         let options = &context.options;
         let id = self.find_stream().await?;
         let path = format!("/v1/streams/{id}?offset={}", self.offset);
         let address = context.target.address;
-        let request = bare_request(Method::GET, address, &path).ok_or(StreamLoss::Malformed)?;
+        let request = empty_request(Method::GET, address, &path).ok_or(StreamError::Malformed)?;
         let mut connection = match TargetConnection::dial(address, options).await {
             Ok(connection) => connection,
             Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
-                return Err(StreamLoss::Closed);
+                return Err(StreamError::ConnectionRefused);
             }
-            Err(_) => return Err(StreamLoss::Dropped),
+            Err(_) => return Err(StreamError::Dropped),
         };
         let sent = timeout(options.probe_timeout, connection.send(request)).await;
         let Ok(Ok(response)) = sent else {
-            return Err(StreamLoss::Dropped);
+            return Err(StreamError::Dropped);
         };
         match response.status() {
-            StatusCode::NOT_FOUND => return Err(StreamLoss::Gone),
-            status if !status.is_success() => return Err(StreamLoss::Dropped),
+            StatusCode::NOT_FOUND => return Err(StreamError::Unavailable),
+            status if !status.is_success() => return Err(StreamError::Dropped),
             _ => {}
         }
-        if self.context.is_crossed(&response) {
-            return Err(StreamLoss::Crossed);
+        if self.context.is_mismatched(&response) {
+            return Err(StreamError::RequestMismatch);
         }
         if !is_event_stream(&response) {
-            return Err(StreamLoss::Malformed);
+            return Err(StreamError::Malformed);
         }
         Ok(self.accept_head(connection, response))
     }
 
-    /// Get the stream's id, asking for it where the head never came.
-    async fn find_stream(&mut self) -> Result<StreamId, StreamLoss> {
+    /// Get the stream's id, exchange for it where the head never came.
+    async fn find_stream(&mut self) -> Result<StreamId, StreamError> {
         if let Some(id) = &self.stream {
             return Ok(id.clone());
         }
         let context = self.context;
         let address = context.target.address;
-        let asked = ask_status(address, &context.request_id, None, &context.options).await;
-        let id = match asked {
-            Ok(status) => status.stream_id().ok_or(StreamLoss::Gone)?,
-            Err(QuestionError::NotFound) => return Err(StreamLoss::Unseen),
-            Err(QuestionError::NoAnswer) => return Err(StreamLoss::Dropped),
-            Err(QuestionError::Unsupported | QuestionError::Malformed) => {
-                return Err(StreamLoss::Gone);
+        let answer = query_status(address, &context.request_id, None, &context.options).await;
+        let id = match answer {
+            Ok(status) => status.stream_id().ok_or(StreamError::Unavailable)?,
+            Err(QueryError::NotFound) => return Err(StreamError::UnknownRequest),
+            Err(QueryError::NoAnswer) => return Err(StreamError::Dropped),
+            Err(QueryError::Unsupported | QueryError::Malformed) => {
+                return Err(StreamError::Unavailable);
             }
         };
         self.set_stream(id.clone());
--- a/bergamotswitch-net/src/target_client/stream_status.rs
+++ b/bergamotswitch-net/src/target_client/stream_status.rs
@@ -21,13 +21,13 @@
 pub(super) struct StreamId(String);
 
 impl TryFrom<&str> for StreamId {
-    type Error = QuestionError;
+    type Error = QueryError;
 
-    fn try_from(text: &str) -> Result<Self, QuestionError> {
+    fn try_from(text: &str) -> Result<Self, QueryError> {
         let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.' | '~');
         match !text.is_empty() && text.chars().all(allowed) {
             true => Ok(StreamId(text.to_owned())),
-            false => Err(QuestionError::Malformed),
+            false => Err(QueryError::Malformed),
         }
     }
 }
@@ -60,9 +60,9 @@
     }
 }
 
-/// A `QuestionError` is why a question got no usable answer.
+/// A `QueryError` is why a question got no usable answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum QuestionError {
+pub(super) enum QueryError {
     /// No whole answer came in time.
     NoAnswer,
     /// The target does not know what was asked for.
@@ -73,21 +73,21 @@
     Malformed,
 }
 
-impl fmt::Display for QuestionError {
+impl fmt::Display for QueryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            QuestionError::NoAnswer => "no whole answer in time",
-            QuestionError::NotFound => "not known at the target",
-            QuestionError::Unsupported => "not supported by the target",
-            QuestionError::Malformed => "answer malformed",
+            QueryError::NoAnswer => "no whole answer in time",
+            QueryError::NotFound => "not known at the target",
+            QueryError::Unsupported => "not supported by the target",
+            QueryError::Malformed => "answer malformed",
         })
     }
 }
 
-impl std::error::Error for QuestionError {}
+impl std::error::Error for QueryError {}
 
 /// Get a request without a body; `None` where `path` cannot be one.
-pub(super) fn bare_request(
+pub(super) fn empty_request(
     method: Method,
     address: SocketAddr,
     path: &str,
@@ -101,64 +101,64 @@
 }
 
 /// Try to get a small answer over `connection`, in time.
-pub(super) async fn ask_over(
+pub(super) async fn query_over(
     connection: &mut TargetConnection,
     request: TargetRequest,
     options: &TargetClientOptions,
-) -> Result<Bytes, QuestionError> {
-    let asking = async {
+) -> Result<Bytes, QueryError> {
+    let exchange = async {
         let response = connection
             .send(request)
             .await
-            .map_err(|_| QuestionError::NoAnswer)?;
+            .map_err(|_| QueryError::NoAnswer)?;
         match response.status() {
-            StatusCode::NOT_FOUND => return Err(QuestionError::NotFound),
+            StatusCode::NOT_FOUND => return Err(QueryError::NotFound),
             StatusCode::NOT_IMPLEMENTED | StatusCode::METHOD_NOT_ALLOWED => {
-                return Err(QuestionError::Unsupported);
+                return Err(QueryError::Unsupported);
             }
-            status if !status.is_success() => return Err(QuestionError::NoAnswer),
+            status if !status.is_success() => return Err(QueryError::NoAnswer),
             _ => {}
         }
         let body = Limited::new(response.into_body(), MAX_REPORT_BYTES);
-        let whole = body.collect().await.map_err(|_| QuestionError::NoAnswer)?;
+        let whole = body.collect().await.map_err(|_| QueryError::NoAnswer)?;
         Ok(whole.to_bytes())
     };
-    timeout(options.probe_timeout, asking)
+    timeout(options.probe_timeout, exchange)
         .await
-        .unwrap_or(Err(QuestionError::NoAnswer))
+        .unwrap_or(Err(QueryError::NoAnswer))
 }
 
 /// Try to get a small answer over a new connection, in time. A kept one could
 /// be as silent as the one in doubt.
-pub(super) async fn ask_anew(
+pub(super) async fn query(
     method: Method,
     address: SocketAddr,
     path: &str,
     options: &TargetClientOptions,
-) -> Result<Bytes, QuestionError> {
-    let request = bare_request(method, address, path).ok_or(QuestionError::Malformed)?;
-    let asking = async {
+) -> Result<Bytes, QueryError> {
+    let request = empty_request(method, address, path).ok_or(QueryError::Malformed)?;
+    let exchange = async {
         let mut connection = TargetConnection::dial(address, options)
             .await
-            .map_err(|_| QuestionError::NoAnswer)?;
-        ask_over(&mut connection, request, options).await
+            .map_err(|_| QueryError::NoAnswer)?;
+        query_over(&mut connection, request, options).await
     };
-    timeout(options.probe_timeout, asking)
+    timeout(options.probe_timeout, exchange)
         .await
-        .unwrap_or(Err(QuestionError::NoAnswer))
+        .unwrap_or(Err(QueryError::NoAnswer))
 }
 
 /// Try to get the status of a stream, by its id or else by its request's.
-pub(super) async fn ask_status(
+pub(super) async fn query_status(
     address: SocketAddr,
     request_id: &str,
     stream: Option<&StreamId>,
     options: &TargetClientOptions,
-) -> Result<StreamStatus, QuestionError> {
+) -> Result<StreamStatus, QueryError> {
     let path = match stream {
         Some(id) => format!("/v1/streams/{id}/status"),
         None => format!("/v1/requests/{request_id}/status"),
     };
-    let body = ask_anew(Method::GET, address, &path, options).await?;
-    serde_json::from_slice(&body).map_err(|_| QuestionError::Malformed)
+    let body = query(Method::GET, address, &path, options).await?;
+    serde_json::from_slice(&body).map_err(|_| QueryError::Malformed)
 }
--- a/bergamotswitch-net/src/target_client/usage_meter.rs
+++ b/bergamotswitch-net/src/target_client/usage_meter.rs
@@ -91,7 +91,7 @@
     last_progress: Instant,
     first_token: Option<Duration>,
     counted: u32,
-    told: Option<ChunkUsage>,
+    reported: Option<ChunkUsage>,
 }
 
 impl UsageMeter {
@@ -104,14 +104,14 @@
             last_progress: now,
             first_token: None,
             counted: 0,
-            told: None,
+            reported: None,
         }
     }
 
     /// Count a chunk.
     pub fn add(&mut self, chunk: &StreamChunk) -> TokenStep {
         if chunk.usage.is_some() {
-            self.told = chunk.usage;
+            self.reported = chunk.usage;
         }
         // An engine sends one chunk for each token; its own count, in the
         // last chunk, replaces this one.
@@ -137,7 +137,7 @@
     }
 
     /// Get whether nothing came yet.
-    pub fn is_first(&self) -> bool {
+    pub fn awaits_first(&self) -> bool {
         self.first_token.is_none()
     }
 
@@ -158,16 +158,16 @@
     /// target's own count.
     pub fn usage(&self) -> Usage {
         let cached = self
-            .told
-            .and_then(|told| told.prompt_tokens_details)
+            .reported
+            .and_then(|reported| reported.prompt_tokens_details)
             .map_or(0, |details| details.cached_tokens);
-        let prompt = self.told.map_or(0, |told| told.prompt_tokens);
+        let prompt = self.reported.map_or(0, |reported| reported.prompt_tokens);
         Usage {
             prefill: prompt.saturating_sub(cached),
             cached,
             decode: self
-                .told
-                .map_or(self.counted, |told| told.completion_tokens),
+                .reported
+                .map_or(self.counted, |reported| reported.completion_tokens),
             first_token_ms: self.first_token.map_or(0, millis),
             elapsed_ms: millis(self.started.elapsed()),
         }
--- a/bergamotswitch-net/tests/event_blocks.rs
+++ b/bergamotswitch-net/tests/event_blocks.rs
@@ -1,19 +1,19 @@
 //! Streams are cut into whole events, byte for byte.
 
-use bergamotswitch_net::target_client::event_blocks::{EventBlock, EventBlocks};
+use bergamotswitch_net::target_client::event_blocks::{EventBlock, EventSplitter};
 
 const STREAM: &[u8] = b"\nid: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: c\n\nid: 4\nda";
 
 /// Get the events of the stream that comes in pieces of so many bytes, and
 /// what is left.
 fn cut(piece: usize) -> (Vec<EventBlock>, Vec<u8>) {
-    let mut blocks = EventBlocks::default();
+    let mut splitter = EventSplitter::default();
     let mut found = Vec::new();
     for bytes in STREAM.chunks(piece) {
-        blocks.add(bytes);
-        found.extend(blocks.by_ref());
+        splitter.add(bytes);
+        found.extend(splitter.by_ref());
     }
-    (found, blocks.take_rest().to_vec())
+    (found, splitter.take_rest().to_vec())
 }
 
 #[test]
@@ -40,19 +40,19 @@
 
 #[test]
 fn after_rest() {
-    let mut blocks = EventBlocks::default();
-    blocks.add(b"id: 1\nda");
-    assert_eq!(blocks.next(), None);
-    assert_eq!(blocks.rest_len(), 8);
-    assert_eq!(blocks.take_rest().len(), 8);
-    blocks.add(b"\n\nid: 2\n\n");
-    let block = blocks.next().expect("an event");
+    let mut splitter = EventSplitter::default();
+    splitter.add(b"id: 1\nda");
+    assert_eq!(splitter.next(), None);
+    assert_eq!(splitter.rest_len(), 8);
+    assert_eq!(splitter.take_rest().len(), 8);
+    splitter.add(b"\n\nid: 2\n\n");
+    let block = splitter.next().expect("an event");
     assert_eq!(block.id.as_deref(), Some("2"));
 }
 
 #[test]
 fn inside_event() {
-    let mut blocks = EventBlocks::default();
+    let mut splitter = EventSplitter::default();
     for (bytes, is_in_event) in [
         (&b"\n\r\n"[..], false),
         (b"id: 1\nda", true),
@@ -61,8 +61,8 @@
         (b"\n", false),
         (b":", true),
     ] {
-        blocks.add(bytes);
-        let _ = blocks.by_ref().count();
-        assert_eq!(blocks.is_in_event(), is_in_event, "{bytes:?}");
+        splitter.add(bytes);
+        let _ = splitter.by_ref().count();
+        assert_eq!(splitter.is_in_event(), is_in_event, "{bytes:?}");
     }
 }
--- a/bergamotswitch-net/tests/silent_connections.rs
+++ b/bergamotswitch-net/tests/silent_connections.rs
@@ -143,7 +143,7 @@
         let target = target_at(engine.address(), true);
         let board = engine.board();
         board.set(|switches| switches.silent = SilenceMode::All);
-        let options = quick_options().with_unseen_grace(Duration::from_millis(300));
+        let options = quick_options().with_unknown_request_grace(Duration::from_millis(300));
         let mut rig = CallHarness::new(options);
         rig.start(&target, PoolKind::Engine, &engine_call("draft", 5));
         // The kernel accepts the connection; then only that one is silent.
