--- a/bergamotswitch-net/tests/event_blocks.rs
+++ b/bergamotswitch-net/tests/event_blocks.rs
@@ -6,7 +6,7 @@
 
 /// Get the events of the stream that comes in pieces of so many bytes, and
 /// what is left.
-fn cut(piece: usize) -> (Vec<EventBlock>, Vec<u8>) {
+fn split(piece: usize) -> (Vec<EventBlock>, Vec<u8>) {
     let mut splitter = EventSplitter::default();
     let mut found = Vec::new();
     for bytes in STREAM.chunks(piece) {
@@ -17,8 +17,8 @@
 }
 
 #[test]
-fn whole_events() {
-    let (found, rest) = cut(STREAM.len());
+fn complete_events() {
+    let (found, rest) = split(STREAM.len());
     let texts: Vec<&[u8]> = found.iter().map(|block| block.bytes.as_ref()).collect();
     let expected: [&[u8]; 3] = [
         b"\nid: 1\ndata: a\n\n",
@@ -32,9 +32,9 @@
 }
 
 #[test]
-fn any_pieces() {
+fn any_chunking() {
     for piece in 1..STREAM.len() {
-        assert_eq!(cut(piece), cut(STREAM.len()), "pieces of {piece} bytes");
+        assert_eq!(split(piece), split(STREAM.len()), "pieces of {piece} bytes");
     }
 }
 
--- a/bergamotswitch-net/tests/event_stream.rs
+++ b/bergamotswitch-net/tests/event_stream.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn any_pieces() {
+fn any_chunking() {
     // Symptom: an event is lost or doubled now and then. The network cuts a
     // body anywhere, also inside a line end; the events must not depend on it.
     let lines: [&[u8]; 6] = [b"id: 7", b"data: x", b"data: y", b"", b":c", b"data:"];
--- a/bergamotswitch-net/tests/platform_reads.rs
+++ b/bergamotswitch-net/tests/platform_reads.rs
@@ -16,20 +16,20 @@
 use tokio::time;
 
 /// Far beyond what any step takes on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Long enough to see that nothing more comes.
-const QUIET: Duration = Duration::from_millis(300);
+const QUIET_PERIOD: Duration = Duration::from_millis(300);
 
-fn fast() -> PlatformOptions {
+fn short_timeouts() -> PlatformOptions {
     PlatformOptions::default()
         .with_answer_timeout(Duration::from_millis(400))
         .with_watch_wait(Duration::from_millis(300))
 }
 
 /// Options under which a watch waits longer than any test does.
-fn patient() -> PlatformOptions {
-    PlatformOptions::default().with_watch_wait(PATIENCE * 2)
+fn long_watch() -> PlatformOptions {
+    PlatformOptions::default().with_watch_wait(TEST_TIMEOUT * 2)
 }
 
 struct TestClient {
@@ -45,7 +45,7 @@
     }
 
     async fn event(&mut self) -> PlatformEvent {
-        let input = time::timeout(PATIENCE, self.inbox.recv()).await;
+        let input = time::timeout(TEST_TIMEOUT, self.inbox.recv()).await;
         match input.expect("an event in time") {
             Some(NodeInput::Platform(event)) => event,
             other => panic!("unexpected {other:?}"),
@@ -79,7 +79,7 @@
     }
 
     async fn expect_quiet(&mut self) {
-        if let Ok(event) = time::timeout(QUIET, self.inbox.recv()).await {
+        if let Ok(event) = time::timeout(QUIET_PERIOD, self.inbox.recv()).await {
             panic!("unexpected {event:?}");
         }
     }
@@ -96,7 +96,7 @@
 
 /// Get a socket that is bound, so that nobody else gets its address, and does
 /// not listen: a connect is refused.
-fn dead_socket() -> (Socket, SocketAddr) {
+fn refusing_socket() -> (Socket, SocketAddr) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
     socket.bind(&any.into()).unwrap();
@@ -106,7 +106,7 @@
 
 /// Get a service that gives the same bytes to each caller, then nothing more
 /// while it keeps the connection open.
-async fn scripted(answer: String) -> SocketAddr {
+async fn scripted_service(answer: String) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
@@ -132,7 +132,7 @@
     let hosts = service(ValueSource::HostList).await;
     values.publish("rules", json!({"b": 1, "a": [2, 3]}));
     hosts.publish("hosts", json!({"hosts": []}));
-    let mut test = TestClient::new(&[values.address()], &[hosts.address()], fast());
+    let mut test = TestClient::new(&[values.address()], &[hosts.address()], short_timeouts());
     test.client.read(&value_name("rules"));
     test.expect_value("rules", 1, r#"{"a":[2,3],"b":1}"#).await;
     test.client.read(&value_name("hosts"));
@@ -149,7 +149,7 @@
     let hosts = service(ValueSource::HostList).await;
     values.publish("rules", json!(1));
     hosts.publish("hosts", json!(1));
-    let mut test = TestClient::new(&[values.address()], &[hosts.address()], patient());
+    let mut test = TestClient::new(&[values.address()], &[hosts.address()], long_watch());
     // A revision beyond the known one comes at once, a later one when it does.
     test.client.watch(&value_name("rules"), Revision(0));
     test.expect_value("rules", 1, "1").await;
@@ -163,20 +163,20 @@
     hosts.publish("hosts", json!(2));
     test.expect_value("hosts", 2, "2").await;
 
-    let mut test = TestClient::new(&[values.address()], &[], fast());
+    let mut test = TestClient::new(&[values.address()], &[], short_timeouts());
     test.client.watch(&value_name("rules"), Revision(2));
     test.expect_unchanged("rules").await;
     assert_eq!(test.client.calls(), 1);
 }
 
 #[tokio::test]
-async fn one_call() {
+async fn single_call_in_flight() {
     // Symptom: the service is asked far more often than hosts and changes
     // explain. Sequence: the loop asks again while a call is in flight.
     // Cause: each wish made a call of its own.
     let values = service(ValueSource::Configuration).await;
     values.publish("rules", json!(1));
-    let mut test = TestClient::new(&[values.address()], &[], patient());
+    let mut test = TestClient::new(&[values.address()], &[], long_watch());
     for _ in 0..10 {
         test.client.watch(&value_name("rules"), Revision(1));
     }
@@ -191,7 +191,7 @@
 }
 
 #[tokio::test]
-async fn services_in_turn() {
+async fn service_failover() {
     // Symptom: a change does not reach the fleet though one service is well.
     // Sequence: the first service in the settings is down. Cause: only that
     // one was asked.
@@ -201,9 +201,9 @@
     );
     down.set(|switches| switches.outage = OutageMode::Unavailable);
     well.publish("rules", json!(1));
-    let (_dead, dead) = dead_socket();
+    let (_dead, dead) = refusing_socket();
     let services = [dead, down.address(), well.address()];
-    let mut test = TestClient::new(&services, &[], fast());
+    let mut test = TestClient::new(&services, &[], short_timeouts());
     test.client.read(&value_name("rules"));
     test.expect_value("rules", 1, "1").await;
     assert_eq!(test.client.calls(), 3);
@@ -227,12 +227,12 @@
     // work. Cause: a watch without a time limit of its own.
     let values = service(ValueSource::Configuration).await;
     values.publish("rules", json!(1));
-    let opts = fast().with_watch_wait(Duration::from_secs(1));
+    let opts = short_timeouts().with_watch_wait(Duration::from_secs(1));
     let mut test = TestClient::new(&[values.address()], &[], opts);
     test.client.watch(&value_name("rules"), Revision(1));
     let began = Instant::now();
     while values.counts().watches == 0 {
-        assert!(began.elapsed() < PATIENCE, "the watch has come in time");
+        assert!(began.elapsed() < TEST_TIMEOUT, "the watch has come in time");
         time::sleep(Duration::from_millis(1)).await;
     }
     values.set(|switches| switches.silent = SilenceMode::Open);
@@ -244,15 +244,15 @@
     test.expect_value("rules", 2, "2").await;
 
     // With a second service the watch goes on there.
-    let silent = scripted(String::new()).await;
-    let mut test = TestClient::new(&[silent, values.address()], &[], fast());
+    let silent = scripted_service(String::new()).await;
+    let mut test = TestClient::new(&[silent, values.address()], &[], short_timeouts());
     test.client.watch(&value_name("rules"), Revision(1));
     test.expect_value("rules", 2, "2").await;
 
     // Half an answer is none, however long its other half takes.
     let half = http_ok(r#"{"name":"rules","revision":1,"body":1}"#);
-    let half = scripted(half[..half.len() - 9].to_owned()).await;
-    let mut test = TestClient::new(&[half], &[], fast());
+    let half = scripted_service(half[..half.len() - 9].to_owned()).await;
+    let mut test = TestClient::new(&[half], &[], short_timeouts());
     test.client.read(&value_name("rules"));
     test.expect_failed("rules").await;
 }
@@ -270,13 +270,13 @@
         "not JSON",
     ];
     for body in bodies {
-        let address = scripted(http_ok(body)).await;
-        let mut test = TestClient::new(&[address], &[], fast());
+        let address = scripted_service(http_ok(body)).await;
+        let mut test = TestClient::new(&[address], &[], short_timeouts());
         test.client.read(&value_name("rules"));
         test.expect_failed("rules").await;
     }
     let unasked = "HTTP/1.1 304 Not Modified\r\n\r\n".to_owned();
-    let mut test = TestClient::new(&[scripted(unasked).await], &[], fast());
+    let mut test = TestClient::new(&[scripted_service(unasked).await], &[], short_timeouts());
     test.client.read(&value_name("rules"));
     test.expect_failed("rules").await;
 }
@@ -289,7 +289,7 @@
     let text = "x".repeat((1 << 20) - 2);
     values.publish("rules", json!(text));
     values.publish("pools", json!("x".repeat(1 << 21)));
-    let slow = fast().with_answer_timeout(PATIENCE);
+    let slow = short_timeouts().with_answer_timeout(TEST_TIMEOUT);
     let mut test = TestClient::new(&[values.address()], &[], slow);
     test.client.read(&value_name("rules"));
     test.expect_value("rules", 1, &format!("\"{text}\"")).await;
--- a/bergamotswitch-net/tests/silent_connections.rs
+++ b/bergamotswitch-net/tests/silent_connections.rs
@@ -24,12 +24,12 @@
 const CALLS: usize = 60;
 const CALL_PERIOD: Duration = Duration::from_millis(50);
 const SILENCE_PERIOD: usize = 20;
-const NEVER_ENDS: Duration = Duration::from_secs(3);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Relay to `engine`. The first connection carries requests there but no
 /// answer back; later ones work.
 async fn start_relay(engine: SocketAddr) -> SocketAddr {
-    let listener = TcpListener::bind(ANYWHERE).await.expect("a port");
+    let listener = TcpListener::bind(EPHEMERAL_ADDRESS).await.expect("a port");
     let address = listener.local_addr().expect("an address");
     tokio::spawn(async move {
         let mut first = true;
@@ -66,18 +66,18 @@
         let engine = start_engine(true).await;
         let target = target_at(engine.address(), true);
         let gap = options.idle_probe;
-        let mut rig = CallHarness::new(options);
+        let mut harness = CallHarness::new(options);
         let call = engine_call("draft", 200);
-        let (_, reference) = rig.start(&target, PoolKind::Engine, &call);
-        rig.events().await;
-        let (attempt, answer) = rig.start(&target, PoolKind::Engine, &call);
-        rig.first_token().await;
+        let (_, reference) = harness.start(&target, PoolKind::Engine, &call);
+        harness.events().await;
+        let (attempt, answer) = harness.start(&target, PoolKind::Engine, &call);
+        harness.first_token().await;
         silence_open(&engine);
         let silenced = Instant::now();
-        while rig.next_event().await.1 != AttemptEvent::Resumed {}
+        while harness.next_event().await.1 != AttemptEvent::Resumed {}
         let recovery = silenced.elapsed();
         println!("silent stream resumed after {recovery:?}, questions after {gap:?}");
-        let events = rig.events().await;
+        let events = harness.events().await;
         assert!(
             matches!(events.last(), Some(AttemptEvent::Finished(usage)) if usage.decode == 200)
         );
@@ -92,11 +92,11 @@
     // resume streams, so the rest cannot be had; it does tell its status.
     let engine = start_engine(false).await;
     let target = target_at(engine.address(), false);
-    let mut rig = CallHarness::new(quick_options());
-    rig.start(&target, PoolKind::Engine, &engine_call("draft", 2_000));
-    rig.first_token().await;
+    let mut harness = CallHarness::new(quick_options());
+    harness.start(&target, PoolKind::Engine, &engine_call("draft", 2_000));
+    harness.first_token().await;
     silence_open(&engine);
-    let events = rig.events().await;
+    let events = harness.events().await;
     assert!(matches!(events.last(), Some(AttemptEvent::Broken(_))));
     assert!(!events.contains(&AttemptEvent::Resumed));
 }
@@ -107,9 +107,9 @@
     // stream's id must be asked for by the request's.
     let engine = start_engine(true).await;
     let target = target_at(start_relay(engine.address()).await, true);
-    let mut rig = CallHarness::new(quick_options());
-    let (attempt, answer) = rig.start(&target, PoolKind::Engine, &engine_call("draft", 20));
-    let events = rig.events().await;
+    let mut harness = CallHarness::new(quick_options());
+    let (attempt, answer) = harness.start(&target, PoolKind::Engine, &engine_call("draft", 20));
+    let events = harness.events().await;
     assert_eq!(events[0], AttemptEvent::Resumed);
     assert!(matches!(events.last(), Some(AttemptEvent::Finished(_))));
     assert_eq!(parts_of(answer).await.len(), 21);
@@ -122,15 +122,15 @@
     // response's head came, so the stream's id must be asked for.
     let engine = start_engine(true).await;
     let target = target_at(start_relay(engine.address()).await, true);
-    let mut rig = CallHarness::new(TargetClientOptions::default());
-    let (attempt, _) = rig.start(&target, PoolKind::Engine, &engine_call("log", 50_000));
+    let mut harness = CallHarness::new(TargetClientOptions::default());
+    let (attempt, _) = harness.start(&target, PoolKind::Engine, &engine_call("log", 50_000));
     let id = attempt.to_string();
     while engine.board().run_count(&id) == 0 {
         sleep(Duration::from_millis(1)).await;
     }
-    rig.client.abort(attempt, true);
+    harness.client.abort(attempt, true);
     wait_for_cancel(&engine, &id).await;
-    assert!(rig.inbox.try_recv().is_err());
+    assert!(harness.inbox.try_recv().is_err());
 }
 
 #[tokio::test]
@@ -144,15 +144,15 @@
         let board = engine.board();
         board.set(|switches| switches.silent = SilenceMode::All);
         let options = quick_options().with_unknown_request_grace(Duration::from_millis(300));
-        let mut rig = CallHarness::new(options);
-        rig.start(&target, PoolKind::Engine, &engine_call("draft", 5));
+        let mut harness = CallHarness::new(options);
+        harness.start(&target, PoolKind::Engine, &engine_call("draft", 5));
         // The kernel accepts the connection; then only that one is silent.
         sleep(Duration::from_millis(50)).await;
         if ends {
             board.cut_connections();
         }
         board.set(|switches| switches.silent = SilenceMode::Open);
-        let events = rig.events().await;
+        let events = harness.events().await;
         assert!(matches!(events.as_slice(), [AttemptEvent::Broken(_)]));
     }
 }
@@ -166,13 +166,13 @@
     let options = quick_options()
         .with_probe_timeout(Duration::from_millis(100))
         .with_probe_misses(3);
-    let mut rig = CallHarness::new(options);
-    rig.start(&target, PoolKind::Engine, &engine_call("draft", 2_000));
-    rig.first_token().await;
+    let mut harness = CallHarness::new(options);
+    harness.start(&target, PoolKind::Engine, &engine_call("draft", 2_000));
+    harness.first_token().await;
     engine
         .board()
         .set(|switches| switches.silent = SilenceMode::All);
-    let events = rig.events().await;
+    let events = harness.events().await;
     assert!(matches!(events.last(), Some(AttemptEvent::Broken(_))));
     assert!(!events.contains(&AttemptEvent::Resumed));
 }
@@ -183,12 +183,12 @@
     // to ask how far it got, so a quiet call is neither given up nor sent
     // again; its deadline ends it from outside.
     let contract = deployment::TargetContract::default();
-    let started = PlainStandin::try_start(ANYWHERE, "case-desk", contract).await;
+    let started = PlainStandin::try_start(EPHEMERAL_ADDRESS, "case-desk", contract).await;
     let service = started.expect("a plain service");
     service.board().set(|switches| switches.delay_ms = 50);
     let target = target_at(service.address(), false);
-    let mut rig = CallHarness::new(quick_options());
-    let (attempt, answer) = rig.start(&target, PoolKind::Plain, &engine_call("receipt", 1));
+    let mut harness = CallHarness::new(quick_options());
+    let (attempt, answer) = harness.start(&target, PoolKind::Plain, &engine_call("receipt", 1));
     let id = attempt.to_string();
     while service.board().run_count(&id) == 0 {
         sleep(Duration::from_millis(1)).await;
@@ -197,10 +197,10 @@
         .board()
         .set(|switches| switches.silent = SilenceMode::Open);
     sleep(Duration::from_secs(1)).await;
-    assert!(rig.inbox.try_recv().is_err());
-    rig.client.abort(attempt, true);
+    assert!(harness.inbox.try_recv().is_err());
+    harness.client.abort(attempt, true);
     sleep(Duration::from_millis(50)).await;
-    assert!(rig.inbox.try_recv().is_err());
+    assert!(harness.inbox.try_recv().is_err());
     assert_eq!(parts_of(answer).await, []);
     let ledger = service.board().ledger();
     let runs = ledger.runs_of(&id);
@@ -213,14 +213,14 @@
     // Symptom: a call waits for ever on a path that takes no more data. The
     // peer's window closes in the middle of the request and the kernel gives
     // the connection up after the bound on unacknowledged data.
-    let listener = TcpListener::bind(ANYWHERE).await.expect("a port");
+    let listener = TcpListener::bind(EPHEMERAL_ADDRESS).await.expect("a port");
     let target = target_at(listener.local_addr().expect("an address"), false);
     let options = quick_options().with_user_timeout(Duration::from_millis(1_000));
-    let mut rig = CallHarness::new(options);
+    let mut harness = CallHarness::new(options);
     let long_log = "sky ".repeat(4 << 20);
-    rig.start(&target, PoolKind::Plain, &engine_call(&long_log, 1));
+    harness.start(&target, PoolKind::Plain, &engine_call(&long_log, 1));
     let (_unread, _) = listener.accept().await.expect("a connection");
-    let events = rig.events().await;
+    let events = harness.events().await;
     assert!(matches!(events.as_slice(), [AttemptEvent::Broken(_)]));
 }
 
@@ -231,29 +231,29 @@
     board.set(|switches| switches.silent = SilenceMode::Open);
 }
 
-/// Get how many of [`CALLS`] answers were whole, while connections of the
+/// Get how many of [`CALLS`] answers were complete, while connections of the
 /// engine go silent a few times.
-async fn whole_answers(options: TargetClientOptions) -> usize {
+async fn complete_answers(options: TargetClientOptions) -> usize {
     let engine = start_engine(true).await;
     let target = target_at(engine.address(), true);
-    let mut rig = CallHarness::new(options);
+    let mut harness = CallHarness::new(options);
     let call = engine_call("draft", 100);
     let mut attempts = Vec::new();
     for index in 0..CALLS {
-        attempts.push(rig.start(&target, PoolKind::Engine, &call).0);
+        attempts.push(harness.start(&target, PoolKind::Engine, &call).0);
         sleep(CALL_PERIOD).await;
         if index % SILENCE_PERIOD == SILENCE_PERIOD - 1 {
             silence_open(&engine);
         }
     }
-    let mut whole = 0;
+    let mut complete = 0;
     let mut ended = 0;
     // An attempt that reports nothing for so long never ends.
-    while let Ok(Some(input)) = timeout(NEVER_ENDS, rig.inbox.recv()).await {
+    while let Ok(Some(input)) = timeout(IDLE_TIMEOUT, harness.inbox.recv()).await {
         let NodeInput::Attempt(_, event) = input else {
             panic!("{input:?}");
         };
-        whole += usize::from(matches!(event, AttemptEvent::Finished(_)));
+        complete += usize::from(matches!(event, AttemptEvent::Finished(_)));
         ended += usize::from(is_end(&event));
         if ended == CALLS {
             break;
@@ -262,19 +262,19 @@
     for attempt in attempts {
         assert!(engine.board().run_count(&attempt.to_string()) <= 1);
     }
-    whole
+    complete
 }
 
 #[tokio::test]
-async fn whole_share() {
+async fn complete_share() {
     // Symptom: drafts are lost now and then. Some connections go silent in
     // the middle of a stream, which the checks notice; a kept one may have
     // gone silent before its next request, which then never arrives.
-    let checked = whole_answers(quick_options()).await;
+    let checked = complete_answers(quick_options()).await;
     let kept = quick_options().with_idle_reuse(Duration::from_secs(2));
-    let reused = whole_answers(kept).await;
-    let unchecked = whole_answers(quick_options().with_liveness(false)).await;
-    println!("whole answers of {CALLS}: {checked} with checks and new connections");
+    let reused = complete_answers(kept).await;
+    let unchecked = complete_answers(quick_options().with_liveness(false)).await;
+    println!("complete answers of {CALLS}: {checked} with checks and new connections");
     println!("{reused} with checks and kept connections, {unchecked} without checks");
     assert_eq!(checked, CALLS);
     assert!(unchecked < checked);
--- a/bergamotswitch-net/tests/target_calls.rs
+++ b/bergamotswitch-net/tests/target_calls.rs
@@ -19,7 +19,7 @@
 
 async fn start_plain() -> PlainStandin {
     let contract = deployment::TargetContract::default();
-    let started = PlainStandin::try_start(ANYWHERE, "case-desk", contract).await;
+    let started = PlainStandin::try_start(EPHEMERAL_ADDRESS, "case-desk", contract).await;
     started.expect("a plain service")
 }
 
@@ -41,15 +41,15 @@
     let (engine, service) = (start_engine(false).await, start_plain().await);
     engine.board().set(&change);
     service.board().set(&change);
-    let mut rig = CallHarness::new(TargetClientOptions::default());
+    let mut harness = CallHarness::new(TargetClientOptions::default());
     let mut results = Vec::new();
     for (address, kind) in [
         (engine.address(), PoolKind::Engine),
         (service.address(), PoolKind::Plain),
     ] {
         let target = target_at(address, false);
-        let (_, answer) = rig.start(&target, kind, &engine_call("draft", 20));
-        results.push((rig.events().await, parts_of(answer).await));
+        let (_, answer) = harness.start(&target, kind, &engine_call("draft", 20));
+        results.push((harness.events().await, parts_of(answer).await));
     }
     results
 }
@@ -65,9 +65,9 @@
 async fn engine_answer() {
     let engine = start_engine(true).await;
     let target = target_at(engine.address(), true);
-    let mut rig = CallHarness::new(TargetClientOptions::default());
-    let (attempt, answer) = rig.start(&target, PoolKind::Engine, &engine_call("draft", 150));
-    let events = rig.events().await;
+    let mut harness = CallHarness::new(TargetClientOptions::default());
+    let (attempt, answer) = harness.start(&target, PoolKind::Engine, &engine_call("draft", 150));
+    let events = harness.events().await;
     let [AttemptEvent::FirstToken, .., AttemptEvent::Finished(usage)] = events.as_slice() else {
         panic!("{events:?}");
     };
@@ -84,9 +84,9 @@
 async fn plain_answer() {
     let service = start_plain().await;
     let target = target_at(service.address(), false);
-    let mut rig = CallHarness::new(TargetClientOptions::default());
-    let (attempt, answer) = rig.start(&target, PoolKind::Plain, &plain_call("consent"));
-    let events = rig.events().await;
+    let mut harness = CallHarness::new(TargetClientOptions::default());
+    let (attempt, answer) = harness.start(&target, PoolKind::Plain, &plain_call("consent"));
+    let events = harness.events().await;
     assert!(matches!(
         events.as_slice(),
         [AttemptEvent::FirstToken, AttemptEvent::Finished(_)]
@@ -105,14 +105,14 @@
 async fn refused_connect() {
     // Symptom: a request that never left the host is called "may have run".
     // The listener is gone, so the connect is refused and no byte leaves.
-    let listener = TcpListener::bind(ANYWHERE).await.expect("a port");
+    let listener = TcpListener::bind(EPHEMERAL_ADDRESS).await.expect("a port");
     let target = target_at(listener.local_addr().expect("an address"), true);
     drop(listener);
-    let mut rig = CallHarness::new(TargetClientOptions::default());
+    let mut harness = CallHarness::new(TargetClientOptions::default());
     for kind in [PoolKind::Engine, PoolKind::Plain] {
-        let (_, answer) = rig.start(&target, kind, &engine_call("draft", 5));
+        let (_, answer) = harness.start(&target, kind, &engine_call("draft", 5));
         let not_sent = AttemptEvent::NotSent(NotSentReason::ConnectFailed);
-        assert_eq!(rig.events().await, [not_sent]);
+        assert_eq!(harness.events().await, [not_sent]);
         assert_eq!(parts_of(answer).await, []);
     }
 }
@@ -122,17 +122,17 @@
     // Symptom: a request runs twice after a claim that it did not run. The
     // target accepts the connection and closes it unread; from here that looks
     // like a target that ran the request and died, so it may have run.
-    let listener = TcpListener::bind(ANYWHERE).await.expect("a port");
+    let listener = TcpListener::bind(EPHEMERAL_ADDRESS).await.expect("a port");
     let target = target_at(listener.local_addr().expect("an address"), false);
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             drop(stream);
         }
     });
-    let mut rig = CallHarness::new(TargetClientOptions::default());
+    let mut harness = CallHarness::new(TargetClientOptions::default());
     for kind in [PoolKind::Engine, PoolKind::Plain] {
-        rig.start(&target, kind, &engine_call("draft", 5));
-        let events = rig.events().await;
+        harness.start(&target, kind, &engine_call("draft", 5));
+        let events = harness.events().await;
         assert!(matches!(events.as_slice(), [AttemptEvent::Broken(_)]));
     }
 }
@@ -144,18 +144,18 @@
     let engine = start_engine(true).await;
     let target = target_at(engine.address(), true);
     let bound = Duration::from_millis(500);
-    let mut rig = CallHarness::new(TargetClientOptions::default().with_idle_reuse(bound));
+    let mut harness = CallHarness::new(TargetClientOptions::default().with_idle_reuse(bound));
     let call = engine_call("draft", 5);
-    rig.start(&target, PoolKind::Engine, &call);
-    rig.events().await;
+    harness.start(&target, PoolKind::Engine, &call);
+    harness.events().await;
     engine.board().set(|switches| switches.reject = true);
-    rig.start(&target, PoolKind::Engine, &call);
-    let events = rig.events().await;
+    harness.start(&target, PoolKind::Engine, &call);
+    let events = harness.events().await;
     assert!(matches!(events.last(), Some(AttemptEvent::Finished(_))));
     sleep(bound * 2).await;
-    rig.start(&target, PoolKind::Engine, &call);
+    harness.start(&target, PoolKind::Engine, &call);
     let not_sent = AttemptEvent::NotSent(NotSentReason::ConnectFailed);
-    assert_eq!(rig.events().await, [not_sent]);
+    assert_eq!(harness.events().await, [not_sent]);
 }
 
 #[tokio::test]
@@ -200,15 +200,15 @@
     // engine still has the stream, which a later connection brings whole.
     let engine = start_engine(true).await;
     let target = target_at(engine.address(), true);
-    let mut rig = CallHarness::new(TargetClientOptions::default());
+    let mut harness = CallHarness::new(TargetClientOptions::default());
     engine.board().set(|switches| switches.crossed = true);
-    let (attempt, answer) = rig.start(&target, PoolKind::Engine, &engine_call("draft", 20));
+    let (attempt, answer) = harness.start(&target, PoolKind::Engine, &engine_call("draft", 20));
     let id = attempt.to_string();
     while engine.board().run_count(&id) == 0 {
         sleep(Duration::from_millis(1)).await;
     }
     engine.board().set(|switches| switches.crossed = false);
-    let events = rig.events().await;
+    let events = harness.events().await;
     assert_eq!(events[0], AttemptEvent::Resumed);
     assert!(matches!(events.last(), Some(AttemptEvent::Finished(_))));
     assert_eq!(parts_of(answer).await.len(), 21);
@@ -221,17 +221,17 @@
     // ends early; the rest is asked for by id and offset, without a new run.
     let engine = start_engine(true).await;
     let target = target_at(engine.address(), true);
-    let mut rig = CallHarness::new(TargetClientOptions::default());
+    let mut harness = CallHarness::new(TargetClientOptions::default());
     let call = engine_call("draft", 60);
-    let (_, reference) = rig.start(&target, PoolKind::Engine, &call);
-    rig.events().await;
+    let (_, reference) = harness.start(&target, PoolKind::Engine, &call);
+    harness.events().await;
     engine.board().set(|switches| switches.truncate = true);
-    let (attempt, answer) = rig.start(&target, PoolKind::Engine, &call);
+    let (attempt, answer) = harness.start(&target, PoolKind::Engine, &call);
     // The first resume ends early as well, at the same place.
-    rig.first_token().await;
-    while rig.next_event().await.1 != AttemptEvent::Resumed {}
+    harness.first_token().await;
+    while harness.next_event().await.1 != AttemptEvent::Resumed {}
     engine.board().set(|switches| switches.truncate = false);
-    let events = rig.events().await;
+    let events = harness.events().await;
     assert!(matches!(events.last(), Some(AttemptEvent::Finished(_))));
     assert_eq!(text_of(answer).await, text_of(reference).await);
     assert_eq!(engine.board().run_count(&attempt.to_string()), 1);
@@ -242,10 +242,10 @@
     // Symptom: as above. Every connection is cut after 25 events.
     let engine = start_engine(true).await;
     let target = target_at(engine.address(), true);
-    let mut rig = CallHarness::new(TargetClientOptions::default());
+    let mut harness = CallHarness::new(TargetClientOptions::default());
     engine.board().set(|switches| switches.drop = Some(25));
-    let (attempt, answer) = rig.start(&target, PoolKind::Engine, &engine_call("draft", 90));
-    let events = rig.events().await;
+    let (attempt, answer) = harness.start(&target, PoolKind::Engine, &engine_call("draft", 90));
+    let events = harness.events().await;
     assert!(matches!(events.last(), Some(AttemptEvent::Finished(_))));
     let resumed = events
         .iter()
@@ -262,14 +262,14 @@
     for comes_back in [true, false] {
         let engine = start_engine(true).await;
         let target = target_at(engine.address(), true);
-        let mut rig = CallHarness::new(TargetClientOptions::default());
-        rig.start(&target, PoolKind::Engine, &engine_call("draft", 2_000));
-        rig.first_token().await;
+        let mut harness = CallHarness::new(TargetClientOptions::default());
+        harness.start(&target, PoolKind::Engine, &engine_call("draft", 2_000));
+        harness.first_token().await;
         match comes_back {
             true => engine.restart(),
             false => drop(engine),
         }
-        let events = rig.events().await;
+        let events = harness.events().await;
         assert!(matches!(events.last(), Some(AttemptEvent::Broken(usage)) if usage.decode > 0));
     }
 }
@@ -282,9 +282,9 @@
         let engine = start_engine(resumes).await;
         engine.board().set(|switches| switches.slow = 300.0);
         let target = target_at(engine.address(), resumes);
-        let mut rig = CallHarness::new(quick_options().with_probe_misses(2));
-        rig.start(&target, PoolKind::Engine, &engine_call("clause", 2));
-        let events = rig.events().await;
+        let mut harness = CallHarness::new(quick_options().with_probe_misses(2));
+        harness.start(&target, PoolKind::Engine, &engine_call("clause", 2));
+        let events = harness.events().await;
         assert!(matches!(events.last(), Some(AttemptEvent::Finished(_))));
         assert!(!events.contains(&AttemptEvent::Resumed));
     }
@@ -294,13 +294,13 @@
 async fn cancelled_stream() {
     let engine = start_engine(true).await;
     let target = target_at(engine.address(), true);
-    let mut rig = CallHarness::new(TargetClientOptions::default());
-    let (attempt, _) = rig.start(&target, PoolKind::Engine, &engine_call("log", 50_000));
-    rig.first_token().await;
-    rig.client.abort(attempt, true);
+    let mut harness = CallHarness::new(TargetClientOptions::default());
+    let (attempt, _) = harness.start(&target, PoolKind::Engine, &engine_call("log", 50_000));
+    harness.first_token().await;
+    harness.client.abort(attempt, true);
     wait_for_cancel(&engine, &attempt.to_string()).await;
     // An aborted attempt reports no end; progress from before may be left.
-    while let Ok(input) = rig.inbox.try_recv() {
+    while let Ok(input) = harness.inbox.try_recv() {
         let progress = matches!(input, NodeInput::Attempt(_, AttemptEvent::Progress(_)));
         assert!(progress, "{input:?}");
     }
@@ -311,13 +311,13 @@
     let engine = start_engine(true).await;
     let target = target_at(engine.address(), true);
     let options = TargetClientOptions::default().with_load_period(Duration::from_millis(20));
-    let mut rig = CallHarness::new(options);
-    rig.client.watch_targets(std::slice::from_ref(&target));
+    let mut harness = CallHarness::new(options);
+    harness.client.watch_targets(std::slice::from_ref(&target));
     let long_prompt = "sky ".repeat(2_000);
-    rig.start(&target, PoolKind::Engine, &engine_call(&long_prompt, 2_000));
+    harness.start(&target, PoolKind::Engine, &engine_call(&long_prompt, 2_000));
     let (mut loaded, mut warm) = (false, false);
     while !loaded || !warm {
-        let waiting = timeout(TEST_TIMEOUT, rig.inbox.recv());
+        let waiting = timeout(TEST_TIMEOUT, harness.inbox.recv());
         match waiting.await.expect("no report in time") {
             Some(NodeInput::Load(name, report)) if name == target.name => {
                 loaded |= report.running == 1 && report.outstanding_tokens > 0;
@@ -327,11 +327,11 @@
             other => panic!("{other:?}"),
         }
     }
-    rig.client.watch_targets(&[]);
+    harness.client.watch_targets(&[]);
     tokio::task::yield_now().await;
-    while rig.inbox.try_recv().is_ok() {}
+    while harness.inbox.try_recv().is_ok() {}
     sleep(Duration::from_millis(100)).await;
-    while let Ok(input) = rig.inbox.try_recv() {
+    while let Ok(input) = harness.inbox.try_recv() {
         assert!(matches!(input, NodeInput::Attempt(..)), "{input:?}");
     }
 }
--- a/bergamotswitch-net/tests/target_support/mod.rs
+++ b/bergamotswitch-net/tests/target_support/mod.rs
@@ -26,7 +26,8 @@
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A free loopback address.
-pub const ANYWHERE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+pub const EPHEMERAL_ADDRESS: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
 /// A `CallHarness` is a client and the loop's end of its reports.
 pub struct CallHarness {
@@ -155,7 +156,7 @@
         ..deployment::TargetContract::default()
     };
     let options = EngineOptions::default().with_contract(contract);
-    let started = EngineStandin::try_start(ANYWHERE, options).await;
+    let started = EngineStandin::try_start(EPHEMERAL_ADDRESS, options).await;
     started.expect("an engine")
 }
 
