--- a/bergamotswitch-net/src/answer.rs
+++ b/bergamotswitch-net/src/answer.rs
@@ -1,6 +1,6 @@
-//! Provides answers: what a target's attempt writes and callers read. Each
-//! reader gets the answer from its beginning, so a caller that resubmits gets
-//! the same whole answer as the first one.
+//! Provides answer buffers: an attempt at a target writes an answer, callers
+//! read it. Each reader starts at the beginning, so a caller that resubmits a
+//! request gets the same complete answer as the first one.
 
 use std::mem::size_of;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,32 +14,32 @@
 
 use crate::input::{NodeInput, NodeSender};
 
-/// An `AnswerPart` is one piece of an answer, in order.
+/// An `AnswerPart` is one part of an answer, in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AnswerPart {
-    /// The target's status and content type.
+    /// The status and headers.
     Head {
         /// The HTTP status.
         status: u16,
-        /// The content type, where the fields do not hold it.
+        /// The content type, if `fields` does not contain it.
         content_type: String,
-        /// The target's fields that its caller gets.
+        /// The header fields that are passed on to the caller.
         fields: HeaderMap,
     },
-    /// One server-sent event's data of an engine (without `data: `), or a
-    /// piece of a plain service's body.
+    /// The data of one server-sent event of an engine (without `data: `), or a
+    /// chunk of a plain service's body.
     Data(Bytes),
-    /// The answer is whole.
+    /// The answer is complete.
     End,
-    /// There will be no whole answer.
+    /// The answer will not be completed.
     Refused(Refusal),
-    /// Another run of a host holds the request: its answer comes from there.
-    /// Only the first part can say so.
+    /// Another host process holds the request and its answer. Always the first
+    /// part.
     Forward(HostIncarnation),
 }
 
 impl AnswerPart {
-    /// Get whether no part can follow this one.
+    /// Get whether this is the last part of an answer.
     pub fn is_last(&self) -> bool {
         match self {
             AnswerPart::Head { .. } | AnswerPart::Data(_) => false,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Get whether the answer comes from another host.
+    /// Get whether the answer must be read from another host.
     pub fn is_forward(&self) -> bool {
         matches!(self, AnswerPart::Forward(_))
     }
@@ -57,11 +57,11 @@
 struct AnswerLog {
     parts: Vec<AnswerPart>,
     bytes: usize,
-    /// Whether data came that was not kept, since the answer was too long.
+    /// Whether data was dropped because the answer exceeded its limit.
     overlong: bool,
-    /// How often the answer began anew.
+    /// The number of times that the answer was cleared.
     generation: u64,
-    /// The id of the last event of a stream that another target may carry on.
+    /// The id of the last event of a stream that another target may resume.
     last_event_id: Option<String>,
 }
 
@@ -71,20 +71,20 @@
     }
 }
 
-/// An `AnswerBound` is the most memory that an answer may take, and who is told
-/// when there would be more.
+/// An `AnswerBound` is the memory limit of an answer, and the event loop to
+/// notify when it is exceeded.
 #[derive(Clone, Debug)]
 pub struct AnswerBound {
-    /// The bytes of data, each part with its own entry.
+    /// The limit in bytes of data, including the size of each part's entry.
     pub bytes: usize,
     /// The request.
     pub request: RequestId,
-    /// The loop.
+    /// The sender to the event loop.
     pub node: NodeSender,
 }
 
-/// An `AnswerWriter` adds parts to an answer. It stays usable when no reader
-/// is left: an answer that must not be made twice is kept for a resubmission.
+/// An `AnswerWriter` appends parts to an answer. It works without readers,
+/// since the answer of a non-idempotent request is retained for a resubmission.
 #[derive(Clone, Debug)]
 pub struct AnswerWriter {
     log: Arc<Mutex<AnswerLog>>,
@@ -92,7 +92,7 @@
     bound: Option<AnswerBound>,
 }
 
-/// An `AnswerReader` follows an answer from its beginning.
+/// An `AnswerReader` reads an answer from its beginning.
 #[derive(Debug)]
 pub struct AnswerReader {
     log: Arc<Mutex<AnswerLog>>,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Get a writer of an empty answer that keeps no data beyond a bound.
+    /// Get a writer of an empty answer that drops data beyond a limit.
     pub fn bounded(bound: AnswerBound) -> Self {
         AnswerWriter {
             bound: Some(bound),
@@ -123,9 +123,9 @@
         }
     }
 
-    /// Add a part. Nothing follows the last one ([`AnswerPart::is_last`]); a
-    /// later part is dropped, as is data beyond the bound, of which the loop is
-    /// told once.
+    /// Append a part. A part after the last one ([`AnswerPart::is_last`]) is
+    /// dropped, as is data beyond the limit; the event loop is notified of the
+    /// first drop.
     pub fn push(&self, part: AnswerPart) {
         let mut log = lock(&self.log);
         if log.is_over() {
@@ -146,7 +146,8 @@
         self.length.send_replace(len);
     }
 
-    /// Add an event of a stream that another target may carry on after it.
+    /// Append an event of a stream that another target may resume after this
+    /// event.
     pub fn push_event(&self, bytes: Bytes, id: Option<String>) {
         if id.is_some() {
             lock(&self.log).last_event_id = id;
@@ -154,19 +155,20 @@
         self.push(AnswerPart::Data(bytes));
     }
 
-    /// Get the number of pieces of data kept.
+    /// Get the number of data parts in the buffer.
     pub fn data_part_count(&self) -> usize {
         let log = lock(&self.log);
         let data = |part: &&AnswerPart| matches!(part, AnswerPart::Data(_));
         log.parts.iter().filter(data).count()
     }
 
-    /// Get the id of the last event that was added.
+    /// Get the id of the last appended event.
     pub fn last_event_id(&self) -> Option<String> {
         lock(&self.log).last_event_id.clone()
     }
 
-    /// Drop what was written: an attempt failed before any caller saw it.
+    /// Clear the answer after an attempt failed before any caller saw a part of
+    /// it.
     pub fn clear(&self) {
         let mut log = lock(&self.log);
         log.parts.clear();
@@ -178,17 +180,18 @@
         self.length.send_replace(0);
     }
 
-    /// Get the bytes of data kept, each part with its own entry.
+    /// Get the bytes of data in the buffer, including the size of each part's
+    /// entry.
     pub fn bytes(&self) -> usize {
         lock(&self.log).bytes
     }
 
-    /// Get whether data came that was beyond the bound.
+    /// Get whether data beyond the limit was dropped.
     pub fn is_overlong(&self) -> bool {
         lock(&self.log).overlong
     }
 
-    /// Get a reader from the answer's beginning.
+    /// Get a reader at the beginning of the answer.
     pub fn reader(&self) -> AnswerReader {
         AnswerReader {
             log: Arc::clone(&self.log),
@@ -204,7 +207,7 @@
         return;
     }
     log.overlong = true;
-    // Without a loop nobody waits for the answer either.
+    // A send fails only during shutdown, when no caller waits for the answer.
     let _ = bound.node.send(NodeInput::Overlong(bound.request));
 }
 
@@ -215,11 +218,11 @@
 }
 
 impl AnswerReader {
-    /// Get the next part, waiting for it; `None` after the last one, where the
-    /// answer was dropped unfinished, or where it began anew after a part was
-    /// taken: what follows then belongs to another attempt, and behind the
-    /// parts taken it would pass for a whole answer that no target gave.
-    /// To read an answer that may still begin anew, use [`AnswerReader::collect`].
+    /// Wait for the next part and get it. Returns `None` after the last part,
+    /// if the writer was dropped before the answer was complete, or if the
+    /// answer was cleared after a part was read: parts of another attempt must
+    /// not follow those already read. Use [`AnswerReader::collect`] for an
+    /// answer that may still be cleared.
     pub async fn next(&mut self) -> Option<AnswerPart> {
         loop {
             self.length.mark_unchanged();
@@ -242,10 +245,10 @@
         }
     }
 
-    /// Wait until the answer is over, or has parts of which `shows` says that
-    /// the caller can be shown them. Get the answer's first part then,
-    /// without passing it; none where the answer was dropped unfinished. What
-    /// is taken earlier could belong to an attempt that is dropped.
+    /// Wait until the answer is complete or `shows` accepts its parts, then get
+    /// the first part without consuming it. Returns `None` if the writer was
+    /// dropped before that. Parts read earlier could belong to an attempt that
+    /// is discarded.
     pub async fn wait_for_start(
         &mut self,
         shows: impl Fn(&[AnswerPart]) -> bool,
@@ -266,8 +269,8 @@
         }
     }
 
-    /// Wait until the answer is over, and get all its parts. Parts of an
-    /// attempt that was dropped on the way are never seen.
+    /// Wait until the answer is complete and get all its parts. Parts of
+    /// discarded attempts are never returned.
     pub async fn collect(mut self) -> Vec<AnswerPart> {
         loop {
             self.length.mark_unchanged();
--- a/bergamotswitch-net/src/platform/call.rs
+++ b/bergamotswitch-net/src/platform/call.rs
@@ -1,4 +1,4 @@
-//! Provides one call to one service of the platform.
+//! Provides a single call to a platform service.
 
 use std::net::SocketAddr;
 
@@ -14,42 +14,40 @@
 
 use super::options::{PlatformOptions, WATCH_MARGIN};
 
-/// The most bytes of an answer: a value has up to a megabyte, and its
-/// envelope a name, a revision and a few words.
+/// The maximum size of an answer: a value of up to 1 MiB and its envelope.
 const MAX_ANSWER_BYTES: usize = (1 << 20) + (4 << 10);
 
-/// A `CallKind` is what a call asks for.
+/// A `CallKind` is the operation that a call requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallKind {
-    /// The value as it is.
+    /// Read the current value.
     Read,
-    /// The value once its revision exceeds this one.
+    /// Wait until the value's revision exceeds this one.
     Watch(Revision),
 }
 
-/// A `CallAnswer` is what a service said.
+/// A `CallAnswer` is the successful result of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum CallAnswer {
-    /// The value.
     Value(PublishedValue),
-    /// No change came while the watch waited.
+    /// The value did not change during the watch.
     Unchanged,
 }
 
-/// A `CallError` is why a call gave no answer.
+/// A `CallError` is the reason why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallError {
-    /// No connection, or it broke.
+    /// The connection could not be established or was lost.
     Connection,
-    /// No whole answer came in time.
+    /// No complete answer arrived in time.
     Timeout,
-    /// The service has no such value.
+    /// The service has no value of this name.
     NotPublished,
-    /// The status, the size or the text of the answer is wrong.
+    /// The answer has an unexpected status, is too large or malformed.
     Answer,
 }
 
-/// The envelope of a value.
+/// The JSON envelope of a value.
 #[derive(Deserialize)]
 struct ValueEnvelope {
     name: Option<String>,
@@ -57,8 +55,8 @@
     body: serde_json::Value,
 }
 
-/// Make one call. Each call has a connection of its own: a kept one may have
-/// gone silent while it was idle, and calls are rare.
+/// Try to make one call over a new connection. Calls are rare, and an idle
+/// connection may have become unresponsive unnoticed.
 pub(crate) async fn call(
     service: SocketAddr,
     name: &ValueName,
@@ -73,8 +71,8 @@
         CallKind::Read => opts.answer_timeout,
         CallKind::Watch(_) => opts.watch_wait + opts.answer_timeout.min(WATCH_MARGIN),
     };
-    // A connection that went silent is noticed by this limit alone: no error
-    // comes, and the service may hold a watch for its whole wait.
+    // This timeout is the only way to detect an unresponsive connection: no
+    // error is raised, and the service may hold a watch for its full wait.
     let exchanged = time::timeout(limit, exchange(stream, service, name, kind, opts));
     exchanged.await.map_err(|_| CallError::Timeout)?
 }
@@ -112,8 +110,8 @@
             .to_bytes();
         parse_value(name, &body)
     };
-    // The connection must be driven beside the exchange, also when it ends
-    // first: the answer may still be in its buffer.
+    // The connection must be polled alongside the exchange, even after it ends:
+    // the answer may still be in its buffer.
     let driven = async {
         let _ = connection.await;
         std::future::pending::<()>().await;
@@ -141,8 +139,8 @@
 
 fn parse_value(name: &ValueName, text: &[u8]) -> Result<CallAnswer, CallError> {
     let envelope: ValueEnvelope = serde_json::from_slice(text).map_err(|_| CallError::Answer)?;
-    // An answer to another question, through whatever stands between, must
-    // not come into force under this name.
+    // An answer that a proxy delivered to the wrong request must not be applied
+    // under this name.
     let named = envelope.name.as_deref();
     let mismatched = match name.as_str() {
         HOSTS_VALUE => named.is_some_and(|found| found != HOSTS_VALUE),
@@ -151,7 +149,7 @@
     if mismatched {
         return Err(CallError::Answer);
     }
-    // Written anew, the same value gives the same text at every host.
+    // Serialized again, the same value yields the same text on every host.
     let body = serde_json::to_string(&envelope.body).map_err(|_| CallError::Answer)?;
     Ok(CallAnswer::Value(PublishedValue {
         name: name.clone(),
--- a/bergamotswitch-net/src/platform/client.rs
+++ b/bergamotswitch-net/src/platform/client.rs
@@ -1,4 +1,4 @@
-//! Provides the client that keeps one call in flight for each value.
+//! Provides a client that runs at most one call at a time for each value.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,11 +12,11 @@
 use crate::input::{NodeInput, NodeSender, PlatformEvent};
 use crate::task_guard::TaskGuard;
 
-/// A `ServiceGroup` is services of which each can answer.
+/// A `ServiceGroup` is a list of equivalent services.
 #[derive(Debug)]
 struct ServiceGroup {
     addresses: Vec<SocketAddr>,
-    /// The index of the one that answered last.
+    /// The index of the service that answered last.
     current: AtomicUsize,
 }
 
@@ -37,7 +37,7 @@
 }
 
 /// A `PlatformClient` reads and watches published values. Each read or watch
-/// ends with one [`PlatformEvent`], unless a later one takes its place.
+/// ends with one [`PlatformEvent`], unless it is replaced by a later one.
 #[derive(Debug)]
 pub struct PlatformClient {
     configuration: Arc<ServiceGroup>,
@@ -49,7 +49,7 @@
 }
 
 impl PlatformClient {
-    /// Get a client of these services; it must be used on a tokio runtime.
+    /// Get a client of these services. Must be used within a tokio runtime.
     pub fn new(
         configuration_services: Vec<SocketAddr>,
         host_lists: Vec<SocketAddr>,
@@ -66,32 +66,31 @@
         }
     }
 
-    /// Put other time limits in force, from the next call on.
+    /// Set the options of subsequent calls.
     pub fn set_opts(&mut self, opts: PlatformOptions) {
         self.opts = opts;
     }
 
-    /// Read a value once. A watch of the value is given up; a read of it that
-    /// is in flight goes on in place of a second one.
+    /// Read a value once. Cancels a watch of the value; does nothing if a read
+    /// of it is already in flight.
     pub fn read(&mut self, name: &ValueName) {
         self.start(name, CallKind::Read);
     }
 
-    /// Watch a value beyond a revision. An earlier read or watch of the value
-    /// is given up, unless it is the same watch.
+    /// Watch a value for a revision beyond `after`. Cancels an earlier read or
+    /// watch of the value, unless it is the same watch.
     pub fn watch(&mut self, name: &ValueName, after: Revision) {
         self.start(name, CallKind::Watch(after));
     }
 
-    /// Get the number of calls made: the platform counts each one, a watch
-    /// that waits as one.
+    /// Get the number of calls made. A watch counts as one call.
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
 
     fn start(&mut self, name: &ValueName, kind: CallKind) {
-        // The same call again would only ask the service twice, and where
-        // each call replaced the one before, a slow answer would never come.
+        // Replacing a call by an identical one would double the load, and a
+        // slow answer would never arrive.
         let running = self.tasks.get(name);
         if running.is_some_and(|running| running.kind == kind && !running.task.is_finished()) {
             return;
@@ -110,15 +109,15 @@
                 Ok(CallAnswer::Unchanged) => PlatformEvent::Unchanged(value_name),
                 Err(_) => PlatformEvent::Failed(value_name),
             };
-            // The loop is gone only while the process ends.
+            // The receiver is dropped only when the process exits.
             let _ = node.send(NodeInput::Platform(event));
         });
         self.tasks.insert(name.clone(), CallTask { kind, task });
     }
 }
 
-/// Ask the services in turn, from the one that answered last, until one
-/// answers. The error is that of the last one.
+/// Call the services in turn, starting with the one that answered last, until
+/// one succeeds. Returns the last error if none does.
 async fn call_in_turn(
     group: &ServiceGroup,
     name: &ValueName,
--- a/bergamotswitch-net/src/platform/options.rs
+++ b/bergamotswitch-net/src/platform/options.rs
@@ -1,29 +1,28 @@
-//! Provides the time limits of calls to the platform.
+//! Provides the timeouts of calls to the platform.
 
 use std::time::Duration;
 
 use bergamotswitch_core::publication::FleetLimits;
 use bergamotswitch_core::revision::RevisionOptions;
 
-/// The shortest wait of a watch. A connection that went silent is noticed
-/// after the wait and [`WATCH_MARGIN`]; with a new connection after that a
-/// change must still be in force within 9 s. That holds from 60 reads a minute
-/// on; with fewer, another reader's watch has to bring the change.
+/// The minimum wait of a watch. An unresponsive connection is detected after
+/// the wait and [`WATCH_MARGIN`]; reconnecting after that, a host must still
+/// apply a change within 9 s. This holds from 60 reads a minute on; with fewer,
+/// hosts depend on the watches of other readers.
 const MIN_WATCH_WAIT: Duration = Duration::from_secs(4);
 
-/// How long after its wait a watch may end: the service answers in
-/// milliseconds.
+/// The time after its wait by which a watch must have been answered.
 pub(super) const WATCH_MARGIN: Duration = Duration::from_millis(500);
 
-/// The longest wait of a watch: a change of the readers, which may be the only
-/// one to hear of a value, must not go unnoticed for longer.
+/// The maximum wait of a watch. It bounds how long a change of the readers goes
+/// unnoticed by a host that may be the only one to know of a value.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
 
-/// Of as many calls the watches at rest take three; the rest is for reads
-/// after failures.
+/// The denominator of the share of the read quota that watches may use when no
+/// call fails: three quarters. The rest is reserved for reads after failures.
 const WATCH_SHARE_DENOMINATOR: u64 = 4;
 
-/// A `PlatformOptions` is the set of time limits of all calls.
+/// A `PlatformOptions` is the set of timeouts of platform calls.
 #[derive(Clone, Debug)]
 pub struct PlatformOptions {
     pub(crate) connect_timeout: Duration,
@@ -42,39 +41,39 @@
 }
 
 impl PlatformOptions {
-    /// Set how long a connection may take to be established.
+    /// Set the timeout for establishing a connection.
     pub fn with_connect_timeout(mut self, span: Duration) -> Self {
         self.connect_timeout = span;
         self
     }
 
-    /// Set how long a whole answer may take. For a watch it is the margin
-    /// beyond its wait, where it is short.
+    /// Set the timeout for a complete answer. For a watch it is added to the
+    /// wait, capped at half a second.
     pub fn with_answer_timeout(mut self, span: Duration) -> Self {
         self.answer_timeout = span;
         self
     }
 
-    /// Set what the published limits bound.
+    /// Set the options that the published limits determine.
     pub fn with_limits(self, limits: &FleetLimits) -> Self {
         self.with_watch_wait(watch_wait(limits.reads_per_minute))
     }
 
-    /// Get how long a watch asks the service to wait.
+    /// Get the wait that a watch requests from the service.
     pub fn watch_wait(&self) -> Duration {
         self.watch_wait
     }
 
-    /// Set how long a watch asks the service to wait.
+    /// Set the wait that a watch requests from the service.
     pub fn with_watch_wait(mut self, span: Duration) -> Self {
         self.watch_wait = span;
         self
     }
 }
 
-/// Get the wait with which the watches of all values stay within the reads.
-/// Shorter watches would use the reads up, and each value would then go
-/// unwatched until the next read is allowed.
+/// Get the shortest wait with which the watches of all values stay within the
+/// read quota. Shorter watches would exhaust it, and values would go unwatched
+/// until the next read is allowed.
 fn watch_wait(reads_per_minute: u64) -> Duration {
     let values = RevisionOptions::default().value_count() as u64;
     let minute = Duration::from_secs(60).as_millis() as u64;
--- a/bergamotswitch-net/src/store_source/connection.rs
+++ b/bergamotswitch-net/src/store_source/connection.rs
@@ -16,26 +16,26 @@
 
 use crate::task_guard::TaskGuard;
 
-/// How long a connection may take to be established: the store is a
-/// millisecond away, and a lost opening packet is repeated after a second.
+/// The timeout for establishing a connection. It allows for one SYN
+/// retransmission, which is sent after a second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// The most bytes of an answer: a page has about a megabyte, and its values
-/// are written a third longer.
+/// The maximum size of an answer: a page of about 1 MiB, whose values are
+/// base64-encoded.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
 
-/// A `StoreCallError` is why a call brought nothing.
+/// A `StoreCallError` is the reason why a call to the store failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StoreCallError {
-    /// No connection, or it broke.
+    /// The connection could not be established or was lost.
     Connection,
-    /// No whole answer came in time.
+    /// No complete answer arrived in time.
     Timeout,
-    /// The store refused.
+    /// The store returned an error status.
     Status(StatusCode),
-    /// The answer cannot be used.
+    /// The answer is malformed.
     Fault(StoreFault),
-    /// There were more pages than a read may have.
+    /// The read exceeded the maximum number of pages.
     TooMany,
 }
 
@@ -57,9 +57,9 @@
     _task: TaskGuard,
 }
 
-/// A `StoreConnection` is a kept connection to the store. After any error the
-/// next call takes a new one: where an answer was lost, nothing more comes
-/// over the old one.
+/// A `StoreConnection` is a reusable connection to the store. After any error
+/// the next call opens a new one, since no further answers arrive on a
+/// connection that lost one.
 #[derive(Debug)]
 pub(super) struct StoreConnection {
     address: SocketAddr,
@@ -75,7 +75,8 @@
         }
     }
 
-    /// Make one call and count it.
+    /// Try to make one call, counted in `calls`, over the open connection or a
+    /// new one.
     pub(super) async fn get(
         &mut self,
         path: &str,
@@ -103,7 +104,7 @@
         let handshake = http1::handshake(TokioIo::new(stream));
         let (sender, connection) = handshake.await.map_err(|_| StoreCallError::Connection)?;
         let task = TaskGuard::spawn(async move {
-            // The call sees the same error at its end.
+            // The call in flight gets the same error.
             let _ = connection.await;
         });
         Ok(OpenConnection {
--- a/bergamotswitch-net/src/store_source/cursor.rs
+++ b/bergamotswitch-net/src/store_source/cursor.rs
@@ -1,4 +1,4 @@
-//! Provides the place up to which the store's changes of one prefix are known.
+//! Provides a cursor over the store's changes of one key prefix.
 
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicU64;
@@ -10,47 +10,40 @@
 
 use super::connection::{StoreCallError, StoreConnection};
 
-/// How long the store may take for an answer beyond the wait that it was
-/// asked for. It answers in milliseconds; on bad days it takes sixty times
-/// as long.
+/// The timeout for an answer, in addition to the wait of a watch.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// The most pages of one read: some ten thousand items.
+/// The maximum number of pages of one read.
 const MAX_PAGES: usize = 32;
 
-/// A `StoreUpdate` is what one step brought.
+/// A `StoreUpdate` is the result of one read or watch.
 #[derive(Debug)]
 pub(super) enum StoreUpdate {
     /// All items as of a revision.
-    Snapshot {
-        /// The items.
-        items: Vec<StoreItem>,
-        /// The revision.
-        as_of: u64,
-    },
-    /// The changes since the step before.
+    Snapshot { items: Vec<StoreItem>, as_of: u64 },
+    /// The changes since the previous update.
     Changes {
-        /// The changes, in order.
+        /// The changes, in order of their revisions.
         changes: Vec<StoreChange>,
-        /// The revision that they lead to.
+        /// The store's revision after the changes.
         as_of: u64,
     },
 }
 
-/// A `StoreCursor` reads the items of one prefix once and then follows their
+/// A `StoreCursor` reads all items of one prefix once and then follows their
 /// changes.
 #[derive(Debug)]
 pub(super) struct StoreCursor {
     connection: StoreConnection,
     prefix: &'static str,
     wait: Duration,
-    /// The revision up to which changes are known; none before the first read
-    /// and after the store has dropped its history.
+    /// The revision up to which changes are known. `None` before the first read
+    /// and after the store has compacted the history that the cursor needs.
     as_of: Option<u64>,
 }
 
 impl StoreCursor {
-    /// Get a cursor before the first read.
+    /// Get a cursor that has read nothing yet.
     pub(super) fn new(address: SocketAddr, prefix: &'static str, wait: Duration) -> Self {
         StoreCursor {
             connection: StoreConnection::new(address),
@@ -60,7 +53,7 @@
         }
     }
 
-    /// Make the next step: a read of all items, or a watch.
+    /// Get the next update, by a read of all items or by a watch.
     pub(super) async fn next(&mut self, calls: &AtomicU64) -> Result<StoreUpdate, StoreCallError> {
         let Some(beyond) = self.as_of else {
             return self.read_all(calls).await;
@@ -69,7 +62,7 @@
         let limit = self.wait + ANSWER_TIMEOUT;
         let (status, body) = self.connection.get(&path, limit, calls).await?;
         if status == StatusCode::GONE {
-            // What changed in the gap is not known any more.
+            // The store has compacted the changes since the last update.
             self.as_of = None;
             return self.read_all(calls).await;
         }
@@ -91,8 +84,9 @@
             let (status, body) = self.connection.get(&path, ANSWER_TIMEOUT, calls).await?;
             let body = check_status(status, body)?;
             let page = store::read_page(&body).map_err(StoreCallError::Fault)?;
-            // Pages are no snapshot: what changed while they were read is
-            // told again by the first watch, which begins before all of them.
+            // The pages are not a consistent snapshot. The first watch starts
+            // at the revision of the first page, so it repeats the changes made
+            // meanwhile.
             let first = *as_of.get_or_insert(page.as_of);
             let has_more = page.has_more && !page.items.is_empty();
             items.extend(page.items);
--- a/bergamotswitch-net/src/store_source/entry_reader.rs
+++ b/bergamotswitch-net/src/store_source/entry_reader.rs
@@ -1,5 +1,4 @@
-//! Provides the reading of target entries, and the memory of those that are no
-//! registration.
+//! Provides the parsing of target entries and the logging of unreadable ones.
 
 use std::collections::BTreeSet;
 
@@ -11,26 +10,25 @@
 
 use crate::journal;
 
-/// The most keys that are remembered as logged. The store holds some hundred
-/// targets; whoever fills it with more foreign entries is logged once for each
-/// of the first thousand.
+/// The maximum number of keys tracked as logged. Once it is reached, further
+/// unreadable entries are not logged.
 const MAX_LOGGED: usize = 1_000;
 
-/// An `EntryReader` knows whose unreadable entries were logged. Another writer
-/// may write over an entry several times a second, for hours: one line a key is
-/// logged until the key is good again or gone.
+/// An `EntryReader` parses target entries. It logs an unreadable entry once,
+/// until the entry becomes readable or is removed, since another writer may
+/// overwrite it several times a second.
 #[derive(Debug, Default)]
 pub(super) struct EntryReader {
     logged: BTreeSet<String>,
 }
 
 impl EntryReader {
-    /// Try to read a target's entry.
+    /// Try to parse a target's entry.
     ///
     /// # Errors
     ///
-    /// Returns the target in whose place something else lies, where the key
-    /// names one.
+    /// Returns the name of the target whose entry is unreadable, if the key
+    /// contains one.
     pub(super) fn read(&mut self, item: &StoreItem) -> Result<TargetEntry, Option<TargetName>> {
         match registration::read(&item.key, &item.value) {
             Ok(entry) => {
@@ -49,7 +47,7 @@
         }
     }
 
-    /// Take note that a key is gone.
+    /// Remove a key that was deleted from the store.
     pub(super) fn remove(&mut self, key: &str) {
         self.logged.remove(key);
     }
--- a/bergamotswitch-net/src/store_source/mod.rs
+++ b/bergamotswitch-net/src/store_source/mod.rs
@@ -1,5 +1,5 @@
-//! Provides the reading of routes and targets from the platform's store: one
-//! call in flight for each, a read of all items first, then watches.
+//! Provides the source of routes and targets from the platform's store. Each
+//! value has one call in flight: first a read of all items, then watches.
 
 mod connection;
 mod cursor;
@@ -27,23 +27,21 @@
 use cursor::{StoreCursor, StoreUpdate};
 use entry_reader::EntryReader;
 
-/// How long a watch of the routes waits. A watch confirms the moment at which
-/// it was sent, so this bounds the age of what is known of keys; keys cease
-/// to be relied on at an age of five seconds. Each watch is one call: at one
-/// a second, two readers in each of three failure domains make six a second
-/// of the 2,000 that the store bears.
+/// The wait of a watch of the routes. A completed watch confirms the routes as
+/// of the moment it was sent, so this bounds the age of the known API keys,
+/// which are trusted for at most five seconds.
 const ROUTES_WAIT: Duration = Duration::from_millis(1_000);
 
-/// How long a watch of the targets waits. A target that leaves must get no
-/// new work within two seconds, so a watch whose connection went silent must
-/// be given up well before.
+/// The wait of a watch of the targets. A deregistered target must get no new
+/// work after two seconds, so an unresponsive connection must be dropped well
+/// before.
 const TARGETS_WAIT: Duration = Duration::from_millis(1_500);
 
-/// Shared with the call in flight, of which there is one at a time.
+/// An `EntryReader` that is shared with the call in flight.
 type SharedEntryReader = Arc<std::sync::Mutex<EntryReader>>;
 
 /// A `StoreSource` reads and watches the store. Each read or watch ends with
-/// one event, unless a later one takes its place.
+/// one input to the event loop, unless it is replaced by a later one.
 #[derive(Debug)]
 pub struct StoreSource {
     address: SocketAddr,
@@ -56,8 +54,8 @@
 }
 
 impl StoreSource {
-    /// Get a source that reads the store at this address; it must be used on
-    /// a tokio runtime.
+    /// Get a source that reads the store at this address. Must be used within a
+    /// tokio runtime.
     pub fn new(address: SocketAddr, node: NodeSender) -> Self {
         StoreSource {
             address,
@@ -74,7 +72,8 @@
         self.calls.load(Ordering::Relaxed)
     }
 
-    /// Get a value's news: all of it at first, changes from then on.
+    /// Start a call for a value: a full read at first, then watches for
+    /// changes.
     pub fn read(&mut self, name: &ValueName) {
         let cursor = self.cursor(name);
         let calls = Arc::clone(&self.calls);
@@ -88,7 +87,7 @@
                 Ok(update) => to_input(&value, update, &reader),
                 Err(error) => failure_input(&value, error),
             };
-            // The loop is gone only while the process ends.
+            // The receiver is dropped only when the process exits.
             let _ = node.send(input);
         });
         self.tasks.insert(name.clone(), task);
@@ -170,7 +169,7 @@
     }
 }
 
-/// Get the event of the newest routes among the news.
+/// Get the event for the latest routes in an update.
 fn routes_event(name: &ValueName, update: StoreUpdate) -> PlatformEvent {
     let newest = match update {
         StoreUpdate::Snapshot { items, .. } => {
--- a/bergamotswitch-net/src/target_client/attempt_report.rs
+++ b/bergamotswitch-net/src/target_client/attempt_report.rs
@@ -1,5 +1,5 @@
-//! Provides the reports of one attempt to the loop: any number of steps and
-//! exactly one end.
+//! Provides the reports of an attempt to the event loop: any number of steps
+//! and exactly one end.
 
 use std::fmt;
 use std::sync::Arc;
@@ -14,27 +14,26 @@
 use crate::input::{NodeInput, NodeSender};
 use crate::journal;
 
-/// An `AbortFlag` is set once the loop no longer wants to hear of an attempt.
+/// An `AbortFlag` is set when an attempt is aborted and must report nothing
+/// more.
 #[derive(Clone, Debug, Default)]
 pub(super) struct AbortFlag(Arc<AtomicBool>);
 
 impl AbortFlag {
-    /// Set the flag.
     pub fn set(&self) {
         self.0.store(true, Ordering::Relaxed);
     }
 
-    /// Get whether the flag is set.
     pub fn is_set(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// An `AttemptReport` tells the loop of one attempt.
+/// An `AttemptReport` sends the events of one attempt to the event loop.
 ///
-/// Its drop without an end reports `Broken`. Otherwise a call that panics
-/// would leave its request in flight and its permit taken for good; one would
-/// see a slot that only an audit frees. An aborted attempt reports nothing.
+/// Dropped without an end, it reports `Broken`, so that a call that panics does
+/// not leave its request in flight and its permit taken until the next audit.
+/// An aborted attempt reports nothing.
 #[derive(Debug)]
 pub(super) struct AttemptReport {
     attempt: AttemptId,
@@ -44,7 +43,7 @@
 }
 
 impl AttemptReport {
-    /// Get the report of an attempt that begins.
+    /// Get the report of a new attempt.
     pub fn new(attempt: AttemptId, events: NodeSender, aborted: AbortFlag) -> Self {
         AttemptReport {
             attempt,
@@ -54,12 +53,10 @@
         }
     }
 
-    /// Report a step.
     pub fn step(&self, event: AttemptEvent) {
         self.send(event);
     }
 
-    /// Report the end.
     pub fn end(mut self, event: AttemptEvent) {
         self.ended = true;
         self.send(event);
@@ -67,7 +64,7 @@
 
     fn send(&self, event: AttemptEvent) {
         if !self.aborted.is_set() {
-            // The loop is gone only when the process ends.
+            // The receiver is dropped only when the process exits.
             let _ = self.events.send(NodeInput::Attempt(self.attempt, event));
         }
     }
--- a/bergamotswitch-net/src/target_client/call_context.rs
+++ b/bergamotswitch-net/src/target_client/call_context.rs
@@ -1,5 +1,5 @@
-//! Provides what both kinds of call share: where to, by which bounds, how a
-//! request is first sent and how an error answer is passed on.
+//! Provides what all kinds of call share: the call's context, sending the first
+//! request and forwarding an error answer.
 
 use std::pin::pin;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -25,28 +25,28 @@
 use crate::answer::{AnswerPart, AnswerWriter};
 use crate::input::OutgoingCall;
 
-// An error's body follows its head at once, or the connection is silent.
+// The timeout for the body of an error answer.
 const ERROR_BODY_WAIT: Duration = Duration::from_secs(5);
 
-/// The header by which requests and answers are matched.
+/// The header by which answers are matched to requests.
 pub(super) const REQUEST_ID: &str = "x-request-id";
 
-/// A `CallEnd` is how a call ended.
+/// A `CallEnd` is the outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallEnd {
     /// No connection was established.
     NotSent,
-    /// The target refused.
+    /// The target refused the call.
     Refused,
-    /// The target's whole answer is an error, passed on already.
+    /// The target's complete answer is an error, which was forwarded.
     Failed,
-    /// The answer is whole.
+    /// The answer is complete.
     Finished(Usage),
-    /// There is no whole answer; the request may have run.
+    /// The answer is incomplete; the request may have run.
     Broken(Usage),
 }
 
-/// A `CallTrace` is what an abort must know of a call.
+/// A `CallTrace` is the state of a call that is shared with its abort.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CallTrace(Arc<Mutex<CallMarks>>);
 
@@ -57,7 +57,7 @@
 }
 
 impl CallTrace {
-    /// Mark that the request is handed to a connection.
+    /// Record that the request was handed to a connection.
     pub fn mark_sent(&self) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).sent = true;
     }
@@ -67,54 +67,45 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner).sent
     }
 
-    /// Note the stream's id.
     pub fn set_stream(&self, id: StreamId) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).stream = Some(id);
     }
 
-    /// Get the stream's id, once known.
+    /// Get the stream's id, if known.
     pub fn stream(&self) -> Option<StreamId> {
         let marks = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         marks.stream.clone()
     }
 }
 
-/// A `CallContext` is what one call works with.
+/// A `CallContext` is the environment of one call.
 #[derive(Debug)]
 pub(super) struct CallContext {
-    /// The attempt.
     pub attempt: AttemptId,
-    /// The attempt in its text form.
+    /// The attempt's id as text.
     pub request_id: String,
-    /// Where to.
     pub target: PoolTarget,
-    /// The bounds.
     pub options: Arc<TargetClientOptions>,
-    /// Idle connections.
     pub idle_connections: IdleConnections,
-    /// Where the answer goes.
     pub answer: AnswerWriter,
-    /// What an abort must know.
     pub trace: CallTrace,
 }
 
 /// A `FirstResponse` is the head of the answer and its connection.
 #[derive(Debug)]
 pub(super) struct FirstResponse {
-    /// The connection.
     pub connection: TargetConnection,
-    /// The response.
     pub response: Response<Incoming>,
 }
 
-/// A `SendError` is why no response's head came.
+/// A `SendError` is the reason why no response head was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SendError {
     /// No connection was established.
     NotConnected,
-    /// The connection ended.
+    /// The connection was closed or reset.
     Dropped,
-    /// The connection was quiet and is given up.
+    /// The connection is unresponsive and was dropped.
     Unresponsive(SilenceVerdict),
 }
 
@@ -124,7 +115,7 @@
         log_incident(incident, self.attempt, &self.target.name, cause);
     }
 
-    /// Get the request; `None` where the call cannot be written as HTTP.
+    /// Get the request, or `None` if the call is not valid HTTP.
     pub fn request(&self, call: &OutgoingCall) -> Option<TargetRequest> {
         let mut builder = Request::builder()
             .method(call.method.clone())
@@ -137,8 +128,8 @@
         builder.body(Full::new(call.body.clone())).ok()
     }
 
-    /// Connect, send the first request and wait for the response's head, as
-    /// long as `verdict` does not come first.
+    /// Try to connect, send the request and get the response's head, unless
+    /// `verdict` completes first.
     pub async fn send_first(
         &self,
         request: TargetRequest,
@@ -169,8 +160,8 @@
                 }
                 Err(failure) => failure,
             };
-            // A kept connection that the target closed just now took nothing
-            // of the request, which then goes over a new one.
+            // An idle connection that the target has just closed took no byte
+            // of the request, so the request is safe to send over a new one.
             let unsent = failure.unsent.filter(|_| is_reused);
             request = unsent.ok_or(SendError::Dropped)?;
             connection = self.dial().await.ok_or(SendError::Dropped)?;
@@ -188,7 +179,7 @@
         }
     }
 
-    /// Get whether the response names another request as its own.
+    /// Get whether the response carries the id of another request.
     pub fn is_mismatched(&self, response: &Response<Incoming>) -> bool {
         match response.headers().get(REQUEST_ID) {
             Some(id) => id.as_bytes() != self.request_id.as_bytes(),
@@ -196,7 +187,6 @@
         }
     }
 
-    /// Push the head of the answer.
     pub fn push_head(&self, head: &Parts) {
         let content_type = head
             .headers
@@ -210,7 +200,7 @@
         });
     }
 
-    /// Read an error answer to its end and pass it on, whole or not at all.
+    /// Read an error answer and forward it, but only if it is complete.
     pub async fn forward_error(&self, response: Response<Incoming>, usage: Usage) -> CallEnd {
         let (head, body) = response.into_parts();
         let reading = Limited::new(body, MAX_EVENT_BYTES).collect();
@@ -221,13 +211,13 @@
                 CallEnd::Failed
             }
             Ok(Err(_)) | Err(_) => {
-                self.log_incident(Incident::AnswerRejected, "error answer cut off");
+                self.log_incident(Incident::AnswerRejected, "error answer truncated or late");
                 CallEnd::Broken(usage)
             }
         }
     }
 
-    /// Answer in the target's place that the call cannot be written as HTTP.
+    /// Answer with 400 Bad Request for a call that is not valid HTTP.
     pub fn reject_malformed(&self) -> CallEnd {
         self.answer.push(AnswerPart::Head {
             status: StatusCode::BAD_REQUEST.as_u16(),
@@ -240,7 +230,7 @@
     }
 }
 
-/// Get whether a status means that the target refused the call.
+/// Get whether the status means that the target refused the call.
 pub(super) fn is_refusal(status: StatusCode) -> bool {
     matches!(
         status,
--- a/bergamotswitch-net/src/target_client/connection.rs
+++ b/bergamotswitch-net/src/target_client/connection.rs
@@ -1,5 +1,6 @@
-//! Provides connections to targets: dialled with kernel probes, one call at a
-//! time, kept for a short while after a whole answer.
+//! Provides connections to targets. A connection has TCP keepalive enabled,
+//! carries one call at a time and is kept idle for a short time after a
+//! complete answer.
 
 use std::collections::HashMap;
 use std::io;
@@ -23,20 +24,21 @@
 /// The request type of every call.
 pub type TargetRequest = Request<Full<Bytes>>;
 
-// Kernel probes follow each other at this pace, and this many must fail.
+// The interval between TCP keepalive probes, and the number of failed probes
+// after which the connection is closed.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 const KEEPALIVE_RETRIES: u32 = 3;
 
-/// How long before a target would close an idle connection it is not used any
-/// more: a request that crosses the close may or may not have run.
+/// How long before the target's idle timeout a connection is no longer reused.
+/// Whether a request that crosses the close has run is unknown.
 const IDLE_MARGIN: Duration = Duration::from_millis(1_000);
 
-/// A `SendFailure` is a call that got no response head.
+/// A `SendFailure` is an error of a call that received no response head.
 #[derive(Debug)]
 pub struct SendFailure {
-    /// What went wrong.
+    /// The connection's error.
     pub error: hyper::Error,
-    /// The request, where no byte of it was written.
+    /// The request, if no byte of it was written.
     pub unsent: Option<TargetRequest>,
 }
 
@@ -53,7 +55,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the failure to connect, `TimedOut` past the connect timeout.
+    /// Returns the connect error, `TimedOut` after the connect timeout.
     pub async fn dial(address: SocketAddr, options: &TargetClientOptions) -> io::Result<Self> {
         let connecting = timeout(options.connect_timeout, TcpStream::connect(address));
         let stream = connecting
@@ -63,7 +65,7 @@
         let handshake = http1::handshake(TokioIo::new(stream));
         let (sender, connection) = handshake.await.map_err(io::Error::other)?;
         let task = TaskGuard::spawn(async move {
-            // The call sees the same error at its end.
+            // The call in flight gets the same error.
             let _ = connection.await;
         });
         Ok(TargetConnection {
@@ -77,7 +79,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the failure, with the request where none of it was written.
+    /// Returns the connection's error, with the request if no byte of it was
+    /// written.
     pub async fn send(
         &mut self,
         request: TargetRequest,
@@ -96,10 +99,10 @@
     }
 }
 
-/// Set what lets the kernel notice a path that lost the connection's state.
-/// Without it a call to a plain service over such a path would wait for good;
-/// one would see attempts that never end. An unacknowledged probe (idle) or
-/// unacknowledged data (sending) ends the connection with an error.
+/// Set the TCP options that detect a path that silently drops the connection's
+/// packets; a call to a plain service over it would otherwise wait forever. An
+/// unacknowledged keepalive probe (idle) or unacknowledged data (sending)
+/// closes the connection with an error.
 fn configure_socket(stream: &TcpStream, options: &TargetClientOptions) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
@@ -116,7 +119,7 @@
 #[derive(Debug)]
 struct IdleConnection {
     connection: TargetConnection,
-    /// Until when it is used again.
+    /// The time after which it is not reused.
     use_until: Instant,
 }
 
@@ -126,13 +129,13 @@
     }
 }
 
-/// A `IdleConnections` is the idle connections of all targets.
+/// An `IdleConnections` is the set of idle connections to all targets.
 #[derive(Clone, Debug, Default)]
 pub struct IdleConnections(Arc<Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>>);
 
 impl IdleConnections {
-    /// Get a connection that had traffic within the bound, if one is kept.
-    /// Older ones are closed.
+    /// Get a connection that may still be reused, if there is one. Expired
+    /// connections are closed.
     pub fn take(&self, address: SocketAddr) -> Option<TargetConnection> {
         let mut map = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let list = map.get_mut(&address)?;
@@ -150,8 +153,8 @@
         map.remove(&address);
     }
 
-    /// Keep a connection whose last answer was read to its end just now, for
-    /// less than the target said that it keeps it.
+    /// Keep a connection whose answer was just read completely. It is reused
+    /// for less than the target's `idle_timeout`.
     pub fn keep(
         &self,
         connection: TargetConnection,
--- a/bergamotswitch-net/src/target_client/engine_call.rs
+++ b/bergamotswitch-net/src/target_client/engine_call.rs
@@ -1,5 +1,6 @@
-//! Provides one call to a model engine: a stream that is checked event by
-//! event, proven alive and resumed, and never submitted again.
+//! Provides calls to model engines. The event stream of a call is validated,
+//! probed for liveness and resumed when it breaks; the request is never sent
+//! twice.
 
 use std::time::Duration;
 
@@ -23,30 +24,30 @@
 
 // The data of a stream's last event.
 const DONE: &[u8] = b"[DONE]";
-// The header that names a stream.
+// The header that carries a stream's id.
 const STREAM_ID: &str = "x-stream-id";
-// How long the end of a body may follow its last event; a connection whose
-// body ends later is not kept.
+// How long after the last event to wait for the end of the body. A connection
+// whose body ends later is not reused.
 const BODY_END_WAIT: Duration = Duration::from_millis(50);
 
-/// A `StreamError` is why a connection brings no more of a stream.
+/// A `StreamError` is the reason why a connection delivers no more of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StreamError {
-    /// The connection ended early.
+    /// The connection ended before the stream.
     Dropped,
-    /// The connection is silent.
+    /// The connection is unresponsive.
     Silent,
     /// Events are missing.
     Gap,
-    /// The answer of another request came.
+    /// The answer belongs to another request.
     RequestMismatch,
-    /// An event cannot be read.
+    /// An event is malformed or too large.
     Malformed,
     /// Nothing listens at the engine's address.
     ConnectionRefused,
-    /// The engine never saw the request.
+    /// The engine does not know the request.
     UnknownRequest,
-    /// The engine does not answer or does not know the stream.
+    /// The engine does not respond or no longer knows the stream.
     Unavailable,
 }
 
@@ -59,14 +60,14 @@
     }
 }
 
-/// An `OpenStream` is a connection on which a stream arrives.
+/// An `OpenStream` is a connection on which a stream is being received.
 #[derive(Debug)]
 pub(super) struct OpenStream {
     connection: TargetConnection,
     body: Incoming,
 }
 
-/// An `OpenOutcome` is what became of the first send.
+/// An `OpenOutcome` is the result of sending the request.
 #[derive(Debug)]
 enum OpenOutcome {
     Stream(OpenStream),
@@ -86,7 +87,7 @@
 }
 
 impl<'a> EngineCall<'a> {
-    /// Get the call, with its clock started.
+    /// Get the call and start measuring its time.
     pub fn new(context: &'a CallContext, report: &'a AttemptReport) -> Self {
         EngineCall {
             context,
@@ -98,7 +99,6 @@
         }
     }
 
-    /// Run the call to its end.
     pub async fn run(mut self, call: &OutgoingCall) -> CallEnd {
         let mut error = match self.open(call).await {
             OpenOutcome::Ended(end) => return end,
@@ -108,7 +108,7 @@
                 Err(error) => error,
             },
         };
-        // Each round but the last one brings at least one event more.
+        // Each iteration but the last receives at least one more event.
         loop {
             self.log_stream_error(error);
             if !self.may_resume(error) {
@@ -121,34 +121,35 @@
         }
     }
 
-    /// Log why a connection is given up.
+    /// Log the error that ended a connection.
     pub(super) fn log_stream_error(&self, error: StreamError) {
         let context = self.context;
         match error {
-            StreamError::Silent => {
-                context.log_incident(Incident::ConnectionSilent, "engine got further")
-            }
+            StreamError::Silent => context.log_incident(
+                Incident::ConnectionSilent,
+                "engine is ahead of the connection",
+            ),
             StreamError::Unavailable
             | StreamError::ConnectionRefused
             | StreamError::UnknownRequest => {
-                context.log_incident(Incident::ConnectionSilent, "engine gone");
+                context.log_incident(Incident::ConnectionSilent, "engine or stream unavailable");
             }
-            StreamError::Gap => context.log_incident(Incident::AnswerRejected, "events missing"),
+            StreamError::Gap => context.log_incident(Incident::AnswerRejected, "gap in event ids"),
             StreamError::RequestMismatch => {
-                context.log_incident(Incident::AnswerRejected, "foreign request id")
+                context.log_incident(Incident::AnswerRejected, "request id mismatch")
             }
             StreamError::Malformed => {
-                context.log_incident(Incident::AnswerRejected, "event malformed")
+                context.log_incident(Incident::AnswerRejected, "malformed event")
             }
-            // The resumption has its own line.
+            // A resumption is logged separately.
             StreamError::Dropped if context.target.contract.resumes => {}
             StreamError::Dropped => {
-                context.log_incident(Incident::AnswerRejected, "answer cut off")
+                context.log_incident(Incident::AnswerRejected, "answer truncated")
             }
         }
     }
 
-    /// Get whether the rest of the stream may be asked for.
+    /// Get whether the rest of the stream may be requested after this error.
     pub(super) fn may_resume(&self, error: StreamError) -> bool {
         let allowed = match error {
             StreamError::Dropped | StreamError::Silent | StreamError::Gap => true,
@@ -206,7 +207,7 @@
         OpenOutcome::Stream(self.accept_head(connection, response))
     }
 
-    /// Take a stream's head in, and get the stream.
+    /// Accept the head of a stream and get the open stream.
     pub(super) fn accept_head(
         &mut self,
         connection: TargetConnection,
@@ -227,13 +228,13 @@
         OpenStream { connection, body }
     }
 
-    /// Note the stream's id, also for an abort.
+    /// Set the stream's id, also for a later abort.
     pub(super) fn set_stream(&mut self, id: StreamId) {
         self.context.trace.set_stream(id.clone());
         self.stream = Some(id);
     }
 
-    /// Read events until the last one.
+    /// Try to read events until the last one.
     pub(super) async fn read(&mut self, mut stream: OpenStream) -> Result<(), StreamError> {
         let mut parser = EventParser::new();
         loop {
@@ -249,8 +250,8 @@
     }
 
     async fn next_piece(&self, body: &mut Incoming) -> Result<Bytes, StreamError> {
-        // The body goes first: what is read already is taken before any
-        // timer is believed, which may be late after a pause of this process.
+        // Buffered data is read before the timers are checked: after a pause of
+        // this process a timer may fire although the data has arrived.
         tokio::select! {
             biased;
             frame = body.frame() => match frame {
@@ -261,7 +262,7 @@
         }
     }
 
-    /// Check an event and pass it on. Get whether it was the last one.
+    /// Validate an event and forward it. Returns whether it was the last one.
     fn accept(&mut self, event: ServerEvent) -> Result<bool, StreamError> {
         if event.data.as_ref() == DONE {
             self.advance(event.id)?;
@@ -290,7 +291,7 @@
         Ok(())
     }
 
-    /// Keep the connection where its body ends now.
+    /// Keep the connection for reuse if its body ends now.
     async fn keep(&self, mut stream: OpenStream) {
         if self.context.options.idle_reuse.is_zero() {
             return;
@@ -303,7 +304,7 @@
     }
 }
 
-/// Get whether the answer is a stream of events.
+/// Get whether the response is an event stream.
 pub(super) fn is_event_stream(response: &Response<Incoming>) -> bool {
     let named = response.headers().get(header::CONTENT_TYPE);
     named
--- a/bergamotswitch-net/src/target_client/event_blocks.rs
+++ b/bergamotswitch-net/src/target_client/event_blocks.rs
@@ -1,55 +1,55 @@
-//! Provides the events of a stream as their target wrote them, byte for byte,
+//! Provides the splitting of a server-sent event stream into unmodified events
 //! with their ids.
 
 use bytes::{Bytes, BytesMut};
 
-/// An `EventBlock` is one whole event.
+/// An `EventBlock` is one complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EventBlock {
-    /// Its bytes, the blank line that ends it included.
+    /// The bytes of the event, including the blank line that ends it.
     pub bytes: Bytes,
-    /// Its id, where it has one.
+    /// The id of the event, if it has one.
     pub id: Option<String>,
 }
 
-/// An `EventSplitter` cuts a stream into whole events. Half an event is never
-/// passed on: a target may break off in the middle of one, and another target
-/// goes on after the last whole one.
+/// An `EventSplitter` splits a stream into complete events. A partial event is
+/// never forwarded: if the target stops within an event, another target resumes
+/// after the last complete one.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
     scan: BlockScan,
 }
 
-/// A `BlockScan` is how far the first event was looked through: a long event
-/// comes in many pieces, and each byte of it is looked at once.
+/// A `BlockScan` is the progress of the search for the end of the first event.
+/// It ensures that each byte of a long event is scanned only once.
 #[derive(Clone, Copy, Debug, Default)]
 struct BlockScan {
-    /// The bytes looked at.
+    /// The number of bytes scanned.
     seen: usize,
-    /// Whether the event has a line.
+    /// Whether the event has a non-empty line.
     has_line: bool,
-    /// Whether the line looked at has a byte.
+    /// Whether the current line has a byte.
     in_line: bool,
 }
 
 impl EventSplitter {
-    /// Add bytes as they came.
+    /// Add a chunk of the body.
     pub fn add(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Get the bytes that form no whole event yet.
+    /// Get the number of buffered bytes that do not form a complete event yet.
     pub fn rest_len(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Get whether an event has begun that is not whole yet.
+    /// Get whether the buffer has a partial event.
     pub fn is_in_event(&self) -> bool {
         self.scan.has_line
     }
 
-    /// Take the bytes that form no whole event.
+    /// Take the buffered bytes that do not form a complete event.
     pub fn take_rest(&mut self) -> Bytes {
         self.scan = BlockScan::default();
         self.buffer.split().freeze()
@@ -59,7 +59,7 @@
 impl Iterator for EventSplitter {
     type Item = EventBlock;
 
-    /// Get the next whole event.
+    /// Get the next complete event.
     fn next(&mut self) -> Option<EventBlock> {
         let end = self.scan.end(&self.buffer)?;
         self.scan = BlockScan::default();
@@ -70,7 +70,7 @@
 }
 
 impl BlockScan {
-    /// Get where the first event ends: behind its blank line.
+    /// Get the end of the first event, after its blank line.
     fn end(&mut self, bytes: &[u8]) -> Option<usize> {
         for byte in &bytes[self.seen..] {
             self.seen += 1;
--- a/bergamotswitch-net/src/target_client/event_stream.rs
+++ b/bergamotswitch-net/src/target_client/event_stream.rs
@@ -1,35 +1,36 @@
-//! Provides the reading of server-sent events with bounded memory.
+//! Provides a parser of server-sent events with bounded memory.
 
 use std::fmt;
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// The most bytes of one event. A token's chunk has a few hundred; a target
-/// that never ends an event must not fill the host's memory.
+/// The maximum size of one event. A target that never ends an event must not
+/// exhaust the host's memory.
 pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// A `ServerEvent` is one event of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerEvent {
-    /// Its number, where it has an id that is one.
+    /// The event's number, if it has a numeric id.
     pub id: Option<u64>,
-    /// Its data.
+    /// The event's data.
     pub data: Bytes,
 }
 
-/// An `EventTooLarge` says that an event is longer than [`MAX_EVENT_BYTES`].
+/// An `EventTooLarge` is the error for an event of more than
+/// [`MAX_EVENT_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EventTooLarge;
 
 impl fmt::Display for EventTooLarge {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "an event has at most {MAX_EVENT_BYTES} bytes")
+        write!(f, "event exceeds {MAX_EVENT_BYTES} bytes")
     }
 }
 
 impl std::error::Error for EventTooLarge {}
 
-/// An `EventParser` turns a body's pieces into events.
+/// An `EventParser` parses the chunks of a body into events.
 #[derive(Debug, Default)]
 pub struct EventParser {
     unread: BytesMut,
@@ -44,19 +45,19 @@
         EventParser::default()
     }
 
-    /// Add the next piece of the body.
+    /// Add the next chunk of the body.
     pub fn feed(&mut self, piece: &[u8]) {
         self.unread.extend_from_slice(piece);
     }
 
-    /// Get the next whole event, `None` until more is fed.
+    /// Try to get the next complete event, or `None` until more is fed.
     ///
     /// # Errors
     ///
-    /// Returns an error where the event grows too large.
+    /// Returns an error if the event is too large.
     pub fn next_event(&mut self) -> Result<Option<ServerEvent>, EventTooLarge> {
         while let Some(line) = self.next_line()? {
-            // A blank line ends the event; one without data is no event.
+            // A blank line ends an event. An event without data is ignored.
             if line.is_empty() {
                 let id = self.id.take();
                 if let Some(data) = self.data.take() {
@@ -89,8 +90,8 @@
     }
 
     fn read_field(&mut self, line: &Bytes) -> Result<(), EventTooLarge> {
-        // The field's name ends at the first colon, and one space after the
-        // colon belongs to neither. A comment has an empty name.
+        // A field's name ends at the first colon; one space after the colon is
+        // ignored. The line of a comment starts with the colon.
         let colon = line.iter().position(|byte| *byte == b':');
         let name_len = colon.unwrap_or(line.len());
         let mut value = &line[colon.map_or(line.len(), |at| at + 1)..];
@@ -106,7 +107,7 @@
     }
 
     fn add_data(&mut self, value: &[u8]) -> Result<(), EventTooLarge> {
-        // Each further data line continues the data after a line feed.
+        // The values of multiple data lines are joined with line feeds.
         let data = match &mut self.data {
             Some(data) => {
                 data.extend_from_slice(b"\n");
--- a/bergamotswitch-net/src/target_client/load_watch.rs
+++ b/bergamotswitch-net/src/target_client/load_watch.rs
@@ -1,4 +1,5 @@
-//! Provides the watching of engines: their load reports and cache events.
+//! Provides the polling of engines for load reports, and the subscription to
+//! their cache events.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,7 +22,7 @@
 const LOAD_PATH: &str = "/v1/load";
 const CACHE_PATH: &str = "/v1/cache-events";
 
-// The pauses after failed tries to get cache events.
+// The range of the backoff after a failed request for cache events.
 const MIN_BACKOFF: Duration = Duration::from_millis(200);
 const MAX_BACKOFF: Duration = Duration::from_secs(10);
 
@@ -55,7 +56,6 @@
         }
     }
 
-    /// Get the watched engine.
     pub fn target(&self) -> &PoolTarget {
         &self.target
     }
@@ -66,15 +66,16 @@
     while !events.is_closed() {
         let sent_at = Instant::now();
         if let Ok(mut report) = query_load(&target, &mut connection, &options).await {
-            // The report aged on its way as well, at most by the round trip.
+            // Add the round trip, an upper limit of the report's age on
+            // arrival.
             let trip = u32::try_from(sent_at.elapsed().as_millis()).unwrap_or(u32::MAX);
             report.age_ms = report.age_ms.saturating_add(trip);
             let _ = events.send(NodeInput::Load(target.name.clone(), report));
         } else {
-            // A connection that failed once may be silent for good.
+            // A connection that failed once may be unresponsive for good.
             connection = None;
         }
-        // Hosts that start together would otherwise ask together.
+        // Jitter keeps hosts that start together from polling together.
         sleep(options.load_period.mul_f64(rand::random_range(0.9..1.1))).await;
     }
 }
@@ -113,9 +114,9 @@
     }
 }
 
-/// Follow the cache events of one connection. Ends without an error where the
-/// connection brought some: cache events are hints with gaps, so a quiet or
-/// broken connection is simply replaced.
+/// Follow the cache events of one connection. Returns `Ok` when an established
+/// stream ends or becomes idle: cache events are only hints and may be missed,
+/// so the connection is simply replaced.
 async fn read_cache_events(
     target: &PoolTarget,
     options: &TargetClientOptions,
--- a/bergamotswitch-net/src/target_client/mod.rs
+++ b/bergamotswitch-net/src/target_client/mod.rs
@@ -1,8 +1,8 @@
-//! Provides the sending of permitted calls to targets.
+//! Provides the client that sends permitted calls to targets.
 //!
-//! Each attempt is one task that reports to the loop. What it may claim is
-//! narrow: "not sent" only where no connection was established, "finished"
-//! only where the answer is whole and its own.
+//! Each attempt is one task that reports to the event loop. It reports "not
+//! sent" only if no connection was established, and "finished" only if the
+//! answer is complete and belongs to the request.
 
 mod attempt_report;
 mod call_context;
@@ -40,11 +40,13 @@
 use crate::answer::AnswerWriter;
 use crate::input::{NodeSender, OutgoingCall};
 
-// Ended calls are swept out when this many are listed, then at each doubling,
-// so that the sweep costs a constant share of a start.
+// The initial number of calls at which finished ones are removed. The threshold
+// then doubles with the calls in flight, so that the amortized cost for each
+// call is constant.
 const FIRST_SWEEP: usize = 64;
 
-/// A `CallGuard` is a call's task. Its drop stops the task, silently.
+/// A `CallGuard` owns a call's task. Dropping it stops the task without a
+/// report.
 #[derive(Debug)]
 struct CallGuard {
     target: PoolTarget,
@@ -69,12 +71,12 @@
     calls: HashMap<AttemptId, CallGuard>,
     sweep_at: usize,
     watches: HashMap<TargetName, LoadWatch>,
-    /// The last start known of each target that tells it.
+    /// The last known start time of each target that reports one.
     starts: HashMap<TargetName, u64>,
 }
 
 impl TargetClient {
-    /// Get a client that reports to the loop by `events`.
+    /// Get a client that reports to the event loop through `events`.
     pub fn new(options: TargetClientOptions, events: NodeSender) -> Self {
         TargetClient {
             options: Arc::new(options),
@@ -87,8 +89,8 @@
         }
     }
 
-    /// Put other bounds in force for the calls that start from now on, and
-    /// for the watches of engines, which start anew.
+    /// Set the options of subsequent calls and restart the watches of engines
+    /// with them.
     pub fn set_options(&mut self, options: TargetClientOptions) {
         if *self.options == options {
             return;
@@ -99,8 +101,8 @@
         }
     }
 
-    /// Send a permitted call to its target. Its answer goes to `answer`, its
-    /// progress to the loop.
+    /// Send a permitted call to its target. The answer goes to `answer`, the
+    /// progress to the event loop.
     pub fn start(
         &mut self,
         attempt: AttemptId,
@@ -132,8 +134,8 @@
         self.calls.insert(attempt, guard);
     }
 
-    /// Stop an attempt; nothing more is reported of it. With `cancel` its
-    /// engine is told to stop the stream, where the contract says it does.
+    /// Stop an attempt, which reports nothing more. With `cancel`, its engine
+    /// is requested to cancel the stream if the target's contract supports it.
     pub fn abort(&mut self, attempt: AttemptId, cancel: bool) {
         let Some(guard) = self.calls.remove(&attempt) else {
             return;
@@ -149,8 +151,8 @@
         }
     }
 
-    /// Replace the set of engines whose load reports and cache events are
-    /// sent to the loop.
+    /// Replace the set of engines whose load reports and cache events are sent
+    /// to the event loop.
     pub fn watch_targets(&mut self, targets: &[PoolTarget]) {
         let mut earlier = std::mem::take(&mut self.watches);
         for target in targets {
@@ -162,10 +164,10 @@
         }
     }
 
-    /// Take note of the published targets. Idle connections to one that has
-    /// started again lead to a process that is gone. Where it died behind a cut
-    /// no reset ever tells, and a call sent on one would wait until its target
-    /// counts as silent.
+    /// Record the start times of the published targets and close the idle
+    /// connections to targets that have restarted. No reset arrives if the old
+    /// process ended behind a network partition, and a call over such a
+    /// connection would wait until the target counts as unresponsive.
     pub fn record_target_starts(&mut self, pools: &PoolBook) {
         let targets = pools.pools().iter().flat_map(|pool| &pool.targets);
         let mut starts = HashMap::new();
--- a/bergamotswitch-net/src/target_client/options.rs
+++ b/bergamotswitch-net/src/target_client/options.rs
@@ -1,4 +1,4 @@
-//! Provides the bounds and periods of calls to targets.
+//! Provides the timeouts and limits of calls to targets.
 
 use std::time::Duration;
 
@@ -14,80 +14,79 @@
     )*};
 }
 
-/// A `TargetClientOptions` is the bounds and periods of calls to targets.
+/// A `TargetClientOptions` is the set of timeouts and limits of calls to
+/// targets.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetClientOptions {
-    /// The longest time to establish a connection.
+    /// The timeout for establishing a connection.
     pub connect_timeout: Duration,
-    /// A kept connection is used again only within this time after its last
-    /// traffic; none is kept where it is zero. An older one may have gone
-    /// silent unnoticed.
+    /// How long after its last traffic an idle connection may be reused; zero
+    /// disables reuse. An older connection may have become unresponsive
+    /// unnoticed.
     pub idle_reuse: Duration,
-    /// The most kept connections to one target.
+    /// The maximum number of idle connections to one target.
     pub max_idle_per_target: usize,
-    /// Whether streams are checked for silence. Off only for measuring.
+    /// Whether streams are probed for liveness. Disabled only in measurements.
     pub liveness: bool,
-    /// The gap in a stream after which the target is asked for its status.
+    /// The gap in a stream after which the target's status is queried.
     pub idle_probe: Duration,
-    /// The pause between two status questions in one gap.
+    /// The pause between two status queries during one gap.
     pub probe_period: Duration,
-    /// The longest wait for a status answer, a resumed stream's head or a
-    /// load report, connecting included.
+    /// The timeout for a status answer, the head of a resumed stream or a load
+    /// report, including the time to connect.
     pub probe_timeout: Duration,
-    /// The unanswered status questions in a row after which the target
-    /// counts as gone.
+    /// The number of consecutive unanswered status queries after which the
+    /// target counts as unavailable.
     pub probe_misses: u32,
-    /// How long a connection may lag behind what its target says it sent.
+    /// How long a connection may lag behind the offset that its target reports.
     pub silent_grace: Duration,
-    /// How long a target may say that it never saw the request.
+    /// How long a target may report the request as unknown.
     pub unknown_request_grace: Duration,
-    /// The resume attempts in a row that bring nothing new.
+    /// The maximum number of consecutive resume attempts without a new event.
     pub resume_attempts: u32,
-    /// The pause before the second resume attempt; it doubles from there.
+    /// The pause before the second resume attempt, doubled for each further
+    /// one.
     pub resume_backoff: Duration,
-    /// Whether a stream that carried a foreign chunk may be resumed.
+    /// Whether a stream that delivered another request's chunk may be resumed.
     pub resume_mismatched: bool,
-    /// The least time between two progress reports of one attempt.
+    /// The minimum time between two progress reports of one attempt.
     pub progress_period: Duration,
-    /// The idle time of a connection after which the kernel probes it.
+    /// The idle time of a connection after which TCP keepalive probes are sent.
     pub keepalive: Duration,
-    /// How long sent data may stay unacknowledged before the kernel gives the
-    /// connection up.
+    /// How long sent data may stay unacknowledged before the connection is
+    /// closed.
     pub user_timeout: Duration,
-    /// The pause between two load questions to one target.
+    /// The pause between two load queries to one target.
     pub load_period: Duration,
-    /// The gap in a target's cache events after which they are asked for
-    /// over a new connection.
+    /// The gap in a target's cache events after which the connection is
+    /// replaced.
     pub cache_idle: Duration,
 }
 
 impl Default for TargetClientOptions {
     fn default() -> Self {
         TargetClientOptions {
-            // Failure domains are a millisecond apart: a second covers one
-            // lost SYN's first repetition, which comes after a second.
+            // Allows for one SYN retransmission, which is sent after a second.
             connect_timeout: Duration::from_millis(1_500),
-            // A request over a kept connection that went silent meanwhile
-            // never arrives, and nobody can prove that it never will. With
-            // two seconds, 56 or 57 of 60 answers came whole past three silences;
-            // with new connections all did, at one round trip more each.
+            // A request sent over an unresponsive connection never arrives, but
+            // is not retried, since it may have run. A new connection costs one
+            // round trip.
             idle_reuse: Duration::ZERO,
             max_idle_per_target: 8,
             liveness: true,
-            // The slowest ordinary gap between tokens is far below a second,
-            // so only stalled streams cost a question.
+            // Regular gaps between tokens are far below a second, so only
+            // stalled streams are queried.
             idle_probe: Duration::from_millis(1_000),
             probe_period: Duration::from_millis(1_000),
             probe_timeout: Duration::from_millis(1_000),
             probe_misses: 5,
             silent_grace: Duration::from_millis(300),
             unknown_request_grace: Duration::from_secs(5),
-            // Together some 13 seconds: longer than most partitions between
-            // failure domains, and a draft is lost after them.
+            // Spans some 13 seconds, longer than most partitions between
+            // failure domains.
             resume_attempts: 12,
             resume_backoff: Duration::from_millis(50),
-            // The caller is owed its whole answer even where answers crossed;
-            // resuming asks the target for this stream by its own id.
+            // Safe, since the resumption requests the stream by its own id.
             resume_mismatched: true,
             progress_period: Duration::from_millis(200),
             keepalive: Duration::from_secs(5),
@@ -99,7 +98,7 @@
 }
 
 impl TargetClientOptions {
-    /// Set what the published limits bound.
+    /// Set the options that the published limits determine.
     pub fn with_limits(self, limits: &FleetLimits) -> Self {
         self.with_connect_timeout(Duration::from_millis(limits.connect_timeout_ms))
             .with_idle_probe(Duration::from_millis(limits.idle_probe_ms))
@@ -108,41 +107,44 @@
     }
 
     setters! {
-        /// Set the longest time to establish a connection.
+        /// Set the timeout for establishing a connection.
         with_connect_timeout, connect_timeout: Duration;
-        /// Set how long after its last traffic a connection is used again.
+        /// Set how long after its last traffic an idle connection may be
+        /// reused.
         with_idle_reuse, idle_reuse: Duration;
-        /// Set the most kept connections to one target.
+        /// Set the maximum number of idle connections to one target.
         with_max_idle_per_target, max_idle_per_target: usize;
-        /// Set whether streams are checked for silence.
+        /// Set whether streams are probed for liveness.
         with_liveness, liveness: bool;
-        /// Set the gap after which a target is asked for its status.
+        /// Set the gap after which a target's status is queried.
         with_idle_probe, idle_probe: Duration;
-        /// Set the pause between two status questions in one gap.
+        /// Set the pause between two status queries during one gap.
         with_probe_period, probe_period: Duration;
-        /// Set the longest wait for a status answer.
+        /// Set the timeout for a status answer.
         with_probe_timeout, probe_timeout: Duration;
-        /// Set the unanswered questions after which a target counts as gone.
+        /// Set the unanswered queries after which a target counts as
+        /// unavailable.
         with_probe_misses, probe_misses: u32;
-        /// Set how long a connection may lag behind its target's word.
+        /// Set how long a connection may lag behind its target's reported
+        /// offset.
         with_silent_grace, silent_grace: Duration;
-        /// Set how long a target may say that it never saw the request.
+        /// Set how long a target may report the request as unknown.
         with_unknown_request_grace, unknown_request_grace: Duration;
-        /// Set the resume attempts in a row that bring nothing new.
+        /// Set the maximum number of resume attempts without a new event.
         with_resume_attempts, resume_attempts: u32;
         /// Set the pause before the second resume attempt.
         with_resume_backoff, resume_backoff: Duration;
-        /// Set whether a stream with a foreign chunk may be resumed.
+        /// Set whether a stream with another request's chunk may be resumed.
         with_resume_mismatched, resume_mismatched: bool;
-        /// Set the least time between two progress reports.
+        /// Set the minimum time between two progress reports.
         with_progress_period, progress_period: Duration;
-        /// Set the idle time after which the kernel probes a connection.
+        /// Set the idle time after which TCP keepalive probes are sent.
         with_keepalive, keepalive: Duration;
         /// Set how long sent data may stay unacknowledged.
         with_user_timeout, user_timeout: Duration;
-        /// Set the pause between two load questions.
+        /// Set the pause between two load queries.
         with_load_period, load_period: Duration;
-        /// Set the gap after which cache events are asked for anew.
+        /// Set the gap after which a cache event connection is replaced.
         with_cache_idle, cache_idle: Duration;
     }
 }
--- a/bergamotswitch-net/src/target_client/plain_call.rs
+++ b/bergamotswitch-net/src/target_client/plain_call.rs
@@ -1,4 +1,4 @@
-//! Provides one call to a plain service: one request, one whole answer.
+//! Provides calls to plain services: one request, one complete answer.
 
 use std::future::pending;
 
@@ -23,8 +23,8 @@
         return context.reject_malformed();
     };
     let mut meter = UsageMeter::start(context.options.progress_period);
-    // A plain service cannot be asked how far it got: a quiet one is waited
-    // for until the kernel or the loop ends the call.
+    // A plain service has no status query, so an unresponsive one is waited for
+    // until the kernel or the event loop ends the call.
     match context.send_first(request, pending()).await {
         Ok(first) => read(context, &call.method, first, &mut meter, report).await,
         Err(SendError::NotConnected) => CallEnd::NotSent,
@@ -44,7 +44,7 @@
         response,
     } = first;
     if context.is_mismatched(&response) {
-        context.log_incident(Incident::AnswerRejected, "foreign request id");
+        context.log_incident(Incident::AnswerRejected, "request id mismatch");
         return CallEnd::Broken(meter.usage());
     }
     let status = response.status();
@@ -52,7 +52,10 @@
         return CallEnd::Refused;
     }
     if !is_delimited(method, &response) {
-        context.log_incident(Incident::AnswerRejected, "end of answer not marked");
+        context.log_incident(
+            Incident::AnswerRejected,
+            "answer without content-length or transfer-encoding",
+        );
         return CallEnd::Broken(meter.usage());
     }
     if status.is_client_error() || status.is_server_error() {
@@ -62,9 +65,10 @@
     context.push_head(&head);
     report_step(meter.add_plain(), report);
     while let Some(frame) = body.frame().await {
-        // A body that ends before its length or its last chunk is an error.
+        // A body that ends before its declared length or its last chunk is an
+        // error.
         let Ok(frame) = frame else {
-            context.log_incident(Incident::AnswerRejected, "answer cut off");
+            context.log_incident(Incident::AnswerRejected, "answer truncated");
             return CallEnd::Broken(meter.usage());
         };
         if let Ok(piece) = frame.into_data() {
@@ -78,8 +82,9 @@
     CallEnd::Finished(meter.usage())
 }
 
-/// Get whether the answer's end can be told from a broken connection. A body
-/// that ends with its connection looks whole when it is cut off.
+/// Get whether the end of the answer is distinguishable from a lost connection.
+/// A truncated body that is delimited only by the connection's end looks
+/// complete.
 fn is_delimited(method: &Method, response: &Response<Incoming>) -> bool {
     let bodiless = method == Method::HEAD
         || matches!(
--- a/bergamotswitch-net/src/target_client/routed_call.rs
+++ b/bergamotswitch-net/src/target_client/routed_call.rs
@@ -1,5 +1,5 @@
-//! Provides one call of a gateway's caller to a target: a plain answer, or a
-//! stream of events that may be carried on.
+//! Provides calls that a gateway routes to a target. The answer is a single
+//! body, or an event stream that another target may resume.
 
 use std::future::pending;
 use std::sync::Arc;
@@ -25,31 +25,32 @@
 use crate::answer::AnswerPart;
 use crate::input::OutgoingCall;
 
-/// The longest body of a plain answer, and the longest single event, in bytes.
+/// The maximum size in bytes of an answer's body and of a single event.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// A `RoutedCall` is what a target is told of a caller's call beside its
-/// method, path and body.
+/// A `RoutedCall` is what a gateway sends to a target with a caller's request,
+/// in addition to its method, path and body.
 #[derive(Clone, Debug)]
 pub struct RoutedCall {
     /// The caller's id of this attempt.
     pub request_id: String,
-    /// The caller's fields that are passed on.
+    /// The caller's header fields that are passed on.
     pub fields: Arc<HeaderMap>,
-    /// The caller's account.
+    /// The client account of the caller.
     pub account: Option<AccountName>,
-    /// When the call ends.
+    /// The time at which the call ends.
     pub deadline: Instant,
-    /// Whether its answer is a stream of events.
+    /// Whether the answer is an event stream.
     pub is_stream: bool,
-    /// How long the answer may take to begin before the target counts as
-    /// silent; until the deadline where absent.
+    /// The timeout for the start of the answer, after which the target counts
+    /// as unresponsive. `None` means until the deadline.
     pub start_timeout: Option<Duration>,
-    /// How long a stream that has begun may pause before its target may be gone.
+    /// The timeout between two events of a stream, after which the target may
+    /// be unavailable. `None` means until the deadline.
     pub gap_timeout: Option<Duration>,
 }
 
-/// How the content type of a series of events begins.
+/// The prefix of an event stream's content type.
 const EVENT_STREAM_TYPE: &[u8] = b"text/event-stream";
 
 /// Run the call to its end.
@@ -79,13 +80,13 @@
             CallEnd::Broken(meter.usage())
         }
         Err(SendError::Unresponsive(_)) => {
-            context.log_incident(Incident::ConnectionSilent, "no answer began in time");
+            context.log_incident(Incident::ConnectionSilent, "no answer started in time");
             CallEnd::Broken(meter.usage())
         }
     }
 }
 
-/// Wait until a target counts as silent.
+/// Wait until the target counts as unresponsive.
 async fn wait_for_silence(wait: Option<Duration>) -> SilenceVerdict {
     match wait {
         Some(wait) => {
@@ -136,8 +137,8 @@
         drain(context, connection, body, found.idle_timeout).await;
         return CallEnd::Refused;
     }
-    // An answer that names another request, or that no target signed, is
-    // another one's or made on the way.
+    // An answer that has another request's id, or lacks the target's signature,
+    // comes from another call or from an intermediary.
     if !found.is_own || !found.is_sealed {
         let cause = match found.is_own {
             true => "answer without the target's signature",
@@ -159,7 +160,7 @@
     }
 }
 
-/// Read the rest of an answer that nobody gets, to keep its connection.
+/// Discard the rest of an answer, so that its connection can be reused.
 async fn drain(
     context: &CallContext,
     connection: TargetConnection,
@@ -186,20 +187,20 @@
 }
 
 impl AnswerReading<'_> {
-    /// Read an answer whole before any of it is passed on.
+    /// Read the complete answer before forwarding it.
     async fn whole(
         self,
         body: Incoming,
         meter: &mut UsageMeter,
         report: &AttemptReport,
     ) -> CallEnd {
-        // The answer of a stream that is carried on has begun already; an
-        // error cannot follow it.
+        // The caller has already received a part of a resumed stream, so an
+        // error answer cannot follow.
         let has_begun = self.context.answer.last_event_id().is_some();
         let collected = Limited::new(body, MAX_BODY_BYTES).collect().await;
         let Ok(bytes) = collected.map(|collected| collected.to_bytes()) else {
             self.context
-                .log_incident(Incident::AnswerRejected, "answer cut off");
+                .log_incident(Incident::AnswerRejected, "answer truncated");
             return CallEnd::Broken(meter.usage());
         };
         let success = self.head.status.is_success();
@@ -216,7 +217,7 @@
         }
     }
 
-    /// Pass a stream's events on as they come.
+    /// Forward a stream's events as they arrive.
     async fn stream(
         self,
         mut body: Incoming,
@@ -245,14 +246,13 @@
             }
             if splitter.rest_len() > MAX_BODY_BYTES {
                 self.context
-                    .log_incident(Incident::AnswerRejected, "event too long");
+                    .log_incident(Incident::AnswerRejected, "event too large");
                 return CallEnd::Broken(meter.usage());
             }
         }
-        // The end of the body is no proof of the end of the stream: a body
-        // without a length ends with its connection, also where its target stops
-        // in the middle of an event. Passed on, half an event would look like the
-        // end of a whole answer, and what may be carried on would not be.
+        // A body without a declared length ends with its connection, also if
+        // the target stops within an event. Forwarding the partial event would
+        // make the answer look complete and prevent its resumption.
         if splitter.is_in_event() && self.has_events() {
             self.context
                 .log_incident(Incident::AnswerRejected, "stream ended inside an event");
@@ -269,14 +269,16 @@
         CallEnd::Finished(meter.usage())
     }
 
-    /// Get whether the body is a series of events, as far as its target says.
+    /// Get whether the body is an event stream. A missing content type counts
+    /// as one.
     fn has_events(&self) -> bool {
         let kind = self.head.headers.get(header::CONTENT_TYPE);
         kind.is_none_or(|kind| kind.as_bytes().starts_with(EVENT_STREAM_TYPE))
     }
 
-    /// Get the next piece of a stream; `None` at its end. A pause after its first
-    /// event is told, and waited out unless the loop ends the attempt.
+    /// Try to get the next frame of a stream, or `None` at its end. A stall
+    /// after the first event is reported, and the wait goes on until the event
+    /// loop ends the attempt.
     async fn next_frame(
         &self,
         body: &mut Incoming,
@@ -297,13 +299,13 @@
             match next {
                 Ok(None) => return Ok(None),
                 Ok(Some(Ok(frame))) => return Ok(Some(frame)),
-                Ok(Some(Err(_))) => break "stream cut off",
+                Ok(Some(Err(_))) => break "stream truncated",
                 Err(_) if has_begun => {
                     self.context
                         .log_incident(Incident::StreamStalled, "no event in time");
                     report.step(AttemptEvent::Silent);
                 }
-                Err(_) => break "silent stream",
+                Err(_) => break "no first event in time",
             }
         };
         self.context.log_incident(Incident::AnswerRejected, cause);
--- a/bergamotswitch-net/src/target_client/silence_watch.rs
+++ b/bergamotswitch-net/src/target_client/silence_watch.rs
@@ -1,9 +1,10 @@
-//! Provides the decision whether a quiet connection is slow, silent or gone.
+//! Provides the check whether a connection without data is slow, unresponsive
+//! or lost.
 //!
-//! Something between two ends can lose track of an open connection: it stays
-//! open for good and carries nothing, while new connections work. The reader
-//! alone cannot tell that from an engine that is slow. So a question over a
-//! new connection asks the engine how far it got.
+//! A middlebox can lose the state of an open connection, which then stays open
+//! without delivering anything, while new connections work. The reader cannot
+//! tell this from a slow engine, so the engine's status is queried over a new
+//! connection.
 
 use std::net::SocketAddr;
 
@@ -12,50 +13,49 @@
 use super::options::TargetClientOptions;
 use super::stream_status::{QueryError, StreamId, query_status};
 
-/// A `SilenceVerdict` is why a quiet connection is given up.
+/// A `SilenceVerdict` is the reason to drop a connection without data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SilenceVerdict {
-    /// The engine got further than the connection brought.
+    /// The engine's offset is ahead of the connection.
     Silent,
-    /// The engine or the stream is gone.
+    /// The engine is unavailable, or the stream no longer exists.
     Unavailable,
 }
 
-/// A `StatusFinding` is what one question says of a quiet connection.
+/// A `StatusFinding` is the result of one status query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StatusFinding {
-    /// The engine works on what comes next.
+    /// The engine is still producing the next event.
     Slow,
-    /// The engine made more than the connection brought.
+    /// The engine has produced more than the connection delivered.
     Ahead,
-    /// The stream ended without its last event, or is not known any more.
+    /// The stream ended without its last event or is no longer known.
     Ended,
-    /// The engine never saw the request.
+    /// The engine does not know the request.
     UnknownRequest,
     /// There was no usable answer.
     NoAnswer,
 }
 
-/// A `SilenceWatch` asks about one stream while its connection is quiet.
+/// A `SilenceWatch` queries the status of one stream while its connection
+/// delivers no data.
 #[derive(Debug)]
 pub(super) struct SilenceWatch<'a> {
-    /// The engine.
     pub address: SocketAddr,
-    /// The request's id in its text form.
+    /// The request's id as text.
     pub request_id: &'a str,
-    /// The stream's id, once known.
+    /// The stream's id, if known.
     pub stream: Option<&'a StreamId>,
-    /// The last event received.
+    /// The number of the last event received.
     pub offset: u64,
-    /// Whether the engine promises to know its streams.
+    /// Whether the engine's contract includes resumable streams.
     pub resumes: bool,
-    /// The bounds.
     pub options: &'a TargetClientOptions,
 }
 
 impl SilenceWatch<'_> {
-    /// Wait for a verdict. The wait keeps nothing: drop it and wait anew when
-    /// a byte comes. It never ends while the engine is merely slow.
+    /// Wait for a verdict. It never comes while the engine is merely slow. The
+    /// wait has no state: drop it and start another one when data arrives.
     pub async fn verdict(self) -> SilenceVerdict {
         if !self.options.liveness {
             return std::future::pending().await;
@@ -68,8 +68,8 @@
             match finding {
                 StatusFinding::Slow => misses = 0,
                 StatusFinding::Ahead => {
-                    // What the engine made may still be on its way. A byte
-                    // within the grace ends this wait.
+                    // The data may still be in flight. If it arrives within the
+                    // grace period, the caller drops this wait.
                     sleep(self.options.silent_grace).await;
                     return SilenceVerdict::Silent;
                 }
@@ -101,9 +101,9 @@
             Ok(status) if status.done || status.offset > self.offset => StatusFinding::Ahead,
             Ok(status) if status.running => StatusFinding::Slow,
             Ok(_) => StatusFinding::Ended,
-            // Without the promise the engine may know the stream and still
-            // not the question, so its answer says only that it is alive. A
-            // slow stream is then waited for; kernel probes cover the path.
+            // An engine without resumable streams may run the stream without
+            // supporting the query, so its answer only shows that it is alive.
+            // TCP keepalive detects a lost connection in this case.
             Err(QueryError::Unsupported) => StatusFinding::Slow,
             Err(QueryError::NotFound) if !self.resumes => StatusFinding::Slow,
             Err(QueryError::NotFound) if self.stream.is_some() => StatusFinding::Ended,
--- a/bergamotswitch-net/src/target_client/stream_cancel.rs
+++ b/bergamotswitch-net/src/target_client/stream_cancel.rs
@@ -1,4 +1,4 @@
-//! Provides the cancelling of a stream at its engine.
+//! Provides the cancellation of a stream at its engine.
 
 use std::sync::Arc;
 
@@ -10,31 +10,30 @@
 use super::options::TargetClientOptions;
 use super::stream_status::{QueryError, StreamId, query, query_status};
 
-// The tries to tell an engine. An engine that hears none of them runs the
-// stream to its end, which wastes capacity but harms nobody.
+// The maximum number of cancellation attempts. An engine that receives none of
+// them runs the stream to its end, which only wastes capacity.
 const CANCEL_ATTEMPTS: u32 = 5;
 
-/// A `StreamCancel` is the order to an engine to stop one stream.
+/// A `StreamCancel` is a request to an engine to cancel one stream.
 #[derive(Debug)]
 pub(super) struct StreamCancel {
-    /// The engine.
     pub target: PoolTarget,
-    /// The request's id in its text form.
+    /// The request's id as text.
     pub request_id: String,
-    /// What is known of the call.
     pub trace: CallTrace,
-    /// The bounds.
     pub options: Arc<TargetClientOptions>,
 }
 
 impl StreamCancel {
-    /// Tell the engine, a bounded number of times.
+    /// Send the cancellation until it succeeds or all attempts failed.
     pub async fn run(self) {
         let mut backoff = self.options.resume_backoff;
         for _ in 0..CANCEL_ATTEMPTS {
             match self.try_once().await {
                 Ok(()) => return,
-                Err(error) => log::debug!(target_name:% = self.target.name; "no cancel: {error}"),
+                Err(error) => {
+                    log::debug!(target_name:% = self.target.name; "cannot cancel stream: {error}")
+                }
             }
             sleep(backoff).await;
             backoff *= 2;
@@ -46,15 +45,15 @@
         let path = format!("/v1/streams/{id}");
         let answer = query(Method::DELETE, self.target.address, &path, &self.options).await;
         match answer {
-            // A stream that is no longer known needs no cancel.
+            // A stream that is no longer known needs no cancellation.
             Ok(_) | Err(QueryError::NotFound) => Ok(()),
             Err(error) => Err(error),
         }
     }
 
-    /// Get the stream's id. A call that was stopped before its response's
-    /// head asks for it; the request itself may arrive only after the
-    /// question.
+    /// Try to get the stream's id. It is queried if the call was stopped before
+    /// the response's head; the request itself may reach the engine after this
+    /// query.
     async fn find_stream(&self) -> Result<StreamId, QueryError> {
         if let Some(id) = self.trace.stream() {
             return Ok(id);
--- a/bergamotswitch-net/src/target_client/stream_resume.rs
+++ b/bergamotswitch-net/src/target_client/stream_resume.rs
@@ -1,5 +1,5 @@
-//! Provides the resuming of a stream: its rest is answer for by id and offset
-//! over a new connection, which is no second run.
+//! Provides the resumption of a stream: its rest is requested by id and offset
+//! over a new connection, without running the request again.
 
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -13,17 +13,17 @@
 use super::engine_call::{EngineCall, OpenStream, StreamError, is_event_stream};
 use super::stream_status::{QueryError, StreamId, empty_request, query_status};
 
-// The longest pause between two resume attempts.
+// The maximum pause between two resume attempts.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
-// The refused connects and unknown requests after which the stream counts as
-// gone. Unlike a path that is cut for a while, a closed port means that the
-// process which knew the stream has ended, and waiting only makes the next
-// attempt late. Four span 350 ms, time for a request still on its way.
+// The number of refused connections and unknown requests after which the stream
+// counts as lost. Unlike a network partition, a closed port means that the
+// process with the stream has ended, so a longer wait only delays the next
+// attempt. The backoff still leaves time for a request in flight.
 const MAX_DENIALS: u32 = 4;
 
 impl EngineCall<'_> {
-    /// Go on with the stream over new connections until its end, or until
-    /// the attempts in a row without a new event are used up.
+    /// Try to read the rest of the stream over new connections, until its end
+    /// or until the consecutive attempts without a new event are used up.
     pub(super) async fn resume(&mut self) -> Result<(), StreamError> {
         let options = &self.context.options;
         let before = self.offset;
@@ -36,7 +36,7 @@
             }
             let stream = match self.reopen().await {
                 Ok(stream) => stream,
-                // The next try may find the engine back.
+                // The engine may be reachable again at the next attempt.
                 Err(StreamError::Dropped) => continue,
                 Err(StreamError::ConnectionRefused | StreamError::UnknownRequest) => {
                     denials += 1;
@@ -64,7 +64,7 @@
         Err(StreamError::Unavailable)
     }
 
-    /// Try once to ask for the rest of the stream over a new connection.
+    /// Try once to request the rest of the stream over a new connection.
     async fn reopen(&mut self) -> Result<OpenStream, StreamError> {
         let context = self.context;
         let options = &context.options;
@@ -97,7 +97,8 @@
         Ok(self.accept_head(connection, response))
     }
 
-    /// Get the stream's id, exchange for it where the head never came.
+    /// Try to get the stream's id, which is queried if the response's head was
+    /// not received.
     async fn find_stream(&mut self) -> Result<StreamId, StreamError> {
         if let Some(id) = &self.stream {
             return Ok(id.clone());
--- a/bergamotswitch-net/src/target_client/stream_status.rs
+++ b/bergamotswitch-net/src/target_client/stream_status.rs
@@ -1,5 +1,4 @@
-//! Provides small questions to targets over new connections, above all that
-//! for a stream's status.
+//! Provides small queries to targets, such as for a stream's status.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -13,10 +12,11 @@
 use super::connection::{TargetConnection, TargetRequest};
 use super::options::TargetClientOptions;
 
-// A status or load report has a few dozen bytes.
+// The maximum size of a status or load report.
 const MAX_REPORT_BYTES: usize = 64 * 1024;
 
-/// A `StreamId` is an engine's name for a stream, fit to stand in a path.
+/// A `StreamId` is an engine's id of a stream, restricted to characters that
+/// are safe in a path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct StreamId(String);
 
@@ -38,55 +38,55 @@
     }
 }
 
-/// A `StreamStatus` is what an engine says of a stream.
+/// A `StreamStatus` is the state of a stream as its engine reports it.
 #[derive(Clone, Debug, Deserialize)]
 pub(super) struct StreamStatus {
-    /// The number of the last event it made.
+    /// The number of the last event produced.
     pub offset: u64,
     /// Whether the stream is complete.
     pub done: bool,
-    /// Whether the engine still works on it.
+    /// Whether the engine is still running it.
     pub running: bool,
-    /// The stream's id, where it was asked for by request.
+    /// The stream's id, included if the query was by request id.
     #[serde(default)]
     stream_id: Option<String>,
 }
 
 impl StreamStatus {
-    /// Get the stream's id, where it is told and usable.
+    /// Get the stream's id, if it is present and valid.
     pub fn stream_id(&self) -> Option<StreamId> {
         let text = self.stream_id.as_deref()?;
         StreamId::try_from(text).ok()
     }
 }
 
-/// A `QueryError` is why a question got no usable answer.
+/// A `QueryError` is the reason why a query got no usable answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum QueryError {
-    /// No whole answer came in time.
+    /// No complete answer arrived in time.
     NoAnswer,
-    /// The target does not know what was asked for.
+    /// The target does not know the resource.
     NotFound,
-    /// The target is there but does not answer such questions.
+    /// The target does not support the query.
     Unsupported,
-    /// The answer is not what the protocol says.
+    /// The request or the answer does not conform to the protocol.
     Malformed,
 }
 
 impl fmt::Display for QueryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            QueryError::NoAnswer => "no whole answer in time",
-            QueryError::NotFound => "not known at the target",
+            QueryError::NoAnswer => "no complete answer in time",
+            QueryError::NotFound => "unknown at the target",
             QueryError::Unsupported => "not supported by the target",
-            QueryError::Malformed => "answer malformed",
+            QueryError::Malformed => "malformed request or answer",
         })
     }
 }
 
 impl std::error::Error for QueryError {}
 
-/// Get a request without a body; `None` where `path` cannot be one.
+/// Get a request without a body, or `None` if `path` is not valid.
 pub(super) fn empty_request(
     method: Method,
     address: SocketAddr,
@@ -100,7 +100,7 @@
         .ok()
 }
 
-/// Try to get a small answer over `connection`, in time.
+/// Try to send a query over `connection` and get the answer's body.
 pub(super) async fn query_over(
     connection: &mut TargetConnection,
     request: TargetRequest,
@@ -128,8 +128,8 @@
         .unwrap_or(Err(QueryError::NoAnswer))
 }
 
-/// Try to get a small answer over a new connection, in time. A kept one could
-/// be as silent as the one in doubt.
+/// Try to send a query over a new connection and get the answer's body. An idle
+/// connection could be as unresponsive as the one in doubt.
 pub(super) async fn query(
     method: Method,
     address: SocketAddr,
@@ -148,7 +148,8 @@
         .unwrap_or(Err(QueryError::NoAnswer))
 }
 
-/// Try to get the status of a stream, by its id or else by its request's.
+/// Try to get the status of a stream, by its id if known, else by the
+/// request's.
 pub(super) async fn query_status(
     address: SocketAddr,
     request_id: &str,
--- a/bergamotswitch-net/src/target_client/usage_meter.rs
+++ b/bergamotswitch-net/src/target_client/usage_meter.rs
@@ -1,4 +1,4 @@
-//! Provides the measuring of what an attempt uses: tokens and times.
+//! Provides the metering of an attempt's tokens and times.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 use super::attempt_report::AttemptReport;
 
-/// A `StreamChunk` is what is read of one completion chunk.
+/// A `StreamChunk` is the part of a completion chunk that is evaluated.
 #[derive(Debug, Deserialize)]
 pub(crate) struct StreamChunk {
     /// The id of the request that the chunk belongs to.
@@ -56,7 +56,7 @@
 }
 
 impl StreamChunk {
-    /// Get whether some output came with the chunk.
+    /// Get whether the chunk contains output.
     pub(crate) fn has_output(&self) -> bool {
         self.choices.iter().any(ChunkChoice::has_output)
     }
@@ -72,18 +72,18 @@
     }
 }
 
-/// A `TokenStep` is what a chunk means for the attempt's progress.
+/// A `TokenStep` is the progress to report after a chunk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TokenStep {
-    /// Nothing to report.
+    /// There is nothing to report.
     Nothing,
-    /// The first output came.
+    /// The first output arrived.
     First,
-    /// It is time to report progress.
+    /// The number of output tokens so far is due to be reported.
     Progress(u32),
 }
 
-/// A `UsageMeter` measures one attempt from its dispatch.
+/// A `UsageMeter` meters one attempt from its dispatch.
 #[derive(Debug)]
 pub(super) struct UsageMeter {
     started: Instant,
@@ -108,13 +108,13 @@
         }
     }
 
-    /// Count a chunk.
+    /// Add a chunk.
     pub fn add(&mut self, chunk: &StreamChunk) -> TokenStep {
         if chunk.usage.is_some() {
             self.reported = chunk.usage;
         }
-        // An engine sends one chunk for each token; its own count, in the
-        // last chunk, replaces this one.
+        // An engine sends one chunk for each token. The count that it reports
+        // in the last chunk takes precedence.
         let outputs = chunk.choices.iter().filter(|choice| choice.has_output());
         let tokens = outputs.count() as u32;
         if tokens == 0 {
@@ -124,19 +124,19 @@
         self.step()
     }
 
-    /// Count a piece of a plain answer, which is worth one token in all.
+    /// Add a chunk of a plain answer, which counts as one token in total.
     pub fn add_plain(&mut self) -> TokenStep {
         self.counted = 1;
         self.step()
     }
 
-    /// Count one event of a stream whose tokens are not told.
+    /// Add an event of a stream whose token count is not reported.
     pub fn add_event(&mut self) -> TokenStep {
         self.counted = self.counted.saturating_add(1);
         self.step()
     }
 
-    /// Get whether nothing came yet.
+    /// Get whether nothing was counted yet.
     pub fn awaits_first(&self) -> bool {
         self.first_token.is_none()
     }
@@ -154,8 +154,8 @@
         TokenStep::Progress(self.counted)
     }
 
-    /// Get what was used so far. Prompt tokens are known only from the
-    /// target's own count.
+    /// Get the usage so far. Prompt tokens are known only if the target reports
+    /// them.
     pub fn usage(&self) -> Usage {
         let cached = self
             .reported
@@ -174,7 +174,7 @@
     }
 }
 
-/// Tell the loop of a step.
+/// Report a step to the event loop.
 pub(super) fn report_step(step: TokenStep, report: &AttemptReport) {
     match step {
         TokenStep::Nothing => {}
--- a/bergamotswitch-net/tests/event_blocks.rs
+++ b/bergamotswitch-net/tests/event_blocks.rs
@@ -1,11 +1,11 @@
-//! Streams are cut into whole events, byte for byte.
+//! Tests the splitting of event streams into complete events.
 
 use bergamotswitch_net::target_client::event_blocks::{EventBlock, EventSplitter};
 
 const STREAM: &[u8] = b"\nid: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: c\n\nid: 4\nda";
 
-/// Get the events of the stream that comes in pieces of so many bytes, and
-/// what is left.
+/// Split the stream, fed in chunks of `piece` bytes, and get its events and the
+/// remainder.
 fn split(piece: usize) -> (Vec<EventBlock>, Vec<u8>) {
     let mut splitter = EventSplitter::default();
     let mut found = Vec::new();
--- a/bergamotswitch-net/tests/event_stream.rs
+++ b/bergamotswitch-net/tests/event_stream.rs
@@ -1,4 +1,4 @@
-//! Tests the reading of server-sent events.
+//! Tests the parser of server-sent events.
 
 use bergamotswitch_net::target_client::event_stream::{
     EventParser, EventTooLarge, MAX_EVENT_BYTES, ServerEvent,
@@ -36,8 +36,8 @@
 
 #[test]
 fn any_chunking() {
-    // Symptom: an event is lost or doubled now and then. The network cuts a
-    // body anywhere, also inside a line end; the events must not depend on it.
+    // Events must not depend on how the network splits the body into chunks,
+    // even within a line ending.
     let lines: [&[u8]; 6] = [b"id: 7", b"data: x", b"data: y", b"", b":c", b"data:"];
     bergamotswitch_draw::for_each::<(Vec<(u8, bool)>, Vec<u8>)>(2_000, |(choices, cuts)| {
         let mut body = Vec::new();
@@ -59,8 +59,8 @@
 
 #[test]
 fn endless_event() {
-    // Symptom: one target fills the host's memory. It never ends an event, by
-    // one long line or by many short ones.
+    // A target that never ends an event, by one long line or by many short
+    // ones, must not exhaust the host's memory.
     let piece = vec![b'x'; 64 * 1024];
     let long_line: Vec<&[u8]> = vec![&piece; MAX_EVENT_BYTES / piece.len() + 1];
     assert_eq!(read_all(&long_line), Err(EventTooLarge));
--- a/bergamotswitch-net/tests/platform_reads.rs
+++ b/bergamotswitch-net/tests/platform_reads.rs
@@ -1,4 +1,4 @@
-//! Tests of reading and watching published values, over sockets.
+//! Tests reading and watching published values over sockets.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -15,10 +15,9 @@
 use tokio::sync::mpsc;
 use tokio::time;
 
-/// Far beyond what any step takes on a busy machine.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Long enough to see that nothing more comes.
+/// How long to wait to verify that no further input arrives.
 const QUIET_PERIOD: Duration = Duration::from_millis(300);
 
 fn short_timeouts() -> PlatformOptions {
@@ -27,7 +26,7 @@
         .with_watch_wait(Duration::from_millis(300))
 }
 
-/// Options under which a watch waits longer than any test does.
+/// Get options whose watches outlast any test.
 fn long_watch() -> PlatformOptions {
     PlatformOptions::default().with_watch_wait(TEST_TIMEOUT * 2)
 }
@@ -94,8 +93,8 @@
     ValueStandin::try_start(address, source).await.unwrap()
 }
 
-/// Get a socket that is bound, so that nobody else gets its address, and does
-/// not listen: a connect is refused.
+/// Get a socket that is bound but does not listen, so that connections to its
+/// address are refused.
 fn refusing_socket() -> (Socket, SocketAddr) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
@@ -104,8 +103,8 @@
     (socket, address)
 }
 
-/// Get a service that gives the same bytes to each caller, then nothing more
-/// while it keeps the connection open.
+/// Start a service that sends the same bytes on each connection and then keeps
+/// it open.
 async fn scripted_service(answer: String) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -150,7 +149,8 @@
     values.publish("rules", json!(1));
     hosts.publish("hosts", json!(1));
     let mut test = TestClient::new(&[values.address()], &[hosts.address()], long_watch());
-    // A revision beyond the known one comes at once, a later one when it does.
+    // A revision beyond the known one is returned at once, a later one when it
+    // is published.
     test.client.watch(&value_name("rules"), Revision(0));
     test.expect_value("rules", 1, "1").await;
     test.client.watch(&value_name("rules"), Revision(1));
@@ -171,9 +171,7 @@
 
 #[tokio::test]
 async fn single_call_in_flight() {
-    // Symptom: the service is asked far more often than hosts and changes
-    // explain. Sequence: the loop asks again while a call is in flight.
-    // Cause: each wish made a call of its own.
+    // Repeated requests while a call is in flight must not start further calls.
     let values = service(ValueSource::Configuration).await;
     values.publish("rules", json!(1));
     let mut test = TestClient::new(&[values.address()], &[], long_watch());
@@ -182,7 +180,7 @@
     }
     test.expect_quiet().await;
     assert_eq!(test.client.calls(), 1);
-    // Another watch takes the place of the first: only its answer comes.
+    // Another watch replaces the first one, whose answer is not reported.
     test.client.watch(&value_name("rules"), Revision(0));
     test.expect_value("rules", 1, "1").await;
     values.publish("rules", json!(2));
@@ -192,9 +190,8 @@
 
 #[tokio::test]
 async fn service_failover() {
-    // Symptom: a change does not reach the fleet though one service is well.
-    // Sequence: the first service in the settings is down. Cause: only that
-    // one was asked.
+    // A value must be read although the first services in the settings are
+    // down.
     let (down, well) = (
         service(ValueSource::Configuration).await,
         service(ValueSource::Configuration).await,
@@ -207,7 +204,7 @@
     test.client.read(&value_name("rules"));
     test.expect_value("rules", 1, "1").await;
     assert_eq!(test.client.calls(), 3);
-    // The one that answered is asked first from then on.
+    // The service that answered last is called first.
     test.client.read(&value_name("rules"));
     test.expect_value("rules", 1, "1").await;
     assert_eq!(test.client.calls(), 4);
@@ -222,9 +219,8 @@
 
 #[tokio::test]
 async fn silent_service() {
-    // Symptom: a host hears of no change any more, and no error either.
-    // Sequence: the connection of a watch goes silent for good while new ones
-    // work. Cause: a watch without a time limit of its own.
+    // A watch must time out on its own when its connection becomes unresponsive
+    // without an error, while new connections work.
     let values = service(ValueSource::Configuration).await;
     values.publish("rules", json!(1));
     let opts = short_timeouts().with_watch_wait(Duration::from_secs(1));
@@ -232,24 +228,27 @@
     test.client.watch(&value_name("rules"), Revision(1));
     let began = Instant::now();
     while values.counts().watches == 0 {
-        assert!(began.elapsed() < TEST_TIMEOUT, "the watch has come in time");
+        assert!(began.elapsed() < TEST_TIMEOUT, "no watch in time");
         time::sleep(Duration::from_millis(1)).await;
     }
     values.set(|switches| switches.silent = SilenceMode::Open);
     values.publish("rules", json!(2));
     test.expect_failed("rules").await;
     let elapsed = began.elapsed();
-    println!("silence noticed after {} ms", elapsed.as_millis());
+    println!(
+        "unresponsive connection detected after {} ms",
+        elapsed.as_millis()
+    );
     test.client.watch(&value_name("rules"), Revision(1));
     test.expect_value("rules", 2, "2").await;
 
-    // With a second service the watch goes on there.
+    // With a second service, the watch continues there.
     let silent = scripted_service(String::new()).await;
     let mut test = TestClient::new(&[silent, values.address()], &[], short_timeouts());
     test.client.watch(&value_name("rules"), Revision(1));
     test.expect_value("rules", 2, "2").await;
 
-    // Half an answer is none, however long its other half takes.
+    // A truncated answer is not reported as a value.
     let half = http_ok(r#"{"name":"rules","revision":1,"body":1}"#);
     let half = scripted_service(half[..half.len() - 9].to_owned()).await;
     let mut test = TestClient::new(&[half], &[], short_timeouts());
@@ -259,9 +258,7 @@
 
 #[tokio::test]
 async fn wrong_answers() {
-    // Symptom: a value of another name, or half of one, comes into force.
-    // Sequence: something between mixes up answers, or the service is faulty.
-    // Cause: an answer taken for what was asked without a look.
+    // An answer for another value or a malformed one must not be applied.
     let bodies = [
         r#"{"name":"pools","revision":1,"body":1}"#,
         r#"{"revision":1,"body":1}"#,
@@ -283,8 +280,8 @@
 
 #[tokio::test]
 async fn value_sizes() {
-    // A value of a megabyte is read; a body without end is given up, so that
-    // a faulty service does not cost a host its memory.
+    // A value of 1 MiB is read; a larger body is rejected, so that a faulty
+    // service cannot exhaust the host's memory.
     let values = service(ValueSource::Configuration).await;
     let text = "x".repeat((1 << 20) - 2);
     values.publish("rules", json!(text));
--- a/bergamotswitch-net/tests/silent_connections.rs
+++ b/bergamotswitch-net/tests/silent_connections.rs
@@ -1,4 +1,4 @@
-//! Tests connections that go silent while new ones work.
+//! Tests connections that become unresponsive while new ones work.
 
 mod target_support;
 
@@ -19,15 +19,16 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-// The measurement's calls, their pace, after how many of them all open
-// connections go silent, and the silence after which no end is expected.
+// The number of calls in the measurement, the time between them, the number of
+// calls after which all open connections become unresponsive, and the time
+// without input after which no further end is expected.
 const CALLS: usize = 60;
 const CALL_PERIOD: Duration = Duration::from_millis(50);
 const SILENCE_PERIOD: usize = 20;
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Relay to `engine`. The first connection carries requests there but no
-/// answer back; later ones work.
+/// Start a relay to `engine`. Its first connection forwards requests but no
+/// answers; later ones work.
 async fn start_relay(engine: SocketAddr) -> SocketAddr {
     let listener = TcpListener::bind(EPHEMERAL_ADDRESS).await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -59,9 +60,8 @@
 
 #[tokio::test]
 async fn silent_stream() {
-    // Symptom: a draft never arrives though its engine made it. In the middle
-    // of the stream something between the two ends loses the connection,
-    // which stays open and carries nothing; new connections work.
+    // A stream whose connection becomes unresponsive must be resumed over a new
+    // connection, without a second run.
     for options in [quick_options(), TargetClientOptions::default()] {
         let engine = start_engine(true).await;
         let target = target_at(engine.address(), true);
@@ -76,7 +76,7 @@
         let silenced = Instant::now();
         while harness.next_event().await.1 != AttemptEvent::Resumed {}
         let recovery = silenced.elapsed();
-        println!("silent stream resumed after {recovery:?}, questions after {gap:?}");
+        println!("silent stream resumed after {recovery:?}, probed after {gap:?}");
         let events = harness.events().await;
         assert!(
             matches!(events.last(), Some(AttemptEvent::Finished(usage)) if usage.decode == 200)
@@ -88,8 +88,8 @@
 
 #[tokio::test]
 async fn lost_stream() {
-    // Symptom: an attempt waits for ever. As above, but the engine does not
-    // resume streams, so the rest cannot be had; it does tell its status.
+    // If the engine does not support resumption, the attempt must end as broken
+    // instead of waiting forever.
     let engine = start_engine(false).await;
     let target = target_at(engine.address(), false);
     let mut harness = CallHarness::new(quick_options());
@@ -103,8 +103,8 @@
 
 #[tokio::test]
 async fn silent_head() {
-    // Symptom: as above, but not even the response's head arrives, so the
-    // stream's id must be asked for by the request's.
+    // If not even the response's head arrives, the stream's id is queried by
+    // the request id, and the stream is resumed.
     let engine = start_engine(true).await;
     let target = target_at(start_relay(engine.address()).await, true);
     let mut harness = CallHarness::new(quick_options());
@@ -118,8 +118,8 @@
 
 #[tokio::test]
 async fn cancelled_head() {
-    // Symptom: an engine works for nobody. The call is stopped before its
-    // response's head came, so the stream's id must be asked for.
+    // A call that is aborted before its response's head must still be cancelled
+    // at the engine, by a query for the stream's id.
     let engine = start_engine(true).await;
     let target = target_at(start_relay(engine.address()).await, true);
     let mut harness = CallHarness::new(TargetClientOptions::default());
@@ -135,9 +135,9 @@
 
 #[tokio::test]
 async fn unseen_request() {
-    // Symptom: an attempt waits for ever. The connection takes the request
-    // and goes silent, or ends, before the engine sees it. It may still
-    // arrive, so the attempt must end as one that may have run.
+    // If the connection becomes unresponsive or ends before the engine sees the
+    // request, the attempt must end as one that may have run: the request may
+    // still arrive.
     for ends in [false, true] {
         let engine = start_engine(true).await;
         let target = target_at(engine.address(), true);
@@ -146,7 +146,8 @@
         let options = quick_options().with_unknown_request_grace(Duration::from_millis(300));
         let mut harness = CallHarness::new(options);
         harness.start(&target, PoolKind::Engine, &engine_call("draft", 5));
-        // The kernel accepts the connection; then only that one is silent.
+        // The kernel has accepted the connection by then; only this one stays
+        // unresponsive.
         sleep(Duration::from_millis(50)).await;
         if ends {
             board.cut_connections();
@@ -159,8 +160,8 @@
 
 #[tokio::test]
 async fn silent_engine() {
-    // Symptom: an attempt waits for ever. Nothing of the engine answers any
-    // more, neither the stream nor the questions about it.
+    // An attempt must end as broken if the engine answers neither the stream
+    // nor the status queries.
     let engine = start_engine(true).await;
     let target = target_at(engine.address(), true);
     let options = quick_options()
@@ -179,9 +180,9 @@
 
 #[tokio::test]
 async fn silent_plain() {
-    // Symptom: a consent receipt is issued twice. A plain service has no way
-    // to ask how far it got, so a quiet call is neither given up nor sent
-    // again; its deadline ends it from outside.
+    // An unresponsive call to a plain service must be neither dropped nor sent
+    // again, since the service cannot be queried for its progress. It ends by
+    // an abort.
     let contract = deployment::TargetContract::default();
     let started = PlainStandin::try_start(EPHEMERAL_ADDRESS, "case-desk", contract).await;
     let service = started.expect("a plain service");
@@ -210,9 +211,8 @@
 
 #[tokio::test]
 async fn unread_request() {
-    // Symptom: a call waits for ever on a path that takes no more data. The
-    // peer's window closes in the middle of the request and the kernel gives
-    // the connection up after the bound on unacknowledged data.
+    // If the target stops reading in the middle of a request, the attempt must
+    // end when the sent data stays unacknowledged for too long.
     let listener = TcpListener::bind(EPHEMERAL_ADDRESS).await.expect("a port");
     let target = target_at(listener.local_addr().expect("an address"), false);
     let options = quick_options().with_user_timeout(Duration::from_millis(1_000));
@@ -224,15 +224,15 @@
     assert!(matches!(events.as_slice(), [AttemptEvent::Broken(_)]));
 }
 
-/// Silence what is open now; the switch acts when it changes.
+/// Make the open connections unresponsive; the switch acts when it changes.
 fn silence_open(engine: &EngineStandin) {
     let board = engine.board();
     board.set(|switches| switches.silent = SilenceMode::All);
     board.set(|switches| switches.silent = SilenceMode::Open);
 }
 
-/// Get how many of [`CALLS`] answers were complete, while connections of the
-/// engine go silent a few times.
+/// Get how many of [`CALLS`] answers were complete, while the engine's
+/// connections become unresponsive several times.
 async fn complete_answers(options: TargetClientOptions) -> usize {
     let engine = start_engine(true).await;
     let target = target_at(engine.address(), true);
@@ -248,7 +248,7 @@
     }
     let mut complete = 0;
     let mut ended = 0;
-    // An attempt that reports nothing for so long never ends.
+    // An attempt that reports nothing for this long never ends.
     while let Ok(Some(input)) = timeout(IDLE_TIMEOUT, harness.inbox.recv()).await {
         let NodeInput::Attempt(_, event) = input else {
             panic!("{input:?}");
@@ -267,15 +267,15 @@
 
 #[tokio::test]
 async fn complete_share() {
-    // Symptom: drafts are lost now and then. Some connections go silent in
-    // the middle of a stream, which the checks notice; a kept one may have
-    // gone silent before its next request, which then never arrives.
+    // With liveness probes and new connections, no answer may be lost to
+    // unresponsive connections. A reused connection may become unresponsive
+    // before its next request, which then never arrives.
     let checked = complete_answers(quick_options()).await;
     let kept = quick_options().with_idle_reuse(Duration::from_secs(2));
     let reused = complete_answers(kept).await;
     let unchecked = complete_answers(quick_options().with_liveness(false)).await;
-    println!("complete answers of {CALLS}: {checked} with checks and new connections");
-    println!("{reused} with checks and kept connections, {unchecked} without checks");
+    println!("complete answers of {CALLS}: {checked} with probes and new connections");
+    println!("{reused} with probes and reused connections, {unchecked} without probes");
     assert_eq!(checked, CALLS);
     assert!(unchecked < checked);
 }
--- a/bergamotswitch-net/tests/target_calls.rs
+++ b/bergamotswitch-net/tests/target_calls.rs
@@ -1,4 +1,4 @@
-//! Tests calls to engines and plain services, and what each end is reported as.
+//! Tests calls to engines and plain services and the outcomes that they report.
 
 mod target_support;
 
@@ -33,8 +33,8 @@
     }
 }
 
-/// Run a call at an engine without resumption and at a plain service, both
-/// with the same switches, and get the events and parts of each.
+/// Run a call at an engine without resumption and at a plain service, both with
+/// the same switches, and get the events and parts of each.
 async fn run_both(
     change: impl Fn(&mut TargetSwitches),
 ) -> Vec<(Vec<AttemptEvent>, Vec<AnswerPart>)> {
@@ -103,8 +103,7 @@
 
 #[tokio::test]
 async fn refused_connect() {
-    // Symptom: a request that never left the host is called "may have run".
-    // The listener is gone, so the connect is refused and no byte leaves.
+    // A request whose connection was refused must be reported as not sent.
     let listener = TcpListener::bind(EPHEMERAL_ADDRESS).await.expect("a port");
     let target = target_at(listener.local_addr().expect("an address"), true);
     drop(listener);
@@ -119,9 +118,8 @@
 
 #[tokio::test]
 async fn closed_at_once() {
-    // Symptom: a request runs twice after a claim that it did not run. The
-    // target accepts the connection and closes it unread; from here that looks
-    // like a target that ran the request and died, so it may have run.
+    // A request whose connection is closed without an answer may have run and
+    // must not be reported as not sent.
     let listener = TcpListener::bind(EPHEMERAL_ADDRESS).await.expect("a port");
     let target = target_at(listener.local_addr().expect("an address"), false);
     tokio::spawn(async move {
@@ -139,8 +137,9 @@
 
 #[tokio::test]
 async fn kept_connection() {
-    // The engine accepts no new connection after the first call, so only a
-    // kept one can carry the second; past the bound it is not used any more.
+    // The engine accepts no new connection after the first call, so only an
+    // idle one can carry the second. After the reuse time, it is not used any
+    // more.
     let engine = start_engine(true).await;
     let target = target_at(engine.address(), true);
     let bound = Duration::from_millis(500);
@@ -176,8 +175,7 @@
 
 #[tokio::test]
 async fn crossed_answer() {
-    // Symptom: a caller reads another caller's draft. The target mixes two
-    // connections up and answers with a foreign id and text.
+    // An answer with another request's id must not reach the caller.
     for (events, parts) in run_both(|switches| switches.crossed = true).await {
         assert!(matches!(events.as_slice(), [AttemptEvent::Broken(_)]));
         assert_eq!(parts, []);
@@ -186,8 +184,8 @@
 
 #[tokio::test]
 async fn truncated_answer() {
-    // Symptom: half a notice passes for a whole one. The stream ends in good
-    // order but without its last event, or the body before its length.
+    // A truncated answer must not be reported as complete: the stream ends
+    // without its last event, or the body before its declared length.
     for (events, _) in run_both(|switches| switches.truncate = true).await {
         assert!(matches!(events.last(), Some(AttemptEvent::Broken(_))));
         assert!(!events.contains(&AttemptEvent::Resumed));
@@ -196,8 +194,8 @@
 
 #[tokio::test]
 async fn resumed_crossing() {
-    // Symptom: a draft is lost because its answer went to someone else. The
-    // engine still has the stream, which a later connection brings whole.
+    // If the answer went to another request, the engine's stream must still be
+    // resumed completely by a later connection.
     let engine = start_engine(true).await;
     let target = target_at(engine.address(), true);
     let mut harness = CallHarness::new(TargetClientOptions::default());
@@ -217,8 +215,8 @@
 
 #[tokio::test]
 async fn resumed_truncation() {
-    // Symptom: a draft is lost though the engine still has it. The stream
-    // ends early; the rest is asked for by id and offset, without a new run.
+    // A truncated stream must be resumed by id and offset, without a second
+    // run.
     let engine = start_engine(true).await;
     let target = target_at(engine.address(), true);
     let mut harness = CallHarness::new(TargetClientOptions::default());
@@ -227,7 +225,7 @@
     harness.events().await;
     engine.board().set(|switches| switches.truncate = true);
     let (attempt, answer) = harness.start(&target, PoolKind::Engine, &call);
-    // The first resume ends early as well, at the same place.
+    // The first resumed stream is truncated as well, at the same event.
     harness.first_token().await;
     while harness.next_event().await.1 != AttemptEvent::Resumed {}
     engine.board().set(|switches| switches.truncate = false);
@@ -239,7 +237,8 @@
 
 #[tokio::test]
 async fn dropped_connection() {
-    // Symptom: as above. Every connection is cut after 25 events.
+    // Every connection is closed after 25 events; the stream must still
+    // complete.
     let engine = start_engine(true).await;
     let target = target_at(engine.address(), true);
     let mut harness = CallHarness::new(TargetClientOptions::default());
@@ -257,8 +256,8 @@
 
 #[tokio::test]
 async fn lost_engine() {
-    // Symptom: a request stays in flight for ever. The engine restarts and
-    // has forgotten the stream, or does not come back at all.
+    // An attempt must end as broken if the engine restarts without the stream,
+    // or terminates.
     for comes_back in [true, false] {
         let engine = start_engine(true).await;
         let target = target_at(engine.address(), true);
@@ -276,8 +275,8 @@
 
 #[tokio::test]
 async fn slow_engine() {
-    // Symptom: a clause check that is merely slow is given up. The engine
-    // makes a token each 0.9 s, nine times the gap that raises a question.
+    // A slow engine must not be reported as broken. Its token gap of 0.9 s is
+    // nine times the gap after which its status is queried.
     for resumes in [true, false] {
         let engine = start_engine(resumes).await;
         engine.board().set(|switches| switches.slow = 300.0);
@@ -299,7 +298,8 @@
     harness.first_token().await;
     harness.client.abort(attempt, true);
     wait_for_cancel(&engine, &attempt.to_string()).await;
-    // An aborted attempt reports no end; progress from before may be left.
+    // An aborted attempt reports no end; earlier progress may be left in the
+    // inbox.
     while let Ok(input) = harness.inbox.try_recv() {
         let progress = matches!(input, NodeInput::Attempt(_, AttemptEvent::Progress(_)));
         assert!(progress, "{input:?}");
--- a/bergamotswitch-net/tests/target_support/mod.rs
+++ b/bergamotswitch-net/tests/target_support/mod.rs
@@ -1,6 +1,6 @@
-//! Provides what the tests of calls to targets share.
+//! Provides shared helpers for the tests of calls to targets.
 
-// Each test file uses its own part of this module.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 use std::net::{Ipv4Addr, SocketAddr};
@@ -22,14 +22,13 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
 
-/// Far above what any test takes.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A free loopback address.
+/// A loopback address with an ephemeral port.
 pub const EPHEMERAL_ADDRESS: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// A `CallHarness` is a client and the loop's end of its reports.
+/// A `CallHarness` is a client with the receiver of its reports.
 pub struct CallHarness {
     pub client: TargetClient,
     pub inbox: mpsc::UnboundedReceiver<NodeInput>,
@@ -72,17 +71,17 @@
         let waiting = timeout(TEST_TIMEOUT, self.inbox.recv());
         match waiting.await.expect("no event in time") {
             Some(NodeInput::Attempt(attempt, event)) => (attempt, event),
-            other => panic!("not an attempt's event: {other:?}"),
+            other => panic!("unexpected input: {other:?}"),
         }
     }
 
-    /// Wait for a started attempt's first token.
+    /// Wait for the first token of an attempt.
     pub async fn first_token(&mut self) {
         let (_, event) = self.next_event().await;
         assert_eq!(event, AttemptEvent::FirstToken);
     }
 
-    /// Get an only attempt's events from here to its end.
+    /// Get the events of a single attempt up to its end.
     pub async fn events(&mut self) -> Vec<AttemptEvent> {
         let mut events = Vec::new();
         loop {
@@ -95,7 +94,7 @@
     }
 }
 
-/// Get whether an event is an attempt's last one.
+/// Get whether an event is the last one of an attempt.
 pub fn is_end(event: &AttemptEvent) -> bool {
     match event {
         AttemptEvent::FirstToken
@@ -110,7 +109,7 @@
     }
 }
 
-/// Get the parts of an answer of an ended attempt.
+/// Get the parts of the answer of a finished attempt.
 pub async fn parts_of(answer: AnswerWriter) -> Vec<AnswerPart> {
     answer.push(AnswerPart::End);
     let mut parts = answer.reader().collect().await;
@@ -131,7 +130,7 @@
     text
 }
 
-/// Get a call for `tokens` tokens; equal names get equal texts.
+/// Get a call for `tokens` tokens. Equal names yield equal texts.
 pub fn engine_call(name: &str, tokens: u32) -> OutgoingCall {
     let body = serde_json::json!({
         "model": "drafting-lm",
@@ -148,7 +147,7 @@
     }
 }
 
-/// Get an engine that makes a token each 3 ms.
+/// Start an engine that produces a token every 3 ms.
 pub async fn start_engine(resumes: bool) -> EngineStandin {
     let contract = deployment::TargetContract {
         resumes,
@@ -176,7 +175,8 @@
     target
 }
 
-/// Get options that notice a silence within a fraction of a second.
+/// Get options that detect an unresponsive connection within a fraction of a
+/// second.
 pub fn quick_options() -> TargetClientOptions {
     TargetClientOptions::default()
         .with_idle_probe(Duration::from_millis(100))
@@ -184,7 +184,7 @@
         .with_silent_grace(Duration::from_millis(50))
 }
 
-/// Wait until the engine's run of a request is cancelled.
+/// Wait until the engine has cancelled its run of a request.
 pub async fn wait_for_cancel(engine: &EngineStandin, request_id: &str) {
     let cancelled = async {
         loop {
