--- a/bergamotswitch-net/src/target_client/routed_call.rs
+++ b/bergamotswitch-net/src/target_client/routed_call.rs
@@ -155,8 +155,8 @@
         idle_timeout: found.idle_timeout,
     };
     match routed.is_stream && reading.head.status.is_success() {
-        true => reading.stream(body, meter, report).await,
-        false => reading.whole(body, meter, report).await,
+        true => reading.read_stream(body, meter, report).await,
+        false => reading.read_complete(body, meter, report).await,
     }
 }
 
@@ -188,7 +188,7 @@
 
 impl AnswerReading<'_> {
     /// Read the complete answer before forwarding it.
-    async fn whole(
+    async fn read_complete(
         self,
         body: Incoming,
         meter: &mut UsageMeter,
@@ -218,7 +218,7 @@
     }
 
     /// Forward a stream's events as they arrive.
-    async fn stream(
+    async fn read_stream(
         self,
         mut body: Incoming,
         meter: &mut UsageMeter,
