--- a/bergamotswitch-net/src/store_source/mod.rs
+++ b/bergamotswitch-net/src/store_source/mod.rs
@@ -32,9 +32,9 @@
 /// which are trusted for at most five seconds.
 const ROUTES_WAIT: Duration = Duration::from_millis(1_000);
 
-/// The wait of a watch of the targets. A deregistered target must get no new
-/// work after two seconds, so an unresponsive connection must be dropped well
-/// before.
+/// The wait of a watch of the targets. It is short because a deregistered target
+/// should get no new work after two seconds, and an unresponsive connection is
+/// detected only after the wait.
 const TARGETS_WAIT: Duration = Duration::from_millis(1_500);
 
 /// An `EntryReader` that is shared with the call in flight.
