--- a/bergamotswitch-net/src/store_source/connection.rs
+++ b/bergamotswitch-net/src/store_source/connection.rs
@@ -16,37 +16,37 @@
 
 use crate::task_guard::TaskGuard;
 
-/// How long a connection may take to be established: the store is a
-/// millisecond away, and a lost opening packet is repeated after a second.
+/// The timeout for establishing a connection. It allows for one SYN
+/// retransmission, which is sent after a second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// The most bytes of an answer: a page has about a megabyte, and its values
-/// are written a third longer.
+/// The maximum size of an answer: a page of about 1 MiB, whose values are
+/// base64-encoded.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
 
-/// A `CallLoss` is why a call brought nothing.
+/// A `StoreCallError` is the reason why a call to the store failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum CallLoss {
-    /// No connection, or it broke.
+pub(super) enum StoreCallError {
+    /// The connection could not be established or was lost.
     Connection,
-    /// No whole answer came in time.
+    /// No complete answer arrived in time.
     Timeout,
-    /// The store refused.
+    /// The store returned an error status.
     Status(StatusCode),
-    /// The answer cannot be used.
+    /// The answer is malformed.
     Fault(StoreFault),
-    /// There were more pages than a read may have.
+    /// The read exceeded the maximum number of pages.
     TooMany,
 }
 
-impl fmt::Display for CallLoss {
+impl fmt::Display for StoreCallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            CallLoss::Connection => write!(f, "no connection"),
-            CallLoss::Timeout => write!(f, "no answer in time"),
-            CallLoss::Status(status) => write!(f, "status {status}"),
-            CallLoss::Fault(fault) => write!(f, "{fault}"),
-            CallLoss::TooMany => write!(f, "too many pages"),
+            StoreCallError::Connection => write!(f, "no connection"),
+            StoreCallError::Timeout => write!(f, "no answer in time"),
+            StoreCallError::Status(status) => write!(f, "status {status}"),
+            StoreCallError::Fault(fault) => write!(f, "{fault}"),
+            StoreCallError::TooMany => write!(f, "too many pages"),
         }
     }
 }
@@ -57,9 +57,9 @@
     _task: TaskGuard,
 }
 
-/// A `StoreConnection` is a kept connection to the store. After any loss the
-/// next call takes a new one: where an answer was lost, nothing more comes
-/// over the old one.
+/// A `StoreConnection` is a reusable connection to the store. After any error
+/// the next call opens a new one, since no further answers arrive on a
+/// connection that lost one.
 #[derive(Debug)]
 pub(super) struct StoreConnection {
     address: SocketAddr,
@@ -75,13 +75,14 @@
         }
     }
 
-    /// Make one call and count it.
+    /// Try to make one call, counted in `calls`, over the open connection or a
+    /// new one.
     pub(super) async fn get(
         &mut self,
         path: &str,
         limit: Duration,
         calls: &AtomicU64,
-    ) -> Result<(StatusCode, Bytes), CallLoss> {
+    ) -> Result<(StatusCode, Bytes), StoreCallError> {
         let kept = self.open.take().filter(|open| open.sender.is_ready());
         let mut open = match kept {
             Some(open) => open,
@@ -89,21 +90,21 @@
         };
         calls.fetch_add(1, Ordering::Relaxed);
         let exchanged = timeout(limit, self.exchange(&mut open, path)).await;
-        let answer = exchanged.map_err(|_| CallLoss::Timeout)??;
+        let answer = exchanged.map_err(|_| StoreCallError::Timeout)??;
         self.open = Some(open);
         Ok(answer)
     }
 
-    async fn dial(&self) -> Result<OpenConnection, CallLoss> {
+    async fn dial(&self) -> Result<OpenConnection, StoreCallError> {
         let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address));
         let stream = connecting
             .await
-            .map_err(|_| CallLoss::Timeout)?
-            .map_err(|_| CallLoss::Connection)?;
+            .map_err(|_| StoreCallError::Timeout)?
+            .map_err(|_| StoreCallError::Connection)?;
         let handshake = http1::handshake(TokioIo::new(stream));
-        let (sender, connection) = handshake.await.map_err(|_| CallLoss::Connection)?;
+        let (sender, connection) = handshake.await.map_err(|_| StoreCallError::Connection)?;
         let task = TaskGuard::spawn(async move {
-            // The call sees the same error at its end.
+            // The call in flight gets the same error.
             let _ = connection.await;
         });
         Ok(OpenConnection {
@@ -116,19 +117,19 @@
         &self,
         open: &mut OpenConnection,
         path: &str,
-    ) -> Result<(StatusCode, Bytes), CallLoss> {
+    ) -> Result<(StatusCode, Bytes), StoreCallError> {
         let request = Request::builder()
             .uri(path)
             .header(header::HOST, self.address.to_string())
             .body(Empty::<Bytes>::new())
-            .map_err(|_| CallLoss::Connection)?;
+            .map_err(|_| StoreCallError::Connection)?;
         let sending = open.sender.send_request(request);
-        let answer = sending.await.map_err(|_| CallLoss::Connection)?;
+        let answer = sending.await.map_err(|_| StoreCallError::Connection)?;
         let status = answer.status();
         let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES)
             .collect()
             .await
-            .map_err(|_| CallLoss::Connection)?;
+            .map_err(|_| StoreCallError::Connection)?;
         Ok((status, body.to_bytes()))
     }
 }
--- a/bergamotswitch-net/src/target_client/routed_call.rs
+++ b/bergamotswitch-net/src/target_client/routed_call.rs
@@ -1,5 +1,5 @@
-//! Provides one call of a gateway's caller to a target: a plain answer, or a
-//! stream of events that may be carried on.
+//! Provides calls that a gateway routes to a target. The answer is a single
+//! body, or an event stream that another target may resume.
 
 use std::future::pending;
 use std::sync::Arc;
@@ -17,39 +17,40 @@
 use tokio::time::timeout;
 
 use super::attempt_report::AttemptReport;
-use super::call_context::{CallContext, CallEnd, FirstResponse, SendLoss};
+use super::call_context::{CallContext, CallEnd, FirstResponse, SendError};
 use super::connection::{TargetConnection, TargetRequest};
-use super::event_blocks::EventBlocks;
+use super::event_blocks::EventSplitter;
 use super::silence_watch::SilenceVerdict;
 use super::usage_meter::{UsageMeter, report_step};
 use crate::answer::AnswerPart;
 use crate::input::OutgoingCall;
 
-/// The longest body of a plain answer, and the longest single event, in bytes.
+/// The maximum size in bytes of an answer's body and of a single event.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// A `RoutedCall` is what a target is told of a caller's call beside its
-/// method, path and body.
+/// A `RoutedCall` is what a gateway sends to a target with a caller's request,
+/// in addition to its method, path and body.
 #[derive(Clone, Debug)]
 pub struct RoutedCall {
     /// The caller's id of this attempt.
     pub request_id: String,
-    /// The caller's fields that are passed on.
+    /// The caller's header fields that are passed on.
     pub fields: Arc<HeaderMap>,
-    /// The caller's account.
+    /// The client account of the caller.
     pub account: Option<AccountName>,
-    /// When the call ends.
+    /// The time at which the call ends.
     pub deadline: Instant,
-    /// Whether its answer is a stream of events.
+    /// Whether the answer is an event stream.
     pub is_stream: bool,
-    /// How long the answer may take to begin before the target counts as
-    /// silent; until the deadline where absent.
-    pub first_wait: Option<Duration>,
-    /// How long a stream that has begun may pause before its target may be gone.
-    pub gap_wait: Option<Duration>,
+    /// The timeout for the start of the answer, after which the target counts
+    /// as unresponsive. `None` means until the deadline.
+    pub start_timeout: Option<Duration>,
+    /// The timeout between two events of a stream, after which the target may
+    /// be unavailable. `None` means until the deadline.
+    pub gap_timeout: Option<Duration>,
 }
 
-/// How the content type of a series of events begins.
+/// The prefix of an event stream's content type.
 const EVENT_STREAM_TYPE: &[u8] = b"text/event-stream";
 
 /// Run the call to its end.
@@ -59,38 +60,38 @@
     report: &AttemptReport,
 ) -> CallEnd {
     let Some(routed) = &call.routed else {
-        return context.refuse_unwritable();
+        return context.reject_malformed();
     };
     let Some(request) = request(context, call, routed) else {
-        return context.refuse_unwritable();
+        return context.reject_malformed();
     };
     let mut meter = UsageMeter::start(context.options.progress_period);
     match context
-        .send_first(request, silence(routed.first_wait))
+        .send_first(request, wait_for_silence(routed.start_timeout))
         .await
     {
         Ok(first) => read(context, routed, first, &mut meter, report).await,
-        Err(SendLoss::NotConnected) => CallEnd::NotSent,
-        Err(SendLoss::Dropped) => {
-            context.note(
+        Err(SendError::NotConnected) => CallEnd::NotSent,
+        Err(SendError::Dropped) => {
+            context.log_incident(
                 Incident::AnswerRejected,
                 "connection closed before an answer",
             );
             CallEnd::Broken(meter.usage())
         }
-        Err(SendLoss::Quiet(_)) => {
-            context.note(Incident::ConnectionSilent, "no answer began in time");
+        Err(SendError::Unresponsive(_)) => {
+            context.log_incident(Incident::ConnectionSilent, "no answer started in time");
             CallEnd::Broken(meter.usage())
         }
     }
 }
 
-/// Wait until a target counts as silent.
-async fn silence(wait: Option<Duration>) -> SilenceVerdict {
+/// Wait until the target counts as unresponsive.
+async fn wait_for_silence(wait: Option<Duration>) -> SilenceVerdict {
     match wait {
         Some(wait) => {
             tokio::time::sleep(wait).await;
-            SilenceVerdict::Gone
+            SilenceVerdict::Unavailable
         }
         None => pending().await,
     }
@@ -102,7 +103,7 @@
     routed: &RoutedCall,
 ) -> Option<TargetRequest> {
     let mut headers = (*routed.fields).clone();
-    let last_event = context.answer.last_event();
+    let last_event = context.answer.last_event_id();
     let head = OutgoingHead {
         target: &context.target.name,
         account: routed.account.as_ref(),
@@ -136,14 +137,14 @@
         drain(context, connection, body, found.idle_timeout).await;
         return CallEnd::Refused;
     }
-    // An answer that names another request, or that no target signed, is
-    // another one's or made on the way.
+    // An answer that has another request's id, or lacks the target's signature,
+    // comes from another call or from an intermediary.
     if !found.is_own || !found.is_sealed {
         let cause = match found.is_own {
             true => "answer without the target's signature",
             false => "answer to another request",
         };
-        context.note(Incident::AnswerRejected, cause);
+        context.log_incident(Incident::AnswerRejected, cause);
         return CallEnd::Broken(meter.usage());
     }
     let reading = AnswerReading {
@@ -154,12 +155,12 @@
         idle_timeout: found.idle_timeout,
     };
     match routed.is_stream && reading.head.status.is_success() {
-        true => reading.stream(body, meter, report).await,
-        false => reading.whole(body, meter, report).await,
+        true => reading.read_stream(body, meter, report).await,
+        false => reading.read_complete(body, meter, report).await,
     }
 }
 
-/// Read the rest of an answer that nobody gets, to keep its connection.
+/// Discard the rest of an answer, so that its connection can be reused.
 async fn drain(
     context: &CallContext,
     connection: TargetConnection,
@@ -171,7 +172,7 @@
     let reading = Limited::new(body, MAX_BYTES).collect();
     if let Ok(Ok(_)) = timeout(WAIT, reading).await {
         context
-            .kept
+            .idle_connections
             .keep(connection, &context.options, idle_timeout);
     }
 }
@@ -186,20 +187,20 @@
 }
 
 impl AnswerReading<'_> {
-    /// Read an answer whole before any of it is passed on.
-    async fn whole(
+    /// Read the complete answer before forwarding it.
+    async fn read_complete(
         self,
         body: Incoming,
         meter: &mut UsageMeter,
         report: &AttemptReport,
     ) -> CallEnd {
-        // The answer of a stream that is carried on has begun already; an
-        // error cannot follow it.
-        let has_begun = self.context.answer.last_event().is_some();
+        // The caller has already received a part of a resumed stream, so an
+        // error answer cannot follow.
+        let has_begun = self.context.answer.last_event_id().is_some();
         let collected = Limited::new(body, MAX_BODY_BYTES).collect().await;
         let Ok(bytes) = collected.map(|collected| collected.to_bytes()) else {
             self.context
-                .note(Incident::AnswerRejected, "answer cut off");
+                .log_incident(Incident::AnswerRejected, "answer truncated");
             return CallEnd::Broken(meter.usage());
         };
         let success = self.head.status.is_success();
@@ -216,15 +217,15 @@
         }
     }
 
-    /// Pass a stream's events on as they come.
-    async fn stream(
+    /// Forward a stream's events as they arrive.
+    async fn read_stream(
         self,
         mut body: Incoming,
         meter: &mut UsageMeter,
         report: &AttemptReport,
     ) -> CallEnd {
-        let mut blocks = EventBlocks::default();
-        let mut head_pushed = self.context.answer.last_event().is_some();
+        let mut splitter = EventSplitter::default();
+        let mut head_pushed = self.context.answer.last_event_id().is_some();
         loop {
             let frame = match self.next_frame(&mut body, meter, report).await {
                 Ok(Some(frame)) => frame,
@@ -234,8 +235,8 @@
             let Ok(bytes) = frame.into_data() else {
                 continue;
             };
-            blocks.add(&bytes);
-            for block in blocks.by_ref() {
+            splitter.add(&bytes);
+            for block in splitter.by_ref() {
                 if !head_pushed {
                     self.push_head();
                     head_pushed = true;
@@ -243,25 +244,24 @@
                 report_step(meter.add_event(), report);
                 self.context.answer.push_event(block.bytes, block.id);
             }
-            if blocks.rest_len() > MAX_BODY_BYTES {
+            if splitter.rest_len() > MAX_BODY_BYTES {
                 self.context
-                    .note(Incident::AnswerRejected, "event too long");
+                    .log_incident(Incident::AnswerRejected, "event too large");
                 return CallEnd::Broken(meter.usage());
             }
         }
-        // The end of the body is no proof of the end of the stream: a body
-        // without a length ends with its connection, also where its target stops
-        // in the middle of an event. Passed on, half an event would look like the
-        // end of a whole answer, and what may be carried on would not be.
-        if blocks.is_in_event() && self.has_events() {
+        // A body without a declared length ends with its connection, also if
+        // the target stops within an event. Forwarding the partial event would
+        // make the answer look complete and prevent its resumption.
+        if splitter.is_in_event() && self.has_events() {
             self.context
-                .note(Incident::AnswerRejected, "stream ended inside an event");
+                .log_incident(Incident::AnswerRejected, "stream ended inside an event");
             return CallEnd::Broken(meter.usage());
         }
         if !head_pushed {
             self.push_head();
         }
-        let rest = blocks.take_rest();
+        let rest = splitter.take_rest();
         if !rest.is_empty() {
             self.context.answer.push(AnswerPart::Data(rest));
         }
@@ -269,25 +269,27 @@
         CallEnd::Finished(meter.usage())
     }
 
-    /// Get whether the body is a series of events, as far as its target says.
+    /// Get whether the body is an event stream. A missing content type counts
+    /// as one.
     fn has_events(&self) -> bool {
         let kind = self.head.headers.get(header::CONTENT_TYPE);
         kind.is_none_or(|kind| kind.as_bytes().starts_with(EVENT_STREAM_TYPE))
     }
 
-    /// Get the next piece of a stream; `None` at its end. A pause after its first
-    /// event is told, and waited out unless the loop ends the attempt.
+    /// Try to get the next frame of a stream, or `None` at its end. A stall
+    /// after the first event is reported, and the wait goes on until the event
+    /// loop ends the attempt.
     async fn next_frame(
         &self,
         body: &mut Incoming,
         meter: &UsageMeter,
         report: &AttemptReport,
     ) -> Result<Option<hyper::body::Frame<bytes::Bytes>>, CallEnd> {
-        let carries_on = self.context.answer.last_event().is_some();
-        let has_begun = carries_on || !meter.is_first();
-        let wait = match meter.is_first() {
-            true => self.routed.first_wait,
-            false => self.routed.gap_wait,
+        let is_resumed = self.context.answer.last_event_id().is_some();
+        let has_begun = is_resumed || !meter.awaits_first();
+        let wait = match meter.awaits_first() {
+            true => self.routed.start_timeout,
+            false => self.routed.gap_timeout,
         };
         let cause = loop {
             let next = match wait {
@@ -297,16 +299,16 @@
             match next {
                 Ok(None) => return Ok(None),
                 Ok(Some(Ok(frame))) => return Ok(Some(frame)),
-                Ok(Some(Err(_))) => break "stream cut off",
+                Ok(Some(Err(_))) => break "stream truncated",
                 Err(_) if has_begun => {
                     self.context
-                        .note(Incident::StreamStalled, "no event in time");
+                        .log_incident(Incident::StreamStalled, "no event in time");
                     report.step(AttemptEvent::Stalled);
                 }
-                Err(_) => break "silent stream",
+                Err(_) => break "no first event in time",
             }
         };
-        self.context.note(Incident::AnswerRejected, cause);
+        self.context.log_incident(Incident::AnswerRejected, cause);
         Err(CallEnd::Broken(meter.usage()))
     }
 
@@ -319,7 +321,7 @@
     }
 
     fn keep(self) {
-        let kept = &self.context.kept;
-        kept.keep(self.connection, &self.context.options, self.idle_timeout);
+        let idle_connections = &self.context.idle_connections;
+        idle_connections.keep(self.connection, &self.context.options, self.idle_timeout);
     }
 }
--- a/bergamotswitch-net/src/target_client/silence_watch.rs
+++ b/bergamotswitch-net/src/target_client/silence_watch.rs
@@ -1,61 +1,61 @@
-//! Provides the decision whether a quiet connection is slow, silent or gone.
+//! Provides the check whether a connection without data is slow, unresponsive
+//! or lost.
 //!
-//! Something between two ends can lose track of an open connection: it stays
-//! open for good and carries nothing, while new connections work. The reader
-//! alone cannot tell that from an engine that is slow. So a question over a
-//! new connection asks the engine how far it got.
+//! A middlebox can lose the state of an open connection, which then stays open
+//! without delivering anything, while new connections work. The reader cannot
+//! tell this from a slow engine, so the engine's status is queried over a new
+//! connection.
 
 use std::net::SocketAddr;
 
 use tokio::time::{Instant, sleep};
 
 use super::options::TargetClientOptions;
-use super::stream_status::{QuestionError, StreamId, ask_status};
+use super::stream_status::{QueryError, StreamId, query_status};
 
-/// A `SilenceVerdict` is why a quiet connection is given up.
+/// A `SilenceVerdict` is the reason to drop a connection without data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SilenceVerdict {
-    /// The engine got further than the connection brought.
+    /// The engine's offset is ahead of the connection.
     Silent,
-    /// The engine or the stream is gone.
-    Gone,
+    /// The engine is unavailable, or the stream no longer exists.
+    Unavailable,
 }
 
-/// A `StatusFinding` is what one question says of a quiet connection.
+/// A `StatusFinding` is the result of one status query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StatusFinding {
-    /// The engine works on what comes next.
+    /// The engine is still producing the next event.
     Slow,
-    /// The engine made more than the connection brought.
+    /// The engine has produced more than the connection delivered.
     Ahead,
-    /// The stream ended without its last event, or is not known any more.
+    /// The stream ended without its last event or is no longer known.
     Ended,
-    /// The engine never saw the request.
-    Unseen,
+    /// The engine does not know the request.
+    UnknownRequest,
     /// There was no usable answer.
-    Missed,
+    NoAnswer,
 }
 
-/// A `SilenceWatch` asks about one stream while its connection is quiet.
+/// A `SilenceWatch` queries the status of one stream while its connection
+/// delivers no data.
 #[derive(Debug)]
 pub(super) struct SilenceWatch<'a> {
-    /// The engine.
     pub address: SocketAddr,
-    /// The request's id in its text form.
+    /// The request's id as text.
     pub request_id: &'a str,
-    /// The stream's id, once known.
+    /// The stream's id, if known.
     pub stream: Option<&'a StreamId>,
-    /// The last event received.
+    /// The number of the last event received.
     pub offset: u64,
-    /// Whether the engine promises to know its streams.
+    /// Whether the engine's contract includes resumable streams.
     pub resumes: bool,
-    /// The bounds.
     pub options: &'a TargetClientOptions,
 }
 
 impl SilenceWatch<'_> {
-    /// Wait for a verdict. The wait keeps nothing: drop it and wait anew when
-    /// a byte comes. It never ends while the engine is merely slow.
+    /// Wait for a verdict. It never comes while the engine is merely slow. The
+    /// wait has no state: drop it and start another one when data arrives.
     pub async fn verdict(self) -> SilenceVerdict {
         if !self.options.liveness {
             return std::future::pending().await;
@@ -64,30 +64,30 @@
         let quiet_since = Instant::now();
         let mut misses = 0;
         loop {
-            let finding = self.ask().await;
+            let finding = self.query().await;
             match finding {
                 StatusFinding::Slow => misses = 0,
                 StatusFinding::Ahead => {
-                    // What the engine made may still be on its way. A byte
-                    // within the grace ends this wait.
+                    // The data may still be in flight. If it arrives within the
+                    // grace period, the caller drops this wait.
                     sleep(self.options.silent_grace).await;
                     return SilenceVerdict::Silent;
                 }
                 StatusFinding::Ended => {
                     sleep(self.options.silent_grace).await;
-                    return SilenceVerdict::Gone;
+                    return SilenceVerdict::Unavailable;
                 }
-                StatusFinding::Unseen => {
+                StatusFinding::UnknownRequest => {
                     // The request may still be in flight to the engine.
                     misses = 0;
-                    if quiet_since.elapsed() >= self.options.unseen_grace {
-                        return SilenceVerdict::Gone;
+                    if quiet_since.elapsed() >= self.options.unknown_request_grace {
+                        return SilenceVerdict::Unavailable;
                     }
                 }
-                StatusFinding::Missed => {
+                StatusFinding::NoAnswer => {
                     misses += 1;
                     if misses >= self.options.probe_misses {
-                        return SilenceVerdict::Gone;
+                        return SilenceVerdict::Unavailable;
                     }
                 }
             }
@@ -95,20 +95,20 @@
         }
     }
 
-    async fn ask(&self) -> StatusFinding {
-        let asked = ask_status(self.address, self.request_id, self.stream, self.options).await;
-        match asked {
+    async fn query(&self) -> StatusFinding {
+        let answer = query_status(self.address, self.request_id, self.stream, self.options).await;
+        match answer {
             Ok(status) if status.done || status.offset > self.offset => StatusFinding::Ahead,
             Ok(status) if status.running => StatusFinding::Slow,
             Ok(_) => StatusFinding::Ended,
-            // Without the promise the engine may know the stream and still
-            // not the question, so its answer says only that it is alive. A
-            // slow stream is then waited for; kernel probes cover the path.
-            Err(QuestionError::Unsupported) => StatusFinding::Slow,
-            Err(QuestionError::NotFound) if !self.resumes => StatusFinding::Slow,
-            Err(QuestionError::NotFound) if self.stream.is_some() => StatusFinding::Ended,
-            Err(QuestionError::NotFound) => StatusFinding::Unseen,
-            Err(QuestionError::NoAnswer | QuestionError::Malformed) => StatusFinding::Missed,
+            // An engine without resumable streams may run the stream without
+            // supporting the query, so its answer only shows that it is alive.
+            // TCP keepalive detects a lost connection in this case.
+            Err(QueryError::Unsupported) => StatusFinding::Slow,
+            Err(QueryError::NotFound) if !self.resumes => StatusFinding::Slow,
+            Err(QueryError::NotFound) if self.stream.is_some() => StatusFinding::Ended,
+            Err(QueryError::NotFound) => StatusFinding::UnknownRequest,
+            Err(QueryError::NoAnswer | QueryError::Malformed) => StatusFinding::NoAnswer,
         }
     }
 }
--- a/bergamotswitch-net/src/target_client/stream_status.rs
+++ b/bergamotswitch-net/src/target_client/stream_status.rs
@@ -1,5 +1,4 @@
-//! Provides small questions to targets over new connections, above all that
-//! for a stream's status.
+//! Provides small queries to targets, such as for a stream's status.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -13,21 +12,22 @@
 use super::connection::{TargetConnection, TargetRequest};
 use super::options::TargetClientOptions;
 
-// A status or load report has a few dozen bytes.
+// The maximum size of a status or load report.
 const MAX_REPORT_BYTES: usize = 64 * 1024;
 
-/// A `StreamId` is an engine's name for a stream, fit to stand in a path.
+/// A `StreamId` is an engine's id of a stream, restricted to characters that
+/// are safe in a path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct StreamId(String);
 
 impl TryFrom<&str> for StreamId {
-    type Error = QuestionError;
+    type Error = QueryError;
 
-    fn try_from(text: &str) -> Result<Self, QuestionError> {
+    fn try_from(text: &str) -> Result<Self, QueryError> {
         let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.' | '~');
         match !text.is_empty() && text.chars().all(allowed) {
             true => Ok(StreamId(text.to_owned())),
-            false => Err(QuestionError::Malformed),
+            false => Err(QueryError::Malformed),
         }
     }
 }
@@ -38,56 +38,56 @@
     }
 }
 
-/// A `StreamStatus` is what an engine says of a stream.
+/// A `StreamStatus` is the state of a stream as its engine reports it.
 #[derive(Clone, Debug, Deserialize)]
 pub(super) struct StreamStatus {
-    /// The number of the last event it made.
+    /// The number of the last event produced.
     pub offset: u64,
     /// Whether the stream is complete.
     pub done: bool,
-    /// Whether the engine still works on it.
+    /// Whether the engine is still running it.
     pub running: bool,
-    /// The stream's id, where it was asked for by request.
+    /// The stream's id, included if the query was by request id.
     #[serde(default)]
     stream_id: Option<String>,
 }
 
 impl StreamStatus {
-    /// Get the stream's id, where it is told and usable.
+    /// Get the stream's id, if it is present and valid.
     pub fn stream_id(&self) -> Option<StreamId> {
         let text = self.stream_id.as_deref()?;
         StreamId::try_from(text).ok()
     }
 }
 
-/// A `QuestionError` is why a question got no usable answer.
+/// A `QueryError` is the reason why a query got no usable answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum QuestionError {
-    /// No whole answer came in time.
+pub(super) enum QueryError {
+    /// No complete answer arrived in time.
     NoAnswer,
-    /// The target does not know what was asked for.
+    /// The target does not know the resource.
     NotFound,
-    /// The target is there but does not answer such questions.
+    /// The target does not support the query.
     Unsupported,
-    /// The answer is not what the protocol says.
+    /// The request or the answer does not conform to the protocol.
     Malformed,
 }
 
-impl fmt::Display for QuestionError {
+impl fmt::Display for QueryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            QuestionError::NoAnswer => "no whole answer in time",
-            QuestionError::NotFound => "not known at the target",
-            QuestionError::Unsupported => "not supported by the target",
-            QuestionError::Malformed => "answer malformed",
+            QueryError::NoAnswer => "no complete answer in time",
+            QueryError::NotFound => "unknown at the target",
+            QueryError::Unsupported => "not supported by the target",
+            QueryError::Malformed => "malformed request or answer",
         })
     }
 }
 
-impl std::error::Error for QuestionError {}
+impl std::error::Error for QueryError {}
 
-/// Get a request without a body; `None` where `path` cannot be one.
-pub(super) fn bare_request(
+/// Get a request without a body, or `None` if `path` is not valid.
+pub(super) fn empty_request(
     method: Method,
     address: SocketAddr,
     path: &str,
@@ -100,65 +100,66 @@
         .ok()
 }
 
-/// Try to get a small answer over `connection`, in time.
-pub(super) async fn ask_over(
+/// Try to send a query over `connection` and get the answer's body.
+pub(super) async fn query_over(
     connection: &mut TargetConnection,
     request: TargetRequest,
     options: &TargetClientOptions,
-) -> Result<Bytes, QuestionError> {
-    let asking = async {
+) -> Result<Bytes, QueryError> {
+    let exchange = async {
         let response = connection
             .send(request)
             .await
-            .map_err(|_| QuestionError::NoAnswer)?;
+            .map_err(|_| QueryError::NoAnswer)?;
         match response.status() {
-            StatusCode::NOT_FOUND => return Err(QuestionError::NotFound),
+            StatusCode::NOT_FOUND => return Err(QueryError::NotFound),
             StatusCode::NOT_IMPLEMENTED | StatusCode::METHOD_NOT_ALLOWED => {
-                return Err(QuestionError::Unsupported);
+                return Err(QueryError::Unsupported);
             }
-            status if !status.is_success() => return Err(QuestionError::NoAnswer),
+            status if !status.is_success() => return Err(QueryError::NoAnswer),
             _ => {}
         }
         let body = Limited::new(response.into_body(), MAX_REPORT_BYTES);
-        let whole = body.collect().await.map_err(|_| QuestionError::NoAnswer)?;
+        let whole = body.collect().await.map_err(|_| QueryError::NoAnswer)?;
         Ok(whole.to_bytes())
     };
-    timeout(options.probe_timeout, asking)
+    timeout(options.probe_timeout, exchange)
         .await
-        .unwrap_or(Err(QuestionError::NoAnswer))
+        .unwrap_or(Err(QueryError::NoAnswer))
 }
 
-/// Try to get a small answer over a new connection, in time. A kept one could
-/// be as silent as the one in doubt.
-pub(super) async fn ask_anew(
+/// Try to send a query over a new connection and get the answer's body. An idle
+/// connection could be as unresponsive as the one in doubt.
+pub(super) async fn query(
     method: Method,
     address: SocketAddr,
     path: &str,
     options: &TargetClientOptions,
-) -> Result<Bytes, QuestionError> {
-    let request = bare_request(method, address, path).ok_or(QuestionError::Malformed)?;
-    let asking = async {
+) -> Result<Bytes, QueryError> {
+    let request = empty_request(method, address, path).ok_or(QueryError::Malformed)?;
+    let exchange = async {
         let mut connection = TargetConnection::dial(address, options)
             .await
-            .map_err(|_| QuestionError::NoAnswer)?;
-        ask_over(&mut connection, request, options).await
+            .map_err(|_| QueryError::NoAnswer)?;
+        query_over(&mut connection, request, options).await
     };
-    timeout(options.probe_timeout, asking)
+    timeout(options.probe_timeout, exchange)
         .await
-        .unwrap_or(Err(QuestionError::NoAnswer))
+        .unwrap_or(Err(QueryError::NoAnswer))
 }
 
-/// Try to get the status of a stream, by its id or else by its request's.
-pub(super) async fn ask_status(
+/// Try to get the status of a stream, by its id if known, else by the
+/// request's.
+pub(super) async fn query_status(
     address: SocketAddr,
     request_id: &str,
     stream: Option<&StreamId>,
     options: &TargetClientOptions,
-) -> Result<StreamStatus, QuestionError> {
+) -> Result<StreamStatus, QueryError> {
     let path = match stream {
         Some(id) => format!("/v1/streams/{id}/status"),
         None => format!("/v1/requests/{request_id}/status"),
     };
-    let body = ask_anew(Method::GET, address, &path, options).await?;
-    serde_json::from_slice(&body).map_err(|_| QuestionError::Malformed)
+    let body = query(Method::GET, address, &path, options).await?;
+    serde_json::from_slice(&body).map_err(|_| QueryError::Malformed)
 }
--- a/bergamotswitch-net/tests/target_support/mod.rs
+++ b/bergamotswitch-net/tests/target_support/mod.rs
@@ -1,6 +1,6 @@
-//! Provides what the tests of calls to targets share.
+//! Provides shared helpers for the tests of calls to targets.
 
-// Each test file uses its own part of this module.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 use std::net::{Ipv4Addr, SocketAddr};
@@ -21,24 +21,23 @@
 use bytes::Bytes;
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Far above what any test takes.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// A loopback address with an ephemeral port.
+pub const EPHEMERAL_ADDRESS: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// A free loopback address.
-pub const ANYWHERE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
-
-/// A `CallRig` is a client and the loop's end of its reports.
-pub struct CallRig {
+/// A `CallHarness` is a client with the receiver of its reports.
+pub struct CallHarness {
     pub client: TargetClient,
     pub inbox: mpsc::UnboundedReceiver<NodeInput>,
     next: u64,
 }
 
-impl CallRig {
+impl CallHarness {
     pub fn new(options: TargetClientOptions) -> Self {
         let (sender, inbox) = mpsc::unbounded_channel();
-        CallRig {
+        CallHarness {
             client: TargetClient::new(options, sender),
             inbox,
             next: 0,
@@ -68,20 +67,20 @@
 
     /// Get the next event of any attempt.
     pub async fn next_event(&mut self) -> (AttemptId, AttemptEvent) {
-        let waiting = timeout(PATIENCE, self.inbox.recv());
+        let waiting = timeout(TEST_TIMEOUT, self.inbox.recv());
         match waiting.await.expect("no event in time") {
             Some(NodeInput::Attempt(attempt, event)) => (attempt, event),
-            other => panic!("not an attempt's event: {other:?}"),
+            other => panic!("unexpected input: {other:?}"),
         }
     }
 
-    /// Wait for a started attempt's first token.
+    /// Wait for the first token of an attempt.
     pub async fn first_token(&mut self) {
         let (_, event) = self.next_event().await;
         assert_eq!(event, AttemptEvent::FirstToken);
     }
 
-    /// Get an only attempt's events from here to its end.
+    /// Get the events of a single attempt up to its end.
     pub async fn events(&mut self) -> Vec<AttemptEvent> {
         let mut events = Vec::new();
         loop {
@@ -94,7 +93,7 @@
     }
 }
 
-/// Get whether an event is an attempt's last one.
+/// Get whether an event is the last one of an attempt.
 pub fn is_end(event: &AttemptEvent) -> bool {
     match event {
         AttemptEvent::FirstToken
@@ -109,10 +108,10 @@
     }
 }
 
-/// Get the parts of an answer of an ended attempt.
+/// Get the parts of the answer of a finished attempt.
 pub async fn parts_of(answer: AnswerWriter) -> Vec<AnswerPart> {
     answer.push(AnswerPart::End);
-    let mut parts = answer.reader().whole().await;
+    let mut parts = answer.reader().collect().await;
     parts.pop();
     parts
 }
@@ -130,7 +129,7 @@
     text
 }
 
-/// Get a call for `tokens` tokens; equal names get equal texts.
+/// Get a call for `tokens` tokens. Equal names yield equal texts.
 pub fn engine_call(name: &str, tokens: u32) -> OutgoingCall {
     let body = serde_json::json!({
         "model": "drafting-lm",
@@ -147,7 +146,7 @@
     }
 }
 
-/// Get an engine that makes a token each 3 ms.
+/// Start an engine that produces a token every 3 ms.
 pub async fn start_engine(resumes: bool) -> EngineStandin {
     let contract = deployment::TargetContract {
         resumes,
@@ -155,7 +154,7 @@
         ..deployment::TargetContract::default()
     };
     let options = EngineOptions::default().with_contract(contract);
-    let started = EngineStandin::try_start(ANYWHERE, options).await;
+    let started = EngineStandin::try_start(EPHEMERAL_ADDRESS, options).await;
     started.expect("an engine")
 }
 
@@ -175,7 +174,8 @@
     target
 }
 
-/// Get options that notice a silence within a fraction of a second.
+/// Get options that detect an unresponsive connection within a fraction of a
+/// second.
 pub fn quick_options() -> TargetClientOptions {
     TargetClientOptions::default()
         .with_idle_probe(Duration::from_millis(100))
@@ -183,7 +183,7 @@
         .with_silent_grace(Duration::from_millis(50))
 }
 
-/// Wait until the engine's run of a request is cancelled.
+/// Wait until the engine has cancelled its run of a request.
 pub async fn wait_for_cancel(engine: &EngineStandin, request_id: &str) {
     let cancelled = async {
         loop {
@@ -195,5 +195,7 @@
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(PATIENCE, cancelled).await.expect("a cancelled run");
+    timeout(TEST_TIMEOUT, cancelled)
+        .await
+        .expect("a cancelled run");
 }
