--- a/bergamotswitch-core/src/address.rs
+++ b/bergamotswitch-core/src/address.rs
@@ -17,7 +17,7 @@
 use crate::client_account::AccountName;
 use crate::failure_domain::DomainName;
 use crate::host::{EntryHost, HostIncarnation, Incarnation, Standing};
-use crate::publication::{DomainBook, FleetLimits, Publication};
+use crate::publication::{DomainList, FleetLimits, Publication};
 use crate::rendezvous;
 
 /// How long a caller may cache an answer that names no host, in milliseconds.
@@ -112,7 +112,7 @@
 /// An `AddressBook` chooses the hosts for callers under the published values.
 #[derive(Clone, Copy, Debug)]
 pub struct AddressBook<'p> {
-    domains: &'p DomainBook,
+    domains: &'p DomainList,
     limits: &'p FleetLimits,
 }
 
--- a/bergamotswitch-core/src/node/shard_use.rs
+++ b/bergamotswitch-core/src/node/shard_use.rs
@@ -8,7 +8,7 @@
 use crate::failure_domain::DomainName;
 use crate::membership::MembershipEvent;
 use crate::pool::PoolShard;
-use crate::publication::PoolBook;
+use crate::publication::PoolList;
 
 /// How long a shard stays in use after its last work. A caller's next request
 /// mostly comes within it; without it each pause would end with a dial and an
@@ -29,7 +29,7 @@
 impl ShardUse {
     /// Expect work for the shards that callers of this failure domain use:
     /// those of the domain, and those of pools with one order for all.
-    pub(super) fn warm(&mut self, now: Moment, pools: &PoolBook, domain: &DomainName) {
+    pub(super) fn warm(&mut self, now: Moment, pools: &PoolList, domain: &DomainName) {
         let mut near = pools.shards();
         // A shard that is no more has no owner to watch.
         for (shard, until) in &mut self.used_until {
--- a/bergamotswitch-core/src/publication/account_book.rs
+++ b/bergamotswitch-core/src/publication/account_list.rs
@@ -9,13 +9,13 @@
 use crate::error::Findings;
 use crate::revision::ACCOUNTS_VALUE;
 
-/// An `AccountBook` is the published client accounts.
+/// An `AccountList` is the published client accounts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct AccountBook {
+pub struct AccountList {
     accounts: Vec<ClientAccount>,
 }
 
-impl AccountBook {
+impl AccountList {
     /// Get the accounts in their published order.
     pub fn accounts(&self) -> &[ClientAccount] {
         &self.accounts
@@ -41,7 +41,7 @@
     }
 }
 
-impl TryFrom<&Value> for AccountBook {
+impl TryFrom<&Value> for AccountList {
     type Error = Findings;
 
     fn try_from(value: &Value) -> Result<Self, Findings> {
@@ -49,7 +49,7 @@
     }
 }
 
-impl ReadJson for AccountBook {
+impl ReadJson for AccountList {
     fn read(node: &JsonNode<'_>, findings: &mut Findings) -> Option<Self> {
         let mut object = ObjectReader::open(node, findings)?;
         let accounts = object.required("accounts");
@@ -60,7 +60,7 @@
         // One key for two accounts would leave open whose request it is.
         let hash_text = |node: &JsonNode<'_>| node.text().map(str::to_ascii_lowercase);
         refuse_equals(&fields(&elements, "key_hash"), hash_text, findings);
-        Some(AccountBook {
+        Some(AccountList {
             accounts: accounts?,
         })
     }
--- a/bergamotswitch-core/src/publication/domain_book.rs
+++ b/bergamotswitch-core/src/publication/domain_list.rs
@@ -9,13 +9,13 @@
 use crate::failure_domain::{DomainName, FailureDomain, RegionName};
 use crate::revision::DOMAINS_VALUE;
 
-/// A `DomainBook` is the published failure domains.
+/// A `DomainList` is the published failure domains.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct DomainBook {
+pub struct DomainList {
     domains: Vec<FailureDomain>,
 }
 
-impl DomainBook {
+impl DomainList {
     /// Get the failure domains in their published order.
     pub fn domains(&self) -> &[FailureDomain] {
         &self.domains
@@ -32,7 +32,7 @@
     }
 }
 
-impl TryFrom<&Value> for DomainBook {
+impl TryFrom<&Value> for DomainList {
     type Error = Findings;
 
     fn try_from(value: &Value) -> Result<Self, Findings> {
@@ -40,14 +40,14 @@
     }
 }
 
-impl ReadJson for DomainBook {
+impl ReadJson for DomainList {
     fn read(node: &JsonNode<'_>, findings: &mut Findings) -> Option<Self> {
         let mut object = ObjectReader::open(node, findings)?;
         let domains = object.required("domains");
         object.finish();
         let elements = node.field("domains").map(|list| list.elements());
         refuse_repeated_names(&elements.unwrap_or_default(), findings);
-        Some(DomainBook { domains: domains? })
+        Some(DomainList { domains: domains? })
     }
 }
 
--- a/bergamotswitch-core/src/publication/mod.rs
+++ b/bergamotswitch-core/src/publication/mod.rs
@@ -8,15 +8,15 @@
 //! account matches nothing, and one that sends work to an unknown failure
 //! domain leaves no target there.
 
-mod account_book;
+mod account_list;
 mod cross_check;
-mod domain_book;
+mod domain_list;
 mod fleet_limits;
 mod host_entries;
 pub(crate) mod json_node;
 pub(crate) mod named_choice;
 pub(crate) mod object_reader;
-mod pool_book;
+mod pool_list;
 mod registered_pools;
 pub(crate) mod repeats;
 
@@ -33,14 +33,14 @@
 use crate::target::TargetName;
 use crate::target_list::TargetList;
 
-pub use account_book::AccountBook;
+pub use account_list::AccountList;
 pub use cross_check::check_cross;
-pub use domain_book::DomainBook;
+pub use domain_list::DomainList;
 pub(crate) use fleet_limits::LinkKey;
 pub use fleet_limits::{FleetLimits, LINK_KEY_LEN, LimitSpec};
 pub(crate) use host_entries::PeerAddress;
 use json_node::read_text;
-pub use pool_book::{PlacedTarget, PoolBook, SLOT_RANGE, SPEED_RANGE, TOKEN_LIMIT_RANGE};
+pub use pool_list::{PlacedTarget, PoolList, SLOT_RANGE, SPEED_RANGE, TOKEN_LIMIT_RANGE};
 
 /// A `Publication` is all published values that are in force on a host.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -48,11 +48,11 @@
     /// The rules.
     pub rules: RuleBook,
     /// The client accounts.
-    pub accounts: AccountBook,
+    pub accounts: AccountList,
     /// The pools.
-    pub pools: PoolBook,
+    pub pools: PoolList,
     /// The failure domains.
-    pub domains: DomainBook,
+    pub domains: DomainList,
     /// The limits.
     pub limits: FleetLimits,
     /// The host list.
--- a/bergamotswitch-core/src/publication/pool_book.rs
+++ b/bergamotswitch-core/src/publication/pool_list.rs
@@ -23,9 +23,9 @@
 /// The allowed numbers of requests that a target serves at once.
 pub const SLOT_RANGE: RangeInclusive<u64> = 1..=100_000;
 
-/// A `PoolBook` is the published pools.
+/// A `PoolList` is the published pools.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct PoolBook {
+pub struct PoolList {
     pools: Vec<TargetPool>,
 }
 
@@ -38,10 +38,10 @@
     pub target: &'a PoolTarget,
 }
 
-impl PoolBook {
+impl PoolList {
     /// Get the book of these pools.
     pub fn new(pools: Vec<TargetPool>) -> Self {
-        PoolBook { pools }
+        PoolList { pools }
     }
 
     /// Get the pool of this name.
@@ -91,7 +91,7 @@
         .collect()
 }
 
-impl TryFrom<&Value> for PoolBook {
+impl TryFrom<&Value> for PoolList {
     type Error = Findings;
 
     fn try_from(value: &Value) -> Result<Self, Findings> {
@@ -99,13 +99,13 @@
     }
 }
 
-impl ReadJson for PoolBook {
+impl ReadJson for PoolList {
     fn read(node: &JsonNode<'_>, findings: &mut Findings) -> Option<Self> {
         let mut object = ObjectReader::open(node, findings)?;
         let pools = object.required("pools");
         object.finish();
         refuse_repeated_targets(node, findings);
-        Some(PoolBook { pools: pools? })
+        Some(PoolList { pools: pools? })
     }
 }
 
--- a/bergamotswitch-core/src/publication/registered_pools.rs
+++ b/bergamotswitch-core/src/publication/registered_pools.rs
@@ -8,7 +8,7 @@
 use crate::target::{DEFAULT_SPEED, PoolTarget};
 use crate::target_list::{TargetEntry, TargetList};
 
-use super::PoolBook;
+use super::PoolList;
 
 /// The token limit of a plain service's target: its slots bound it alone.
 const PLAIN_TOKEN_LIMIT: u32 = u32::MAX;
@@ -27,7 +27,7 @@
 /// registration for a service that the routes do not list forms no pool: each
 /// pool has an owner and a queue on some host, and anybody who writes to the
 /// store could otherwise make as many as there are names.
-pub(super) fn pools(list: &TargetList, routes: &RouteTable) -> PoolBook {
+pub(super) fn pools(list: &TargetList, routes: &RouteTable) -> PoolList {
     let mut pools: BTreeMap<&PoolName, Vec<PoolTarget>> = BTreeMap::new();
     for entry in &list.targets {
         let Some(facts) = routes.pool(&entry.pool) else {
@@ -42,7 +42,7 @@
         shard_by_domain: false,
         targets,
     });
-    PoolBook::new(pools.collect())
+    PoolList::new(pools.collect())
 }
 
 fn kind(facts: Option<&PoolFacts>) -> PoolKind {
--- a/bergamotswitch-core/tests/address_answers.rs
+++ b/bergamotswitch-core/tests/address_answers.rs
@@ -6,7 +6,7 @@
 use bergamotswitch_core::client_account::AccountName;
 use bergamotswitch_core::failure_domain::DomainName;
 use bergamotswitch_core::host::{EntryHost, HostName, Incarnation, Standing};
-use bergamotswitch_core::publication::{DomainBook, Publication};
+use bergamotswitch_core::publication::{DomainList, Publication};
 use serde_json::json;
 
 const DOMAINS: [&str; 4] = ["north", "south", "west", "abroad"];
@@ -16,7 +16,7 @@
     let body = json!({"domains": [domain("north", "home"), domain("south", "home"),
         domain("west", "home"), domain("abroad", "far")]});
     Publication {
-        domains: DomainBook::try_from(&body).unwrap(),
+        domains: DomainList::try_from(&body).unwrap(),
         ..Publication::default()
     }
 }
--- a/bergamotswitch-core/tests/configuration_page.rs
+++ b/bergamotswitch-core/tests/configuration_page.rs
@@ -208,7 +208,7 @@
     let then = &rules.rules()[0].then;
     let pools = json!({"pools": [{"name": "p", "targets":
         [{"name": "t", "domain": "d", "address": "127.0.0.1:1"}]}]});
-    let pools = bergamotswitch_core::publication::PoolBook::try_from(&pools).unwrap();
+    let pools = bergamotswitch_core::publication::PoolList::try_from(&pools).unwrap();
     let pool = serde_json::to_value(&pools.pools()[0]).unwrap();
     let contract = &pool["targets"][0]["contract"];
     let mut expected = vec![
--- a/bergamotswitch-core/tests/explain_request.rs
+++ b/bergamotswitch-core/tests/explain_request.rs
@@ -4,7 +4,7 @@
 use bergamotswitch_core::explain::{Exclusion, RequestExplanation};
 use bergamotswitch_core::failure_domain::DomainName;
 use bergamotswitch_core::pool::PoolName;
-use bergamotswitch_core::publication::{PoolBook, Publication};
+use bergamotswitch_core::publication::{PoolList, Publication};
 use bergamotswitch_core::rules::{RequestFacts, RuleBook};
 use serde_json::{Value, json};
 
@@ -19,7 +19,7 @@
     let hosts = json!({"hosts": [], "targets": [{"name": "e3", "standing": "leaving"}]});
     Publication {
         rules: RuleBook::try_from(&json!({ "rules": rules })).unwrap(),
-        pools: PoolBook::try_from(&pools).unwrap(),
+        pools: PoolList::try_from(&pools).unwrap(),
         hosts: serde_json::from_value(hosts).unwrap(),
         ..Publication::default()
     }
--- a/bergamotswitch-net/src/target_client/mod.rs
+++ b/bergamotswitch-net/src/target_client/mod.rs
@@ -25,7 +25,7 @@
 
 use bergamotswitch_core::entry::{AttemptEvent, NotSentReason};
 use bergamotswitch_core::pool::PoolKind;
-use bergamotswitch_core::publication::PoolBook;
+use bergamotswitch_core::publication::PoolList;
 use bergamotswitch_core::request::AttemptId;
 use bergamotswitch_core::target::{PoolTarget, TargetName};
 use tokio::task::JoinHandle;
@@ -166,7 +166,7 @@
     /// started again lead to a process that is gone. Where it died behind a cut
     /// no reset ever tells, and a call sent on one would wait until its target
     /// counts as silent.
-    pub fn note_starts(&mut self, pools: &PoolBook) {
+    pub fn note_starts(&mut self, pools: &PoolList) {
         let targets = pools.pools().iter().flat_map(|pool| &pool.targets);
         let mut starts = HashMap::new();
         for target in targets {
