--- a/bergamotswitch-core/src/node/view.rs
+++ b/bergamotswitch-core/src/node/view.rs
@@ -8,7 +8,7 @@
 use crate::membership::PeerView;
 use crate::pool::PoolShard;
 use crate::pool_owner::ShardView;
-use crate::publication::check_cross;
+use crate::publication::check_consistency;
 use crate::revision::RevisionStanding;
 
 /// A `NodeView` is what one host knows, for operators.
@@ -56,7 +56,7 @@
             load_permille: self.load_permille,
             missing: missing.iter().map(|name| (*name).to_owned()).collect(),
             revisions: self.book.standing(),
-            cross_findings: check_cross(&self.publication)
+            cross_findings: check_consistency(&self.publication)
                 .iter()
                 .map(ToString::to_string)
                 .collect(),
--- a/bergamotswitch-core/src/publication/cross_check.rs
+++ b/bergamotswitch-core/src/publication/consistency_check.rs
@@ -9,7 +9,7 @@
 
 /// Get the references to things that are not published. They don't keep a
 /// value from being in force: see the module's description.
-pub fn check_cross(publication: &Publication) -> Findings {
+pub fn check_consistency(publication: &Publication) -> Findings {
     let mut findings = Findings::new();
     check_rules(publication, &mut findings);
     check_targets(publication, &mut findings);
--- a/bergamotswitch-core/src/publication/mod.rs
+++ b/bergamotswitch-core/src/publication/mod.rs
@@ -2,14 +2,14 @@
 //!
 //! Each value is checked alone when it is applied, so that every host accepts
 //! or refuses a revision alike, whatever order the values arrive in. What one
-//! value says of another is checked by [`check_cross`], whose findings the
+//! value says of another is checked by [`check_consistency`], whose findings the
 //! operator's `check` and the status page report; at run time a reference to
 //! something unknown fails closed: a rule that names an unknown pool or
 //! account matches nothing, and one that sends work to an unknown failure
 //! domain leaves no target there.
 
 mod account_list;
-mod cross_check;
+mod consistency_check;
 mod domain_list;
 mod fleet_limits;
 mod host_entries;
@@ -34,7 +34,7 @@
 use crate::target_list::TargetList;
 
 pub use account_list::AccountList;
-pub use cross_check::check_cross;
+pub use consistency_check::check_consistency;
 pub use domain_list::DomainList;
 pub(crate) use fleet_limits::LinkKey;
 pub use fleet_limits::{FleetLimits, LINK_KEY_LEN, LimitSpec};
--- a/bergamotswitch-core/tests/deployment_files.rs
+++ b/bergamotswitch-core/tests/deployment_files.rs
@@ -4,7 +4,7 @@
 
 use bergamotswitch_core::failure_domain::DomainName;
 use bergamotswitch_core::pool::PoolName;
-use bergamotswitch_core::publication::{Publication, check_cross};
+use bergamotswitch_core::publication::{Publication, check_consistency};
 use bergamotswitch_core::revision::{PublishedValue, Revision, ValueName};
 use bergamotswitch_core::rules::{RequestFacts, Tier, Verdict, WorkKind};
 use bergamotswitch_core::settings::HostSettings;
@@ -51,7 +51,7 @@
 
 fn check_whole(deployment: &str, engine: &str, plain: &str) {
     let publication = publication(deployment);
-    assert_eq!(check_cross(&publication).to_string(), "");
+    assert_eq!(check_consistency(&publication).to_string(), "");
     assert!(publication.missing().is_empty());
     let count = |name: &str| {
         let name = PoolName::try_from(name).unwrap();
--- a/bergamotswitch-core/tests/publication_check.rs
+++ b/bergamotswitch-core/tests/publication_check.rs
@@ -2,7 +2,7 @@
 
 use bergamotswitch_core::client_account::KeyHash;
 use bergamotswitch_core::error::Findings;
-use bergamotswitch_core::publication::{FleetLimits, Publication, check_cross};
+use bergamotswitch_core::publication::{FleetLimits, Publication, check_consistency};
 use bergamotswitch_core::revision::{PublishedValue, Revision, ValueName};
 use bergamotswitch_core::target::TargetName;
 use serde_json::{Value, json};
@@ -240,7 +240,7 @@
             publication.apply(&value(name, body)).unwrap();
         }
         assert_eq!(publication.missing(), Vec::<&str>::new());
-        assert!(check_cross(&publication).is_empty());
+        assert!(check_consistency(&publication).is_empty());
     });
 }
 
@@ -348,7 +348,7 @@
     publication.apply(&value("rules", &rules)).unwrap();
     let domains = json!({"domains": [{"name": "south", "region": "r"}]});
     publication.apply(&value("domains", &domains)).unwrap();
-    let found = check_cross(&publication);
+    let found = check_consistency(&publication);
     let expected = "rules:/rules/0/when/pools/1 rules:/rules/0/when/accounts/0 \
         rules:/rules/0/when/domains/0 rules:/rules/0/then/domains/0 rules:/rules/0/then/domains/1 \
         rules:/rules/2 pools:/pools/0/targets/0/domain hosts:/hosts/0/domain";
--- a/bergamotswitch/examples/slopes/values.rs
+++ b/bergamotswitch/examples/slopes/values.rs
@@ -1,7 +1,7 @@
 //! Measures published values and address answers.
 
 use bergamotswitch_core::address::{AddressBook, AddressQuery, CallerHash, HostHealth};
-use bergamotswitch_core::publication::{Publication, check_cross};
+use bergamotswitch_core::publication::{Publication, check_consistency};
 use bergamotswitch_core::rules::RequestFacts;
 
 use crate::probe::{growth, micros_each};
@@ -111,7 +111,7 @@
     );
     let points = at_sizes(&sizes_of("pools"), |size| {
         let publication = sized("pools", size).publication();
-        micros_each(|| check_cross(&publication))
+        micros_each(|| check_consistency(&publication))
     });
     sheet.slope(
         "cross-check (each second, for the status page), by targets",
--- a/bergamotswitch/src/command/check.rs
+++ b/bergamotswitch/src/command/check.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 use bergamotswitch_core::error::Findings;
-use bergamotswitch_core::publication::{Publication, check_cross};
+use bergamotswitch_core::publication::{Publication, check_consistency};
 use bergamotswitch_core::settings::HostSettings;
 
 use super::error::CommandError;
@@ -24,7 +24,7 @@
         }
         // References between values mean something only for a whole deployment.
         if path.is_dir() {
-            report.add(path, &check_cross(&publication));
+            report.add(path, &check_consistency(&publication));
         }
     }
     write_out(&report.to_string())?;
