--- a/bergamotswitch-core/src/node/carry_out.rs
+++ b/bergamotswitch-core/src/node/carry_out.rs
@@ -59,7 +59,7 @@
     }
 
     fn start_attempt(&mut self, now: Moment, attempt: AttemptId, permit: &Permit) {
-        match self.publication.pools.placed_target(&permit.target) {
+        match self.publication.pools.target_with_pool(&permit.target) {
             Some(placed) => self.actions.push(NodeAction::Start {
                 attempt,
                 target: Box::new(placed.target.clone()),
--- a/bergamotswitch-core/src/publication/mod.rs
+++ b/bergamotswitch-core/src/publication/mod.rs
@@ -40,7 +40,7 @@
 pub use fleet_limits::{FleetLimits, LINK_KEY_LEN, LimitSpec};
 pub(crate) use host_entries::PeerAddress;
 use json_node::read_text;
-pub use pool_list::{PlacedTarget, PoolList, SLOT_RANGE, SPEED_RANGE, TOKEN_LIMIT_RANGE};
+pub use pool_list::{PoolList, SLOT_RANGE, SPEED_RANGE, TOKEN_LIMIT_RANGE, TargetWithPool};
 
 /// A `Publication` is all published values that are in force on a host.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
--- a/bergamotswitch-core/src/publication/pool_list.rs
+++ b/bergamotswitch-core/src/publication/pool_list.rs
@@ -29,9 +29,9 @@
     pools: Vec<TargetPool>,
 }
 
-/// A `PlacedTarget` is a target with the pool that it serves.
+/// A `TargetWithPool` is a target with the pool that it serves.
 #[derive(Clone, Copy, Debug)]
-pub struct PlacedTarget<'a> {
+pub struct TargetWithPool<'a> {
     /// The pool.
     pub pool: &'a TargetPool,
     /// The target.
@@ -56,14 +56,14 @@
 
     /// Get the target of this name.
     pub fn target(&self, name: &TargetName) -> Option<&PoolTarget> {
-        self.placed_target(name).map(|placed| placed.target)
+        self.target_with_pool(name).map(|placed| placed.target)
     }
 
     /// Get the target of this name with its pool.
-    pub fn placed_target(&self, name: &TargetName) -> Option<PlacedTarget<'_>> {
+    pub fn target_with_pool(&self, name: &TargetName) -> Option<TargetWithPool<'_>> {
         self.pools.iter().find_map(|pool| {
             let target = pool.targets.iter().find(|target| target.name == *name)?;
-            Some(PlacedTarget { pool, target })
+            Some(TargetWithPool { pool, target })
         })
     }
 
