--- a/bergamotswitch-core/src/publication/host_entries.rs
+++ b/bergamotswitch-core/src/publication/host_entries.rs
@@ -13,11 +13,11 @@
 /// The allowed shares of a processor, in thousandths of a core.
 const CAPACITY_RANGE: RangeInclusive<u64> = 0..=1_000_000;
 
-/// A `PeerAddress` is an address to connect to: its port is not 0, and it
+/// A `ConnectAddress` is an address to connect to: its port is not 0, and it
 /// names one machine.
-pub(crate) struct PeerAddress(pub(crate) SocketAddr);
+pub(crate) struct ConnectAddress(pub(crate) SocketAddr);
 
-impl ReadJson for PeerAddress {
+impl ReadJson for ConnectAddress {
     fn read(node: &JsonNode<'_>, findings: &mut Findings) -> Option<Self> {
         let address = SocketAddr::read(node, findings)?;
         if address.port() == 0 {
@@ -31,7 +31,7 @@
             node.refuse(findings, "the IP number of one machine");
             return None;
         }
-        Some(PeerAddress(address))
+        Some(ConnectAddress(address))
     }
 }
 
@@ -80,8 +80,8 @@
         let mut object = ObjectReader::open(node, findings)?;
         let name = object.required("name");
         let domain = object.required("domain");
-        let caller_address = object.required::<PeerAddress>("caller_address");
-        let link_address = object.required::<PeerAddress>("link_address");
+        let caller_address = object.required::<ConnectAddress>("caller_address");
+        let link_address = object.required::<ConnectAddress>("link_address");
         let capacity = object.number("capacity", &CAPACITY_RANGE);
         let standing = object.or_default("standing");
         object.finish();
--- a/bergamotswitch-core/src/publication/mod.rs
+++ b/bergamotswitch-core/src/publication/mod.rs
@@ -38,7 +38,7 @@
 pub use domain_list::DomainList;
 pub(crate) use fleet_limits::LinkKey;
 pub use fleet_limits::{FleetLimits, LINK_KEY_LEN, LimitSpec};
-pub(crate) use host_entries::PeerAddress;
+pub(crate) use host_entries::ConnectAddress;
 use json_node::read_text;
 pub use pool_list::{PoolList, SLOT_RANGE, SPEED_RANGE, TOKEN_LIMIT_RANGE, TargetWithPool};
 
--- a/bergamotswitch-core/src/publication/pool_list.rs
+++ b/bergamotswitch-core/src/publication/pool_list.rs
@@ -153,7 +153,7 @@
         let mut object = ObjectReader::open(node, findings)?;
         let name = object.required("name");
         let domain = object.required("domain");
-        let address = object.required::<super::host_entries::PeerAddress>("address");
+        let address = object.required::<super::host_entries::ConnectAddress>("address");
         let contract = object.or_default("contract");
         let speed = object.number("expected_speed", &SPEED_RANGE);
         let limit = object.number("token_limit", &TOKEN_LIMIT_RANGE);
--- a/bergamotswitch-core/src/settings.rs
+++ b/bergamotswitch-core/src/settings.rs
@@ -13,7 +13,7 @@
 use crate::publication::named_choice::read_choice;
 use crate::publication::object_reader::ObjectReader;
 use crate::publication::repeats::refuse_repeated_addresses;
-use crate::publication::{LinkKey, PeerAddress};
+use crate::publication::{ConnectAddress, LinkKey};
 
 /// A `LogFormat` is the format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
@@ -204,8 +204,8 @@
         let (services, host_lists) = match has_gateway {
             true => (Some(Vec::new()), Some(Vec::new())),
             false => (
-                object.required::<Vec<PeerAddress>>("configuration_services"),
-                object.required::<Vec<PeerAddress>>("host_lists"),
+                object.required::<Vec<ConnectAddress>>("configuration_services"),
+                object.required::<Vec<ConnectAddress>>("host_lists"),
             ),
         };
         let log = object.or_default("log");
@@ -250,7 +250,7 @@
     }
 }
 
-fn addresses(list: Vec<PeerAddress>) -> Vec<SocketAddr> {
+fn addresses(list: Vec<ConnectAddress>) -> Vec<SocketAddr> {
     list.into_iter().map(|address| address.0).collect()
 }
 
@@ -277,10 +277,10 @@
         let readiness_address = object.required("readiness_address");
         let directory_address = object.required("directory_address");
         let metrics_address = object.required("metrics_address");
-        let store_address = object.required::<PeerAddress>("store_address");
+        let store_address = object.required::<ConnectAddress>("store_address");
         let seeds = match object.take("seeds") {
             Some(list) if !list.is_empty_list() => ReadJson::read(&list, object.findings()),
-            _ => Some(Vec::<PeerAddress>::new()),
+            _ => Some(Vec::<ConnectAddress>::new()),
         };
         let link_key = object.required::<LinkKey>("link_key");
         let cores = object.fraction("cores", &CORE_RANGE);
