--- a/bergamotswitch-core/src/node/core.rs
+++ b/bergamotswitch-core/src/node/core.rs
@@ -140,7 +140,7 @@
             membership: Membership::new(me.clone(), opts.membership.clone(), now),
             book: RevisionBook::new(me.clone(), domain.clone(), opts.revision.clone(), now),
             publication: match opts.roster {
-                Some(_) => Publication::routed(opts.limits.clone().unwrap_or_default()),
+                Some(_) => Publication::with_routes(opts.limits.clone().unwrap_or_default()),
                 None => Publication::default(),
             },
             roster: opts.roster.clone().map(|setup| {
--- a/bergamotswitch-core/src/node/key_guard.rs
+++ b/bergamotswitch-core/src/node/key_guard.rs
@@ -242,7 +242,7 @@
     /// and its key guards it inside the part. At the gateway no caller has keys.
     fn is_guarded(&self, shard: &PoolShard) -> bool {
         let pool = self.publication.pools.pool(&shard.pool);
-        !self.publication.routed && pool.is_some_and(|pool| pool.kind == PoolKind::Plain)
+        !self.publication.uses_routes && pool.is_some_and(|pool| pool.kind == PoolKind::Plain)
     }
 
     /// Begin or end to guard a shard that this host begins or ceases to order;
--- a/bergamotswitch-core/src/publication/mod.rs
+++ b/bergamotswitch-core/src/publication/mod.rs
@@ -58,18 +58,18 @@
     /// The host list.
     pub hosts: HostList,
     /// Whether callers come by routes and targets register themselves.
-    pub routed: bool,
+    pub uses_routes: bool,
     /// The routes.
     pub routes: Arc<RouteTable>,
     /// The registered targets.
-    pub registered: TargetList,
+    pub registered_targets: TargetList,
 }
 
 impl Publication {
     /// Get the empty publication of a host whose callers come by routes.
-    pub fn routed(limits: FleetLimits) -> Self {
+    pub fn with_routes(limits: FleetLimits) -> Self {
         Publication {
-            routed: true,
+            uses_routes: true,
             limits,
             ..Publication::default()
         }
@@ -91,11 +91,11 @@
             HOSTS_VALUE => self.hosts = read_text(input, &value.body)?,
             ROUTES_VALUE => {
                 self.routes = Arc::new(RouteTable::try_from_json(&value.body)?);
-                self.pools = registered_pools::pools(&self.registered, &self.routes);
+                self.pools = registered_pools::pools(&self.registered_targets, &self.routes);
             }
             TARGETS_VALUE => {
-                self.registered = TargetList::try_from_json(&value.body)?;
-                self.pools = registered_pools::pools(&self.registered, &self.routes);
+                self.registered_targets = TargetList::try_from_json(&value.body)?;
+                self.pools = registered_pools::pools(&self.registered_targets, &self.routes);
             }
             unknown => return Err(unknown_value(unknown)),
         }
@@ -105,7 +105,7 @@
     /// Get the names of the values that a host needs before it serves and
     /// does not have. An applied one is never empty.
     pub fn missing(&self) -> Vec<&'static str> {
-        let by_rules = !self.routed;
+        let by_rules = !self.uses_routes;
         let needed = [
             (RULES_VALUE, by_rules && self.rules.rules().is_empty()),
             (
@@ -114,7 +114,7 @@
             ),
             (
                 ROUTES_VALUE,
-                self.routed && self.routes.book().routes.is_empty(),
+                self.uses_routes && self.routes.book().routes.is_empty(),
             ),
             (POOLS_VALUE, self.pools.pools().is_empty()),
             (HOSTS_VALUE, self.hosts.hosts.is_empty()),
@@ -130,7 +130,7 @@
     pub fn target_is_leaving(&self, name: &TargetName) -> bool {
         let listed = self.hosts.targets.iter();
         let listed = listed.map(|target| (&target.name, target.standing));
-        let registered = self.registered.targets.iter();
+        let registered = self.registered_targets.targets.iter();
         let registered = registered.map(|target| (&target.name, target.standing));
         listed
             .chain(registered)
@@ -141,7 +141,7 @@
     pub(crate) fn target_standings(&self) -> Vec<(TargetName, Standing)> {
         let listed = self.hosts.targets.iter();
         let listed = listed.map(|target| (target.name.clone(), target.standing));
-        let registered = self.registered.targets.iter();
+        let registered = self.registered_targets.targets.iter();
         let registered = registered.map(|target| (target.name.clone(), target.standing));
         listed.chain(registered).collect()
     }
--- a/bergamotswitch-net/src/node/drive.rs
+++ b/bergamotswitch-net/src/node/drive.rs
@@ -392,7 +392,7 @@
         self.links
             .set_roster(&publication.hosts, &publication.limits.link_key);
         self.publication.send_replace(Arc::new(publication.clone()));
-        if publication.routed && name.as_str() == HOSTS_VALUE {
+        if publication.uses_routes && name.as_str() == HOSTS_VALUE {
             let hosts = &publication.hosts.hosts;
             let names: Vec<&str> = hosts.iter().map(|host| host.name.as_str()).collect();
             self.note(Incident::HostsChanged, &names.join(","));
