--- a/bergamotswitch-core/src/publication/account_list.rs
+++ b/bergamotswitch-core/src/publication/account_list.rs
@@ -2,9 +2,9 @@
 
 use serde_json::Value;
 
+use super::duplicates::{fields, refuse_duplicate_names, refuse_duplicates};
 use super::json_node::{JsonNode, ReadJson, read_value};
 use super::object_reader::ObjectReader;
-use super::repeats::{fields, refuse_equals, refuse_repeated_names};
 use crate::client_account::{AccountName, ClientAccount, KeyHash};
 use crate::error::Findings;
 use crate::revision::ACCOUNTS_VALUE;
@@ -56,10 +56,10 @@
         object.finish();
         let elements = node.field("accounts").map(|list| list.elements());
         let elements = elements.unwrap_or_default();
-        refuse_repeated_names(&elements, findings);
+        refuse_duplicate_names(&elements, findings);
         // One key for two accounts would leave open whose request it is.
         let hash_text = |node: &JsonNode<'_>| node.text().map(str::to_ascii_lowercase);
-        refuse_equals(&fields(&elements, "key_hash"), hash_text, findings);
+        refuse_duplicates(&fields(&elements, "key_hash"), hash_text, findings);
         Some(AccountList {
             accounts: accounts?,
         })
--- a/bergamotswitch-core/src/publication/domain_list.rs
+++ b/bergamotswitch-core/src/publication/domain_list.rs
@@ -2,9 +2,9 @@
 
 use serde_json::Value;
 
+use super::duplicates::refuse_duplicate_names;
 use super::json_node::{JsonNode, ReadJson, read_value};
 use super::object_reader::ObjectReader;
-use super::repeats::refuse_repeated_names;
 use crate::error::Findings;
 use crate::failure_domain::{DomainName, FailureDomain, RegionName};
 use crate::revision::DOMAINS_VALUE;
@@ -46,7 +46,7 @@
         let domains = object.required("domains");
         object.finish();
         let elements = node.field("domains").map(|list| list.elements());
-        refuse_repeated_names(&elements.unwrap_or_default(), findings);
+        refuse_duplicate_names(&elements.unwrap_or_default(), findings);
         Some(DomainList { domains: domains? })
     }
 }
--- a/bergamotswitch-core/src/publication/repeats.rs
+++ b/bergamotswitch-core/src/publication/duplicates.rs
@@ -17,7 +17,7 @@
 
 /// Note each field of `text` that repeats an earlier one of its object. A
 /// text that is no JSON is left to the parser's own finding.
-pub(crate) fn refuse_field_repeats(input: &str, text: &str, findings: &mut Findings) {
+pub(crate) fn refuse_duplicate_fields(input: &str, text: &str, findings: &mut Findings) {
     let search = RepeatSearch {
         place: format!("{input}:"),
         findings,
@@ -115,23 +115,23 @@
 
 /// Note each element whose name repeats an earlier one. It looks at the raw
 /// nodes, so that elements with other faults count too.
-pub(crate) fn refuse_repeated_names(elements: &[JsonNode<'_>], findings: &mut Findings) {
+pub(crate) fn refuse_duplicate_names(elements: &[JsonNode<'_>], findings: &mut Findings) {
     let names = fields(elements, "name");
-    refuse_equals(&names, |node| node.text(), findings);
+    refuse_duplicates(&names, |node| node.text(), findings);
 }
 
 /// Note each address that repeats an earlier one, however both are written:
 /// `[::1]:80` and `[0::1]:080` are one listener.
-pub(crate) fn refuse_repeated_addresses(nodes: &[JsonNode<'_>], findings: &mut Findings) {
+pub(crate) fn refuse_duplicate_addresses(nodes: &[JsonNode<'_>], findings: &mut Findings) {
     let canonical = |node: &JsonNode<'_>| {
         let address: SocketAddr = node.text()?.parse().ok()?;
         Some(SocketAddr::new(address.ip().to_canonical(), address.port()))
     };
-    refuse_equals(nodes, canonical, findings);
+    refuse_duplicates(nodes, canonical, findings);
 }
 
 /// Note each node whose key repeats that of an earlier one.
-pub(crate) fn refuse_equals<'v, K: Eq + Hash>(
+pub(crate) fn refuse_duplicates<'v, K: Eq + Hash>(
     nodes: &[JsonNode<'v>],
     key_of: impl Fn(&JsonNode<'v>) -> Option<K>,
     findings: &mut Findings,
--- a/bergamotswitch-core/src/publication/host_entries.rs
+++ b/bergamotswitch-core/src/publication/host_entries.rs
@@ -3,10 +3,10 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
+use super::duplicates::{refuse_duplicate_addresses, refuse_duplicate_names};
 use super::json_node::{JsonNode, ReadJson};
 use super::named_choice::read_choice;
 use super::object_reader::ObjectReader;
-use super::repeats::{refuse_repeated_addresses, refuse_repeated_names};
 use crate::error::Findings;
 use crate::host::{EntryHost, HostList, Standing, TargetStanding};
 
@@ -63,16 +63,16 @@
 fn refuse_repeated_hosts(node: &JsonNode<'_>, findings: &mut Findings) {
     let hosts = node.field("hosts").map(|list| list.elements());
     let hosts = hosts.unwrap_or_default();
-    refuse_repeated_names(&hosts, findings);
+    refuse_duplicate_names(&hosts, findings);
     // Two listeners can't share an address, whatever they listen for.
     let addresses: Vec<JsonNode<'_>> = hosts
         .iter()
         .flat_map(|host| [host.field("caller_address"), host.field("link_address")])
         .flatten()
         .collect();
-    refuse_repeated_addresses(&addresses, findings);
+    refuse_duplicate_addresses(&addresses, findings);
     let targets = node.field("targets").map(|list| list.elements());
-    refuse_repeated_names(&targets.unwrap_or_default(), findings);
+    refuse_duplicate_names(&targets.unwrap_or_default(), findings);
 }
 
 impl ReadJson for EntryHost {
--- a/bergamotswitch-core/src/publication/json_node.rs
+++ b/bergamotswitch-core/src/publication/json_node.rs
@@ -9,7 +9,7 @@
 
 use serde_json::{Map, Value};
 
-use super::repeats::refuse_field_repeats;
+use super::duplicates::refuse_duplicate_fields;
 use crate::error::Findings;
 use crate::name::{
     AccountName, AdapterName, DomainName, EngineRole, HostName, ModelName, NameError, PoolName,
@@ -241,7 +241,7 @@
             return Err(findings);
         }
     };
-    refuse_field_repeats(input, text, &mut findings);
+    refuse_duplicate_fields(input, text, &mut findings);
     match read_value(input, &value) {
         Ok(read) => findings.into_result(read),
         Err(faults) => {
--- a/bergamotswitch-core/src/publication/mod.rs
+++ b/bergamotswitch-core/src/publication/mod.rs
@@ -11,6 +11,7 @@
 mod account_list;
 mod consistency_check;
 mod domain_list;
+pub(crate) mod duplicates;
 mod fleet_limits;
 mod host_entries;
 pub(crate) mod json_node;
@@ -18,7 +19,6 @@
 pub(crate) mod object_reader;
 mod pool_list;
 mod registered_pools;
-pub(crate) mod repeats;
 
 use std::sync::Arc;
 
--- a/bergamotswitch-core/src/publication/pool_list.rs
+++ b/bergamotswitch-core/src/publication/pool_list.rs
@@ -5,10 +5,10 @@
 
 use serde_json::Value;
 
+use super::duplicates::{fields, refuse_duplicate_addresses, refuse_duplicate_names};
 use super::json_node::{JsonNode, ReadJson, read_value};
 use super::named_choice::read_choice;
 use super::object_reader::ObjectReader;
-use super::repeats::{fields, refuse_repeated_addresses, refuse_repeated_names};
 use crate::contract::TargetContract;
 use crate::error::Findings;
 use crate::pool::{PoolKind, PoolName, PoolShard, TargetPool};
@@ -114,14 +114,14 @@
 fn refuse_repeated_targets(node: &JsonNode<'_>, findings: &mut Findings) {
     let pools = node.field("pools").map(|list| list.elements());
     let pools = pools.unwrap_or_default();
-    refuse_repeated_names(&pools, findings);
+    refuse_duplicate_names(&pools, findings);
     let targets: Vec<JsonNode<'_>> = pools
         .iter()
         .filter_map(|pool| pool.field("targets"))
         .flat_map(|list| list.elements())
         .collect();
-    refuse_repeated_names(&targets, findings);
-    refuse_repeated_addresses(&fields(&targets, "address"), findings);
+    refuse_duplicate_names(&targets, findings);
+    refuse_duplicate_addresses(&fields(&targets, "address"), findings);
 }
 
 impl ReadJson for TargetPool {
--- a/bergamotswitch-core/src/rules/reading.rs
+++ b/bergamotswitch-core/src/rules/reading.rs
@@ -7,9 +7,9 @@
 
 use super::{Rule, RuleBook, RuleCondition, RuleEffect, TIER_COUNT, Tier};
 use crate::error::Findings;
+use crate::publication::duplicates::refuse_duplicate_names;
 use crate::publication::json_node::{JsonNode, ReadJson, read_value};
 use crate::publication::object_reader::ObjectReader;
-use crate::publication::repeats::refuse_repeated_names;
 use crate::revision::RULES_VALUE;
 
 /// The allowed tiers.
@@ -39,7 +39,7 @@
         let rules = object.required("rules");
         object.finish();
         let elements = node.field("rules").map(|list| list.elements());
-        refuse_repeated_names(&elements.unwrap_or_default(), findings);
+        refuse_duplicate_names(&elements.unwrap_or_default(), findings);
         Some(RuleBook { rules: rules? })
     }
 }
--- a/bergamotswitch-core/src/settings.rs
+++ b/bergamotswitch-core/src/settings.rs
@@ -9,10 +9,10 @@
 use crate::error::Findings;
 use crate::failure_domain::DomainName;
 use crate::host::{HostList, HostName};
+use crate::publication::duplicates::refuse_duplicate_addresses;
 use crate::publication::json_node::{JsonNode, ReadJson, read_text};
 use crate::publication::named_choice::read_choice;
 use crate::publication::object_reader::ObjectReader;
-use crate::publication::repeats::refuse_repeated_addresses;
 use crate::publication::{ConnectAddress, LinkKey};
 
 /// A `LogFormat` is the format of log lines.
@@ -246,7 +246,7 @@
 fn refuse_repeated_services(node: &JsonNode<'_>, findings: &mut Findings) {
     for field in ["configuration_services", "host_lists"] {
         let list = node.field(field).map(|list| list.elements());
-        refuse_repeated_addresses(&list.unwrap_or_default(), findings);
+        refuse_duplicate_addresses(&list.unwrap_or_default(), findings);
     }
 }
 
