--- a/bergamotswitch-core/src/publication/account_list.rs
+++ b/bergamotswitch-core/src/publication/account_list.rs
@@ -86,7 +86,7 @@
             Ok(hash) => Some(hash),
             Err(error) => {
                 // An operator may have written the key itself here.
-                node.refuse_unseen(findings, error.to_string());
+                node.refuse_redacted(findings, error.to_string());
                 None
             }
         }
--- a/bergamotswitch-core/src/publication/duplicates.rs
+++ b/bergamotswitch-core/src/publication/duplicates.rs
@@ -18,21 +18,21 @@
 /// Note each field of `text` that repeats an earlier one of its object. A
 /// text that is no JSON is left to the parser's own finding.
 pub(crate) fn refuse_duplicate_fields(input: &str, text: &str, findings: &mut Findings) {
-    let search = RepeatSearch {
+    let visitor = DuplicateFieldVisitor {
         place: format!("{input}:"),
         findings,
     };
     let mut deserializer = serde_json::Deserializer::from_str(text);
-    let _ = search.deserialize(&mut deserializer);
+    let _ = visitor.deserialize(&mut deserializer);
 }
 
-/// A `RepeatSearch` walks the JSON text at one place.
-struct RepeatSearch<'f> {
+/// A `DuplicateFieldVisitor` walks the JSON text at one place.
+struct DuplicateFieldVisitor<'f> {
     place: String,
     findings: &'f mut Findings,
 }
 
-impl<'de> DeserializeSeed<'de> for RepeatSearch<'_> {
+impl<'de> DeserializeSeed<'de> for DuplicateFieldVisitor<'_> {
     type Value = ();
 
     fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<(), D::Error> {
@@ -40,7 +40,7 @@
     }
 }
 
-impl<'de> Visitor<'de> for RepeatSearch<'_> {
+impl<'de> Visitor<'de> for DuplicateFieldVisitor<'_> {
     type Value = ();
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -58,7 +58,7 @@
                 continue;
             }
             seen.insert(field);
-            map.next_value_seed(RepeatSearch {
+            map.next_value_seed(DuplicateFieldVisitor {
                 place,
                 findings: &mut *self.findings,
             })?;
@@ -69,11 +69,11 @@
     fn visit_seq<A: SeqAccess<'de>>(self, mut list: A) -> Result<(), A::Error> {
         let mut index = 0;
         loop {
-            let search = RepeatSearch {
+            let visitor = DuplicateFieldVisitor {
                 place: format!("{}/{index}", self.place),
                 findings: &mut *self.findings,
             };
-            if list.next_element_seed(search)?.is_none() {
+            if list.next_element_seed(visitor)?.is_none() {
                 return Ok(());
             }
             index += 1;
@@ -142,7 +142,7 @@
         match seen.get(&key) {
             Some(first) => {
                 let allowed = format!("a value of its own: {first} has the same");
-                node.refuse_unseen(findings, allowed);
+                node.refuse_redacted(findings, allowed);
             }
             None => {
                 seen.insert(key, node.place());
--- a/bergamotswitch-core/src/publication/fleet_limits.rs
+++ b/bergamotswitch-core/src/publication/fleet_limits.rs
@@ -85,7 +85,7 @@
                     link_key: link_key?.0,
                     $($name: $name?,)*
                 };
-                limits.check_together(node, findings);
+                limits.check_combinations(node, findings);
                 Some(limits)
             }
         }
@@ -141,7 +141,7 @@
 
 impl FleetLimits {
     /// Note limits that are allowed alone but not together.
-    fn check_together(&self, node: &JsonNode<'_>, findings: &mut Findings) {
+    fn check_combinations(&self, node: &JsonNode<'_>, findings: &mut Findings) {
         if self.suspect_after_ms < self.heartbeat_ms.saturating_mul(2) {
             // One lost heartbeat would make a healthy peer unreachable and
             // move its shards; owners would flap under any packet loss.
@@ -190,7 +190,7 @@
             Some(text) if LINK_KEY_LEN.contains(&text.len()) => Some(LinkKey(text.to_owned())),
             _ => {
                 let (min, max) = (LINK_KEY_LEN.start(), LINK_KEY_LEN.end());
-                node.refuse_unseen(findings, format!("a text of {min} to {max} bytes"));
+                node.refuse_redacted(findings, format!("a text of {min} to {max} bytes"));
                 None
             }
         }
--- a/bergamotswitch-core/src/publication/host_entries.rs
+++ b/bergamotswitch-core/src/publication/host_list.rs
@@ -44,7 +44,7 @@
             None => Some(Vec::new()),
         };
         object.finish();
-        refuse_repeated_hosts(node, findings);
+        refuse_duplicate_hosts(node, findings);
         Some(HostList {
             hosts: hosts?,
             targets: targets?,
@@ -60,7 +60,7 @@
     }
 }
 
-fn refuse_repeated_hosts(node: &JsonNode<'_>, findings: &mut Findings) {
+fn refuse_duplicate_hosts(node: &JsonNode<'_>, findings: &mut Findings) {
     let hosts = node.field("hosts").map(|list| list.elements());
     let hosts = hosts.unwrap_or_default();
     refuse_duplicate_names(&hosts, findings);
--- a/bergamotswitch-core/src/publication/json_node.rs
+++ b/bergamotswitch-core/src/publication/json_node.rs
@@ -18,7 +18,7 @@
 
 /// The longest piece of an input that a finding repeats, in characters: a
 /// finding is one line of a terminal or log.
-const FOUND_CHARS: usize = 60;
+const MAX_FOUND_CHARS: usize = 60;
 
 /// A `JsonNode` is one place of a JSON text and what stands there.
 #[derive(Clone, Debug)]
@@ -36,7 +36,7 @@
 
 impl<'v> JsonNode<'v> {
     /// Get the top of the input called `input`.
-    pub(crate) fn top(input: &str, value: &'v Value) -> Self {
+    pub(crate) fn root(input: &str, value: &'v Value) -> Self {
         JsonNode {
             place: format!("{input}:"),
             value,
@@ -80,15 +80,15 @@
 
     /// Note that something else is allowed here.
     pub(crate) fn refuse(&self, findings: &mut Findings, allowed: impl Into<String>) {
-        findings.add(self.place.clone(), shortened(self.value), allowed);
+        findings.add(self.place.clone(), truncated(self.value), allowed);
     }
 
     /// Note that something else is allowed here, without repeating what may
     /// be a secret.
-    pub(crate) fn refuse_unseen(&self, findings: &mut Findings, allowed: impl Into<String>) {
+    pub(crate) fn refuse_redacted(&self, findings: &mut Findings, allowed: impl Into<String>) {
         let found = match self.value {
             Value::String(text) => format!("a text of {} bytes (not shown)", text.len()),
-            other => shortened(other),
+            other => truncated(other),
         };
         findings.add(self.place.clone(), found, allowed);
     }
@@ -136,9 +136,9 @@
     format!("{place}/{step}")
 }
 
-fn shortened(value: &Value) -> String {
+fn truncated(value: &Value) -> String {
     let text = value.to_string();
-    match text.char_indices().nth(FOUND_CHARS) {
+    match text.char_indices().nth(MAX_FOUND_CHARS) {
         Some((end, _)) => format!("{}...", &text[..end]),
         None => text,
     }
@@ -220,7 +220,7 @@
 /// Returns every fault with its place.
 pub(crate) fn read_value<T: ReadJson>(input: &str, value: &Value) -> Result<T, Findings> {
     let mut findings = Findings::new();
-    let read = T::read(&JsonNode::top(input, value), &mut findings);
+    let read = T::read(&JsonNode::root(input, value), &mut findings);
     match read {
         Some(read) if findings.is_empty() => Ok(read),
         _ => Err(findings),
--- a/bergamotswitch-core/src/publication/mod.rs
+++ b/bergamotswitch-core/src/publication/mod.rs
@@ -13,7 +13,7 @@
 mod domain_list;
 pub(crate) mod duplicates;
 mod fleet_limits;
-mod host_entries;
+mod host_list;
 pub(crate) mod json_node;
 pub(crate) mod named_choice;
 pub(crate) mod object_reader;
@@ -38,7 +38,7 @@
 pub use domain_list::DomainList;
 pub(crate) use fleet_limits::LinkKey;
 pub use fleet_limits::{FleetLimits, LINK_KEY_LEN, LimitSpec};
-pub(crate) use host_entries::ConnectAddress;
+pub(crate) use host_list::ConnectAddress;
 use json_node::read_text;
 pub use pool_list::{PoolList, SLOT_RANGE, SPEED_RANGE, TOKEN_LIMIT_RANGE, TargetWithPool};
 
--- a/bergamotswitch-core/src/publication/pool_list.rs
+++ b/bergamotswitch-core/src/publication/pool_list.rs
@@ -56,7 +56,7 @@
 
     /// Get the target of this name.
     pub fn target(&self, name: &TargetName) -> Option<&PoolTarget> {
-        self.target_with_pool(name).map(|placed| placed.target)
+        self.target_with_pool(name).map(|found| found.target)
     }
 
     /// Get the target of this name with its pool.
@@ -104,14 +104,14 @@
         let mut object = ObjectReader::open(node, findings)?;
         let pools = object.required("pools");
         object.finish();
-        refuse_repeated_targets(node, findings);
+        refuse_duplicate_targets(node, findings);
         Some(PoolList { pools: pools? })
     }
 }
 
 /// Names and addresses of targets are unique over all pools: two pools that
 /// count the slots of one engine would each give them away.
-fn refuse_repeated_targets(node: &JsonNode<'_>, findings: &mut Findings) {
+fn refuse_duplicate_targets(node: &JsonNode<'_>, findings: &mut Findings) {
     let pools = node.field("pools").map(|list| list.elements());
     let pools = pools.unwrap_or_default();
     refuse_duplicate_names(&pools, findings);
@@ -153,7 +153,7 @@
         let mut object = ObjectReader::open(node, findings)?;
         let name = object.required("name");
         let domain = object.required("domain");
-        let address = object.required::<super::host_entries::ConnectAddress>("address");
+        let address = object.required::<super::host_list::ConnectAddress>("address");
         let contract = object.or_default("contract");
         let speed = object.number("expected_speed", &SPEED_RANGE);
         let limit = object.number("token_limit", &TOKEN_LIMIT_RANGE);
--- a/bergamotswitch-core/src/publication/registered_pools.rs
+++ b/bergamotswitch-core/src/publication/registered_pools.rs
@@ -15,7 +15,7 @@
 
 /// What registered targets honour: they say themselves that a refused call
 /// did not run.
-const CONTRACT: TargetContract = TargetContract {
+const REGISTERED_CONTRACT: TargetContract = TargetContract {
     checks_fencing: false,
     resumes: false,
     cancels: false,
@@ -34,31 +34,31 @@
             continue;
         };
         let targets = pools.entry(&entry.pool).or_default();
-        targets.push(target(entry, facts));
+        targets.push(pool_target(entry, facts));
     }
     let pools = pools.into_iter().map(|(name, targets)| TargetPool {
         name: name.clone(),
-        kind: kind(routes.pool(name)),
+        kind: pool_kind(routes.pool(name)),
         shard_by_domain: false,
         targets,
     });
     PoolList::new(pools.collect())
 }
 
-fn kind(facts: Option<&PoolFacts>) -> PoolKind {
+fn pool_kind(facts: Option<&PoolFacts>) -> PoolKind {
     match facts.and_then(|facts| facts.engine) {
         Some(_) => PoolKind::Engine,
         None => PoolKind::Plain,
     }
 }
 
-fn target(entry: &TargetEntry, facts: &PoolFacts) -> PoolTarget {
+fn pool_target(entry: &TargetEntry, facts: &PoolFacts) -> PoolTarget {
     let engine = facts.engine;
     PoolTarget {
         name: entry.name.clone(),
         domain: entry.domain.clone(),
         address: entry.address,
-        contract: CONTRACT,
+        contract: REGISTERED_CONTRACT,
         expected_speed: DEFAULT_SPEED,
         token_limit: engine.map_or(PLAIN_TOKEN_LIMIT, |engine| engine.cache_tokens),
         slots: Some(entry.slots.max(1)),
--- a/bergamotswitch-core/tests/configuration_page.rs
+++ b/bergamotswitch-core/tests/configuration_page.rs
@@ -111,8 +111,8 @@
         let known = finding.allowed.strip_prefix("one of the fields ").unwrap();
         let known: Vec<&str> = known.split(", ").collect();
         let rows = section(name);
-        let told: Vec<&str> = rows.iter().map(|row| row.field.as_str()).collect();
-        assert_eq!(told, known, "section {name}");
+        let documented: Vec<&str> = rows.iter().map(|row| row.field.as_str()).collect();
+        assert_eq!(documented, known, "section {name}");
         // A field is called needed just where its absence is a finding.
         for row in &rows {
             let missing = finding.place.replace(PROBE, &row.field);
@@ -123,9 +123,9 @@
         }
     }
     let sections = PROBES.len();
-    let mut told: Vec<String> = page_rows().into_iter().map(|row| row.section).collect();
-    told.dedup();
-    assert_eq!(told.len(), sections, "a table that no probe looks at");
+    let mut documented: Vec<String> = page_rows().into_iter().map(|row| row.section).collect();
+    documented.dedup();
+    assert_eq!(documented.len(), sections, "a table that no probe looks at");
 }
 
 #[test]
--- a/bergamotswitch-core/tests/deployment_files.rs
+++ b/bergamotswitch-core/tests/deployment_files.rs
@@ -49,7 +49,7 @@
     publication.rules.decide(&facts).unwrap()
 }
 
-fn check_whole(deployment: &str, engine: &str, plain: &str) {
+fn check_deployment(deployment: &str, engine: &str, plain: &str) {
     let publication = publication(deployment);
     assert_eq!(check_consistency(&publication).to_string(), "");
     assert!(publication.missing().is_empty());
@@ -82,13 +82,13 @@
 }
 
 #[test]
-fn whole_austral() {
-    check_whole("red-austral", "bolido-llm", "red-app");
+fn complete_austral() {
+    check_deployment("red-austral", "bolido-llm", "red-app");
 }
 
 #[test]
-fn whole_naapuri() {
-    check_whole("naapuriseina", "drafting-lm", "case-desk");
+fn complete_naapuri() {
+    check_deployment("naapuriseina", "drafting-lm", "case-desk");
 }
 
 #[test]
--- a/bergamotswitch-core/tests/publication_check.rs
+++ b/bergamotswitch-core/tests/publication_check.rs
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn other_spellings() {
+fn equivalent_spellings() {
     // Symptom: two targets share an engine although addresses are unique.
     // Sequence: one address is written in two ways. Cause: texts were
     // compared, not addresses.
