--- a/bergamotswitch-core/src/publication/account_list.rs
+++ b/bergamotswitch-core/src/publication/account_list.rs
@@ -9,26 +9,26 @@
 use crate::error::Findings;
 use crate::revision::ACCOUNTS_VALUE;
 
-/// An `AccountList` is the published client accounts.
+/// An `AccountList` is the list of published client accounts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AccountList {
     accounts: Vec<ClientAccount>,
 }
 
 impl AccountList {
-    /// Get the accounts in their published order.
+    /// Get the accounts in published order.
     pub fn accounts(&self) -> &[ClientAccount] {
         &self.accounts
     }
 
-    /// Get the account of this name.
+    /// Get the account with this name.
     pub fn account(&self, name: &AccountName) -> Option<&ClientAccount> {
         self.accounts.iter().find(|account| account.name == *name)
     }
 
-    /// Get the account to which a bearer key belongs. Every account is
-    /// compared, each in constant time: a search that ends at the match would
-    /// tell by its duration which account a guess came near to.
+    /// Get the account that a bearer key belongs to. Compares the key's hash with
+    /// those of all accounts, each in constant time, so that the response time
+    /// reveals nothing about the published hashes.
     pub fn authenticate(&self, key: &str) -> Option<&ClientAccount> {
         let hash = KeyHash::of(key);
         let mut found = None;
@@ -57,7 +57,7 @@
         let elements = node.field("accounts").map(|list| list.elements());
         let elements = elements.unwrap_or_default();
         refuse_duplicate_names(&elements, findings);
-        // One key for two accounts would leave open whose request it is.
+        // A key shared by two accounts could not be attributed to either.
         let hash_text = |node: &JsonNode<'_>| node.text().map(str::to_ascii_lowercase);
         refuse_duplicates(&fields(&elements, "key_hash"), hash_text, findings);
         Some(AccountList {
@@ -85,7 +85,7 @@
         match KeyHash::try_from(text.to_owned()) {
             Ok(hash) => Some(hash),
             Err(error) => {
-                // An operator may have written the key itself here.
+                // The value may be the key itself, published by mistake.
                 node.refuse_redacted(findings, error.to_string());
                 None
             }
--- a/bergamotswitch-core/src/publication/consistency_check.rs
+++ b/bergamotswitch-core/src/publication/consistency_check.rs
@@ -1,4 +1,4 @@
-//! Provides the check of what published values say of each other.
+//! Provides the consistency check across published values.
 
 use std::fmt::Display;
 
@@ -7,8 +7,9 @@
 use crate::failure_domain::DomainName;
 use crate::rules::Rule;
 
-/// Get the references to things that are not published. They don't keep a
-/// value from being in force: see the module's description.
+/// Check the published values for references to unpublished names, unreachable
+/// rules and a missing link key. The findings are advisory: values that have them
+/// still take effect.
 pub fn check_consistency(publication: &Publication) -> Findings {
     let mut findings = Findings::new();
     check_rules(publication, &mut findings);
@@ -18,7 +19,7 @@
         findings.add(
             "limits:/link_key",
             "nothing",
-            "a secret: without one a host can't tell a peer from a stranger",
+            "a shared secret, without which hosts cannot authenticate their peers",
         );
     }
     findings
@@ -29,8 +30,8 @@
     for (index, rule) in publication.rules.rules().iter().enumerate() {
         let place = format!("rules:/rules/{index}");
         if let Some(earlier) = catch_all {
-            let found = format!("rule {} that no request reaches", rule.name);
-            let allowed = format!("rules before {}, which matches all", earlier.name);
+            let found = format!("unreachable rule {}", rule.name);
+            let allowed = format!("rules before {}, which matches every request", earlier.name);
             findings.add(&place, found, allowed);
         }
         if catch_all.is_none() && rule.when.matches_all() {
--- a/bergamotswitch-core/src/publication/domain_list.rs
+++ b/bergamotswitch-core/src/publication/domain_list.rs
@@ -9,24 +9,24 @@
 use crate::failure_domain::{DomainName, FailureDomain, RegionName};
 use crate::revision::DOMAINS_VALUE;
 
-/// A `DomainList` is the published failure domains.
+/// A `DomainList` is the list of published failure domains.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DomainList {
     domains: Vec<FailureDomain>,
 }
 
 impl DomainList {
-    /// Get the failure domains in their published order.
+    /// Get the failure domains in published order.
     pub fn domains(&self) -> &[FailureDomain] {
         &self.domains
     }
 
-    /// Get the failure domain of this name.
+    /// Get the failure domain with this name.
     pub fn domain(&self, name: &DomainName) -> Option<&FailureDomain> {
         self.domains.iter().find(|domain| domain.name == *name)
     }
 
-    /// Get the region in which a failure domain lies.
+    /// Get the region that contains a failure domain.
     pub fn region(&self, name: &DomainName) -> Option<&RegionName> {
         self.domain(name).map(|domain| &domain.region)
     }
--- a/bergamotswitch-core/src/publication/duplicates.rs
+++ b/bergamotswitch-core/src/publication/duplicates.rs
@@ -1,9 +1,7 @@
-//! Provides the search for what stands twice and must not: fields of one JSON
-//! object, names, addresses.
+//! Provides the detection of duplicate JSON fields, names and addresses.
 //!
-//! A parser that makes a map keeps the last of two equal fields and forgets
-//! the first. A tier given twice would be in force as the last one, and one
-//! would notice it only by work in the wrong order.
+//! A JSON parser that builds a map silently keeps only the last of several fields
+//! with the same name, so duplicate fields are searched for in the text.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -15,8 +13,8 @@
 use super::json_node::{JsonNode, child_place};
 use crate::error::Findings;
 
-/// Note each field of `text` that repeats an earlier one of its object. A
-/// text that is no JSON is left to the parser's own finding.
+/// Report each field in `text` that repeats an earlier one of the same object.
+/// Syntax errors are ignored: the caller's parser reports them.
 pub(crate) fn refuse_duplicate_fields(input: &str, text: &str, findings: &mut Findings) {
     let visitor = DuplicateFieldVisitor {
         place: format!("{input}:"),
@@ -26,7 +24,8 @@
     let _ = visitor.deserialize(&mut deserializer);
 }
 
-/// A `DuplicateFieldVisitor` walks the JSON text at one place.
+/// A `DuplicateFieldVisitor` visits the JSON value at `place` and reports duplicate
+/// fields in it.
 struct DuplicateFieldVisitor<'f> {
     place: String,
     findings: &'f mut Findings,
@@ -105,7 +104,7 @@
     }
 }
 
-/// Get the node of `field` of each element that has one.
+/// Get the child node of `field` of each element that has it.
 pub(crate) fn fields<'v>(elements: &[JsonNode<'v>], field: &str) -> Vec<JsonNode<'v>> {
     elements
         .iter()
@@ -113,15 +112,15 @@
         .collect()
 }
 
-/// Note each element whose name repeats an earlier one. It looks at the raw
-/// nodes, so that elements with other faults count too.
+/// Report each element whose name repeats an earlier one. Works on the raw nodes,
+/// so that elements with other errors are included.
 pub(crate) fn refuse_duplicate_names(elements: &[JsonNode<'_>], findings: &mut Findings) {
     let names = fields(elements, "name");
     refuse_duplicates(&names, |node| node.text(), findings);
 }
 
-/// Note each address that repeats an earlier one, however both are written:
-/// `[::1]:80` and `[0::1]:080` are one listener.
+/// Report each address that repeats an earlier one. Addresses are compared in
+/// canonical form: `[::1]:80` equals `[0::1]:080`.
 pub(crate) fn refuse_duplicate_addresses(nodes: &[JsonNode<'_>], findings: &mut Findings) {
     let canonical = |node: &JsonNode<'_>| {
         let address: SocketAddr = node.text()?.parse().ok()?;
@@ -130,7 +129,7 @@
     refuse_duplicates(nodes, canonical, findings);
 }
 
-/// Note each node whose key repeats that of an earlier one.
+/// Report each node whose key repeats that of an earlier one.
 pub(crate) fn refuse_duplicates<'v, K: Eq + Hash>(
     nodes: &[JsonNode<'v>],
     key_of: impl Fn(&JsonNode<'v>) -> Option<K>,
@@ -141,7 +140,7 @@
         let Some(key) = key_of(node) else { continue };
         match seen.get(&key) {
             Some(first) => {
-                let allowed = format!("a value of its own: {first} has the same");
+                let allowed = format!("a unique value: {first} has the same");
                 node.refuse_redacted(findings, allowed);
             }
             None => {
--- a/bergamotswitch-core/src/publication/fleet_limits.rs
+++ b/bergamotswitch-core/src/publication/fleet_limits.rs
@@ -1,4 +1,4 @@
-//! Provides the published limits: bounds and spans that hold on every host.
+//! Provides the published limits: bounds and durations that apply on all hosts.
 
 use std::fmt;
 
@@ -10,41 +10,41 @@
 use crate::error::Findings;
 use crate::revision::LIMITS_VALUE;
 
-/// The length of a link key in bytes. A shorter one can be guessed.
+/// The allowed lengths of the link key in bytes. Shorter keys are too easy to guess.
 pub const LINK_KEY_LEN: std::ops::RangeInclusive<usize> = 16..=256;
 
-/// A `LimitSpec` is what the table of limits says of one of them.
+/// A `LimitSpec` describes one limit: its name, default, range and unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitSpec {
-    /// The field's name; it ends with the unit where there is one.
+    /// The field's name, which ends with the unit if there is one.
     pub name: &'static str,
-    /// The value where the field is absent.
+    /// The value if the field is absent.
     pub default: u64,
-    /// The least allowed value.
+    /// The minimum value.
     pub min: u64,
-    /// The greatest allowed value.
+    /// The maximum value.
     pub max: u64,
     /// The unit.
     pub unit: &'static str,
-    /// What it bounds.
+    /// A description of what the limit bounds.
     pub text: &'static str,
 }
 
 macro_rules! limits {
     ($($name:ident = $default:literal, $min:literal ..= $max:literal, $unit:literal, $text:literal;)*) => {
-        /// A `FleetLimits` is the published bounds and spans. Names end with
-        /// the unit; [`FleetLimits::TABLE`] has defaults and ranges.
+        /// A `FleetLimits` is the set of published bounds and durations.
+        /// [`FleetLimits::TABLE`] lists their defaults and ranges.
         #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
         #[serde(try_from = "Value")]
         pub struct FleetLimits {
-            /// The secret that the entry hosts share and prove to each other;
-            /// where it is empty, a host can't tell a peer from a stranger.
+            /// The shared secret with which entry hosts authenticate each
+            /// other. While it is empty, hosts refuse links to peers.
             pub link_key: String,
             $(#[doc = $text] pub $name: u64,)*
         }
 
         impl FleetLimits {
-            /// Every limit but the link key.
+            /// The descriptions of all limits except the link key.
             pub const TABLE: &'static [LimitSpec] = &[$(LimitSpec {
                 name: stringify!($name),
                 default: $default,
@@ -140,11 +140,11 @@
 }
 
 impl FleetLimits {
-    /// Note limits that are allowed alone but not together.
+    /// Report limits that are each in range but contradict each other.
     fn check_combinations(&self, node: &JsonNode<'_>, findings: &mut Findings) {
         if self.suspect_after_ms < self.heartbeat_ms.saturating_mul(2) {
-            // One lost heartbeat would make a healthy peer unreachable and
-            // move its shards; owners would flap under any packet loss.
+            // Otherwise a single lost heartbeat would mark a healthy peer as
+            // unreachable and move its shards, so ownership would flap.
             findings.add(
                 format!("{}/suspect_after_ms", node.place()),
                 self.suspect_after_ms.to_string(),
@@ -152,8 +152,8 @@
             );
         }
         if self.key_retention_ms < self.kept_answer_ms {
-            // A key forgotten before its answer would let a resubmission at
-            // another host run again although the answer is still kept.
+            // If the key expired before the stored answer, a resubmission to
+            // another host would run the request again.
             findings.add(
                 format!("{}/key_retention_ms", node.place()),
                 self.key_retention_ms.to_string(),
@@ -161,7 +161,7 @@
             );
         }
         if self.max_answer_bytes > self.kept_answer_bytes {
-            // One such answer would push out all others and then itself.
+            // A larger answer would evict all others from the store and then itself.
             findings.add(
                 format!("{}/max_answer_bytes", node.place()),
                 self.max_answer_bytes.to_string(),
@@ -179,8 +179,8 @@
     }
 }
 
-/// A `LinkKey` is the secret that hosts share, of a length that cannot be
-/// guessed.
+/// A `LinkKey` is the shared secret of the hosts, with a length inside
+/// [`LINK_KEY_LEN`].
 #[derive(Default)]
 pub(crate) struct LinkKey(pub(crate) String);
 
--- a/bergamotswitch-core/src/publication/host_list.rs
+++ b/bergamotswitch-core/src/publication/host_list.rs
@@ -1,4 +1,4 @@
-//! Provides the reading of the host list.
+//! Provides the JSON reader of the host list.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -10,11 +10,11 @@
 use crate::error::Findings;
 use crate::host::{EntryHost, HostList, Standing, TargetStanding};
 
-/// The allowed shares of a processor, in thousandths of a core.
+/// The allowed CPU capacities of a host, in thousandths of a core.
 const CAPACITY_RANGE: RangeInclusive<u64> = 0..=1_000_000;
 
-/// A `ConnectAddress` is an address to connect to: its port is not 0, and it
-/// names one machine.
+/// A `ConnectAddress` is an address to which connections can be opened: its port
+/// is not 0, and its IP address is neither unspecified nor multicast.
 pub(crate) struct ConnectAddress(pub(crate) SocketAddr);
 
 impl ReadJson for ConnectAddress {
@@ -26,9 +26,9 @@
         }
         let ip = address.ip().to_canonical();
         if ip.is_unspecified() || ip.is_multicast() {
-            // A host that listens everywhere is easily published as 0.0.0.0;
-            // every caller would then connect to itself.
-            node.refuse(findings, "the IP number of one machine");
+            // A caller that connects to 0.0.0.0, a common listen address,
+            // reaches itself.
+            node.refuse(findings, "the IP address of one machine");
             return None;
         }
         Some(ConnectAddress(address))
@@ -52,7 +52,8 @@
     }
 }
 
-/// The targets' list may be empty: then all targets are live.
+/// Try to read the target list. Unlike other lists it may be empty, which means
+/// that no target is draining.
 fn read_targets(list: &JsonNode<'_>, findings: &mut Findings) -> Option<Vec<TargetStanding>> {
     match list.is_empty_list() {
         true => Some(Vec::new()),
@@ -64,7 +65,7 @@
     let hosts = node.field("hosts").map(|list| list.elements());
     let hosts = hosts.unwrap_or_default();
     refuse_duplicate_names(&hosts, findings);
-    // Two listeners can't share an address, whatever they listen for.
+    // Caller and link listeners bind separately, so all addresses must differ.
     let addresses: Vec<JsonNode<'_>> = hosts
         .iter()
         .flat_map(|host| [host.field("caller_address"), host.field("link_address")])
--- a/bergamotswitch-core/src/publication/json_node.rs
+++ b/bergamotswitch-core/src/publication/json_node.rs
@@ -1,8 +1,8 @@
-//! Provides the reading of JSON into checked types with all faults collected.
+//! Provides the conversion of JSON into validated types with all errors collected.
 //!
-//! A derived deserializer stops at the first fault; an operator who mends a
-//! configuration wants them all. So the parsed tree is walked, and each
-//! reader notes what it can't use and goes on.
+//! A derived deserializer stops at the first error. These readers walk the parsed
+//! tree, report each error as a finding and continue, so that an operator sees all
+//! errors of a configuration at once.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -16,26 +16,27 @@
     RegionName, RuleName, TargetName, VersionName, WorkKind,
 };
 
-/// The longest piece of an input that a finding repeats, in characters: a
-/// finding is one line of a terminal or log.
+/// The maximum number of input characters that a finding quotes, so that it fits
+/// on one line of a terminal or log.
 const MAX_FOUND_CHARS: usize = 60;
 
-/// A `JsonNode` is one place of a JSON text and what stands there.
+/// A `JsonNode` is a value in a JSON document with its location.
 #[derive(Clone, Debug)]
 pub(crate) struct JsonNode<'v> {
     place: String,
     value: &'v Value,
 }
 
-/// A `ReadJson` type is made from a JSON node; where it can't be, the faults
-/// are noted and nothing is returned.
+/// A `ReadJson` type can be read from a JSON node, with errors reported as
+/// findings.
 pub(crate) trait ReadJson: Sized {
-    /// Try to make the value from `node`, noting each fault.
+    /// Try to read the value from `node`. Adds a finding for each error and returns
+    /// `None` if there is no usable value.
     fn read(node: &JsonNode<'_>, findings: &mut Findings) -> Option<Self>;
 }
 
 impl<'v> JsonNode<'v> {
-    /// Get the top of the input called `input`.
+    /// Get the root node of the input named `input`.
     pub(crate) fn root(input: &str, value: &'v Value) -> Self {
         JsonNode {
             place: format!("{input}:"),
@@ -43,28 +44,28 @@
         }
     }
 
-    /// Get the JSON pointer, under the input's name.
+    /// Get the location: the input's name and a JSON pointer.
     pub(crate) fn place(&self) -> &str {
         &self.place
     }
 
-    /// Get the text, where the node is one.
+    /// Get the text if the node is a string.
     pub(crate) fn text(&self) -> Option<&'v str> {
         self.value.as_str()
     }
 
-    /// Get the fields, where the node is an object.
+    /// Get the fields if the node is an object.
     pub(super) fn object(&self) -> Option<&'v Map<String, Value>> {
         self.value.as_object()
     }
 
-    /// Get the node under `field`, where there is one.
+    /// Get the child node of `field` if the node is an object that has it.
     pub(crate) fn field(&self, field: &str) -> Option<JsonNode<'v>> {
         let value = self.value.get(field)?;
         Some(self.child(field, value))
     }
 
-    /// Get the elements; none where the node is no list.
+    /// Get the elements if the node is a list, and an empty list otherwise.
     pub(crate) fn elements(&self) -> Vec<JsonNode<'v>> {
         let list = self.value.as_array().map(Vec::as_slice).unwrap_or_default();
         list.iter()
@@ -78,13 +79,13 @@
         self.value.as_array().is_some_and(Vec::is_empty)
     }
 
-    /// Note that something else is allowed here.
+    /// Add a finding that only `allowed` values are valid here.
     pub(crate) fn refuse(&self, findings: &mut Findings, allowed: impl Into<String>) {
         findings.add(self.place.clone(), truncated(self.value), allowed);
     }
 
-    /// Note that something else is allowed here, without repeating what may
-    /// be a secret.
+    /// Add a finding that only `allowed` values are valid here. It omits the text
+    /// found, which may be a secret.
     pub(crate) fn refuse_redacted(&self, findings: &mut Findings, allowed: impl Into<String>) {
         let found = match self.value {
             Value::String(text) => format!("a text of {} bytes (not shown)", text.len()),
@@ -93,7 +94,7 @@
         findings.add(self.place.clone(), found, allowed);
     }
 
-    /// Try to get a whole number inside `range`.
+    /// Try to get an integer in `range`.
     pub(crate) fn number(
         &self,
         range: &RangeInclusive<u64>,
@@ -107,7 +108,7 @@
         number
     }
 
-    /// Try to get a number with a fraction inside `range`.
+    /// Try to get a floating-point number in `range`.
     pub(crate) fn fraction(
         &self,
         range: &RangeInclusive<f64>,
@@ -129,9 +130,9 @@
     }
 }
 
-/// Get the JSON pointer of the field `step` under `place`.
+/// Get the location of the field or index `step` in the node at `place`.
 pub(super) fn child_place(place: &str, step: &str) -> String {
-    // RFC 6901: `~` and `/` inside a step are written `~0` and `~1`.
+    // RFC 6901 escapes `~` and `/` as `~0` and `~1`.
     let step = step.replace('~', "~0").replace('/', "~1");
     format!("{place}/{step}")
 }
@@ -158,14 +159,14 @@
     fn read(node: &JsonNode<'_>, findings: &mut Findings) -> Option<Self> {
         let address = node.text().and_then(|text| text.parse().ok());
         if address.is_none() {
-            node.refuse(findings, "an IP number and port, such as 10.0.0.7:7101");
+            node.refuse(findings, "an IP address and port, such as 10.0.0.7:7101");
         }
         address
     }
 }
 
-/// A list has at least one element: an empty one could be read as "none" or
-/// as "all", and only the absence of a list says "all".
+/// A list needs at least one element. An empty list is ambiguous, because an
+/// absent one means "all".
 impl<T: ReadJson> ReadJson for Vec<T> {
     fn read(node: &JsonNode<'_>, findings: &mut Findings) -> Option<Self> {
         let elements = node.elements();
@@ -173,8 +174,8 @@
             node.refuse(findings, "a list of one element or more");
             return None;
         }
-        // Every element is read before the first bad one ends the reading,
-        // so that the faults of all of them are noted.
+        // Collecting the results first reads all elements, so that errors after
+        // the first one are reported too.
         let read: Vec<Option<T>> = elements
             .iter()
             .map(|element| T::read(element, findings))
@@ -213,11 +214,11 @@
     }
 }
 
-/// Try to make a `T` from a parsed JSON text.
+/// Try to read a `T` from a parsed JSON value.
 ///
 /// # Errors
 ///
-/// Returns every fault with its place.
+/// Returns a finding for each error.
 pub(crate) fn read_value<T: ReadJson>(input: &str, value: &Value) -> Result<T, Findings> {
     let mut findings = Findings::new();
     let read = T::read(&JsonNode::root(input, value), &mut findings);
@@ -227,11 +228,11 @@
     }
 }
 
-/// Try to make a `T` from JSON text.
+/// Try to read a `T` from JSON text.
 ///
 /// # Errors
 ///
-/// Returns every fault with its place; one where the text is no JSON.
+/// Returns a finding for each error, or a single one if the text is not JSON.
 pub(crate) fn read_text<T: ReadJson>(input: &str, text: &str) -> Result<T, Findings> {
     let mut findings = Findings::new();
     let value = match serde_json::from_str::<Value>(text) {
--- a/bergamotswitch-core/src/publication/mod.rs
+++ b/bergamotswitch-core/src/publication/mod.rs
@@ -1,12 +1,11 @@
-//! Provides what the platform publishes, checked.
+//! Provides the validated configuration that the platform publishes.
 //!
-//! Each value is checked alone when it is applied, so that every host accepts
-//! or refuses a revision alike, whatever order the values arrive in. What one
-//! value says of another is checked by [`check_consistency`], whose findings the
-//! operator's `check` and the status page report; at run time a reference to
-//! something unknown fails closed: a rule that names an unknown pool or
-//! account matches nothing, and one that sends work to an unknown failure
-//! domain leaves no target there.
+//! Each value is validated on its own when it is applied, so that all hosts accept
+//! or refuse a revision alike, in whatever order the values arrive. References
+//! between values are checked by [`check_consistency`], whose findings are reported
+//! by the `check` command and the status page. At run time an unknown reference
+//! fails closed: a rule that names an unknown pool or account matches no request,
+//! and a rule that restricts work to an unknown failure domain finds no target.
 
 mod account_list;
 mod consistency_check;
@@ -42,10 +41,10 @@
 use json_node::read_text;
 pub use pool_list::{PoolList, SLOT_RANGE, SPEED_RANGE, TOKEN_LIMIT_RANGE, TargetWithPool};
 
-/// A `Publication` is all published values that are in force on a host.
+/// A `Publication` is the set of published values in force on a host.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Publication {
-    /// The rules.
+    /// The routing rules.
     pub rules: RuleBook,
     /// The client accounts.
     pub accounts: AccountList,
@@ -53,20 +52,21 @@
     pub pools: PoolList,
     /// The failure domains.
     pub domains: DomainList,
-    /// The limits.
+    /// The fleet-wide limits.
     pub limits: FleetLimits,
     /// The host list.
     pub hosts: HostList,
-    /// Whether callers come by routes and targets register themselves.
+    /// Whether the host is in gateway mode: routes replace the rules, and targets
+    /// register themselves instead of being listed in published pools.
     pub uses_routes: bool,
-    /// The routes.
+    /// The routes, used in gateway mode.
     pub routes: Arc<RouteTable>,
-    /// The registered targets.
+    /// The targets that registered themselves, used in gateway mode.
     pub registered_targets: TargetList,
 }
 
 impl Publication {
-    /// Get the empty publication of a host whose callers come by routes.
+    /// Get an empty publication for a host in gateway mode.
     pub fn with_routes(limits: FleetLimits) -> Self {
         Publication {
             uses_routes: true,
@@ -75,11 +75,12 @@
         }
     }
 
-    /// Try to put a value in force.
+    /// Try to validate a published value and put it in force.
     ///
     /// # Errors
     ///
-    /// Returns every fault of the value; then nothing has changed.
+    /// Returns a finding for each error in the value. The publication is then
+    /// unchanged.
     pub fn apply(&mut self, value: &PublishedValue) -> Result<(), Findings> {
         let input = value.name.as_str();
         match input {
@@ -102,8 +103,8 @@
         Ok(())
     }
 
-    /// Get the names of the values that a host needs before it serves and
-    /// does not have. An applied one is never empty.
+    /// Get the names of the values that the host still needs before it can serve.
+    /// An empty value counts as missing, since an applied one is never empty.
     pub fn missing(&self) -> Vec<&'static str> {
         let by_rules = !self.uses_routes;
         let needed = [
@@ -125,8 +126,8 @@
             .collect()
     }
 
-    /// Get whether the host list, or the target itself, says that a target is
-    /// leaving.
+    /// Get whether a target is draining according to the host list or its own
+    /// registration.
     pub fn target_is_leaving(&self, name: &TargetName) -> bool {
         let listed = self.hosts.targets.iter();
         let listed = listed.map(|target| (&target.name, target.standing));
@@ -137,7 +138,7 @@
             .any(|(target, standing)| target == name && standing == Standing::Leaving)
     }
 
-    /// Get the targets that are said to be leaving or not.
+    /// Get the standings of targets from the host list and from registrations.
     pub(crate) fn target_standings(&self) -> Vec<(TargetName, Standing)> {
         let listed = self.hosts.targets.iter();
         let listed = listed.map(|target| (target.name.clone(), target.standing));
--- a/bergamotswitch-core/src/publication/named_choice.rs
+++ b/bergamotswitch-core/src/publication/named_choice.rs
@@ -1,9 +1,9 @@
-//! Provides the reading of a text that names one of a few choices.
+//! Provides the JSON reader of enumerated values.
 
 use super::json_node::JsonNode;
 use crate::error::Findings;
 
-/// Try to get the choice that the text names.
+/// Try to get the choice whose name is the node's text.
 pub(crate) fn read_choice<T: Copy>(
     node: &JsonNode<'_>,
     choices: &[(&str, T)],
--- a/bergamotswitch-core/src/publication/object_reader.rs
+++ b/bergamotswitch-core/src/publication/object_reader.rs
@@ -1,5 +1,5 @@
-//! Provides the reading of JSON objects: their fields are taken one by one,
-//! and what is left over is a fault.
+//! Provides a reader of JSON objects that reports missing, invalid and unknown
+//! fields.
 
 use std::ops::RangeInclusive;
 
@@ -8,8 +8,8 @@
 use super::json_node::{JsonNode, ReadJson, child_place};
 use crate::error::Findings;
 
-/// An `ObjectReader` takes the fields of one JSON object and, at the end,
-/// reports those that nobody asked for.
+/// An `ObjectReader` reads the fields of a JSON object by name and reports unknown
+/// fields when it is finished.
 #[derive(Debug)]
 pub(crate) struct ObjectReader<'v, 'f> {
     node: JsonNode<'v>,
@@ -19,7 +19,7 @@
 }
 
 impl<'v, 'f> ObjectReader<'v, 'f> {
-    /// Try to read `node` as an object.
+    /// Try to get a reader for `node`, which must be an object.
     pub(crate) fn open(node: &JsonNode<'v>, findings: &'f mut Findings) -> Option<Self> {
         let Some(map) = node.object() else {
             node.refuse(findings, "an object");
@@ -33,20 +33,21 @@
         })
     }
 
-    /// Try to get a field that must be there.
+    /// Try to get a required field.
     pub(crate) fn required<T: ReadJson>(&mut self, field: &'static str) -> Option<T> {
         match self.take(field) {
             Some(node) => T::read(&node, self.findings),
             None => {
                 let place = format!("{}/{field}", self.node.place());
                 self.findings
-                    .add(place, "nothing", "a value: the field is needed");
+                    .add(place, "nothing", "a value: the field is required");
                 None
             }
         }
     }
 
-    /// Try to get a field that may be absent; `Some(None)` where it is.
+    /// Try to get an optional field. Returns `Some(None)` if it is absent and
+    /// `None` if it is invalid.
     pub(crate) fn optional<T: ReadJson>(&mut self, field: &'static str) -> Option<Option<T>> {
         match self.take(field) {
             Some(node) => T::read(&node, self.findings).map(Some),
@@ -54,13 +55,13 @@
         }
     }
 
-    /// Try to get a field, its type's default where it is absent.
+    /// Try to get a field, or its type's default if it is absent.
     pub(crate) fn or_default<T: ReadJson + Default>(&mut self, field: &'static str) -> Option<T> {
         self.optional(field).map(Option::unwrap_or_default)
     }
 
-    /// Try to get a number in `range` that may be absent; `Some(None)` where
-    /// it is.
+    /// Try to get an optional integer in `range`. Returns `Some(None)` if it is
+    /// absent and `None` if it is invalid.
     pub(crate) fn number(
         &mut self,
         field: &'static str,
@@ -72,8 +73,8 @@
         }
     }
 
-    /// Try to get a fraction in `range` that may be absent; `Some(None)` where
-    /// it is.
+    /// Try to get an optional floating-point number in `range`. Returns `Some(None)`
+    /// if it is absent and `None` if it is invalid.
     pub(crate) fn fraction(
         &mut self,
         field: &'static str,
@@ -85,19 +86,19 @@
         }
     }
 
-    /// Get the node of a field, which counts as known from now on.
+    /// Get the node of a field if it is present, and mark the field as known.
     pub(crate) fn take(&mut self, field: &'static str) -> Option<JsonNode<'v>> {
         self.known.push(field);
         self.node.field(field)
     }
 
-    /// Get the place where findings go.
+    /// Get the findings to which the reader adds.
     pub(crate) fn findings(&mut self) -> &mut Findings {
         self.findings
     }
 
-    /// Report the fields that were not asked for. A misspelt field that is
-    /// passed over would leave its default in force without anyone noticing.
+    /// Report unknown fields. If a misspelt field were ignored, its default would
+    /// silently apply.
     pub(crate) fn finish(self) {
         for field in self.map.keys() {
             if !self.known.contains(&field.as_str()) {
--- a/bergamotswitch-core/src/publication/pool_list.rs
+++ b/bergamotswitch-core/src/publication/pool_list.rs
@@ -15,21 +15,21 @@
 use crate::revision::POOLS_VALUE;
 use crate::target::{DEFAULT_SPEED, DEFAULT_TOKEN_LIMIT, PoolTarget, TargetName};
 
-/// The allowed first guesses at a target's speed, in tokens per second.
+/// The allowed initial speed estimates of a target, in tokens per second.
 pub const SPEED_RANGE: RangeInclusive<u64> = 1..=10_000_000;
 /// The allowed token limits of a target.
 pub const TOKEN_LIMIT_RANGE: RangeInclusive<u64> = 1..=1_000_000_000;
 
-/// The allowed numbers of requests that a target serves at once.
+/// The allowed numbers of concurrent requests of a target.
 pub const SLOT_RANGE: RangeInclusive<u64> = 1..=100_000;
 
-/// A `PoolList` is the published pools.
+/// A `PoolList` is the list of published pools.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PoolList {
     pools: Vec<TargetPool>,
 }
 
-/// A `TargetWithPool` is a target with the pool that it serves.
+/// A `TargetWithPool` is a target together with the pool that it belongs to.
 #[derive(Clone, Copy, Debug)]
 pub struct TargetWithPool<'a> {
     /// The pool.
@@ -39,27 +39,27 @@
 }
 
 impl PoolList {
-    /// Get the book of these pools.
+    /// Get a list of these pools.
     pub fn new(pools: Vec<TargetPool>) -> Self {
         PoolList { pools }
     }
 
-    /// Get the pool of this name.
+    /// Get the pool with this name.
     pub fn pool(&self, name: &PoolName) -> Option<&TargetPool> {
         self.pools.iter().find(|pool| pool.name == *name)
     }
 
-    /// Get the pools in their published order.
+    /// Get the pools in published order.
     pub fn pools(&self) -> &[TargetPool] {
         &self.pools
     }
 
-    /// Get the target of this name.
+    /// Get the target with this name.
     pub fn target(&self, name: &TargetName) -> Option<&PoolTarget> {
         self.target_with_pool(name).map(|found| found.target)
     }
 
-    /// Get the target of this name with its pool.
+    /// Get the target with this name together with its pool.
     pub fn target_with_pool(&self, name: &TargetName) -> Option<TargetWithPool<'_>> {
         self.pools.iter().find_map(|pool| {
             let target = pool.targets.iter().find(|target| target.name == *name)?;
@@ -67,8 +67,8 @@
         })
     }
 
-    /// Get the shards of all pools: one a pool, or one for each failure
-    /// domain with targets where the pool is sharded by domain.
+    /// Get the shards of all pools. A pool is one shard, or has a shard for each
+    /// failure domain of its targets if it is sharded by domain.
     pub fn shards(&self) -> Vec<PoolShard> {
         self.pools.iter().flat_map(pool_shards).collect()
     }
@@ -109,8 +109,8 @@
     }
 }
 
-/// Names and addresses of targets are unique over all pools: two pools that
-/// count the slots of one engine would each give them away.
+/// Report duplicate names and addresses of targets, also across pools. Two pools
+/// that share a target would each grant all of its slots.
 fn refuse_duplicate_targets(node: &JsonNode<'_>, findings: &mut Findings) {
     let pools = node.field("pools").map(|list| list.elements());
     let pools = pools.unwrap_or_default();
--- a/bergamotswitch-core/src/publication/registered_pools.rs
+++ b/bergamotswitch-core/src/publication/registered_pools.rs
@@ -1,4 +1,4 @@
-//! Provides the pools that registered targets form.
+//! Provides the pools that are built from registered targets.
 
 use std::collections::BTreeMap;
 
@@ -10,11 +10,12 @@
 
 use super::PoolList;
 
-/// The token limit of a plain service's target: its slots bound it alone.
+/// The token limit of a plain service's target, which is bounded only by its
+/// slots.
 const PLAIN_TOKEN_LIMIT: u32 = u32::MAX;
 
-/// What registered targets honour: they say themselves that a refused call
-/// did not run.
+/// The contract of registered targets, which report with a refusal that the call
+/// was not executed.
 const REGISTERED_CONTRACT: TargetContract = TargetContract {
     checks_fencing: false,
     resumes: false,
@@ -23,10 +24,10 @@
     moves_cache: false,
 };
 
-/// Get the pools of the registered targets, in the order of their names. A
-/// registration for a service that the routes do not list forms no pool: each
-/// pool has an owner and a queue on some host, and anybody who writes to the
-/// store could otherwise make as many as there are names.
+/// Get the pools of the registered targets in the order of their names.
+/// Registrations for a pool that the routes do not list are ignored, so that
+/// writers to the store cannot create an unbounded number of pools, each with an
+/// owner and a queue.
 pub(super) fn pools(list: &TargetList, routes: &RouteTable) -> PoolList {
     let mut pools: BTreeMap<&PoolName, Vec<PoolTarget>> = BTreeMap::new();
     for entry in &list.targets {
--- a/bergamotswitch-core/tests/configuration_page.rs
+++ b/bergamotswitch-core/tests/configuration_page.rs
@@ -1,4 +1,4 @@
-//! Tests that `docs/CONFIGURATION.md` says what the code does.
+//! Tests that `docs/CONFIGURATION.md` matches the code.
 
 use std::path::Path;
 
@@ -15,10 +15,10 @@
 use bergamotswitch_core::target::{DEFAULT_SPEED, DEFAULT_TOKEN_LIMIT};
 use serde_json::{Value, json};
 
-/// A field that nothing knows; the finding about it lists the known ones.
+/// The name of an unknown field. The finding about it lists the known fields.
 const PROBE: &str = "probe";
 
-/// A `PageRow` is one row of a table of the page.
+/// A `PageRow` is a row of a table in the page.
 #[derive(Clone, Debug)]
 struct PageRow {
     section: String,
@@ -75,7 +75,7 @@
     Publication::default().apply(&value).unwrap_err()
 }
 
-/// Get an object with `leaf` at a place such as `rules[].when`.
+/// Get an object with `leaf` at a path such as `rules[].when`.
 fn body_at(place: &str, leaf: &Value) -> Value {
     place
         .rsplit('.')
@@ -85,7 +85,7 @@
         })
 }
 
-/// The section of the page, the input, and where the probe is in it.
+/// The section of the page, the input and the path of the unknown field in it.
 const PROBES: [(&str, &str, &str); 14] = [
     ("Host settings", "settings", "probe"),
     ("Gateway settings", "settings", "gateway.probe"),
@@ -113,7 +113,7 @@
         let rows = section(name);
         let documented: Vec<&str> = rows.iter().map(|row| row.field.as_str()).collect();
         assert_eq!(documented, known, "section {name}");
-        // A field is called needed just where its absence is a finding.
+        // A field is documented as needed if and only if its absence is a finding.
         for row in &rows {
             let missing = finding.place.replace(PROBE, &row.field);
             let needed = findings
@@ -125,7 +125,11 @@
     let sections = PROBES.len();
     let mut documented: Vec<String> = page_rows().into_iter().map(|row| row.section).collect();
     documented.dedup();
-    assert_eq!(documented.len(), sections, "a table that no probe looks at");
+    assert_eq!(
+        documented.len(),
+        sections,
+        "a table without an entry in PROBES"
+    );
 }
 
 #[test]
@@ -178,7 +182,7 @@
 
 #[test]
 fn same_choices() {
-    // What a wrong value is told to be instead stands in the page.
+    // The page lists the same allowed values as the finding about an invalid one.
     let cases = [
         ("Log settings", "settings", "log.format"),
         ("Log settings", "settings", "log.level"),
--- a/bergamotswitch-core/tests/deployment_files.rs
+++ b/bergamotswitch-core/tests/deployment_files.rs
@@ -1,4 +1,4 @@
-//! Tests of the example deployments: they are published as they stand.
+//! Tests that the files of the example deployments are valid and consistent.
 
 use std::path::{Path, PathBuf};
 
@@ -70,7 +70,7 @@
         assert_eq!(settings.caller_address, host.caller_address);
         assert_eq!(settings.link_address, host.link_address);
     }
-    // The keys that the page names are those whose hashes are published.
+    // The README lists the keys that match the published hashes.
     let page = std::fs::read_to_string(directory(deployment).join("README.md")).unwrap();
     let accounts = publication.accounts.accounts();
     assert_eq!(accounts.len(), 5);
--- a/bergamotswitch-core/tests/publication_check.rs
+++ b/bergamotswitch-core/tests/publication_check.rs
@@ -1,4 +1,4 @@
-//! Tests of the check of published values.
+//! Tests of the validation of published values.
 
 use bergamotswitch_core::client_account::KeyHash;
 use bergamotswitch_core::error::Findings;
@@ -20,9 +20,9 @@
     publication.apply(&value(name, body)).map(|()| publication)
 }
 
-/// Checks that the faults of a value are at these places, in any order.
+/// Check that the findings about a value are at these locations, in any order.
 fn check_places(name: &str, body: &Value, expected: &str) {
-    let findings = apply(name, body).expect_err("the value has faults");
+    let findings = apply(name, body).expect_err("an invalid value");
     let prefix = format!("{name}:/");
     let mut places: Vec<&str> = findings
         .iter()
@@ -60,9 +60,7 @@
 
 #[test]
 fn all_findings() {
-    // Symptom: an operator mends a configuration one fault a try, while the
-    // old one stays in force. Sequence: a value has several faults; the check
-    // stops at the first. Cause: a derived deserializer.
+    // Guards against validation that stops at the first error.
     let body = json!({"pools": [
         {"name": "p", "kind": "motor", "targets": [
             {"name": "e 1", "domain": 7, "address": "host:80", "speed": 1},
@@ -103,9 +101,8 @@
 
 #[test]
 fn repeated_targets() {
-    // Symptom: an engine gets twice the work it can hold. Sequence: a target
-    // is published in two pools; each pool's owner gives away its slots.
-    // Cause: names were unique inside a pool only.
+    // Guards against a target in two pools, whose owners would each grant all of
+    // its slots.
     let body = json!({"pools": [
         {"name": "p", "targets": [{"name": "e1", "domain": "n", "address": "10.0.0.1:80"}]},
         {"name": "q", "targets": [{"name": "e1", "domain": "n", "address": "10.0.0.2:80"},
@@ -134,9 +131,8 @@
 
 #[test]
 fn equivalent_spellings() {
-    // Symptom: two targets share an engine although addresses are unique.
-    // Sequence: one address is written in two ways. Cause: texts were
-    // compared, not addresses.
+    // Guards against comparing addresses and key hashes as text, which misses
+    // duplicates that are written differently.
     let target =
         |name: &str, address: &str| json!({"name": name, "domain": "n", "address": address});
     let body = json!({"pools": [{"name": "p", "targets": [
@@ -154,9 +150,8 @@
 
 #[test]
 fn unusable_addresses() {
-    // Symptom: callers connect to themselves. Sequence: a host listens on all
-    // of its addresses and is published that way. Cause: 0.0.0.0 is taken for
-    // an address that others can use.
+    // Guards against publishing an unspecified address such as 0.0.0.0, with which
+    // callers connect to themselves.
     let body = json!({"hosts": [{"name": "a", "domain": "n", "caller_address": "0.0.0.0:7101",
         "link_address": "[::]:7201"}]});
     check_places(
@@ -168,7 +163,8 @@
 
 #[test]
 fn any_text() {
-    // Half the texts are JSON cut off and spoilt, half are anything.
+    // Each text is the beginning of a valid value, possibly empty, with random text
+    // appended.
     bergamotswitch_draw::for_each::<(u8, u8, String)>(2000, |(index, cut, text)| {
         let (name, body) = &good_values()[usize::from(index % 6)];
         let mut published = value(name, body);
@@ -184,9 +180,8 @@
 
 #[test]
 fn repeated_fields() {
-    // Symptom: urgent work waits at tier 5. Sequence: a rule gives its tier
-    // twice; the parser keeps the last one. Cause: an object read into a map
-    // forgets the first of two fields.
+    // Guards against a repeated field, of which the parser would silently keep only
+    // the last value.
     let mut publication = Publication::default();
     let mut published = value("rules", &json!({}));
     published.body = r#"{"rules":[{"name":"a","then":{"tier":0,"tier":5}}]}"#.to_owned();
@@ -196,9 +191,8 @@
 
 #[test]
 fn hidden_secrets() {
-    // Symptom: a key stands in a log. Sequence: an operator publishes the key
-    // in place of its hash; the finding repeats what stands there. Cause:
-    // findings show what they found.
+    // Guards against findings that leak a secret into logs, such as a key that was
+    // published instead of its hash.
     let key = "observatory-secret";
     let accounts = json!({"accounts": [{"name": "a", "key_hash": key}]});
     let findings = apply("accounts", &accounts).unwrap_err();
@@ -228,9 +222,8 @@
 
 #[test]
 fn any_order() {
-    // Symptom: two hosts disagree about a revision. Sequence: values arrive
-    // in different orders; one host checks rules against pools it does not
-    // have yet. Cause: a value's check looked at other values.
+    // Guards against validation that depends on other values: hosts that receive the
+    // values in different orders would disagree about a revision.
     bergamotswitch_draw::for_each::<[u8; 6]>(200, |keys| {
         let mut order: Vec<usize> = (0..6).collect();
         order.sort_by_key(|index| keys[*index]);
@@ -246,8 +239,8 @@
 
 #[test]
 fn broken_nodes() {
-    // Any one node of a good value replaced by something else either still
-    // makes a good value or is refused with a place at or above that node.
+    // If one node of a valid value is replaced, the value is still valid or there is
+    // a finding at, above or below that node.
     let values = good_values();
     let replacements = json!([null, -1, "é /~", [], {}, 1e300]);
     bergamotswitch_draw::for_each::<(u8, u8, u8)>(2000, |(v, n, r)| {
