--- a/bergamotswitch-core/src/node/key_guard.rs
+++ b/bergamotswitch-core/src/node/key_guard.rs
@@ -252,7 +252,7 @@
     /// key within the part. Callers of a gateway have no idempotency keys.
     fn is_guarded(&self, shard: &PoolShard) -> bool {
         let pool = self.publication.pools.pool(&shard.pool);
-        !self.publication.routed && pool.is_some_and(|pool| pool.kind == PoolKind::Plain)
+        !self.publication.uses_routes && pool.is_some_and(|pool| pool.kind == PoolKind::Plain)
     }
 
     /// Start or stop guarding a shard when this host becomes or ceases to be its owner;
--- a/bergamotswitch-core/src/node/shard_use.rs
+++ b/bergamotswitch-core/src/node/shard_use.rs
@@ -8,7 +8,7 @@
 use crate::failure_domain::DomainName;
 use crate::membership::MembershipEvent;
 use crate::pool::PoolShard;
-use crate::publication::PoolBook;
+use crate::publication::PoolList;
 
 /// How long a shard stays in use after its last request. It avoids a reconnect and an
 /// exchange of heartbeats with its owner after short idle times.
@@ -27,7 +27,7 @@
 impl ShardUse {
     /// Set the shards to keep in use permanently: those of this failure domain, and
     /// those of pools that have one shard for all domains.
-    pub(super) fn warm(&mut self, now: Moment, pools: &PoolBook, domain: &DomainName) {
+    pub(super) fn warm(&mut self, now: Moment, pools: &PoolList, domain: &DomainName) {
         let mut near = pools.shards();
         // End the use of removed shards, which have no owner to monitor.
         for (shard, until) in &mut self.used_until {
--- a/bergamotswitch-core/src/node/view.rs
+++ b/bergamotswitch-core/src/node/view.rs
@@ -8,7 +8,7 @@
 use crate::membership::PeerView;
 use crate::pool::PoolShard;
 use crate::pool_owner::ShardView;
-use crate::publication::check_cross;
+use crate::publication::check_consistency;
 use crate::revision::RevisionStatus;
 
 /// A `NodeView` is the state of one host as shown to operators.
@@ -57,7 +57,7 @@
             load_permille: self.load_permille,
             missing: missing.iter().map(|name| (*name).to_owned()).collect(),
             revisions: self.revisions.status(),
-            cross_findings: check_cross(&self.publication)
+            cross_findings: check_consistency(&self.publication)
                 .iter()
                 .map(ToString::to_string)
                 .collect(),
--- a/bergamotswitch-core/src/publication/domain_book.rs
+++ b/bergamotswitch-core/src/publication/domain_list.rs
@@ -2,37 +2,37 @@
 
 use serde_json::Value;
 
+use super::duplicates::refuse_duplicate_names;
 use super::json_node::{JsonNode, ReadJson, read_value};
 use super::object_reader::ObjectReader;
-use super::repeats::refuse_repeated_names;
 use crate::error::Findings;
 use crate::failure_domain::{DomainName, FailureDomain, RegionName};
 use crate::revision::DOMAINS_VALUE;
 
-/// A `DomainBook` is the published failure domains.
+/// A `DomainList` is the list of published failure domains.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct DomainBook {
+pub struct DomainList {
     domains: Vec<FailureDomain>,
 }
 
-impl DomainBook {
-    /// Get the failure domains in their published order.
+impl DomainList {
+    /// Get the failure domains in published order.
     pub fn domains(&self) -> &[FailureDomain] {
         &self.domains
     }
 
-    /// Get the failure domain of this name.
+    /// Get the failure domain with this name.
     pub fn domain(&self, name: &DomainName) -> Option<&FailureDomain> {
         self.domains.iter().find(|domain| domain.name == *name)
     }
 
-    /// Get the region in which a failure domain lies.
+    /// Get the region that contains a failure domain.
     pub fn region(&self, name: &DomainName) -> Option<&RegionName> {
         self.domain(name).map(|domain| &domain.region)
     }
 }
 
-impl TryFrom<&Value> for DomainBook {
+impl TryFrom<&Value> for DomainList {
     type Error = Findings;
 
     fn try_from(value: &Value) -> Result<Self, Findings> {
@@ -40,14 +40,14 @@
     }
 }
 
-impl ReadJson for DomainBook {
+impl ReadJson for DomainList {
     fn read(node: &JsonNode<'_>, findings: &mut Findings) -> Option<Self> {
         let mut object = ObjectReader::open(node, findings)?;
         let domains = object.required("domains");
         object.finish();
         let elements = node.field("domains").map(|list| list.elements());
-        refuse_repeated_names(&elements.unwrap_or_default(), findings);
-        Some(DomainBook { domains: domains? })
+        refuse_duplicate_names(&elements.unwrap_or_default(), findings);
+        Some(DomainList { domains: domains? })
     }
 }
 
--- a/bergamotswitch-core/src/publication/repeats.rs
+++ b/bergamotswitch-core/src/publication/duplicates.rs
@@ -1,9 +1,7 @@
-//! Provides the search for what stands twice and must not: fields of one JSON
-//! object, names, addresses.
+//! Provides the detection of duplicate JSON fields, names and addresses.
 //!
-//! A parser that makes a map keeps the last of two equal fields and forgets
-//! the first. A tier given twice would be in force as the last one, and one
-//! would notice it only by work in the wrong order.
+//! A JSON parser that builds a map silently keeps only the last of several fields
+//! with the same name, so duplicate fields are searched for in the text.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -15,24 +13,25 @@
 use super::json_node::{JsonNode, child_place};
 use crate::error::Findings;
 
-/// Note each field of `text` that repeats an earlier one of its object. A
-/// text that is no JSON is left to the parser's own finding.
-pub(crate) fn refuse_field_repeats(input: &str, text: &str, findings: &mut Findings) {
-    let search = RepeatSearch {
+/// Report each field in `text` that repeats an earlier one of the same object.
+/// Syntax errors are ignored: the caller's parser reports them.
+pub(crate) fn refuse_duplicate_fields(input: &str, text: &str, findings: &mut Findings) {
+    let visitor = DuplicateFieldVisitor {
         place: format!("{input}:"),
         findings,
     };
     let mut deserializer = serde_json::Deserializer::from_str(text);
-    let _ = search.deserialize(&mut deserializer);
+    let _ = visitor.deserialize(&mut deserializer);
 }
 
-/// A `RepeatSearch` walks the JSON text at one place.
-struct RepeatSearch<'f> {
+/// A `DuplicateFieldVisitor` visits the JSON value at `place` and reports duplicate
+/// fields in it.
+struct DuplicateFieldVisitor<'f> {
     place: String,
     findings: &'f mut Findings,
 }
 
-impl<'de> DeserializeSeed<'de> for RepeatSearch<'_> {
+impl<'de> DeserializeSeed<'de> for DuplicateFieldVisitor<'_> {
     type Value = ();
 
     fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<(), D::Error> {
@@ -40,7 +39,7 @@
     }
 }
 
-impl<'de> Visitor<'de> for RepeatSearch<'_> {
+impl<'de> Visitor<'de> for DuplicateFieldVisitor<'_> {
     type Value = ();
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -58,7 +57,7 @@
                 continue;
             }
             seen.insert(field);
-            map.next_value_seed(RepeatSearch {
+            map.next_value_seed(DuplicateFieldVisitor {
                 place,
                 findings: &mut *self.findings,
             })?;
@@ -69,11 +68,11 @@
     fn visit_seq<A: SeqAccess<'de>>(self, mut list: A) -> Result<(), A::Error> {
         let mut index = 0;
         loop {
-            let search = RepeatSearch {
+            let visitor = DuplicateFieldVisitor {
                 place: format!("{}/{index}", self.place),
                 findings: &mut *self.findings,
             };
-            if list.next_element_seed(search)?.is_none() {
+            if list.next_element_seed(visitor)?.is_none() {
                 return Ok(());
             }
             index += 1;
@@ -105,7 +104,7 @@
     }
 }
 
-/// Get the node of `field` of each element that has one.
+/// Get the child node of `field` of each element that has it.
 pub(crate) fn fields<'v>(elements: &[JsonNode<'v>], field: &str) -> Vec<JsonNode<'v>> {
     elements
         .iter()
@@ -113,25 +112,25 @@
         .collect()
 }
 
-/// Note each element whose name repeats an earlier one. It looks at the raw
-/// nodes, so that elements with other faults count too.
-pub(crate) fn refuse_repeated_names(elements: &[JsonNode<'_>], findings: &mut Findings) {
+/// Report each element whose name repeats an earlier one. Works on the raw nodes,
+/// so that elements with other errors are included.
+pub(crate) fn refuse_duplicate_names(elements: &[JsonNode<'_>], findings: &mut Findings) {
     let names = fields(elements, "name");
-    refuse_equals(&names, |node| node.text(), findings);
+    refuse_duplicates(&names, |node| node.text(), findings);
 }
 
-/// Note each address that repeats an earlier one, however both are written:
-/// `[::1]:80` and `[0::1]:080` are one listener.
-pub(crate) fn refuse_repeated_addresses(nodes: &[JsonNode<'_>], findings: &mut Findings) {
+/// Report each address that repeats an earlier one. Addresses are compared in
+/// canonical form: `[::1]:80` equals `[0::1]:080`.
+pub(crate) fn refuse_duplicate_addresses(nodes: &[JsonNode<'_>], findings: &mut Findings) {
     let canonical = |node: &JsonNode<'_>| {
         let address: SocketAddr = node.text()?.parse().ok()?;
         Some(SocketAddr::new(address.ip().to_canonical(), address.port()))
     };
-    refuse_equals(nodes, canonical, findings);
+    refuse_duplicates(nodes, canonical, findings);
 }
 
-/// Note each node whose key repeats that of an earlier one.
-pub(crate) fn refuse_equals<'v, K: Eq + Hash>(
+/// Report each node whose key repeats that of an earlier one.
+pub(crate) fn refuse_duplicates<'v, K: Eq + Hash>(
     nodes: &[JsonNode<'v>],
     key_of: impl Fn(&JsonNode<'v>) -> Option<K>,
     findings: &mut Findings,
@@ -141,8 +140,8 @@
         let Some(key) = key_of(node) else { continue };
         match seen.get(&key) {
             Some(first) => {
-                let allowed = format!("a value of its own: {first} has the same");
-                node.refuse_unseen(findings, allowed);
+                let allowed = format!("a unique value: {first} has the same");
+                node.refuse_redacted(findings, allowed);
             }
             None => {
                 seen.insert(key, node.place());
--- a/bergamotswitch-core/src/publication/host_entries.rs
+++ b/bergamotswitch-core/src/publication/host_list.rs
@@ -1,23 +1,23 @@
-//! Provides the reading of the host list.
+//! Provides the JSON reader of the host list.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
+use super::duplicates::{refuse_duplicate_addresses, refuse_duplicate_names};
 use super::json_node::{JsonNode, ReadJson};
 use super::named_choice::read_choice;
 use super::object_reader::ObjectReader;
-use super::repeats::{refuse_repeated_addresses, refuse_repeated_names};
 use crate::error::Findings;
 use crate::host::{EntryHost, HostList, Standing, TargetStanding};
 
-/// The allowed shares of a processor, in thousandths of a core.
+/// The allowed CPU capacities of a host, in thousandths of a core.
 const CAPACITY_RANGE: RangeInclusive<u64> = 0..=1_000_000;
 
-/// A `PeerAddress` is an address to connect to: its port is not 0, and it
-/// names one machine.
-pub(crate) struct PeerAddress(pub(crate) SocketAddr);
+/// A `ConnectAddress` is an address to which connections can be opened: its port
+/// is not 0, and its IP address is neither unspecified nor multicast.
+pub(crate) struct ConnectAddress(pub(crate) SocketAddr);
 
-impl ReadJson for PeerAddress {
+impl ReadJson for ConnectAddress {
     fn read(node: &JsonNode<'_>, findings: &mut Findings) -> Option<Self> {
         let address = SocketAddr::read(node, findings)?;
         if address.port() == 0 {
@@ -26,12 +26,12 @@
         }
         let ip = address.ip().to_canonical();
         if ip.is_unspecified() || ip.is_multicast() {
-            // A host that listens everywhere is easily published as 0.0.0.0;
-            // every caller would then connect to itself.
-            node.refuse(findings, "the IP number of one machine");
+            // A caller that connects to 0.0.0.0, a common listen address,
+            // reaches itself.
+            node.refuse(findings, "the IP address of one machine");
             return None;
         }
-        Some(PeerAddress(address))
+        Some(ConnectAddress(address))
     }
 }
 
@@ -44,7 +44,7 @@
             None => Some(Vec::new()),
         };
         object.finish();
-        refuse_repeated_hosts(node, findings);
+        refuse_duplicate_hosts(node, findings);
         Some(HostList {
             hosts: hosts?,
             targets: targets?,
@@ -52,7 +52,8 @@
     }
 }
 
-/// The targets' list may be empty: then all targets are live.
+/// Try to read the target list. Unlike other lists it may be empty, which means
+/// that no target is draining.
 fn read_targets(list: &JsonNode<'_>, findings: &mut Findings) -> Option<Vec<TargetStanding>> {
     match list.is_empty_list() {
         true => Some(Vec::new()),
@@ -60,19 +61,19 @@
     }
 }
 
-fn refuse_repeated_hosts(node: &JsonNode<'_>, findings: &mut Findings) {
+fn refuse_duplicate_hosts(node: &JsonNode<'_>, findings: &mut Findings) {
     let hosts = node.field("hosts").map(|list| list.elements());
     let hosts = hosts.unwrap_or_default();
-    refuse_repeated_names(&hosts, findings);
-    // Two listeners can't share an address, whatever they listen for.
+    refuse_duplicate_names(&hosts, findings);
+    // Caller and link listeners bind separately, so all addresses must differ.
     let addresses: Vec<JsonNode<'_>> = hosts
         .iter()
         .flat_map(|host| [host.field("caller_address"), host.field("link_address")])
         .flatten()
         .collect();
-    refuse_repeated_addresses(&addresses, findings);
+    refuse_duplicate_addresses(&addresses, findings);
     let targets = node.field("targets").map(|list| list.elements());
-    refuse_repeated_names(&targets.unwrap_or_default(), findings);
+    refuse_duplicate_names(&targets.unwrap_or_default(), findings);
 }
 
 impl ReadJson for EntryHost {
@@ -80,8 +81,8 @@
         let mut object = ObjectReader::open(node, findings)?;
         let name = object.required("name");
         let domain = object.required("domain");
-        let caller_address = object.required::<PeerAddress>("caller_address");
-        let link_address = object.required::<PeerAddress>("link_address");
+        let caller_address = object.required::<ConnectAddress>("caller_address");
+        let link_address = object.required::<ConnectAddress>("link_address");
         let capacity = object.number("capacity", &CAPACITY_RANGE);
         let standing = object.or_default("standing");
         object.finish();
--- a/bergamotswitch-core/src/publication/mod.rs
+++ b/bergamotswitch-core/src/publication/mod.rs
@@ -1,24 +1,24 @@
-//! Provides what the platform publishes, checked.
+//! Provides the validated configuration that the platform publishes.
 //!
-//! Each value is checked alone when it is applied, so that every host accepts
-//! or refuses a revision alike, whatever order the values arrive in. What one
-//! value says of another is checked by [`check_cross`], whose findings the
-//! operator's `check` and the status page report; at run time a reference to
-//! something unknown fails closed: a rule that names an unknown pool or
-//! account matches nothing, and one that sends work to an unknown failure
-//! domain leaves no target there.
+//! Each value is validated on its own when it is applied, so that all hosts accept
+//! or refuse a revision alike, in whatever order the values arrive. References
+//! between values are checked by [`check_consistency`], whose findings are reported
+//! by the `check` command and the status page. At run time an unknown reference
+//! fails closed: a rule that names an unknown pool or account matches no request,
+//! and a rule that restricts work to an unknown failure domain finds no target.
 
-mod account_book;
-mod cross_check;
-mod domain_book;
+mod account_list;
+
+mod consistency_check;
+mod domain_list;
+pub(crate) mod duplicates;
 mod fleet_limits;
-mod host_entries;
+mod host_list;
 pub(crate) mod json_node;
 pub(crate) mod named_choice;
 pub(crate) mod object_reader;
-mod pool_book;
+mod pool_list;
 mod registered_pools;
-pub(crate) mod repeats;
 
 use std::sync::Arc;
 
@@ -33,53 +33,55 @@
 use crate::target::TargetName;
 use crate::target_list::TargetList;
 
-pub use account_book::AccountBook;
-pub use cross_check::check_cross;
-pub use domain_book::DomainBook;
+pub use account_list::AccountList;
+pub use consistency_check::check_consistency;
+pub use domain_list::DomainList;
 pub(crate) use fleet_limits::LinkKey;
 pub use fleet_limits::{FleetLimits, LINK_KEY_LEN, LimitSpec};
-pub(crate) use host_entries::PeerAddress;
+pub(crate) use host_list::ConnectAddress;
 use json_node::read_text;
-pub use pool_book::{PlacedTarget, PoolBook, SLOT_RANGE, SPEED_RANGE, TOKEN_LIMIT_RANGE};
+pub use pool_list::{PoolList, SLOT_RANGE, SPEED_RANGE, TOKEN_LIMIT_RANGE, TargetWithPool};
 
-/// A `Publication` is all published values that are in force on a host.
+/// A `Publication` is the set of published values in force on a host.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Publication {
-    /// The rules.
+    /// The routing rules.
     pub rules: RuleSet,
     /// The client accounts.
-    pub accounts: AccountBook,
+    pub accounts: AccountList,
     /// The pools.
-    pub pools: PoolBook,
+    pub pools: PoolList,
     /// The failure domains.
-    pub domains: DomainBook,
-    /// The limits.
+    pub domains: DomainList,
+    /// The fleet-wide limits.
     pub limits: FleetLimits,
     /// The host list.
     pub hosts: HostList,
-    /// Whether callers come by routes and targets register themselves.
-    pub routed: bool,
-    /// The routes.
+    /// Whether the host is in gateway mode: routes replace the rules, and targets
+    /// register themselves instead of being listed in published pools.
+    pub uses_routes: bool,
+    /// The routes, used in gateway mode.
     pub routes: Arc<RouteTable>,
-    /// The registered targets.
-    pub registered: TargetList,
+    /// The targets that registered themselves, used in gateway mode.
+    pub registered_targets: TargetList,
 }
 
 impl Publication {
-    /// Get the empty publication of a host whose callers come by routes.
-    pub fn routed(limits: FleetLimits) -> Self {
+    /// Get an empty publication for a host in gateway mode.
+    pub fn with_routes(limits: FleetLimits) -> Self {
         Publication {
-            routed: true,
+            uses_routes: true,
             limits,
             ..Publication::default()
         }
     }
 
-    /// Try to put a value in force.
+    /// Try to validate a published value and put it in force.
     ///
     /// # Errors
     ///
-    /// Returns every fault of the value; then nothing has changed.
+    /// Returns a finding for each error in the value. The publication is then
+    /// unchanged.
     pub fn apply(&mut self, value: &PublishedValue) -> Result<(), Findings> {
         let input = value.name.as_str();
         match input {
@@ -91,21 +93,21 @@
             HOSTS_VALUE => self.hosts = read_text(input, &value.body)?,
             ROUTES_VALUE => {
                 self.routes = Arc::new(RouteTable::try_from_json(&value.body)?);
-                self.pools = registered_pools::pools(&self.registered, &self.routes);
+                self.pools = registered_pools::pools(&self.registered_targets, &self.routes);
             }
             TARGETS_VALUE => {
-                self.registered = TargetList::try_from_json(&value.body)?;
-                self.pools = registered_pools::pools(&self.registered, &self.routes);
+                self.registered_targets = TargetList::try_from_json(&value.body)?;
+                self.pools = registered_pools::pools(&self.registered_targets, &self.routes);
             }
             unknown => return Err(unknown_value(unknown)),
         }
         Ok(())
     }
 
-    /// Get the names of the values that a host needs before it serves and
-    /// does not have. An applied one is never empty.
+    /// Get the names of the values that the host still needs before it can serve.
+    /// An empty value counts as missing, since an applied one is never empty.
     pub fn missing(&self) -> Vec<&'static str> {
-        let by_rules = !self.routed;
+        let by_rules = !self.uses_routes;
         let needed = [
             (RULES_VALUE, by_rules && self.rules.rules().is_empty()),
             (
@@ -114,7 +116,7 @@
             ),
             (
                 ROUTES_VALUE,
-                self.routed && self.routes.config().routes.is_empty(),
+                self.uses_routes && self.routes.config().routes.is_empty(),
             ),
             (POOLS_VALUE, self.pools.pools().is_empty()),
             (HOSTS_VALUE, self.hosts.hosts.is_empty()),
@@ -125,23 +127,23 @@
             .collect()
     }
 
-    /// Get whether the host list, or the target itself, says that a target is
-    /// leaving.
+    /// Get whether a target is draining according to the host list or its own
+    /// registration.
     pub fn target_is_leaving(&self, name: &TargetName) -> bool {
         let listed = self.hosts.targets.iter();
         let listed = listed.map(|target| (&target.name, target.standing));
-        let registered = self.registered.targets.iter();
+        let registered = self.registered_targets.targets.iter();
         let registered = registered.map(|target| (&target.name, target.standing));
         listed
             .chain(registered)
             .any(|(target, standing)| target == name && standing == Standing::Leaving)
     }
 
-    /// Get the targets that are said to be leaving or not.
+    /// Get the standings of targets from the host list and from registrations.
     pub(crate) fn target_standings(&self) -> Vec<(TargetName, Standing)> {
         let listed = self.hosts.targets.iter();
         let listed = listed.map(|target| (target.name.clone(), target.standing));
-        let registered = self.registered.targets.iter();
+        let registered = self.registered_targets.targets.iter();
         let registered = registered.map(|target| (target.name.clone(), target.standing));
         listed.chain(registered).collect()
     }
--- a/bergamotswitch-core/src/publication/pool_book.rs
+++ b/bergamotswitch-core/src/publication/pool_list.rs
@@ -5,70 +5,70 @@
 
 use serde_json::Value;
 
+use super::duplicates::{fields, refuse_duplicate_addresses, refuse_duplicate_names};
 use super::json_node::{JsonNode, ReadJson, read_value};
 use super::named_choice::read_choice;
 use super::object_reader::ObjectReader;
-use super::repeats::{fields, refuse_repeated_addresses, refuse_repeated_names};
 use crate::contract::TargetContract;
 use crate::error::Findings;
 use crate::pool::{PoolKind, PoolName, PoolShard, TargetPool};
 use crate::revision::POOLS_VALUE;
 use crate::target::{DEFAULT_SPEED, DEFAULT_TOKEN_LIMIT, PoolTarget, TargetName};
 
-/// The allowed first guesses at a target's speed, in tokens per second.
+/// The allowed initial speed estimates of a target, in tokens per second.
 pub const SPEED_RANGE: RangeInclusive<u64> = 1..=10_000_000;
 /// The allowed token limits of a target.
 pub const TOKEN_LIMIT_RANGE: RangeInclusive<u64> = 1..=1_000_000_000;
 
-/// The allowed numbers of requests that a target serves at once.
+/// The allowed numbers of concurrent requests of a target.
 pub const SLOT_RANGE: RangeInclusive<u64> = 1..=100_000;
 
-/// A `PoolBook` is the published pools.
+/// A `PoolList` is the list of published pools.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct PoolBook {
+pub struct PoolList {
     pools: Vec<TargetPool>,
 }
 
-/// A `PlacedTarget` is a target with the pool that it serves.
+/// A `TargetWithPool` is a target together with the pool that it belongs to.
 #[derive(Clone, Copy, Debug)]
-pub struct PlacedTarget<'a> {
+pub struct TargetWithPool<'a> {
     /// The pool.
     pub pool: &'a TargetPool,
     /// The target.
     pub target: &'a PoolTarget,
 }
 
-impl PoolBook {
-    /// Get the book of these pools.
+impl PoolList {
+    /// Get a list of these pools.
     pub fn new(pools: Vec<TargetPool>) -> Self {
-        PoolBook { pools }
+        PoolList { pools }
     }
 
-    /// Get the pool of this name.
+    /// Get the pool with this name.
     pub fn pool(&self, name: &PoolName) -> Option<&TargetPool> {
         self.pools.iter().find(|pool| pool.name == *name)
     }
 
-    /// Get the pools in their published order.
+    /// Get the pools in published order.
     pub fn pools(&self) -> &[TargetPool] {
         &self.pools
     }
 
-    /// Get the target of this name.
+    /// Get the target with this name.
     pub fn target(&self, name: &TargetName) -> Option<&PoolTarget> {
-        self.placed_target(name).map(|placed| placed.target)
+        self.target_with_pool(name).map(|found| found.target)
     }
 
-    /// Get the target of this name with its pool.
-    pub fn placed_target(&self, name: &TargetName) -> Option<PlacedTarget<'_>> {
+    /// Get the target with this name together with its pool.
+    pub fn target_with_pool(&self, name: &TargetName) -> Option<TargetWithPool<'_>> {
         self.pools.iter().find_map(|pool| {
             let target = pool.targets.iter().find(|target| target.name == *name)?;
-            Some(PlacedTarget { pool, target })
+            Some(TargetWithPool { pool, target })
         })
     }
 
-    /// Get the shards of all pools: one a pool, or one for each failure
-    /// domain with targets where the pool is sharded by domain.
+    /// Get the shards of all pools. A pool is one shard, or has a shard for each
+    /// failure domain of its targets if it is sharded by domain.
     pub fn shards(&self) -> Vec<PoolShard> {
         self.pools.iter().flat_map(pool_shards).collect()
     }
@@ -91,7 +91,7 @@
         .collect()
 }
 
-impl TryFrom<&Value> for PoolBook {
+impl TryFrom<&Value> for PoolList {
     type Error = Findings;
 
     fn try_from(value: &Value) -> Result<Self, Findings> {
@@ -99,29 +99,29 @@
     }
 }
 
-impl ReadJson for PoolBook {
+impl ReadJson for PoolList {
     fn read(node: &JsonNode<'_>, findings: &mut Findings) -> Option<Self> {
         let mut object = ObjectReader::open(node, findings)?;
         let pools = object.required("pools");
         object.finish();
-        refuse_repeated_targets(node, findings);
-        Some(PoolBook { pools: pools? })
+        refuse_duplicate_targets(node, findings);
+        Some(PoolList { pools: pools? })
     }
 }
 
-/// Names and addresses of targets are unique over all pools: two pools that
-/// count the slots of one engine would each give them away.
-fn refuse_repeated_targets(node: &JsonNode<'_>, findings: &mut Findings) {
+/// Report duplicate names and addresses of targets, also across pools. Two pools
+/// that share a target would each grant all of its slots.
+fn refuse_duplicate_targets(node: &JsonNode<'_>, findings: &mut Findings) {
     let pools = node.field("pools").map(|list| list.elements());
     let pools = pools.unwrap_or_default();
-    refuse_repeated_names(&pools, findings);
+    refuse_duplicate_names(&pools, findings);
     let targets: Vec<JsonNode<'_>> = pools
         .iter()
         .filter_map(|pool| pool.field("targets"))
         .flat_map(|list| list.elements())
         .collect();
-    refuse_repeated_names(&targets, findings);
-    refuse_repeated_addresses(&fields(&targets, "address"), findings);
+    refuse_duplicate_names(&targets, findings);
+    refuse_duplicate_addresses(&fields(&targets, "address"), findings);
 }
 
 impl ReadJson for TargetPool {
@@ -153,7 +153,7 @@
         let mut object = ObjectReader::open(node, findings)?;
         let name = object.required("name");
         let domain = object.required("domain");
-        let address = object.required::<super::host_entries::PeerAddress>("address");
+        let address = object.required::<super::host_list::ConnectAddress>("address");
         let contract = object.or_default("contract");
         let speed = object.number("expected_speed", &SPEED_RANGE);
         let limit = object.number("token_limit", &TOKEN_LIMIT_RANGE);
--- a/bergamotswitch-core/src/publication/registered_pools.rs
+++ b/bergamotswitch-core/src/publication/registered_pools.rs
@@ -1,4 +1,4 @@
-//! Provides the pools that registered targets form.
+//! Provides the pools that are built from registered targets.
 
 use std::collections::BTreeMap;
 
@@ -8,14 +8,15 @@
 use crate::target::{DEFAULT_SPEED, PoolTarget};
 use crate::target_list::{TargetEntry, TargetList};
 
-use super::PoolBook;
+use super::PoolList;
 
-/// The token limit of a plain service's target: its slots bound it alone.
+/// The token limit of a plain service's target, which is bounded only by its
+/// slots.
 const PLAIN_TOKEN_LIMIT: u32 = u32::MAX;
 
-/// What registered targets honour: they say themselves that a refused call
-/// did not run.
-const CONTRACT: TargetContract = TargetContract {
+/// The contract of registered targets, which report with a refusal that the call
+/// was not executed.
+const REGISTERED_CONTRACT: TargetContract = TargetContract {
     checks_fencing: false,
     resumes: false,
     cancels: false,
@@ -23,42 +24,42 @@
     moves_cache: false,
 };
 
-/// Get the pools of the registered targets, in the order of their names. A
-/// registration for a service that the routes do not list forms no pool: each
-/// pool has an owner and a queue on some host, and anybody who writes to the
-/// store could otherwise make as many as there are names.
-pub(super) fn pools(list: &TargetList, routes: &RouteTable) -> PoolBook {
+/// Get the pools of the registered targets in the order of their names.
+/// Registrations for a pool that the routes do not list are ignored, so that
+/// writers to the store cannot create an unbounded number of pools, each with an
+/// owner and a queue.
+pub(super) fn pools(list: &TargetList, routes: &RouteTable) -> PoolList {
     let mut pools: BTreeMap<&PoolName, Vec<PoolTarget>> = BTreeMap::new();
     for entry in &list.targets {
         let Some(facts) = routes.pool(&entry.pool) else {
             continue;
         };
         let targets = pools.entry(&entry.pool).or_default();
-        targets.push(target(entry, facts));
+        targets.push(pool_target(entry, facts));
     }
     let pools = pools.into_iter().map(|(name, targets)| TargetPool {
         name: name.clone(),
-        kind: kind(routes.pool(name)),
+        kind: pool_kind(routes.pool(name)),
         shard_by_domain: false,
         targets,
     });
-    PoolBook::new(pools.collect())
+    PoolList::new(pools.collect())
 }
 
-fn kind(facts: Option<&PoolSpec>) -> PoolKind {
+fn pool_kind(facts: Option<&PoolSpec>) -> PoolKind {
     match facts.and_then(|facts| facts.engine) {
         Some(_) => PoolKind::Engine,
         None => PoolKind::Plain,
     }
 }
 
-fn target(entry: &TargetEntry, facts: &PoolSpec) -> PoolTarget {
+fn pool_target(entry: &TargetEntry, facts: &PoolSpec) -> PoolTarget {
     let engine = facts.engine;
     PoolTarget {
         name: entry.name.clone(),
         domain: entry.domain.clone(),
         address: entry.address,
-        contract: CONTRACT,
+        contract: REGISTERED_CONTRACT,
         expected_speed: DEFAULT_SPEED,
         token_limit: engine.map_or(PLAIN_TOKEN_LIMIT, |engine| engine.cache_tokens),
         slots: Some(entry.slots.max(1)),
--- a/bergamotswitch-core/tests/deployment_files.rs
+++ b/bergamotswitch-core/tests/deployment_files.rs
@@ -1,10 +1,10 @@
-//! Tests of the example deployments: they are published as they stand.
+//! Tests that the files of the example deployments are valid and consistent.
 
 use std::path::{Path, PathBuf};
 
 use bergamotswitch_core::failure_domain::DomainName;
 use bergamotswitch_core::pool::PoolName;
-use bergamotswitch_core::publication::{Publication, check_cross};
+use bergamotswitch_core::publication::{Publication, check_consistency};
 use bergamotswitch_core::revision::{PublishedValue, Revision, ValueName};
 use bergamotswitch_core::rules::{RequestFacts, Tier, Verdict, WorkKind};
 use bergamotswitch_core::settings::HostSettings;
@@ -49,9 +49,9 @@
     publication.rules.decide(&facts).unwrap()
 }
 
-fn check_whole(deployment: &str, engine: &str, plain: &str) {
+fn check_deployment(deployment: &str, engine: &str, plain: &str) {
     let publication = publication(deployment);
-    assert_eq!(check_cross(&publication).to_string(), "");
+    assert_eq!(check_consistency(&publication).to_string(), "");
     assert!(publication.missing().is_empty());
     let count = |name: &str| {
         let name = PoolName::try_from(name).unwrap();
@@ -70,7 +70,7 @@
         assert_eq!(settings.caller_address, host.caller_address);
         assert_eq!(settings.link_address, host.link_address);
     }
-    // The keys that the page names are those whose hashes are published.
+    // The README lists the keys that match the published hashes.
     let page = std::fs::read_to_string(directory(deployment).join("README.md")).unwrap();
     let accounts = publication.accounts.accounts();
     assert_eq!(accounts.len(), 5);
@@ -82,13 +82,13 @@
 }
 
 #[test]
-fn whole_austral() {
-    check_whole("red-austral", "bolido-llm", "red-app");
+fn complete_austral() {
+    check_deployment("red-austral", "bolido-llm", "red-app");
 }
 
 #[test]
-fn whole_naapuri() {
-    check_whole("naapuriseina", "drafting-lm", "case-desk");
+fn complete_naapuri() {
+    check_deployment("naapuriseina", "drafting-lm", "case-desk");
 }
 
 #[test]
--- a/bergamotswitch-net/src/target_client/mod.rs
+++ b/bergamotswitch-net/src/target_client/mod.rs
@@ -25,7 +25,7 @@
 
 use bergamotswitch_core::entry::{AttemptEvent, NotSentReason};
 use bergamotswitch_core::pool::PoolKind;
-use bergamotswitch_core::publication::PoolBook;
+use bergamotswitch_core::publication::PoolList;
 use bergamotswitch_core::request::AttemptId;
 use bergamotswitch_core::target::{PoolTarget, TargetName};
 use tokio::task::JoinHandle;
@@ -168,7 +168,7 @@
     /// connections to targets that have restarted. No reset arrives if the old
     /// process ended behind a network partition, and a call over such a
     /// connection would wait until the target counts as unresponsive.
-    pub fn record_target_starts(&mut self, pools: &PoolBook) {
+    pub fn record_target_starts(&mut self, pools: &PoolList) {
         let targets = pools.pools().iter().flat_map(|pool| &pool.targets);
         let mut starts = HashMap::new();
         for target in targets {
