--- a/bergamotswitch-core/tests/burst_load/mod.rs
+++ b/bergamotswitch-core/tests/burst_load/mod.rs
@@ -1,7 +1,7 @@
-//! A load in virtual time at the owner of a shard whose targets say how many
-//! requests they serve at once: some slow, some fast, all taking part.
+//! Provides a load simulation in virtual time for the owner of a shard whose
+//! targets of different speeds publish their number of slots.
 
-// Each test file uses its own part of this module.
+// Each test file uses only some of the items.
 #![allow(dead_code)]
 
 use std::cmp::Reverse;
@@ -9,38 +9,39 @@
 
 use crate::owner_bench::*;
 
-/// The tokens that a target holds.
+/// The token limit of a target.
 const MEMORY: u32 = 700_000;
 
-/// The time in which the owner learns how fast its targets are; until then each
-/// gets two requests at most.
+/// The time during which the owner measures the targets' speed, while each target
+/// gets at most two requests. It is left out of the counts.
 pub const WARM_UP: Duration = Duration::from_secs(2);
 const ACCOUNTS: u64 = 16;
 
-/// A `WorkKind` is a kind of work: how often of ten it comes, its cost, how soon
-/// its answer should begin and when it has to end, in milliseconds.
+/// A `WorkKind` is the share, the cost and the time limits of the requests of
+/// one tier.
 #[derive(Clone, Debug)]
 pub struct WorkKind {
+    /// The number of requests of this class in every ten.
     pub often: u64,
     pub cost: TokenCost,
+    /// The time after arrival within which the answer should begin.
     pub aim_ms: u32,
     pub deadline_ms: u32,
 }
 
-/// A `LoadPlan` is the load: targets, requests a second and kinds by tier, whose
-/// numbers of ten add up to ten.
+/// A `LoadPlan` is the parameters of a load simulation.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
     pub targets: usize,
-    /// The requests that a target serves at once.
+    /// The number of requests that a target serves concurrently.
     pub slots: u32,
     pub per_second: u64,
     pub length: Duration,
+    /// The request classes by tier; their weights add up to ten.
     pub kinds: Vec<WorkKind>,
 }
 
 impl LoadPlan {
-    /// Get the tier of a request.
     fn tier_of(&self, sequence: u64) -> usize {
         let mut place = sequence % 10;
         for (tier, kind) in self.kinds.iter().enumerate() {
@@ -53,12 +54,12 @@
     }
 }
 
-/// A `TierCount` is what a tier asked for and got, after the warm-up.
+/// A `TierCount` is the request counts of one tier after the warm-up.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TierCount {
     pub asked: u64,
     pub served: u64,
-    /// Those of the served whose answer began within its aim.
+    /// The served requests whose answer began within the limit of their class.
     pub timely: u64,
 }
 
@@ -68,14 +69,15 @@
     }
 }
 
-/// A `RunningAsk` is a request at a target.
+/// A `RunningAsk` is a request that runs on a target.
 #[derive(Clone, Debug)]
 struct RunningAsk {
     permit: Permit,
     usage: Usage,
 }
 
-/// A `BurstLoad` is an owner with its targets and callers in virtual time.
+/// A `BurstLoad` is a simulation of an owner with its targets and callers in
+/// virtual time.
 pub struct BurstLoad {
     plan: LoadPlan,
     owner: ShardOwner,
@@ -115,8 +117,8 @@
         }
     }
 
-    /// Let a granted request run: the slowest target takes five times as long
-    /// as the fastest.
+    /// Start a granted request. The slowest target takes five times as long as the
+    /// fastest.
     fn begin(&mut self, now: Moment, permit: Permit) {
         let sequence = permit.attempt.request.sequence;
         let tier = self.plan.tier_of(sequence);
@@ -153,7 +155,7 @@
         self.tell(now, OwnerMessage::Ask(Box::new(ask)));
     }
 
-    /// Play the load to its end.
+    /// Run the simulation to its end.
     pub fn play(&mut self) {
         let gap = Duration::from_micros(1_000_000 / self.plan.per_second);
         let end = Moment::START.plus(self.plan.length);
--- a/bergamotswitch-core/tests/oracle/callers.rs
+++ b/bergamotswitch-core/tests/oracle/callers.rs
@@ -1,21 +1,25 @@
-//! Provides callers: what they send, and which run they were told holds it.
+//! Provides simulated callers, which draw submissions and record which host
+//! incarnation holds each request.
 
 use super::*;
 
+/// A `Callers` is the state of all simulated callers.
 #[derive(Debug, Default)]
 pub struct Callers {
+    /// The host incarnation that each caller was given as holder.
     told: BTreeMap<CallerIdentity, HostIncarnation>,
     singles: u64,
 }
 
 impl Callers {
-    /// A caller learns which run holds its request.
+    /// Record that a caller was given the incarnation that holds its request.
     pub fn tell(&mut self, identity: CallerIdentity, run: HostIncarnation) {
         self.told.insert(identity, run);
     }
 
-    /// Draw a request: the kind follows from `b`, the account, the marks and
-    /// now and then another body from `c`, the key from the kind and `series`.
+    /// Draw a submission. `b` selects the kind; `c` selects the account, the
+    /// streaming and resubmission flags, and occasionally a different body; the key
+    /// is made of the kind and `series`.
     pub fn draw(&mut self, b: u8, c: u8, series: u64) -> (CallerIdentity, Submission) {
         let kind = [0u8, 0, 1, 1, 2, 3, 4, 5][usize::from(b % 8)];
         let mut submission = submission();
--- a/bergamotswitch-core/tests/oracle/mod.rs
+++ b/bergamotswitch-core/tests/oracle/mod.rs
@@ -1,6 +1,6 @@
-//! Provides the oracle: a naive record of what engines ran and callers were
-//! told, and one function for each promise.
-#![allow(dead_code)] // Each test file uses a part of it.
+//! Provides the test oracle: a record of what targets ran and what callers were
+//! answered, and one check for each guarantee.
+#![allow(dead_code)] // Each test file uses only some of the items.
 
 pub mod callers;
 
@@ -12,8 +12,8 @@
 
 use crate::entry_support::*;
 
-/// A `RunReach` counts what a run led to: a run that reaches nothing proves
-/// nothing.
+/// A `RunReach` counts the situations that a simulation run reached. A run that
+/// reaches none of them verifies nothing.
 pub type RunReach = BTreeMap<&'static str, u64>;
 
 pub fn add_counts(sum: &mut RunReach, other: &RunReach) {
@@ -22,7 +22,7 @@
     }
 }
 
-/// A `Breach` names the promise that was broken.
+/// A `Breach` names the guarantee that was violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Breach {
     DispatchOnce,
@@ -34,7 +34,7 @@
     StalePermit,
     StopCut,
     PermitLeak,
-    /// A resubmission was told "not run" although an earlier request of the
+    /// A resubmission was answered "not run" although an earlier request of the
     /// same caller and key ran, or ran later.
     NotRunBefore,
     ShedOrder,
@@ -42,24 +42,26 @@
     RevisionLate,
 }
 
-/// A `CallerIdentity` is what a caller takes for one request.
+/// A `CallerIdentity` identifies what the caller considers one request, across its
+/// resubmissions.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallerIdentity {
     Keyed(AccountName, CallerKey),
     Single(u64),
 }
 
+/// A `RequestFate` is what is known of one accepted request.
 #[derive(Debug)]
 pub struct RequestFate {
     pub identity: CallerIdentity,
     pub submission: Submission,
     pub conclusions: u32,
     told_not_run: bool,
-    /// Dispatches that are not proven to have been without a run.
+    /// The number of dispatches that may have caused a run.
     dispatches: i32,
     runs: u32,
     finished: bool,
-    /// Whether a second run is owed to a gap that the design names.
+    /// Whether the request is exempt because the design allows a second run.
     excused: bool,
 }
 
@@ -69,6 +71,7 @@
     }
 }
 
+/// A `PermitFate` is what is known of one permit.
 #[derive(Debug, Default)]
 struct PermitFate {
     reached_host: bool,
@@ -76,12 +79,14 @@
     ends: u32,
 }
 
+/// An `Oracle` is the record that the guarantees are checked against.
 #[derive(Debug, Default)]
 pub struct Oracle {
     pub requests: BTreeMap<RequestId, RequestFate>,
     permits: BTreeMap<PermitId, PermitFate>,
-    /// Requests that came before a resubmission that was told "not run".
+    /// The earlier requests to which an answer "not run" to a resubmission refers.
     unrun: BTreeSet<RequestId>,
+    /// The first violation that was recorded when it happened.
     seen: Option<Breach>,
 }
 
@@ -106,7 +111,7 @@
         }
     }
 
-    /// A caller follows the answer of `id`: it must be its own.
+    /// Check that a caller attached to `id` gets the answer to its own request.
     pub fn attached(&mut self, id: RequestId, identity: &CallerIdentity, fingerprint: u128) {
         let own = self.requests.get(&id).is_some_and(|fate| {
             fate.identity == *identity && fate.submission.fingerprint == fingerprint
@@ -159,7 +164,7 @@
         }
     }
 
-    /// Get the requests of the same caller and key that may have run before.
+    /// Get the other requests of the same caller and key that may have run.
     pub fn earlier_runs(&self, id: RequestId) -> Vec<RequestId> {
         let Some(own) = self.requests.get(&id) else {
             return Vec::new();
@@ -170,14 +175,15 @@
         others.map(|(id, _)| *id).collect()
     }
 
-    /// Count the run of a request for itself.
+    /// Exempt a request from the checks for second runs.
     pub fn excuse(&mut self, id: RequestId) {
         self.change(id, |fate| fate.excused = true);
     }
 
-    /// A submission was told "not run". Where it names a run or is marked as
-    /// sent again, so it must be of every request that it may mean: those of
-    /// the run that it names, or of any run.
+    /// Record that a submission was answered "not run". If the submission names a
+    /// host incarnation or is marked as a resubmission, this must be true of all
+    /// earlier requests that it may refer to: those of the named incarnation, or of
+    /// any.
     pub fn told_not_run(&mut self, identity: &CallerIdentity, told: &Submission) {
         let harmless = told.verdict.idempotent && !told.verdict.dispatch_once;
         if !told.resubmission && (told.holder.is_none() || harmless) {
@@ -204,7 +210,7 @@
         }
     }
 
-    /// The run of a host that held the permit is gone.
+    /// Record that the host incarnation that held the permit has terminated.
     pub fn excused(&mut self, permit: PermitId) {
         self.permits.entry(permit).or_default().released = true;
     }
@@ -216,7 +222,7 @@
         }
     }
 
-    /// Check every promise that must hold at any time.
+    /// Check every guarantee that must hold at any time.
     pub fn check(&self) -> Result<(), Breach> {
         self.check_seen()?;
         self.check_dispatch_once()?;
@@ -227,15 +233,15 @@
         self.check_single_release()
     }
 
-    /// Check what must hold besides once nothing moves any more.
+    /// Check also what must hold once no messages or requests are in flight.
     pub fn check_at_rest(&self, alive: &[Incarnation]) -> Result<(), Breach> {
         self.check()?;
         self.check_all_concluded(alive)?;
         self.check_permits_returned()
     }
 
-    /// Leaving targets, stale permits, cut answers and foreign answers are
-    /// seen as they happen.
+    /// Check for violations that are recorded when they happen, such as the use of
+    /// draining targets and stale permits, and answers that are cut off or foreign.
     fn check_seen(&self) -> Result<(), Breach> {
         self.seen.map_or(Ok(()), Err)
     }
@@ -263,7 +269,7 @@
         all(self.requests.values().all(true_claim), Breach::NotRun)
     }
 
-    /// What callers were told of the copies that they asked after.
+    /// Check the answers "not run" to resubmissions.
     fn check_not_run_before(&self) -> Result<(), Breach> {
         let mut meant = self.unrun.iter().filter_map(|id| self.requests.get(id));
         all(meant.all(RequestFate::untouched), Breach::NotRunBefore)
@@ -300,7 +306,7 @@
     }
 }
 
-/// Get one of `items` by a drawn byte.
+/// Get one of `items` by a random byte.
 pub fn pick<T: Copy>(items: &[T], drawn: u8) -> Option<T> {
     let index = usize::from(drawn).checked_rem(items.len())?;
     items.get(index).copied()
--- a/bergamotswitch-core/tests/owner_bench/mod.rs
+++ b/bergamotswitch-core/tests/owner_bench/mod.rs
@@ -1,4 +1,5 @@
-//! Provides a shard owner under test with virtual time and short messages.
+//! Provides a shard owner in virtual time, and helpers to build its messages and
+//! read its replies.
 #![allow(dead_code)]
 
 pub use std::time::Duration;
@@ -20,18 +21,18 @@
 pub use bergamotswitch_core::rules::Tier;
 pub use bergamotswitch_core::target::{LoadReport, PoolTarget};
 
-/// The run of the entry host that sends unless a test says otherwise.
+/// The incarnation of the entry host that sends the messages by default.
 pub const ENTRY_RUN: Incarnation = Incarnation(7);
 
-/// Get a checked name of any kind from a text that is one.
+/// Parse a name of any kind.
 pub fn named<T: TryFrom<String>>(text: &str) -> T {
     let name = T::try_from(text.to_owned()).ok();
-    name.expect("a name")
+    name.expect("a valid name")
 }
 
 pub fn shard() -> PoolShard {
     PoolShard {
-        pool: PoolName::try_from("pool").expect("a name"),
+        pool: PoolName::try_from("pool").expect("a valid name"),
         domain: None,
     }
 }
@@ -53,7 +54,8 @@
     }
 }
 
-/// Get a target with 1000 tokens per second and room for `limit` tokens.
+/// Get a target with a speed of 1000 tokens per second and a limit of `limit`
+/// tokens.
 pub fn target(name: &str, domain: &str, limit: u32) -> PoolTarget {
     PoolTarget {
         slots: None,
@@ -67,7 +69,7 @@
     }
 }
 
-/// Get an ask of 100 tokens with a minute's deadline.
+/// Get a permit request of 100 tokens with a deadline of one minute.
 pub fn ask(sequence: u64, tier: u8, account: &str) -> Ask {
     Ask {
         quota_units: 0,
@@ -151,7 +153,7 @@
     ask
 }
 
-/// Get the usage of a whole run of `ask` without any cached tokens.
+/// Get the usage of a completed attempt without cached tokens.
 pub fn usage(cost: TokenCost, elapsed_ms: u32) -> Usage {
     Usage {
         prefill: cost.prefill,
@@ -175,7 +177,7 @@
     }
 }
 
-/// A `OwnerBench` is an owner with its own clock.
+/// An `OwnerBench` is a shard owner with a virtual clock.
 pub struct OwnerBench {
     pub owner: ShardOwner,
     pub now: Moment,
@@ -217,11 +219,11 @@
         self.event(OwnerEvent::Tick)
     }
 
-    /// Ask and get the permit that comes at once.
+    /// Send a permit request and get the permit that is granted immediately.
     pub fn granted(&mut self, ask: &Ask) -> Permit {
         let actions = self.ask(ask);
         let permits = permits(&actions);
-        assert_eq!(permits.len(), 1, "one permit at once, not {actions:?}");
+        assert_eq!(permits.len(), 1, "expected one permit, got {actions:?}");
         permits[0].clone()
     }
 
@@ -244,14 +246,14 @@
     })
 }
 
-/// Get the numbers of the requests that got a permit, in order.
+/// Get the sequence numbers of the requests that were granted a permit, in order.
 pub fn granted_requests(actions: &[OwnerAction]) -> Vec<u64> {
     let permits = permits(actions);
     let numbers = permits.iter().map(|permit| permit.attempt.request.sequence);
     numbers.collect()
 }
 
-/// A `SeenRefusal` is a refusal among actions.
+/// A `SeenRefusal` is the content of a refusal reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SeenRefusal {
     pub request: u64,
@@ -260,7 +262,7 @@
 }
 
 impl SeenRefusal {
-    /// Get whether the request was refused for want of room.
+    /// Get whether the request was refused for lack of capacity.
     pub fn is_shed(&self) -> bool {
         use RefusalReason::{Overloaded, ShedForHigherTier};
         matches!(self.reason, Overloaded | ShedForHigherTier)
@@ -283,7 +285,7 @@
     })
 }
 
-/// Get the permits that are to be stopped.
+/// Get the permits that are preempted.
 pub fn preempted(actions: &[OwnerAction]) -> Vec<PermitId> {
     filter_replies(actions, |reply| match reply {
         OwnerReply::Preempt { permit, .. } => Some(permit),
--- a/bergamotswitch-core/tests/owner_choice.rs
+++ b/bergamotswitch-core/tests/owner_choice.rs
@@ -1,4 +1,5 @@
-//! Tests of who owns a shard, who watches whom, and what that costs.
+//! Tests which host owns a shard, which hosts monitor each other, and the number
+//! of heartbeats.
 
 mod fleet;
 
@@ -54,9 +55,8 @@
 
 #[test]
 fn owners_stand_near() {
-    // Symptom: at 380 hosts more than half of all asks cross a region's border.
-    // Events: a pool is sharded by failure domain, each host asks in its own.
-    // Cause: a shard's candidates were ranked over all hosts alike.
+    // Guards against owners outside the failure domain of their shard, which make
+    // most permit requests cross regions.
     let of_domain = |index: usize| PoolShard {
         domain: Some(entry(index).domain),
         ..shard(0)
@@ -69,8 +69,8 @@
         let near = (domain..40).step_by(8).any(|index| owners == [host(index)]);
         assert!(near, "{shard} is owned by {owners:?}");
     }
-    // The last candidate stands elsewhere: a rack may hold all entry hosts of
-    // a domain, whose targets go on.
+    // The last candidate is in another domain, because all entry hosts of a domain
+    // may fail together while its targets still work.
     for index in (0..40).step_by(8) {
         fleet.kill(&host(index));
     }
@@ -80,9 +80,8 @@
 
 #[test]
 fn denial_moves_on() {
-    // Symptom: a host's asks go on to a candidate that turns them down.
-    // Events: the candidate's own list is older, so it does not act and says so.
-    // Cause: a reachable candidate was taken for an acting one.
+    // Guards against permit requests sent to a reachable candidate that has replied
+    // that it isn't the owner, because its host list is older.
     let shards = [shard(0)];
     let mut fleet = Fleet::start(8, &shards);
     let order = ranked(8, 0);
@@ -99,9 +98,8 @@
 
 #[test]
 fn no_candidate() {
-    // Symptom: a host waits forever for an owner.
-    // Events: all candidates of the shard die while the host list still has them.
-    // Cause: the host never says that nobody owns the shard.
+    // Guards against a host that waits forever for an owner after all candidates
+    // of the shard have failed while the host list still contains them.
     let mut fleet = Fleet::start(6, &[shard(0)]);
     let order = ranked(6, 0);
     fleet.tell(&order[4], MembershipEvent::Using(shard(0), true));
@@ -112,7 +110,7 @@
     fleet.run(secs(7));
     assert_eq!(fleet.view(&order[4], &shard(0)), None);
     assert!(fleet.nodes[&order[4]].owner_changes >= 2);
-    // The list catches up: the next three are candidates.
+    // Once the list is updated, the next three hosts are the candidates.
     let left: Vec<_> = (0..6).filter(|i| !order[..3].contains(&host(*i))).collect();
     fleet.tell_all(MembershipEvent::Hosts(list(left)));
     fleet.run(secs(5));
@@ -128,7 +126,8 @@
     received_most: f64,
 }
 
-/// Let each host use up to nine shards and measure six settled seconds.
+/// Let each host use up to nine shards, and measure six seconds after
+/// convergence.
 fn measure(hosts: usize, shard_count: usize) -> Cost {
     let shards: Vec<_> = (0..shard_count).map(shard).collect();
     let mut fleet = Fleet::start(hosts, &shards);
@@ -157,13 +156,14 @@
 
 #[test]
 fn watch_cost() {
-    println!("hosts shards watched(mean,most) heartbeats/s(sent mean, received most)");
+    println!("hosts shards monitored(mean,max) heartbeats/s(sent mean, received max)");
     for shards in [2, 9, 72] {
         for hosts in [8, 32, 128, 380] {
             let cost = measure(hosts, shards);
             println!("{hosts:5} {shards:6} {cost:?}");
-            // At most the other hosts; nine used shards and those where the
-            // host is itself a candidate, which get fewer as hosts are added.
+            // A host monitors the candidates of its nine used shards and of the
+            // shards where it is a candidate itself; the latter get fewer as hosts
+            // are added.
             assert!(cost.watched_most < hosts.min(40), "{cost:?}");
             assert!(cost.sent_mean <= 50.0, "{cost:?}");
             assert!(cost.received_most <= 100.0, "{cost:?}");
--- a/bergamotswitch-core/tests/owner_failover.rs
+++ b/bergamotswitch-core/tests/owner_failover.rs
@@ -1,4 +1,4 @@
-//! Tests what an owner does when hosts, owners and messages are lost.
+//! Tests how a shard owner handles the loss of hosts, owners and messages.
 
 mod owner_bench;
 
@@ -30,9 +30,8 @@
 
 #[test]
 fn key_held() {
-    // Symptom: an alert goes out twice.
-    // Events: a caller retries at a second host without its incarnation.
-    // Cause guarded against: the second host sees a new request.
+    // Guards against a second run when a caller retries at another host without
+    // naming the incarnation that holds its request.
     let mut bench = keyed_bench();
     let holder = run_of("entry", 7);
     let first = with_claim(ask(1, 0, "a"), 5, holder.clone(), false);
@@ -44,14 +43,18 @@
     };
     assert_eq!(replies(&bench.ask(&second)), std::slice::from_ref(&known));
     bench.release(&permit, ReleaseOutcome::Finished(usage(first.cost, 100)));
-    assert_eq!(replies(&bench.ask(&second)), [known], "also when it ended");
+    assert_eq!(
+        replies(&bench.ask(&second)),
+        [known],
+        "also after the attempt ended"
+    );
     let own = with_claim(ask(3, 0, "a"), 5, holder, true);
     bench.granted(&own);
 }
 
 #[test]
 fn refused_key() {
-    // A key whose only ask was shed was not run; it may run elsewhere.
+    // A key is freed if its only permit request was shed, because it hasn't run.
     let opts = OwnerOptions::default().with_max_requests(1);
     let mut bench = OwnerBench::with_targets(opts, &[target("a", "d", 100)]);
     let permit = bench.granted(&ask(0, 0, "a"));
@@ -64,10 +67,8 @@
 
 #[test]
 fn withdrawn_twin() {
-    // Symptom: a keyed request gets permits at two hosts.
-    // Events: two attempts of it wait, one is withdrawn, another host asks
-    // for the same key, a slot frees.
-    // Cause guarded against: the key freed with the first of its asks.
+    // Guards against permits for one key at two hosts: withdrawing one of two
+    // queued attempts must not free the key.
     let mut bench = OwnerBench::with_targets(OwnerOptions::default(), &[target("a", "d", 100)]);
     let permit = bench.granted(&ask(0, 0, "a"));
     let holder = run_of("entry", 7);
@@ -85,9 +86,8 @@
 
 #[test]
 fn takeover_blindness() {
-    // Symptom: a resubmission runs again after its owner died.
-    // Events: the owner and the holder die, the caller retries at once.
-    // Cause guarded against: an empty table read as "never seen".
+    // Guards against a second run after the owner and the key's holder have failed:
+    // a new owner's empty key table doesn't mean that the key is new.
     let mut bench = keyed_bench();
     let again = with_claim(ask(1, 0, "a"), 5, run_of("entry", 7), true);
     let refused = refusals(&bench.ask(&again));
@@ -106,9 +106,8 @@
 
 #[test]
 fn key_bound() {
-    // Symptom: memory grows with every key, or a dropped key runs twice.
-    // Events: more keys than the table holds, then a resubmission.
-    // Cause guarded against: a table that forgets without knowing it.
+    // Guards against an unbounded key table, and against a second run of a key that
+    // was evicted from it.
     let opts = OwnerOptions::default()
         .with_key_retention(RETENTION)
         .with_max_keys(10);
@@ -126,9 +125,8 @@
 
 #[test]
 fn retold_work() {
-    // Symptom: a new owner fills targets that are full already.
-    // Events: the owner dies, entry hosts tell the next one what they hold.
-    // Cause guarded against: a count that starts at zero.
+    // Guards against overloaded targets after a failover: the new owner must count
+    // the permits that entry hosts report in a resync.
     let mut old = OwnerBench::with_targets(OwnerOptions::default(), &[target("a", "d", 100)]);
     let first = ask(1, 1, "a");
     let permit = old.granted(&first);
@@ -152,7 +150,7 @@
 
 #[test]
 fn early_ask() {
-    // An ask before the first list of targets waits; nothing can be said yet.
+    // A permit request that arrives before the first target list is queued.
     let mut bench = OwnerBench::new(OwnerOptions::default());
     assert!(bench.ask(&ask(1, 1, "a")).is_empty());
     let actions = bench.event(OwnerEvent::Targets(vec![target("a", "d", 100)]));
@@ -175,10 +173,9 @@
 
 #[test]
 fn lost_release() {
-    // Symptom: a target loses a slot for good.
-    // Events: a release is lost with its link; the holder is asked later.
-    // Cause guarded against: slots that only a release frees. A timer must
-    // not free them either: the work may go on.
+    // Guards against a slot that is never freed after its release was lost: the
+    // owner audits the holder. A timer must not free the slot, because the attempt
+    // may still be running.
     let opts = OwnerOptions::default().with_audit_after(Duration::from_secs(30));
     let mut bench = OwnerBench::with_targets(opts, &[target("a", "d", 100)]);
     let permit = bench.granted(&ask(1, 1, "a"));
@@ -189,7 +186,7 @@
     };
     assert_eq!(replies(&bench.tick_after(1)), std::slice::from_ref(&audit));
     assert_eq!(replies(&bench.tick_after(30_000)), [audit]);
-    assert_eq!(bench.view().in_flight, 1, "no timer frees it");
+    assert_eq!(bench.view().in_flight, 1, "not freed by a timer");
     bench.ask(&ask(2, 1, "a"));
     let answer = not_held(vec![permit.id]);
     let stranger = OwnerEvent::Message(named("other"), answer.clone());
@@ -210,11 +207,10 @@
     assert_eq!(replies, [OwnerReply::NotOwner { shard }]);
 }
 
-// Symptom: targets that work get nothing for seconds after a partition. Events:
-// a host that orders the shard beside the owner cannot reach some targets; the
-// partition heals, and it tells the owner that these fail. Cause guarded
-// against: a report believed against what the owner sees itself, of a run that
-// is over, or of most targets.
+// Guards against backing off working targets when another owner reports failed
+// targets after a partition: the report is ignored for targets that have
+// completed a run for this owner, for an earlier process of a target, and for more
+// than half of the targets.
 #[test]
 fn failure_reports() {
     let mut targets = ["a", "b", "c", "d", "e"].map(|name| target(name, "d", 10_000));
@@ -241,10 +237,8 @@
 
 #[test]
 fn lost_releases() {
-    // Symptom: an owner that has slept grants nothing for half a minute.
-    // Events: its permits end while it sleeps, their releases are lost with the
-    // links; the entry host follows the next owner, then this one again.
-    // Cause: the permits stood until their audit came in its turn.
+    // Guards against slots that stay occupied until the next regular audit after
+    // the owner was paused and releases were lost: a resync starts an audit.
     let mut bench = OwnerBench::with_targets(OwnerOptions::default(), &[target("a", "d", 100)]);
     let permit = bench.granted(&ask(1, 0, "a"));
     bench.tick_after(6_000);
@@ -258,8 +252,8 @@
     assert_eq!(granted_requests(&actions), [2]);
 }
 
-// Guards against a second run under a key that the owner still holds for a copy
-// that was not run.
+// Guards against a second run under a key that the owner has assigned to an
+// attempt that was not run.
 #[test]
 fn told_key() {
     let unrun = [
@@ -279,8 +273,8 @@
     }
 }
 
-// Guards against a second run by an ask that waits while another host tells that
-// it has run the request.
+// Guards against a second run by a queued request while another host reports in a
+// resync that it has run the request.
 #[test]
 fn told_waiting() {
     let mut bench = OwnerBench::with_targets(OwnerOptions::default(), &[target("a", "d", 100)]);
--- a/bergamotswitch-core/tests/owner_invariants.rs
+++ b/bergamotswitch-core/tests/owner_invariants.rs
@@ -1,4 +1,5 @@
-//! Tests a shard's owner on random events against a model that only counts.
+//! Tests a shard owner on random events against a reference model that only counts
+//! requests and permits.
 
 mod owner_bench;
 
@@ -11,7 +12,7 @@
 const DOMAINS: [&str; 2] = ["north", "south"];
 const TARGETS: [&str; 4] = ["p", "q", "r", "s"];
 
-/// An `AskDraw` is what is drawn of an ask.
+/// An `AskDraw` is the random part of a permit request.
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 struct AskDraw {
     run: u8,
@@ -24,7 +25,7 @@
     again: bool,
 }
 
-/// An `OwnerTurn` is an ask and some other event.
+/// An `OwnerTurn` is a permit request followed by another random event.
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 struct OwnerTurn {
     ask: AskDraw,
@@ -47,13 +48,13 @@
     NotHeld(u8),
 }
 
-/// A `HeldPermit` is a permit as the model knows it.
+/// A `HeldPermit` is a granted permit in the model.
 struct HeldPermit {
     permit: Permit,
     tokens: u64,
 }
 
-/// An `OwnerModel` is what any right owner must agree with.
+/// An `OwnerModel` is the reference model, with which any correct owner agrees.
 #[derive(Default)]
 struct OwnerModel {
     waiting: BTreeMap<AttemptId, (Ask, Moment)>,
@@ -65,14 +66,14 @@
 }
 
 impl OwnerModel {
-    /// Check the replies against what was asked.
+    /// Check the replies and apply them to the model.
     fn take(&mut self, actions: &[OwnerAction]) {
         for reply in replies(actions) {
             match reply {
                 OwnerReply::Granted { permit, .. } => self.take_permit(permit),
                 OwnerReply::Refused { attempt, .. } | OwnerReply::KeyHeld { attempt, .. } => {
                     let known = self.waiting.remove(&attempt);
-                    assert!(known.is_some(), "an answer to no waiting ask");
+                    assert!(known.is_some(), "reply without a queued request");
                     self.answered += 1;
                 }
                 _ => {}
@@ -82,10 +83,13 @@
 
     fn take_permit(&mut self, permit: Permit) {
         if let Some(held) = self.held.get(&permit.id) {
-            assert_eq!(held.permit, permit, "the same permit again");
+            assert_eq!(held.permit, permit, "the same permit is granted again");
             return;
         }
-        let (ask, _) = self.waiting.remove(&permit.attempt).expect("it waits");
+        let (ask, _) = self
+            .waiting
+            .remove(&permit.attempt)
+            .expect("a queued request");
         let mut targets = self.published.iter();
         let target = targets.find(|target| target.name == permit.target);
         let target = target.expect("a published target");
@@ -93,14 +97,14 @@
         if let Some(claim) = &ask.claim {
             let holder = claim.holder.incarnation;
             let runner = *self.runners.entry(claim.key).or_insert(holder);
-            assert_eq!(runner, holder, "two runs hold one key");
+            assert_eq!(runner, holder, "two incarnations hold one key");
         }
         let tokens = ask.cost.total();
         self.held.insert(permit.id, HeldPermit { permit, tokens });
         self.answered += 1;
     }
 
-    /// Check the owner's counts, and that nothing waits without a cause.
+    /// Check the owner's counts, and that nothing is queued or shed needlessly.
     fn check(&self, bench: &OwnerBench, actions: &[OwnerAction]) {
         let view = bench.view();
         let queued: usize = view.queued.iter().map(|tier| tier.asks).sum();
@@ -114,13 +118,13 @@
         }
         let mut waiting = self.waiting.values();
         let late = waiting.any(|(_, deadline)| *deadline <= bench.now);
-        assert!(!late, "an ask outlived its deadline");
+        assert!(!late, "a request is queued past its deadline");
         self.check_idle(bench);
         let shed = refusals(actions).iter().any(SeenRefusal::is_shed);
-        assert!(!shed || queued > 0, "shed although nothing else waits");
+        assert!(!shed || queued > 0, "shed although nothing else is queued");
     }
 
-    /// Nothing may wait while every target is idle and healthy.
+    /// Check that nothing is queued while every target is idle and healthy.
     fn check_idle(&self, bench: &OwnerBench) {
         let recent = |at: Moment| bench.now.since(at).as_millis() < 100;
         let paused = self.refused_at.is_some_and(recent);
@@ -129,7 +133,10 @@
         let is_idle = |target: &TargetView| target.permits == 0 && !target.backed_off;
         let idle = live.clone().all(is_idle);
         if !paused && idle && live.count() > 0 {
-            assert!(self.waiting.is_empty(), "work waits for idle targets");
+            assert!(
+                self.waiting.is_empty(),
+                "requests are queued although all targets are idle"
+            );
         }
     }
 
@@ -140,7 +147,7 @@
     }
 }
 
-/// Get the ask of a draw.
+/// Get the permit request of a draw.
 fn ask_of(number: u64, draw: AskDraw) -> Ask {
     let run = u128::from(draw.run % 3);
     let mut ask = ask(
@@ -167,7 +174,7 @@
     ask
 }
 
-/// Get the event of a step, and tell the model of it.
+/// Get the event of a step, and apply it to the model.
 fn event_of(model: &mut OwnerModel, now: Moment, number: u64, step: OwnerStep) -> OwnerEvent {
     let from_entry = |message| OwnerEvent::Message(named("entry"), message);
     let place_of = |place: u8, count: usize| usize::from(place) % count.max(1);
@@ -265,7 +272,7 @@
     targets.collect()
 }
 
-/// A `OwnerRun` is an owner and its model.
+/// An `OwnerRun` is an owner under test and its model.
 struct OwnerRun {
     bench: OwnerBench,
     model: OwnerModel,
@@ -305,7 +312,7 @@
     run.model.answered
 }
 
-/// What was shed is of a tier no higher than any ask that is kept.
+/// Check that no request was shed in favor of one of a lower tier.
 fn check_shed_order(model: &OwnerModel, before: &[Ask], actions: &[OwnerAction]) {
     for refusal in refusals(actions) {
         let mut asks = before.iter();
@@ -327,6 +334,6 @@
         answered.fetch_add(run_turns(turns), Ordering::Relaxed);
     });
     let answered = answered.into_inner();
-    println!("{answered} asks answered");
-    assert!(answered > 50_000, "{answered} asks answered");
+    println!("{answered} permit requests answered");
+    assert!(answered > 50_000, "{answered} permit requests answered");
 }
--- a/bergamotswitch-core/tests/owner_routing.rs
+++ b/bergamotswitch-core/tests/owner_routing.rs
@@ -1,4 +1,5 @@
-//! Tests the choice of targets, their limits and the back-off from them.
+//! Tests how a shard owner chooses targets, limits their load and backs off from
+//! failing ones.
 
 mod owner_bench;
 
@@ -15,7 +16,7 @@
     ReleaseOutcome::Finished(usage(cost, elapsed_ms))
 }
 
-/// Run one ask on the only target at `speed` tokens per second.
+/// Run one request on the only target at `speed` tokens per second.
 fn run_once(bench: &mut OwnerBench, request: u64, speed: u32) {
     let ask = with_cost(ask(request, 1, "a"), 500, 500);
     let permit = bench.granted(&ask);
@@ -24,7 +25,7 @@
     bench.release(&permit, finished(ask.cost, elapsed_ms));
 }
 
-/// Run asks of these numbers, one after another.
+/// Run the requests with these sequence numbers, one after another.
 fn run_each(bench: &mut OwnerBench, requests: std::ops::Range<u64>, speed: u32) {
     for request in requests {
         run_once(bench, request, speed);
@@ -46,14 +47,17 @@
     let chosen: Vec<Permit> = (0..8).map(|n| bench.granted(&ask(n, 1, "a"))).collect();
     let names = chosen.iter().map(|permit| permit.target.as_str());
     let swift = names.filter(|name| *name == "swift");
-    assert_eq!(swift.count(), 6, "three quarters or so go to the faster");
+    assert_eq!(
+        swift.count(),
+        6,
+        "about three quarters go to the faster target"
+    );
 }
 
 #[test]
 fn tenfold_slowdown() {
-    // Symptom: work keeps going to an engine that became ten times slower.
-    // Events: the engine slows, answers go on, later it recovers.
-    // Cause guarded against: an average over a long past.
+    // Guards against speed estimates averaged over too long a time, which keep
+    // sending requests to a target that has become ten times slower.
     let mut bench = bench_of(&[target("t", "d", 10_000)]);
     for (start, speed) in [(0, 1000), (100, 100), (200, 1000)] {
         run_each(&mut bench, start..start + 4, speed);
@@ -65,11 +69,9 @@
 
 #[test]
 fn mixed_lengths() {
-    // Symptom: routing takes a loaded engine for a very fast one.
-    // Events: ten long streams run; short ones beside them end soon, since
-    // the engine serves its batch in turn at 1000 tokens per second.
-    // Cause guarded against: a sample that counts all of the long streams as
-    // served while a short one ran.
+    // Guards against overestimating the speed of a loaded target: a sample of a
+    // short request must not count the whole cost of the long ones that run beside
+    // it.
     let mut bench = bench_of(&[target("a", "d", 200_000)]);
     for request in 0..10 {
         bench.granted(&with_cost(ask(request, 1, "a"), 5_000, 5_000));
@@ -86,10 +88,8 @@
 
 #[test]
 fn stalled_engine() {
-    // Symptom: asks pile up on an engine that ends nothing.
-    // Events: the faster of two engines stalls; the slower one, at 200 tokens
-    // per second, is offered more than it can do.
-    // Cause guarded against: only ended work tells of an engine's speed.
+    // Guards against requests that pile up on a stalled target because its speed is
+    // only updated when requests finish.
     let mut slow = target("b", "d", 100_000);
     slow.expected_speed = 200;
     let mut bench = bench_of(&[target("a", "d", 100_000), slow]);
@@ -100,7 +100,7 @@
         let ask = ask(request, 1, "a");
         let mut actions = bench.ask(&ask);
         actions.extend(bench.tick_after(100));
-        // The slower engine works off one request in half a second.
+        // The slower target completes one request every half second.
         let begun = match request % 5 {
             4 => on_slow.pop_front(),
             _ => None,
@@ -117,15 +117,14 @@
             }
         }
     }
-    assert!(stuck <= 20, "{stuck} of 200 went to the stalled engine");
-    assert!(done >= 35, "the other engine works on: {done} of 40");
+    assert!(stuck <= 20, "{stuck} of 200 went to the stalled target");
+    assert!(done >= 35, "the other target completed {done} of 40");
 }
 
 #[test]
 fn slow_recovery() {
-    // Symptom: an engine that recovered stays idle.
-    // Events: one of two slows, its work moves away, it recovers unseen.
-    // Cause guarded against: no work, so no measurement, so no work.
+    // Guards against a recovered target that stays idle: without requests its speed
+    // isn't measured, so the estimate must recover with time.
     let mut bench = bench_of(&[target("a", "d", 100_000)]);
     run_each(&mut bench, 0..4, 100);
     let before = bench.target_view("a").speed;
@@ -145,7 +144,7 @@
     bench.granted(&ask(3, 1, "other"));
     let second = bench.granted(&next);
     assert_eq!(second.target, first.target);
-    // A late cache event says that it is gone: the hint counts no more.
+    // A late cache event reports the eviction, so the hint is removed.
     let outcome = finished(next.cost, 900);
     bench.release(&second, outcome);
     bench.granted(&with_cost(ask(4, 1, "other"), 100, 100));
@@ -158,7 +157,7 @@
 
 #[test]
 fn unused_prefix() {
-    // A hint learned for work that never came to the target is dropped.
+    // The hint of a request that never reached the target is removed.
     let mut bench = bench_of(&[target("a", "d", 10_000)]);
     let permit = bench.granted(&with_prefixes(ask(1, 1, "a"), &[11, 12]));
     assert_eq!(bench.view().prefixes, 2);
@@ -168,9 +167,8 @@
 
 #[test]
 fn useless_cache() {
-    // Symptom: requests queue on one engine for a cache that saves nothing.
-    // Events: an engine with a tiny cache gets the same prompt again.
-    // Cause guarded against: hints that no measurement corrects.
+    // Guards against requests queued on one target for a prefix cache that is too
+    // small to save anything: the measured hit ratio must correct the hints.
     let mut bench = bench_of(&[target("a", "d", 100_000), target("b", "d", 100_000)]);
     let log = with_cost(with_prefixes(ask(0, 1, "a"), &[11]), 1_000, 10);
     let mut next = 0;
@@ -192,14 +190,13 @@
     for _ in 0..10 {
         spread += usize::from(!together(&mut bench));
     }
-    assert!(spread >= 8, "{spread} of 10 pairs used both engines");
+    assert!(spread >= 8, "{spread} of 10 pairs used both targets");
 }
 
 #[test]
 fn risked_probe() {
-    // Symptom: an alert that must not run twice is lost to a broken target.
-    // Events: a target is backed off, its probe is due, a keyed ask comes.
-    // Cause guarded against: any request taken as the probe.
+    // Guards against requests that must not run twice being used to probe a failing
+    // target.
     let mut bench = bench_of(&[target("a", "d", 10_000), target("b", "d", 10_000)]);
     let first = bench.granted(&ask(1, 1, "a"));
     assert_eq!(first.target.as_str(), "a");
@@ -217,10 +214,8 @@
 
 #[test]
 fn spared_probe() {
-    // Symptom: a request is sent to three dead targets within some ms and given
-    // up, beside live ones. Events: targets fail together and are due for a
-    // probe together; one request meets them one after the other.
-    // Cause: what had failed already could be the next probe.
+    // Guards against one request that uses up its retries as the probe of several
+    // failed targets while others work.
     let dead = [target("a", "d", 10_000), target("b", "d", 10_000)];
     let live = ["c", "d", "e"].map(|name| target(name, "d", 10_000));
     let mut bench = bench_of(&[&dead[..], &live[..]].concat());
@@ -229,7 +224,7 @@
         assert_eq!(permit.target, dead.name);
         bench.release(&permit, ReleaseOutcome::Unreachable);
     }
-    // Long enough for a probe by any request, too.
+    // Probes by any request are also due by then.
     bench.tick_after(10_000);
     let probe = bench.granted(&ask(10, 1, "a"));
     assert_eq!(probe.target.as_str(), "a");
@@ -242,9 +237,8 @@
 
 #[test]
 fn all_failing() {
-    // Symptom: a pool stays dead after its only target came back.
-    // Events: the target cannot be reached, then answers again.
-    // Cause guarded against: a back-off that nothing ends.
+    // Guards against a backoff that never ends when the only target of a pool has
+    // recovered.
     let mut bench = bench_of(&[target("a", "d", 10_000)]);
     let first = bench.granted(&ask(1, 0, "a"));
     bench.release(&first, ReleaseOutcome::Unreachable);
@@ -260,9 +254,8 @@
 
 #[test]
 fn two_owners() {
-    // Symptom: two owners fill a target twice for as long as both act.
-    // Events: a partition leaves two owners; the target reports its load.
-    // Cause guarded against: an own count that ignores all others.
+    // Guards against a target that two owners overload during a partition: each
+    // must take the load reported by the target into account.
     let pair = [0, 1].map(|_| bench_of(&[target("a", "d", 1_000)]));
     let mut held: [Vec<Permit>; 2] = [Vec::new(), Vec::new()];
     let mut pair = pair;
@@ -290,9 +283,8 @@
 
 #[test]
 fn allowed_domains() {
-    // Symptom: a request runs in a failure domain that its rule rules out.
-    // Events: the only targets of the named domain leave.
-    // Cause guarded against: a wider search when nothing matches.
+    // Guards against requests sent outside the failure domains that their rule
+    // allows when these have no target left.
     let targets = [target("a", "north", 10_000), target("b", "south", 10_000)];
     let mut bench = bench_of(&targets);
     let mut north = with_domain(ask(1, 1, "a"), "north");
@@ -301,7 +293,11 @@
     north.attempt = attempt_of(ENTRY_RUN, 2);
     let refused = refusals(&bench.ask(&north));
     assert_eq!(refused[0].reason, RefusalReason::NoTarget);
-    assert_eq!(bench.target_view("a").permits, 1, "in flight stays counted");
+    assert_eq!(
+        bench.target_view("a").permits,
+        1,
+        "requests in flight are still counted"
+    );
 }
 
 #[test]
@@ -314,14 +310,17 @@
     bench.event(OwnerEvent::Targets(vec![targets[1].clone()]));
     assert_eq!(first.target.as_str(), "a");
     assert!(permits(&bench.release(&first, ReleaseOutcome::Unused)).is_empty());
-    assert_eq!(bench.view().targets.len(), 1, "gone with its last permit");
+    assert_eq!(
+        bench.view().targets.len(),
+        1,
+        "removed with its last permit"
+    );
 }
 
 #[test]
 fn blocked_domain() {
-    // Symptom: idle targets while asks wait behind a full failure domain.
-    // Events: many asks for the full domain, then one for the other.
-    // Cause guarded against: one line for all placements.
+    // Guards against requests for a full failure domain that block those for
+    // others.
     let mut bench = bench_of(&[target("a", "north", 100), target("b", "south", 100)]);
     for request in 0..300 {
         let north = with_domain(ask(request, 0, "a"), "north");
@@ -333,9 +332,8 @@
 
 #[test]
 fn room_for_short() {
-    // Symptom: a status lookup waits behind long logs on every target.
-    // Events: long logs, a hundred times the usual cost, ask without end.
-    // Cause guarded against: limits that long work may fill to the brim.
+    // Guards against long requests that occupy the whole capacity, so that short
+    // ones have to wait for their end on every target.
     let targets = [target("a", "d", 20_000), target("b", "d", 20_000)];
     let mut bench = bench_of(&targets);
     for request in 0..16 {
@@ -370,17 +368,14 @@
     run_each(&mut bench, 50..80, 1000);
     let regrown = bench.target_view("a").limit;
     assert!(shrunk <= 4_000, "{shrunk}");
-    assert!(shrunk >= 1_000, "the floor holds: {shrunk}");
+    assert!(shrunk >= 1_000, "below the minimum limit: {shrunk}");
     assert_eq!(regrown, 16_000);
 }
 
 #[test]
 fn short_answer_pace() {
-    // Symptom: half of the work is shed at 0.7 of the capacity.
-    // Events: tags of three output tokens end between reports; the time for
-    // each of their tokens, prompt included, is a hundredth of a report's.
-    // Cause guarded against: that time as the best pace, so that the limit of
-    // a healthy target falls to its floor.
+    // Guards against the limit of a healthy target falling to its minimum because
+    // the time per token of very short answers is used as the best one.
     let mut bench = bench_of(&[target("a", "d", 16_000)]);
     for request in 0..20 {
         let tag = with_cost(ask(2 * request, 1, "a"), 250, 3);
@@ -393,9 +388,8 @@
 
 #[test]
 fn failing_target() {
-    // Symptom: a target that fails at once gets every request.
-    // Events: one of three targets refuses connections, asks come steadily.
-    // Cause guarded against: an error takes no time, so it looks fastest.
+    // Guards against a target that gets every request because it fails immediately
+    // and so appears to be the fastest.
     let names = ["a", "b", "c"];
     let targets = names.map(|name| target(name, "d", 10_000));
     let mut bench = bench_of(&targets);
@@ -422,15 +416,14 @@
         found |= permit.target.as_str() == "a";
         bench.release(&permit, finished(ask.cost, 100));
     }
-    assert!(found, "a probe found it working again");
+    assert!(found, "no probe found that the target has recovered");
     assert!(!bench.target_view("a").backed_off);
 }
 
 #[test]
 fn bad_requests() {
-    // Symptom: the whole pool stops for one client account's bad requests.
-    // Events: each of its requests ends in an error on every target.
-    // Cause guarded against: errors count against the target alone.
+    // Guards against backing off most targets of a pool because of one client
+    // account's bad requests, which fail on every target.
     let names = ["a", "b", "c", "e"];
     let targets = names.map(|name| target(name, "d", 10_000));
     let mut bench = bench_of(&targets);
@@ -459,11 +452,8 @@
 
 #[test]
 fn batch_size() {
-    // Symptom: a dawn report waits three seconds for its first token although
-    // the owner's queue is empty.
-    // Events: the tokens of a hundred requests fit, the batch holds four; the
-    // report is sent and queues inside the engine behind all of them.
-    // Cause guarded against: no limit but the one in tokens.
+    // Guards against requests queued inside a target that has capacity in tokens
+    // but whose batch is full.
     let mut bench = bench_of(&[target("a", "d", 100_000)]);
     let mut held: Vec<Permit> = (0..8).map(|n| bench.granted(&ask(n, 1, "a"))).collect();
     let mut report = load_report(4, 4, 800, 0);
@@ -475,18 +465,28 @@
     }
     let permit = held.pop().expect("a permit");
     let actions = bench.release(&permit, ReleaseOutcome::Unused);
-    assert_eq!(granted_requests(&actions), [10], "one waits in reserve");
+    assert_eq!(
+        granted_requests(&actions),
+        [10],
+        "one request is queued at the target"
+    );
     report.waiting = 0;
     bench.event(OwnerEvent::Load(named("a"), report));
-    assert_eq!(permits(&bench.ask(&ask(11, 1, "a"))).len(), 1, "it grows");
-    assert!(permits(&bench.ask(&ask(12, 1, "a"))).is_empty(), "by one");
+    assert_eq!(
+        permits(&bench.ask(&ask(11, 1, "a"))).len(),
+        1,
+        "the limit increases"
+    );
+    assert!(
+        permits(&bench.ask(&ask(12, 1, "a"))).is_empty(),
+        "by one only"
+    );
 }
 
 #[test]
 fn old_report() {
-    // Symptom: work that ended since is taken for another owner's.
-    // Events: two seconds old, a report counts what this owner held then.
-    // Cause guarded against: comparing an old report with today's count.
+    // Guards against attributing requests that ended after a load report was made
+    // to another owner: a report is compared with the load at its own time.
     let mut bench = bench_of(&[target("a", "d", 10_000)]);
     let permit = bench.granted(&with_cost(ask(1, 1, "a"), 500, 500));
     bench.tick_after(1_000);
@@ -500,5 +500,5 @@
     bench.event(OwnerEvent::Load(named("a"), report));
     assert_eq!(bench.target_view("a").foreign_tokens, 5_000);
     bench.tick_after(20_000);
-    assert!(bench.target_view("a").foreign_tokens < 10, "it fades");
+    assert!(bench.target_view("a").foreign_tokens < 10, "it decays");
 }
--- a/bergamotswitch-core/tests/queue_differential.rs
+++ b/bergamotswitch-core/tests/queue_differential.rs
@@ -1,5 +1,5 @@
-//! Tests the queue and the router against naive versions that look at every
-//! ask and every target each time.
+//! Tests the queue and the router against reference implementations that scan
+//! every request and every target.
 
 mod owner_bench;
 
@@ -19,14 +19,14 @@
 
 const SCALE: u128 = 1 << 20;
 
-/// A `NaiveAccount` is an account's place in virtual time.
+/// A `NaiveAccount` is an account's fair queuing state.
 #[derive(Clone, Copy, Default)]
 struct NaiveAccount {
     start: u128,
     share: u128,
 }
 
-/// A `NaiveQueue` is the queue as a plain list.
+/// A `NaiveQueue` is the reference queue, a plain list.
 #[derive(Default)]
 struct NaiveQueue {
     asks: Vec<QueuedRequest>,
@@ -34,7 +34,7 @@
     accounts: BTreeMap<(Tier, String), NaiveAccount>,
 }
 
-/// Get the plan of an ask without an aim.
+/// Get the wait plan of a request without a time-to-first-token limit.
 fn plan_until(deadline: Moment) -> WaitPlan {
     WaitPlan {
         on_time_until: Moment::NEVER,
@@ -103,7 +103,7 @@
         let queued = self.asks.remove(place);
         let key = account_of(&queued);
         let clock = self.clocks.entry(key.0).or_default();
-        let account = self.accounts.get_mut(&key).expect("it asked");
+        let account = self.accounts.get_mut(&key).expect("a known account");
         if served {
             *clock = (*clock).max(account.start);
             account.start += u128::from(queued.ask.cost.total()) * SCALE / account.share;
@@ -111,7 +111,7 @@
         if self.asks.iter().any(|queued| queued.ask.tier == key.0) {
             return;
         }
-        // Nobody of the tier waits: nobody is owed anything.
+        // The tier's queue is empty, so its accounts start anew.
         self.accounts.retain(|(tier, _), _| *tier != key.0);
         self.clocks.remove(&key.0);
     }
@@ -244,7 +244,7 @@
     Choose(RouteDraw),
 }
 
-/// A `TokenDraw` is what is drawn of tokens that come or go.
+/// A `TokenDraw` is the random part of a change of a target's tokens.
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 struct TokenDraw {
     target: u8,
@@ -252,7 +252,7 @@
     long: bool,
 }
 
-/// A `RouteDraw` is what is drawn of a choice.
+/// A `RouteDraw` is the random part of a route query.
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 struct RouteDraw {
     prefill: u16,
@@ -276,7 +276,7 @@
     named.collect()
 }
 
-/// Choose a target by the words of the rules alone: filter, then compare.
+/// Choose a target without shortcuts: filter all targets, then compare the rest.
 fn naive_choice(now: Moment, targets: &TargetSet, query: &RouteQuery<'_>) -> Option<String> {
     use bergamotswitch_core::pool_owner::back_off::ProbeAdmission;
     let mut allowed: Vec<&TargetLoad> = Vec::new();
@@ -329,8 +329,8 @@
     best.map(|(_, _, name)| name)
 }
 
-/// Run one step on the targets; compare where it chooses, and get whether it
-/// found a target.
+/// Run one step on the targets, compare the chosen target with the reference, and
+/// get whether one was found.
 fn step_targets(now: &mut Moment, targets: &mut TargetSet, number: u64, step: TargetStep) -> bool {
     let name = |index: u8| named(TARGETS[usize::from(index) % TARGETS.len()]);
     let permit = PermitId {
@@ -416,12 +416,12 @@
         }
     });
     let found = found.into_inner();
-    println!("{found} choices of a target");
-    assert!(found > 2_000, "{found} choices of a target");
+    println!("{found} targets chosen");
+    assert!(found > 2_000, "{found} targets chosen");
 }
 
-/// Get the shortest of some times that 200 asks and grants take while
-/// `waiting` asks are queued.
+/// Get the shortest measured time for 200 permit requests and grants while
+/// `waiting` requests are queued.
 fn grant_time(waiting: u64) -> Duration {
     let opts = OwnerOptions::default().with_max_wait(Duration::from_secs(1_000_000));
     let mut bench = OwnerBench::with_targets(opts, &[target("t", "d", 100)]);
@@ -446,10 +446,10 @@
 
 #[test]
 fn queue_slope() {
-    // A hundred times the queue: a walk over it would cost a hundred times
-    // as much. The bound is wide for busy machines.
+    // Scanning a queue that is a hundred times as long would take a hundred times
+    // as long. The bound allows for other load on the machine.
     let short = grant_time(100);
     let long = grant_time(10_000);
-    println!("200 asks and grants: {short:?} at 100 queued, {long:?} at 10,000");
+    println!("200 permit requests and grants: {short:?} at 100 queued, {long:?} at 10,000");
     assert!(long < short * 10, "{long:?} at 10,000, {short:?} at 100");
 }
--- a/bergamotswitch-core/tests/queue_order.rs
+++ b/bergamotswitch-core/tests/queue_order.rs
@@ -1,18 +1,18 @@
-//! Tests the order of a shard's queue, shedding and preemption.
+//! Tests the queue order, shedding and preemption of a shard owner.
 
 mod owner_bench;
 
 use owner_bench::*;
 
-/// Get an owner of one target that runs one ask of 100 tokens at a time, with
-/// ask 0 on it.
+/// Get an owner of one target that runs one request of 100 tokens at a time, and
+/// the permit of request 0, which runs on it.
 fn busy_bench(opts: OwnerOptions) -> (OwnerBench, Permit) {
     let mut bench = OwnerBench::with_targets(opts, &[target("t", "d", 100)]);
     let permit = bench.granted(&ask(0, 0, "filler"));
     (bench, permit)
 }
 
-/// Serve everything that is queued, one at a time; get the order.
+/// Serve all queued requests one at a time and get their order.
 fn order_of(bench: &mut OwnerBench, first: Permit) -> Vec<u64> {
     let mut order = Vec::new();
     let mut current = first;
@@ -46,9 +46,8 @@
 
 #[test]
 fn small_account() {
-    // Symptom: a small account waits behind the whole backlog of a large one.
-    // Events: the large account asks fifty times, then the small one once.
-    // Cause guarded against: order of arrival inside a tier.
+    // Guards against a small account that waits behind the whole backlog of a large
+    // one in the same tier.
     let (mut bench, first) = busy_bench(OwnerOptions::default());
     for request in 1..=50 {
         bench.ask(&ask(request, 1, "large"));
@@ -71,8 +70,11 @@
     let order = order_of(&mut bench, first);
     let heavy = order[..40].iter().filter(|request| **request < 200);
     let heavy = heavy.count();
-    assert!((29..=31).contains(&heavy), "three quarters, not {heavy}/40");
-    assert_eq!(order.len(), 80, "the unused share is used by the other");
+    assert!(
+        (29..=31).contains(&heavy),
+        "expected three quarters, got {heavy} of 40"
+    );
+    assert_eq!(order.len(), 80, "the other account uses the unused share");
 }
 
 #[test]
@@ -109,9 +111,8 @@
 
 #[test]
 fn tier_shedding() {
-    // Symptom: a dawn report is refused while bulk work waits.
-    // Events: bulk work fills the queue, then top-tier asks come.
-    // Cause guarded against: a full queue that refuses by order of arrival.
+    // Guards against refusing requests of a high tier because the queue is full of
+    // requests of a lower one.
     let opts = OwnerOptions::default().with_max_requests(3);
     let (mut bench, _first) = busy_bench(opts);
     for request in 1..=3 {
@@ -154,7 +155,7 @@
 
 #[test]
 fn truthful_retry() {
-    // 100 tokens in flight and 1000 queued at 1000 tokens per second.
+    // 100 tokens are in flight and 1000 are queued, at 1000 tokens per second.
     let opts = OwnerOptions::default().with_max_wait(Duration::from_secs(1));
     let (mut bench, _first) = busy_bench(opts);
     for request in 1..=10 {
@@ -168,11 +169,8 @@
 
 #[test]
 fn patient_logs() {
-    // Symptom: overnight logs that may wait four hours are shed in a burst of
-    // a minute.
-    // Events: forty seconds of logs wait, then work of use for five seconds
-    // comes behind them.
-    // Cause guarded against: one bound on the queue whatever the deadlines.
+    // Guards against shedding requests that may wait for hours: the queue limit must
+    // depend on the deadlines.
     let mut bench = OwnerBench::with_targets(OwnerOptions::default(), &[target("t", "d", 100)]);
     bench.granted(&ask(0, 5, "a"));
     for request in 1..=40 {
@@ -187,10 +185,8 @@
 
 #[test]
 fn too_late_to_run() {
-    // Symptom: a tier whose work waits for a minute has hardly any goodput.
-    // Events: runs take a second; an ask comes to its turn with half a second
-    // left, is run and ends late.
-    // Cause guarded against: the order of deadlines without the time to run.
+    // Guards against running requests that can't finish before their deadline, which
+    // wastes the capacity of the tier.
     let opts = OwnerOptions::default();
     let mut bench = OwnerBench::with_targets(opts, &[target("t", "d", 100)]);
     let finished = |ask: &Ask| ReleaseOutcome::Finished(usage(ask.cost, 1_000));
@@ -203,7 +199,11 @@
         bench.ask(&with_deadline(ask(request, tier, "a"), 500));
     }
     let actions = bench.release(&permit, finished(&running));
-    assert_eq!(granted_requests(&actions), [4], "the top tier tries");
+    assert_eq!(
+        granted_requests(&actions),
+        [4],
+        "the top tier is run nevertheless"
+    );
     let top = permits(&actions)[0].clone();
     let actions = bench.release(&top, ReleaseOutcome::Unused);
     let refused = refusals(&actions);
@@ -213,9 +213,8 @@
 
 #[test]
 fn endangered_work() {
-    // Symptom: a top-tier report misses its deadline behind a bulk stream.
-    // Events: long bulk streams fill both targets, a top-tier ask comes.
-    // Cause guarded against: engines know no priorities.
+    // Guards against a request of the top tier missing its deadline behind long
+    // requests of lower tiers, since targets don't support priorities.
     let targets = [target("a", "d", 10_000), target("b", "d", 10_000)];
     let mut bench = OwnerBench::with_targets(OwnerOptions::default(), &targets);
     let mut bulk = with_cost(ask(1, 2, "bulk"), 5_000, 5_000);
@@ -227,8 +226,12 @@
     bench.tick_after(100);
     let report = with_deadline(ask(3, 0, "dawn"), 2_000);
     let actions = bench.ask(&report);
-    assert_eq!(preempted(&actions), [low.id], "the lowest tier first");
-    assert!(preempted(&bench.tick_after(100)).is_empty(), "once");
+    assert_eq!(
+        preempted(&actions),
+        [low.id],
+        "the lowest tier is preempted first"
+    );
+    assert!(preempted(&bench.tick_after(100)).is_empty(), "only once");
     let stopped = ReleaseOutcome::Stopped(usage(bulk.cost, 0));
     let actions = bench.release(&low, stopped);
     assert_eq!(granted_requests(&actions), [3]);
@@ -236,17 +239,18 @@
 
 #[test]
 fn no_backfill() {
-    // Symptom: a top-tier report waits while lower-tier work goes by.
-    // Events: the report needs more room than one slot; small asks of a lower
-    // tier, allowed elsewhere as well, wait behind it.
-    // Cause guarded against: small work that takes each bit of room.
+    // Guards against a large request of the top tier that never fits because small
+    // ones of a lower tier take the capacity as it is released.
     let mut bench = OwnerBench::with_targets(OwnerOptions::default(), &[target("t", "d", 300)]);
     let held: Vec<Permit> = (0..3).map(|n| bench.granted(&ask(n, 1, "a"))).collect();
     let small = with_domain(ask(4, 2, "b"), "d");
     bench.ask(&small);
     bench.ask(&with_cost(ask(3, 0, "dawn"), 150, 50));
     let actions = bench.release(&held[0], ReleaseOutcome::Unused);
-    assert!(granted_requests(&actions).is_empty(), "room is kept");
+    assert!(
+        granted_requests(&actions).is_empty(),
+        "the capacity is reserved"
+    );
     let actions = bench.release(&held[1], ReleaseOutcome::Unused);
     assert_eq!(granted_requests(&actions), [3]);
 }
@@ -258,7 +262,7 @@
     let mut bulk = with_cost(ask(1, 2, "bulk"), 5_000, 5_000);
     bulk.preemptible = true;
     bench.granted(&bulk);
-    // Twenty seconds are left and the stream ends in ten.
+    // The request has twenty seconds left, and the running one ends in ten.
     let report = with_deadline(ask(3, 0, "dawn"), 20_000);
     assert!(preempted(&bench.ask(&report)).is_empty());
 }
--- a/bergamotswitch-core/tests/slot_routing.rs
+++ b/bergamotswitch-core/tests/slot_routing.rs
@@ -1,4 +1,4 @@
-//! Targets whose batches are known: who goes where, and who waits.
+//! Tests routing and queueing for targets that publish their number of slots.
 
 mod owner_bench;
 
@@ -23,7 +23,7 @@
     Moment::from_millis(millis)
 }
 
-/// A `SlotBench` is an owner of targets with known batches.
+/// A `SlotBench` is the owner of targets with a known number of slots.
 struct SlotBench {
     owner: ShardOwner,
 }
@@ -45,8 +45,8 @@
         self.tell(now, OwnerMessage::Ask(Box::new(call)))
     }
 
-    /// Let a call run at its target, whichever it is, and end after `first`
-    /// and so much an output token.
+    /// Run a request on the target that is chosen, with these times to the first
+    /// token and per output token.
     fn run(&mut self, now: Moment, number: u64, first_ms: u32, token_ms: u32) -> String {
         let granted = self.ask(now, call(number, 10));
         let [OwnerReply::Granted { permit, .. }] = granted.as_slice() else {
@@ -56,10 +56,11 @@
         permit.target.to_string()
     }
 
-    /// Teach the owner that `fast` is fast and the others are slow.
+    /// Run requests so that the owner measures `fast` as fast and the other targets
+    /// as slow.
     fn teach(&mut self, fast: &str) {
         for number in 1_000..1_012 {
-            // Both are asked in turn until each has ended some runs.
+            // The targets are used in turn until each has completed some runs.
             let granted = self.ask(at(1), call(number, 10));
             let [OwnerReply::Granted { permit, .. }] = granted.as_slice() else {
                 panic!("not granted: {granted:?}");
@@ -71,8 +72,8 @@
     }
 }
 
-/// Get the end of a call that began after `first_ms` and took so much an
-/// output token.
+/// Get the release of a finished request with these times to the first token and
+/// per output token.
 fn finished(permit: &Permit, first_ms: u32, token_ms: u32) -> OwnerMessage {
     let usage = Usage {
         prefill: 500,
@@ -100,9 +101,7 @@
     targets.collect()
 }
 
-// Symptom: a slow engine fills up in the first second, and all that it holds is
-// late. Sequence: nothing is known of any engine, so each looks like the
-// fastest until its first run ends. Cause: no bound on what is not known.
+// Guards against filling a slow target before its speed has been measured.
 #[test]
 fn unknown_targets() {
     let mut bench = SlotBench::new(&[place("one", 10), place("two", 10)]);
@@ -113,9 +112,8 @@
     assert_eq!(granted.len(), 4, "{granted:?}");
 }
 
-// Symptom: answers begin late although fast engines come free all the time.
-// Sequence: the fast one is full for a moment. Cause: a free place at a slow
-// engine was taken at once.
+// Guards against late answers because a request takes a free slot of a slow target
+// when a slot of a fast one would be released in time.
 #[test]
 fn waits_for_fast() {
     let mut bench = SlotBench::new(&[place("fast", 2), place("slow", 2)]);
@@ -126,21 +124,19 @@
     assert_eq!(targets(&second), ["fast"]);
     let third = bench.ask(at(10), call(3, 10));
     assert_eq!(third, []);
-    // A place comes free while it is fresh: it goes there.
+    // A slot of the fast target is released while the request can be on time.
     let [OwnerReply::Granted { permit, .. }] = first.as_slice() else {
         panic!("not granted");
     };
     let end = released(permit, ReleaseOutcome::Unused);
     assert_eq!(targets(&bench.tell(at(50), end)), ["fast"]);
-    // None does for the next one: once it is late, it takes the slow one.
+    // No slot is released for the next one, which takes the slow target once late.
     assert_eq!(bench.ask(at(60), call(4, 10)), []);
     let ticked = replies(bench.owner.handle(at(500), OwnerEvent::Tick));
     assert_eq!(targets(&ticked), ["slow"]);
 }
 
-// Symptom: a call that could be on time waits behind one that is late already.
-// Sequence: a burst fills the engines for longer than the aim. Cause: first
-// come, first served.
+// Guards against requests that could be on time but wait behind late ones.
 #[test]
 fn fresh_first() {
     let mut bench = SlotBench::new(&[place("only", 1)]);
@@ -153,14 +149,13 @@
     assert_eq!(bench.ask(at(500), call(3, 10)), []);
     let end = released(permit, ReleaseOutcome::Unused);
     let [OwnerReply::Granted { permit, .. }] = &bench.tell(at(510), end)[..] else {
-        panic!("nobody goes next");
+        panic!("no request was granted");
     };
     assert_eq!(permit.attempt.request.sequence, 3);
 }
 
-// Symptom: engines work for ten seconds for callers that get nothing. Sequence:
-// others wait while a run begins that cannot end before its deadline. Cause:
-// only the start was looked at.
+// Guards against starting requests that can't finish before their deadline while
+// others are queued.
 #[test]
 fn hopeless_run() {
     let mut bench = SlotBench::new(&[place("only", 1)]);
@@ -169,8 +164,8 @@
     let [OwnerReply::Granted { permit, .. }] = running.as_slice() else {
         panic!("not granted");
     };
-    // 4 ms for each of 2,400 tokens is just under the ten seconds that it has,
-    // and guesses are off by half as often as not.
+    // 2,400 tokens at 4 ms each take just under the deadline of ten seconds, too
+    // close for the accuracy of the estimates.
     bench.ask(at(11), call(2, 2_400));
     bench.ask(at(12), call(3, 10));
     let end = released(permit, ReleaseOutcome::Unused);
@@ -183,10 +178,8 @@
     assert_eq!(targets(&next), ["only"]);
 }
 
-// Symptom: callers that were refused come back into the same burst and are
-// refused again. Sequence: they are told the time in which the queue drains, a
-// fraction of a second. Cause: overload lasts for seconds. They are told a
-// third of the time that they have, and not all the same.
+// Guards against refused callers that retry during the same overload: the retry
+// delay is about a third of the deadline, with jitter.
 #[test]
 fn come_back_later() {
     let mut bench = SlotBench::new(&[place("only", 1)]);
--- a/bergamotswitch-core/tests/tier_floors.rs
+++ b/bergamotswitch-core/tests/tier_floors.rs
@@ -1,4 +1,5 @@
-//! Who gets the places of a crowded shard below the top tier.
+//! Tests how the slots of an overloaded shard are divided among the tiers below the
+//! top one.
 
 mod burst_load;
 mod owner_bench;
@@ -6,7 +7,7 @@
 use burst_load::{BurstLoad, LoadPlan, TierCount, WorkKind};
 use owner_bench::*;
 
-/// A third more than fits.
+/// The request rate, which exceeds the capacity by a third.
 const PER_SECOND: u64 = 200;
 
 fn kind(often: u64, prefill: u32, decode: u32, aim_ms: u32, deadline_ms: u32) -> WorkKind {
@@ -18,8 +19,9 @@
     }
 }
 
-/// Play a load on nine targets of sixteen places, of which the top tier takes
-/// about half; the next asks for more than the rest, the last for little.
+/// Run a load on nine targets of sixteen slots each. The top tier takes about half
+/// of the slots, the middle tier could use more than the rest, and the lowest tier
+/// needs few.
 fn play(per_second: u64) -> Vec<TierCount> {
     let mut burst = BurstLoad::new(LoadPlan {
         targets: 9,
@@ -36,18 +38,15 @@
     burst.tiers
 }
 
-// Symptom: of one kind of request 12 in 100 are served while 65 in 100 of all
-// are. Sequence: a burst of a third more than fits; whatever the top tier leaves goes
-// to the next one, whose requests are ten times as long. Cause: strict order
-// below the top tier too.
+// Guards against starving the lowest tier under overload: the service ratio
+// of a tier is at least a fraction of that of the tier above, except the top one.
 #[test]
 fn last_tier() {
     let tiers = play(PER_SECOND);
     let parts: Vec<f64> = tiers.iter().map(TierCount::served_part).collect();
     println!("served {parts:.2?}, {tiers:?}");
-    // Nothing is taken from the top tier.
+    // The top tier keeps its share.
     assert!(parts[0] > 0.99, "{parts:.2?}");
-    // Of 960 each, 271 of the last and 636 of the middle tier; 0 and 683 before.
     assert!(parts[2] > 0.35 * parts[1], "{parts:.2?}");
     assert!(parts[1] > 0.6, "{parts:.2?}");
 }
