--- a/bergamotswitch-core/tests/entry_fuzz.rs
+++ b/bergamotswitch-core/tests/entry_fuzz.rs
@@ -7,7 +7,7 @@
 use bergamotswitch_core::entry::{EntryOptions, Fault};
 use bergamotswitch_draw::any;
 use entry_world::{World, WorldEvent};
-use oracle::{Breach, RunReach, add_counts};
+use oracle::{Coverage, Violation, add_counts};
 
 /// The number of runs.
 const RUNS: u64 = 3_000;
@@ -20,7 +20,7 @@
     bergamotswitch_draw::draw(&any::<Vec<WorldEvent>>().with().len(EVENTS), run)
 }
 
-fn play(options: EntryOptions, events: &[WorldEvent]) -> Result<World, Breach> {
+fn play(options: EntryOptions, events: &[WorldEvent]) -> Result<World, Violation> {
     let mut world = World::new(options);
     for event in events {
         world.take(*event)?;
@@ -32,7 +32,7 @@
 #[test]
 fn any_order() {
     let mut count = 0;
-    let mut reach = RunReach::default();
+    let mut reach = Coverage::default();
     for run in 0..RUNS {
         let events = draw(run);
         match play(EntryOptions::default(), &events) {
@@ -50,7 +50,7 @@
 }
 
 /// Play runs with a deliberate fault until the oracle objects.
-fn caught(fault: Fault) -> Option<Breach> {
+fn caught(fault: Fault) -> Option<Violation> {
     let options = EntryOptions::default().with_fault(fault);
     let breach = |run| {
         let breach = play(options.clone(), &draw(run)).err()?;
@@ -63,21 +63,24 @@
 #[test]
 fn retry_after_dispatch() {
     let breach = caught(Fault::RetryAfterDispatch);
-    let expected = [Breach::DispatchOnce, Breach::RunOnce];
+    let expected = [Violation::DispatchOnce, Violation::RunOnce];
     assert!(breach.is_some_and(|breach| expected.contains(&breach)));
 }
 
 #[test]
 fn claim_after_write() {
-    assert_eq!(caught(Fault::NotRunAfterWrite), Some(Breach::NotRun));
+    assert_eq!(caught(Fault::NotRunAfterWrite), Some(Violation::NotRun));
 }
 
 #[test]
 fn key_alone() {
-    assert_eq!(caught(Fault::KeyAlone), Some(Breach::OwnAnswer));
+    assert_eq!(caught(Fault::KeyAlone), Some(Violation::ForeignAnswer));
 }
 
 #[test]
 fn permit_after_pause() {
-    assert_eq!(caught(Fault::PermitAfterPause), Some(Breach::StalePermit));
+    assert_eq!(
+        caught(Fault::PermitAfterPause),
+        Some(Violation::StalePermit)
+    );
 }
--- a/bergamotswitch-core/tests/entry_world/engines.rs
+++ b/bergamotswitch-core/tests/entry_world/engines.rs
@@ -10,20 +10,20 @@
         self.oracle.dispatched(attempt.request);
         let here = &mut self.hosts[host];
         if here.leaving.contains(&permit.target) {
-            self.oracle.breach(Breach::LeavingTarget);
+            self.oracle.record_violation(Violation::DrainingTarget);
         }
         if self.permit_steps[&permit.id] < here.woke_at {
-            self.oracle.breach(Breach::StalePermit);
+            self.oracle.record_violation(Violation::StalePermit);
         }
         let flight = Flight { permit, ran: false };
         if here.flights.insert(attempt, flight).is_some() {
-            self.oracle.breach(Breach::DispatchOnce);
+            self.oracle.record_violation(Violation::DispatchOnce);
         }
     }
 
     pub(super) fn abort(&mut self, host: usize, attempt: AttemptId, stop: bool) {
         if stop {
-            self.oracle.breach(Breach::StopCut);
+            self.oracle.record_violation(Violation::InterruptedByStop);
         }
         self.count("aborts");
         if let Some(flight) = self.hosts[host].flights.remove(&attempt) {
@@ -86,8 +86,8 @@
             }
             // What has begun to answer can't be unsent or refused any more.
             AttemptEvent::NotSent(_) | AttemptEvent::Refused if ran => return,
-            AttemptEvent::NotSent(_) => self.oracle.proven_unrun(id),
-            AttemptEvent::Refused if promises => self.oracle.proven_unrun(id),
+            AttemptEvent::NotSent(_) => self.oracle.proven_not_run(id),
+            AttemptEvent::Refused if promises => self.oracle.proven_not_run(id),
             AttemptEvent::Finished(_) => {
                 self.run_once_more(id, ran);
                 self.oracle.finished(id);
--- a/bergamotswitch-core/tests/entry_world/mishaps.rs
+++ b/bergamotswitch-core/tests/entry_world/mishaps.rs
@@ -123,7 +123,7 @@
         let gone = std::mem::replace(&mut self.hosts[host], fresh);
         for (attempt, flight) in gone.flights {
             self.run_once_more(attempt.request, flight.ran);
-            self.oracle.excused(flight.permit.id);
+            self.oracle.holder_terminated(flight.permit.id);
         }
         self.transit.push(Letter::OwnerIs(host, self.acting));
     }
--- a/bergamotswitch-core/tests/entry_world/mod.rs
+++ b/bergamotswitch-core/tests/entry_world/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::entry_support::*;
 use crate::oracle::callers::Callers;
-use crate::oracle::{Breach, CallerIdentity, Oracle, RunReach, pick};
+use crate::oracle::{CallerIdentity, Coverage, Oracle, Violation, pick};
 
 const OWNERS: [&str; 2] = ["owner-1", "owner-2"];
 const HOSTS: [&str; 3] = ["entry-1", "entry-2", "entry-3"];
@@ -65,7 +65,7 @@
     permit_steps: BTreeMap<PermitId, u64>,
     transit: Vec<Letter>,
     pub oracle: Oracle,
-    pub reach: RunReach,
+    pub reach: Coverage,
     now: Moment,
     pub step: u64,
     runs: u128,
@@ -108,7 +108,7 @@
     }
 
     /// Take one step and check every promise.
-    pub fn take(&mut self, event: WorldEvent) -> Result<(), Breach> {
+    pub fn take(&mut self, event: WorldEvent) -> Result<(), Violation> {
         let [what, a, b, c] = event;
         self.step += 1;
         self.now = self.now.plus(Duration::from_millis(u64::from(c) % 40));
@@ -127,7 +127,7 @@
     }
 
     /// Let everything come to rest and check what must hold then.
-    pub fn rest(&mut self) -> Result<(), Breach> {
+    pub fn rest(&mut self) -> Result<(), Violation> {
         for host in 0..HOSTS.len() {
             self.transit.push(Letter::OwnerIs(host, self.acting));
         }
@@ -147,10 +147,10 @@
         }
         self.finish_all();
         if self.hosts.iter().any(|host| host.stopping && !host.stopped) {
-            self.oracle.breach(Breach::StopCut);
+            self.oracle.record_violation(Violation::InterruptedByStop);
         }
         let alive: Vec<_> = self.hosts.iter().map(|host| host.run.incarnation).collect();
-        self.oracle.check_at_rest(&alive)
+        self.oracle.check_quiescent(&alive)
     }
 
     fn submit(&mut self, host: usize, b: u8, c: u8) {
@@ -166,7 +166,7 @@
                 self.count("requests");
                 self.hosts[host].stopped = false;
                 let run = self.hosts[host].run.clone();
-                self.callers.tell(identity.clone(), run);
+                self.callers.record_holder(identity.clone(), run);
                 self.oracle.accepted(id, identity, submission);
             }
             Reception::Attached(id) => {
@@ -236,7 +236,7 @@
                 .values()
                 .any(|flight| flight.permit.id == release.permit)
             {
-                self.oracle.breach(Breach::PermitLeak);
+                self.oracle.record_violation(Violation::PermitLeak);
             }
             self.oracle.released(release.permit, &release.outcome);
         }
@@ -251,7 +251,7 @@
         let open = |id: &RequestId| id.incarnation == run;
         let mut fates = self.oracle.requests.iter();
         if fates.any(|(id, fate)| open(id) && fate.conclusions == 0) {
-            self.oracle.breach(Breach::StopCut);
+            self.oracle.record_violation(Violation::InterruptedByStop);
         }
     }
 
--- a/bergamotswitch-core/tests/fleet_fuzz.rs
+++ b/bergamotswitch-core/tests/fleet_fuzz.rs
@@ -13,7 +13,7 @@
 use bergamotswitch_core::revision::RevisionOptions;
 use bergamotswitch_draw::any;
 use fleet_world::{FleetEvent, FleetOptions, FleetWorld};
-use oracle::{Breach, RunReach, add_counts};
+use oracle::{Coverage, Violation, add_counts};
 
 /// The number of runs, each of some 40 seconds of virtual time and 35 more in
 /// which the faults end.
@@ -27,7 +27,7 @@
     bergamotswitch_draw::draw(&any::<Vec<FleetEvent>>().with().len(EVENTS), run)
 }
 
-fn play(opts: FleetOptions, events: &[FleetEvent]) -> Result<FleetWorld, Breach> {
+fn play(opts: FleetOptions, events: &[FleetEvent]) -> Result<FleetWorld, Violation> {
     let mut world = FleetWorld::new(opts);
     for event in events {
         world.take(*event)?;
@@ -42,9 +42,9 @@
 }
 
 /// Play runs and get what they reached.
-fn reach_of(runs: u64, events: impl Fn(u64) -> Vec<FleetEvent>) -> RunReach {
+fn reach_of(runs: u64, events: impl Fn(u64) -> Vec<FleetEvent>) -> Coverage {
     let mut count = 0;
-    let mut reach = RunReach::new();
+    let mut reach = Coverage::new();
     for run in 0..runs {
         let events = events(run);
         match play(FleetOptions::default(), &events) {
@@ -58,7 +58,7 @@
 }
 
 /// Get how many second runs were excused.
-fn excused(reach: &RunReach) -> u64 {
+fn excused(reach: &Coverage) -> u64 {
     let gaps = reach.iter().filter(|(what, _)| what.starts_with("gap"));
     gaps.map(|(_, count)| count).sum()
 }
@@ -136,7 +136,7 @@
 }
 
 /// Play runs of a broken fleet until the oracle objects.
-fn caught(opts: &FleetOptions) -> Option<Breach> {
+fn caught(opts: &FleetOptions) -> Option<Violation> {
     let breach = |run| {
         let breach = play(opts.clone(), &draw(run)).err()?;
         println!("run {run}: {breach:?}");
@@ -145,15 +145,15 @@
     (0..RUNS).find_map(breach)
 }
 
-fn caught_fault(fault: Fault) -> Option<Breach> {
+fn caught_fault(fault: Fault) -> Option<Violation> {
     caught(&FleetOptions {
         entry: EntryOptions::default().with_fault(fault),
         ..FleetOptions::default()
     })
 }
 
-fn is_second_run(breach: Option<Breach>) -> bool {
-    matches!(breach, Some(Breach::DispatchOnce | Breach::RunOnce))
+fn is_second_run(breach: Option<Violation>) -> bool {
+    matches!(breach, Some(Violation::DispatchOnce | Violation::RunOnce))
 }
 
 #[test]
@@ -164,18 +164,21 @@
 #[test]
 fn claim_after_write() {
     let breach = caught_fault(Fault::NotRunAfterWrite);
-    assert_eq!(breach, Some(Breach::NotRun));
+    assert_eq!(breach, Some(Violation::NotRun));
 }
 
 #[test]
 fn key_alone() {
-    assert_eq!(caught_fault(Fault::KeyAlone), Some(Breach::OwnAnswer));
+    assert_eq!(
+        caught_fault(Fault::KeyAlone),
+        Some(Violation::ForeignAnswer)
+    );
 }
 
 #[test]
 fn permit_after_pause() {
     let breach = caught_fault(Fault::PermitAfterPause);
-    assert_eq!(breach, Some(Breach::StalePermit));
+    assert_eq!(breach, Some(Violation::StalePermit));
 }
 
 #[test]
@@ -193,7 +196,7 @@
         flip_tiers: true,
         ..FleetOptions::default()
     });
-    assert_eq!(breach, Some(Breach::ShedOrder));
+    assert_eq!(breach, Some(Violation::ShedOrder));
 }
 
 #[test]
@@ -204,5 +207,5 @@
         revision: RevisionOptions::default().with_backoff(minute, minute),
         ..FleetOptions::default()
     });
-    assert_eq!(breach, Some(Breach::RevisionLate));
+    assert_eq!(breach, Some(Violation::RevisionLate));
 }
--- a/bergamotswitch-core/tests/fleet_world/calls.rs
+++ b/bergamotswitch-core/tests/fleet_world/calls.rs
@@ -38,21 +38,21 @@
             Reception::Accepted(id) => {
                 self.count("accepted");
                 let run = self.hosts[host].run.clone();
-                self.callers.tell(identity.clone(), run);
+                self.callers.record_holder(identity.clone(), run);
                 self.oracle.accepted(id, identity, asked);
             }
             Reception::Attached(id) => {
                 self.count("attached");
                 self.oracle.attached(id, &identity, asked.fingerprint);
                 if self.hosts[host].forgotten.contains(&id) {
-                    self.oracle.breach(Breach::OwnAnswer);
+                    self.oracle.record_violation(Violation::ForeignAnswer);
                 }
             }
             Reception::Forward(holder) => self.forward(identity, asked, holder),
             Reception::Refused(refusal) => {
                 self.count("turned away");
                 if refusal.claim() == RunClaim::NotRun {
-                    self.oracle.told_not_run(&identity, &asked);
+                    self.oracle.claimed_not_run(&identity, &asked);
                 }
             }
         }
@@ -121,7 +121,7 @@
         let mut fates = self.oracle.requests.iter();
         let cut = fates.any(|(id, fate)| id.incarnation == run && fate.conclusions == 0);
         if cut || !here.flights.is_empty() {
-            self.oracle.breach(Breach::StopCut);
+            self.oracle.record_violation(Violation::InterruptedByStop);
         }
         self.count("stops ended");
         self.die(host);
--- a/bergamotswitch-core/tests/fleet_world/engines.rs
+++ b/bergamotswitch-core/tests/fleet_world/engines.rs
@@ -49,7 +49,7 @@
         self.grants.insert(attempt.request, grant);
         self.oracle.dispatched(attempt.request);
         if !self.hosts[host].flights.insert(attempt) {
-            self.oracle.breach(Breach::DispatchOnce);
+            self.oracle.record_violation(Violation::DispatchOnce);
         }
         self.run(host, attempt, index, target.contract.refusal_means_not_run);
     }
@@ -60,7 +60,7 @@
         let mode = self.modes[target];
         let unrun = mode == TargetMode::Unreachable || (mode == TargetMode::Refusing && promises);
         match unrun {
-            true => self.oracle.proven_unrun(id),
+            true => self.oracle.proven_not_run(id),
             false => self.oracle.ran(id),
         }
         let quick = 40 + 37 * (id.sequence % 16);
@@ -114,7 +114,7 @@
     pub(super) fn abort(&mut self, host: usize, attempt: AttemptId, cause: &Cause) {
         self.count("aborts");
         if cause.stop {
-            self.oracle.breach(Breach::StopCut);
+            self.oracle.record_violation(Violation::InterruptedByStop);
         }
         self.hosts[host].flights.remove(&attempt);
     }
@@ -128,7 +128,7 @@
         if calm && self.now > at.plus(LEFT_WITHIN) {
             self.count("past a leaving target");
             if leaving == target {
-                self.oracle.breach(Breach::LeavingTarget);
+                self.oracle.record_violation(Violation::DrainingTarget);
             }
         }
     }
@@ -142,7 +142,7 @@
             && permit.attempt == attempt
         {
             if letter.sent_at < self.hosts[host].woke_at {
-                self.oracle.breach(Breach::StalePermit);
+                self.oracle.record_violation(Violation::StalePermit);
             }
             return grant;
         }
@@ -178,7 +178,7 @@
             let gap = self.gap(earlier, first, grant);
             self.count(gap);
             if gap != "gap: untold" {
-                self.oracle.excuse(id);
+                self.oracle.exempt(id);
             }
             return;
         }
--- a/bergamotswitch-core/tests/fleet_world/mod.rs
+++ b/bergamotswitch-core/tests/fleet_world/mod.rs
@@ -16,7 +16,7 @@
 
 use crate::entry_support::*;
 use crate::oracle::callers::Callers;
-use crate::oracle::{Breach, CallerIdentity, Oracle, RunReach, pick};
+use crate::oracle::{CallerIdentity, Coverage, Oracle, Violation, pick};
 use engines::TargetMode;
 use network::{Letter, Network};
 use platform::Platform;
@@ -139,7 +139,7 @@
     modes: [TargetMode; 4],
     callers: Callers,
     pub oracle: Oracle,
-    pub reach: RunReach,
+    pub reach: Coverage,
     parcels: BTreeMap<(Moment, u64), Parcel>,
     counter: u64,
     runs: u128,
@@ -382,25 +382,25 @@
         let own = shards.iter().filter(|view| view.shard.pool == *pool);
         let mut queued = own.flat_map(|view| &view.queued);
         if queued.any(|kept| kept.tier > tier && kept.asks > 0) {
-            self.oracle.breach(Breach::ShedOrder);
+            self.oracle.record_violation(Violation::ShedOrder);
         }
     }
 
     /// Take one step and check every promise.
-    pub fn take(&mut self, event: FleetEvent) -> Result<(), Breach> {
+    pub fn take(&mut self, event: FleetEvent) -> Result<(), Violation> {
         self.step += 1;
         self.draw_event(event);
         self.pass(Duration::from_millis(u64::from(event[3]) * 2));
         self.check()
     }
 
-    fn check(&mut self) -> Result<(), Breach> {
+    fn check(&mut self) -> Result<(), Violation> {
         self.check_in_force();
         self.oracle.check()
     }
 
     /// Let the faults end, and check what must hold then.
-    pub fn rest(&mut self) -> Result<(), Breach> {
+    pub fn rest(&mut self) -> Result<(), Violation> {
         self.end_faults();
         for round in 0..40u8 {
             self.pass(Duration::from_millis(500));
@@ -417,7 +417,7 @@
         self.pass(Duration::from_secs(15));
         self.check()?;
         let alive: Vec<_> = self.hosts.iter().map(|host| host.run.incarnation).collect();
-        self.oracle.check_at_rest(&alive)
+        self.oracle.check_quiescent(&alive)
     }
 }
 
--- a/bergamotswitch-core/tests/fleet_world/platform.rs
+++ b/bergamotswitch-core/tests/fleet_world/platform.rs
@@ -239,7 +239,7 @@
             let published = &self.platform.values[&standing.name][revision.0 as usize - 1];
             let before = self.hosts[host].in_force.insert(standing.name, revision);
             if before > Some(revision) || !published.good {
-                self.oracle.breach(Breach::RevisionReverted);
+                self.oracle.record_violation(Violation::RevisionReverted);
             }
         }
     }
@@ -263,7 +263,7 @@
                 }
                 *self.reach.entry("in force").or_default() += 1;
                 if here.in_force.get(value) != Some(&newest.value.revision) {
-                    self.oracle.breach(Breach::RevisionLate);
+                    self.oracle.record_violation(Violation::RevisionLate);
                 }
             }
         }
--- a/bergamotswitch-core/tests/oracle/callers.rs
+++ b/bergamotswitch-core/tests/oracle/callers.rs
@@ -13,7 +13,7 @@
 
 impl Callers {
     /// Record that a caller was given the incarnation that holds its request.
-    pub fn tell(&mut self, identity: CallerIdentity, run: HostIncarnation) {
+    pub fn record_holder(&mut self, identity: CallerIdentity, run: HostIncarnation) {
         self.told.insert(identity, run);
     }
 
--- a/bergamotswitch-core/tests/oracle/mod.rs
+++ b/bergamotswitch-core/tests/oracle/mod.rs
@@ -12,27 +12,27 @@
 
 use crate::entry_support::*;
 
-/// A `RunReach` counts the situations that a simulation run reached. A run that
+/// A `Coverage` counts the situations that a simulation run reached. A run that
 /// reaches none of them verifies nothing.
-pub type RunReach = BTreeMap<&'static str, u64>;
+pub type Coverage = BTreeMap<&'static str, u64>;
 
-pub fn add_counts(sum: &mut RunReach, other: &RunReach) {
+pub fn add_counts(sum: &mut Coverage, other: &Coverage) {
     for (what, count) in other {
         *sum.entry(what).or_default() += count;
     }
 }
 
-/// A `Breach` names the guarantee that was violated.
+/// A `Violation` names the guarantee that was violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Breach {
+pub enum Violation {
     DispatchOnce,
     RunOnce,
     ConcludedOnce,
-    OwnAnswer,
+    ForeignAnswer,
     NotRun,
-    LeavingTarget,
+    DrainingTarget,
     StalePermit,
-    StopCut,
+    InterruptedByStop,
     PermitLeak,
     /// A resubmission was answered "not run" although an earlier request of the
     /// same caller and key ran, or ran later.
@@ -87,11 +87,11 @@
     /// The earlier requests to which an answer "not run" to a resubmission refers.
     unrun: BTreeSet<RequestId>,
     /// The first violation that was recorded when it happened.
-    seen: Option<Breach>,
+    seen: Option<Violation>,
 }
 
 impl Oracle {
-    pub fn breach(&mut self, breach: Breach) {
+    pub fn record_violation(&mut self, breach: Violation) {
         self.seen.get_or_insert(breach);
     }
 
@@ -107,7 +107,7 @@
             excused: false,
         };
         if self.requests.insert(id, fate).is_some() {
-            self.breach(Breach::OwnAnswer);
+            self.record_violation(Violation::ForeignAnswer);
         }
     }
 
@@ -117,7 +117,7 @@
             fate.identity == *identity && fate.submission.fingerprint == fingerprint
         });
         if !own {
-            self.breach(Breach::OwnAnswer);
+            self.record_violation(Violation::ForeignAnswer);
         }
     }
 
@@ -125,7 +125,7 @@
         self.change(id, |fate| fate.dispatches += 1);
     }
 
-    pub fn proven_unrun(&mut self, id: RequestId) {
+    pub fn proven_not_run(&mut self, id: RequestId) {
         self.change(id, |fate| fate.dispatches -= 1);
     }
 
@@ -157,10 +157,10 @@
             }
         });
         if let Some((identity, submission)) = told {
-            self.told_not_run(&identity, &submission);
+            self.claimed_not_run(&identity, &submission);
         }
         if !own {
-            self.breach(Breach::OwnAnswer);
+            self.record_violation(Violation::ForeignAnswer);
         }
     }
 
@@ -176,7 +176,7 @@
     }
 
     /// Exempt a request from the checks for second runs.
-    pub fn excuse(&mut self, id: RequestId) {
+    pub fn exempt(&mut self, id: RequestId) {
         self.change(id, |fate| fate.excused = true);
     }
 
@@ -184,7 +184,7 @@
     /// host incarnation or is marked as a resubmission, this must be true of all
     /// earlier requests that it may refer to: those of the named incarnation, or of
     /// any.
-    pub fn told_not_run(&mut self, identity: &CallerIdentity, told: &Submission) {
+    pub fn claimed_not_run(&mut self, identity: &CallerIdentity, told: &Submission) {
         let harmless = told.verdict.idempotent && !told.verdict.dispatch_once;
         if !told.resubmission && (told.holder.is_none() || harmless) {
             return;
@@ -211,19 +211,19 @@
     }
 
     /// Record that the host incarnation that held the permit has terminated.
-    pub fn excused(&mut self, permit: PermitId) {
+    pub fn holder_terminated(&mut self, permit: PermitId) {
         self.permits.entry(permit).or_default().released = true;
     }
 
     fn change(&mut self, id: RequestId, change: impl FnOnce(&mut RequestFate)) {
         match self.requests.get_mut(&id) {
             Some(fate) => change(fate),
-            None => self.breach(Breach::OwnAnswer),
+            None => self.record_violation(Violation::ForeignAnswer),
         }
     }
 
     /// Check every guarantee that must hold at any time.
-    pub fn check(&self) -> Result<(), Breach> {
+    pub fn check(&self) -> Result<(), Violation> {
         self.check_seen()?;
         self.check_dispatch_once()?;
         self.check_run_once()?;
@@ -234,7 +234,7 @@
     }
 
     /// Check also what must hold once no messages or requests are in flight.
-    pub fn check_at_rest(&self, alive: &[Incarnation]) -> Result<(), Breach> {
+    pub fn check_quiescent(&self, alive: &[Incarnation]) -> Result<(), Violation> {
         self.check()?;
         self.check_all_concluded(alive)?;
         self.check_permits_returned()
@@ -242,64 +242,64 @@
 
     /// Check for violations that are recorded when they happen, such as the use of
     /// draining targets and stale permits, and answers that are cut off or foreign.
-    fn check_seen(&self) -> Result<(), Breach> {
+    fn check_seen(&self) -> Result<(), Violation> {
         self.seen.map_or(Ok(()), Err)
     }
 
-    fn check_dispatch_once(&self) -> Result<(), Breach> {
+    fn check_dispatch_once(&self) -> Result<(), Violation> {
         let once = |fate: &&RequestFate| fate.submission.verdict.dispatch_once && !fate.excused;
         let mut sums: BTreeMap<&CallerIdentity, i32> = BTreeMap::new();
         for fate in self.requests.values().filter(once) {
             *sums.entry(&fate.identity).or_default() += fate.dispatches;
         }
-        all(sums.values().all(|sum| *sum <= 1), Breach::DispatchOnce)
+        all(sums.values().all(|sum| *sum <= 1), Violation::DispatchOnce)
     }
 
-    fn check_run_once(&self) -> Result<(), Breach> {
+    fn check_run_once(&self) -> Result<(), Violation> {
         let once = |fate: &&RequestFate| !fate.submission.verdict.idempotent && !fate.excused;
         let mut sums: BTreeMap<&CallerIdentity, u32> = BTreeMap::new();
         for fate in self.requests.values().filter(once) {
             *sums.entry(&fate.identity).or_default() += fate.runs;
         }
-        all(sums.values().all(|sum| *sum <= 1), Breach::RunOnce)
+        all(sums.values().all(|sum| *sum <= 1), Violation::RunOnce)
     }
 
-    fn check_not_run(&self) -> Result<(), Breach> {
+    fn check_not_run(&self) -> Result<(), Violation> {
         let true_claim = |fate: &RequestFate| !fate.told_not_run || fate.untouched();
-        all(self.requests.values().all(true_claim), Breach::NotRun)
+        all(self.requests.values().all(true_claim), Violation::NotRun)
     }
 
     /// Check the answers "not run" to resubmissions.
-    fn check_not_run_before(&self) -> Result<(), Breach> {
+    fn check_not_run_before(&self) -> Result<(), Violation> {
         let mut meant = self.unrun.iter().filter_map(|id| self.requests.get(id));
-        all(meant.all(RequestFate::untouched), Breach::NotRunBefore)
+        all(meant.all(RequestFate::untouched), Violation::NotRunBefore)
     }
 
-    fn check_at_most_one_conclusion(&self) -> Result<(), Breach> {
+    fn check_at_most_one_conclusion(&self) -> Result<(), Violation> {
         let at_most_one = |fate: &RequestFate| fate.conclusions <= 1;
         let held = self.requests.values().all(at_most_one);
-        all(held, Breach::ConcludedOnce)
+        all(held, Violation::ConcludedOnce)
     }
 
-    fn check_all_concluded(&self, alive: &[Incarnation]) -> Result<(), Breach> {
+    fn check_all_concluded(&self, alive: &[Incarnation]) -> Result<(), Violation> {
         let requests = self.requests.iter();
         let mut own = requests.filter(|(id, _)| alive.contains(&id.incarnation));
         let held = own.all(|(_, fate)| fate.conclusions == 1);
-        all(held, Breach::ConcludedOnce)
+        all(held, Violation::ConcludedOnce)
     }
 
-    fn check_single_release(&self) -> Result<(), Breach> {
+    fn check_single_release(&self) -> Result<(), Violation> {
         let held = self.permits.values().all(|fate| fate.ends <= 1);
-        all(held, Breach::PermitLeak)
+        all(held, Violation::PermitLeak)
     }
 
-    fn check_permits_returned(&self) -> Result<(), Breach> {
+    fn check_permits_returned(&self) -> Result<(), Violation> {
         let returned = |fate: &PermitFate| fate.released || !fate.reached_host;
-        all(self.permits.values().all(returned), Breach::PermitLeak)
+        all(self.permits.values().all(returned), Violation::PermitLeak)
     }
 }
 
-fn all(held: bool, breach: Breach) -> Result<(), Breach> {
+fn all(held: bool, breach: Violation) -> Result<(), Violation> {
     match held {
         true => Ok(()),
         false => Err(breach),
