--- a/bergamotswitch-core/tests/account_quotas.rs
+++ b/bergamotswitch-core/tests/account_quotas.rs
@@ -26,7 +26,12 @@
 }
 
 fn owner(now: Moment) -> ShardOwner {
-    let mut owner = ShardOwner::new(run_of("owner", 1), shard(), OwnerOptions::default(), now);
+    let mut owner = ShardOwner::new(
+        incarnation_of("owner", 1),
+        shard(),
+        OwnerOptions::default(),
+        now,
+    );
     let place = target("t", "d", 1_000_000_000);
     owner.handle(now, OwnerEvent::Targets(vec![place]));
     let rate = tolerance().rate(&quota(), 1);
@@ -169,7 +174,7 @@
     let waiting_calls = sequence;
     for waiting in 1..=waiting_calls {
         let ms = 20_000 + waiting / 10;
-        let message = withdrawal(attempt_of(ENTRY_RUN, waiting));
+        let message = withdrawal(attempt_of(ENTRY_INCARNATION, waiting));
         let event = OwnerEvent::Message(named("entry"), message);
         owner.handle(Moment::from_millis(ms), event);
         drive(&mut owner, ms, ms + 1, &mut sequence);
--- a/bergamotswitch-core/tests/burst_load/mod.rs
+++ b/bergamotswitch-core/tests/burst_load/mod.rs
@@ -91,7 +91,7 @@
 impl BurstLoad {
     pub fn new(plan: LoadPlan) -> Self {
         let opts = OwnerOptions::default();
-        let mut owner = ShardOwner::new(run_of("owner", 1), shard(), opts, Moment::START);
+        let mut owner = ShardOwner::new(incarnation_of("owner", 1), shard(), opts, Moment::START);
         let places = (0..plan.targets).map(|number| {
             let mut place = target(&format!("engine-{number:02}"), "d", MEMORY);
             place.slots = Some(plan.slots);
--- a/bergamotswitch-core/tests/owner_bench/mod.rs
+++ b/bergamotswitch-core/tests/owner_bench/mod.rs
@@ -22,7 +22,7 @@
 pub use bergamotswitch_core::target::{LoadReport, PoolTarget};
 
 /// The incarnation of the entry host that sends the messages by default.
-pub const ENTRY_RUN: Incarnation = Incarnation(7);
+pub const ENTRY_INCARNATION: Incarnation = Incarnation(7);
 
 /// Parse a name of any kind.
 pub fn named<T: TryFrom<String>>(text: &str) -> T {
@@ -37,7 +37,7 @@
     }
 }
 
-pub fn run_of(host: &str, run: u128) -> HostIncarnation {
+pub fn incarnation_of(host: &str, run: u128) -> HostIncarnation {
     HostIncarnation {
         host: named(host),
         incarnation: Incarnation(run),
@@ -74,7 +74,7 @@
     Ask {
         quota_units: 0,
         first_answer_ms: None,
-        attempt: attempt_of(ENTRY_RUN, sequence),
+        attempt: attempt_of(ENTRY_INCARNATION, sequence),
         shard: shard(),
         tier: Tier(tier),
         account: named(account),
@@ -187,7 +187,7 @@
     pub fn new(opts: OwnerOptions) -> Self {
         let now = Moment::from_millis(1_000);
         OwnerBench {
-            owner: ShardOwner::new(run_of("owner", 1), shard(), opts, now),
+            owner: ShardOwner::new(incarnation_of("owner", 1), shard(), opts, now),
             now,
         }
     }
--- a/bergamotswitch-core/tests/owner_failover.rs
+++ b/bergamotswitch-core/tests/owner_failover.rs
@@ -24,7 +24,7 @@
 fn known(asked: &Ask, host: &str, run: u128) -> OwnerReply {
     OwnerReply::KeyHeld {
         attempt: asked.attempt,
-        holder: run_of(host, run),
+        holder: incarnation_of(host, run),
     }
 }
 
@@ -33,10 +33,10 @@
     // Guards against a second run when a caller retries at another host without
     // naming the incarnation that holds its request.
     let mut bench = keyed_bench();
-    let holder = run_of("entry", 7);
+    let holder = incarnation_of("entry", 7);
     let first = with_claim(ask(1, 0, "a"), 5, holder.clone(), false);
     let permit = bench.granted(&first);
-    let second = with_claim(ask(2, 0, "a"), 5, run_of("other", 8), false);
+    let second = with_claim(ask(2, 0, "a"), 5, incarnation_of("other", 8), false);
     let known = OwnerReply::KeyHeld {
         attempt: second.attempt,
         holder: holder.clone(),
@@ -58,7 +58,12 @@
     let opts = OwnerOptions::default().with_max_requests(1);
     let mut bench = OwnerBench::with_targets(opts, &[target("a", "d", 100)]);
     let permit = bench.granted(&ask(0, 0, "a"));
-    bench.ask(&with_claim(ask(1, 2, "a"), 5, run_of("entry", 7), false));
+    bench.ask(&with_claim(
+        ask(1, 2, "a"),
+        5,
+        incarnation_of("entry", 7),
+        false,
+    ));
     let refused = refusals(&bench.ask(&ask(2, 0, "a")));
     assert_eq!(refused[0].reason, RefusalReason::ShedForHigherTier);
     bench.release(&permit, ReleaseOutcome::Unused);
@@ -71,12 +76,12 @@
     // queued attempts must not free the key.
     let mut bench = OwnerBench::with_targets(OwnerOptions::default(), &[target("a", "d", 100)]);
     let permit = bench.granted(&ask(0, 0, "a"));
-    let holder = run_of("entry", 7);
+    let holder = incarnation_of("entry", 7);
     for request in 1..=2 {
         bench.ask(&with_claim(ask(request, 0, "a"), 5, holder.clone(), false));
     }
-    bench.message(withdrawal(attempt_of(ENTRY_RUN, 1)));
-    let other = with_claim(ask(3, 0, "a"), 5, run_of("other", 8), false);
+    bench.message(withdrawal(attempt_of(ENTRY_INCARNATION, 1)));
+    let other = with_claim(ask(3, 0, "a"), 5, incarnation_of("other", 8), false);
     let attempt = other.attempt;
     let known = OwnerReply::KeyHeld { attempt, holder };
     assert_eq!(replies(&bench.ask(&other)), [known]);
@@ -89,18 +94,18 @@
     // Guards against a second run after the owner and the key's holder have failed:
     // a new owner's empty key table doesn't mean that the key is new.
     let mut bench = keyed_bench();
-    let again = with_claim(ask(1, 0, "a"), 5, run_of("entry", 7), true);
+    let again = with_claim(ask(1, 0, "a"), 5, incarnation_of("entry", 7), true);
     let refused = refusals(&bench.ask(&again));
     assert_eq!(refused[0].reason, RefusalReason::OutcomeUnknown);
     assert_eq!(u128::from(refused[0].retry_after_ms), RETENTION.as_millis());
-    let new = with_claim(ask(2, 0, "a"), 6, run_of("entry", 7), false);
+    let new = with_claim(ask(2, 0, "a"), 6, incarnation_of("entry", 7), false);
     let first = bench.granted(&new);
     retell(&mut bench, vec![again.claim.clone().expect("a claim")]);
     let second = bench.granted(&again);
     bench.release(&first, ReleaseOutcome::Unused);
     bench.release(&second, ReleaseOutcome::Unused);
     bench.tick_after(60_001);
-    let later = with_claim(ask(3, 0, "a"), 9, run_of("entry", 7), true);
+    let later = with_claim(ask(3, 0, "a"), 9, incarnation_of("entry", 7), true);
     bench.granted(&later);
 }
 
@@ -114,11 +119,11 @@
     let mut bench = OwnerBench::with_targets(opts, &[target("a", "d", 10_000)]);
     bench.tick_after(61_000);
     for request in 0..20 {
-        let (key, holder) = (u128::from(request), run_of("entry", 7));
+        let (key, holder) = (u128::from(request), incarnation_of("entry", 7));
         bench.granted(&with_claim(ask(request, 0, "a"), key, holder, false));
     }
     assert_eq!(bench.view().keys, 10);
-    let dropped = with_claim(ask(30, 0, "a"), 0, run_of("other", 8), true);
+    let dropped = with_claim(ask(30, 0, "a"), 0, incarnation_of("other", 8), true);
     let refused = refusals(&bench.ask(&dropped));
     assert_eq!(refused[0].reason, RefusalReason::OutcomeUnknown);
 }
@@ -165,7 +170,7 @@
     let mut other = ask(3, 1, "a");
     other.attempt = attempt_of(bergamotswitch_core::host::Incarnation(8), 3);
     bench.ask(&other);
-    let gone = OwnerEvent::HostTerminated(named("entry"), ENTRY_RUN);
+    let gone = OwnerEvent::HostTerminated(named("entry"), ENTRY_INCARNATION);
     assert_eq!(granted_requests(&bench.event(gone)), [3]);
     assert!(bench.view().queued.is_empty());
     assert_eq!(bench.target_view("a").outstanding_tokens, 100);
@@ -263,12 +268,12 @@
     ];
     for outcome in unrun {
         let mut bench = keyed_bench();
-        let first = with_claim(ask(1, 0, "a"), 5, run_of("entry", 7), false);
+        let first = with_claim(ask(1, 0, "a"), 5, incarnation_of("entry", 7), false);
         let permit = bench.granted(&first);
         bench.release(&permit, outcome);
-        let ran = with_claim(ask(2, 0, "a"), 5, run_of("other", 8), false);
+        let ran = with_claim(ask(2, 0, "a"), 5, incarnation_of("other", 8), false);
         retell(&mut bench, ran.claim.into_iter().collect());
-        let again = with_claim(ask(3, 0, "a"), 5, run_of("entry", 7), true);
+        let again = with_claim(ask(3, 0, "a"), 5, incarnation_of("entry", 7), true);
         assert_eq!(replies(&bench.ask(&again)), [known(&again, "other", 8)]);
     }
 }
@@ -279,9 +284,9 @@
 fn told_waiting() {
     let mut bench = OwnerBench::with_targets(OwnerOptions::default(), &[target("a", "d", 100)]);
     let permit = bench.granted(&ask(0, 0, "a"));
-    let waiting = with_claim(ask(1, 0, "a"), 5, run_of("entry", 7), false);
+    let waiting = with_claim(ask(1, 0, "a"), 5, incarnation_of("entry", 7), false);
     bench.ask(&waiting);
-    let ran = with_claim(ask(2, 0, "a"), 5, run_of("other", 8), false);
+    let ran = with_claim(ask(2, 0, "a"), 5, incarnation_of("other", 8), false);
     let actions = retell(&mut bench, ran.claim.into_iter().collect());
     assert!(replies(&actions).contains(&known(&waiting, "other", 8)));
     let actions = bench.release(&permit, ReleaseOutcome::Unused);
--- a/bergamotswitch-core/tests/owner_invariants.rs
+++ b/bergamotswitch-core/tests/owner_invariants.rs
@@ -167,7 +167,7 @@
         ask = with_claim(
             ask,
             u128::from(draw.key % 8),
-            run_of("entry", run),
+            incarnation_of("entry", run),
             draw.again,
         );
     }
--- a/bergamotswitch-core/tests/owner_routing.rs
+++ b/bergamotswitch-core/tests/owner_routing.rs
@@ -139,7 +139,7 @@
     let log = with_cost(with_prefixes(ask(1, 1, "a"), &[11, 12, 13]), 900, 10);
     let first = bench.granted(&log);
     let mut next = log.clone();
-    next.attempt = attempt_of(ENTRY_RUN, 2);
+    next.attempt = attempt_of(ENTRY_INCARNATION, 2);
     bench.release(&first, finished(log.cost, 900));
     bench.granted(&ask(3, 1, "other"));
     let second = bench.granted(&next);
@@ -177,7 +177,7 @@
         for _ in 0..2 {
             next += 1;
             let mut ask = log.clone();
-            ask.attempt = attempt_of(ENTRY_RUN, next);
+            ask.attempt = attempt_of(ENTRY_INCARNATION, next);
             permits.push(bench.granted(&ask));
         }
         for permit in &permits {
@@ -203,7 +203,7 @@
     bench.release(&first, ReleaseOutcome::Unreachable);
     bench.tick_after(600);
     for request in 10..14 {
-        let holder = run_of("entry", 7);
+        let holder = incarnation_of("entry", 7);
         let keyed = with_claim(ask(request, 1, "a"), u128::from(request), holder, false);
         assert_eq!(bench.granted(&keyed).target.as_str(), "b");
     }
@@ -290,7 +290,7 @@
     let mut north = with_domain(ask(1, 1, "a"), "north");
     assert_eq!(bench.granted(&north).target.as_str(), "a");
     bench.event(OwnerEvent::Targets(vec![targets[1].clone()]));
-    north.attempt = attempt_of(ENTRY_RUN, 2);
+    north.attempt = attempt_of(ENTRY_INCARNATION, 2);
     let refused = refusals(&bench.ask(&north));
     assert_eq!(refused[0].reason, RefusalReason::NoTarget);
     assert_eq!(
--- a/bergamotswitch-core/tests/queue_differential.rs
+++ b/bergamotswitch-core/tests/queue_differential.rs
@@ -177,7 +177,7 @@
             }
         }
         QueueStep::Withdraw(place) => {
-            let attempt = attempt_of(ENTRY_RUN, u64::from(place));
+            let attempt = attempt_of(ENTRY_INCARNATION, u64::from(place));
             fast.remove(&attempt);
             naive.take(&attempt, false);
         }
@@ -334,7 +334,7 @@
 fn step_targets(now: &mut Moment, targets: &mut TargetSet, number: u64, step: TargetStep) -> bool {
     let name = |index: u8| named(TARGETS[usize::from(index) % TARGETS.len()]);
     let permit = PermitId {
-        owner: ENTRY_RUN,
+        owner: ENTRY_INCARNATION,
         sequence: number,
     };
     let mut change = |index: u8, act: &mut dyn FnMut(&mut TargetLoad)| {
--- a/bergamotswitch-core/tests/queue_order.rs
+++ b/bergamotswitch-core/tests/queue_order.rs
@@ -92,7 +92,7 @@
 fn withdrawn_ask() {
     let (mut bench, first) = busy_bench(OwnerOptions::default());
     bench.ask(&ask(1, 1, "a"));
-    bench.message(withdrawal(attempt_of(ENTRY_RUN, 1)));
+    bench.message(withdrawal(attempt_of(ENTRY_INCARNATION, 1)));
     assert!(order_of(&mut bench, first).is_empty());
     assert!(bench.view().queued.is_empty());
 }
--- a/bergamotswitch-core/tests/slot_routing.rs
+++ b/bergamotswitch-core/tests/slot_routing.rs
@@ -31,7 +31,7 @@
 impl SlotBench {
     fn new(places: &[PoolTarget]) -> Self {
         let opts = OwnerOptions::default();
-        let mut owner = ShardOwner::new(run_of("owner", 1), shard(), opts, Moment::START);
+        let mut owner = ShardOwner::new(incarnation_of("owner", 1), shard(), opts, Moment::START);
         owner.handle(Moment::START, OwnerEvent::Targets(places.to_vec()));
         SlotBench { owner }
     }
--- a/bergamotswitch-core/tests/target_restart.rs
+++ b/bergamotswitch-core/tests/target_restart.rs
@@ -64,10 +64,10 @@
 #[test]
 fn key_claim_kept() {
     let mut bench = bench();
-    let call = with_claim(ask(1, 1, "a"), 77, run_of("entry", 7), false);
+    let call = with_claim(ask(1, 1, "a"), 77, incarnation_of("entry", 7), false);
     bench.granted(&call);
     restart(&mut bench, 200);
-    let copy = with_claim(ask(2, 1, "a"), 77, run_of("other", 8), false);
+    let copy = with_claim(ask(2, 1, "a"), 77, incarnation_of("other", 8), false);
     let actions = bench.ask(&copy);
     assert!(granted_requests(&actions).is_empty(), "{actions:?}");
     assert!(matches!(
