--- a/bergamotswitch-core/tests/burst_cost.rs
+++ b/bergamotswitch-core/tests/burst_cost.rs
@@ -4,7 +4,7 @@
 mod burst_load;
 mod owner_bench;
 
-use burst_load::{BurstLoad, LoadPlan, WorkKind};
+use burst_load::{BurstLoad, LoadPlan, RequestClass};
 use owner_bench::*;
 
 /// The maximum mean CPU time per event, in microseconds.
@@ -17,21 +17,21 @@
 /// Get a load of 1,250 requests per second, of which the targets can serve about
 /// 700.
 fn plan() -> LoadPlan {
-    let kind = |often, prefill, decode, aim_ms, deadline_ms| WorkKind {
-        often,
+    let class = |weight, prefill, decode, first_token_limit_ms, deadline_ms| RequestClass {
+        weight,
         cost: cost_of(prefill, decode),
-        aim_ms,
+        first_token_limit_ms,
         deadline_ms,
     };
     LoadPlan {
         targets: 60,
         slots: 11,
         per_second: 1_250,
-        length: Duration::from_secs(6),
-        kinds: vec![
-            kind(3, 6_670, 378, 400, 12_000),
-            kind(2, 690, 288, 500, 10_000),
-            kind(5, 1_860, 27, 800, 2_500),
+        duration: Duration::from_secs(6),
+        classes: vec![
+            class(3, 6_670, 378, 400, 12_000),
+            class(2, 690, 288, 500, 10_000),
+            class(5, 1_860, 27, 800, 2_500),
         ],
     }
 }
@@ -39,9 +39,9 @@
 /// Run the load and get the mean CPU time per event in microseconds.
 fn event_micros() -> f64 {
     let mut burst = BurstLoad::new(plan());
-    let began = cpu_nanos();
-    burst.play();
-    (cpu_nanos() - began) as f64 / burst.events as f64 / 1_000.0
+    let started = cpu_nanos();
+    burst.run();
+    (cpu_nanos() - started) as f64 / burst.events as f64 / 1_000.0
 }
 
 /// Get the CPU time used by this thread, in nanoseconds.
@@ -55,19 +55,19 @@
 // overload, the owner falls behind and grants permits after requests have timed
 // out.
 #[test]
-fn cheap_events() {
+fn event_cpu_time() {
     let micros = (0..RUNS).map(|_| event_micros());
-    let least = micros.min_by(f64::total_cmp).expect("a run");
-    println!("{least:.1} us of CPU time per event");
-    assert!(least < EVENT_MICROS, "{least:.1} us");
+    let fastest = micros.min_by(f64::total_cmp).expect("a run");
+    println!("{fastest:.1} us of CPU time per event");
+    assert!(fastest < EVENT_MICROS, "{fastest:.1} us");
 }
 
 // The top tier is served although the load exceeds the capacity by two thirds.
 #[test]
-fn urgent_first() {
+fn top_tier_served() {
     let mut burst = BurstLoad::new(plan());
-    burst.play();
-    let served = |tier: usize| burst.tiers[tier].served_part();
+    burst.run();
+    let served = |tier: usize| burst.tiers[tier].served_fraction();
     assert!(served(0) > 0.95, "{}", served(0));
     assert!(served(2) < served(0), "{}", served(2));
 }
--- a/bergamotswitch-core/tests/burst_load/mod.rs
+++ b/bergamotswitch-core/tests/burst_load/mod.rs
@@ -10,22 +10,22 @@
 use crate::owner_bench::*;
 
 /// The token limit of a target.
-const MEMORY: u32 = 700_000;
+const TOKEN_LIMIT: u32 = 700_000;
 
 /// The time during which the owner measures the targets' speed, while each target
 /// gets at most two requests. It is left out of the counts.
 pub const WARM_UP: Duration = Duration::from_secs(2);
 const ACCOUNTS: u64 = 16;
 
-/// A `WorkKind` is the share, the cost and the time limits of the requests of
+/// A `RequestClass` is the share, the cost and the time limits of the requests of
 /// one tier.
 #[derive(Clone, Debug)]
-pub struct WorkKind {
+pub struct RequestClass {
     /// The number of requests of this class in every ten.
-    pub often: u64,
+    pub weight: u64,
     pub cost: TokenCost,
     /// The time after arrival within which the answer should begin.
-    pub aim_ms: u32,
+    pub first_token_limit_ms: u32,
     pub deadline_ms: u32,
 }
 
@@ -36,19 +36,19 @@
     /// The number of requests that a target serves concurrently.
     pub slots: u32,
     pub per_second: u64,
-    pub length: Duration,
+    pub duration: Duration,
     /// The request classes by tier; their weights add up to ten.
-    pub kinds: Vec<WorkKind>,
+    pub classes: Vec<RequestClass>,
 }
 
 impl LoadPlan {
     fn tier_of(&self, sequence: u64) -> usize {
-        let mut place = sequence % 10;
-        for (tier, kind) in self.kinds.iter().enumerate() {
-            if place < kind.often {
+        let mut position = sequence % 10;
+        for (tier, class) in self.classes.iter().enumerate() {
+            if position < class.weight {
                 return tier;
             }
-            place -= kind.often;
+            position -= class.weight;
         }
         0
     }
@@ -57,21 +57,21 @@
 /// A `TierCount` is the request counts of one tier after the warm-up.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TierCount {
-    pub asked: u64,
+    pub submitted: u64,
     pub served: u64,
     /// The served requests whose answer began within the limit of their class.
-    pub timely: u64,
+    pub on_time: u64,
 }
 
 impl TierCount {
-    pub fn served_part(&self) -> f64 {
-        self.served as f64 / self.asked.max(1) as f64
+    pub fn served_fraction(&self) -> f64 {
+        self.served as f64 / self.submitted.max(1) as f64
     }
 }
 
-/// A `RunningAsk` is a request that runs on a target.
+/// A `RunningRequest` is a request that runs on a target.
 #[derive(Clone, Debug)]
-struct RunningAsk {
+struct RunningRequest {
     permit: Permit,
     usage: Usage,
 }
@@ -83,82 +83,83 @@
     owner: ShardOwner,
     pub events: u64,
     pub tiers: Vec<TierCount>,
-    asked_at: Vec<Moment>,
+    submitted_at: Vec<Moment>,
     ends: BinaryHeap<Reverse<(Moment, usize)>>,
-    running: Vec<RunningAsk>,
+    running: Vec<RunningRequest>,
 }
 
 impl BurstLoad {
     pub fn new(plan: LoadPlan) -> Self {
         let opts = OwnerOptions::default();
         let mut owner = ShardOwner::new(incarnation_of("owner", 1), shard(), opts, Moment::START);
-        let places = (0..plan.targets).map(|number| {
-            let mut place = target(&format!("engine-{number:02}"), "d", MEMORY);
-            place.slots = Some(plan.slots);
-            place
+        let targets = (0..plan.targets).map(|number| {
+            let mut target = target(&format!("engine-{number:02}"), "d", TOKEN_LIMIT);
+            target.slots = Some(plan.slots);
+            target
         });
-        owner.handle(Moment::START, OwnerEvent::Targets(places.collect()));
+        owner.handle(Moment::START, OwnerEvent::Targets(targets.collect()));
         BurstLoad {
-            tiers: vec![TierCount::default(); plan.kinds.len()],
+            tiers: vec![TierCount::default(); plan.classes.len()],
             plan,
             owner,
             events: 0,
-            asked_at: vec![Moment::START],
+            submitted_at: vec![Moment::START],
             ends: BinaryHeap::new(),
             running: Vec::new(),
         }
     }
 
-    fn tell(&mut self, now: Moment, message: OwnerMessage) {
+    fn send(&mut self, now: Moment, message: OwnerMessage) {
         self.events += 1;
         let event = OwnerEvent::Message(named("entry"), message);
         for permit in permits(&self.owner.handle(now, event)) {
-            self.begin(now, permit);
+            self.start(now, permit);
         }
     }
 
     /// Start a granted request. The slowest target takes five times as long as the
     /// fastest.
-    fn begin(&mut self, now: Moment, permit: Permit) {
+    fn start(&mut self, now: Moment, permit: Permit) {
         let sequence = permit.attempt.request.sequence;
         let tier = self.plan.tier_of(sequence);
-        let kind = &self.plan.kinds[tier];
-        let cost = kind.cost;
+        let class = &self.plan.classes[tier];
+        let cost = class.cost;
         let last = permit.target.as_str().bytes().last().expect("a name");
-        let slow = 4 + u32::from(last - b'0') * 16 / 9;
-        let first_token_ms = (40 + cost.prefill / 50) * slow / 8;
+        let slowdown = 4 + u32::from(last - b'0') * 16 / 9;
+        let first_token_ms = (40 + cost.prefill / 50) * slowdown / 8;
         let usage = Usage {
             prefill: cost.prefill,
             cached: 0,
             decode: cost.decode,
             first_token_ms,
-            elapsed_ms: first_token_ms + cost.decode * slow / 2,
+            elapsed_ms: first_token_ms + cost.decode * slowdown / 2,
         };
-        let waited = now.since(self.asked_at[sequence as usize]).as_millis() as u32;
+        let waited = now.since(self.submitted_at[sequence as usize]).as_millis() as u32;
         self.tiers[tier].served += 1;
-        self.tiers[tier].timely += u64::from(waited + first_token_ms <= kind.aim_ms);
+        self.tiers[tier].on_time +=
+            u64::from(waited + first_token_ms <= class.first_token_limit_ms);
         let end = now.plus(Duration::from_millis(u64::from(usage.elapsed_ms)));
         self.ends.push(Reverse((end, self.running.len())));
-        self.running.push(RunningAsk { permit, usage });
+        self.running.push(RunningRequest { permit, usage });
     }
 
     fn ask(&mut self, now: Moment, sequence: u64) {
         let tier = self.plan.tier_of(sequence);
-        self.tiers[tier].asked += 1;
-        self.asked_at.push(now);
-        let kind = &self.plan.kinds[tier];
+        self.tiers[tier].submitted += 1;
+        self.submitted_at.push(now);
+        let class = &self.plan.classes[tier];
         let account = format!("account-{}", sequence.wrapping_mul(7) % ACCOUNTS);
         let mut ask = ask(sequence, tier as u8, &account);
-        ask.cost = kind.cost;
-        ask.first_answer_ms = Some(kind.aim_ms);
-        ask.deadline_ms = kind.deadline_ms;
-        self.tell(now, OwnerMessage::Ask(Box::new(ask)));
+        ask.cost = class.cost;
+        ask.first_answer_ms = Some(class.first_token_limit_ms);
+        ask.deadline_ms = class.deadline_ms;
+        self.send(now, OwnerMessage::Ask(Box::new(ask)));
     }
 
     /// Run the simulation to its end.
-    pub fn play(&mut self) {
+    pub fn run(&mut self) {
         let gap = Duration::from_micros(1_000_000 / self.plan.per_second);
-        let end = Moment::START.plus(self.plan.length);
+        let end = Moment::START.plus(self.plan.duration);
         let mut next = Moment::START;
         let mut sequence = 0;
         while next < end {
@@ -166,8 +167,8 @@
                 && at <= next
             {
                 self.ends.pop();
-                let RunningAsk { permit, usage } = self.running[index].clone();
-                self.tell(at, released(&permit, ReleaseOutcome::Finished(usage)));
+                let RunningRequest { permit, usage } = self.running[index].clone();
+                self.send(at, released(&permit, ReleaseOutcome::Finished(usage)));
             }
             if next < Moment::START.plus(WARM_UP) {
                 self.tiers.fill(TierCount::default());
--- a/bergamotswitch-core/tests/oracle/callers.rs
+++ b/bergamotswitch-core/tests/oracle/callers.rs
@@ -7,14 +7,14 @@
 #[derive(Debug, Default)]
 pub struct Callers {
     /// The host incarnation that each caller was given as holder.
-    told: BTreeMap<CallerIdentity, HostIncarnation>,
-    singles: u64,
+    holders: BTreeMap<CallerIdentity, HostIncarnation>,
+    unkeyed: u64,
 }
 
 impl Callers {
     /// Record that a caller was given the incarnation that holds its request.
     pub fn record_holder(&mut self, identity: CallerIdentity, run: HostIncarnation) {
-        self.told.insert(identity, run);
+        self.holders.insert(identity, run);
     }
 
     /// Draw a submission. `b` selects the kind; `c` selects the account, the
@@ -33,8 +33,8 @@
         }
         let identity = match kind {
             0 | 4 => {
-                self.singles += 1;
-                CallerIdentity::Single(self.singles)
+                self.unkeyed += 1;
+                CallerIdentity::Single(self.unkeyed)
             }
             _ => {
                 let key: CallerKey = name(&format!("key-{kind}-{series}"));
@@ -43,7 +43,7 @@
             }
         };
         match (c >> 1) % 4 {
-            0 => submission.holder = self.told.get(&identity).cloned(),
+            0 => submission.holder = self.holders.get(&identity).cloned(),
             1 => submission.resubmission = true,
             _ => {}
         }
--- a/bergamotswitch-core/tests/oracle/mod.rs
+++ b/bergamotswitch-core/tests/oracle/mod.rs
@@ -50,71 +50,71 @@
     Single(u64),
 }
 
-/// A `RequestFate` is what is known of one accepted request.
+/// A `RequestRecord` is what is known of one accepted request.
 #[derive(Debug)]
-pub struct RequestFate {
+pub struct RequestRecord {
     pub identity: CallerIdentity,
     pub submission: Submission,
     pub conclusions: u32,
-    told_not_run: bool,
+    claimed_not_run: bool,
     /// The number of dispatches that may have caused a run.
     dispatches: i32,
     runs: u32,
     finished: bool,
     /// Whether the request is exempt because the design allows a second run.
-    excused: bool,
+    exempt: bool,
 }
 
-impl RequestFate {
-    fn untouched(&self) -> bool {
+impl RequestRecord {
+    fn is_unstarted(&self) -> bool {
         self.runs == 0 && self.dispatches == 0
     }
 }
 
-/// A `PermitFate` is what is known of one permit.
+/// A `PermitRecord` is what is known of one permit.
 #[derive(Debug, Default)]
-struct PermitFate {
+struct PermitRecord {
     reached_host: bool,
     released: bool,
-    ends: u32,
+    uses: u32,
 }
 
 /// An `Oracle` is the record that the guarantees are checked against.
 #[derive(Debug, Default)]
 pub struct Oracle {
-    pub requests: BTreeMap<RequestId, RequestFate>,
-    permits: BTreeMap<PermitId, PermitFate>,
+    pub requests: BTreeMap<RequestId, RequestRecord>,
+    permits: BTreeMap<PermitId, PermitRecord>,
     /// The earlier requests to which an answer "not run" to a resubmission refers.
-    unrun: BTreeSet<RequestId>,
+    claimed_unrun: BTreeSet<RequestId>,
     /// The first violation that was recorded when it happened.
-    seen: Option<Violation>,
+    recorded: Option<Violation>,
 }
 
 impl Oracle {
-    pub fn record_violation(&mut self, breach: Violation) {
-        self.seen.get_or_insert(breach);
+    pub fn record_violation(&mut self, violation: Violation) {
+        self.recorded.get_or_insert(violation);
     }
 
     pub fn accepted(&mut self, id: RequestId, identity: CallerIdentity, submission: Submission) {
-        let fate = RequestFate {
+        let record = RequestRecord {
             identity,
             submission,
             conclusions: 0,
-            told_not_run: false,
+            claimed_not_run: false,
             dispatches: 0,
             runs: 0,
             finished: false,
-            excused: false,
+            exempt: false,
         };
-        if self.requests.insert(id, fate).is_some() {
+        if self.requests.insert(id, record).is_some() {
             self.record_violation(Violation::ForeignAnswer);
         }
     }
 
     /// Check that a caller attached to `id` gets the answer to its own request.
     pub fn attached(&mut self, id: RequestId, identity: &CallerIdentity, fingerprint: u128) {
-        let own = self.requests.get(&id).is_some_and(|fate| {
-            fate.identity == *identity && fate.submission.fingerprint == fingerprint
+        let own = self.requests.get(&id).is_some_and(|record| {
+            record.identity == *identity && record.submission.fingerprint == fingerprint
         });
         if !own {
             self.record_violation(Violation::ForeignAnswer);
@@ -122,41 +122,41 @@
     }
 
     pub fn dispatched(&mut self, id: RequestId) {
-        self.change(id, |fate| fate.dispatches += 1);
+        self.change(id, |record| record.dispatches += 1);
     }
 
     pub fn proven_not_run(&mut self, id: RequestId) {
-        self.change(id, |fate| fate.dispatches -= 1);
+        self.change(id, |record| record.dispatches -= 1);
     }
 
     pub fn ran(&mut self, id: RequestId) {
-        self.change(id, |fate| fate.runs += 1);
+        self.change(id, |record| record.runs += 1);
     }
 
     pub fn finished(&mut self, id: RequestId) {
-        self.change(id, |fate| fate.finished = true);
+        self.change(id, |record| record.finished = true);
     }
 
     pub fn forwarded(&mut self, id: RequestId) {
-        self.change(id, |fate| fate.conclusions += 1);
+        self.change(id, |record| record.conclusions += 1);
     }
 
     pub fn concluded(&mut self, id: RequestId, conclusion: &Conclusion) {
         let mut own = true;
-        let mut told = None;
-        self.change(id, |fate| {
-            fate.conclusions += 1;
+        let mut claimed = None;
+        self.change(id, |record| {
+            record.conclusions += 1;
             match conclusion {
-                Conclusion::Answered => own = fate.finished,
+                Conclusion::Answered => own = record.finished,
                 Conclusion::TargetError => {}
                 Conclusion::Refused(refusal) => {
                     let not_run = refusal.claim() == RunClaim::NotRun;
-                    fate.told_not_run |= not_run;
-                    told = not_run.then(|| (fate.identity.clone(), fate.submission.clone()));
+                    record.claimed_not_run |= not_run;
+                    claimed = not_run.then(|| (record.identity.clone(), record.submission.clone()));
                 }
             }
         });
-        if let Some((identity, submission)) = told {
+        if let Some((identity, submission)) = claimed {
             self.claimed_not_run(&identity, &submission);
         }
         if !own {
@@ -169,33 +169,36 @@
         let Some(own) = self.requests.get(&id) else {
             return Vec::new();
         };
-        let others = self.requests.iter().filter(|(other, fate)| {
-            **other != id && fate.identity == own.identity && !fate.untouched() && !fate.excused
+        let others = self.requests.iter().filter(|(other, record)| {
+            **other != id
+                && record.identity == own.identity
+                && !record.is_unstarted()
+                && !record.exempt
         });
         others.map(|(id, _)| *id).collect()
     }
 
     /// Exempt a request from the checks for second runs.
     pub fn exempt(&mut self, id: RequestId) {
-        self.change(id, |fate| fate.excused = true);
+        self.change(id, |record| record.exempt = true);
     }
 
     /// Record that a submission was answered "not run". If the submission names a
     /// host incarnation or is marked as a resubmission, this must be true of all
     /// earlier requests that it may refer to: those of the named incarnation, or of
     /// any.
-    pub fn claimed_not_run(&mut self, identity: &CallerIdentity, told: &Submission) {
-        let harmless = told.verdict.idempotent && !told.verdict.dispatch_once;
-        if !told.resubmission && (told.holder.is_none() || harmless) {
+    pub fn claimed_not_run(&mut self, identity: &CallerIdentity, submission: &Submission) {
+        let harmless = submission.verdict.idempotent && !submission.verdict.dispatch_once;
+        if !submission.resubmission && (submission.holder.is_none() || harmless) {
             return;
         }
-        let named = told.holder.as_ref().map(|run| run.incarnation);
-        let meant = self.requests.iter().filter(|(id, fate)| {
-            fate.identity == *identity
-                && fate.submission.fingerprint == told.fingerprint
+        let named = submission.holder.as_ref().map(|run| run.incarnation);
+        let meant = self.requests.iter().filter(|(id, record)| {
+            record.identity == *identity
+                && record.submission.fingerprint == submission.fingerprint
                 && named.is_none_or(|run| run == id.incarnation)
         });
-        self.unrun.extend(meant.map(|(id, _)| *id));
+        self.claimed_unrun.extend(meant.map(|(id, _)| *id));
     }
 
     pub fn permit_arrived(&mut self, permit: PermitId) {
@@ -203,10 +206,10 @@
     }
 
     pub fn released(&mut self, permit: PermitId, outcome: &ReleaseOutcome) {
-        let fate = self.permits.entry(permit).or_default();
-        fate.released = true;
+        let record = self.permits.entry(permit).or_default();
+        record.released = true;
         if *outcome != ReleaseOutcome::Unused {
-            fate.ends += 1;
+            record.uses += 1;
         }
     }
 
@@ -215,16 +218,16 @@
         self.permits.entry(permit).or_default().released = true;
     }
 
-    fn change(&mut self, id: RequestId, change: impl FnOnce(&mut RequestFate)) {
+    fn change(&mut self, id: RequestId, change: impl FnOnce(&mut RequestRecord)) {
         match self.requests.get_mut(&id) {
-            Some(fate) => change(fate),
+            Some(record) => change(record),
             None => self.record_violation(Violation::ForeignAnswer),
         }
     }
 
     /// Check every guarantee that must hold at any time.
     pub fn check(&self) -> Result<(), Violation> {
-        self.check_seen()?;
+        self.check_recorded()?;
         self.check_dispatch_once()?;
         self.check_run_once()?;
         self.check_not_run()?;
@@ -242,67 +245,75 @@
 
     /// Check for violations that are recorded when they happen, such as the use of
     /// draining targets and stale permits, and answers that are cut off or foreign.
-    fn check_seen(&self) -> Result<(), Violation> {
-        self.seen.map_or(Ok(()), Err)
+    fn check_recorded(&self) -> Result<(), Violation> {
+        self.recorded.map_or(Ok(()), Err)
     }
 
     fn check_dispatch_once(&self) -> Result<(), Violation> {
-        let once = |fate: &&RequestFate| fate.submission.verdict.dispatch_once && !fate.excused;
+        let once =
+            |record: &&RequestRecord| record.submission.verdict.dispatch_once && !record.exempt;
         let mut sums: BTreeMap<&CallerIdentity, i32> = BTreeMap::new();
-        for fate in self.requests.values().filter(once) {
-            *sums.entry(&fate.identity).or_default() += fate.dispatches;
+        for record in self.requests.values().filter(once) {
+            *sums.entry(&record.identity).or_default() += record.dispatches;
         }
-        all(sums.values().all(|sum| *sum <= 1), Violation::DispatchOnce)
+        require(sums.values().all(|sum| *sum <= 1), Violation::DispatchOnce)
     }
 
     fn check_run_once(&self) -> Result<(), Violation> {
-        let once = |fate: &&RequestFate| !fate.submission.verdict.idempotent && !fate.excused;
+        let once =
+            |record: &&RequestRecord| !record.submission.verdict.idempotent && !record.exempt;
         let mut sums: BTreeMap<&CallerIdentity, u32> = BTreeMap::new();
-        for fate in self.requests.values().filter(once) {
-            *sums.entry(&fate.identity).or_default() += fate.runs;
+        for record in self.requests.values().filter(once) {
+            *sums.entry(&record.identity).or_default() += record.runs;
         }
-        all(sums.values().all(|sum| *sum <= 1), Violation::RunOnce)
+        require(sums.values().all(|sum| *sum <= 1), Violation::RunOnce)
     }
 
     fn check_not_run(&self) -> Result<(), Violation> {
-        let true_claim = |fate: &RequestFate| !fate.told_not_run || fate.untouched();
-        all(self.requests.values().all(true_claim), Violation::NotRun)
+        let true_claim = |record: &RequestRecord| !record.claimed_not_run || record.is_unstarted();
+        require(self.requests.values().all(true_claim), Violation::NotRun)
     }
 
     /// Check the answers "not run" to resubmissions.
     fn check_not_run_before(&self) -> Result<(), Violation> {
-        let mut meant = self.unrun.iter().filter_map(|id| self.requests.get(id));
-        all(meant.all(RequestFate::untouched), Violation::NotRunBefore)
+        let mut meant = self
+            .claimed_unrun
+            .iter()
+            .filter_map(|id| self.requests.get(id));
+        require(
+            meant.all(RequestRecord::is_unstarted),
+            Violation::NotRunBefore,
+        )
     }
 
     fn check_at_most_one_conclusion(&self) -> Result<(), Violation> {
-        let at_most_one = |fate: &RequestFate| fate.conclusions <= 1;
+        let at_most_one = |record: &RequestRecord| record.conclusions <= 1;
         let held = self.requests.values().all(at_most_one);
-        all(held, Violation::ConcludedOnce)
+        require(held, Violation::ConcludedOnce)
     }
 
     fn check_all_concluded(&self, alive: &[Incarnation]) -> Result<(), Violation> {
         let requests = self.requests.iter();
         let mut own = requests.filter(|(id, _)| alive.contains(&id.incarnation));
-        let held = own.all(|(_, fate)| fate.conclusions == 1);
-        all(held, Violation::ConcludedOnce)
+        let held = own.all(|(_, record)| record.conclusions == 1);
+        require(held, Violation::ConcludedOnce)
     }
 
     fn check_single_release(&self) -> Result<(), Violation> {
-        let held = self.permits.values().all(|fate| fate.ends <= 1);
-        all(held, Violation::PermitLeak)
+        let held = self.permits.values().all(|record| record.uses <= 1);
+        require(held, Violation::PermitLeak)
     }
 
     fn check_permits_returned(&self) -> Result<(), Violation> {
-        let returned = |fate: &PermitFate| fate.released || !fate.reached_host;
-        all(self.permits.values().all(returned), Violation::PermitLeak)
+        let returned = |record: &PermitRecord| record.released || !record.reached_host;
+        require(self.permits.values().all(returned), Violation::PermitLeak)
     }
 }
 
-fn all(held: bool, breach: Violation) -> Result<(), Violation> {
+fn require(held: bool, violation: Violation) -> Result<(), Violation> {
     match held {
         true => Ok(()),
-        false => Err(breach),
+        false => Err(violation),
     }
 }
 
--- a/bergamotswitch-core/tests/owner_bench/mod.rs
+++ b/bergamotswitch-core/tests/owner_bench/mod.rs
@@ -164,7 +164,7 @@
     }
 }
 
-pub fn held(permit: Permit, ask: &Ask) -> InFlightWork {
+pub fn in_flight_work(permit: Permit, ask: &Ask) -> InFlightWork {
     InFlightWork {
         permit: permit.id,
         attempt: ask.attempt,
--- a/bergamotswitch-core/tests/owner_choice.rs
+++ b/bergamotswitch-core/tests/owner_choice.rs
@@ -12,21 +12,21 @@
 }
 
 #[test]
-fn leaver_moves_little() {
-    bergamotswitch_draw::for_each::<(u8, u8, u16)>(500, |(count, leaver, pool)| {
+fn host_removal() {
+    bergamotswitch_draw::for_each::<(u8, u8, u16)>(500, |(count, removed, pool)| {
         let count = 2 + *count as usize % 60;
-        let leaver = host(*leaver as usize % count);
+        let removed = host(*removed as usize % count);
         let before = ranked(count, *pool as usize);
-        let names = (0..count).map(host).filter(|name| *name != leaver);
+        let names = (0..count).map(host).filter(|name| *name != removed);
         let names: BTreeSet<_> = names.collect();
         let after = rendezvous::rank(&shard(*pool as usize), names.iter().rev());
-        let kept: Vec<_> = before.into_iter().filter(|name| *name != leaver).collect();
-        assert_eq!(kept, after);
+        let expected: Vec<_> = before.into_iter().filter(|name| *name != removed).collect();
+        assert_eq!(expected, after);
     });
 }
 
 #[test]
-fn shards_spread() {
+fn even_distribution() {
     let mut wins = [0usize; 8];
     for pool in 0..8000 {
         let first = ranked(8, pool).remove(0);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn owners_stand_near() {
+fn owner_in_domain() {
     // Guards against owners outside the failure domain of their shard, which make
     // most permit requests cross regions.
     let of_domain = |index: usize| PoolShard {
@@ -66,8 +66,8 @@
     fleet.run(secs(5));
     for (domain, shard) in shards.iter().enumerate() {
         let owners = fleet.owners_of(shard);
-        let near = (domain..40).step_by(8).any(|index| owners == [host(index)]);
-        assert!(near, "{shard} is owned by {owners:?}");
+        let in_domain = (domain..40).step_by(8).any(|index| owners == [host(index)]);
+        assert!(in_domain, "{shard} is owned by {owners:?}");
     }
     // The last candidate is in another domain, because all entry hosts of a domain
     // may fail together while its targets still work.
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn denial_moves_on() {
+fn not_owner_reply() {
     // Guards against permit requests sent to a reachable candidate that has replied
     // that it isn't the owner, because its host list is older.
     let shards = [shard(0)];
@@ -119,16 +119,16 @@
 }
 
 #[derive(Debug)]
-struct Cost {
+struct WatchCost {
     watched_mean: f64,
-    watched_most: usize,
+    watched_max: usize,
     sent_mean: f64,
-    received_most: f64,
+    received_max: f64,
 }
 
 /// Let each host use up to nine shards, and measure six seconds after
 /// convergence.
-fn measure(hosts: usize, shard_count: usize) -> Cost {
+fn measure(hosts: usize, shard_count: usize) -> WatchCost {
     let shards: Vec<_> = (0..shard_count).map(shard).collect();
     let mut fleet = Fleet::start(hosts, &shards);
     for index in 0..hosts {
@@ -146,11 +146,11 @@
     let watched: Vec<_> = fleet.nodes.values().map(|n| n.dialing.len()).collect();
     let sent: usize = fleet.nodes.values().map(|n| n.sent).sum();
     let received = fleet.nodes.values().map(|n| n.received).max().unwrap();
-    Cost {
+    WatchCost {
         watched_mean: watched.iter().sum::<usize>() as f64 / hosts as f64,
-        watched_most: *watched.iter().max().unwrap(),
+        watched_max: *watched.iter().max().unwrap(),
         sent_mean: sent as f64 / hosts as f64 / 6.0,
-        received_most: received as f64 / 6.0,
+        received_max: received as f64 / 6.0,
     }
 }
 
@@ -164,9 +164,9 @@
             // A host monitors the candidates of its nine used shards and of the
             // shards where it is a candidate itself; the latter get fewer as hosts
             // are added.
-            assert!(cost.watched_most < hosts.min(40), "{cost:?}");
+            assert!(cost.watched_max < hosts.min(40), "{cost:?}");
             assert!(cost.sent_mean <= 50.0, "{cost:?}");
-            assert!(cost.received_most <= 100.0, "{cost:?}");
+            assert!(cost.received_max <= 100.0, "{cost:?}");
             if hosts >= 128 {
                 assert!(cost.watched_mean <= 20.0, "{cost:?}");
                 assert!(cost.sent_mean <= 30.0, "{cost:?}");
--- a/bergamotswitch-core/tests/owner_failover.rs
+++ b/bergamotswitch-core/tests/owner_failover.rs
@@ -13,7 +13,7 @@
     OwnerBench::with_targets(opts, &[target("a", "d", 10_000)])
 }
 
-fn retell(bench: &mut OwnerBench, claims: Vec<KeyClaim>) -> Vec<OwnerAction> {
+fn resync(bench: &mut OwnerBench, claims: Vec<KeyClaim>) -> Vec<OwnerAction> {
     bench.message(OwnerMessage::Resync {
         shard: shard(),
         held: Vec::new(),
@@ -21,7 +21,7 @@
     })
 }
 
-fn known(asked: &Ask, host: &str, run: u128) -> OwnerReply {
+fn key_held_reply(asked: &Ask, host: &str, run: u128) -> OwnerReply {
     OwnerReply::KeyHeld {
         attempt: asked.attempt,
         holder: incarnation_of(host, run),
@@ -37,15 +37,18 @@
     let first = with_claim(ask(1, 0, "a"), 5, holder.clone(), false);
     let permit = bench.granted(&first);
     let second = with_claim(ask(2, 0, "a"), 5, incarnation_of("other", 8), false);
-    let known = OwnerReply::KeyHeld {
+    let key_held_reply = OwnerReply::KeyHeld {
         attempt: second.attempt,
         holder: holder.clone(),
     };
-    assert_eq!(replies(&bench.ask(&second)), std::slice::from_ref(&known));
+    assert_eq!(
+        replies(&bench.ask(&second)),
+        std::slice::from_ref(&key_held_reply)
+    );
     bench.release(&permit, ReleaseOutcome::Finished(usage(first.cost, 100)));
     assert_eq!(
         replies(&bench.ask(&second)),
-        [known],
+        [key_held_reply],
         "also after the attempt ended"
     );
     let own = with_claim(ask(3, 0, "a"), 5, holder, true);
@@ -71,7 +74,7 @@
 }
 
 #[test]
-fn withdrawn_twin() {
+fn withdrawn_duplicate() {
     // Guards against permits for one key at two hosts: withdrawing one of two
     // queued attempts must not free the key.
     let mut bench = OwnerBench::with_targets(OwnerOptions::default(), &[target("a", "d", 100)]);
@@ -83,25 +86,28 @@
     bench.message(withdrawal(attempt_of(ENTRY_INCARNATION, 1)));
     let other = with_claim(ask(3, 0, "a"), 5, incarnation_of("other", 8), false);
     let attempt = other.attempt;
-    let known = OwnerReply::KeyHeld { attempt, holder };
-    assert_eq!(replies(&bench.ask(&other)), [known]);
+    let key_held_reply = OwnerReply::KeyHeld { attempt, holder };
+    assert_eq!(replies(&bench.ask(&other)), [key_held_reply]);
     let actions = bench.release(&permit, ReleaseOutcome::Unused);
     assert_eq!(granted_requests(&actions), [2]);
 }
 
 #[test]
-fn takeover_blindness() {
+fn incomplete_key_table() {
     // Guards against a second run after the owner and the key's holder have failed:
     // a new owner's empty key table doesn't mean that the key is new.
     let mut bench = keyed_bench();
-    let again = with_claim(ask(1, 0, "a"), 5, incarnation_of("entry", 7), true);
-    let refused = refusals(&bench.ask(&again));
+    let resubmitted = with_claim(ask(1, 0, "a"), 5, incarnation_of("entry", 7), true);
+    let refused = refusals(&bench.ask(&resubmitted));
     assert_eq!(refused[0].reason, RefusalReason::OutcomeUnknown);
     assert_eq!(u128::from(refused[0].retry_after_ms), RETENTION.as_millis());
     let new = with_claim(ask(2, 0, "a"), 6, incarnation_of("entry", 7), false);
     let first = bench.granted(&new);
-    retell(&mut bench, vec![again.claim.clone().expect("a claim")]);
-    let second = bench.granted(&again);
+    resync(
+        &mut bench,
+        vec![resubmitted.claim.clone().expect("a claim")],
+    );
+    let second = bench.granted(&resubmitted);
     bench.release(&first, ReleaseOutcome::Unused);
     bench.release(&second, ReleaseOutcome::Unused);
     bench.tick_after(60_001);
@@ -110,7 +116,7 @@
 }
 
 #[test]
-fn key_bound() {
+fn key_table_limit() {
     // Guards against an unbounded key table, and against a second run of a key that
     // was evicted from it.
     let opts = OwnerOptions::default()
@@ -129,7 +135,7 @@
 }
 
 #[test]
-fn retold_work() {
+fn resynced_work() {
     // Guards against overloaded targets after a failover: the new owner must count
     // the permits that entry hosts report in a resync.
     let mut old = OwnerBench::with_targets(OwnerOptions::default(), &[target("a", "d", 100)]);
@@ -139,7 +145,7 @@
     for _ in 0..2 {
         bench.message(OwnerMessage::Resync {
             shard: shard(),
-            held: vec![held(permit.clone(), &first)],
+            held: vec![in_flight_work(permit.clone(), &first)],
             claims: Vec::new(),
         });
     }
@@ -163,15 +169,15 @@
 }
 
 #[test]
-fn host_gone() {
+fn host_terminated() {
     let mut bench = OwnerBench::with_targets(OwnerOptions::default(), &[target("a", "d", 100)]);
     bench.granted(&ask(1, 1, "a"));
     bench.ask(&ask(2, 1, "a"));
     let mut other = ask(3, 1, "a");
     other.attempt = attempt_of(bergamotswitch_core::host::Incarnation(8), 3);
     bench.ask(&other);
-    let gone = OwnerEvent::HostTerminated(named("entry"), ENTRY_INCARNATION);
-    assert_eq!(granted_requests(&bench.event(gone)), [3]);
+    let terminated = OwnerEvent::HostTerminated(named("entry"), ENTRY_INCARNATION);
+    assert_eq!(granted_requests(&bench.event(terminated)), [3]);
     assert!(bench.view().queued.is_empty());
     assert_eq!(bench.target_view("a").outstanding_tokens, 100);
 }
@@ -194,12 +200,12 @@
     assert_eq!(bench.view().in_flight, 1, "not freed by a timer");
     bench.ask(&ask(2, 1, "a"));
     let answer = not_held(vec![permit.id]);
-    let stranger = OwnerEvent::Message(named("other"), answer.clone());
-    assert!(bench.event(stranger).is_empty());
+    let other_host = OwnerEvent::Message(named("other"), answer.clone());
+    assert!(bench.event(other_host).is_empty());
     let actions = bench.message(answer);
     assert_eq!(granted_requests(&actions), [2]);
-    let note = OwnerAction::LogIncident(Incident::PermitReclaimed, shard(), Some(named("a")));
-    assert!(actions.contains(&note));
+    let incident = OwnerAction::LogIncident(Incident::PermitReclaimed, shard(), Some(named("a")));
+    assert!(actions.contains(&incident));
 }
 
 #[test]
@@ -241,7 +247,7 @@
 }
 
 #[test]
-fn lost_releases() {
+fn audit_on_resync() {
     // Guards against slots that stay occupied until the next regular audit after
     // the owner was paused and releases were lost: a resync starts an audit.
     let mut bench = OwnerBench::with_targets(OwnerOptions::default(), &[target("a", "d", 100)]);
@@ -252,7 +258,7 @@
         shard: shard(),
         permits: vec![permit.id],
     };
-    assert_eq!(replies(&retell(&mut bench, Vec::new())), [audit]);
+    assert_eq!(replies(&resync(&mut bench, Vec::new())), [audit]);
     let actions = bench.message(not_held(vec![permit.id]));
     assert_eq!(granted_requests(&actions), [2]);
 }
@@ -260,7 +266,7 @@
 // Guards against a second run under a key that the owner has assigned to an
 // attempt that was not run.
 #[test]
-fn told_key() {
+fn resynced_key() {
     let unrun = [
         ReleaseOutcome::Unused,
         ReleaseOutcome::Unreachable,
@@ -272,23 +278,26 @@
         let permit = bench.granted(&first);
         bench.release(&permit, outcome);
         let ran = with_claim(ask(2, 0, "a"), 5, incarnation_of("other", 8), false);
-        retell(&mut bench, ran.claim.into_iter().collect());
-        let again = with_claim(ask(3, 0, "a"), 5, incarnation_of("entry", 7), true);
-        assert_eq!(replies(&bench.ask(&again)), [known(&again, "other", 8)]);
+        resync(&mut bench, ran.claim.into_iter().collect());
+        let resubmitted = with_claim(ask(3, 0, "a"), 5, incarnation_of("entry", 7), true);
+        assert_eq!(
+            replies(&bench.ask(&resubmitted)),
+            [key_held_reply(&resubmitted, "other", 8)]
+        );
     }
 }
 
 // Guards against a second run by a queued request while another host reports in a
 // resync that it has run the request.
 #[test]
-fn told_waiting() {
+fn resynced_queued_key() {
     let mut bench = OwnerBench::with_targets(OwnerOptions::default(), &[target("a", "d", 100)]);
     let permit = bench.granted(&ask(0, 0, "a"));
     let waiting = with_claim(ask(1, 0, "a"), 5, incarnation_of("entry", 7), false);
     bench.ask(&waiting);
     let ran = with_claim(ask(2, 0, "a"), 5, incarnation_of("other", 8), false);
-    let actions = retell(&mut bench, ran.claim.into_iter().collect());
-    assert!(replies(&actions).contains(&known(&waiting, "other", 8)));
+    let actions = resync(&mut bench, ran.claim.into_iter().collect());
+    assert!(replies(&actions).contains(&key_held_reply(&waiting, "other", 8)));
     let actions = bench.release(&permit, ReleaseOutcome::Unused);
     assert!(granted_requests(&actions).is_empty());
 }
--- a/bergamotswitch-core/tests/owner_invariants.rs
+++ b/bergamotswitch-core/tests/owner_invariants.rs
@@ -22,7 +22,7 @@
     deadline: u8,
     domain: u8,
     key: u8,
-    again: bool,
+    resubmission: bool,
 }
 
 /// An `OwnerTurn` is a permit request followed by another random event.
@@ -38,13 +38,13 @@
     Ask(AskDraw),
     Repeat(u8),
     Withdraw(u8),
-    Finish { place: u8, elapsed: u8 },
-    End { place: u8, outcome: u8 },
-    Pass(u8),
+    Finish { index: u8, elapsed: u8 },
+    Release { index: u8, outcome: u8 },
+    AdvanceTime(u8),
     Targets(u8),
     Report { target: u8, tokens: u16, age: u8 },
     Prefix { target: u8, hash: u8, held: bool },
-    Gone(u8),
+    HostTerminated(u8),
     NotHeld(u8),
 }
 
@@ -59,7 +59,7 @@
 struct OwnerModel {
     waiting: BTreeMap<AttemptId, (Ask, Moment)>,
     held: BTreeMap<PermitId, HeldPermit>,
-    runners: BTreeMap<u128, Incarnation>,
+    holders: BTreeMap<u128, Incarnation>,
     published: Vec<PoolTarget>,
     refused_at: Option<Moment>,
     answered: usize,
@@ -67,10 +67,10 @@
 
 impl OwnerModel {
     /// Check the replies and apply them to the model.
-    fn take(&mut self, actions: &[OwnerAction]) {
+    fn apply(&mut self, actions: &[OwnerAction]) {
         for reply in replies(actions) {
             match reply {
-                OwnerReply::Granted { permit, .. } => self.take_permit(permit),
+                OwnerReply::Granted { permit, .. } => self.apply_permit(permit),
                 OwnerReply::Refused { attempt, .. } | OwnerReply::KeyHeld { attempt, .. } => {
                     let known = self.waiting.remove(&attempt);
                     assert!(known.is_some(), "reply without a queued request");
@@ -81,7 +81,7 @@
         }
     }
 
-    fn take_permit(&mut self, permit: Permit) {
+    fn apply_permit(&mut self, permit: Permit) {
         if let Some(held) = self.held.get(&permit.id) {
             assert_eq!(held.permit, permit, "the same permit is granted again");
             return;
@@ -96,8 +96,8 @@
         assert!(ask.domains.is_empty() || ask.domains.contains(&target.domain));
         if let Some(claim) = &ask.claim {
             let holder = claim.holder.incarnation;
-            let runner = *self.runners.entry(claim.key).or_insert(holder);
-            assert_eq!(runner, holder, "two incarnations hold one key");
+            let key_holder = *self.holders.entry(claim.key).or_insert(holder);
+            assert_eq!(key_holder, holder, "two incarnations hold one key");
         }
         let tokens = ask.cost.total();
         self.held.insert(permit.id, HeldPermit { permit, tokens });
@@ -111,9 +111,9 @@
         assert_eq!(queued, self.waiting.len());
         assert_eq!(view.in_flight, self.held.len());
         for target in &view.targets {
-            let there = self.held.values();
-            let there = there.filter(|held| held.permit.target == target.name);
-            let tokens: u64 = there.map(|held| held.tokens).sum();
+            let on_target = self.held.values();
+            let on_target = on_target.filter(|held| held.permit.target == target.name);
+            let tokens: u64 = on_target.map(|held| held.tokens).sum();
             assert_eq!(target.outstanding_tokens, tokens);
         }
         let mut waiting = self.waiting.values();
@@ -140,9 +140,9 @@
         }
     }
 
-    fn held_at(&self, place: u8) -> Option<Permit> {
+    fn held_at(&self, index: u8) -> Option<Permit> {
         let count = self.held.len();
-        let held = self.held.values().nth(usize::from(place) % count.max(1))?;
+        let held = self.held.values().nth(usize::from(index) % count.max(1))?;
         Some(held.permit.clone())
     }
 }
@@ -168,7 +168,7 @@
             ask,
             u128::from(draw.key % 8),
             incarnation_of("entry", run),
-            draw.again,
+            draw.resubmission,
         );
     }
     ask
@@ -177,7 +177,7 @@
 /// Get the event of a step, and apply it to the model.
 fn event_of(model: &mut OwnerModel, now: Moment, number: u64, step: OwnerStep) -> OwnerEvent {
     let from_entry = |message| OwnerEvent::Message(named("entry"), message);
-    let place_of = |place: u8, count: usize| usize::from(place) % count.max(1);
+    let index_of = |index: u8, count: usize| usize::from(index) % count.max(1);
     match step {
         OwnerStep::Ask(draw) => {
             let ask = ask_of(number, draw);
@@ -186,28 +186,28 @@
             model.waiting.insert(ask.attempt, entry);
             from_entry(OwnerMessage::Ask(Box::new(ask)))
         }
-        OwnerStep::Repeat(place) => {
+        OwnerStep::Repeat(index) => {
             let count = model.waiting.len();
-            match model.waiting.values().nth(place_of(place, count)) {
+            match model.waiting.values().nth(index_of(index, count)) {
                 Some((ask, _)) => from_entry(OwnerMessage::Ask(Box::new(ask.clone()))),
                 None => OwnerEvent::Tick,
             }
         }
-        OwnerStep::Withdraw(place) => {
+        OwnerStep::Withdraw(index) => {
             let count = model.waiting.len();
-            let attempt = model.waiting.keys().nth(place_of(place, count)).copied();
+            let attempt = model.waiting.keys().nth(index_of(index, count)).copied();
             let Some(attempt) = attempt else {
                 return OwnerEvent::Tick;
             };
             model.waiting.remove(&attempt);
             from_entry(withdrawal(attempt))
         }
-        OwnerStep::Finish { place, elapsed } => {
+        OwnerStep::Finish { index, elapsed } => {
             let cost = cost_of(50, 50);
             let usage = usage(cost, u32::from(elapsed));
-            end_of(model, place, ReleaseOutcome::Finished(usage))
+            release_of(model, index, ReleaseOutcome::Finished(usage))
         }
-        OwnerStep::End { place, outcome } => {
+        OwnerStep::Release { index, outcome } => {
             let outcome = match outcome % 5 {
                 0 => ReleaseOutcome::Unused,
                 1 => ReleaseOutcome::Unreachable,
@@ -218,9 +218,9 @@
             if outcome == ReleaseOutcome::Refused {
                 model.refused_at = Some(now);
             }
-            end_of(model, place, outcome)
+            release_of(model, index, outcome)
         }
-        OwnerStep::Pass(_) => OwnerEvent::Tick,
+        OwnerStep::AdvanceTime(_) => OwnerEvent::Tick,
         OwnerStep::Targets(mask) => {
             model.published = targets_of(mask);
             OwnerEvent::Targets(model.published.clone())
@@ -238,7 +238,7 @@
             PrefixHash(u64::from(hash % 7)),
             held,
         ),
-        OwnerStep::Gone(run) => {
+        OwnerStep::HostTerminated(run) => {
             let run = Incarnation(u128::from(run % 3));
             let waiting = &mut model.waiting;
             waiting.retain(|attempt, _| attempt.request.incarnation != run);
@@ -246,8 +246,8 @@
             held.retain(|_, held| held.permit.attempt.request.incarnation != run);
             OwnerEvent::HostTerminated(named("entry"), run)
         }
-        OwnerStep::NotHeld(place) => {
-            let permit = model.held_at(place);
+        OwnerStep::NotHeld(index) => {
+            let permit = model.held_at(index);
             let permits: Vec<PermitId> = permit.iter().map(|permit| permit.id).collect();
             for id in &permits {
                 model.held.remove(id);
@@ -257,8 +257,8 @@
     }
 }
 
-fn end_of(model: &mut OwnerModel, place: u8, outcome: ReleaseOutcome) -> OwnerEvent {
-    let Some(permit) = model.held_at(place) else {
+fn release_of(model: &mut OwnerModel, index: u8, outcome: ReleaseOutcome) -> OwnerEvent {
+    let Some(permit) = model.held_at(index) else {
         return OwnerEvent::Tick;
     };
     model.held.remove(&permit.id);
@@ -281,7 +281,7 @@
 
 impl OwnerRun {
     fn step(&mut self, step: OwnerStep) {
-        if let OwnerStep::Pass(millis) = step {
+        if let OwnerStep::AdvanceTime(millis) = step {
             let span = Duration::from_millis(u64::from(millis));
             self.bench.now = self.bench.now.plus(span);
         }
@@ -291,7 +291,7 @@
         let waiting = model.waiting.values();
         let before: Vec<Ask> = waiting.map(|(ask, _)| ask.clone()).collect();
         let actions = self.bench.event(event);
-        model.take(&actions);
+        model.apply(&actions);
         model.check(&self.bench, &actions);
         check_shed_order(model, &before, &actions);
     }
--- a/bergamotswitch-core/tests/owner_routing.rs
+++ b/bergamotswitch-core/tests/owner_routing.rs
@@ -33,10 +33,10 @@
 }
 
 fn backed_off(actions: &[OwnerAction]) -> usize {
-    let notes = actions.iter().filter(|action| {
+    let incidents = actions.iter().filter(|action| {
         matches!(action, OwnerAction::LogIncident(incident, ..) if *incident == Incident::TargetBackedOff)
     });
-    notes.count()
+    incidents.count()
 }
 
 #[test]
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn stalled_engine() {
+fn stalled_target() {
     // Guards against requests that pile up on a stalled target because its speed is
     // only updated when requests finish.
     let mut slow = target("b", "d", 100_000);
@@ -101,12 +101,12 @@
         let mut actions = bench.ask(&ask);
         actions.extend(bench.tick_after(100));
         // The slower target completes one request every half second.
-        let begun = match request % 5 {
+        let granted_at = match request % 5 {
             4 => on_slow.pop_front(),
             _ => None,
         };
-        if let Some((begun, permit)) = begun {
-            let elapsed_ms = bench.now.since(begun).as_millis() as u32;
+        if let Some((granted_at, permit)) = granted_at {
+            let elapsed_ms = bench.now.since(granted_at).as_millis() as u32;
             actions.extend(bench.release(&permit, finished(ask.cost, elapsed_ms)));
             done += 1;
         }
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn useless_cache() {
+fn ineffective_cache() {
     // Guards against requests queued on one target for a prefix cache that is too
     // small to save anything: the measured hit ratio must correct the hints.
     let mut bench = bench_of(&[target("a", "d", 100_000), target("b", "d", 100_000)]);
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn risked_probe() {
+fn probe_eligibility() {
     // Guards against requests that must not run twice being used to probe a failing
     // target.
     let mut bench = bench_of(&[target("a", "d", 10_000), target("b", "d", 10_000)]);
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn spared_probe() {
+fn probe_after_failure() {
     // Guards against one request that uses up its retries as the probe of several
     // failed targets while others work.
     let dead = [target("a", "d", 10_000), target("b", "d", 10_000)];
@@ -301,7 +301,7 @@
 }
 
 #[test]
-fn leaving_target() {
+fn draining_target() {
     let targets = [target("a", "d", 100), target("b", "d", 100)];
     let mut bench = bench_of(&targets);
     let first = bench.granted(&ask(1, 1, "a"));
@@ -331,7 +331,7 @@
 }
 
 #[test]
-fn room_for_short() {
+fn capacity_for_short() {
     // Guards against long requests that occupy the whole capacity, so that short
     // ones have to wait for their end on every target.
     let targets = [target("a", "d", 20_000), target("b", "d", 20_000)];
@@ -373,7 +373,7 @@
 }
 
 #[test]
-fn short_answer_pace() {
+fn short_answer_limit() {
     // Guards against the limit of a healthy target falling to its minimum because
     // the time per token of very short answers is used as the best one.
     let mut bench = bench_of(&[target("a", "d", 16_000)]);
@@ -393,8 +393,8 @@
     let names = ["a", "b", "c"];
     let targets = names.map(|name| target(name, "d", 10_000));
     let mut bench = bench_of(&targets);
-    let mut lost = 0;
-    let mut noted = 0;
+    let mut failed = 0;
+    let mut back_offs = 0;
     for request in 0..600 {
         let ask = ask(request, 1, "a");
         let permit = bench.granted(&ask);
@@ -403,20 +403,20 @@
             "a" => ReleaseOutcome::Unreachable,
             _ => finished(ask.cost, 100),
         };
-        lost += usize::from(outcome == ReleaseOutcome::Unreachable);
-        noted += backed_off(&bench.release(&permit, outcome));
+        failed += usize::from(outcome == ReleaseOutcome::Unreachable);
+        back_offs += backed_off(&bench.release(&permit, outcome));
     }
-    assert_eq!(noted, 1);
-    assert!((3..=9).contains(&lost), "{lost} of 600 in a minute");
-    let mut found = false;
+    assert_eq!(back_offs, 1);
+    assert!((3..=9).contains(&failed), "{failed} of 600 in a minute");
+    let mut recovered = false;
     for request in 1_000..1_400 {
         let ask = ask(request, 1, "a");
         let permit = bench.granted(&ask);
         bench.tick_after(100);
-        found |= permit.target.as_str() == "a";
+        recovered |= permit.target.as_str() == "a";
         bench.release(&permit, finished(ask.cost, 100));
     }
-    assert!(found, "no probe found that the target has recovered");
+    assert!(recovered, "no probe found that the target has recovered");
     assert!(!bench.target_view("a").backed_off);
 }
 
@@ -484,7 +484,7 @@
 }
 
 #[test]
-fn old_report() {
+fn stale_report() {
     // Guards against attributing requests that ended after a load report was made
     // to another owner: a report is compared with the load at its own time.
     let mut bench = bench_of(&[target("a", "d", 10_000)]);
--- a/bergamotswitch-core/tests/queue_differential.rs
+++ b/bergamotswitch-core/tests/queue_differential.rs
@@ -54,17 +54,17 @@
 }
 
 impl NaiveQueue {
-    fn waits(&self, account: &(Tier, String)) -> bool {
+    fn has_queued(&self, account: &(Tier, String)) -> bool {
         let mut asks = self.asks.iter();
         asks.any(|queued| account_of(queued) == *account)
     }
 
     fn push(&mut self, queued: QueuedRequest) {
         let key = account_of(&queued);
-        let waits = self.waits(&key);
+        let has_queued = self.has_queued(&key);
         let clock = self.clocks.get(&key.0).copied().unwrap_or(0);
         let account = self.accounts.entry(key).or_default();
-        if !waits {
+        if !has_queued {
             account.start = account.start.max(clock);
         }
         account.share = u128::from(queued.ask.share);
@@ -96,11 +96,11 @@
 
     fn take(&mut self, attempt: &AttemptId, served: bool) {
         let mut asks = self.asks.iter();
-        let place = asks.position(|queued| queued.ask.attempt == *attempt);
-        let Some(place) = place else {
+        let position = asks.position(|queued| queued.ask.attempt == *attempt);
+        let Some(position) = position else {
             return;
         };
-        let queued = self.asks.remove(place);
+        let queued = self.asks.remove(position);
         let key = account_of(&queued);
         let clock = self.clocks.entry(key.0).or_default();
         let account = self.accounts.get_mut(&key).expect("a known account");
@@ -176,8 +176,8 @@
                 naive.take(&attempt, false);
             }
         }
-        QueueStep::Withdraw(place) => {
-            let attempt = attempt_of(ENTRY_INCARNATION, u64::from(place));
+        QueueStep::Withdraw(sequence) => {
+            let attempt = attempt_of(ENTRY_INCARNATION, u64::from(sequence));
             fast.remove(&attempt);
             naive.take(&attempt, false);
         }
@@ -232,15 +232,15 @@
 /// A `TargetStep` is one random change of a target.
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 enum TargetStep {
-    Occupy(TokenDraw),
-    Learn { target: u8, elapsed_ms: u16 },
-    Fail { target: u8 },
-    Hint { target: u8, cached: u8 },
-    Leave { target: u8 },
+    AddPermit(TokenDraw),
+    RecordUsage { target: u8, elapsed_ms: u16 },
+    RecordFailure { target: u8 },
+    RecordCacheHit { target: u8, cached: u8 },
+    StartDraining { target: u8 },
     Publish { target: u8 },
-    Vacate(TokenDraw),
-    Succeed { target: u8 },
-    Pass { millis: u16 },
+    RemovePermit(TokenDraw),
+    RecordSuccess { target: u8 },
+    AdvanceTime { millis: u16 },
     Choose(RouteDraw),
 }
 
@@ -260,8 +260,8 @@
     long: bool,
     warm: u8,
     avoid: u8,
-    riskable: bool,
-    spared: bool,
+    probe_eligible: bool,
+    failed_before: bool,
 }
 
 const TARGETS: [&str; 5] = ["p", "q", "r", "s", "t"];
@@ -306,10 +306,10 @@
             ProbeAdmission::AnyProbe => !query.failed_before || all_failing,
             ProbeAdmission::Blocked => false,
         };
-        let first_long = !load.has_long() && allowed.len() > 1;
-        let crowding = first_long && spare <= allowed.len().div_ceil(8);
-        let short_room = load.fits_long(now, tokens) && !crowding;
-        if !usable || (query.placement.long && !short_room) {
+        let adds_long = !load.has_long() && allowed.len() > 1;
+        let exhausts_reserve = adds_long && spare <= allowed.len().div_ceil(8);
+        let long_fits = load.fits_long(now, tokens) && !exhausts_reserve;
+        if !usable || (query.placement.long && !long_fits) {
             continue;
         }
         let mut own = tokens;
@@ -343,20 +343,20 @@
         }
     };
     match step {
-        TargetStep::Occupy(draw) => change(draw.target, &mut |load| {
+        TargetStep::AddPermit(draw) => change(draw.target, &mut |load| {
             load.add_permit(*now, u64::from(draw.tokens), draw.long)
         }),
-        TargetStep::Learn { target, elapsed_ms } => {
+        TargetStep::RecordUsage { target, elapsed_ms } => {
             let cost = cost_of(100, 100);
             let usage: Usage = usage(cost, u32::from(elapsed_ms));
             change(target, &mut |load| {
                 load.record_usage(*now, 1_000, cost, &usage)
             });
         }
-        TargetStep::Fail { target } => change(target, &mut |load| {
+        TargetStep::RecordFailure { target } => change(target, &mut |load| {
             load.back_off_mut().record_failure(*now, permit, *now, true);
         }),
-        TargetStep::Hint { target, cached } => {
+        TargetStep::RecordCacheHit { target, cached } => {
             change(target, &mut |load| {
                 load.record_cache_hit(255, u32::from(cached))
             });
@@ -365,14 +365,14 @@
             let published = load.target().clone();
             load.publish(published);
         }),
-        TargetStep::Vacate(draw) => change(draw.target, &mut |load| {
+        TargetStep::RemovePermit(draw) => change(draw.target, &mut |load| {
             load.remove_permit(*now, u64::from(draw.tokens), draw.long);
         }),
-        TargetStep::Succeed { target } => change(target, &mut |load| {
+        TargetStep::RecordSuccess { target } => change(target, &mut |load| {
             load.back_off_mut().record_success(permit, *now);
         }),
-        TargetStep::Leave { target } => change(target, &mut TargetLoad::start_draining),
-        TargetStep::Pass { millis } => {
+        TargetStep::StartDraining { target } => change(target, &mut TargetLoad::start_draining),
+        TargetStep::AdvanceTime { millis } => {
             *now = now.plus(Duration::from_millis(u64::from(millis)));
         }
         TargetStep::Choose(draw) => {
@@ -391,8 +391,8 @@
                 cost: cost_of(u32::from(draw.prefill), 50),
                 blocks: 4,
                 warm: &warm,
-                probe_eligible: draw.riskable,
-                failed_before: draw.spared,
+                probe_eligible: draw.probe_eligible,
+                failed_before: draw.failed_before,
             };
             let fast = choose(*now, targets, &ReservedTargets::default(), &query);
             let fast = fast.map(|route| route.target.to_string());
@@ -432,20 +432,20 @@
     let mut request = waiting;
     let mut shortest = Duration::MAX;
     for _ in 0..10 {
-        let begun = Instant::now();
+        let started = Instant::now();
         for _ in 0..200 {
             request += 1;
             bench.ask(&ask(request, 1, "a"));
             let actions = bench.release(&permit, ReleaseOutcome::Unused);
             permit = permits(&actions)[0].clone();
         }
-        shortest = shortest.min(begun.elapsed());
+        shortest = shortest.min(started.elapsed());
     }
     shortest
 }
 
 #[test]
-fn queue_slope() {
+fn queue_scaling() {
     // Scanning a queue that is a hundred times as long would take a hundred times
     // as long. The bound allows for other load on the machine.
     let short = grant_time(100);
--- a/bergamotswitch-core/tests/queue_order.rs
+++ b/bergamotswitch-core/tests/queue_order.rs
@@ -54,8 +54,8 @@
     }
     bench.ask(&ask(99, 1, "small"));
     let order = order_of(&mut bench, first);
-    let place = order.iter().position(|request| *request == 99);
-    assert!(place.is_some_and(|place| place <= 1), "{order:?}");
+    let position = order.iter().position(|request| *request == 99);
+    assert!(position.is_some_and(|position| position <= 1), "{order:?}");
 }
 
 #[test]
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn truthful_retry() {
+fn retry_after_estimate() {
     // 100 tokens are in flight and 1000 are queued, at 1000 tokens per second.
     let opts = OwnerOptions::default().with_max_wait(Duration::from_secs(1));
     let (mut bench, _first) = busy_bench(opts);
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn patient_logs() {
+fn long_deadlines() {
     // Guards against shedding requests that may wait for hours: the queue limit must
     // depend on the deadlines.
     let mut bench = OwnerBench::with_targets(OwnerOptions::default(), &[target("t", "d", 100)]);
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn too_late_to_run() {
+fn too_late_to_finish() {
     // Guards against running requests that can't finish before their deadline, which
     // wastes the capacity of the tier.
     let opts = OwnerOptions::default();
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn endangered_work() {
+fn lower_tier_preemption() {
     // Guards against a request of the top tier missing its deadline behind long
     // requests of lower tiers, since targets don't support priorities.
     let targets = [target("a", "d", 10_000), target("b", "d", 10_000)];
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn no_needless_stop() {
+fn no_needless_preemption() {
     let targets = [target("a", "d", 10_000)];
     let mut bench = OwnerBench::with_targets(OwnerOptions::default(), &targets);
     let mut bulk = with_cost(ask(1, 2, "bulk"), 5_000, 5_000);
--- a/bergamotswitch-core/tests/slot_routing.rs
+++ b/bergamotswitch-core/tests/slot_routing.rs
@@ -4,19 +4,19 @@
 
 use owner_bench::*;
 
-const AIM_MS: u32 = 400;
+const FIRST_TOKEN_LIMIT_MS: u32 = 400;
 
-fn place(name: &str, slots: u32) -> PoolTarget {
-    let mut place = target(name, "d", 1_000_000);
-    place.slots = Some(slots);
-    place
+fn slot_target(name: &str, slots: u32) -> PoolTarget {
+    let mut target = target(name, "d", 1_000_000);
+    target.slots = Some(slots);
+    target
 }
 
-fn call(sequence: u64, output: u32) -> Ask {
-    let mut call = with_cost(ask(sequence, 1, "a"), 500, output);
-    call.first_answer_ms = Some(AIM_MS);
-    call.deadline_ms = 10_000;
-    call
+fn limited_ask(sequence: u64, output: u32) -> Ask {
+    let mut ask = with_cost(ask(sequence, 1, "a"), 500, output);
+    ask.first_answer_ms = Some(FIRST_TOKEN_LIMIT_MS);
+    ask.deadline_ms = 10_000;
+    ask
 }
 
 fn at(millis: u64) -> Moment {
@@ -29,45 +29,45 @@
 }
 
 impl SlotBench {
-    fn new(places: &[PoolTarget]) -> Self {
+    fn new(targets: &[PoolTarget]) -> Self {
         let opts = OwnerOptions::default();
         let mut owner = ShardOwner::new(incarnation_of("owner", 1), shard(), opts, Moment::START);
-        owner.handle(Moment::START, OwnerEvent::Targets(places.to_vec()));
+        owner.handle(Moment::START, OwnerEvent::Targets(targets.to_vec()));
         SlotBench { owner }
     }
 
-    fn tell(&mut self, now: Moment, message: OwnerMessage) -> Vec<OwnerReply> {
+    fn send(&mut self, now: Moment, message: OwnerMessage) -> Vec<OwnerReply> {
         let event = OwnerEvent::Message(named("entry"), message);
         replies(self.owner.handle(now, event))
     }
 
-    fn ask(&mut self, now: Moment, call: Ask) -> Vec<OwnerReply> {
-        self.tell(now, OwnerMessage::Ask(Box::new(call)))
+    fn ask(&mut self, now: Moment, ask: Ask) -> Vec<OwnerReply> {
+        self.send(now, OwnerMessage::Ask(Box::new(ask)))
     }
 
     /// Run a request on the target that is chosen, with these times to the first
     /// token and per output token.
-    fn run(&mut self, now: Moment, number: u64, first_ms: u32, token_ms: u32) -> String {
-        let granted = self.ask(now, call(number, 10));
+    fn run_request(&mut self, now: Moment, number: u64, first_ms: u32, token_ms: u32) -> String {
+        let granted = self.ask(now, limited_ask(number, 10));
         let [OwnerReply::Granted { permit, .. }] = granted.as_slice() else {
             panic!("not granted: {granted:?}");
         };
-        self.tell(now, finished(permit, first_ms, token_ms));
+        self.send(now, finished(permit, first_ms, token_ms));
         permit.target.to_string()
     }
 
     /// Run requests so that the owner measures `fast` as fast and the other targets
     /// as slow.
-    fn teach(&mut self, fast: &str) {
+    fn measure_targets(&mut self, fast: &str) {
         for number in 1_000..1_012 {
             // The targets are used in turn until each has completed some runs.
-            let granted = self.ask(at(1), call(number, 10));
+            let granted = self.ask(at(1), limited_ask(number, 10));
             let [OwnerReply::Granted { permit, .. }] = granted.as_slice() else {
                 panic!("not granted: {granted:?}");
             };
             let slow = permit.target.as_str() != fast;
             let (first, token) = if slow { (1_000, 60) } else { (60, 4) };
-            self.tell(at(1), finished(permit, first, token));
+            self.send(at(1), finished(permit, first, token));
         }
     }
 }
@@ -103,11 +103,11 @@
 
 // Guards against filling a slow target before its speed has been measured.
 #[test]
-fn unknown_targets() {
-    let mut bench = SlotBench::new(&[place("one", 10), place("two", 10)]);
+fn unmeasured_targets() {
+    let mut bench = SlotBench::new(&[slot_target("one", 10), slot_target("two", 10)]);
     let mut granted = Vec::new();
     for number in 0..8 {
-        granted.extend(targets(&bench.ask(at(1), call(number, 10))));
+        granted.extend(targets(&bench.ask(at(1), limited_ask(number, 10))));
     }
     assert_eq!(granted.len(), 4, "{granted:?}");
 }
@@ -116,39 +116,39 @@
 // when a slot of a fast one would be released in time.
 #[test]
 fn waits_for_fast() {
-    let mut bench = SlotBench::new(&[place("fast", 2), place("slow", 2)]);
-    bench.teach("fast");
-    let first = bench.ask(at(10), call(1, 10));
-    let second = bench.ask(at(10), call(2, 10));
+    let mut bench = SlotBench::new(&[slot_target("fast", 2), slot_target("slow", 2)]);
+    bench.measure_targets("fast");
+    let first = bench.ask(at(10), limited_ask(1, 10));
+    let second = bench.ask(at(10), limited_ask(2, 10));
     assert_eq!(targets(&first), ["fast"]);
     assert_eq!(targets(&second), ["fast"]);
-    let third = bench.ask(at(10), call(3, 10));
+    let third = bench.ask(at(10), limited_ask(3, 10));
     assert_eq!(third, []);
     // A slot of the fast target is released while the request can be on time.
     let [OwnerReply::Granted { permit, .. }] = first.as_slice() else {
         panic!("not granted");
     };
-    let end = released(permit, ReleaseOutcome::Unused);
-    assert_eq!(targets(&bench.tell(at(50), end)), ["fast"]);
+    let release = released(permit, ReleaseOutcome::Unused);
+    assert_eq!(targets(&bench.send(at(50), release)), ["fast"]);
     // No slot is released for the next one, which takes the slow target once late.
-    assert_eq!(bench.ask(at(60), call(4, 10)), []);
+    assert_eq!(bench.ask(at(60), limited_ask(4, 10)), []);
     let ticked = replies(bench.owner.handle(at(500), OwnerEvent::Tick));
     assert_eq!(targets(&ticked), ["slow"]);
 }
 
 // Guards against requests that could be on time but wait behind late ones.
 #[test]
-fn fresh_first() {
-    let mut bench = SlotBench::new(&[place("only", 1)]);
-    bench.run(at(1), 100, 60, 4);
-    let running = bench.ask(at(10), call(1, 10));
+fn on_time_first() {
+    let mut bench = SlotBench::new(&[slot_target("only", 1)]);
+    bench.run_request(at(1), 100, 60, 4);
+    let running = bench.ask(at(10), limited_ask(1, 10));
     let [OwnerReply::Granted { permit, .. }] = running.as_slice() else {
         panic!("not granted");
     };
-    assert_eq!(bench.ask(at(20), call(2, 10)), []);
-    assert_eq!(bench.ask(at(500), call(3, 10)), []);
-    let end = released(permit, ReleaseOutcome::Unused);
-    let [OwnerReply::Granted { permit, .. }] = &bench.tell(at(510), end)[..] else {
+    assert_eq!(bench.ask(at(20), limited_ask(2, 10)), []);
+    assert_eq!(bench.ask(at(500), limited_ask(3, 10)), []);
+    let release = released(permit, ReleaseOutcome::Unused);
+    let [OwnerReply::Granted { permit, .. }] = &bench.send(at(510), release)[..] else {
         panic!("no request was granted");
     };
     assert_eq!(permit.attempt.request.sequence, 3);
@@ -157,19 +157,19 @@
 // Guards against starting requests that can't finish before their deadline while
 // others are queued.
 #[test]
-fn hopeless_run() {
-    let mut bench = SlotBench::new(&[place("only", 1)]);
-    bench.run(at(1), 100, 60, 4);
-    let running = bench.ask(at(10), call(1, 10));
+fn unfinishable_request() {
+    let mut bench = SlotBench::new(&[slot_target("only", 1)]);
+    bench.run_request(at(1), 100, 60, 4);
+    let running = bench.ask(at(10), limited_ask(1, 10));
     let [OwnerReply::Granted { permit, .. }] = running.as_slice() else {
         panic!("not granted");
     };
     // 2,400 tokens at 4 ms each take just under the deadline of ten seconds, too
     // close for the accuracy of the estimates.
-    bench.ask(at(11), call(2, 2_400));
-    bench.ask(at(12), call(3, 10));
-    let end = released(permit, ReleaseOutcome::Unused);
-    let next = bench.tell(at(20), end);
+    bench.ask(at(11), limited_ask(2, 2_400));
+    bench.ask(at(12), limited_ask(3, 10));
+    let release = released(permit, ReleaseOutcome::Unused);
+    let next = bench.send(at(20), release);
     let refused = next.iter().any(|reply| {
         matches!(reply, OwnerReply::Refused { attempt, reason, .. }
             if attempt.request.sequence == 2 && *reason == RefusalReason::DeadlinePassed)
@@ -181,24 +181,24 @@
 // Guards against refused callers that retry during the same overload: the retry
 // delay is about a third of the deadline, with jitter.
 #[test]
-fn come_back_later() {
-    let mut bench = SlotBench::new(&[place("only", 1)]);
-    bench.run(at(1), 100, 60, 4);
-    bench.ask(at(10), call(1, 10));
-    let mut told = Vec::new();
+fn retry_after_spread() {
+    let mut bench = SlotBench::new(&[slot_target("only", 1)]);
+    bench.run_request(at(1), 100, 60, 4);
+    bench.ask(at(10), limited_ask(1, 10));
+    let mut delays = Vec::new();
     let mut refused = Vec::new();
     for number in 2..40 {
-        refused.extend(bench.ask(at(20), call(number, 10)));
+        refused.extend(bench.ask(at(20), limited_ask(number, 10)));
     }
     refused.extend(replies(bench.owner.handle(at(3_000), OwnerEvent::Tick)));
     for reply in refused {
         if let OwnerReply::Refused { retry_after_ms, .. } = reply {
-            told.push(retry_after_ms);
+            delays.push(retry_after_ms);
         }
     }
-    told.sort_unstable();
-    assert!(told.len() > 20, "{}", told.len());
-    assert!(told[0] >= 1_000, "{told:?}");
-    assert!(told[told.len() - 1] <= 3_400, "{told:?}");
-    assert!(told[told.len() - 1] - told[0] >= 500, "{told:?}");
+    delays.sort_unstable();
+    assert!(delays.len() > 20, "{}", delays.len());
+    assert!(delays[0] >= 1_000, "{delays:?}");
+    assert!(delays[delays.len() - 1] <= 3_400, "{delays:?}");
+    assert!(delays[delays.len() - 1] - delays[0] >= 500, "{delays:?}");
 }
