--- a/bergamotswitch-core/tests/queue_differential.rs
+++ b/bergamotswitch-core/tests/queue_differential.rs
@@ -111,7 +111,7 @@
         if self.asks.iter().any(|queued| queued.ask.tier == key.0) {
             return;
         }
-        // The tier's queue is empty, so its accounts start anew.
+        // The tier's queue is empty, so its fair queuing state is reset.
         self.accounts.retain(|(tier, _), _| *tier != key.0);
         self.clocks.remove(&key.0);
     }
