--- a/bergamotswitch-core/tests/entry_fuzz.rs
+++ b/bergamotswitch-core/tests/entry_fuzz.rs
@@ -7,7 +7,7 @@
 use bergamotswitch_core::entry::{EntryOptions, Fault};
 use bergamotswitch_draw::any;
 use entry_world::{World, WorldEvent};
-use oracle::{Breach, RunReach, add_counts};
+use oracle::{Coverage, Violation, add_counts};
 
 const RUNS: u64 = 3_000;
 
@@ -19,7 +19,7 @@
     bergamotswitch_draw::draw(&any::<Vec<WorldEvent>>().with().len(EVENTS), run)
 }
 
-fn run_events(options: EntryOptions, events: &[WorldEvent]) -> Result<World, Breach> {
+fn run_events(options: EntryOptions, events: &[WorldEvent]) -> Result<World, Violation> {
     let mut world = World::new(options);
     for event in events {
         world.take(*event)?;
@@ -31,7 +31,7 @@
 #[test]
 fn any_order() {
     let mut count = 0;
-    let mut reach = RunReach::default();
+    let mut reach = Coverage::default();
     for run in 0..RUNS {
         let events = generate_events(run);
         match run_events(EntryOptions::default(), &events) {
@@ -49,7 +49,7 @@
 }
 
 /// Run with an injected fault until the oracle detects it.
-fn find_breach(fault: Fault) -> Option<Breach> {
+fn find_breach(fault: Fault) -> Option<Violation> {
     let options = EntryOptions::default().with_fault(fault);
     let breach = |run| {
         let breach = run_events(options.clone(), &generate_events(run)).err()?;
@@ -62,20 +62,23 @@
 #[test]
 fn retry_after_dispatch() {
     let breach = find_breach(Fault::RetryAfterDispatch);
-    let expected = [Breach::DispatchOnce, Breach::RunOnce];
+    let expected = [Violation::DispatchOnce, Violation::RunOnce];
     assert!(breach.is_some_and(|breach| expected.contains(&breach)));
 }
 
 #[test]
 fn claim_after_write() {
-    assert_eq!(find_breach(Fault::NotRunAfterWrite), Some(Breach::NotRun));
+    assert_eq!(
+        find_breach(Fault::NotRunAfterWrite),
+        Some(Violation::NotRun)
+    );
 }
 
 #[test]
 fn key_without_account() {
     assert_eq!(
         find_breach(Fault::KeyWithoutAccount),
-        Some(Breach::OwnAnswer)
+        Some(Violation::ForeignAnswer)
     );
 }
 
@@ -83,6 +86,6 @@
 fn permit_after_pause() {
     assert_eq!(
         find_breach(Fault::PermitAfterPause),
-        Some(Breach::StalePermit)
+        Some(Violation::StalePermit)
     );
 }
--- a/bergamotswitch-core/tests/oracle/mod.rs
+++ b/bergamotswitch-core/tests/oracle/mod.rs
@@ -1,6 +1,6 @@
-//! Provides the oracle: a naive record of what engines ran and callers were
-//! told, and one function for each promise.
-#![allow(dead_code)] // Each test file uses a part of it.
+//! Provides the test oracle: a record of what targets ran and what callers were
+//! answered, and one check for each guarantee.
+#![allow(dead_code)] // Each test file uses only some of the items.
 
 pub mod callers;
 
@@ -12,29 +12,29 @@
 
 use crate::entry_support::*;
 
-/// A `RunReach` counts what a run led to: a run that reaches nothing proves
-/// nothing.
-pub type RunReach = BTreeMap<&'static str, u64>;
+/// A `Coverage` counts the situations that a simulation run reached. A run that
+/// reaches none of them verifies nothing.
+pub type Coverage = BTreeMap<&'static str, u64>;
 
-pub fn add_counts(sum: &mut RunReach, other: &RunReach) {
+pub fn add_counts(sum: &mut Coverage, other: &Coverage) {
     for (what, count) in other {
         *sum.entry(what).or_default() += count;
     }
 }
 
-/// A `Breach` names the promise that was broken.
+/// A `Violation` names the guarantee that was violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Breach {
+pub enum Violation {
     DispatchOnce,
     RunOnce,
     ConcludedOnce,
-    OwnAnswer,
+    ForeignAnswer,
     NotRun,
-    LeavingTarget,
+    DrainingTarget,
     StalePermit,
-    StopCut,
+    InterruptedByStop,
     PermitLeak,
-    /// A resubmission was told "not run" although an earlier request of the
+    /// A resubmission was answered "not run" although an earlier request of the
     /// same caller and key ran, or ran later.
     NotRunBefore,
     ShedOrder,
@@ -42,154 +42,163 @@
     RevisionLate,
 }
 
-/// A `CallerIdentity` is what a caller takes for one request.
+/// A `CallerIdentity` identifies what the caller considers one request, across its
+/// resubmissions.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallerIdentity {
     Keyed(AccountName, CallerKey),
     Single(u64),
 }
 
+/// A `RequestRecord` is what is known of one accepted request.
 #[derive(Debug)]
-pub struct RequestFate {
+pub struct RequestRecord {
     pub identity: CallerIdentity,
     pub submission: Submission,
     pub conclusions: u32,
-    told_not_run: bool,
-    /// Dispatches that are not proven to have been without a run.
+    claimed_not_run: bool,
+    /// The number of dispatches that may have caused a run.
     dispatches: i32,
     runs: u32,
     finished: bool,
-    /// Whether a second run is owed to a gap that the design names.
-    excused: bool,
+    /// Whether the request is exempt because the design allows a second run.
+    exempt: bool,
 }
 
-impl RequestFate {
-    fn untouched(&self) -> bool {
+impl RequestRecord {
+    fn is_unstarted(&self) -> bool {
         self.runs == 0 && self.dispatches == 0
     }
 }
 
+/// A `PermitRecord` is what is known of one permit.
 #[derive(Debug, Default)]
-struct PermitFate {
+struct PermitRecord {
     reached_host: bool,
     released: bool,
-    ends: u32,
+    uses: u32,
 }
 
+/// An `Oracle` is the record that the guarantees are checked against.
 #[derive(Debug, Default)]
 pub struct Oracle {
-    pub requests: BTreeMap<RequestId, RequestFate>,
-    permits: BTreeMap<PermitId, PermitFate>,
-    /// Requests that came before a resubmission that was told "not run".
-    unrun: BTreeSet<RequestId>,
-    seen: Option<Breach>,
+    pub requests: BTreeMap<RequestId, RequestRecord>,
+    permits: BTreeMap<PermitId, PermitRecord>,
+    /// The earlier requests to which an answer "not run" to a resubmission refers.
+    claimed_unrun: BTreeSet<RequestId>,
+    /// The first violation that was recorded when it happened.
+    recorded: Option<Violation>,
 }
 
 impl Oracle {
-    pub fn breach(&mut self, breach: Breach) {
-        self.seen.get_or_insert(breach);
+    pub fn record_violation(&mut self, violation: Violation) {
+        self.recorded.get_or_insert(violation);
     }
 
     pub fn accepted(&mut self, id: RequestId, identity: CallerIdentity, submission: Submission) {
-        let fate = RequestFate {
+        let record = RequestRecord {
             identity,
             submission,
             conclusions: 0,
-            told_not_run: false,
+            claimed_not_run: false,
             dispatches: 0,
             runs: 0,
             finished: false,
-            excused: false,
+            exempt: false,
         };
-        if self.requests.insert(id, fate).is_some() {
-            self.breach(Breach::OwnAnswer);
+        if self.requests.insert(id, record).is_some() {
+            self.record_violation(Violation::ForeignAnswer);
         }
     }
 
-    /// A caller follows the answer of `id`: it must be its own.
+    /// Check that a caller attached to `id` gets the answer to its own request.
     pub fn attached(&mut self, id: RequestId, identity: &CallerIdentity, fingerprint: u128) {
-        let own = self.requests.get(&id).is_some_and(|fate| {
-            fate.identity == *identity && fate.submission.fingerprint == fingerprint
+        let own = self.requests.get(&id).is_some_and(|record| {
+            record.identity == *identity && record.submission.fingerprint == fingerprint
         });
         if !own {
-            self.breach(Breach::OwnAnswer);
+            self.record_violation(Violation::ForeignAnswer);
         }
     }
 
     pub fn dispatched(&mut self, id: RequestId) {
-        self.change(id, |fate| fate.dispatches += 1);
+        self.change(id, |record| record.dispatches += 1);
     }
 
-    pub fn proven_unrun(&mut self, id: RequestId) {
-        self.change(id, |fate| fate.dispatches -= 1);
+    pub fn proven_not_run(&mut self, id: RequestId) {
+        self.change(id, |record| record.dispatches -= 1);
     }
 
     pub fn ran(&mut self, id: RequestId) {
-        self.change(id, |fate| fate.runs += 1);
+        self.change(id, |record| record.runs += 1);
     }
 
     pub fn finished(&mut self, id: RequestId) {
-        self.change(id, |fate| fate.finished = true);
+        self.change(id, |record| record.finished = true);
     }
 
     pub fn forwarded(&mut self, id: RequestId) {
-        self.change(id, |fate| fate.conclusions += 1);
+        self.change(id, |record| record.conclusions += 1);
     }
 
     pub fn concluded(&mut self, id: RequestId, conclusion: &Conclusion) {
         let mut own = true;
-        let mut told = None;
-        self.change(id, |fate| {
-            fate.conclusions += 1;
+        let mut claimed = None;
+        self.change(id, |record| {
+            record.conclusions += 1;
             match conclusion {
-                Conclusion::Answered => own = fate.finished,
+                Conclusion::Answered => own = record.finished,
                 Conclusion::TargetError => {}
                 Conclusion::Refused(refusal) => {
                     let not_run = refusal.claim() == RunClaim::NotRun;
-                    fate.told_not_run |= not_run;
-                    told = not_run.then(|| (fate.identity.clone(), fate.submission.clone()));
+                    record.claimed_not_run |= not_run;
+                    claimed = not_run.then(|| (record.identity.clone(), record.submission.clone()));
                 }
             }
         });
-        if let Some((identity, submission)) = told {
-            self.told_not_run(&identity, &submission);
+        if let Some((identity, submission)) = claimed {
+            self.claimed_not_run(&identity, &submission);
         }
         if !own {
-            self.breach(Breach::OwnAnswer);
+            self.record_violation(Violation::ForeignAnswer);
         }
     }
 
-    /// Get the requests of the same caller and key that may have run before.
+    /// Get the other requests of the same caller and key that may have run.
     pub fn earlier_runs(&self, id: RequestId) -> Vec<RequestId> {
         let Some(own) = self.requests.get(&id) else {
             return Vec::new();
         };
-        let others = self.requests.iter().filter(|(other, fate)| {
-            **other != id && fate.identity == own.identity && !fate.untouched() && !fate.excused
+        let others = self.requests.iter().filter(|(other, record)| {
+            **other != id
+                && record.identity == own.identity
+                && !record.is_unstarted()
+                && !record.exempt
         });
         others.map(|(id, _)| *id).collect()
     }
 
-    /// Count the run of a request for itself.
-    pub fn excuse(&mut self, id: RequestId) {
-        self.change(id, |fate| fate.excused = true);
+    /// Exempt a request from the checks for second runs.
+    pub fn exempt(&mut self, id: RequestId) {
+        self.change(id, |record| record.exempt = true);
     }
 
-    /// A submission was told "not run". Where it names a run or is marked as
-    /// sent again, so it must be of every request that it may mean: those of
-    /// the run that it names, or of any run.
-    pub fn told_not_run(&mut self, identity: &CallerIdentity, told: &Submission) {
-        let harmless = told.verdict.idempotent && !told.verdict.dispatch_once;
-        if !told.resubmission && (told.holder.is_none() || harmless) {
+    /// Record that a submission was answered "not run". If the submission names a
+    /// host incarnation or is marked as a resubmission, this must be true of all
+    /// earlier requests that it may refer to: those of the named incarnation, or of
+    /// any.
+    pub fn claimed_not_run(&mut self, identity: &CallerIdentity, submission: &Submission) {
+        let harmless = submission.verdict.idempotent && !submission.verdict.dispatch_once;
+        if !submission.resubmission && (submission.holder.is_none() || harmless) {
             return;
         }
-        let named = told.holder.as_ref().map(|run| run.incarnation);
-        let meant = self.requests.iter().filter(|(id, fate)| {
-            fate.identity == *identity
-                && fate.submission.fingerprint == told.fingerprint
+        let named = submission.holder.as_ref().map(|run| run.incarnation);
+        let meant = self.requests.iter().filter(|(id, record)| {
+            record.identity == *identity
+                && record.submission.fingerprint == submission.fingerprint
                 && named.is_none_or(|run| run == id.incarnation)
         });
-        self.unrun.extend(meant.map(|(id, _)| *id));
+        self.claimed_unrun.extend(meant.map(|(id, _)| *id));
     }
 
     pub fn permit_arrived(&mut self, permit: PermitId) {
@@ -197,28 +206,28 @@
     }
 
     pub fn released(&mut self, permit: PermitId, outcome: &ReleaseOutcome) {
-        let fate = self.permits.entry(permit).or_default();
-        fate.released = true;
+        let record = self.permits.entry(permit).or_default();
+        record.released = true;
         if *outcome != ReleaseOutcome::Unused {
-            fate.ends += 1;
+            record.uses += 1;
         }
     }
 
-    /// The run of a host that held the permit is gone.
-    pub fn excused(&mut self, permit: PermitId) {
+    /// Record that the host incarnation that held the permit has terminated.
+    pub fn holder_terminated(&mut self, permit: PermitId) {
         self.permits.entry(permit).or_default().released = true;
     }
 
-    fn change(&mut self, id: RequestId, change: impl FnOnce(&mut RequestFate)) {
+    fn change(&mut self, id: RequestId, change: impl FnOnce(&mut RequestRecord)) {
         match self.requests.get_mut(&id) {
-            Some(fate) => change(fate),
-            None => self.breach(Breach::OwnAnswer),
+            Some(record) => change(record),
+            None => self.record_violation(Violation::ForeignAnswer),
         }
     }
 
-    /// Check every promise that must hold at any time.
-    pub fn check(&self) -> Result<(), Breach> {
-        self.check_seen()?;
+    /// Check every guarantee that must hold at any time.
+    pub fn check(&self) -> Result<(), Violation> {
+        self.check_recorded()?;
         self.check_dispatch_once()?;
         self.check_run_once()?;
         self.check_not_run()?;
@@ -227,80 +236,88 @@
         self.check_single_release()
     }
 
-    /// Check what must hold besides once nothing moves any more.
-    pub fn check_at_rest(&self, alive: &[Incarnation]) -> Result<(), Breach> {
+    /// Check also what must hold once no messages or requests are in flight.
+    pub fn check_quiescent(&self, alive: &[Incarnation]) -> Result<(), Violation> {
         self.check()?;
         self.check_all_concluded(alive)?;
         self.check_permits_returned()
     }
 
-    /// Leaving targets, stale permits, cut answers and foreign answers are
-    /// seen as they happen.
-    fn check_seen(&self) -> Result<(), Breach> {
-        self.seen.map_or(Ok(()), Err)
+    /// Check for violations that are recorded when they happen, such as the use of
+    /// draining targets and stale permits, and answers that are cut off or foreign.
+    fn check_recorded(&self) -> Result<(), Violation> {
+        self.recorded.map_or(Ok(()), Err)
     }
 
-    fn check_dispatch_once(&self) -> Result<(), Breach> {
-        let once = |fate: &&RequestFate| fate.submission.verdict.dispatch_once && !fate.excused;
+    fn check_dispatch_once(&self) -> Result<(), Violation> {
+        let once =
+            |record: &&RequestRecord| record.submission.verdict.dispatch_once && !record.exempt;
         let mut sums: BTreeMap<&CallerIdentity, i32> = BTreeMap::new();
-        for fate in self.requests.values().filter(once) {
-            *sums.entry(&fate.identity).or_default() += fate.dispatches;
+        for record in self.requests.values().filter(once) {
+            *sums.entry(&record.identity).or_default() += record.dispatches;
         }
-        all(sums.values().all(|sum| *sum <= 1), Breach::DispatchOnce)
+        require(sums.values().all(|sum| *sum <= 1), Violation::DispatchOnce)
     }
 
-    fn check_run_once(&self) -> Result<(), Breach> {
-        let once = |fate: &&RequestFate| !fate.submission.verdict.idempotent && !fate.excused;
+    fn check_run_once(&self) -> Result<(), Violation> {
+        let once =
+            |record: &&RequestRecord| !record.submission.verdict.idempotent && !record.exempt;
         let mut sums: BTreeMap<&CallerIdentity, u32> = BTreeMap::new();
-        for fate in self.requests.values().filter(once) {
-            *sums.entry(&fate.identity).or_default() += fate.runs;
+        for record in self.requests.values().filter(once) {
+            *sums.entry(&record.identity).or_default() += record.runs;
         }
-        all(sums.values().all(|sum| *sum <= 1), Breach::RunOnce)
+        require(sums.values().all(|sum| *sum <= 1), Violation::RunOnce)
     }
 
-    fn check_not_run(&self) -> Result<(), Breach> {
-        let true_claim = |fate: &RequestFate| !fate.told_not_run || fate.untouched();
-        all(self.requests.values().all(true_claim), Breach::NotRun)
+    fn check_not_run(&self) -> Result<(), Violation> {
+        let true_claim = |record: &RequestRecord| !record.claimed_not_run || record.is_unstarted();
+        require(self.requests.values().all(true_claim), Violation::NotRun)
     }
 
-    /// What callers were told of the copies that they asked after.
-    fn check_not_run_before(&self) -> Result<(), Breach> {
-        let mut meant = self.unrun.iter().filter_map(|id| self.requests.get(id));
-        all(meant.all(RequestFate::untouched), Breach::NotRunBefore)
+    /// Check the answers "not run" to resubmissions.
+    fn check_not_run_before(&self) -> Result<(), Violation> {
+        let mut meant = self
+            .claimed_unrun
+            .iter()
+            .filter_map(|id| self.requests.get(id));
+        require(
+            meant.all(RequestRecord::is_unstarted),
+            Violation::NotRunBefore,
+        )
     }
 
-    fn check_at_most_one_conclusion(&self) -> Result<(), Breach> {
-        let at_most_one = |fate: &RequestFate| fate.conclusions <= 1;
+    fn check_at_most_one_conclusion(&self) -> Result<(), Violation> {
+        let at_most_one = |record: &RequestRecord| record.conclusions <= 1;
         let held = self.requests.values().all(at_most_one);
-        all(held, Breach::ConcludedOnce)
+        require(held, Violation::ConcludedOnce)
     }
 
-    fn check_all_concluded(&self, alive: &[Incarnation]) -> Result<(), Breach> {
+    fn check_all_concluded(&self, alive: &[Incarnation]) -> Result<(), Violation> {
         let requests = self.requests.iter();
         let mut own = requests.filter(|(id, _)| alive.contains(&id.incarnation));
-        let held = own.all(|(_, fate)| fate.conclusions == 1);
-        all(held, Breach::ConcludedOnce)
+        let held = own.all(|(_, record)| record.conclusions == 1);
+        require(held, Violation::ConcludedOnce)
     }
 
-    fn check_single_release(&self) -> Result<(), Breach> {
-        let held = self.permits.values().all(|fate| fate.ends <= 1);
-        all(held, Breach::PermitLeak)
+    fn check_single_release(&self) -> Result<(), Violation> {
+        let held = self.permits.values().all(|record| record.uses <= 1);
+        require(held, Violation::PermitLeak)
     }
 
-    fn check_permits_returned(&self) -> Result<(), Breach> {
-        let returned = |fate: &PermitFate| fate.released || !fate.reached_host;
-        all(self.permits.values().all(returned), Breach::PermitLeak)
+    fn check_permits_returned(&self) -> Result<(), Violation> {
+        let returned = |record: &PermitRecord| record.released || !record.reached_host;
+        require(self.permits.values().all(returned), Violation::PermitLeak)
     }
 }
 
-fn all(held: bool, breach: Breach) -> Result<(), Breach> {
+fn require(held: bool, violation: Violation) -> Result<(), Violation> {
     match held {
         true => Ok(()),
-        false => Err(breach),
+        false => Err(violation),
     }
 }
 
-/// Get one of `items` by a drawn byte.
+/// Get one of `items` by a random byte.
 pub fn pick<T: Copy>(items: &[T], drawn: u8) -> Option<T> {
     let index = usize::from(drawn).checked_rem(items.len())?;
     items.get(index).copied()
--- a/bergamotswitch-core/tests/owner_choice.rs
+++ b/bergamotswitch-core/tests/owner_choice.rs
@@ -1,4 +1,5 @@
-//! Tests of who owns a shard, who watches whom, and what that costs.
+//! Tests which host owns a shard, which hosts monitor each other, and the number
+//! of heartbeats.
 
 mod fleet;
 
@@ -11,21 +12,21 @@
 }
 
 #[test]
-fn leaver_moves_little() {
-    bergamotswitch_draw::for_each::<(u8, u8, u16)>(500, |(count, leaver, pool)| {
+fn host_removal() {
+    bergamotswitch_draw::for_each::<(u8, u8, u16)>(500, |(count, removed, pool)| {
         let count = 2 + *count as usize % 60;
-        let leaver = host(*leaver as usize % count);
+        let removed = host(*removed as usize % count);
         let before = ranked(count, *pool as usize);
-        let names = (0..count).map(host).filter(|name| *name != leaver);
+        let names = (0..count).map(host).filter(|name| *name != removed);
         let names: BTreeSet<_> = names.collect();
         let after = rendezvous::rank(&shard(*pool as usize), names.iter().rev());
-        let kept: Vec<_> = before.into_iter().filter(|name| *name != leaver).collect();
-        assert_eq!(kept, after);
+        let expected: Vec<_> = before.into_iter().filter(|name| *name != removed).collect();
+        assert_eq!(expected, after);
     });
 }
 
 #[test]
-fn shards_spread() {
+fn even_distribution() {
     let mut wins = [0usize; 8];
     for pool in 0..8000 {
         let first = ranked(8, pool).remove(0);
@@ -53,10 +54,9 @@
 }
 
 #[test]
-fn owners_stand_near() {
-    // Symptom: at 380 hosts more than half of all asks cross a region's border.
-    // Events: a pool is sharded by failure domain, each host asks in its own.
-    // Cause: a shard's candidates were ranked over all hosts alike.
+fn owner_in_domain() {
+    // Guards against owners outside the failure domain of their shard, which make
+    // most permit requests cross regions.
     let of_domain = |index: usize| PoolShard {
         domain: Some(entry(index).domain),
         ..shard(0)
@@ -66,11 +66,11 @@
     fleet.run(secs(5));
     for (domain, shard) in shards.iter().enumerate() {
         let owners = fleet.owners_of(shard);
-        let near = (domain..40).step_by(8).any(|index| owners == [host(index)]);
-        assert!(near, "{shard} is owned by {owners:?}");
+        let in_domain = (domain..40).step_by(8).any(|index| owners == [host(index)]);
+        assert!(in_domain, "{shard} is owned by {owners:?}");
     }
-    // The last candidate stands elsewhere: a rack may hold all entry hosts of
-    // a domain, whose targets go on.
+    // The last candidate is in another domain, because all entry hosts of a domain
+    // may fail together while its targets still work.
     for index in (0..40).step_by(8) {
         fleet.kill(&host(index));
     }
@@ -79,10 +79,9 @@
 }
 
 #[test]
-fn denial_moves_on() {
-    // Symptom: a host's asks go on to a candidate that turns them down.
-    // Events: the candidate's own list is older, so it does not act and says so.
-    // Cause: a reachable candidate was taken for an acting one.
+fn not_owner_reply() {
+    // Guards against permit requests sent to a reachable candidate that has replied
+    // that it isn't the owner, because its host list is older.
     let shards = [shard(0)];
     let mut fleet = Fleet::start(8, &shards);
     let order = ranked(8, 0);
@@ -99,9 +98,8 @@
 
 #[test]
 fn no_candidate() {
-    // Symptom: a host waits forever for an owner.
-    // Events: all candidates of the shard die while the host list still has them.
-    // Cause: the host never says that nobody owns the shard.
+    // Guards against a host that waits forever for an owner after all candidates
+    // of the shard have failed while the host list still contains them.
     let mut fleet = Fleet::start(6, &[shard(0)]);
     let order = ranked(6, 0);
     fleet.tell(&order[4], MembershipEvent::Using(shard(0), true));
@@ -112,7 +110,7 @@
     fleet.run(secs(7));
     assert_eq!(fleet.view(&order[4], &shard(0)), None);
     assert!(fleet.nodes[&order[4]].owner_changes >= 2);
-    // The list catches up: the next three are candidates.
+    // Once the list is updated, the next three hosts are the candidates.
     let left: Vec<_> = (0..6).filter(|i| !order[..3].contains(&host(*i))).collect();
     fleet.tell_all(MembershipEvent::Hosts(list(left)));
     fleet.run(secs(5));
@@ -121,15 +119,16 @@
 }
 
 #[derive(Debug)]
-struct Cost {
+struct WatchCost {
     watched_mean: f64,
-    watched_most: usize,
+    watched_max: usize,
     sent_mean: f64,
-    received_most: f64,
+    received_max: f64,
 }
 
-/// Let each host use up to nine shards and measure six settled seconds.
-fn measure(hosts: usize, shard_count: usize) -> Cost {
+/// Let each host use up to nine shards, and measure six seconds after
+/// convergence.
+fn measure(hosts: usize, shard_count: usize) -> WatchCost {
     let shards: Vec<_> = (0..shard_count).map(shard).collect();
     let mut fleet = Fleet::start(hosts, &shards);
     for index in 0..hosts {
@@ -147,26 +146,27 @@
     let watched: Vec<_> = fleet.nodes.values().map(|n| n.dialing.len()).collect();
     let sent: usize = fleet.nodes.values().map(|n| n.sent).sum();
     let received = fleet.nodes.values().map(|n| n.received).max().unwrap();
-    Cost {
+    WatchCost {
         watched_mean: watched.iter().sum::<usize>() as f64 / hosts as f64,
-        watched_most: *watched.iter().max().unwrap(),
+        watched_max: *watched.iter().max().unwrap(),
         sent_mean: sent as f64 / hosts as f64 / 6.0,
-        received_most: received as f64 / 6.0,
+        received_max: received as f64 / 6.0,
     }
 }
 
 #[test]
 fn watch_cost() {
-    println!("hosts shards watched(mean,most) heartbeats/s(sent mean, received most)");
+    println!("hosts shards monitored(mean,max) heartbeats/s(sent mean, received max)");
     for shards in [2, 9, 72] {
         for hosts in [8, 32, 128, 380] {
             let cost = measure(hosts, shards);
             println!("{hosts:5} {shards:6} {cost:?}");
-            // At most the other hosts; nine used shards and those where the
-            // host is itself a candidate, which get fewer as hosts are added.
-            assert!(cost.watched_most < hosts.min(40), "{cost:?}");
+            // A host monitors the candidates of its nine used shards and of the
+            // shards where it is a candidate itself; the latter get fewer as hosts
+            // are added.
+            assert!(cost.watched_max < hosts.min(40), "{cost:?}");
             assert!(cost.sent_mean <= 50.0, "{cost:?}");
-            assert!(cost.received_most <= 100.0, "{cost:?}");
+            assert!(cost.received_max <= 100.0, "{cost:?}");
             if hosts >= 128 {
                 assert!(cost.watched_mean <= 20.0, "{cost:?}");
                 assert!(cost.sent_mean <= 30.0, "{cost:?}");
--- a/bergamotswitch-core/tests/owner_failover.rs
+++ b/bergamotswitch-core/tests/owner_failover.rs
@@ -1,4 +1,4 @@
-//! Tests what an owner does when hosts, owners and messages are lost.
+//! Tests how a shard owner handles the loss of hosts, owners and messages.
 
 mod owner_bench;
 
@@ -13,7 +13,7 @@
     OwnerBench::with_targets(opts, &[target("a", "d", 10_000)])
 }
 
-fn retell(bench: &mut OwnerBench, claims: Vec<KeyClaim>) -> Vec<OwnerAction> {
+fn resync(bench: &mut OwnerBench, claims: Vec<KeyClaim>) -> Vec<OwnerAction> {
     bench.message(OwnerMessage::Resync {
         shard: shard(),
         held: Vec::new(),
@@ -21,41 +21,52 @@
     })
 }
 
-fn known(asked: &Ask, host: &str, run: u128) -> OwnerReply {
+fn key_held_reply(asked: &Ask, host: &str, run: u128) -> OwnerReply {
     OwnerReply::KeyHeld {
         attempt: asked.attempt,
-        holder: run_of(host, run),
+        holder: incarnation_of(host, run),
     }
 }
 
 #[test]
 fn key_held() {
-    // Symptom: an alert goes out twice.
-    // Events: a caller retries at a second host without its incarnation.
-    // Cause guarded against: the second host sees a new request.
+    // Guards against a second run when a caller retries at another host without
+    // naming the incarnation that holds its request.
     let mut bench = keyed_bench();
-    let holder = run_of("entry", 7);
+    let holder = incarnation_of("entry", 7);
     let first = with_claim(ask(1, 0, "a"), 5, holder.clone(), false);
     let permit = bench.granted(&first);
-    let second = with_claim(ask(2, 0, "a"), 5, run_of("other", 8), false);
-    let known = OwnerReply::KeyHeld {
+    let second = with_claim(ask(2, 0, "a"), 5, incarnation_of("other", 8), false);
+    let key_held_reply = OwnerReply::KeyHeld {
         attempt: second.attempt,
         holder: holder.clone(),
     };
-    assert_eq!(replies(&bench.ask(&second)), std::slice::from_ref(&known));
+    assert_eq!(
+        replies(&bench.ask(&second)),
+        std::slice::from_ref(&key_held_reply)
+    );
     bench.release(&permit, ReleaseOutcome::Finished(usage(first.cost, 100)));
-    assert_eq!(replies(&bench.ask(&second)), [known], "also when it ended");
+    assert_eq!(
+        replies(&bench.ask(&second)),
+        [key_held_reply],
+        "also after the attempt ended"
+    );
     let own = with_claim(ask(3, 0, "a"), 5, holder, true);
     bench.granted(&own);
 }
 
 #[test]
 fn refused_key() {
-    // A key whose only ask was shed was not run; it may run elsewhere.
+    // A key is freed if its only permit request was shed, because it hasn't run.
     let opts = OwnerOptions::default().with_max_requests(1);
     let mut bench = OwnerBench::with_targets(opts, &[target("a", "d", 100)]);
     let permit = bench.granted(&ask(0, 0, "a"));
-    bench.ask(&with_claim(ask(1, 2, "a"), 5, run_of("entry", 7), false));
+    bench.ask(&with_claim(
+        ask(1, 2, "a"),
+        5,
+        incarnation_of("entry", 7),
+        false,
+    ));
     let refused = refusals(&bench.ask(&ask(2, 0, "a")));
     assert_eq!(refused[0].reason, RefusalReason::ShedForHigherTier);
     bench.release(&permit, ReleaseOutcome::Unused);
@@ -63,72 +74,70 @@
 }
 
 #[test]
-fn withdrawn_twin() {
-    // Symptom: a keyed request gets permits at two hosts.
-    // Events: two attempts of it wait, one is withdrawn, another host asks
-    // for the same key, a slot frees.
-    // Cause guarded against: the key freed with the first of its asks.
+fn withdrawn_duplicate() {
+    // Guards against permits for one key at two hosts: withdrawing one of two
+    // queued attempts must not free the key.
     let mut bench = OwnerBench::with_targets(OwnerOptions::default(), &[target("a", "d", 100)]);
     let permit = bench.granted(&ask(0, 0, "a"));
-    let holder = run_of("entry", 7);
+    let holder = incarnation_of("entry", 7);
     for request in 1..=2 {
         bench.ask(&with_claim(ask(request, 0, "a"), 5, holder.clone(), false));
     }
-    bench.message(withdrawal(attempt_of(ENTRY_RUN, 1)));
-    let other = with_claim(ask(3, 0, "a"), 5, run_of("other", 8), false);
+    bench.message(withdrawal(attempt_of(ENTRY_INCARNATION, 1)));
+    let other = with_claim(ask(3, 0, "a"), 5, incarnation_of("other", 8), false);
     let attempt = other.attempt;
-    let known = OwnerReply::KeyHeld { attempt, holder };
-    assert_eq!(replies(&bench.ask(&other)), [known]);
+    let key_held_reply = OwnerReply::KeyHeld { attempt, holder };
+    assert_eq!(replies(&bench.ask(&other)), [key_held_reply]);
     let actions = bench.release(&permit, ReleaseOutcome::Unused);
     assert_eq!(granted_requests(&actions), [2]);
 }
 
 #[test]
-fn takeover_blindness() {
-    // Symptom: a resubmission runs again after its owner died.
-    // Events: the owner and the holder die, the caller retries at once.
-    // Cause guarded against: an empty table read as "never seen".
+fn incomplete_key_table() {
+    // Guards against a second run after the owner and the key's holder have failed:
+    // a new owner's empty key table doesn't mean that the key is new.
     let mut bench = keyed_bench();
-    let again = with_claim(ask(1, 0, "a"), 5, run_of("entry", 7), true);
-    let refused = refusals(&bench.ask(&again));
+    let resubmitted = with_claim(ask(1, 0, "a"), 5, incarnation_of("entry", 7), true);
+    let refused = refusals(&bench.ask(&resubmitted));
     assert_eq!(refused[0].reason, RefusalReason::OutcomeUnknown);
     assert_eq!(u128::from(refused[0].retry_after_ms), RETENTION.as_millis());
-    let new = with_claim(ask(2, 0, "a"), 6, run_of("entry", 7), false);
+    let new = with_claim(ask(2, 0, "a"), 6, incarnation_of("entry", 7), false);
     let first = bench.granted(&new);
-    retell(&mut bench, vec![again.claim.clone().expect("a claim")]);
-    let second = bench.granted(&again);
+    resync(
+        &mut bench,
+        vec![resubmitted.claim.clone().expect("a claim")],
+    );
+    let second = bench.granted(&resubmitted);
     bench.release(&first, ReleaseOutcome::Unused);
     bench.release(&second, ReleaseOutcome::Unused);
     bench.tick_after(60_001);
-    let later = with_claim(ask(3, 0, "a"), 9, run_of("entry", 7), true);
+    let later = with_claim(ask(3, 0, "a"), 9, incarnation_of("entry", 7), true);
     bench.granted(&later);
 }
 
 #[test]
-fn key_bound() {
-    // Symptom: memory grows with every key, or a dropped key runs twice.
-    // Events: more keys than the table holds, then a resubmission.
-    // Cause guarded against: a table that forgets without knowing it.
+fn key_table_limit() {
+    // Guards against an unbounded key table, and against a second run of a key that
+    // was evicted from it.
     let opts = OwnerOptions::default()
         .with_key_retention(RETENTION)
         .with_max_keys(10);
     let mut bench = OwnerBench::with_targets(opts, &[target("a", "d", 10_000)]);
     bench.tick_after(61_000);
     for request in 0..20 {
-        let (key, holder) = (u128::from(request), run_of("entry", 7));
+        let (key, holder) = (u128::from(request), incarnation_of("entry", 7));
         bench.granted(&with_claim(ask(request, 0, "a"), key, holder, false));
     }
     assert_eq!(bench.view().keys, 10);
-    let dropped = with_claim(ask(30, 0, "a"), 0, run_of("other", 8), true);
+    let dropped = with_claim(ask(30, 0, "a"), 0, incarnation_of("other", 8), true);
     let refused = refusals(&bench.ask(&dropped));
     assert_eq!(refused[0].reason, RefusalReason::OutcomeUnknown);
 }
 
 #[test]
-fn retold_work() {
-    // Symptom: a new owner fills targets that are full already.
-    // Events: the owner dies, entry hosts tell the next one what they hold.
-    // Cause guarded against: a count that starts at zero.
+fn resynced_work() {
+    // Guards against overloaded targets after a failover: the new owner must count
+    // the permits that entry hosts report in a resync.
     let mut old = OwnerBench::with_targets(OwnerOptions::default(), &[target("a", "d", 100)]);
     let first = ask(1, 1, "a");
     let permit = old.granted(&first);
@@ -136,7 +145,7 @@
     for _ in 0..2 {
         bench.message(OwnerMessage::Resync {
             shard: shard(),
-            held: vec![held(permit.clone(), &first)],
+            held: vec![in_flight_work(permit.clone(), &first)],
             claims: Vec::new(),
         });
     }
@@ -152,7 +161,7 @@
 
 #[test]
 fn early_ask() {
-    // An ask before the first list of targets waits; nothing can be said yet.
+    // A permit request that arrives before the first target list is queued.
     let mut bench = OwnerBench::new(OwnerOptions::default());
     assert!(bench.ask(&ask(1, 1, "a")).is_empty());
     let actions = bench.event(OwnerEvent::Targets(vec![target("a", "d", 100)]));
@@ -160,25 +169,24 @@
 }
 
 #[test]
-fn host_gone() {
+fn host_terminated() {
     let mut bench = OwnerBench::with_targets(OwnerOptions::default(), &[target("a", "d", 100)]);
     bench.granted(&ask(1, 1, "a"));
     bench.ask(&ask(2, 1, "a"));
     let mut other = ask(3, 1, "a");
     other.attempt = attempt_of(bergamotswitch_core::host::Incarnation(8), 3);
     bench.ask(&other);
-    let gone = OwnerEvent::HostTerminated(named("entry"), ENTRY_RUN);
-    assert_eq!(granted_requests(&bench.event(gone)), [3]);
+    let terminated = OwnerEvent::HostTerminated(named("entry"), ENTRY_INCARNATION);
+    assert_eq!(granted_requests(&bench.event(terminated)), [3]);
     assert!(bench.view().queued.is_empty());
     assert_eq!(bench.target_view("a").outstanding_tokens, 100);
 }
 
 #[test]
 fn lost_release() {
-    // Symptom: a target loses a slot for good.
-    // Events: a release is lost with its link; the holder is asked later.
-    // Cause guarded against: slots that only a release frees. A timer must
-    // not free them either: the work may go on.
+    // Guards against a slot that is never freed after its release was lost: the
+    // owner audits the holder. A timer must not free the slot, because the attempt
+    // may still be running.
     let opts = OwnerOptions::default().with_audit_after(Duration::from_secs(30));
     let mut bench = OwnerBench::with_targets(opts, &[target("a", "d", 100)]);
     let permit = bench.granted(&ask(1, 1, "a"));
@@ -189,15 +197,15 @@
     };
     assert_eq!(replies(&bench.tick_after(1)), std::slice::from_ref(&audit));
     assert_eq!(replies(&bench.tick_after(30_000)), [audit]);
-    assert_eq!(bench.view().in_flight, 1, "no timer frees it");
+    assert_eq!(bench.view().in_flight, 1, "not freed by a timer");
     bench.ask(&ask(2, 1, "a"));
     let answer = not_held(vec![permit.id]);
-    let stranger = OwnerEvent::Message(named("other"), answer.clone());
-    assert!(bench.event(stranger).is_empty());
+    let other_host = OwnerEvent::Message(named("other"), answer.clone());
+    assert!(bench.event(other_host).is_empty());
     let actions = bench.message(answer);
     assert_eq!(granted_requests(&actions), [2]);
-    let note = OwnerAction::LogIncident(Incident::PermitReclaimed, shard(), Some(named("a")));
-    assert!(actions.contains(&note));
+    let incident = OwnerAction::LogIncident(Incident::PermitReclaimed, shard(), Some(named("a")));
+    assert!(actions.contains(&incident));
 }
 
 #[test]
@@ -210,11 +218,10 @@
     assert_eq!(replies, [OwnerReply::NotOwner { shard }]);
 }
 
-// Symptom: targets that work get nothing for seconds after a partition. Events:
-// a host that orders the shard beside the owner cannot reach some targets; the
-// partition heals, and it tells the owner that these fail. Cause guarded
-// against: a report believed against what the owner sees itself, of a run that
-// is over, or of most targets.
+// Guards against backing off working targets when another owner reports failed
+// targets after a partition: the report is ignored for targets that have
+// completed a run for this owner, for an earlier process of a target, and for more
+// than half of the targets.
 #[test]
 fn failure_reports() {
     let mut targets = ["a", "b", "c", "d", "e"].map(|name| target(name, "d", 10_000));
@@ -240,11 +247,9 @@
 }
 
 #[test]
-fn lost_releases() {
-    // Symptom: an owner that has slept grants nothing for half a minute.
-    // Events: its permits end while it sleeps, their releases are lost with the
-    // links; the entry host follows the next owner, then this one again.
-    // Cause: the permits stood until their audit came in its turn.
+fn audit_on_resync() {
+    // Guards against slots that stay occupied until the next regular audit after
+    // the owner was paused and releases were lost: a resync starts an audit.
     let mut bench = OwnerBench::with_targets(OwnerOptions::default(), &[target("a", "d", 100)]);
     let permit = bench.granted(&ask(1, 0, "a"));
     bench.tick_after(6_000);
@@ -253,15 +258,15 @@
         shard: shard(),
         permits: vec![permit.id],
     };
-    assert_eq!(replies(&retell(&mut bench, Vec::new())), [audit]);
+    assert_eq!(replies(&resync(&mut bench, Vec::new())), [audit]);
     let actions = bench.message(not_held(vec![permit.id]));
     assert_eq!(granted_requests(&actions), [2]);
 }
 
-// Guards against a second run under a key that the owner still holds for a copy
-// that was not run.
+// Guards against a second run under a key that the owner has assigned to an
+// attempt that was not run.
 #[test]
-fn told_key() {
+fn resynced_key() {
     let unrun = [
         ReleaseOutcome::Unused,
         ReleaseOutcome::Unreachable,
@@ -269,27 +274,30 @@
     ];
     for outcome in unrun {
         let mut bench = keyed_bench();
-        let first = with_claim(ask(1, 0, "a"), 5, run_of("entry", 7), false);
+        let first = with_claim(ask(1, 0, "a"), 5, incarnation_of("entry", 7), false);
         let permit = bench.granted(&first);
         bench.release(&permit, outcome);
-        let ran = with_claim(ask(2, 0, "a"), 5, run_of("other", 8), false);
-        retell(&mut bench, ran.claim.into_iter().collect());
-        let again = with_claim(ask(3, 0, "a"), 5, run_of("entry", 7), true);
-        assert_eq!(replies(&bench.ask(&again)), [known(&again, "other", 8)]);
+        let ran = with_claim(ask(2, 0, "a"), 5, incarnation_of("other", 8), false);
+        resync(&mut bench, ran.claim.into_iter().collect());
+        let resubmitted = with_claim(ask(3, 0, "a"), 5, incarnation_of("entry", 7), true);
+        assert_eq!(
+            replies(&bench.ask(&resubmitted)),
+            [key_held_reply(&resubmitted, "other", 8)]
+        );
     }
 }
 
-// Guards against a second run by an ask that waits while another host tells that
-// it has run the request.
+// Guards against a second run by a queued request while another host reports in a
+// resync that it has run the request.
 #[test]
-fn told_waiting() {
+fn resynced_queued_key() {
     let mut bench = OwnerBench::with_targets(OwnerOptions::default(), &[target("a", "d", 100)]);
     let permit = bench.granted(&ask(0, 0, "a"));
-    let waiting = with_claim(ask(1, 0, "a"), 5, run_of("entry", 7), false);
+    let waiting = with_claim(ask(1, 0, "a"), 5, incarnation_of("entry", 7), false);
     bench.ask(&waiting);
-    let ran = with_claim(ask(2, 0, "a"), 5, run_of("other", 8), false);
-    let actions = retell(&mut bench, ran.claim.into_iter().collect());
-    assert!(replies(&actions).contains(&known(&waiting, "other", 8)));
+    let ran = with_claim(ask(2, 0, "a"), 5, incarnation_of("other", 8), false);
+    let actions = resync(&mut bench, ran.claim.into_iter().collect());
+    assert!(replies(&actions).contains(&key_held_reply(&waiting, "other", 8)));
     let actions = bench.release(&permit, ReleaseOutcome::Unused);
     assert!(granted_requests(&actions).is_empty());
 }
--- a/bergamotswitch-core/tests/owner_invariants.rs
+++ b/bergamotswitch-core/tests/owner_invariants.rs
@@ -1,4 +1,5 @@
-//! Tests a shard's owner on random events against a model that only counts.
+//! Tests a shard owner on random events against a reference model that only counts
+//! requests and permits.
 
 mod owner_bench;
 
@@ -11,7 +12,7 @@
 const DOMAINS: [&str; 2] = ["north", "south"];
 const TARGETS: [&str; 4] = ["p", "q", "r", "s"];
 
-/// An `AskDraw` is what is drawn of an ask.
+/// An `AskDraw` is the random part of a permit request.
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 struct AskDraw {
     run: u8,
@@ -21,10 +22,10 @@
     deadline: u8,
     domain: u8,
     key: u8,
-    again: bool,
+    resubmission: bool,
 }
 
-/// An `OwnerTurn` is an ask and some other event.
+/// An `OwnerTurn` is a permit request followed by another random event.
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 struct OwnerTurn {
     ask: AskDraw,
@@ -37,42 +38,42 @@
     Ask(AskDraw),
     Repeat(u8),
     Withdraw(u8),
-    Finish { place: u8, elapsed: u8 },
-    End { place: u8, outcome: u8 },
-    Pass(u8),
+    Finish { index: u8, elapsed: u8 },
+    Release { index: u8, outcome: u8 },
+    AdvanceTime(u8),
     Targets(u8),
     Report { target: u8, tokens: u16, age: u8 },
     Prefix { target: u8, hash: u8, held: bool },
-    Gone(u8),
+    HostTerminated(u8),
     NotHeld(u8),
 }
 
-/// A `HeldPermit` is a permit as the model knows it.
+/// A `HeldPermit` is a granted permit in the model.
 struct HeldPermit {
     permit: Permit,
     tokens: u64,
 }
 
-/// An `OwnerModel` is what any right owner must agree with.
+/// An `OwnerModel` is the reference model, with which any correct owner agrees.
 #[derive(Default)]
 struct OwnerModel {
     waiting: BTreeMap<AttemptId, (Ask, Moment)>,
     held: BTreeMap<PermitId, HeldPermit>,
-    runners: BTreeMap<u128, Incarnation>,
+    holders: BTreeMap<u128, Incarnation>,
     published: Vec<PoolTarget>,
     refused_at: Option<Moment>,
     answered: usize,
 }
 
 impl OwnerModel {
-    /// Check the replies against what was asked.
-    fn take(&mut self, actions: &[OwnerAction]) {
+    /// Check the replies and apply them to the model.
+    fn apply(&mut self, actions: &[OwnerAction]) {
         for reply in replies(actions) {
             match reply {
-                OwnerReply::Granted { permit, .. } => self.take_permit(permit),
+                OwnerReply::Granted { permit, .. } => self.apply_permit(permit),
                 OwnerReply::Refused { attempt, .. } | OwnerReply::KeyHeld { attempt, .. } => {
                     let known = self.waiting.remove(&attempt);
-                    assert!(known.is_some(), "an answer to no waiting ask");
+                    assert!(known.is_some(), "reply without a queued request");
                     self.answered += 1;
                 }
                 _ => {}
@@ -80,47 +81,50 @@
         }
     }
 
-    fn take_permit(&mut self, permit: Permit) {
+    fn apply_permit(&mut self, permit: Permit) {
         if let Some(held) = self.held.get(&permit.id) {
-            assert_eq!(held.permit, permit, "the same permit again");
+            assert_eq!(held.permit, permit, "the same permit is granted again");
             return;
         }
-        let (ask, _) = self.waiting.remove(&permit.attempt).expect("it waits");
+        let (ask, _) = self
+            .waiting
+            .remove(&permit.attempt)
+            .expect("a queued request");
         let mut targets = self.published.iter();
         let target = targets.find(|target| target.name == permit.target);
         let target = target.expect("a published target");
         assert!(ask.domains.is_empty() || ask.domains.contains(&target.domain));
         if let Some(claim) = &ask.claim {
             let holder = claim.holder.incarnation;
-            let runner = *self.runners.entry(claim.key).or_insert(holder);
-            assert_eq!(runner, holder, "two runs hold one key");
+            let key_holder = *self.holders.entry(claim.key).or_insert(holder);
+            assert_eq!(key_holder, holder, "two incarnations hold one key");
         }
         let tokens = ask.cost.total();
         self.held.insert(permit.id, HeldPermit { permit, tokens });
         self.answered += 1;
     }
 
-    /// Check the owner's counts, and that nothing waits without a cause.
+    /// Check the owner's counts, and that nothing is queued or shed needlessly.
     fn check(&self, bench: &OwnerBench, actions: &[OwnerAction]) {
         let view = bench.view();
         let queued: usize = view.queued.iter().map(|tier| tier.asks).sum();
         assert_eq!(queued, self.waiting.len());
         assert_eq!(view.in_flight, self.held.len());
         for target in &view.targets {
-            let there = self.held.values();
-            let there = there.filter(|held| held.permit.target == target.name);
-            let tokens: u64 = there.map(|held| held.tokens).sum();
+            let on_target = self.held.values();
+            let on_target = on_target.filter(|held| held.permit.target == target.name);
+            let tokens: u64 = on_target.map(|held| held.tokens).sum();
             assert_eq!(target.outstanding_tokens, tokens);
         }
         let mut waiting = self.waiting.values();
         let late = waiting.any(|(_, deadline)| *deadline <= bench.now);
-        assert!(!late, "an ask outlived its deadline");
+        assert!(!late, "a request is queued past its deadline");
         self.check_idle(bench);
         let shed = refusals(actions).iter().any(SeenRefusal::is_shed);
-        assert!(!shed || queued > 0, "shed although nothing else waits");
+        assert!(!shed || queued > 0, "shed although nothing else is queued");
     }
 
-    /// Nothing may wait while every target is idle and healthy.
+    /// Check that nothing is queued while every target is idle and healthy.
     fn check_idle(&self, bench: &OwnerBench) {
         let recent = |at: Moment| bench.now.since(at).as_millis() < 100;
         let paused = self.refused_at.is_some_and(recent);
@@ -129,18 +133,21 @@
         let is_idle = |target: &TargetView| target.permits == 0 && !target.backed_off;
         let idle = live.clone().all(is_idle);
         if !paused && idle && live.count() > 0 {
-            assert!(self.waiting.is_empty(), "work waits for idle targets");
+            assert!(
+                self.waiting.is_empty(),
+                "requests are queued although all targets are idle"
+            );
         }
     }
 
-    fn held_at(&self, place: u8) -> Option<Permit> {
+    fn held_at(&self, index: u8) -> Option<Permit> {
         let count = self.held.len();
-        let held = self.held.values().nth(usize::from(place) % count.max(1))?;
+        let held = self.held.values().nth(usize::from(index) % count.max(1))?;
         Some(held.permit.clone())
     }
 }
 
-/// Get the ask of a draw.
+/// Get the permit request of a draw.
 fn ask_of(number: u64, draw: AskDraw) -> Ask {
     let run = u128::from(draw.run % 3);
     let mut ask = ask(
@@ -160,17 +167,17 @@
         ask = with_claim(
             ask,
             u128::from(draw.key % 8),
-            run_of("entry", run),
-            draw.again,
+            incarnation_of("entry", run),
+            draw.resubmission,
         );
     }
     ask
 }
 
-/// Get the event of a step, and tell the model of it.
+/// Get the event of a step, and apply it to the model.
 fn event_of(model: &mut OwnerModel, now: Moment, number: u64, step: OwnerStep) -> OwnerEvent {
     let from_entry = |message| OwnerEvent::Message(named("entry"), message);
-    let place_of = |place: u8, count: usize| usize::from(place) % count.max(1);
+    let index_of = |index: u8, count: usize| usize::from(index) % count.max(1);
     match step {
         OwnerStep::Ask(draw) => {
             let ask = ask_of(number, draw);
@@ -179,28 +186,28 @@
             model.waiting.insert(ask.attempt, entry);
             from_entry(OwnerMessage::Ask(Box::new(ask)))
         }
-        OwnerStep::Repeat(place) => {
+        OwnerStep::Repeat(index) => {
             let count = model.waiting.len();
-            match model.waiting.values().nth(place_of(place, count)) {
+            match model.waiting.values().nth(index_of(index, count)) {
                 Some((ask, _)) => from_entry(OwnerMessage::Ask(Box::new(ask.clone()))),
                 None => OwnerEvent::Tick,
             }
         }
-        OwnerStep::Withdraw(place) => {
+        OwnerStep::Withdraw(index) => {
             let count = model.waiting.len();
-            let attempt = model.waiting.keys().nth(place_of(place, count)).copied();
+            let attempt = model.waiting.keys().nth(index_of(index, count)).copied();
             let Some(attempt) = attempt else {
                 return OwnerEvent::Tick;
             };
             model.waiting.remove(&attempt);
             from_entry(withdrawal(attempt))
         }
-        OwnerStep::Finish { place, elapsed } => {
+        OwnerStep::Finish { index, elapsed } => {
             let cost = cost_of(50, 50);
             let usage = usage(cost, u32::from(elapsed));
-            end_of(model, place, ReleaseOutcome::Finished(usage))
+            release_of(model, index, ReleaseOutcome::Finished(usage))
         }
-        OwnerStep::End { place, outcome } => {
+        OwnerStep::Release { index, outcome } => {
             let outcome = match outcome % 5 {
                 0 => ReleaseOutcome::Unused,
                 1 => ReleaseOutcome::Unreachable,
@@ -211,9 +218,9 @@
             if outcome == ReleaseOutcome::Refused {
                 model.refused_at = Some(now);
             }
-            end_of(model, place, outcome)
+            release_of(model, index, outcome)
         }
-        OwnerStep::Pass(_) => OwnerEvent::Tick,
+        OwnerStep::AdvanceTime(_) => OwnerEvent::Tick,
         OwnerStep::Targets(mask) => {
             model.published = targets_of(mask);
             OwnerEvent::Targets(model.published.clone())
@@ -231,7 +238,7 @@
             PrefixHash(u64::from(hash % 7)),
             held,
         ),
-        OwnerStep::Gone(run) => {
+        OwnerStep::HostTerminated(run) => {
             let run = Incarnation(u128::from(run % 3));
             let waiting = &mut model.waiting;
             waiting.retain(|attempt, _| attempt.request.incarnation != run);
@@ -239,8 +246,8 @@
             held.retain(|_, held| held.permit.attempt.request.incarnation != run);
             OwnerEvent::HostTerminated(named("entry"), run)
         }
-        OwnerStep::NotHeld(place) => {
-            let permit = model.held_at(place);
+        OwnerStep::NotHeld(index) => {
+            let permit = model.held_at(index);
             let permits: Vec<PermitId> = permit.iter().map(|permit| permit.id).collect();
             for id in &permits {
                 model.held.remove(id);
@@ -250,8 +257,8 @@
     }
 }
 
-fn end_of(model: &mut OwnerModel, place: u8, outcome: ReleaseOutcome) -> OwnerEvent {
-    let Some(permit) = model.held_at(place) else {
+fn release_of(model: &mut OwnerModel, index: u8, outcome: ReleaseOutcome) -> OwnerEvent {
+    let Some(permit) = model.held_at(index) else {
         return OwnerEvent::Tick;
     };
     model.held.remove(&permit.id);
@@ -265,7 +272,7 @@
     targets.collect()
 }
 
-/// A `OwnerRun` is an owner and its model.
+/// An `OwnerRun` is an owner under test and its model.
 struct OwnerRun {
     bench: OwnerBench,
     model: OwnerModel,
@@ -274,7 +281,7 @@
 
 impl OwnerRun {
     fn step(&mut self, step: OwnerStep) {
-        if let OwnerStep::Pass(millis) = step {
+        if let OwnerStep::AdvanceTime(millis) = step {
             let span = Duration::from_millis(u64::from(millis));
             self.bench.now = self.bench.now.plus(span);
         }
@@ -284,7 +291,7 @@
         let waiting = model.waiting.values();
         let before: Vec<Ask> = waiting.map(|(ask, _)| ask.clone()).collect();
         let actions = self.bench.event(event);
-        model.take(&actions);
+        model.apply(&actions);
         model.check(&self.bench, &actions);
         check_shed_order(model, &before, &actions);
     }
@@ -305,7 +312,7 @@
     run.model.answered
 }
 
-/// What was shed is of a tier no higher than any ask that is kept.
+/// Check that no request was shed in favor of one of a lower tier.
 fn check_shed_order(model: &OwnerModel, before: &[Ask], actions: &[OwnerAction]) {
     for refusal in refusals(actions) {
         let mut asks = before.iter();
@@ -327,6 +334,6 @@
         answered.fetch_add(run_turns(turns), Ordering::Relaxed);
     });
     let answered = answered.into_inner();
-    println!("{answered} asks answered");
-    assert!(answered > 50_000, "{answered} asks answered");
+    println!("{answered} permit requests answered");
+    assert!(answered > 50_000, "{answered} permit requests answered");
 }
--- a/bergamotswitch-core/tests/queue_differential.rs
+++ b/bergamotswitch-core/tests/queue_differential.rs
@@ -1,5 +1,5 @@
-//! Tests the queue and the router against naive versions that look at every
-//! ask and every target each time.
+//! Tests the queue and the router against reference implementations that scan
+//! every request and every target.
 
 mod owner_bench;
 
@@ -19,14 +19,14 @@
 
 const SCALE: u128 = 1 << 20;
 
-/// A `NaiveAccount` is an account's place in virtual time.
+/// A `NaiveAccount` is an account's fair queuing state.
 #[derive(Clone, Copy, Default)]
 struct NaiveAccount {
     start: u128,
     share: u128,
 }
 
-/// A `NaiveQueue` is the queue as a plain list.
+/// A `NaiveQueue` is the reference queue, a plain list.
 #[derive(Default)]
 struct NaiveQueue {
     asks: Vec<QueuedRequest>,
@@ -34,7 +34,7 @@
     accounts: BTreeMap<(Tier, String), NaiveAccount>,
 }
 
-/// Get the plan of an ask without an aim.
+/// Get the wait plan of a request without a time-to-first-token limit.
 fn plan_until(deadline: Moment) -> WaitPlan {
     WaitPlan {
         on_time_until: Moment::NEVER,
@@ -54,17 +54,17 @@
 }
 
 impl NaiveQueue {
-    fn waits(&self, account: &(Tier, String)) -> bool {
+    fn has_queued(&self, account: &(Tier, String)) -> bool {
         let mut asks = self.asks.iter();
         asks.any(|queued| account_of(queued) == *account)
     }
 
     fn push(&mut self, queued: QueuedRequest) {
         let key = account_of(&queued);
-        let waits = self.waits(&key);
+        let has_queued = self.has_queued(&key);
         let clock = self.clocks.get(&key.0).copied().unwrap_or(0);
         let account = self.accounts.entry(key).or_default();
-        if !waits {
+        if !has_queued {
             account.start = account.start.max(clock);
         }
         account.share = u128::from(queued.ask.share);
@@ -96,14 +96,14 @@
 
     fn take(&mut self, attempt: &AttemptId, served: bool) {
         let mut asks = self.asks.iter();
-        let place = asks.position(|queued| queued.ask.attempt == *attempt);
-        let Some(place) = place else {
+        let position = asks.position(|queued| queued.ask.attempt == *attempt);
+        let Some(position) = position else {
             return;
         };
-        let queued = self.asks.remove(place);
+        let queued = self.asks.remove(position);
         let key = account_of(&queued);
         let clock = self.clocks.entry(key.0).or_default();
-        let account = self.accounts.get_mut(&key).expect("it asked");
+        let account = self.accounts.get_mut(&key).expect("a known account");
         if served {
             *clock = (*clock).max(account.start);
             account.start += u128::from(queued.ask.cost.total()) * SCALE / account.share;
@@ -111,7 +111,7 @@
         if self.asks.iter().any(|queued| queued.ask.tier == key.0) {
             return;
         }
-        // Nobody of the tier waits: nobody is owed anything.
+        // The tier's queue is empty, so its fair queuing state is reset.
         self.accounts.retain(|(tier, _), _| *tier != key.0);
         self.clocks.remove(&key.0);
     }
@@ -176,8 +176,8 @@
                 naive.take(&attempt, false);
             }
         }
-        QueueStep::Withdraw(place) => {
-            let attempt = attempt_of(ENTRY_RUN, u64::from(place));
+        QueueStep::Withdraw(sequence) => {
+            let attempt = attempt_of(ENTRY_INCARNATION, u64::from(sequence));
             fast.remove(&attempt);
             naive.take(&attempt, false);
         }
@@ -232,19 +232,19 @@
 /// A `TargetStep` is one random change of a target.
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 enum TargetStep {
-    Occupy(TokenDraw),
-    Learn { target: u8, elapsed_ms: u16 },
-    Fail { target: u8 },
-    Hint { target: u8, cached: u8 },
-    Leave { target: u8 },
+    AddPermit(TokenDraw),
+    RecordUsage { target: u8, elapsed_ms: u16 },
+    RecordFailure { target: u8 },
+    RecordCacheHit { target: u8, cached: u8 },
+    StartDraining { target: u8 },
     Publish { target: u8 },
-    Vacate(TokenDraw),
-    Succeed { target: u8 },
-    Pass { millis: u16 },
+    RemovePermit(TokenDraw),
+    RecordSuccess { target: u8 },
+    AdvanceTime { millis: u16 },
     Choose(RouteDraw),
 }
 
-/// A `TokenDraw` is what is drawn of tokens that come or go.
+/// A `TokenDraw` is the random part of a change of a target's tokens.
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 struct TokenDraw {
     target: u8,
@@ -252,7 +252,7 @@
     long: bool,
 }
 
-/// A `RouteDraw` is what is drawn of a choice.
+/// A `RouteDraw` is the random part of a route query.
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 struct RouteDraw {
     prefill: u16,
@@ -260,8 +260,8 @@
     long: bool,
     warm: u8,
     avoid: u8,
-    riskable: bool,
-    spared: bool,
+    probe_eligible: bool,
+    failed_before: bool,
 }
 
 const TARGETS: [&str; 5] = ["p", "q", "r", "s", "t"];
@@ -276,7 +276,7 @@
     named.collect()
 }
 
-/// Choose a target by the words of the rules alone: filter, then compare.
+/// Choose a target without shortcuts: filter all targets, then compare the rest.
 fn naive_choice(now: Moment, targets: &TargetSet, query: &RouteQuery<'_>) -> Option<String> {
     use bergamotswitch_core::pool_owner::back_off::ProbeAdmission;
     let mut allowed: Vec<&TargetLoad> = Vec::new();
@@ -306,10 +306,10 @@
             ProbeAdmission::AnyProbe => !query.failed_before || all_failing,
             ProbeAdmission::Blocked => false,
         };
-        let first_long = !load.has_long() && allowed.len() > 1;
-        let crowding = first_long && spare <= allowed.len().div_ceil(8);
-        let short_room = load.fits_long(now, tokens) && !crowding;
-        if !usable || (query.placement.long && !short_room) {
+        let adds_long = !load.has_long() && allowed.len() > 1;
+        let exhausts_reserve = adds_long && spare <= allowed.len().div_ceil(8);
+        let long_fits = load.fits_long(now, tokens) && !exhausts_reserve;
+        if !usable || (query.placement.long && !long_fits) {
             continue;
         }
         let mut own = tokens;
@@ -329,12 +329,12 @@
     best.map(|(_, _, name)| name)
 }
 
-/// Run one step on the targets; compare where it chooses, and get whether it
-/// found a target.
+/// Run one step on the targets, compare the chosen target with the reference, and
+/// get whether one was found.
 fn step_targets(now: &mut Moment, targets: &mut TargetSet, number: u64, step: TargetStep) -> bool {
     let name = |index: u8| named(TARGETS[usize::from(index) % TARGETS.len()]);
     let permit = PermitId {
-        owner: ENTRY_RUN,
+        owner: ENTRY_INCARNATION,
         sequence: number,
     };
     let mut change = |index: u8, act: &mut dyn FnMut(&mut TargetLoad)| {
@@ -343,20 +343,20 @@
         }
     };
     match step {
-        TargetStep::Occupy(draw) => change(draw.target, &mut |load| {
+        TargetStep::AddPermit(draw) => change(draw.target, &mut |load| {
             load.add_permit(*now, u64::from(draw.tokens), draw.long)
         }),
-        TargetStep::Learn { target, elapsed_ms } => {
+        TargetStep::RecordUsage { target, elapsed_ms } => {
             let cost = cost_of(100, 100);
             let usage: Usage = usage(cost, u32::from(elapsed_ms));
             change(target, &mut |load| {
                 load.record_usage(*now, 1_000, cost, &usage)
             });
         }
-        TargetStep::Fail { target } => change(target, &mut |load| {
+        TargetStep::RecordFailure { target } => change(target, &mut |load| {
             load.back_off_mut().record_failure(*now, permit, *now, true);
         }),
-        TargetStep::Hint { target, cached } => {
+        TargetStep::RecordCacheHit { target, cached } => {
             change(target, &mut |load| {
                 load.record_cache_hit(255, u32::from(cached))
             });
@@ -365,14 +365,14 @@
             let published = load.target().clone();
             load.publish(published);
         }),
-        TargetStep::Vacate(draw) => change(draw.target, &mut |load| {
+        TargetStep::RemovePermit(draw) => change(draw.target, &mut |load| {
             load.remove_permit(*now, u64::from(draw.tokens), draw.long);
         }),
-        TargetStep::Succeed { target } => change(target, &mut |load| {
+        TargetStep::RecordSuccess { target } => change(target, &mut |load| {
             load.back_off_mut().record_success(permit, *now);
         }),
-        TargetStep::Leave { target } => change(target, &mut TargetLoad::start_draining),
-        TargetStep::Pass { millis } => {
+        TargetStep::StartDraining { target } => change(target, &mut TargetLoad::start_draining),
+        TargetStep::AdvanceTime { millis } => {
             *now = now.plus(Duration::from_millis(u64::from(millis)));
         }
         TargetStep::Choose(draw) => {
@@ -391,8 +391,8 @@
                 cost: cost_of(u32::from(draw.prefill), 50),
                 blocks: 4,
                 warm: &warm,
-                probe_eligible: draw.riskable,
-                failed_before: draw.spared,
+                probe_eligible: draw.probe_eligible,
+                failed_before: draw.failed_before,
             };
             let fast = choose(*now, targets, &ReservedTargets::default(), &query);
             let fast = fast.map(|route| route.target.to_string());
@@ -416,12 +416,12 @@
         }
     });
     let found = found.into_inner();
-    println!("{found} choices of a target");
-    assert!(found > 2_000, "{found} choices of a target");
+    println!("{found} targets chosen");
+    assert!(found > 2_000, "{found} targets chosen");
 }
 
-/// Get the shortest of some times that 200 asks and grants take while
-/// `waiting` asks are queued.
+/// Get the shortest measured time for 200 permit requests and grants while
+/// `waiting` requests are queued.
 fn grant_time(waiting: u64) -> Duration {
     let opts = OwnerOptions::default().with_max_wait(Duration::from_secs(1_000_000));
     let mut bench = OwnerBench::with_targets(opts, &[target("t", "d", 100)]);
@@ -432,24 +432,24 @@
     let mut request = waiting;
     let mut shortest = Duration::MAX;
     for _ in 0..10 {
-        let begun = Instant::now();
+        let started = Instant::now();
         for _ in 0..200 {
             request += 1;
             bench.ask(&ask(request, 1, "a"));
             let actions = bench.release(&permit, ReleaseOutcome::Unused);
             permit = permits(&actions)[0].clone();
         }
-        shortest = shortest.min(begun.elapsed());
+        shortest = shortest.min(started.elapsed());
     }
     shortest
 }
 
 #[test]
-fn queue_slope() {
-    // A hundred times the queue: a walk over it would cost a hundred times
-    // as much. The bound is wide for busy machines.
+fn queue_scaling() {
+    // Scanning a queue that is a hundred times as long would take a hundred times
+    // as long. The bound allows for other load on the machine.
     let short = grant_time(100);
     let long = grant_time(10_000);
-    println!("200 asks and grants: {short:?} at 100 queued, {long:?} at 10,000");
+    println!("200 permit requests and grants: {short:?} at 100 queued, {long:?} at 10,000");
     assert!(long < short * 10, "{long:?} at 10,000, {short:?} at 100");
 }
