--- a/bergamotswitch-net/src/journal.rs
+++ b/bergamotswitch-net/src/event_log.rs
@@ -19,8 +19,8 @@
 
 const TIME_FORMAT: &str = "%Y-%m-%dT%H:%M:%S%.3fZ";
 
-/// A `JournalError` says that the log could not be started.
-pub type JournalError = FlexiLoggerError;
+/// A `EventLogError` says that the log could not be started.
+pub type EventLogError = FlexiLoggerError;
 
 /// Try to start the log. Only this system's lines are written, from the
 /// settings' level upwards; libraries only from warnings upwards. The handle must be kept.
@@ -28,7 +28,7 @@
 /// # Errors
 ///
 /// Returns an error where a logger was started before.
-pub fn start(settings: &LogSettings) -> Result<LoggerHandle, JournalError> {
+pub fn start(settings: &LogSettings) -> Result<LoggerHandle, EventLogError> {
     let level = match settings.level {
         LogLevel::Error => LevelFilter::Error,
         LogLevel::Warn => LevelFilter::Warn,
@@ -79,7 +79,7 @@
 }
 
 /// Have the lines that wait written soon, without waiting for it.
-pub fn hasten() {
+pub fn request_flush() {
     log::logger().flush();
 }
 
--- a/bergamotswitch-net/src/lib.rs
+++ b/bergamotswitch-net/src/lib.rs
@@ -6,12 +6,12 @@
 pub mod answer;
 pub mod boot_clock;
 pub mod caller;
+pub mod event_log;
 mod follower;
 pub mod gateway;
 pub mod gossip;
 mod handover;
 pub mod input;
-pub mod journal;
 mod line_buffer;
 pub mod link;
 pub mod metrics;
--- a/bergamotswitch-net/src/line_buffer.rs
+++ b/bergamotswitch-net/src/line_buffer.rs
@@ -14,7 +14,7 @@
 use log::Record;
 use log::kv::Key;
 
-use crate::journal::EVENT_KEY;
+use crate::event_log::EVENT_KEY;
 use crate::pending_lines::{LeftOut, LineKind, PendingLines};
 
 /// How often the buffer is written out. A whole second of lines at once would
@@ -75,7 +75,7 @@
     }
 
     /// Have what waits written now.
-    fn hasten(&self) {
+    fn request_flush(&self) {
         self.lock().is_hastened = true;
         self.hastened.notify_one();
     }
@@ -170,14 +170,14 @@
     }
 
     fn flush(&self) -> io::Result<()> {
-        self.shared.hasten();
+        self.shared.request_flush();
         Ok(())
     }
 
     /// Write the last lines: those since the last interval would otherwise end
     /// with the process.
     fn shutdown(&self) {
-        self.shared.hasten();
+        self.shared.request_flush();
         self.shared.wait_written();
     }
 }
--- a/bergamotswitch-net/src/link/acceptor.rs
+++ b/bergamotswitch-net/src/link/acceptor.rs
@@ -19,7 +19,7 @@
 use super::handshake::{Hello, HelloPair, LINK_PATH, LinkKey, LinkRole, PeerRefusal};
 use super::registry::LinkRegistry;
 use super::session::{H2_SEND_BYTES, HEADER_BYTES, LinkSession, SessionEnd, WINDOW_BYTES};
-use crate::journal;
+use crate::event_log;
 
 /// The status that says: the link which is there stays.
 pub(crate) const DUPLICATE_STATUS: StatusCode = StatusCode::CONFLICT;
@@ -118,11 +118,11 @@
         SessionEnd::Closed | SessionEnd::Stopped => {}
         SessionEnd::Silent => {
             registry.count(|counters| counters.silent += 1);
-            journal::write(Incident::ConnectionSilent, &[("peer", run)]);
+            event_log::write(Incident::ConnectionSilent, &[("peer", run)]);
         }
         SessionEnd::Malformed(error) => {
             registry.count(|counters| counters.malformed += 1);
-            journal::write(Incident::PeerRefused, &[("peer", run), ("cause", &error)]);
+            event_log::write(Incident::PeerRefused, &[("peer", run), ("cause", &error)]);
         }
     }
 }
--- a/bergamotswitch-net/src/link/registry.rs
+++ b/bergamotswitch-net/src/link/registry.rs
@@ -16,8 +16,8 @@
 use super::options::LinkOptions;
 use super::queue::{QueuedFrame, SendQueue};
 use super::value_frames::ValueFrames;
+use crate::event_log;
 use crate::input::{HostSelf, NodeInput, NodeSender};
-use crate::journal;
 
 mod guard;
 
@@ -304,7 +304,7 @@
         state.counters.overflows += 1;
         drop(state);
         let pairs: [(&str, &dyn Display); 2] = [("peer", &run), ("cause", &"send queue full")];
-        journal::write(Incident::ConnectionSilent, &pairs);
+        event_log::write(Incident::ConnectionSilent, &pairs);
         self.unregister(host, session);
         false
     }
@@ -342,6 +342,6 @@
         }
         state.refusal_logged = Some(Instant::now());
         drop(state);
-        journal::write(Incident::PeerRefused, pairs);
+        event_log::write(Incident::PeerRefused, pairs);
     }
 }
--- a/bergamotswitch-net/src/node/drive.rs
+++ b/bergamotswitch-net/src/node/drive.rs
@@ -29,9 +29,9 @@
 use crate::answer::AnswerPart;
 use crate::boot_clock::BootClock;
 use crate::caller::{CallerDesk, CallerOptions};
+use crate::event_log;
 use crate::gossip::GossipSocket;
 use crate::input::{HostSelf, NodeInput, NodeSender, OutgoingCall, PlatformEvent, Received};
-use crate::journal;
 use crate::link::{LinkHub, LinkOptions};
 use crate::metrics::{NodeMetrics, OwnerTotals};
 use crate::target_client::{TargetClient, TargetClientOptions};
@@ -169,7 +169,7 @@
                 input = inbox.recv() => turn_away(input, clock.now(), stop_at, &metrics),
             }
         }
-        journal::write(Incident::HostStopped, &[("run", &me.run)]);
+        event_log::write(Incident::HostStopped, &[("run", &me.run)]);
     }
 
     fn now(&self) -> Moment {
--- a/bergamotswitch-net/src/node/drive/reports.rs
+++ b/bergamotswitch-net/src/node/drive/reports.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 
 use super::HostNode;
-use crate::journal;
+use crate::event_log;
 use crate::node::gauges;
 use crate::node::stop::StopTimes;
 
@@ -47,7 +47,7 @@
 
     pub(super) fn note(&self, incident: Incident, text: &str) {
         self.metrics.incident(incident);
-        journal::write(incident, &[("host", &self.me.run.host), ("about", &text)]);
+        event_log::write(incident, &[("host", &self.me.run.host), ("about", &text)]);
     }
 
     /// Note how far a planned stop is and what is open.
@@ -71,7 +71,7 @@
             ("waiting", &waiting),
             ("running", &running),
         ];
-        journal::write(incident, &pairs);
+        event_log::write(incident, &pairs);
     }
 
     /// Note each request that is still open although the grace is nearly over.
--- a/bergamotswitch-net/src/node/drive/stopping.rs
+++ b/bergamotswitch-net/src/node/drive/stopping.rs
@@ -9,8 +9,8 @@
 use bergamotswitch_core::node::NodeEvent;
 
 use super::HostNode;
+use crate::event_log;
 use crate::input::{HostSelf, NodeInput, Received};
-use crate::journal;
 use crate::metrics::NodeMetrics;
 use crate::node::request_label::RequestLabel;
 use crate::node::seams::CallerDoor;
@@ -58,7 +58,7 @@
                 self.note_open(&times);
                 // A host that is late is killed while it ends its requests; what
                 // it held is in the log by then.
-                journal::hasten();
+                event_log::request_flush();
                 self.handle(NodeEvent::CutOff);
             }
         }
@@ -92,7 +92,7 @@
     metrics.incident(Incident::GraceEnding);
     let about = "answers that are still being read";
     let pairs: [(&str, &dyn Display); 2] = [("host", &me.run.host), ("about", &about)];
-    journal::write(Incident::GraceEnding, &pairs);
+    event_log::write(Incident::GraceEnding, &pairs);
 }
 
 /// Turn away what comes when the loop has ended, such as a request whose body
--- a/bergamotswitch-net/src/node/request_label.rs
+++ b/bergamotswitch-net/src/node/request_label.rs
@@ -12,8 +12,8 @@
 use bergamotswitch_core::target::TargetName;
 
 use super::stop::StopTimes;
+use crate::event_log;
 use crate::input::OutgoingCall;
-use crate::journal;
 
 /// A `RequestLabel` is what the line about a request's end says of it.
 #[derive(Debug)]
@@ -136,7 +136,7 @@
             ("pieces", &pieces),
             ("stopping_ms", &stopping),
         ];
-        journal::write(Incident::RequestEnded, &pairs);
+        event_log::write(Incident::RequestEnded, &pairs);
     }
 
     /// Write the line about a request that is open although the grace is
@@ -178,7 +178,7 @@
             ("pieces", &pieces),
             ("stopping_ms", &stopping),
         ];
-        journal::write(Incident::RequestOpen, &pairs);
+        event_log::write(Incident::RequestOpen, &pairs);
     }
 
     fn most_text(&self) -> String {
--- a/bergamotswitch-net/src/store_source/mod.rs
+++ b/bergamotswitch-net/src/store_source/mod.rs
@@ -20,8 +20,8 @@
 use bergamotswitch_platform::{config, registration};
 use tokio::sync::Mutex;
 
+use crate::event_log;
 use crate::input::{NodeInput, NodeSender, PlatformEvent};
-use crate::journal;
 use crate::task_guard::TaskGuard;
 use connection::CallLoss;
 use cursor::{StoreCursor, StoreNews};
@@ -119,7 +119,7 @@
 }
 
 fn failed(name: &ValueName, loss: CallLoss) -> NodeInput {
-    journal::write(
+    event_log::write(
         Incident::ServiceCallFailed,
         &[("value", name), ("cause", &loss)],
     );
@@ -188,7 +188,7 @@
             body,
         }),
         None => {
-            journal::write(Incident::EntryUnreadable, &[("key", &item.key)]);
+            event_log::write(Incident::EntryUnreadable, &[("key", &item.key)]);
             PlatformEvent::Failed(name.clone())
         }
     }
--- a/bergamotswitch-net/src/store_source/unread_entries.rs
+++ b/bergamotswitch-net/src/store_source/unread_entries.rs
@@ -9,7 +9,7 @@
 use bergamotswitch_platform::registration;
 use bergamotswitch_platform::store::StoreItem;
 
-use crate::journal;
+use crate::event_log;
 
 /// The most keys that are remembered as logged. The store holds some hundred
 /// targets; whoever fills it with more foreign entries is logged once for each
@@ -39,7 +39,7 @@
             }
             Err(fault) => {
                 if self.is_first(&item.key) {
-                    journal::write(
+                    event_log::write(
                         Incident::EntryUnreadable,
                         &[("key", &item.key), ("cause", &fault)],
                     );
--- a/bergamotswitch-net/src/target_client/attempt_report.rs
+++ b/bergamotswitch-net/src/target_client/attempt_report.rs
@@ -11,8 +11,8 @@
 use bergamotswitch_core::request::AttemptId;
 use bergamotswitch_core::target::TargetName;
 
+use crate::event_log;
 use crate::input::{NodeInput, NodeSender};
-use crate::journal;
 
 /// An `AbortFlag` is set once the loop no longer wants to hear of an attempt.
 #[derive(Clone, Debug, Default)]
@@ -85,5 +85,5 @@
 pub(super) fn note(incident: Incident, attempt: AttemptId, target: &TargetName, cause: &str) {
     let pairs: [(&str, &dyn fmt::Display); 3] =
         [("attempt", &attempt), ("to", target), ("cause", &cause)];
-    journal::write(incident, &pairs);
+    event_log::write(incident, &pairs);
 }
--- a/bergamotswitch-net/tests/journal_lines.rs
+++ b/bergamotswitch-net/tests/event_log_lines.rs
@@ -3,7 +3,7 @@
 use std::sync::Mutex;
 
 use bergamotswitch_core::incident::Incident;
-use bergamotswitch_net::journal;
+use bergamotswitch_net::event_log;
 use flexi_logger::{DeferredNow, json_format};
 use log::{Log, Metadata, Record};
 
@@ -20,7 +20,7 @@
     fn log(&self, record: &Record<'_>) {
         let mut text = Vec::new();
         let mut json = Vec::new();
-        journal::text_line(&mut text, &mut DeferredNow::new(), record).expect("a line");
+        event_log::text_line(&mut text, &mut DeferredNow::new(), record).expect("a line");
         json_format(&mut json, &mut DeferredNow::new(), record).expect("a line");
         let lines = [text, json].map(|line| String::from_utf8(line).expect("a text"));
         self.0.lock().expect("a keeper").push(lines);
@@ -37,7 +37,7 @@
     log::set_logger(&KEEPER).expect("the first logger");
     log::set_max_level(log::LevelFilter::Info);
     let forged = "a\n2026-12-02 ERROR host stopped";
-    journal::write(
+    event_log::write(
         Incident::DegradedAdmission,
         &[
             ("request", &17),
--- a/bergamotswitch/src/command/error.rs
+++ b/bergamotswitch/src/command/error.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use bergamotswitch_core::error::Findings;
-use bergamotswitch_net::journal::JournalError;
+use bergamotswitch_net::event_log::EventLogError;
 use bergamotswitch_net::node::NodeError;
 
 /// A `CommandError` is the reason why a command was not carried out.
@@ -22,7 +22,7 @@
     /// The runtime cannot start.
     Runtime(std::io::Error),
     /// The log cannot be started.
-    Journal(JournalError),
+    Journal(EventLogError),
     /// The output cannot be written.
     Output(std::io::Error),
     /// A host or stand-in does not answer as it should.
--- a/bergamotswitch/src/command/serve.rs
+++ b/bergamotswitch/src/command/serve.rs
@@ -6,8 +6,8 @@
 
 use bergamotswitch_core::incident::Incident;
 use bergamotswitch_core::settings::HostSettings;
+use bergamotswitch_net::event_log;
 use bergamotswitch_net::input::{NodeInput, NodeSender};
-use bergamotswitch_net::journal;
 use bergamotswitch_net::node::{HostNode, NodeSetup};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::time::sleep;
@@ -23,7 +23,7 @@
     let text = files::read(path)?;
     let settings = HostSettings::try_from_json(&text)
         .map_err(|findings| CommandError::Faulty(path.to_owned(), findings))?;
-    let _journal = journal::start(&settings.log).map_err(CommandError::Journal)?;
+    let _journal = event_log::start(&settings.log).map_err(CommandError::Journal)?;
     runtime()?.block_on(run(settings, path))
 }
 
@@ -76,7 +76,7 @@
             }
             Err(findings) => {
                 let text = findings.to_string();
-                journal::write(Incident::SettingsRefused, &[("findings", &text)]);
+                event_log::write(Incident::SettingsRefused, &[("findings", &text)]);
             }
         }
         known = text;
