--- a/bergamotswitch-net/src/caller/reception.rs
+++ b/bergamotswitch-net/src/caller/reception.rs
@@ -9,8 +9,8 @@
 use super::forward::OriginalCall;
 use super::refusal_page::RefusalPage;
 use crate::follower::AnswerFollower;
-use crate::handover;
 use crate::input::OutgoingCall;
+use crate::submit;
 
 /// A `CheckedCall` is a caller's request that passed all checks made before
 /// the loop.
@@ -41,11 +41,11 @@
     submission: Submission,
     call: OutgoingCall,
 ) -> HandedOver {
-    match handover::hand_over(&desk.node, submission, call).await {
-        handover::HandedOver::Here(follower) => HandedOver::Here(follower),
-        handover::HandedOver::Elsewhere(holder) => HandedOver::Elsewhere(holder),
-        handover::HandedOver::Refused(refusal) => HandedOver::Refused(RefusalPage::new(refusal)),
-        handover::HandedOver::LoopGone => HandedOver::Refused(loop_gone()),
-        handover::HandedOver::AnswerDropped => HandedOver::Refused(answer_dropped()),
+    match submit::submit(&desk.node, submission, call).await {
+        submit::SubmitOutcome::Local(follower) => HandedOver::Here(follower),
+        submit::SubmitOutcome::Remote(holder) => HandedOver::Elsewhere(holder),
+        submit::SubmitOutcome::Refused(refusal) => HandedOver::Refused(RefusalPage::new(refusal)),
+        submit::SubmitOutcome::LoopStopped => HandedOver::Refused(loop_gone()),
+        submit::SubmitOutcome::AnswerDropped => HandedOver::Refused(answer_dropped()),
     }
 }
--- a/bergamotswitch-net/src/gateway/call.rs
+++ b/bergamotswitch-net/src/gateway/call.rs
@@ -28,8 +28,8 @@
 use super::lookup::ask;
 use crate::answer::AnswerPart;
 use crate::follower::AnswerFollower;
-use crate::handover::{HandedOver, hand_over};
 use crate::input::{NodeInput, OutgoingCall};
+use crate::submit::{SubmitOutcome, submit};
 use crate::target_client::routed_call::RoutedCall;
 
 /// How much longer than on time an answer that may come from another target
@@ -116,13 +116,15 @@
     let submission = entry.submission(&call);
     let is_stream = entry.route.work.is_stream();
     let call = entry.outgoing(&parts, call, bytes, received_at);
-    match hand_over(&desk.node, submission, call).await {
-        HandedOver::Here(follower) => Ok(follow(*follower, is_stream).await),
-        HandedOver::Refused(refusal) => Ok(refused(&refusal)),
-        HandedOver::Elsewhere(_) | HandedOver::AnswerDropped => {
+    match submit(&desk.node, submission, call).await {
+        SubmitOutcome::Local(follower) => Ok(follow(*follower, is_stream).await),
+        SubmitOutcome::Refused(refusal) => Ok(refused(&refusal)),
+        SubmitOutcome::Remote(_) | SubmitOutcome::AnswerDropped => {
             Ok(refused(&Refusal::may_have_run(RefusalReason::Lost)))
         }
-        HandedOver::LoopGone => Err(CallStop::later(RefusalReason::Stopping, ELSEWHERE_RETRY)),
+        SubmitOutcome::LoopStopped => {
+            Err(CallStop::later(RefusalReason::Stopping, ELSEWHERE_RETRY))
+        }
     }
 }
 
--- a/bergamotswitch-net/src/handover.rs
+++ b/bergamotswitch-net/src/submit.rs
@@ -8,17 +8,17 @@
 use crate::follower::AnswerFollower;
 use crate::input::{NodeInput, NodeSender, OutgoingCall, Received};
 
-/// A `HandedOver` is what became of a request that was handed to the loop.
+/// A `SubmitOutcome` is what became of a request that was handed to the loop.
 #[derive(Debug)]
-pub(crate) enum HandedOver {
+pub(crate) enum SubmitOutcome {
     /// It is here.
-    Here(Box<AnswerFollower>),
+    Local(Box<AnswerFollower>),
     /// Another run of a host holds it.
-    Elsewhere(HostIncarnation),
+    Remote(HostIncarnation),
     /// It is refused.
     Refused(Refusal),
     /// There is no loop any more that could have taken it.
-    LoopGone,
+    LoopStopped,
     /// It was taken, and its answer dropped.
     AnswerDropped,
 }
@@ -29,11 +29,11 @@
 /// and its reception; the request's id is not known then, and the loop would
 /// never be told. The task always learns the id, and what it made of it is
 /// dropped, with the follower's guard in it, where nobody takes it.
-pub(crate) async fn hand_over(
+pub(crate) async fn submit(
     node: &NodeSender,
     submission: Submission,
     call: OutgoingCall,
-) -> HandedOver {
+) -> SubmitOutcome {
     let (reply, received) = oneshot::channel();
     let input = NodeInput::Submit {
         submission: Box::new(submission),
@@ -41,28 +41,28 @@
         reply,
     };
     if node.send(input).is_err() {
-        return HandedOver::LoopGone;
+        return SubmitOutcome::LoopStopped;
     }
     let (taker, taken) = oneshot::channel();
     let node = node.clone();
     tokio::spawn(async move {
         let handed_over = match received.await {
             Ok(received) => from_received(&node, received),
-            Err(_) => HandedOver::AnswerDropped,
+            Err(_) => SubmitOutcome::AnswerDropped,
         };
         // Where the caller has left, this drops the follower.
         let _ = taker.send(handed_over);
     });
-    taken.await.unwrap_or(HandedOver::AnswerDropped)
+    taken.await.unwrap_or(SubmitOutcome::AnswerDropped)
 }
 
-fn from_received(node: &NodeSender, received: Received) -> HandedOver {
+fn from_received(node: &NodeSender, received: Received) -> SubmitOutcome {
     match (received.reception, received.answer) {
         (Reception::Accepted(id) | Reception::Attached(id), Some(reader)) => {
-            HandedOver::Here(Box::new(AnswerFollower::new(node, id, reader)))
+            SubmitOutcome::Local(Box::new(AnswerFollower::new(node, id, reader)))
         }
-        (Reception::Accepted(_) | Reception::Attached(_), None) => HandedOver::AnswerDropped,
-        (Reception::Forward(holder), _) => HandedOver::Elsewhere(holder),
-        (Reception::Refused(refusal), _) => HandedOver::Refused(refusal),
+        (Reception::Accepted(_) | Reception::Attached(_), None) => SubmitOutcome::AnswerDropped,
+        (Reception::Forward(holder), _) => SubmitOutcome::Remote(holder),
+        (Reception::Refused(refusal), _) => SubmitOutcome::Refused(refusal),
     }
 }
