--- a/bergamotswitch-net/src/caller/desk.rs
+++ b/bergamotswitch-net/src/caller/desk.rs
@@ -13,7 +13,7 @@
 
 use super::fields;
 use super::refusal_page::RefusalPage;
-use crate::input::{HostSelf, NodeInput, NodeSender};
+use crate::input::{HostIdentity, NodeInput, NodeSender};
 use crate::metrics::NodeMetrics;
 
 /// How long a connection to a request's holder may take: it is one round
@@ -73,7 +73,7 @@
     /// What is in force.
     pub publication: watch::Receiver<Arc<Publication>>,
     /// This process.
-    pub me: HostSelf,
+    pub me: HostIdentity,
     /// The host's metrics.
     pub metrics: Arc<NodeMetrics>,
     /// What was chosen.
--- a/bergamotswitch-net/src/input.rs
+++ b/bergamotswitch-net/src/input.rs
@@ -107,9 +107,9 @@
 /// The sender half of the loop's inbox. One loop on one thread reads it.
 pub type NodeSender = mpsc::UnboundedSender<NodeInput>;
 
-/// A `HostSelf` is what every task may know of its own process.
+/// A `HostIdentity` is what every task may know of its own process.
 #[derive(Clone, Debug)]
-pub struct HostSelf {
+pub struct HostIdentity {
     /// This run.
     pub run: HostIncarnation,
     /// The failure domain in which it stands.
--- a/bergamotswitch-net/src/link/hub.rs
+++ b/bergamotswitch-net/src/link/hub.rs
@@ -16,7 +16,7 @@
 use super::handshake::LinkKey;
 use super::options::LinkOptions;
 use super::registry::LinkRegistry;
-use crate::input::{HostSelf, NodeSender};
+use crate::input::{HostIdentity, NodeSender};
 use crate::task_guard::TaskGuard;
 
 /// A `LinkError` is the reason why a hub cannot be made.
@@ -61,7 +61,7 @@
     ///
     /// Returns [`LinkError::Listener`] where the runtime refuses the listener.
     pub fn try_new(
-        me: HostSelf,
+        me: HostIdentity,
         listener: std::net::TcpListener,
         opts: LinkOptions,
         node: NodeSender,
--- a/bergamotswitch-net/src/link/registry.rs
+++ b/bergamotswitch-net/src/link/registry.rs
@@ -17,7 +17,7 @@
 use super::queue::{QueuedFrame, SendQueue};
 use super::value_frames::ValueFrames;
 use crate::event_log;
-use crate::input::{HostSelf, NodeInput, NodeSender};
+use crate::input::{HostIdentity, NodeInput, NodeSender};
 
 mod guard;
 
@@ -69,7 +69,7 @@
 /// A `LinkRegistry` is what all tasks of a host's links share.
 #[derive(Debug)]
 pub(crate) struct LinkRegistry {
-    pub(crate) me: HostSelf,
+    pub(crate) me: HostIdentity,
     pub(crate) opts: LinkOptions,
     node: NodeSender,
     state: Mutex<RegistryState>,
@@ -77,7 +77,7 @@
 }
 
 impl LinkRegistry {
-    pub(crate) fn new(me: HostSelf, opts: LinkOptions, node: NodeSender) -> Self {
+    pub(crate) fn new(me: HostIdentity, opts: LinkOptions, node: NodeSender) -> Self {
         LinkRegistry {
             me,
             opts,
--- a/bergamotswitch-net/src/node/drive.rs
+++ b/bergamotswitch-net/src/node/drive.rs
@@ -31,7 +31,7 @@
 use crate::caller::{CallerDesk, CallerOptions};
 use crate::event_log;
 use crate::gossip::GossipSocket;
-use crate::input::{HostSelf, NodeInput, NodeSender, OutgoingCall, PlatformEvent, Received};
+use crate::input::{HostIdentity, NodeInput, NodeSender, OutgoingCall, PlatformEvent, Received};
 use crate::link::{LinkHub, LinkOptions};
 use crate::metrics::{NodeMetrics, OwnerTotals};
 use crate::target_client::{TargetClient, TargetClientOptions};
@@ -39,7 +39,7 @@
 /// A `HostNode` is one entry host's process: it owns every machine and every
 /// client, and one loop on one thread drives them.
 pub struct HostNode {
-    me: HostSelf,
+    me: HostIdentity,
     core: NodeCore,
     open: OpenRequests,
     targets: TargetClient,
@@ -118,7 +118,7 @@
     }
 
     /// Get this run.
-    pub fn me(&self) -> &HostSelf {
+    pub fn me(&self) -> &HostIdentity {
         &self.me
     }
 
--- a/bergamotswitch-net/src/node/drive/stopping.rs
+++ b/bergamotswitch-net/src/node/drive/stopping.rs
@@ -10,7 +10,7 @@
 
 use super::HostNode;
 use crate::event_log;
-use crate::input::{HostSelf, NodeInput, Received};
+use crate::input::{HostIdentity, NodeInput, Received};
 use crate::metrics::NodeMetrics;
 use crate::node::request_label::RequestLabel;
 use crate::node::seams::CallerDoor;
@@ -88,7 +88,7 @@
 }
 
 /// Note that the grace is over before callers have read their answers.
-pub(super) fn note_unread(me: &HostSelf, metrics: &NodeMetrics) {
+pub(super) fn note_unread(me: &HostIdentity, metrics: &NodeMetrics) {
     metrics.incident(Incident::GraceEnding);
     let about = "answers that are still being read";
     let pairs: [(&str, &dyn Display); 2] = [("host", &me.run.host), ("about", &about)];
--- a/bergamotswitch-net/src/node/mod.rs
+++ b/bergamotswitch-net/src/node/mod.rs
@@ -20,7 +20,7 @@
 use bergamotswitch_core::settings::HostSettings;
 
 use crate::gateway::GatewaySockets;
-use crate::input::HostSelf;
+use crate::input::HostIdentity;
 use crate::link::LinkError;
 use crate::metrics::NodeMetrics;
 
@@ -79,7 +79,7 @@
     /// The settings.
     pub settings: HostSettings,
     /// This run.
-    pub me: HostSelf,
+    pub me: HostIdentity,
     /// Where callers connect.
     pub doors: NodeDoors,
     /// Where peers connect.
@@ -116,7 +116,7 @@
             host: settings.name.clone(),
             incarnation: Incarnation(rand::random()),
         };
-        let me = HostSelf {
+        let me = HostIdentity {
             run,
             domain: settings.domain.clone(),
         };
--- a/bergamotswitch-net/tests/caller_requests/fake_loop.rs
+++ b/bergamotswitch-net/tests/caller_requests/fake_loop.rs
@@ -13,7 +13,7 @@
 use bergamotswitch_core::revision::{PublishedValue, Revision, ValueName};
 use bergamotswitch_net::answer::{AnswerPart, AnswerWriter};
 use bergamotswitch_net::caller::{CallerDesk, CallerOptions, HttpServer, serve};
-use bergamotswitch_net::input::{HostSelf, NodeInput, OutgoingCall, Received};
+use bergamotswitch_net::input::{HostIdentity, NodeInput, OutgoingCall, Received};
 use bergamotswitch_net::metrics::NodeMetrics;
 use bytes::Bytes;
 use http::{HeaderMap, Request, Response};
@@ -72,7 +72,7 @@
         let desk = CallerDesk {
             node,
             publication: in_force,
-            me: HostSelf {
+            me: HostIdentity {
                 run: run.clone(),
                 domain: DomainName::try_from("sanjuan").expect("a name"),
             },
--- a/bergamotswitch-net/tests/link_support/mod.rs
+++ b/bergamotswitch-net/tests/link_support/mod.rs
@@ -7,7 +7,7 @@
 
 use bergamotswitch_core::host::{EntryHost, HostIncarnation, HostList, Incarnation};
 use bergamotswitch_core::link::{Heartbeat, LinkEvent, LinkMessage};
-use bergamotswitch_net::input::{HostSelf, NodeInput};
+use bergamotswitch_net::input::{HostIdentity, NodeInput};
 use bergamotswitch_net::link::handshake::{Hello, HelloPair, LinkKey, LinkRole};
 use bergamotswitch_net::link::{LinkHub, LinkOptions};
 use bytes::Bytes;
@@ -49,7 +49,7 @@
         host: name.try_into().unwrap(),
         incarnation: Incarnation(incarnation),
     };
-    let me = HostSelf {
+    let me = HostIdentity {
         run: run.clone(),
         domain: "mza-norte".try_into().unwrap(),
     };
--- a/bergamotswitch/examples/slopes/links.rs
+++ b/bergamotswitch/examples/slopes/links.rs
@@ -8,7 +8,7 @@
 use bergamotswitch_core::host::{EntryHost, HostList};
 use bergamotswitch_core::link::{LinkEvent, LinkMessage};
 use bergamotswitch_core::permit::OwnerMessage;
-use bergamotswitch_net::input::{HostSelf, NodeInput};
+use bergamotswitch_net::input::{HostIdentity, NodeInput};
 use bergamotswitch_net::link::codec::encoded_len;
 use bergamotswitch_net::link::{LinkHub, LinkOptions};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -50,7 +50,7 @@
         link_address: address,
         standing: Default::default(),
     };
-    let me = HostSelf {
+    let me = HostIdentity {
         run,
         domain: entry.domain.clone(),
     };
