--- a/bergamotswitch-net/src/input.rs
+++ b/bergamotswitch-net/src/input.rs
@@ -34,9 +34,9 @@
     pub routed: Option<RoutedCall>,
 }
 
-/// A `Received` is the loop's answer to a submission.
+/// A `SubmissionReply` is the loop's answer to a submission.
 #[derive(Debug)]
-pub struct Received {
+pub struct SubmissionReply {
     /// What became of it.
     pub reception: Reception,
     /// The answer to follow, where the request is here.
@@ -64,7 +64,7 @@
         /// What is sent to a target.
         call: Box<OutgoingCall>,
         /// Where the reception goes.
-        reply: oneshot::Sender<Received>,
+        reply: oneshot::Sender<SubmissionReply>,
     },
     /// A caller that followed the request's answer went away.
     CallerLeft(RequestId),
--- a/bergamotswitch-net/src/node/drive.rs
+++ b/bergamotswitch-net/src/node/drive.rs
@@ -31,7 +31,9 @@
 use crate::caller::{CallerDesk, CallerOptions};
 use crate::event_log;
 use crate::gossip::GossipSocket;
-use crate::input::{HostIdentity, NodeInput, NodeSender, OutgoingCall, PlatformEvent, Received};
+use crate::input::{
+    HostIdentity, NodeInput, NodeSender, OutgoingCall, PlatformEvent, SubmissionReply,
+};
 use crate::link::{LinkHub, LinkOptions};
 use crate::metrics::{NodeMetrics, OwnerTotals};
 use crate::target_client::{TargetClient, TargetClientOptions};
@@ -266,7 +268,7 @@
         reception: Reception,
         call: OutgoingCall,
         label: RequestLabel,
-    ) -> Received {
+    ) -> SubmissionReply {
         let answer = match &reception {
             Reception::Accepted(id) => Some(self.open.open(*id, call, label)),
             Reception::Attached(id) => self.open.attach(*id),
@@ -278,7 +280,7 @@
                 None
             }
         };
-        Received { reception, answer }
+        SubmissionReply { reception, answer }
     }
 
     fn handle(&mut self, event: NodeEvent) {
--- a/bergamotswitch-net/src/node/drive/stopping.rs
+++ b/bergamotswitch-net/src/node/drive/stopping.rs
@@ -10,7 +10,7 @@
 
 use super::HostNode;
 use crate::event_log;
-use crate::input::{HostIdentity, NodeInput, Received};
+use crate::input::{HostIdentity, NodeInput, SubmissionReply};
 use crate::metrics::NodeMetrics;
 use crate::node::request_label::RequestLabel;
 use crate::node::seams::CallerDoor;
@@ -116,7 +116,7 @@
     metrics.refused(refusal.reason(), Some(label.tier));
     label.note_end(now, None, &Conclusion::Refused(refusal.clone()), 0);
     // A caller that is gone needs no answer.
-    let _ = reply.send(Received {
+    let _ = reply.send(SubmissionReply {
         reception: Reception::Refused(refusal),
         answer: None,
     });
--- a/bergamotswitch-net/src/submit.rs
+++ b/bergamotswitch-net/src/submit.rs
@@ -6,7 +6,7 @@
 use tokio::sync::oneshot;
 
 use crate::follower::AnswerFollower;
-use crate::input::{NodeInput, NodeSender, OutgoingCall, Received};
+use crate::input::{NodeInput, NodeSender, OutgoingCall, SubmissionReply};
 
 /// A `SubmitOutcome` is what became of a request that was handed to the loop.
 #[derive(Debug)]
@@ -56,7 +56,7 @@
     taken.await.unwrap_or(SubmitOutcome::AnswerDropped)
 }
 
-fn from_received(node: &NodeSender, received: Received) -> SubmitOutcome {
+fn from_received(node: &NodeSender, received: SubmissionReply) -> SubmitOutcome {
     match (received.reception, received.answer) {
         (Reception::Accepted(id) | Reception::Attached(id), Some(reader)) => {
             SubmitOutcome::Local(Box::new(AnswerFollower::new(node, id, reader)))
--- a/bergamotswitch-net/tests/caller_requests/answers.rs
+++ b/bergamotswitch-net/tests/caller_requests/answers.rs
@@ -7,7 +7,7 @@
 use bergamotswitch_core::entry::Reception;
 use bergamotswitch_core::refusal::{Refusal, RefusalReason};
 use bergamotswitch_net::answer::AnswerPart;
-use bergamotswitch_net::input::{NodeInput, Received};
+use bergamotswitch_net::input::{NodeInput, SubmissionReply};
 use bytes::Bytes;
 use http::Request;
 use serde_json::json;
@@ -160,7 +160,7 @@
     let call = spawn_call(host.server.address(), chat(true, &[]));
     let refusal = Refusal::before_acceptance(RefusalReason::Overloaded)
         .with_retry_after(Duration::from_millis(2100));
-    let received = Received {
+    let received = SubmissionReply {
         reception: Reception::Refused(refusal),
         answer: None,
     };
--- a/bergamotswitch-net/tests/caller_requests/fake_loop.rs
+++ b/bergamotswitch-net/tests/caller_requests/fake_loop.rs
@@ -13,7 +13,7 @@
 use bergamotswitch_core::revision::{PublishedValue, Revision, ValueName};
 use bergamotswitch_net::answer::{AnswerPart, AnswerWriter};
 use bergamotswitch_net::caller::{CallerDesk, CallerOptions, HttpServer, serve};
-use bergamotswitch_net::input::{HostIdentity, NodeInput, OutgoingCall, Received};
+use bergamotswitch_net::input::{HostIdentity, NodeInput, OutgoingCall, SubmissionReply};
 use bergamotswitch_net::metrics::NodeMetrics;
 use bytes::Bytes;
 use http::{HeaderMap, Request, Response};
@@ -50,7 +50,7 @@
 pub struct Submitted {
     pub submission: Submission,
     pub call: OutgoingCall,
-    pub reply: oneshot::Sender<Received>,
+    pub reply: oneshot::Sender<SubmissionReply>,
 }
 
 impl FakeHost {
@@ -130,7 +130,7 @@
         }
     }
 
-    pub async fn submitted_reply(&mut self) -> oneshot::Sender<Received> {
+    pub async fn submitted_reply(&mut self) -> oneshot::Sender<SubmissionReply> {
         self.submitted().await.reply
     }
 
@@ -149,9 +149,9 @@
     }
 
     /// Accept a request and get the writer of its answer.
-    pub fn accept(&self, reply: oneshot::Sender<Received>) -> AnswerWriter {
+    pub fn accept(&self, reply: oneshot::Sender<SubmissionReply>) -> AnswerWriter {
         let writer = AnswerWriter::new();
-        let received = Received {
+        let received = SubmissionReply {
             reception: Reception::Accepted(self.id(1)),
             answer: Some(writer.reader()),
         };
--- a/bergamotswitch-net/tests/caller_requests/forwarding.rs
+++ b/bergamotswitch-net/tests/caller_requests/forwarding.rs
@@ -3,7 +3,7 @@
 use bergamotswitch_core::entry::Reception;
 use bergamotswitch_core::host::HostIncarnation;
 use bergamotswitch_net::answer::AnswerPart;
-use bergamotswitch_net::input::{NodeInput, Received};
+use bergamotswitch_net::input::{NodeInput, SubmissionReply};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
@@ -12,7 +12,7 @@
 };
 
 async fn point_to(host: &mut FakeHost, holder: &HostIncarnation) {
-    let received = Received {
+    let received = SubmissionReply {
         reception: Reception::Forward(holder.clone()),
         answer: None,
     };
--- a/bergamotswitch-net/tests/caller_requests/leaving.rs
+++ b/bergamotswitch-net/tests/caller_requests/leaving.rs
@@ -2,7 +2,7 @@
 
 use bergamotswitch_core::entry::Reception;
 use bergamotswitch_net::answer::{AnswerPart, AnswerWriter};
-use bergamotswitch_net::input::{NodeInput, Received};
+use bergamotswitch_net::input::{NodeInput, SubmissionReply};
 
 use crate::fake_loop::{
     FakeHost, chat, chunk, next_piece, send, send_h2, soon, spawn_call, stream_head,
@@ -41,7 +41,7 @@
     call.abort();
     // The server must have seen the end of the connection.
     tokio::time::sleep(std::time::Duration::from_millis(50)).await;
-    let received = Received {
+    let received = SubmissionReply {
         reception: Reception::Accepted(host.id(1)),
         answer: Some(AnswerWriter::new().reader()),
     };
