--- a/bergamotswitch-net/src/answer.rs
+++ b/bergamotswitch-net/src/answer.rs
@@ -205,7 +205,7 @@
     }
     log.overlong = true;
     // Without a loop nobody waits for the answer either.
-    let _ = bound.node.send(NodeInput::Overlong(bound.request));
+    let _ = bound.node.send(NodeInput::AnswerTooLong(bound.request));
 }
 
 impl Default for AnswerWriter {
--- a/bergamotswitch-net/src/caller/desk.rs
+++ b/bergamotswitch-net/src/caller/desk.rs
@@ -116,7 +116,7 @@
 
     /// Have a refusal counted that was made before the loop knew of the call.
     pub(super) fn count_turned(&self, page: &RefusalPage) {
-        let turned = NodeInput::Turned(page.reason(), None);
+        let turned = NodeInput::EarlyRefusal(page.reason(), None);
         // Without a loop nobody reads the counters either.
         let _ = self.node.send(turned);
     }
--- a/bergamotswitch-net/src/gateway/call.rs
+++ b/bergamotswitch-net/src/gateway/call.rs
@@ -82,7 +82,7 @@
     match serve(&desk, request).await {
         Ok(response) => response,
         Err(CallStop::Refused(refusal)) => {
-            let turned = NodeInput::Turned(refusal.reason(), None);
+            let turned = NodeInput::EarlyRefusal(refusal.reason(), None);
             // The loop is gone only while the process ends.
             let _ = desk.node.send(turned);
             refused(&refusal)
--- a/bergamotswitch-net/src/input.rs
+++ b/bergamotswitch-net/src/input.rs
@@ -93,13 +93,13 @@
     /// An attempt's progress.
     Attempt(AttemptId, AttemptEvent),
     /// A request's answer is longer than one may be.
-    Overlong(RequestId),
+    AnswerTooLong(RequestId),
     /// A target's load report.
     Load(TargetName, LoadReport),
     /// A target's cache event: the prefix is held (`true`) or dropped.
     Prefix(TargetName, PrefixHash, bool),
     /// A refusal made before the loop, to be counted.
-    Turned(RefusalReason, Option<Tier>),
+    EarlyRefusal(RefusalReason, Option<Tier>),
     /// A stop signal.
     Stop,
 }
--- a/bergamotswitch-net/src/node/drive.rs
+++ b/bergamotswitch-net/src/node/drive.rs
@@ -247,7 +247,7 @@
                 }
                 self.handle(NodeEvent::Attempt(id, event));
             }
-            NodeInput::Overlong(id) => {
+            NodeInput::AnswerTooLong(id) => {
                 // An answer that began anew meanwhile is another run's.
                 let overlong = |request: &OpenRequest| request.answer.is_overlong();
                 if self.open.get(id).is_some_and(overlong) {
@@ -258,7 +258,7 @@
             NodeInput::Prefix(name, prefix, held) => {
                 self.handle(NodeEvent::Prefix(name, prefix, held));
             }
-            NodeInput::Turned(reason, tier) => self.metrics.refused(reason, tier),
+            NodeInput::EarlyRefusal(reason, tier) => self.metrics.refused(reason, tier),
             NodeInput::Stop => self.on_stop(),
         }
     }
--- a/bergamotswitch-net/tests/caller_requests/checks.rs
+++ b/bergamotswitch-net/tests/caller_requests/checks.rs
@@ -14,7 +14,7 @@
 
 async fn turned(host: &mut FakeHost) -> RefusalReason {
     match host.input().await {
-        NodeInput::Turned(reason, None) => reason,
+        NodeInput::EarlyRefusal(reason, None) => reason,
         other => panic!("not turned: {other:?}"),
     }
 }
--- a/bergamotswitch-net/tests/limits_in_force.rs
+++ b/bergamotswitch-net/tests/limits_in_force.rs
@@ -110,7 +110,7 @@
     assert!(answer.bytes() > bytes / 2 && answer.bytes() <= bytes);
     assert!(answer.is_overlong());
     let told = inbox.try_recv().expect("the loop is told");
-    assert!(matches!(told, NodeInput::Overlong(id) if id == request));
+    assert!(matches!(told, NodeInput::AnswerTooLong(id) if id == request));
     assert!(inbox.try_recv().is_err(), "told once");
     answer.clear();
     assert!(!answer.is_overlong());
