--- a/bergamotswitch-net/src/caller/early_answer.rs
+++ b/bergamotswitch-net/src/caller/early_answer.rs
@@ -77,10 +77,10 @@
     original: OriginalCall,
     usage: bool,
 ) -> BoxStream<'static, EventBytes> {
-    if begins_stream(&follower.begun(has_output).await) {
+    if begins_stream(&follower.wait_first_part(has_output).await) {
         return answer_events(follower, usage);
     }
-    let mut parts = follower.whole().await;
+    let mut parts = follower.collect_parts().await;
     if let Some(AnswerPart::Forward(holder)) = parts.pop_if(|part| part.is_forward()) {
         return holder_events(&desk, &original.seen_before(), &holder).await;
     }
--- a/bergamotswitch-net/src/caller/engine_call.rs
+++ b/bergamotswitch-net/src/caller/engine_call.rs
@@ -62,11 +62,11 @@
     ) {
         let id = text_value(follower.id());
         res.headers_mut().insert(REQUEST_FIELD, id);
-        if wish.stream && begins_stream(&follower.begun(has_output).await) {
+        if wish.stream && begins_stream(&follower.wait_first_part(has_output).await) {
             write_stream(answer_events(follower, wish.usage), res);
             return;
         }
-        let mut parts = follower.whole().await;
+        let mut parts = follower.collect_parts().await;
         if let Some(AnswerPart::Forward(holder)) = parts.pop_if(|part| part.is_forward()) {
             forward_back(&self.desk, &original.seen_before(), &holder, res).await;
             return;
--- a/bergamotswitch-net/src/caller/service_call.rs
+++ b/bergamotswitch-net/src/caller/service_call.rs
@@ -155,7 +155,7 @@
         };
         let id = text_value(follower.id());
         res.headers_mut().insert(REQUEST_FIELD, id);
-        let mut parts = follower.whole().await;
+        let mut parts = follower.collect_parts().await;
         if let Some(AnswerPart::Forward(holder)) = parts.pop_if(|part| part.is_forward()) {
             return forward_back(&self.desk, &original.seen_before(), &holder, res).await;
         }
--- a/bergamotswitch-net/src/follower.rs
+++ b/bergamotswitch-net/src/follower.rs
@@ -61,7 +61,10 @@
     /// Wait until the answer has parts that `shows` says the caller can be
     /// shown, or is over, and get its first part without passing it. Until then
     /// the attempt may be followed by another one.
-    pub(crate) async fn begun(&mut self, shows: impl Fn(&[AnswerPart]) -> bool) -> AnswerPart {
+    pub(crate) async fn wait_first_part(
+        &mut self,
+        shows: impl Fn(&[AnswerPart]) -> bool,
+    ) -> AnswerPart {
         self.reader.begun(shows).await.unwrap_or_else(dropped_part)
     }
 
@@ -83,7 +86,7 @@
 
     /// Wait until the answer is over, and get its parts; the last one is
     /// always there.
-    pub(crate) async fn whole(mut self) -> Vec<AnswerPart> {
+    pub(crate) async fn collect_parts(mut self) -> Vec<AnswerPart> {
         let mut parts = self.reader.whole().await;
         self.guard.disarm();
         if parts.is_empty() {
--- a/bergamotswitch-net/src/gateway/call.rs
+++ b/bergamotswitch-net/src/gateway/call.rs
@@ -326,9 +326,9 @@
 /// left: the caller has no answer at all. Only a stream's own head begins one.
 async fn follow(mut follower: AnswerFollower, is_stream: bool) -> Response<AnswerBody> {
     if !is_stream {
-        return whole_answer(follower.whole().await);
+        return whole_answer(follower.collect_parts().await);
     }
-    match follower.begun(has_event).await {
+    match follower.wait_first_part(has_event).await {
         AnswerPart::Head {
             status,
             content_type,
@@ -336,7 +336,7 @@
         } if is_success(status) => {
             target_answer(status, &content_type, fields, AnswerBody::follow(follower))
         }
-        _ => whole_answer(follower.whole().await),
+        _ => whole_answer(follower.collect_parts().await),
     }
 }
 
