--- a/bergamotswitch-net/src/follower.rs
+++ b/bergamotswitch-net/src/follower.rs
@@ -8,22 +8,22 @@
 use crate::input::{NodeInput, NodeSender};
 use crate::target_client::usage_meter::StreamChunk;
 
-/// A `LeaveGuard` tells the loop that a caller went away, when it is dropped
+/// A `DisconnectGuard` tells the loop that a caller went away, when it is dropped
 /// before the caller's answer was over. Without it work would run on for
 /// nobody; one would see it as wasted tokens and a queue that never empties.
 #[derive(Debug)]
-struct LeaveGuard {
+struct DisconnectGuard {
     node: NodeSender,
     id: Option<RequestId>,
 }
 
-impl LeaveGuard {
+impl DisconnectGuard {
     fn disarm(&mut self) {
         self.id = None;
     }
 }
 
-impl Drop for LeaveGuard {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if let Some(id) = self.id.take() {
             // Without a loop there is no work either.
@@ -37,7 +37,7 @@
 pub(crate) struct AnswerFollower {
     id: RequestId,
     reader: AnswerReader,
-    guard: LeaveGuard,
+    guard: DisconnectGuard,
 }
 
 impl AnswerFollower {
@@ -46,7 +46,7 @@
         AnswerFollower {
             id,
             reader,
-            guard: LeaveGuard {
+            guard: DisconnectGuard {
                 node: node.clone(),
                 id: Some(id),
             },
@@ -63,9 +63,12 @@
     /// the attempt may be followed by another one.
     pub(crate) async fn wait_first_part(
         &mut self,
-        shows: impl Fn(&[AnswerPart]) -> bool,
+        is_ready: impl Fn(&[AnswerPart]) -> bool,
     ) -> AnswerPart {
-        self.reader.begun(shows).await.unwrap_or_else(dropped_part)
+        self.reader
+            .begun(is_ready)
+            .await
+            .unwrap_or_else(dropped_part)
     }
 
     /// Get the next part. After the last one there is none; an answer that
--- a/bergamotswitch-net/src/line_buffer.rs
+++ b/bergamotswitch-net/src/line_buffer.rs
@@ -15,7 +15,7 @@
 use log::kv::Key;
 
 use crate::event_log::EVENT_KEY;
-use crate::pending_lines::{LeftOut, LineKind, PendingLines};
+use crate::pending_lines::{DroppedCounts, LineKind, PendingLines};
 
 /// How often the buffer is written out. A whole second of lines at once would
 /// hold the reader's pipe up; more often costs wake-ups for nothing.
@@ -24,10 +24,10 @@
 /// How long the end of the process waits for its last lines to be written: less
 /// than a stopping host has left when it ends at the last moment. A reader that
 /// stands still would otherwise hold the process until it is killed.
-const LAST_WRITE: Duration = Duration::from_millis(50);
+const SHUTDOWN_FLUSH_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// The bytes that a pipe takes in one piece (`PIPE_BUF` of Linux).
-const PIECE_BYTES: usize = 4_096;
+const PIPE_BUF_BYTES: usize = 4_096;
 
 /// A `LineFormat` writes one record as a line without its end.
 pub(crate) type LineFormat =
@@ -38,7 +38,7 @@
 struct SharedLines {
     state: Mutex<BufferState>,
     /// Told when lines should be written before the interval is over.
-    hastened: Condvar,
+    flush_requested: Condvar,
     /// Told when lines have been written.
     written: Condvar,
 }
@@ -46,7 +46,7 @@
 #[derive(Debug, Default)]
 struct BufferState {
     lines: PendingLines,
-    is_hastened: bool,
+    is_flush_requested: bool,
     is_writing: bool,
 }
 
@@ -56,19 +56,21 @@
     }
 
     /// Write what comes, for ever.
-    fn write_on(&self) {
+    fn run_writer(&self) {
         loop {
-            let waited = self
-                .hastened
-                .wait_timeout_while(self.lock(), WRITE_INTERVAL, |state| !state.is_hastened);
+            let waited =
+                self.flush_requested
+                    .wait_timeout_while(self.lock(), WRITE_INTERVAL, |state| {
+                        !state.is_flush_requested
+                    });
             let (mut state, _) = waited.unwrap_or_else(PoisonError::into_inner);
-            let (bytes, left_out) = state.lines.take();
-            state.is_hastened = false;
+            let (bytes, dropped) = state.lines.take();
+            state.is_flush_requested = false;
             state.is_writing = true;
             drop(state);
             // Where standard output is closed nobody reads, and the lines are
             // dropped.
-            drop(write_out(&bytes, &left_out));
+            drop(write_out(&bytes, &dropped));
             self.lock().is_writing = false;
             self.written.notify_all();
         }
@@ -76,16 +78,16 @@
 
     /// Have what waits written now.
     fn request_flush(&self) {
-        self.lock().is_hastened = true;
-        self.hastened.notify_one();
+        self.lock().is_flush_requested = true;
+        self.flush_requested.notify_one();
     }
 
     /// Wait until nothing waits to be written, but not for long.
-    fn wait_written(&self) {
-        let is_unwritten = |state: &mut BufferState| state.is_writing || !state.lines.is_empty();
-        let waited = self
-            .written
-            .wait_timeout_while(self.lock(), LAST_WRITE, is_unwritten);
+    fn wait_flushed(&self) {
+        let is_pending = |state: &mut BufferState| state.is_writing || !state.lines.is_empty();
+        let waited =
+            self.written
+                .wait_timeout_while(self.lock(), SHUTDOWN_FLUSH_TIMEOUT, is_pending);
         drop(waited);
     }
 }
@@ -107,21 +109,21 @@
     pub(crate) fn to_stdout(format: LineFormat) -> Self {
         let shared = Arc::<SharedLines>::default();
         let writing = Arc::clone(&shared);
-        thread::spawn(move || writing.write_on());
+        thread::spawn(move || writing.run_writer());
         LineBuffer { shared, format }
     }
 }
 
 /// Write lines, and how many were left out.
-fn write_out(bytes: &[u8], left_out: &LeftOut) -> io::Result<()> {
-    if bytes.is_empty() && left_out.is_empty() {
+fn write_out(bytes: &[u8], dropped: &DroppedCounts) -> io::Result<()> {
+    if bytes.is_empty() && dropped.is_empty() {
         return Ok(());
     }
     let mut out = io::stdout().lock();
     write_lines(&mut out, bytes)?;
-    if !left_out.is_empty() {
+    if !dropped.is_empty() {
         let incident = Incident::LinesDropped;
-        let counts = left_out
+        let counts = dropped
             .iter()
             .map(|(event, count)| format!("\"{event}\":{count}"));
         writeln!(
@@ -129,7 +131,7 @@
             "{{\"event\":{},\"text\":\"{}\",\"count\":{},\"events\":{{{}}}}}",
             incident.number(),
             incident.text(),
-            left_out.values().sum::<u64>(),
+            dropped.values().sum::<u64>(),
             counts.collect::<Vec<_>>().join(",")
         )?;
     }
@@ -141,18 +143,18 @@
 fn write_lines(out: &mut impl Write, bytes: &[u8]) -> io::Result<()> {
     let mut rest = bytes;
     while !rest.is_empty() {
-        let most = rest.len().min(PIECE_BYTES);
-        let end = rest[..most].iter().rposition(|byte| *byte == b'\n');
-        let (piece, behind) = rest.split_at(end.map_or(most, |end| end + 1));
-        out.write_all(piece)?;
+        let max_len = rest.len().min(PIPE_BUF_BYTES);
+        let end = rest[..max_len].iter().rposition(|byte| *byte == b'\n');
+        let (chunk, remaining) = rest.split_at(end.map_or(max_len, |end| end + 1));
+        out.write_all(chunk)?;
         out.flush()?;
-        rest = behind;
+        rest = remaining;
     }
     Ok(())
 }
 
 /// Get what decides whether a record's line is kept.
-fn kind_of(record: &Record<'_>) -> LineKind {
+fn line_kind(record: &Record<'_>) -> LineKind {
     let event = record.key_values().get(Key::from_str(EVENT_KEY));
     let event = event.and_then(|value| value.to_u64());
     LineKind {
@@ -166,7 +168,7 @@
         let mut state = self.shared.lock();
         let format = self.format;
         let written = |bytes: &mut Vec<u8>| format(bytes, now, record);
-        state.lines.add(kind_of(record), written)
+        state.lines.add(line_kind(record), written)
     }
 
     fn flush(&self) -> io::Result<()> {
@@ -178,6 +180,6 @@
     /// with the process.
     fn shutdown(&self) {
         self.shared.request_flush();
-        self.shared.wait_written();
+        self.shared.wait_flushed();
     }
 }
--- a/bergamotswitch-net/src/link/acceptor.rs
+++ b/bergamotswitch-net/src/link/acceptor.rs
@@ -27,7 +27,7 @@
 /// The pause after a failed accept: it fails at once and for long where the
 /// process has no file descriptors left, and a loop without pause would use
 /// up the one thread.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// The most streams at once: a link uses one, after a short first one.
 const MAX_STREAMS: u32 = 2;
@@ -45,19 +45,19 @@
 
 /// Accept links until this future is dropped.
 pub(crate) async fn accept_links(registry: Arc<LinkRegistry>, listener: TcpListener) {
-    let unproven = Arc::new(Semaphore::new(registry.opts.unproven_limit));
+    let handshake_slots = Arc::new(Semaphore::new(registry.opts.handshake_limit));
     // Sessions live in this set, so they end with the listener.
     let mut sessions = JoinSet::new();
     loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
-                Ok((stream, address)) => match Arc::clone(&unproven).try_acquire_owned() {
-                    Ok(place) => {
-                        sessions.spawn(serve(Arc::clone(&registry), stream, address, place));
+                Ok((stream, address)) => match Arc::clone(&handshake_slots).try_acquire_owned() {
+                    Ok(permit) => {
+                        sessions.spawn(serve(Arc::clone(&registry), stream, address, permit));
                     }
-                    Err(_) => registry.note_refusal(&PeerRefusal::TooMany, &address.to_string()),
+                    Err(_) => registry.record_refusal(&PeerRefusal::TooMany, &address.to_string()),
                 },
-                Err(_) => time::sleep(ACCEPT_PAUSE).await,
+                Err(_) => time::sleep(ACCEPT_RETRY_DELAY).await,
             },
             Some(_) = sessions.join_next() => {}
         }
@@ -70,29 +70,29 @@
     registry: Arc<LinkRegistry>,
     stream: TcpStream,
     address: SocketAddr,
-    place: OwnedSemaphorePermit,
+    permit: OwnedSemaphorePermit,
 ) {
     if stream.set_nodelay(true).is_err() {
         return;
     }
     let limit = registry.opts.handshake_timeout;
     let opened = time::timeout(limit, open(&registry, stream)).await;
-    let (mut connection, proven) = match opened {
+    let (mut connection, authenticated) = match opened {
         Ok(Some(opened)) => opened,
         Ok(None) => return,
-        Err(_) => return registry.note_refusal(&PeerRefusal::Timeout, &address.to_string()),
+        Err(_) => return registry.record_refusal(&PeerRefusal::Timeout, &address.to_string()),
     };
-    let session = match proven {
+    let session = match authenticated {
         Ok(session) => session,
         Err(failure) => {
             if let AcceptFailure::Refused(refusal, _) = &failure {
-                registry.note_refusal(refusal, &address.to_string());
+                registry.record_refusal(refusal, &address.to_string());
             }
             let _ = time::timeout(limit, refuse(connection, failure)).await;
             return;
         }
     };
-    drop(place);
+    drop(permit);
     let run = session.guard.run().clone();
     let driver = async {
         // Whatever else the peer asks for has no place beside its link.
@@ -143,8 +143,8 @@
         .handshake::<_, Bytes>(stream)
         .await
         .ok()?;
-    let proven = prove(registry, &mut connection).await;
-    Some((connection, proven))
+    let authenticated = authenticate(registry, &mut connection).await;
+    Some((connection, authenticated))
 }
 
 /// Answer with a status and a text, and close once they are sent.
@@ -168,7 +168,7 @@
 }
 
 /// Go through both exchanges of the handshake, and take the link up.
-async fn prove(
+async fn authenticate(
     registry: &Arc<LinkRegistry>,
     connection: &mut LinkConnection,
 ) -> Result<LinkSession, AcceptFailure> {
@@ -181,7 +181,7 @@
     };
     let pair = HelloPair {
         dialler,
-        acceptor: Hello::new(&registry.me.run),
+        acceptor: Hello::new(&registry.identity.run),
     };
     let mut head = Response::new(());
     pair.acceptor.write(head.headers_mut());
--- a/bergamotswitch-net/src/link/backoff.rs
+++ b/bergamotswitch-net/src/link/backoff.rs
@@ -33,7 +33,7 @@
     }
 
     /// Get the next pause.
-    pub(crate) fn next_pause(&mut self) -> Duration {
+    pub(crate) fn next_delay(&mut self) -> Duration {
         let doubled = self.min.saturating_mul(1 << self.doublings);
         self.doublings = (self.doublings + 1).min(MAX_DOUBLINGS);
         let half = doubled.min(self.max) / 2;
--- a/bergamotswitch-net/src/link/codec.rs
+++ b/bergamotswitch-net/src/link/codec.rs
@@ -17,11 +17,11 @@
 
 /// The mark in a frame's length that its message is compressed. No message is
 /// so long that it would set the bit.
-const COMPRESSED: u32 = 1 << 31;
+const COMPRESSED_FLAG: u32 = 1 << 31;
 
 /// The length from which a value is compressed, in bytes: that of one segment
 /// of TCP. Below it nothing is saved on the wire.
-const COMPRESS_FROM: usize = 1_400;
+const MIN_COMPRESS_BYTES: usize = 1_400;
 
 type FrameConfig = Configuration<LittleEndian, Varint, Limit<MAX_MESSAGE_LEN>>;
 
@@ -93,20 +93,20 @@
 /// Returns [`CodecError::TooLong`] where no peer would take the message.
 pub fn encode_compressed(message: &LinkMessage) -> Result<Bytes, CodecError> {
     let plain = encode(message)?;
-    if plain.len() < COMPRESS_FROM {
+    if plain.len() < MIN_COMPRESS_BYTES {
         return Ok(plain);
     }
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     let written = encoder.write_all(&plain[LENGTH_BYTES..]);
-    let packed = written.and_then(|()| encoder.finish());
+    let compressed = written.and_then(|()| encoder.finish());
     // A buffer in memory takes all that is written.
-    let packed = packed.map_err(|error| CodecError::Malformed(error.to_string()))?;
-    if packed.len() + LENGTH_BYTES >= plain.len() {
+    let compressed = compressed.map_err(|error| CodecError::Malformed(error.to_string()))?;
+    if compressed.len() + LENGTH_BYTES >= plain.len() {
         return Ok(plain);
     }
-    let mut frame = BytesMut::with_capacity(LENGTH_BYTES + packed.len());
-    frame.put_u32(packed.len() as u32 | COMPRESSED);
-    frame.put_slice(&packed);
+    let mut frame = BytesMut::with_capacity(LENGTH_BYTES + compressed.len());
+    frame.put_u32(compressed.len() as u32 | COMPRESSED_FLAG);
+    frame.put_slice(&compressed);
     Ok(frame.freeze())
 }
 
@@ -153,7 +153,7 @@
             return Ok(None);
         };
         let prefix = u32::from_be_bytes(*prefix);
-        let len = (prefix & !COMPRESSED) as usize;
+        let len = (prefix & !COMPRESSED_FLAG) as usize;
         if len > MAX_MESSAGE_LEN {
             return Err(CodecError::TooLong(len));
         }
@@ -163,9 +163,9 @@
         }
         self.buffer.advance(LENGTH_BYTES);
         let body = self.buffer.split_to(len);
-        let message = match prefix & COMPRESSED {
+        let message = match prefix & COMPRESSED_FLAG {
             0 => decode(&body)?,
-            _ => decode(&unpack(&body)?)?,
+            _ => decode(&decompress(&body)?)?,
         };
         Ok(Some(ReceivedFrame {
             message,
@@ -176,11 +176,11 @@
 
 /// Get what a compressed message holds. It may be no longer than a plain one:
 /// a few bytes could stand for gigabytes.
-fn unpack(packed: &[u8]) -> Result<Vec<u8>, CodecError> {
+fn decompress(compressed: &[u8]) -> Result<Vec<u8>, CodecError> {
     let mut plain = Vec::new();
-    let bound = MAX_MESSAGE_LEN as u64 + 1;
-    DeflateDecoder::new(packed)
-        .take(bound)
+    let limit = MAX_MESSAGE_LEN as u64 + 1;
+    DeflateDecoder::new(compressed)
+        .take(limit)
         .read_to_end(&mut plain)
         .map_err(|error| CodecError::Malformed(error.to_string()))?;
     match plain.len() > MAX_MESSAGE_LEN {
--- a/bergamotswitch-net/src/link/counters.rs
+++ b/bergamotswitch-net/src/link/counters.rs
@@ -45,11 +45,11 @@
     /// A permit given back.
     Release = "release", LinkMessage::ToOwner(OwnerMessage::Release { .. }),
     /// What an entry host holds.
-    Retell = "retell", LinkMessage::ToOwner(OwnerMessage::Resync { .. }),
+    Resync = "retell", LinkMessage::ToOwner(OwnerMessage::Resync { .. }),
     /// The answer to an audit.
     NotHeld = "not-held", LinkMessage::ToOwner(OwnerMessage::NotHeld { .. }),
     /// A host's word that it follows an owner.
-    Following = "following", LinkMessage::ToOwner(OwnerMessage::OwnerConfirmed { .. }),
+    OwnerConfirmed = "following", LinkMessage::ToOwner(OwnerMessage::OwnerConfirmed { .. }),
     /// What a former owner had left in its quotas' buckets.
     QuotaLevels = "quota-levels", LinkMessage::ToOwner(OwnerMessage::QuotaLevels { .. }),
     /// Targets that fail an owner.
@@ -61,7 +61,7 @@
     /// A refused wish.
     Refused = "refused", LinkMessage::FromOwner(OwnerReply::Refused { .. }),
     /// A key held elsewhere.
-    KeyKnown = "key-known", LinkMessage::FromOwner(OwnerReply::KeyHeld { .. }),
+    KeyHeld = "key-known", LinkMessage::FromOwner(OwnerReply::KeyHeld { .. }),
     /// An order to stop an attempt.
     Preempt = "preempt", LinkMessage::FromOwner(OwnerReply::Preempt { .. }),
     /// A question for permits not held.
@@ -69,7 +69,7 @@
     /// Not the owner.
     NotOwner = "not-owner", LinkMessage::FromOwner(OwnerReply::NotOwner { .. }),
     /// An owner's question who follows it.
-    WhoFollows = "who-follows", LinkMessage::FromOwner(OwnerReply::ConfirmOwner { .. }),
+    ConfirmOwner = "who-follows", LinkMessage::FromOwner(OwnerReply::ConfirmOwner { .. }),
     /// The revisions seen.
     Marks = "marks", LinkMessage::Revision(RevisionMessage::Marks(_)),
     /// A change of a value.
@@ -120,9 +120,9 @@
     }
 }
 
-/// A `RefusedPeers` counts the connections refused, by reason.
+/// A `RefusalCounts` counts the connections refused, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct RefusedPeers {
+pub struct RefusalCounts {
     /// Another protocol version.
     pub version: u64,
     /// Header fields that are absent or unreadable.
@@ -139,7 +139,7 @@
     pub too_many: u64,
 }
 
-impl RefusedPeers {
+impl RefusalCounts {
     /// Get the sum over all reasons.
     pub fn total(&self) -> u64 {
         self.version
@@ -181,7 +181,7 @@
     /// Links closed because of bytes that are no message.
     pub malformed: u64,
     /// Connections refused.
-    pub refused: RefusedPeers,
+    pub refused: RefusalCounts,
     /// Connections that a dialled peer refused.
     pub refused_by_peers: u64,
 }
--- a/bergamotswitch-net/src/link/dialler.rs
+++ b/bergamotswitch-net/src/link/dialler.rs
@@ -18,7 +18,7 @@
 use super::session::{H2_SEND_BYTES, HEADER_BYTES, LinkSession, WINDOW_BYTES};
 
 /// The longest text of a refusal that is read and logged, in bytes.
-const MAX_REFUSAL_TEXT: usize = 512;
+const MAX_REFUSAL_BYTES: usize = 512;
 
 /// A `DialFailure` is why an attempt gave no link.
 #[derive(Debug)]
@@ -33,31 +33,31 @@
     Duplicate,
 }
 
-/// A `ProvenStream` is a link's stream after its handshake.
-struct ProvenStream {
+/// An `AuthenticatedStream` is a link's stream after its handshake.
+struct AuthenticatedStream {
     acceptor: Hello,
     writer: SendStream<Bytes>,
     reader: RecvStream,
 }
 
 /// Keep a link to `host` until this future is dropped.
-pub(crate) async fn keep_link(registry: Arc<LinkRegistry>, host: EntryHost) {
+pub(crate) async fn maintain_link(registry: Arc<LinkRegistry>, host: EntryHost) {
     let mut backoff = Backoff::new(&registry.opts);
     loop {
-        registry.until_wanted(&host.name).await;
-        time::sleep(backoff.next_pause()).await;
+        registry.wait_until_dialable(&host.name).await;
+        time::sleep(backoff.next_delay()).await;
         // The peer may have dialled in the meantime.
-        registry.until_wanted(&host.name).await;
-        let began = Instant::now();
+        registry.wait_until_dialable(&host.name).await;
+        let started = Instant::now();
         match run_link(&registry, &host).await {
             Ok(()) | Err(DialFailure::Closed | DialFailure::Duplicate) => {}
             Err(DialFailure::Refused(refusal)) => {
-                registry.note_refusal(&refusal, &format!("dialled {}", host.link_address));
+                registry.record_refusal(&refusal, &format!("dialled {}", host.link_address));
             }
-            Err(DialFailure::RefusedByPeer(text)) => registry.note_refused_by(&host.name, &text),
+            Err(DialFailure::RefusedByPeer(text)) => registry.record_refused_by(&host.name, &text),
         }
         // A link that broke at once is no reason to come back at once.
-        if began.elapsed() > registry.opts.backoff_max {
+        if started.elapsed() > registry.opts.backoff_max {
             backoff.reset();
         }
     }
@@ -84,23 +84,23 @@
         .map_err(|_| DialFailure::Closed)?;
     let ping = connection.ping_pong().ok_or(DialFailure::Closed)?;
     let mut connection = std::pin::pin!(connection);
-    let proven = tokio::select! {
-        proven = time::timeout(opts.handshake_timeout, prove(registry, host, &key, requests)) => {
-            proven.map_err(|_| DialFailure::Refused(PeerRefusal::Timeout))??
+    let stream = tokio::select! {
+        stream = time::timeout(opts.handshake_timeout, authenticate(registry, host, &key, requests)) => {
+            stream.map_err(|_| DialFailure::Refused(PeerRefusal::Timeout))??
         }
         _ = connection.as_mut() => return Err(DialFailure::Closed),
     };
     // The roster may have changed since the attempt began.
     registry.admit(&host.name).map_err(DialFailure::Refused)?;
     let guard = registry
-        .register(&proven.acceptor, LinkRole::Dialler)
-        .or_else(|| registry.register_yielded(proven.acceptor.run()))
+        .register(&stream.acceptor, LinkRole::Dialler)
+        .or_else(|| registry.register_yielded(stream.acceptor.run()))
         .ok_or(DialFailure::Duplicate)?;
-    let run = proven.acceptor.run().clone();
+    let run = stream.acceptor.run().clone();
     let session = LinkSession {
         guard,
-        writer: proven.writer,
-        reader: proven.reader,
+        writer: stream.writer,
+        reader: stream.reader,
         ping,
     };
     finish_session(registry, &run, session, async {
@@ -111,14 +111,14 @@
 }
 
 /// Go through both exchanges of the handshake.
-async fn prove(
+async fn authenticate(
     registry: &LinkRegistry,
     host: &EntryHost,
     key: &LinkKey,
     requests: SendRequest<Bytes>,
-) -> Result<ProvenStream, DialFailure> {
+) -> Result<AuthenticatedStream, DialFailure> {
     // First each side says who it is.
-    let hello = Hello::new(&registry.me.run);
+    let hello = Hello::new(&registry.identity.run);
     let mut request = link_request(Method::GET);
     hello.write(request.headers_mut());
     let mut requests = requests.ready().await.map_err(|_| DialFailure::Closed)?;
@@ -148,7 +148,7 @@
     let answer = check_status(answer).await?;
     pair.check_proof(key, LinkRole::Acceptor, answer.headers())
         .map_err(DialFailure::Refused)?;
-    Ok(ProvenStream {
+    Ok(AuthenticatedStream {
         acceptor: pair.acceptor,
         writer,
         reader: answer.into_body(),
@@ -183,10 +183,10 @@
     let mut text = Vec::new();
     while let Some(Ok(data)) = body.data().await {
         text.extend_from_slice(&data);
-        if text.len() >= MAX_REFUSAL_TEXT {
+        if text.len() >= MAX_REFUSAL_BYTES {
             break;
         }
     }
-    text.truncate(MAX_REFUSAL_TEXT);
+    text.truncate(MAX_REFUSAL_BYTES);
     String::from_utf8_lossy(&text).into_owned()
 }
--- a/bergamotswitch-net/src/link/hub.rs
+++ b/bergamotswitch-net/src/link/hub.rs
@@ -12,7 +12,7 @@
 
 use super::acceptor::accept_links;
 use super::counters::LinkCounters;
-use super::dialler::keep_link;
+use super::dialler::maintain_link;
 use super::handshake::LinkKey;
 use super::options::LinkOptions;
 use super::registry::LinkRegistry;
@@ -61,7 +61,7 @@
     ///
     /// Returns [`LinkError::Listener`] where the runtime refuses the listener.
     pub fn try_new(
-        me: HostIdentity,
+        identity: HostIdentity,
         listener: std::net::TcpListener,
         opts: LinkOptions,
         node: NodeSender,
@@ -70,7 +70,7 @@
             .set_nonblocking(true)
             .map_err(LinkError::Listener)?;
         let listener = TcpListener::from_std(listener).map_err(LinkError::Listener)?;
-        let registry = Arc::new(LinkRegistry::new(me, opts, node));
+        let registry = Arc::new(LinkRegistry::new(identity, opts, node));
         let acceptor = TaskGuard::spawn(accept_links(Arc::clone(&registry), listener));
         Ok(LinkHub {
             registry,
@@ -95,7 +95,7 @@
         if known.is_some_and(|dial| dial.address == host.link_address) {
             return;
         }
-        let task = TaskGuard::spawn(keep_link(Arc::clone(&self.registry), host.clone()));
+        let task = TaskGuard::spawn(maintain_link(Arc::clone(&self.registry), host.clone()));
         let dial = DialTask {
             address: host.link_address,
             _task: task,
--- a/bergamotswitch-net/src/link/options.rs
+++ b/bergamotswitch-net/src/link/options.rs
@@ -8,7 +8,7 @@
 
 /// Connections that have not proven who they are: more than a rack's hosts
 /// that restart together, few enough that strangers cost little memory.
-const UNPROVEN_LIMIT: usize = 64;
+const HANDSHAKE_LIMIT: usize = 64;
 
 /// A `LinkOptions` is the set of bounds and time limits of all links.
 #[derive(Clone, Debug)]
@@ -20,7 +20,7 @@
     pub(crate) backoff_min: Duration,
     pub(crate) backoff_max: Duration,
     pub(crate) send_queue_bytes: usize,
-    pub(crate) unproven_limit: usize,
+    pub(crate) handshake_limit: usize,
 }
 
 impl Default for LinkOptions {
@@ -33,7 +33,7 @@
             backoff_min: Duration::from_millis(50),
             backoff_max: Duration::from_secs(5),
             send_queue_bytes: SEND_QUEUE_BYTES,
-            unproven_limit: UNPROVEN_LIMIT,
+            handshake_limit: HANDSHAKE_LIMIT,
         }
     }
 }
@@ -77,14 +77,14 @@
     }
 
     /// Set how many connections may be in their handshake at once.
-    pub fn with_unproven_limit(mut self, limit: usize) -> Self {
-        self.unproven_limit = limit;
+    pub fn with_handshake_limit(mut self, limit: usize) -> Self {
+        self.handshake_limit = limit;
         self
     }
 
     /// Get the longest time from the start of an attempt to connect until the
     /// link is up or given up.
-    pub(crate) fn dial_bound(&self) -> Duration {
+    pub(crate) fn dial_timeout(&self) -> Duration {
         self.connect_timeout + self.handshake_timeout
     }
 }
--- a/bergamotswitch-net/src/link/registry.rs
+++ b/bergamotswitch-net/src/link/registry.rs
@@ -15,7 +15,7 @@
 use super::handshake::{Hello, LinkKey, LinkRole, PeerRefusal};
 use super::options::LinkOptions;
 use super::queue::{QueuedFrame, SendQueue};
-use super::value_frames::ValueFrames;
+use super::value_frames::ValueFrameCache;
 use crate::event_log;
 use crate::input::{HostIdentity, NodeInput, NodeSender};
 
@@ -25,13 +25,13 @@
 
 /// Refusals are logged at most once in this time: strangers that connect in
 /// a loop must not fill the log. The counters count each one.
-const REFUSAL_LOG_GAP: Duration = Duration::from_secs(1);
+const REFUSAL_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A `SessionOrder` is what the registry wants of a session.
+/// A `SessionCommand` is what the registry wants of a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum SessionOrder {
+pub(crate) enum SessionCommand {
     /// Carry messages.
-    Carry,
+    Run,
     /// Send nothing more, read on for a while: another session to the same
     /// run took over.
     Yield,
@@ -47,9 +47,9 @@
     /// The newest set of messages that the peer knows.
     message_set: u16,
     role: LinkRole,
-    since: Instant,
+    established_at: Instant,
     queue: Arc<SendQueue>,
-    order: watch::Sender<SessionOrder>,
+    command: watch::Sender<SessionCommand>,
     /// A session that yielded to this one. What the peer sent over it goes
     /// before what it sends over this one, so it counts until that comes.
     yielded: Option<u64>,
@@ -63,13 +63,13 @@
     sessions: u64,
     counters: LinkCounters,
     refusal_logged: Option<Instant>,
-    frames: ValueFrames,
+    value_frames: ValueFrameCache,
 }
 
 /// A `LinkRegistry` is what all tasks of a host's links share.
 #[derive(Debug)]
 pub(crate) struct LinkRegistry {
-    pub(crate) me: HostIdentity,
+    pub(crate) identity: HostIdentity,
     pub(crate) opts: LinkOptions,
     node: NodeSender,
     state: Mutex<RegistryState>,
@@ -77,9 +77,9 @@
 }
 
 impl LinkRegistry {
-    pub(crate) fn new(me: HostIdentity, opts: LinkOptions, node: NodeSender) -> Self {
+    pub(crate) fn new(identity: HostIdentity, opts: LinkOptions, node: NodeSender) -> Self {
         LinkRegistry {
-            me,
+            identity,
             opts,
             node,
             state: Mutex::default(),
@@ -91,7 +91,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn tell(&self, event: LinkEvent) {
+    fn notify(&self, event: LinkEvent) {
         // The loop is gone only while the process ends.
         let _ = self.node.send(NodeInput::Link(event));
     }
@@ -103,7 +103,7 @@
         state.key = (!key.is_empty()).then_some(key);
         for (host, link) in &state.links {
             if !state.roster.contains(host) {
-                link.order.send_replace(SessionOrder::Close);
+                link.command.send_replace(SessionCommand::Close);
             }
         }
         drop(state);
@@ -119,7 +119,7 @@
         }
         // A peer with this host's own name is a fault of the settings: two
         // processes would answer to one name.
-        if !state.roster.contains(host) || *host == self.me.run.host {
+        if !state.roster.contains(host) || *host == self.identity.run.host {
             return Err(PeerRefusal::UnknownHost(host.clone()));
         }
         Ok(key.clone())
@@ -134,7 +134,7 @@
     }
 
     /// Wait until `host` may link and has no link.
-    pub(crate) async fn until_wanted(&self, host: &HostName) {
+    pub(crate) async fn wait_until_dialable(&self, host: &HostName) {
         let mut changes = self.changes.subscribe();
         while self.admit(host).is_err() || self.lock().links.contains_key(host) {
             if changes.changed().await.is_err() {
@@ -160,34 +160,34 @@
             None => Arc::new(SendQueue::new(self.opts.send_queue_bytes)),
         };
         let yielded = same_run.map(|link| link.session);
-        let lost = same_run.is_some_and(|link| self.is_lost(link, role));
+        let lost = same_run.is_some_and(|link| self.is_lost_at_peer(link, role));
         state.sessions += 1;
         let link = ActiveLink {
             session: state.sessions,
             run: run.clone(),
             message_set: hello.message_set(),
             role,
-            since: Instant::now(),
+            established_at: Instant::now(),
             queue,
-            order: watch::Sender::new(SessionOrder::Carry),
+            command: watch::Sender::new(SessionCommand::Run),
             yielded,
         };
-        let guard = self.guard(&link, link.session, link.order.subscribe());
-        let former = state.links.insert(run.host.clone(), link);
-        match (former, yielded) {
-            (Some(former), Some(_)) => {
-                former.order.send_replace(SessionOrder::Yield);
+        let guard = self.guard(&link, link.session, link.command.subscribe());
+        let previous = state.links.insert(run.host.clone(), link);
+        match (previous, yielded) {
+            (Some(previous), Some(_)) => {
+                previous.command.send_replace(SessionCommand::Yield);
                 if lost {
-                    self.tell(LinkEvent::Up(run.clone()));
+                    self.notify(LinkEvent::Up(run.clone()));
                 }
             }
-            (Some(former), None) => {
-                former.order.send_replace(SessionOrder::Close);
-                state.counters.dropped += former.queue.clear() as u64;
-                self.tell(LinkEvent::Down(former.run));
-                self.tell(LinkEvent::Up(run.clone()));
+            (Some(previous), None) => {
+                previous.command.send_replace(SessionCommand::Close);
+                state.counters.dropped += previous.queue.clear() as u64;
+                self.notify(LinkEvent::Down(previous.run));
+                self.notify(LinkEvent::Up(run.clone()));
             }
-            (None, _) => self.tell(LinkEvent::Up(run.clone())),
+            (None, _) => self.notify(LinkEvent::Up(run.clone())),
         }
         drop(state);
         self.changes.send_replace(());
@@ -209,22 +209,22 @@
             return None;
         }
         link.yielded = link.yielded.or(Some(session));
-        let orders = watch::Sender::new(SessionOrder::Yield).subscribe();
-        Some(self.guard(link, session, orders))
+        let commands = watch::Sender::new(SessionCommand::Yield).subscribe();
+        Some(self.guard(link, session, commands))
     }
 
     fn guard(
         self: &Arc<Self>,
         link: &ActiveLink,
         session: u64,
-        orders: watch::Receiver<SessionOrder>,
+        commands: watch::Receiver<SessionCommand>,
     ) -> LinkGuard {
         LinkGuard {
             registry: Arc::clone(self),
             session,
             run: link.run.clone(),
             queue: Arc::clone(&link.queue),
-            orders,
+            commands,
         }
     }
 
@@ -236,19 +236,19 @@
     /// A host dials only while it has no link. So it lost this one where it
     /// dialled that as well, and where the new session comes later than any
     /// attempt which began before `link` was up.
-    fn is_lost(&self, link: &ActiveLink, role: LinkRole) -> bool {
-        role == link.role || link.since.elapsed() > self.opts.dial_bound()
+    fn is_lost_at_peer(&self, link: &ActiveLink, role: LinkRole) -> bool {
+        role == link.role || link.established_at.elapsed() > self.opts.dial_timeout()
     }
 
     /// Get whether a new session of the same run takes the place of `link`.
     fn replaces(&self, link: &ActiveLink, role: LinkRole) -> bool {
         // This host still waits for a PING over one that the peer has lost.
-        if self.is_lost(link, role) {
+        if self.is_lost_at_peer(link, role) {
             return true;
         }
         // Both sides dialled: each must keep the same one of the two, or each
         // closes the one that the other keeps, and no link stays.
-        let dialler_preferred = self.me.run.host < link.run.host;
+        let dialler_preferred = self.identity.run.host < link.run.host;
         (role == LinkRole::Dialler) == dialler_preferred
     }
 
@@ -260,7 +260,7 @@
         }
         if let Some(link) = state.links.remove(host) {
             state.counters.dropped += link.queue.clear() as u64;
-            self.tell(LinkEvent::Down(link.run));
+            self.notify(LinkEvent::Down(link.run));
         }
         drop(state);
         self.changes.send_replace(());
@@ -272,7 +272,7 @@
         if let Some(link) = state.links.get(host)
             && link.role == LinkRole::Dialler
         {
-            link.order.send_replace(SessionOrder::Close);
+            link.command.send_replace(SessionCommand::Close);
         }
     }
 
@@ -280,7 +280,7 @@
     pub(crate) fn send(&self, host: &HostName, message: &LinkMessage) -> bool {
         let kind = MessageKind::of(message);
         let mut state = self.lock();
-        let encoded = state.frames.encode(message);
+        let encoded = state.value_frames.encode(message);
         let (Some(link), Ok(bytes)) = (state.links.get(host), encoded) else {
             state.counters.dropped += 1;
             return false;
@@ -298,7 +298,7 @@
         // to drop single messages would leave gaps that the peer can't see.
         // Closing the link tells both sides, and clears the queue.
         let run = link.run.clone();
-        link.order.send_replace(SessionOrder::Close);
+        link.command.send_replace(SessionCommand::Close);
         let session = link.session;
         state.counters.dropped += 1;
         state.counters.overflows += 1;
@@ -318,14 +318,14 @@
     }
 
     /// Count a refused connection, and log it.
-    pub(crate) fn note_refusal(&self, refusal: &PeerRefusal, place: &str) {
+    pub(crate) fn record_refusal(&self, refusal: &PeerRefusal, address: &str) {
         let mut state = self.lock();
         state.counters.refused.add(refusal);
-        self.log_refusal(state, &[("peer", &place), ("cause", refusal)]);
+        self.log_refusal(state, &[("peer", &address), ("cause", refusal)]);
     }
 
     /// Count that a peer refused this host, and log it.
-    pub(crate) fn note_refused_by(&self, host: &HostName, text: &str) {
+    pub(crate) fn record_refused_by(&self, host: &HostName, text: &str) {
         let mut state = self.lock();
         state.counters.refused_by_peers += 1;
         self.log_refusal(state, &[("by", host), ("cause", &text)]);
@@ -337,7 +337,7 @@
         pairs: &[(&str, &dyn Display)],
     ) {
         let recent = state.refusal_logged.map(|at| at.elapsed());
-        if recent.is_some_and(|age| age < REFUSAL_LOG_GAP) {
+        if recent.is_some_and(|age| age < REFUSAL_LOG_INTERVAL) {
             return;
         }
         state.refusal_logged = Some(Instant::now());
--- a/bergamotswitch-net/src/link/registry/guard.rs
+++ b/bergamotswitch-net/src/link/registry/guard.rs
@@ -6,7 +6,7 @@
 use bergamotswitch_core::link::LinkEvent;
 use tokio::sync::watch;
 
-use super::{LinkRegistry, SessionOrder};
+use super::{LinkRegistry, SessionCommand};
 use crate::link::codec::ReceivedFrame;
 use crate::link::counters::MessageKind;
 use crate::link::queue::{QueuedFrame, SendQueue};
@@ -19,7 +19,7 @@
     pub(super) session: u64,
     pub(super) run: HostIncarnation,
     pub(crate) queue: Arc<SendQueue>,
-    pub(super) orders: watch::Receiver<SessionOrder>,
+    pub(super) commands: watch::Receiver<SessionCommand>,
 }
 
 impl LinkGuard {
@@ -29,17 +29,20 @@
     }
 
     /// Get the next order other than to carry messages.
-    pub(crate) async fn order(&self) -> SessionOrder {
-        let mut orders = self.orders.clone();
-        match orders.wait_for(|order| *order != SessionOrder::Carry).await {
-            Ok(order) => *order,
+    pub(crate) async fn next_command(&self) -> SessionCommand {
+        let mut commands = self.commands.clone();
+        match commands
+            .wait_for(|command| *command != SessionCommand::Run)
+            .await
+        {
+            Ok(command) => *command,
             // The link was removed.
-            Err(_) => SessionOrder::Close,
+            Err(_) => SessionCommand::Close,
         }
     }
 
     /// Wait until no session is the link to this run any more.
-    pub(crate) async fn link_gone(&self) {
+    pub(crate) async fn wait_unlinked(&self) {
         let mut changes = self.registry.changes.subscribe();
         while self.registry.is_linked(&self.run) {
             if changes.changed().await.is_err() {
@@ -63,7 +66,7 @@
         let kind = MessageKind::of(&frame.message);
         state.counters.received.add(kind, frame.len);
         self.registry
-            .tell(LinkEvent::Message(self.run.clone(), frame.message));
+            .notify(LinkEvent::Message(self.run.clone(), frame.message));
     }
 
     /// Count a message as handed to the connection.
--- a/bergamotswitch-net/src/link/session.rs
+++ b/bergamotswitch-net/src/link/session.rs
@@ -11,7 +11,7 @@
 
 use super::codec::{CodecError, FrameReader};
 use super::options::LinkOptions;
-use super::registry::{LinkGuard, SessionOrder};
+use super::registry::{LinkGuard, SessionCommand};
 
 /// The most bytes that a peer may send ahead of what was read. A whole value
 /// takes a few round trips; a stalled loop holds little for each peer.
@@ -53,26 +53,26 @@
 impl LinkSession {
     /// Carry messages until the session ends. The link is down afterwards.
     pub(crate) async fn run(mut self, opts: &LinkOptions) -> SessionEnd {
-        let heard = AtomicU64::new(0);
+        let received = AtomicU64::new(0);
         let mut frames = FrameReader::default();
-        let order = tokio::select! {
+        let command = tokio::select! {
             // A session that was told to end brings nothing more.
             biased;
-            order = self.guard.order() => order,
-            end = read_frames(&self.guard, &mut self.reader, &mut frames, &heard) => return end,
+            command = self.guard.next_command() => command,
+            end = read_frames(&self.guard, &mut self.reader, &mut frames, &received) => return end,
             end = write_frames(&self.guard, &mut self.writer) => return end,
-            end = prove_alive(&mut self.ping, opts, &heard) => return end,
+            end = monitor_liveness(&mut self.ping, opts, &received) => return end,
         };
-        if order == SessionOrder::Yield {
+        if command == SessionCommand::Yield {
             // The peer may still have this session in use: what it sent comes
             // here, and a close would tell it that this host is down. After
             // the longest time that its own attempt can take it has settled;
             // once the link is gone there is nothing to settle, and the
             // dialler must not be kept from coming back.
             tokio::select! {
-                _ = read_frames(&self.guard, &mut self.reader, &mut frames, &heard) => {}
-                () = self.guard.link_gone() => {}
-                () = time::sleep(opts.dial_bound()) => {}
+                _ = read_frames(&self.guard, &mut self.reader, &mut frames, &received) => {}
+                () = self.guard.wait_unlinked() => {}
+                () = time::sleep(opts.dial_timeout()) => {}
             }
         }
         SessionEnd::Stopped
@@ -83,10 +83,10 @@
     guard: &LinkGuard,
     reader: &mut RecvStream,
     frames: &mut FrameReader,
-    heard: &AtomicU64,
+    received: &AtomicU64,
 ) -> SessionEnd {
     while let Some(Ok(data)) = reader.data().await {
-        heard.fetch_add(1, Ordering::Relaxed);
+        received.fetch_add(1, Ordering::Relaxed);
         frames.push(&data);
         if reader.flow_control().release_capacity(data.len()).is_err() {
             return SessionEnd::Closed;
@@ -138,14 +138,18 @@
 /// its answer nor anything else comes. A connection can go silent for good
 /// while both ends think it open: nothing is received, no error comes, and
 /// messages are lost until the operating system gives up after minutes.
-async fn prove_alive(ping: &mut PingPong, opts: &LinkOptions, heard: &AtomicU64) -> SessionEnd {
+async fn monitor_liveness(
+    ping: &mut PingPong,
+    opts: &LinkOptions,
+    received: &AtomicU64,
+) -> SessionEnd {
     loop {
-        let before = heard.load(Ordering::Relaxed);
+        let before = received.load(Ordering::Relaxed);
         time::sleep(opts.ping_interval).await;
-        if heard.load(Ordering::Relaxed) != before {
+        if received.load(Ordering::Relaxed) != before {
             continue;
         }
-        match answer_comes(ping, opts.ping_timeout, heard).await {
+        match ping_answered(ping, opts.ping_timeout, received).await {
             Some(true) => {}
             Some(false) => return SessionEnd::Silent,
             None => return SessionEnd::Closed,
@@ -155,8 +159,8 @@
 
 /// Get whether the peer answers a PING in time; `None` where the connection
 /// is closed.
-async fn answer_comes(ping: &mut PingPong, limit: Duration, heard: &AtomicU64) -> Option<bool> {
-    let mut before = heard.load(Ordering::Relaxed);
+async fn ping_answered(ping: &mut PingPong, limit: Duration, received: &AtomicU64) -> Option<bool> {
+    let mut before = received.load(Ordering::Relaxed);
     let mut answer = std::pin::pin!(ping.ping(Ping::opaque()));
     let mut slices = 0;
     while slices < PING_SLICES {
@@ -167,7 +171,7 @@
         }
         // The answer may stand behind a large message on its way: what comes
         // proves as much.
-        let now = heard.load(Ordering::Relaxed);
+        let now = received.load(Ordering::Relaxed);
         if now != before {
             before = now;
             slices = 0;
--- a/bergamotswitch-net/src/link/value_frames.rs
+++ b/bergamotswitch-net/src/link/value_frames.rs
@@ -15,13 +15,13 @@
     frame: Bytes,
 }
 
-/// A `ValueFrames` is the latest frame of each whole value that was sent. After
+/// A `ValueFrameCache` is the latest frame of each whole value that was sent. After
 /// a start every peer wants the same values; to compress it for each would take
 /// an owner's or reader's processor for nothing.
 #[derive(Debug, Default)]
-pub(crate) struct ValueFrames(BTreeMap<ValueName, ValueFrame>);
+pub(crate) struct ValueFrameCache(BTreeMap<ValueName, ValueFrame>);
 
-impl ValueFrames {
+impl ValueFrameCache {
     /// Get the frame of a message.
     ///
     /// # Errors
@@ -31,16 +31,16 @@
         let LinkMessage::Revision(RevisionMessage::Whole(value)) = message else {
             return codec::encode(message);
         };
-        let known = self.0.get(&value.name);
-        if let Some(known) = known.filter(|known| known.value == *value) {
-            return Ok(known.frame.clone());
+        let cached = self.0.get(&value.name);
+        if let Some(cached) = cached.filter(|cached| cached.value == *value) {
+            return Ok(cached.frame.clone());
         }
         let frame = codec::encode_compressed(message)?;
-        let made = ValueFrame {
+        let entry = ValueFrame {
             value: value.clone(),
             frame: frame.clone(),
         };
-        self.0.insert(value.name.clone(), made);
+        self.0.insert(value.name.clone(), entry);
         Ok(frame)
     }
 }
--- a/bergamotswitch-net/src/pending_lines.rs
+++ b/bergamotswitch-net/src/pending_lines.rs
@@ -15,7 +15,7 @@
 /// The lines in one interval that are kept for what must not be lost among
 /// others. As many again as plain ones: a storm of warnings costs the processor
 /// as much as a burst of calls.
-const MAX_NEEDED_LINES: usize = 50;
+const MAX_PRIORITY_LINES: usize = 50;
 
 /// The most bytes that wait to be written while the host goes on: some thousand
 /// lines. A reader that stands still must cost lines, and not the memory of a
@@ -23,14 +23,14 @@
 const MAX_PLAIN_BYTES: usize = 256 * 1024;
 
 /// The bytes up to which needed lines are taken where plain ones fill theirs.
-const MAX_NEEDED_BYTES: usize = 320 * 1024;
+const MAX_PRIORITY_BYTES: usize = 320 * 1024;
 
 /// The most bytes that wait once the host ends its requests: two lines each of
 /// some 1,200 requests.
-const MAX_LAST_BYTES: usize = 1024 * 1024;
+const MAX_TERMINATION_BYTES: usize = 1024 * 1024;
 
 /// The first number of an event that is not about the process itself.
-const FIRST_OTHER_EVENT: u16 = 200;
+const FIRST_NON_PROCESS_EVENT: u16 = 200;
 
 /// A `LineKind` is what decides whether a line is kept.
 #[derive(Clone, Copy, Debug)]
@@ -44,13 +44,15 @@
 impl LineKind {
     /// Get whether an engineer needs the line whatever else happens: it warns,
     /// or tells how far the process is.
-    fn is_needed(self) -> bool {
-        let is_about_process = self.event.is_some_and(|event| event < FIRST_OTHER_EVENT);
+    fn is_priority(self) -> bool {
+        let is_about_process = self
+            .event
+            .is_some_and(|event| event < FIRST_NON_PROCESS_EVENT);
         self.level <= Level::Warn || is_about_process
     }
 
     /// Get whether the host ends its requests from here on.
-    fn begins_end(self) -> bool {
+    fn starts_termination(self) -> bool {
         self.event == Some(Incident::GraceEnding.number())
     }
 }
@@ -66,14 +68,14 @@
 pub struct PendingLines {
     bytes: Vec<u8>,
     plain: usize,
-    needed: usize,
-    left_out: LeftOut,
-    is_ending: bool,
+    priority: usize,
+    dropped: DroppedCounts,
+    is_terminating: bool,
 }
 
-/// A `LeftOut` counts the lines that were left out, by their events' numbers;
+/// A `DroppedCounts` counts the lines that were left out, by their events' numbers;
 /// 0 stands for libraries' lines.
-pub type LeftOut = BTreeMap<u16, u64>;
+pub type DroppedCounts = BTreeMap<u16, u64>;
 
 impl PendingLines {
     /// Add a line where there is room for it, and count it where there is none.
@@ -86,13 +88,13 @@
         kind: LineKind,
         write: impl FnOnce(&mut Vec<u8>) -> io::Result<()>,
     ) -> io::Result<()> {
-        self.is_ending |= kind.begins_end();
+        self.is_terminating |= kind.starts_termination();
         if !self.has_room(kind) {
-            *self.left_out.entry(kind.event.unwrap_or(0)).or_default() += 1;
+            *self.dropped.entry(kind.event.unwrap_or(0)).or_default() += 1;
             return Ok(());
         }
-        match kind.is_needed() {
-            true => self.needed += 1,
+        match kind.is_priority() {
+            true => self.priority += 1,
             false => self.plain += 1,
         }
         write(&mut self.bytes)?;
@@ -101,23 +103,23 @@
     }
 
     /// Take what waits and how many lines were left out: an interval ends.
-    pub fn take(&mut self) -> (Vec<u8>, LeftOut) {
+    pub fn take(&mut self) -> (Vec<u8>, DroppedCounts) {
         self.plain = 0;
-        self.needed = 0;
+        self.priority = 0;
         let bytes = std::mem::take(&mut self.bytes);
-        (bytes, std::mem::take(&mut self.left_out))
+        (bytes, std::mem::take(&mut self.dropped))
     }
 
     /// Get whether there is nothing to write.
     pub fn is_empty(&self) -> bool {
-        self.bytes.is_empty() && self.left_out.is_empty()
+        self.bytes.is_empty() && self.dropped.is_empty()
     }
 
     fn has_room(&self, kind: LineKind) -> bool {
         let waiting = self.bytes.len();
-        match (self.is_ending, kind.is_needed()) {
-            (true, _) => waiting < MAX_LAST_BYTES,
-            (false, true) => self.needed < MAX_NEEDED_LINES && waiting < MAX_NEEDED_BYTES,
+        match (self.is_terminating, kind.is_priority()) {
+            (true, _) => waiting < MAX_TERMINATION_BYTES,
+            (false, true) => self.priority < MAX_PRIORITY_LINES && waiting < MAX_PRIORITY_BYTES,
             (false, false) => self.plain < MAX_PLAIN_LINES && waiting < MAX_PLAIN_BYTES,
         }
     }
--- a/bergamotswitch-net/src/submit.rs
+++ b/bergamotswitch-net/src/submit.rs
@@ -34,7 +34,7 @@
     submission: Submission,
     call: OutgoingCall,
 ) -> SubmitOutcome {
-    let (reply, received) = oneshot::channel();
+    let (reply, receiver) = oneshot::channel();
     let input = NodeInput::Submit {
         submission: Box::new(submission),
         call: Box::new(call),
@@ -43,21 +43,23 @@
     if node.send(input).is_err() {
         return SubmitOutcome::LoopStopped;
     }
-    let (taker, taken) = oneshot::channel();
+    let (sender, outcome_receiver) = oneshot::channel();
     let node = node.clone();
     tokio::spawn(async move {
-        let handed_over = match received.await {
-            Ok(received) => from_received(&node, received),
+        let outcome = match receiver.await {
+            Ok(reply) => from_reply(&node, reply),
             Err(_) => SubmitOutcome::AnswerDropped,
         };
         // Where the caller has left, this drops the follower.
-        let _ = taker.send(handed_over);
+        let _ = sender.send(outcome);
     });
-    taken.await.unwrap_or(SubmitOutcome::AnswerDropped)
+    outcome_receiver
+        .await
+        .unwrap_or(SubmitOutcome::AnswerDropped)
 }
 
-fn from_received(node: &NodeSender, received: SubmissionReply) -> SubmitOutcome {
-    match (received.reception, received.answer) {
+fn from_reply(node: &NodeSender, reply: SubmissionReply) -> SubmitOutcome {
+    match (reply.reception, reply.answer) {
         (Reception::Accepted(id) | Reception::Attached(id), Some(reader)) => {
             SubmitOutcome::Local(Box::new(AnswerFollower::new(node, id, reader)))
         }
--- a/bergamotswitch-net/tests/peer_links.rs
+++ b/bergamotswitch-net/tests/peer_links.rs
@@ -512,7 +512,7 @@
     // nothing. Cause: connections in their handshake without bound in number
     // and time.
     let opts = fast()
-        .with_unproven_limit(2)
+        .with_handshake_limit(2)
         .with_handshake_timeout(Duration::from_millis(300));
     let mut a = host_with("a", 1, opts);
     let address = a.entry.link_address;
