--- a/bergamotswitch-net/src/caller/early_answer.rs
+++ b/bergamotswitch-net/src/caller/early_answer.rs
@@ -39,7 +39,7 @@
     checked: CheckedCall,
     usage: bool,
 ) -> BoxStream<'static, EventBytes> {
-    let told = comment(&format!("{INCARNATION_FIELD} {}", desk.me.run));
+    let told = comment(&format!("{INCARNATION_FIELD} {}", desk.me.incarnation));
     let opening = stream::iter([Ok(told)]);
     let rest = stream::once(async move {
         // The connection asks for more before it writes what it has. Giving
--- a/bergamotswitch-net/src/caller/forward.rs
+++ b/bergamotswitch-net/src/caller/forward.rs
@@ -158,7 +158,7 @@
     if original.forwarded {
         return Err(ForwardFailure::ForwardedBefore);
     }
-    if holder.host == desk.me.run.host {
+    if holder.host == desk.me.incarnation.host {
         return Err(ForwardFailure::HolderIsHere);
     }
     let address = holder_address(desk, holder).ok_or(ForwardFailure::HolderUnknown)?;
--- a/bergamotswitch-net/src/caller/lookup.rs
+++ b/bergamotswitch-net/src/caller/lookup.rs
@@ -98,7 +98,7 @@
         // The run that holds the key answers for it, where the caller names
         // another host's run.
         if let Some(holder) = fields.holder
-            && holder.host != self.desk.me.run.host
+            && holder.host != self.desk.me.incarnation.host
         {
             let original = OriginalCall::new(req, Bytes::new(), fields.forwarded);
             forward_back(&self.desk, &original, &holder, res).await;
--- a/bergamotswitch-net/src/caller/mod.rs
+++ b/bergamotswitch-net/src/caller/mod.rs
@@ -39,7 +39,7 @@
 pub fn router(desk: CallerDesk) -> Router {
     let desk = Arc::new(desk);
     let mut router = Router::new()
-        .hoop(IncarnationStamp::new(&desk.me.run))
+        .hoop(IncarnationStamp::new(&desk.me.incarnation))
         .push(engine_route(&desk, CompletionForm::Chat))
         .push(engine_route(&desk, CompletionForm::Text))
         .push(service_route(&desk))
--- a/bergamotswitch-net/src/input.rs
+++ b/bergamotswitch-net/src/input.rs
@@ -111,7 +111,7 @@
 #[derive(Clone, Debug)]
 pub struct HostIdentity {
     /// This run.
-    pub run: HostIncarnation,
+    pub incarnation: HostIncarnation,
     /// The failure domain in which it stands.
     pub domain: bergamotswitch_core::failure_domain::DomainName,
 }
--- a/bergamotswitch-net/src/link/acceptor.rs
+++ b/bergamotswitch-net/src/link/acceptor.rs
@@ -93,20 +93,20 @@
         }
     };
     drop(permit);
-    let run = session.guard.run().clone();
+    let incarnation = session.guard.incarnation().clone();
     let driver = async {
         // Whatever else the peer asks for has no place beside its link.
         while let Some(Ok((_, mut answer))) = connection.accept().await {
             answer.send_reset(Reason::REFUSED_STREAM);
         }
     };
-    finish_session(&registry, &run, session, driver).await;
+    finish_session(&registry, &incarnation, session, driver).await;
 }
 
 /// Carry messages until the session or its connection ends, and note why.
 pub(crate) async fn finish_session(
     registry: &LinkRegistry,
-    run: &HostIncarnation,
+    incarnation: &HostIncarnation,
     session: LinkSession,
     driver: impl Future<Output = ()>,
 ) {
@@ -118,11 +118,14 @@
         SessionEnd::Closed | SessionEnd::Stopped => {}
         SessionEnd::Silent => {
             registry.count(|counters| counters.silent += 1);
-            event_log::write(Incident::ConnectionSilent, &[("peer", run)]);
+            event_log::write(Incident::ConnectionSilent, &[("peer", incarnation)]);
         }
         SessionEnd::Malformed(error) => {
             registry.count(|counters| counters.malformed += 1);
-            event_log::write(Incident::PeerRefused, &[("peer", run), ("cause", &error)]);
+            event_log::write(
+                Incident::PeerRefused,
+                &[("peer", incarnation), ("cause", &error)],
+            );
         }
     }
 }
@@ -181,7 +184,7 @@
     };
     let pair = HelloPair {
         dialler,
-        acceptor: Hello::new(&registry.identity.run),
+        acceptor: Hello::new(&registry.identity.incarnation),
     };
     let mut head = Response::new(());
     pair.acceptor.write(head.headers_mut());
@@ -195,7 +198,7 @@
         false => Err(PeerRefusal::Malformed),
     };
     // The roster may have changed since the hello.
-    let admitted = proof.and_then(|()| registry.admit(&pair.dialler.run().host));
+    let admitted = proof.and_then(|()| registry.admit(&pair.dialler.incarnation().host));
     if let Err(refusal) = admitted {
         return Err(AcceptFailure::Refused(refusal, answer));
     }
@@ -236,6 +239,6 @@
         return Err(PeerRefusal::Malformed);
     }
     let hello = Hello::read(request.headers())?;
-    let key = registry.admit(&hello.run().host)?;
+    let key = registry.admit(&hello.incarnation().host)?;
     Ok((hello, key))
 }
--- a/bergamotswitch-net/src/link/dialler.rs
+++ b/bergamotswitch-net/src/link/dialler.rs
@@ -85,7 +85,10 @@
     let ping = connection.ping_pong().ok_or(DialFailure::Closed)?;
     let mut connection = std::pin::pin!(connection);
     let stream = tokio::select! {
-        stream = time::timeout(opts.handshake_timeout, authenticate(registry, host, &key, requests)) => {
+        stream = time::timeout(
+            opts.handshake_timeout,
+            authenticate(registry, host, &key, requests),
+        ) => {
             stream.map_err(|_| DialFailure::Refused(PeerRefusal::Timeout))??
         }
         _ = connection.as_mut() => return Err(DialFailure::Closed),
@@ -94,16 +97,16 @@
     registry.admit(&host.name).map_err(DialFailure::Refused)?;
     let guard = registry
         .register(&stream.acceptor, LinkRole::Dialler)
-        .or_else(|| registry.register_yielded(stream.acceptor.run()))
+        .or_else(|| registry.register_yielded(stream.acceptor.incarnation()))
         .ok_or(DialFailure::Duplicate)?;
-    let run = stream.acceptor.run().clone();
+    let incarnation = stream.acceptor.incarnation().clone();
     let session = LinkSession {
         guard,
         writer: stream.writer,
         reader: stream.reader,
         ping,
     };
-    finish_session(registry, &run, session, async {
+    finish_session(registry, &incarnation, session, async {
         let _ = connection.await;
     })
     .await;
@@ -118,7 +121,7 @@
     requests: SendRequest<Bytes>,
 ) -> Result<AuthenticatedStream, DialFailure> {
     // First each side says who it is.
-    let hello = Hello::new(&registry.identity.run);
+    let hello = Hello::new(&registry.identity.incarnation);
     let mut request = link_request(Method::GET);
     hello.write(request.headers_mut());
     let mut requests = requests.ready().await.map_err(|_| DialFailure::Closed)?;
@@ -129,8 +132,8 @@
     let answer = check_status(answer).await?;
     let acceptor = Hello::read(answer.headers()).map_err(DialFailure::Refused)?;
     // Another host may have got the address since the list was written.
-    if acceptor.run().host != host.name {
-        let found = acceptor.run().host.clone();
+    if acceptor.incarnation().host != host.name {
+        let found = acceptor.incarnation().host.clone();
         return Err(DialFailure::Refused(PeerRefusal::UnknownHost(found)));
     }
     // Then each side proves that it knows the key.
--- a/bergamotswitch-net/src/link/handshake.rs
+++ b/bergamotswitch-net/src/link/handshake.rs
@@ -114,7 +114,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Hello {
     version: u16,
-    run: HostIncarnation,
+    incarnation: HostIncarnation,
     nonce: u128,
     /// The newest set of messages that it knows. It is left out of the proof:
     /// hosts from before it would find no proof right.
@@ -124,18 +124,18 @@
 
 impl Hello {
     /// Get a hello of `run` with a fresh nonce.
-    pub fn new(run: &HostIncarnation) -> Self {
+    pub fn new(incarnation: &HostIncarnation) -> Self {
         Hello {
             version: LINK_VERSION,
-            run: run.clone(),
+            incarnation: incarnation.clone(),
             nonce: rand::random(),
             message_set: MESSAGE_SET,
         }
     }
 
     /// Get the run that says hello.
-    pub fn run(&self) -> &HostIncarnation {
-        &self.run
+    pub fn incarnation(&self) -> &HostIncarnation {
+        &self.incarnation
     }
 
     /// Get the newest set of messages that this side knows.
@@ -147,7 +147,7 @@
     pub fn write(&self, fields: &mut HeaderMap) {
         fields.insert(VERSION_FIELD, HeaderValue::from(self.version));
         fields.insert(MESSAGES_FIELD, HeaderValue::from(self.message_set));
-        insert_text(fields, RUN_FIELD, &self.run.to_string());
+        insert_text(fields, RUN_FIELD, &self.incarnation.to_string());
         insert_text(fields, NONCE_FIELD, &format!("{:032x}", self.nonce));
     }
 
@@ -162,7 +162,7 @@
         if version != LINK_VERSION.to_string() {
             return Err(PeerRefusal::Version(version.to_owned()));
         }
-        let run = HostIncarnation::try_from(field_text(fields, RUN_FIELD)?)
+        let incarnation = HostIncarnation::try_from(field_text(fields, RUN_FIELD)?)
             .map_err(|_| PeerRefusal::Malformed)?;
         let nonce = u128::from_str_radix(field_text(fields, NONCE_FIELD)?, 16)
             .map_err(|_| PeerRefusal::Malformed)?;
@@ -171,7 +171,7 @@
         let message_set = message_set.parse().map_err(|_| PeerRefusal::Malformed)?;
         Ok(Hello {
             version: LINK_VERSION,
-            run,
+            incarnation,
             nonce,
             message_set,
         })
@@ -234,7 +234,7 @@
         let bytes = hex_bytes(field_text(fields, PROOF_FIELD)?)?;
         self.mac(key, role)
             .verify_slice(&bytes)
-            .map_err(|_| PeerRefusal::BadProof(prover.run.host.clone()))
+            .map_err(|_| PeerRefusal::BadProof(prover.incarnation.host.clone()))
     }
 }
 
--- a/bergamotswitch-net/src/link/registry.rs
+++ b/bergamotswitch-net/src/link/registry.rs
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 struct ActiveLink {
     session: u64,
-    run: HostIncarnation,
+    incarnation: HostIncarnation,
     /// The newest set of messages that the peer knows.
     message_set: u16,
     role: LinkRole,
@@ -119,18 +119,18 @@
         }
         // A peer with this host's own name is a fault of the settings: two
         // processes would answer to one name.
-        if !state.roster.contains(host) || *host == self.identity.run.host {
+        if !state.roster.contains(host) || *host == self.identity.incarnation.host {
             return Err(PeerRefusal::UnknownHost(host.clone()));
         }
         Ok(key.clone())
     }
 
-    fn is_linked(&self, run: &HostIncarnation) -> bool {
+    fn is_linked(&self, incarnation: &HostIncarnation) -> bool {
         let state = self.lock();
         state
             .links
-            .get(&run.host)
-            .is_some_and(|link| link.run == *run)
+            .get(&incarnation.host)
+            .is_some_and(|link| link.incarnation == *incarnation)
     }
 
     /// Wait until `host` may link and has no link.
@@ -146,25 +146,25 @@
     /// Try to make a session the link to its peer; `None` where the link that
     /// is there stays.
     pub(crate) fn register(self: &Arc<Self>, hello: &Hello, role: LinkRole) -> Option<LinkGuard> {
-        let run = hello.run();
+        let incarnation = hello.incarnation();
         let mut state = self.lock();
-        let known = state.links.get(&run.host);
-        let same_run = known.filter(|link| link.run == *run);
-        if same_run.is_some_and(|link| !self.replaces(link, role)) {
+        let known = state.links.get(&incarnation.host);
+        let same_incarnation = known.filter(|link| link.incarnation == *incarnation);
+        if same_incarnation.is_some_and(|link| !self.replaces(link, role)) {
             return None;
         }
         // A link of the same run hands its queue on: the peer was up and
         // stays up, and what waits keeps its order.
-        let queue = match same_run {
+        let queue = match same_incarnation {
             Some(link) => Arc::clone(&link.queue),
             None => Arc::new(SendQueue::new(self.opts.send_queue_bytes)),
         };
-        let yielded = same_run.map(|link| link.session);
-        let lost = same_run.is_some_and(|link| self.is_lost_at_peer(link, role));
+        let yielded = same_incarnation.map(|link| link.session);
+        let lost = same_incarnation.is_some_and(|link| self.is_lost_at_peer(link, role));
         state.sessions += 1;
         let link = ActiveLink {
             session: state.sessions,
-            run: run.clone(),
+            incarnation: incarnation.clone(),
             message_set: hello.message_set(),
             role,
             established_at: Instant::now(),
@@ -173,21 +173,21 @@
             yielded,
         };
         let guard = self.guard(&link, link.session, link.command.subscribe());
-        let previous = state.links.insert(run.host.clone(), link);
+        let previous = state.links.insert(incarnation.host.clone(), link);
         match (previous, yielded) {
             (Some(previous), Some(_)) => {
                 previous.command.send_replace(SessionCommand::Yield);
                 if lost {
-                    self.notify(LinkEvent::Up(run.clone()));
+                    self.notify(LinkEvent::Up(incarnation.clone()));
                 }
             }
             (Some(previous), None) => {
                 previous.command.send_replace(SessionCommand::Close);
                 state.counters.dropped += previous.queue.clear() as u64;
-                self.notify(LinkEvent::Down(previous.run));
-                self.notify(LinkEvent::Up(run.clone()));
+                self.notify(LinkEvent::Down(previous.incarnation));
+                self.notify(LinkEvent::Up(incarnation.clone()));
             }
-            (None, _) => self.notify(LinkEvent::Up(run.clone())),
+            (None, _) => self.notify(LinkEvent::Up(incarnation.clone())),
         }
         drop(state);
         self.changes.send_replace(());
@@ -200,12 +200,15 @@
     /// To close the dialled connection at once would go wrong: its acceptor
     /// may have it in use and not yet know of the other one, and would take
     /// the peer as down. It closes when both sides have settled.
-    pub(crate) fn register_yielded(self: &Arc<Self>, run: &HostIncarnation) -> Option<LinkGuard> {
+    pub(crate) fn register_yielded(
+        self: &Arc<Self>,
+        incarnation: &HostIncarnation,
+    ) -> Option<LinkGuard> {
         let mut state = self.lock();
         state.sessions += 1;
         let session = state.sessions;
-        let link = state.links.get_mut(&run.host)?;
-        if link.run != *run {
+        let link = state.links.get_mut(&incarnation.host)?;
+        if link.incarnation != *incarnation {
             return None;
         }
         link.yielded = link.yielded.or(Some(session));
@@ -222,7 +225,7 @@
         LinkGuard {
             registry: Arc::clone(self),
             session,
-            run: link.run.clone(),
+            incarnation: link.incarnation.clone(),
             queue: Arc::clone(&link.queue),
             commands,
         }
@@ -248,7 +251,7 @@
         }
         // Both sides dialled: each must keep the same one of the two, or each
         // closes the one that the other keeps, and no link stays.
-        let dialler_preferred = self.identity.run.host < link.run.host;
+        let dialler_preferred = self.identity.incarnation.host < link.incarnation.host;
         (role == LinkRole::Dialler) == dialler_preferred
     }
 
@@ -260,7 +263,7 @@
         }
         if let Some(link) = state.links.remove(host) {
             state.counters.dropped += link.queue.clear() as u64;
-            self.notify(LinkEvent::Down(link.run));
+            self.notify(LinkEvent::Down(link.incarnation));
         }
         drop(state);
         self.changes.send_replace(());
@@ -297,13 +300,14 @@
         // The peer does not read. To wait on would cost memory without bound;
         // to drop single messages would leave gaps that the peer can't see.
         // Closing the link tells both sides, and clears the queue.
-        let run = link.run.clone();
+        let incarnation = link.incarnation.clone();
         link.command.send_replace(SessionCommand::Close);
         let session = link.session;
         state.counters.dropped += 1;
         state.counters.overflows += 1;
         drop(state);
-        let pairs: [(&str, &dyn Display); 2] = [("peer", &run), ("cause", &"send queue full")];
+        let pairs: [(&str, &dyn Display); 2] =
+            [("peer", &incarnation), ("cause", &"send queue full")];
         event_log::write(Incident::ConnectionSilent, &pairs);
         self.unregister(host, session);
         false
--- a/bergamotswitch-net/src/link/registry/guard.rs
+++ b/bergamotswitch-net/src/link/registry/guard.rs
@@ -17,15 +17,15 @@
 pub(crate) struct LinkGuard {
     pub(super) registry: Arc<LinkRegistry>,
     pub(super) session: u64,
-    pub(super) run: HostIncarnation,
+    pub(super) incarnation: HostIncarnation,
     pub(crate) queue: Arc<SendQueue>,
     pub(super) commands: watch::Receiver<SessionCommand>,
 }
 
 impl LinkGuard {
     /// Get the peer's run.
-    pub(crate) fn run(&self) -> &HostIncarnation {
-        &self.run
+    pub(crate) fn incarnation(&self) -> &HostIncarnation {
+        &self.incarnation
     }
 
     /// Get the next order other than to carry messages.
@@ -44,7 +44,7 @@
     /// Wait until no session is the link to this run any more.
     pub(crate) async fn wait_unlinked(&self) {
         let mut changes = self.registry.changes.subscribe();
-        while self.registry.is_linked(&self.run) {
+        while self.registry.is_linked(&self.incarnation) {
             if changes.changed().await.is_err() {
                 return;
             }
@@ -55,7 +55,7 @@
     /// what comes must not come after newer messages.
     pub(crate) fn deliver(&self, frame: ReceivedFrame) {
         let mut state = self.registry.lock();
-        let Some(link) = state.links.get_mut(&self.run.host) else {
+        let Some(link) = state.links.get_mut(&self.incarnation.host) else {
             return;
         };
         if link.session == self.session {
@@ -66,7 +66,7 @@
         let kind = MessageKind::of(&frame.message);
         state.counters.received.add(kind, frame.len);
         self.registry
-            .notify(LinkEvent::Message(self.run.clone(), frame.message));
+            .notify(LinkEvent::Message(self.incarnation.clone(), frame.message));
     }
 
     /// Count a message as handed to the connection.
@@ -78,6 +78,7 @@
 
 impl Drop for LinkGuard {
     fn drop(&mut self) {
-        self.registry.unregister(&self.run.host, self.session);
+        self.registry
+            .unregister(&self.incarnation.host, self.session);
     }
 }
--- a/bergamotswitch-net/src/node/drive.rs
+++ b/bergamotswitch-net/src/node/drive.rs
@@ -72,7 +72,12 @@
     pub fn try_new(setup: NodeSetup) -> Result<Self, NodeError> {
         let (sender, inbox) = mpsc::unbounded_channel();
         let me = setup.me;
-        let core = NodeCore::new(me.run.clone(), me.domain.clone(), setup.opts, Moment::START);
+        let core = NodeCore::new(
+            me.incarnation.clone(),
+            me.domain.clone(),
+            setup.opts,
+            Moment::START,
+        );
         let (publication, published) = watch::channel(Arc::new(Publication::default()));
         let links = LinkHub::try_new(
             me.clone(),
@@ -126,7 +131,7 @@
 
     /// Run until a planned stop is complete.
     pub async fn run(mut self) {
-        self.note(Incident::HostStarted, &self.me.run.to_string());
+        self.note(Incident::HostStarted, &self.me.incarnation.to_string());
         self.handle(NodeEvent::Tick);
         while !self.stop.may_close(self.core.is_idle()) {
             let wake = self.core.next_wake().min(self.stop.next_wake());
@@ -171,7 +176,7 @@
                 input = inbox.recv() => turn_away(input, clock.now(), stop_at, &metrics),
             }
         }
-        event_log::write(Incident::HostStopped, &[("run", &me.run)]);
+        event_log::write(Incident::HostStopped, &[("run", &me.incarnation)]);
     }
 
     fn now(&self) -> Moment {
--- a/bergamotswitch-net/src/node/drive/reports.rs
+++ b/bergamotswitch-net/src/node/drive/reports.rs
@@ -47,7 +47,10 @@
 
     pub(super) fn note(&self, incident: Incident, text: &str) {
         self.metrics.incident(incident);
-        event_log::write(incident, &[("host", &self.me.run.host), ("about", &text)]);
+        event_log::write(
+            incident,
+            &[("host", &self.me.incarnation.host), ("about", &text)],
+        );
     }
 
     /// Note how far a planned stop is and what is open.
@@ -64,7 +67,7 @@
             at => at.since(now).as_millis().to_string(),
         };
         let pairs: [(&str, &dyn Display); 6] = [
-            ("host", &self.me.run.host),
+            ("host", &self.me.incarnation.host),
             ("stopping_ms", &stopped),
             ("door_ms", &door),
             ("grace_ms", &grace),
--- a/bergamotswitch-net/src/node/drive/stopping.rs
+++ b/bergamotswitch-net/src/node/drive/stopping.rs
@@ -91,7 +91,7 @@
 pub(super) fn note_unread(me: &HostIdentity, metrics: &NodeMetrics) {
     metrics.incident(Incident::GraceEnding);
     let about = "answers that are still being read";
-    let pairs: [(&str, &dyn Display); 2] = [("host", &me.run.host), ("about", &about)];
+    let pairs: [(&str, &dyn Display); 2] = [("host", &me.incarnation.host), ("about", &about)];
     event_log::write(Incident::GraceEnding, &pairs);
 }
 
--- a/bergamotswitch-net/src/node/mod.rs
+++ b/bergamotswitch-net/src/node/mod.rs
@@ -117,7 +117,7 @@
             incarnation: Incarnation(rand::random()),
         };
         let me = HostIdentity {
-            run,
+            incarnation: run,
             domain: settings.domain.clone(),
         };
         Ok(NodeSetup {
--- a/bergamotswitch-net/tests/caller_requests/fake_loop.rs
+++ b/bergamotswitch-net/tests/caller_requests/fake_loop.rs
@@ -73,7 +73,7 @@
             node,
             publication: in_force,
             me: HostIdentity {
-                run: run.clone(),
+                incarnation: run.clone(),
                 domain: DomainName::try_from("sanjuan").expect("a name"),
             },
             metrics: Arc::clone(&metrics),
--- a/bergamotswitch-net/tests/link_support/mod.rs
+++ b/bergamotswitch-net/tests/link_support/mod.rs
@@ -39,24 +39,24 @@
     pub hub: LinkHub,
     pub inbox: mpsc::UnboundedReceiver<NodeInput>,
     pub entry: EntryHost,
-    pub run: HostIncarnation,
+    pub incarnation: HostIncarnation,
 }
 
-pub fn host_with(name: &str, incarnation: u128, opts: LinkOptions) -> TestHost {
+pub fn host_with(name: &str, number: u128, opts: LinkOptions) -> TestHost {
     let listener = StdListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let run = HostIncarnation {
+    let incarnation = HostIncarnation {
         host: name.try_into().unwrap(),
-        incarnation: Incarnation(incarnation),
+        incarnation: Incarnation(number),
     };
     let me = HostIdentity {
-        run: run.clone(),
+        incarnation: incarnation.clone(),
         domain: "mza-norte".try_into().unwrap(),
     };
     let (node, inbox) = mpsc::unbounded_channel();
     let entry = EntryHost {
         capacity: 0,
-        name: run.host.clone(),
+        name: incarnation.host.clone(),
         domain: me.domain.clone(),
         caller_address: address,
         link_address: address,
@@ -66,12 +66,12 @@
         hub: LinkHub::try_new(me, listener, opts, node).unwrap(),
         inbox,
         entry,
-        run,
+        incarnation,
     }
 }
 
-pub fn host(name: &str, incarnation: u128) -> TestHost {
-    host_with(name, incarnation, fast())
+pub fn host(name: &str, number: u128) -> TestHost {
+    host_with(name, number, fast())
 }
 
 pub fn list(hosts: &[&TestHost]) -> HostList {
@@ -231,17 +231,17 @@
 }
 
 impl RawPeer {
-    pub async fn connect(to: &TestHost, name: &str, incarnation: u128) -> Self {
+    pub async fn connect(to: &TestHost, name: &str, number: u128) -> Self {
         let stream = TcpStream::connect(to.entry.link_address).await.unwrap();
         let (requests, connection) = h2::client::handshake(stream).await.unwrap();
         tokio::spawn(connection);
-        let run = HostIncarnation {
+        let incarnation = HostIncarnation {
             host: name.try_into().unwrap(),
-            incarnation: Incarnation(incarnation),
+            incarnation: Incarnation(number),
         };
         RawPeer {
             requests,
-            hello: Hello::new(&run),
+            hello: Hello::new(&incarnation),
             unknown_field: "",
         }
     }
--- a/bergamotswitch-net/tests/peer_links.rs
+++ b/bergamotswitch-net/tests/peer_links.rs
@@ -24,18 +24,18 @@
 #[tokio::test]
 async fn messages_in_order() {
     let (mut a, mut b) = pair();
-    assert!(!a.hub.send(&b.run.host, &beat(0)));
+    assert!(!a.hub.send(&b.incarnation.host, &beat(0)));
     a.hub.connect(&b.entry);
-    a.expect(LinkEvent::Up(b.run.clone())).await;
-    b.expect(LinkEvent::Up(a.run.clone())).await;
+    a.expect(LinkEvent::Up(b.incarnation.clone())).await;
+    b.expect(LinkEvent::Up(a.incarnation.clone())).await;
     for sequence in 0..2_000 {
-        assert!(a.hub.send(&b.run.host, &beat(sequence)));
-        assert!(b.hub.send(&a.run.host, &beat(sequence)));
+        assert!(a.hub.send(&b.incarnation.host, &beat(sequence)));
+        assert!(b.hub.send(&a.incarnation.host, &beat(sequence)));
     }
     for sequence in 0..2_000 {
-        a.expect(LinkEvent::Message(b.run.clone(), beat(sequence)))
+        a.expect(LinkEvent::Message(b.incarnation.clone(), beat(sequence)))
             .await;
-        b.expect(LinkEvent::Message(a.run.clone(), beat(sequence)))
+        b.expect(LinkEvent::Message(a.incarnation.clone(), beat(sequence)))
             .await;
     }
     // The largest values cross each other, far over any window of h2.
@@ -45,13 +45,13 @@
         body: "x".repeat(1 << 20),
     }));
     for _ in 0..2 {
-        assert!(a.hub.send(&b.run.host, &value));
-        assert!(b.hub.send(&a.run.host, &value));
+        assert!(a.hub.send(&b.incarnation.host, &value));
+        assert!(b.hub.send(&a.incarnation.host, &value));
     }
     for _ in 0..2 {
-        a.expect(LinkEvent::Message(b.run.clone(), value.clone()))
+        a.expect(LinkEvent::Message(b.incarnation.clone(), value.clone()))
             .await;
-        b.expect(LinkEvent::Message(a.run.clone(), value.clone()))
+        b.expect(LinkEvent::Message(a.incarnation.clone(), value.clone()))
             .await;
     }
     let counters = a.hub.counters();
@@ -62,9 +62,9 @@
     assert_eq!(received.total(), counters.sent.total());
     assert_eq!(received.of(MessageKind::Whole).messages, 2);
 
-    a.hub.disconnect(&b.run.host);
-    a.expect(LinkEvent::Down(b.run.clone())).await;
-    b.expect(LinkEvent::Down(a.run.clone())).await;
+    a.hub.disconnect(&b.incarnation.host);
+    a.expect(LinkEvent::Down(b.incarnation.clone())).await;
+    b.expect(LinkEvent::Down(a.incarnation.clone())).await;
     a.expect_quiet().await;
 }
 
@@ -73,13 +73,13 @@
     let (mut a, mut b) = pair();
     let proxy = TestProxy::start(Some(b.entry.link_address)).await;
     a.hub.connect(&proxy.before(&b));
-    a.expect(LinkEvent::Up(b.run.clone())).await;
-    b.expect(LinkEvent::Up(a.run.clone())).await;
+    a.expect(LinkEvent::Up(b.incarnation.clone())).await;
+    b.expect(LinkEvent::Up(a.incarnation.clone())).await;
     let handshake = proxy.forwarded.load(Ordering::Relaxed);
     println!("handshake: about {handshake} bytes both ways");
     for sequence in 0..200 {
-        assert!(a.hub.send(&b.run.host, &beat(sequence)));
-        b.expect(LinkEvent::Message(a.run.clone(), beat(sequence)))
+        assert!(a.hub.send(&b.incarnation.host, &beat(sequence)));
+        b.expect(LinkEvent::Message(a.incarnation.clone(), beat(sequence)))
             .await;
     }
     let bytes = proxy.forwarded.load(Ordering::Relaxed) - handshake;
@@ -110,8 +110,8 @@
 
     // With the right key the same hosts link.
     a.hub.set_roster(&roster, KEY);
-    a.expect(LinkEvent::Up(b.run.clone())).await;
-    b.expect(LinkEvent::Up(a.run.clone())).await;
+    a.expect(LinkEvent::Up(b.incarnation.clone())).await;
+    b.expect(LinkEvent::Up(a.incarnation.clone())).await;
 }
 
 #[tokio::test]
@@ -154,10 +154,10 @@
 async fn delisted_host() {
     let (mut a, mut b) = pair();
     a.hub.connect(&b.entry);
-    b.expect(LinkEvent::Up(a.run.clone())).await;
+    b.expect(LinkEvent::Up(a.incarnation.clone())).await;
     let roster = list(&[&b]);
     b.hub.set_roster(&roster, KEY);
-    b.expect(LinkEvent::Down(a.run.clone())).await;
+    b.expect(LinkEvent::Down(a.incarnation.clone())).await;
     b.until("refusal", |hub| hub.counters().refused.unknown_host > 0)
         .await;
 }
@@ -167,17 +167,17 @@
     // Symptom: a stranger is taken for a host. Sequence: it sends a recorded
     // proof, or sends the prover's own proof back. Cause: a proof that is not
     // bound to this handshake and to its side.
-    let run = |name: &str| HostIncarnation {
+    let incarnation = |name: &str| HostIncarnation {
         host: HostName::try_from(name).unwrap(),
         incarnation: Incarnation(1),
     };
     let pair = HelloPair {
-        dialler: Hello::new(&run("a")),
-        acceptor: Hello::new(&run("b")),
+        dialler: Hello::new(&incarnation("a")),
+        acceptor: Hello::new(&incarnation("b")),
     };
     let later = HelloPair {
         dialler: pair.dialler.clone(),
-        acceptor: Hello::new(&run("b")),
+        acceptor: Hello::new(&incarnation("b")),
     };
     let key = LinkKey::new(KEY);
     let mut fields = HeaderMap::new();
@@ -198,29 +198,29 @@
     let (mut a, mut b) = pair();
     let proxy = TestProxy::start(Some(b.entry.link_address)).await;
     a.hub.connect(&proxy.before(&b));
-    a.expect(LinkEvent::Up(b.run.clone())).await;
-    b.expect(LinkEvent::Up(a.run.clone())).await;
+    a.expect(LinkEvent::Up(b.incarnation.clone())).await;
+    b.expect(LinkEvent::Up(a.incarnation.clone())).await;
     // An idle link that answers its PINGs stays.
     a.expect_quiet().await;
     let began = Instant::now();
     proxy.cut();
-    a.expect(LinkEvent::Down(b.run.clone())).await;
+    a.expect(LinkEvent::Down(b.incarnation.clone())).await;
     println!("down {} ms after the cut", began.elapsed().as_millis());
     // Half a second is the bound of these options; the rest is for a busy
     // machine.
     assert!(began.elapsed() < Duration::from_secs(5));
-    a.expect(LinkEvent::Up(b.run.clone())).await;
+    a.expect(LinkEvent::Up(b.incarnation.clone())).await;
     println!("up again after {} ms", began.elapsed().as_millis());
     assert_eq!(proxy.opened.load(Ordering::Relaxed), 2);
     // The acceptor sees the same peer come again, or its silence before it;
     // either way the peer is up in the end, and messages pass.
-    a.hub.send(&b.run.host, &beat(1));
+    a.hub.send(&b.incarnation.host, &beat(1));
     let mut event = b.event().await;
-    if event == LinkEvent::Down(a.run.clone()) {
-        b.expect(LinkEvent::Up(a.run.clone())).await;
+    if event == LinkEvent::Down(a.incarnation.clone()) {
+        b.expect(LinkEvent::Up(a.incarnation.clone())).await;
         event = b.event().await;
     }
-    assert_eq!(event, LinkEvent::Message(a.run.clone(), beat(1)));
+    assert_eq!(event, LinkEvent::Message(a.incarnation.clone(), beat(1)));
     a.expect_quiet().await;
     b.expect_quiet().await;
     assert_eq!(a.hub.counters().silent, 1);
@@ -234,18 +234,18 @@
     let (mut a, mut b) = pair();
     let proxy = TestProxy::start(Some(b.entry.link_address)).await;
     a.hub.connect(&proxy.before(&b));
-    a.expect(LinkEvent::Up(b.run.clone())).await;
-    b.expect(LinkEvent::Up(a.run.clone())).await;
+    a.expect(LinkEvent::Up(b.incarnation.clone())).await;
+    b.expect(LinkEvent::Up(a.incarnation.clone())).await;
     proxy.behind.send_replace(None);
     proxy.cut();
-    a.expect(LinkEvent::Down(b.run.clone())).await;
-    b.expect(LinkEvent::Down(a.run.clone())).await;
-    assert!(!a.hub.send(&b.run.host, &beat(1)));
-    assert!(!b.hub.send(&a.run.host, &beat(1)));
+    a.expect(LinkEvent::Down(b.incarnation.clone())).await;
+    b.expect(LinkEvent::Down(a.incarnation.clone())).await;
+    assert!(!a.hub.send(&b.incarnation.host, &beat(1)));
+    assert!(!b.hub.send(&a.incarnation.host, &beat(1)));
     a.expect_quiet().await;
     proxy.behind.send_replace(Some(b.entry.link_address));
-    a.expect(LinkEvent::Up(b.run.clone())).await;
-    b.expect(LinkEvent::Up(a.run.clone())).await;
+    a.expect(LinkEvent::Up(b.incarnation.clone())).await;
+    b.expect(LinkEvent::Up(a.incarnation.clone())).await;
     assert_eq!(a.hub.counters().silent + b.hub.counters().silent, 2);
 }
 
@@ -261,19 +261,20 @@
     b.hub.set_roster(&roster, KEY);
     let proxy = TestProxy::start(Some(a.entry.link_address)).await;
     b.hub.connect(&proxy.before(&a));
-    a.expect(LinkEvent::Up(b.run.clone())).await;
+    a.expect(LinkEvent::Up(b.incarnation.clone())).await;
     proxy.cut();
-    let dead = b.run.clone();
+    let dead = b.incarnation.clone();
     drop(b);
 
     let mut b = host("b", 3);
     b.hub.set_roster(&roster, KEY);
     b.hub.connect(&a.entry);
     a.expect(LinkEvent::Down(dead)).await;
-    a.expect(LinkEvent::Up(b.run.clone())).await;
-    b.expect(LinkEvent::Up(a.run.clone())).await;
-    assert!(a.hub.send(&b.run.host, &beat(1)));
-    b.expect(LinkEvent::Message(a.run.clone(), beat(1))).await;
+    a.expect(LinkEvent::Up(b.incarnation.clone())).await;
+    b.expect(LinkEvent::Up(a.incarnation.clone())).await;
+    assert!(a.hub.send(&b.incarnation.host, &beat(1)));
+    b.expect(LinkEvent::Message(a.incarnation.clone(), beat(1)))
+        .await;
     a.expect_quiet().await;
 }
 
@@ -292,12 +293,12 @@
         let mut b = host("b", incarnation);
         b.hub.set_roster(&roster, KEY);
         proxy.behind.send_replace(Some(b.entry.link_address));
-        a.expect(LinkEvent::Up(b.run.clone())).await;
-        b.expect(LinkEvent::Up(a.run.clone())).await;
+        a.expect(LinkEvent::Up(b.incarnation.clone())).await;
+        b.expect(LinkEvent::Up(a.incarnation.clone())).await;
         proxy.behind.send_replace(None);
-        let run = b.run.clone();
+        let incarnation = b.incarnation.clone();
         drop(b);
-        a.expect(LinkEvent::Down(run)).await;
+        a.expect(LinkEvent::Down(incarnation)).await;
     }
 }
 
@@ -311,8 +312,8 @@
         let (mut a, mut b) = pair();
         a.hub.connect(&b.entry);
         b.hub.connect(&a.entry);
-        a.expect(LinkEvent::Up(b.run.clone())).await;
-        b.expect(LinkEvent::Up(a.run.clone())).await;
+        a.expect(LinkEvent::Up(b.incarnation.clone())).await;
+        b.expect(LinkEvent::Up(a.incarnation.clone())).await;
         exchange(&mut a, &mut b, round * 1_000).await;
         pairs.push((a, b));
     }
@@ -336,8 +337,8 @@
     a.until("dialled", |_| proxy.opened.load(Ordering::Relaxed) > 0)
         .await;
     b.hub.connect(&a.entry);
-    a.expect(LinkEvent::Up(b.run.clone())).await;
-    b.expect(LinkEvent::Up(a.run.clone())).await;
+    a.expect(LinkEvent::Up(b.incarnation.clone())).await;
+    b.expect(LinkEvent::Up(a.incarnation.clone())).await;
     for first in [0, 1_000, 2_000] {
         time::sleep(slow).await;
         exchange(&mut a, &mut b, first).await;
@@ -355,8 +356,8 @@
         assert!(began.elapsed() < PATIENCE, "{last_a} {last_b} {sequence}");
         if sequence < first + 30 {
             sequence += 1;
-            assert!(a.hub.send(&b.run.host, &beat(sequence)));
-            assert!(b.hub.send(&a.run.host, &beat(sequence)));
+            assert!(a.hub.send(&b.incarnation.host, &beat(sequence)));
+            assert!(b.hub.send(&a.incarnation.host, &beat(sequence)));
         }
         time::sleep(Duration::from_millis(1)).await;
         drain(a, &mut last_a);
@@ -383,15 +384,16 @@
     let mut peer = RawPeer::connect(&b, "a", 1).await;
     let (answer, mut writer) = peer.prove(KEY).await;
     assert_eq!(answer.status(), StatusCode::OK);
-    b.expect(LinkEvent::Up(a.run.clone())).await;
+    b.expect(LinkEvent::Up(a.incarnation.clone())).await;
     writer
         .send_data(codec::encode(&beat(5)).unwrap(), false)
         .unwrap();
     writer
         .send_data(Bytes::from_static(&[255; 8]), false)
         .unwrap();
-    b.expect(LinkEvent::Message(a.run.clone(), beat(5))).await;
-    b.expect(LinkEvent::Down(a.run.clone())).await;
+    b.expect(LinkEvent::Message(a.incarnation.clone(), beat(5)))
+        .await;
+    b.expect(LinkEvent::Down(a.incarnation.clone())).await;
     b.until("counted", |hub| hub.counters().malformed == 1)
         .await;
 }
@@ -423,21 +425,22 @@
     a.hub.set_roster(&roster, KEY);
     b.hub.set_roster(&roster, KEY);
     a.hub.connect(&b.entry);
-    a.expect(LinkEvent::Up(b.run.clone())).await;
-    b.expect(LinkEvent::Up(a.run.clone())).await;
+    a.expect(LinkEvent::Up(b.incarnation.clone())).await;
+    b.expect(LinkEvent::Up(a.incarnation.clone())).await;
     let mut older = RawPeer::connect(&a, "c", 3).await;
     older.unknown_field = "link-messages";
     let (answer, _writer) = older.prove(KEY).await;
     assert_eq!(answer.status(), StatusCode::OK);
-    a.expect(LinkEvent::Up(c.run.clone())).await;
+    a.expect(LinkEvent::Up(c.incarnation.clone())).await;
     // It gets what it knows, and nothing else; one of this version gets both.
-    for host in [&b.run.host, &c.run.host] {
+    for host in [&b.incarnation.host, &c.incarnation.host] {
         let sent = a.hub.send(host, &quota_levels());
-        assert_eq!(sent, *host == b.run.host);
+        assert_eq!(sent, *host == b.incarnation.host);
         assert!(a.hub.send(host, &beat(1)));
     }
     for message in [quota_levels(), beat(1)] {
-        b.expect(LinkEvent::Message(a.run.clone(), message)).await;
+        b.expect(LinkEvent::Message(a.incarnation.clone(), message))
+            .await;
     }
     let mut body = answer.into_body();
     let data = time::timeout(PATIENCE, body.data()).await.unwrap();
@@ -459,7 +462,7 @@
     for _ in 0..2 {
         let mut peer = RawPeer::connect(&a, "c", 3).await;
         sessions.push(peer.prove(KEY).await);
-        a.expect(LinkEvent::Up(c.run.clone())).await;
+        a.expect(LinkEvent::Up(c.incarnation.clone())).await;
     }
     a.expect_quiet().await;
 }
@@ -476,15 +479,15 @@
     a.hub.set_roster(&roster, KEY);
     b.hub.set_roster(&roster, KEY);
     a.hub.connect(&b.entry);
-    a.expect(LinkEvent::Up(b.run.clone())).await;
-    b.expect(LinkEvent::Up(a.run.clone())).await;
+    a.expect(LinkEvent::Up(b.incarnation.clone())).await;
+    b.expect(LinkEvent::Up(a.incarnation.clone())).await;
     let mut peer = RawPeer::connect(&a, "c", 3).await;
     let (_answer, _writer) = peer.prove(KEY).await;
-    a.expect(LinkEvent::Up(c.run.clone())).await;
+    a.expect(LinkEvent::Up(c.incarnation.clone())).await;
 
     let mut taken = 0;
     let began = Instant::now();
-    while a.hub.send(&c.run.host, &beat(taken)) {
+    while a.hub.send(&c.incarnation.host, &beat(taken)) {
         taken += 1;
         assert!(began.elapsed() < PATIENCE, "still taken: {taken}");
         // Now and then the tasks get their turn to send.
@@ -493,16 +496,17 @@
         }
     }
     println!("{taken} messages taken by a peer that does not read");
-    a.expect(LinkEvent::Down(c.run.clone())).await;
-    assert!(!a.hub.send(&c.run.host, &beat(0)));
+    a.expect(LinkEvent::Down(c.incarnation.clone())).await;
+    assert!(!a.hub.send(&c.incarnation.host, &beat(0)));
     let counters = a.hub.counters();
     assert_eq!(counters.overflows, 1);
     // The queue is bounded by what it takes in memory, not by its bytes.
     let waited = counters.dropped as usize;
     assert!((100..=(64 << 10) / 96 + 1).contains(&waited), "{waited}");
     // The other peer noticed nothing.
-    assert!(a.hub.send(&b.run.host, &beat(1)));
-    b.expect(LinkEvent::Message(a.run.clone(), beat(1))).await;
+    assert!(a.hub.send(&b.incarnation.host, &beat(1)));
+    b.expect(LinkEvent::Message(a.incarnation.clone(), beat(1)))
+        .await;
     a.expect_quiet().await;
 }
 
@@ -535,5 +539,5 @@
     a.hub.set_roster(&roster, KEY);
     b.hub.set_roster(&roster, KEY);
     b.hub.connect(&a.entry);
-    b.expect(LinkEvent::Up(a.run.clone())).await;
+    b.expect(LinkEvent::Up(a.incarnation.clone())).await;
 }
--- a/bergamotswitch/examples/slopes/links.rs
+++ b/bergamotswitch/examples/slopes/links.rs
@@ -51,7 +51,7 @@
         standing: Default::default(),
     };
     let me = HostIdentity {
-        run,
+        incarnation: run,
         domain: entry.domain.clone(),
     };
     let (node, inbox) = mpsc::unbounded_channel();
