--- a/bergamotswitch-net/src/event_log.rs
+++ b/bergamotswitch-net/src/event_log.rs
@@ -1,4 +1,4 @@
-//! Provides the log: numbered events with key-values on standard error.
+//! Provides the log of numbered events with key-value pairs.
 
 use std::fmt;
 use std::io;
@@ -11,23 +11,24 @@
 
 use crate::line_buffer::{LineBuffer, LineFormat};
 
-/// The target of the log lines of this system.
+/// The `log` target of this system's events.
 pub const LOG_TARGET: &str = "bergamotswitch";
 
-/// The key under which a line carries its event's number.
+/// The key of the event number in a log line.
 pub const EVENT_KEY: &str = "event";
 
 const TIME_FORMAT: &str = "%Y-%m-%dT%H:%M:%S%.3fZ";
 
-/// A `EventLogError` says that the log could not be started.
+/// An `EventLogError` is the reason why the log cannot be started.
 pub type EventLogError = FlexiLoggerError;
 
-/// Try to start the log. Only this system's lines are written, from the
-/// settings' level upwards; libraries only from warnings upwards. The handle must be kept.
+/// Try to start the log. Events of this system are written from the configured
+/// level upwards, those of libraries only from warnings upwards. The log stops
+/// when the returned handle is dropped.
 ///
 /// # Errors
 ///
-/// Returns an error where a logger was started before.
+/// Returns an error if a logger is already installed.
 pub fn start(settings: &LogSettings) -> Result<LoggerHandle, EventLogError> {
     let level = match settings.level {
         LogLevel::Error => LevelFilter::Error,
@@ -54,7 +55,7 @@
     }
 }
 
-/// Write a numbered event with its key-values.
+/// Write a numbered event with its key-value pairs.
 pub fn write(incident: Incident, pairs: &[(&str, &dyn fmt::Display)]) {
     let number = incident.number();
     let mut key_values = Vec::with_capacity(pairs.len() + 1);
@@ -78,16 +79,16 @@
     );
 }
 
-/// Have the lines that wait written soon, without waiting for it.
+/// Request that buffered lines be written, without waiting for it.
 pub fn request_flush() {
     log::logger().flush();
 }
 
-/// Write one line of the text format.
+/// Write a record as one line in the text format.
 ///
 /// # Errors
 ///
-/// Returns the writer's error.
+/// Returns an error if writing fails or a key-value pair is unreadable.
 pub fn text_line(
     writer: &mut dyn io::Write,
     now: &mut DeferredNow,
@@ -103,7 +104,7 @@
     match (pairs.failure, visited) {
         (Some(failure), _) => Err(failure),
         (None, Ok(())) => Ok(()),
-        (None, Err(_)) => Err(io::Error::other("unreadable key-value")),
+        (None, Err(_)) => Err(io::Error::other("failed to read a key-value pair")),
     }
 }
 
@@ -115,9 +116,8 @@
 impl<'kvs> VisitSource<'kvs> for PairWriter<'_> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
         let text = value.to_string();
-        // A caller's text could hold a line break and so forge a line of the
-        // log; one would see events that never happened. Such values are
-        // written quoted and escaped.
+        // Text from a caller may contain a line break and forge a log line, so
+        // such values are quoted and escaped.
         let plain = !text.is_empty() && text.chars().all(|c| !needs_quotes(c));
         let written = match plain {
             true => write!(self.writer, " {key}={text}"),
--- a/bergamotswitch-net/src/follower.rs
+++ b/bergamotswitch-net/src/follower.rs
@@ -1,4 +1,4 @@
-//! Provides followers: callers that wait for a request's answer here.
+//! Provides followers, which read a request's answer on behalf of a caller.
 
 use bergamotswitch_core::refusal::Refusal;
 use bergamotswitch_core::refusal::RefusalReason;
@@ -8,9 +8,9 @@
 use crate::input::{NodeInput, NodeSender};
 use crate::target_client::usage_meter::StreamChunk;
 
-/// A `DisconnectGuard` tells the loop that a caller went away, when it is dropped
-/// before the caller's answer was over. Without it work would run on for
-/// nobody; one would see it as wasted tokens and a queue that never empties.
+/// A `DisconnectGuard` reports to the loop that a caller has disconnected if it
+/// is dropped before the answer has ended. Otherwise a request without callers
+/// would keep its slot and waste tokens.
 #[derive(Debug)]
 struct DisconnectGuard {
     node: NodeSender,
@@ -26,13 +26,13 @@
 impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if let Some(id) = self.id.take() {
-            // Without a loop there is no work either.
+            // Sending fails only if the loop has terminated, and with it the request.
             let _ = self.node.send(NodeInput::CallerLeft(id));
         }
     }
 }
 
-/// An `AnswerFollower` is one caller that follows a request's answer.
+/// An `AnswerFollower` reads a request's answer on behalf of one caller.
 #[derive(Debug)]
 pub(crate) struct AnswerFollower {
     id: RequestId,
@@ -41,7 +41,7 @@
 }
 
 impl AnswerFollower {
-    /// Get a follower of a request.
+    /// Get a follower of the request with this id.
     pub(crate) fn new(node: &NodeSender, id: RequestId, reader: AnswerReader) -> Self {
         AnswerFollower {
             id,
@@ -58,9 +58,9 @@
         self.id
     }
 
-    /// Wait until the answer has parts that `shows` says the caller can be
-    /// shown, or is over, and get its first part without passing it. Until then
-    /// the attempt may be followed by another one.
+    /// Wait until `is_ready` accepts the parts received so far or the answer has
+    /// ended, and get the first part without consuming it. Until then a retry may
+    /// replace the attempt.
     pub(crate) async fn wait_first_part(
         &mut self,
         is_ready: impl Fn(&[AnswerPart]) -> bool,
@@ -71,8 +71,9 @@
             .unwrap_or_else(dropped_part)
     }
 
-    /// Get the next part. After the last one there is none; an answer that
-    /// was dropped unfinished or began anew ends with a refusal.
+    /// Wait for the next part. An answer that was dropped before its end, or that
+    /// a retry replaced, ends with a refusal. Must not be called after the last
+    /// part.
     pub(crate) async fn next(&mut self) -> AnswerPart {
         match self.reader.next().await {
             Some(part) => {
@@ -81,14 +82,13 @@
                 }
                 part
             }
-            // The request may go on, but this caller follows it no more; the
-            // guard tells the loop.
+            // The request may continue without this caller, whose disconnect the
+            // guard reports.
             None => AnswerPart::Refused(Refusal::may_have_run(RefusalReason::AnswerTruncated)),
         }
     }
 
-    /// Wait until the answer is over, and get its parts; the last one is
-    /// always there.
+    /// Wait until the answer has ended and get all its parts, at least one.
     pub(crate) async fn collect_parts(mut self) -> Vec<AnswerPart> {
         let mut parts = self.reader.whole().await;
         self.guard.disarm();
@@ -99,8 +99,9 @@
     }
 }
 
-/// Get whether some part has output by the same measure by which the loop is
-/// told of the first token: from then on no attempt follows a streamed one.
+/// Get whether any part contains output. The condition is the one by which the
+/// first token is reported to the loop, after which a streamed attempt is not
+/// retried.
 pub(crate) fn has_output(parts: &[AnswerPart]) -> bool {
     parts.iter().any(|part| match part {
         AnswerPart::Data(data) => {
@@ -110,7 +111,7 @@
     })
 }
 
-/// Get the last part of an answer that was dropped unfinished.
+/// Get the refusal that ends an answer dropped before its end.
 fn dropped_part() -> AnswerPart {
     AnswerPart::Refused(Refusal::may_have_run(RefusalReason::Lost))
 }
--- a/bergamotswitch-net/src/gossip.rs
+++ b/bergamotswitch-net/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Provides the datagrams by which hosts hear of each other.
+//! Provides the UDP transport of the roster's gossip messages.
 
 use std::io;
 use std::net::{SocketAddr, UdpSocket as StdSocket};
@@ -9,23 +9,24 @@
 
 use crate::input::{NodeInput, NodeSender};
 
-/// The longest datagram that is read: more than any that is sent.
+/// The maximum size of a received datagram, larger than any sent one.
 const MAX_DATAGRAM: usize = 8 * 1024;
 
-/// A `GossipSocket` sends and receives roster messages. A lost, foreign or
-/// malformed datagram is dropped: each round repeats what matters.
+/// A `GossipSocket` sends and receives roster messages. Malformed datagrams are
+/// ignored, and lost ones are made up for by later gossip rounds.
 #[derive(Debug)]
 pub struct GossipSocket {
     socket: Arc<UdpSocket>,
 }
 
 impl GossipSocket {
-    /// Try to get a socket on this address; it must be made on a tokio
-    /// runtime.
+    /// Try to bind a socket to an address and pass received messages to the loop.
+    /// Must be called on a tokio runtime.
     ///
     /// # Errors
     ///
-    /// Returns an error where the address is taken.
+    /// Returns an error if the address cannot be bound, for example because it is
+    /// in use.
     pub fn try_new(address: SocketAddr, node: NodeSender) -> io::Result<Self> {
         let socket = StdSocket::bind(address)?;
         socket.set_nonblocking(true)?;
@@ -34,12 +35,12 @@
         Ok(GossipSocket { socket })
     }
 
-    /// Send a message. Where the socket's buffer is full it is dropped.
+    /// Send a message. It is dropped if the socket's send buffer is full.
     pub fn send(&self, action: &RosterAction) {
         let config = bincode::config::standard();
         match bincode::serde::encode_to_vec(&action.message, config) {
             Ok(bytes) => drop(self.socket.try_send_to(&bytes, action.to)),
-            Err(error) => log::debug!("roster message not encoded: {error}"),
+            Err(error) => log::debug!("failed to encode roster message: {error}"),
         }
     }
 }
@@ -48,7 +49,7 @@
     let mut buffer = vec![0; MAX_DATAGRAM];
     loop {
         let Ok((len, _)) = socket.recv_from(&mut buffer).await else {
-            // A peer's closed port shows as an error of the next call.
+            // The error is that of an earlier send, for example to a closed port.
             continue;
         };
         let config = bincode::config::standard().with_limit::<MAX_DATAGRAM>();
--- a/bergamotswitch-net/src/input.rs
+++ b/bergamotswitch-net/src/input.rs
@@ -1,4 +1,4 @@
-//! Provides what the tasks of a host tell its one loop.
+//! Provides the inputs of a host's event loop, sent by its I/O tasks.
 
 use bergamotswitch_core::address::{AddressAnswer, AddressQuery};
 use bergamotswitch_core::entry::{AttemptEvent, OutcomeQuery, OutcomeView, Reception, Submission};
@@ -18,100 +18,100 @@
 use crate::answer::AnswerReader;
 use crate::target_client::routed_call::RoutedCall;
 
-/// An `OutgoingCall` is what is sent to a target, once permitted.
+/// An `OutgoingCall` is the HTTP request sent to a target once a permit is granted.
 #[derive(Clone, Debug)]
 pub struct OutgoingCall {
     /// The HTTP method.
     pub method: http::Method,
-    /// Path and query at the target.
+    /// The path and query at the target.
     pub path: String,
     /// The content type of the body.
     pub content_type: String,
-    /// The body. For engines it asks for a stream, whatever the caller wants:
-    /// only a stream can be proven alive and resumed.
+    /// The body. For engines it always requests a stream, even if the caller does
+    /// not: only a stream shows that the target is alive, and can be resumed.
     pub body: Bytes,
-    /// What else a target is told of a gateway's call.
+    /// The identifiers and header fields passed to a target with a gateway call.
     pub routed: Option<RoutedCall>,
 }
 
-/// A `SubmissionReply` is the loop's answer to a submission.
+/// A `SubmissionReply` is the loop's reply to a submission.
 #[derive(Debug)]
 pub struct SubmissionReply {
-    /// What became of it.
+    /// Whether the request is accepted, attached, forwarded or refused.
     pub reception: Reception,
-    /// The answer to follow, where the request is here.
+    /// The reader of the answer, if this host serves the request.
     pub answer: Option<AnswerReader>,
 }
 
-/// A `PlatformEvent` is what the clients of the platform report.
+/// A `PlatformEvent` is the result of reading or watching a published value.
 #[derive(Clone, Debug)]
 pub enum PlatformEvent {
-    /// A value came.
+    /// A value was received.
     Read(PublishedValue),
-    /// A watch ended without a change.
+    /// A watch of the value ended without a change.
     Unchanged(ValueName),
-    /// The service did not answer.
+    /// The service did not answer or returned an error.
     Failed(ValueName),
 }
 
-/// A `NodeInput` is one thing that a task tells the loop.
+/// A `NodeInput` is one input of the event loop.
 #[derive(Debug)]
 pub enum NodeInput {
-    /// A caller's checked request.
+    /// A caller's validated request.
     Submit {
-        /// What the decisions need.
+        /// The request's properties on which decisions depend.
         submission: Box<Submission>,
-        /// What is sent to a target.
+        /// The call to send to a target.
         call: Box<OutgoingCall>,
-        /// Where the reception goes.
+        /// The sender of the reply.
         reply: oneshot::Sender<SubmissionReply>,
     },
-    /// A caller that followed the request's answer went away.
+    /// A caller that followed the request's answer has disconnected.
     CallerLeft(RequestId),
-    /// A question for an outcome.
+    /// A query for a request's outcome.
     Outcome(OutcomeQuery, oneshot::Sender<OutcomeView>),
-    /// A question for an address.
+    /// A query for the hosts that a caller may connect to.
     Address(AddressQuery, oneshot::Sender<AddressAnswer>),
-    /// A question for the hosts that take callers.
+    /// A query for the hosts that accept callers.
     ReadyHosts(oneshot::Sender<Vec<EntryHost>>),
-    /// A question whether this host takes callers.
+    /// A query whether this host accepts callers.
     IsReady(oneshot::Sender<bool>),
-    /// A question whether keys and routes may be relied on now.
+    /// A query whether API keys and routes are current enough to be trusted.
     KeysTrusted(oneshot::Sender<bool>),
-    /// A question for this host's view, answered as JSON.
+    /// A query for this host's status as JSON.
     Status(oneshot::Sender<serde_json::Value>),
-    /// A link's news.
+    /// A link went up or down, or received a message.
     Link(LinkEvent),
-    /// The platform's news.
+    /// The result of reading or watching a published value.
     Platform(PlatformEvent),
-    /// The store told of registered targets.
+    /// An update of the targets registered in the store.
     Targets(TargetUpdate),
-    /// Another host told what it knows of the fleet.
+    /// A roster message from another host.
     Gossip(Box<RosterMessage>),
-    /// The settings file has changed.
+    /// The new settings after a change of the settings file.
     Settings(Box<HostSettings>),
-    /// An attempt's progress.
+    /// A progress event of an attempt.
     Attempt(AttemptId, AttemptEvent),
-    /// A request's answer is longer than one may be.
+    /// A request's answer exceeds the maximum size.
     AnswerTooLong(RequestId),
     /// A target's load report.
     Load(TargetName, LoadReport),
-    /// A target's cache event: the prefix is held (`true`) or dropped.
+    /// A target's cache event: the prefix was cached (`true`) or evicted (`false`).
     Prefix(TargetName, PrefixHash, bool),
-    /// A refusal made before the loop, to be counted.
+    /// A refusal before the request reached the loop, reported for the metrics.
     EarlyRefusal(RefusalReason, Option<Tier>),
-    /// A stop signal.
+    /// A signal to stop the host.
     Stop,
 }
 
-/// The sender half of the loop's inbox. One loop on one thread reads it.
+/// A `NodeSender` is the sending half of the loop's input queue.
 pub type NodeSender = mpsc::UnboundedSender<NodeInput>;
 
-/// A `HostIdentity` is what every task may know of its own process.
+/// A `HostIdentity` identifies the host on which a task runs.
 #[derive(Clone, Debug)]
 pub struct HostIdentity {
-    /// This run.
+    /// The incarnation of the host.
     pub incarnation: HostIncarnation,
-    /// The failure domain in which it stands.
+    /// The failure domain of the host.
     pub domain: bergamotswitch_core::failure_domain::DomainName,
 }
--- a/bergamotswitch-net/src/lib.rs
+++ b/bergamotswitch-net/src/lib.rs
@@ -1,5 +1,6 @@
-//! Provides the sockets, timers and loop of a bergamotswitch host: links to
-//! peers, clients to targets and platform, HTTP to callers and operators.
+//! Provides the sockets, timers and event loop of a bergamotswitch host: links to
+//! peers, clients of targets and the platform, and the HTTP interfaces for callers
+//! and operators.
 
 #![forbid(unsafe_code)]
 
--- a/bergamotswitch-net/src/line_buffer.rs
+++ b/bergamotswitch-net/src/line_buffer.rs
@@ -1,6 +1,5 @@
-//! Provides the way of log lines to standard output that never holds up the
-//! loop: lines are kept in a bounded buffer, and a thread of its own writes
-//! them.
+//! Provides a non-blocking log writer for standard output: a bounded buffer that
+//! a separate thread writes out, so that a slow reader does not block the loop.
 
 use std::fmt;
 use std::io::{self, Write};
@@ -17,29 +16,29 @@
 use crate::event_log::EVENT_KEY;
 use crate::pending_lines::{DroppedCounts, LineKind, PendingLines};
 
-/// How often the buffer is written out. A whole second of lines at once would
-/// hold the reader's pipe up; more often costs wake-ups for nothing.
+/// The interval at which the buffer is written out. A longer one would write more
+/// than the pipe can hold, a shorter one would cost wake-ups.
 const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long the end of the process waits for its last lines to be written: less
-/// than a stopping host has left when it ends at the last moment. A reader that
-/// stands still would otherwise hold the process until it is killed.
+/// The maximum time that the process waits at exit for the buffer to be written.
+/// Without a limit, a reader that does not read would delay the exit until the
+/// process is killed.
 const SHUTDOWN_FLUSH_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// The bytes that a pipe takes in one piece (`PIPE_BUF` of Linux).
+/// The size up to which a write to a pipe is atomic (`PIPE_BUF` on Linux).
 const PIPE_BUF_BYTES: usize = 4_096;
 
-/// A `LineFormat` writes one record as a line without its end.
+/// A `LineFormat` writes one record as a line without the line break.
 pub(crate) type LineFormat =
     fn(&mut dyn Write, &mut DeferredNow, &Record<'_>) -> Result<(), io::Error>;
 
-/// What the loop and the writing thread share.
+/// A `SharedLines` is the state shared by the logging threads and the writer thread.
 #[derive(Debug, Default)]
 struct SharedLines {
     state: Mutex<BufferState>,
-    /// Told when lines should be written before the interval is over.
+    /// Notified to write the lines before the interval has elapsed.
     flush_requested: Condvar,
-    /// Told when lines have been written.
+    /// Notified after lines have been written.
     written: Condvar,
 }
 
@@ -55,7 +54,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Write what comes, for ever.
+    /// Write out the buffer at each interval or flush request, forever.
     fn run_writer(&self) {
         loop {
             let waited =
@@ -68,21 +67,20 @@
             state.is_flush_requested = false;
             state.is_writing = true;
             drop(state);
-            // Where standard output is closed nobody reads, and the lines are
-            // dropped.
+            // If standard output is closed, the lines are dropped.
             drop(write_out(&bytes, &dropped));
             self.lock().is_writing = false;
             self.written.notify_all();
         }
     }
 
-    /// Have what waits written now.
+    /// Request that the buffer be written now.
     fn request_flush(&self) {
         self.lock().is_flush_requested = true;
         self.flush_requested.notify_one();
     }
 
-    /// Wait until nothing waits to be written, but not for long.
+    /// Wait until the buffer is written, at most for [`SHUTDOWN_FLUSH_TIMEOUT`].
     fn wait_flushed(&self) {
         let is_pending = |state: &mut BufferState| state.is_writing || !state.lines.is_empty();
         let waited =
@@ -92,7 +90,7 @@
     }
 }
 
-/// A `LineBuffer` takes log lines without ever waiting.
+/// A `LineBuffer` is a log writer that buffers lines and never blocks on output.
 pub(crate) struct LineBuffer {
     shared: Arc<SharedLines>,
     format: LineFormat,
@@ -105,7 +103,7 @@
 }
 
 impl LineBuffer {
-    /// Get a buffer whose lines a new thread writes to standard output.
+    /// Get a buffer that a new thread writes to standard output.
     pub(crate) fn to_stdout(format: LineFormat) -> Self {
         let shared = Arc::<SharedLines>::default();
         let writing = Arc::clone(&shared);
@@ -114,7 +112,7 @@
     }
 }
 
-/// Write lines, and how many were left out.
+/// Write the lines, followed by an event with the counts of dropped lines.
 fn write_out(bytes: &[u8], dropped: &DroppedCounts) -> io::Result<()> {
     if bytes.is_empty() && dropped.is_empty() {
         return Ok(());
@@ -138,8 +136,8 @@
     out.flush()
 }
 
-/// Write whole lines together, as many as a pipe takes in one piece: a reader
-/// that other processes share would otherwise see parts of lines.
+/// Write the lines in chunks of whole lines that a pipe accepts atomically, so
+/// that lines of several processes sharing a pipe are not interleaved.
 fn write_lines(out: &mut impl Write, bytes: &[u8]) -> io::Result<()> {
     let mut rest = bytes;
     while !rest.is_empty() {
@@ -153,7 +151,7 @@
     Ok(())
 }
 
-/// Get what decides whether a record's line is kept.
+/// Get the level and event number of a record.
 fn line_kind(record: &Record<'_>) -> LineKind {
     let event = record.key_values().get(Key::from_str(EVENT_KEY));
     let event = event.and_then(|value| value.to_u64());
@@ -176,8 +174,7 @@
         Ok(())
     }
 
-    /// Write the last lines: those since the last interval would otherwise end
-    /// with the process.
+    /// Write the remaining lines, which would otherwise be lost at exit.
     fn shutdown(&self) {
         self.shared.request_flush();
         self.shared.wait_flushed();
--- a/bergamotswitch-net/src/link/acceptor.rs
+++ b/bergamotswitch-net/src/link/acceptor.rs
@@ -21,21 +21,21 @@
 use super::session::{H2_SEND_BYTES, HEADER_BYTES, LinkSession, SessionEnd, WINDOW_BYTES};
 use crate::event_log;
 
-/// The status that says: the link which is there stays.
+/// The status of the answer that refuses a connection in favour of another link.
 pub(crate) const DUPLICATE_STATUS: StatusCode = StatusCode::CONFLICT;
 
-/// The pause after a failed accept: it fails at once and for long where the
-/// process has no file descriptors left, and a loop without pause would use
-/// up the one thread.
+/// The delay after a failed accept. While the process has no free file
+/// descriptors, accepting keeps failing immediately and would occupy the thread.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The most streams at once: a link uses one, after a short first one.
+/// The maximum number of concurrent streams. A link uses one, after a short one for
+/// the first exchange of the handshake.
 const MAX_STREAMS: u32 = 2;
 
-/// An `AcceptFailure` is why an accepted connection gave no link.
+/// An `AcceptFailure` is the reason why an accepted connection did not become a link.
 #[derive(Debug)]
 enum AcceptFailure {
-    /// The connection broke.
+    /// The connection was closed.
     Closed,
     /// The peer is refused.
     Refused(PeerRefusal, SendResponse<Bytes>),
@@ -46,7 +46,7 @@
 /// Accept links until this future is dropped.
 pub(crate) async fn accept_links(registry: Arc<LinkRegistry>, listener: TcpListener) {
     let handshake_slots = Arc::new(Semaphore::new(registry.opts.handshake_limit));
-    // Sessions live in this set, so they end with the listener.
+    // Dropping the set aborts all sessions, so that they end with the listener.
     let mut sessions = JoinSet::new();
     loop {
         tokio::select! {
@@ -64,8 +64,8 @@
     }
 }
 
-/// Carry one accepted connection from its first byte to its end. `place` is
-/// given back when the peer has proven itself or is gone.
+/// Serve an accepted connection until it ends. The handshake `permit` is released
+/// once the peer is authenticated or the connection has ended.
 async fn serve(
     registry: Arc<LinkRegistry>,
     stream: TcpStream,
@@ -95,7 +95,7 @@
     drop(permit);
     let incarnation = session.guard.incarnation().clone();
     let driver = async {
-        // Whatever else the peer asks for has no place beside its link.
+        // Requests other than the link's are rejected.
         while let Some(Ok((_, mut answer))) = connection.accept().await {
             answer.send_reset(Reason::REFUSED_STREAM);
         }
@@ -103,7 +103,7 @@
     finish_session(&registry, &incarnation, session, driver).await;
 }
 
-/// Carry messages until the session or its connection ends, and note why.
+/// Run the session until it or its connection ends, and count and log failures.
 pub(crate) async fn finish_session(
     registry: &LinkRegistry,
     incarnation: &HostIncarnation,
@@ -132,7 +132,8 @@
 
 type LinkConnection = Connection<TcpStream, Bytes>;
 
-/// Go through the handshake; `None` where the peer does not speak h2.
+/// Open an HTTP/2 connection and perform the handshake. Returns `None` if the peer
+/// does not speak HTTP/2.
 async fn open(
     registry: &Arc<LinkRegistry>,
     stream: TcpStream,
@@ -150,7 +151,7 @@
     Some((connection, authenticated))
 }
 
-/// Answer with a status and a text, and close once they are sent.
+/// Answer with a status and a text, and close the connection once they are sent.
 async fn refuse(mut connection: LinkConnection, failure: AcceptFailure) {
     let (mut answer, status, text) = match failure {
         AcceptFailure::Closed => return,
@@ -170,13 +171,13 @@
     while let Some(Ok(_)) = connection.accept().await {}
 }
 
-/// Go through both exchanges of the handshake, and take the link up.
+/// Perform both exchanges of the handshake and register the link.
 async fn authenticate(
     registry: &Arc<LinkRegistry>,
     connection: &mut LinkConnection,
 ) -> Result<LinkSession, AcceptFailure> {
     let ping = connection.ping_pong().ok_or(AcceptFailure::Closed)?;
-    // First each side says who it is.
+    // First exchange: both sides identify themselves.
     let (request, mut answer) = next_request(connection).await?;
     let (dialler, key) = match check_hello(registry, &request) {
         Ok(checked) => checked,
@@ -191,7 +192,7 @@
     answer
         .send_response(head, true)
         .map_err(|_| AcceptFailure::Closed)?;
-    // Then each side proves that it knows the key.
+    // Second exchange: both sides prove that they know the key.
     let (request, mut answer) = next_request(connection).await?;
     let proof = match is_link(&request, &Method::POST) {
         true => pair.check_proof(&key, LinkRole::Dialler, request.headers()),
--- a/bergamotswitch-net/src/link/backoff.rs
+++ b/bergamotswitch-net/src/link/backoff.rs
@@ -1,16 +1,15 @@
-//! Provides the pauses between attempts to connect.
+//! Provides the backoff between connection attempts.
 
 use std::time::Duration;
 
 use super::options::LinkOptions;
 
-/// Doublings after which the longest pause is reached whatever the options
-/// say; it keeps the shift in range.
+/// The maximum number of doublings, which keeps the shift in range.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// A `Backoff` is the pause before the next attempt: it doubles with each
-/// failure, and is drawn at random from its upper half. Without the draw all
-/// hosts that lost the same peer would come back at the same moments.
+/// A `Backoff` is an exponential backoff with jitter: the upper bound of the delay
+/// doubles with each attempt, and the delay is drawn from the upper half of the
+/// range. Without jitter, all hosts that lost the same peer would reconnect at once.
 #[derive(Debug)]
 pub(crate) struct Backoff {
     min: Duration,
@@ -27,12 +26,12 @@
         }
     }
 
-    /// Begin anew after a link that lasted.
+    /// Reset the delay to its minimum.
     pub(crate) fn reset(&mut self) {
         self.doublings = 0;
     }
 
-    /// Get the next pause.
+    /// Get the delay before the next attempt.
     pub(crate) fn next_delay(&mut self) -> Duration {
         let doubled = self.min.saturating_mul(1 << self.doublings);
         self.doublings = (self.doublings + 1).min(MAX_DOUBLINGS);
--- a/bergamotswitch-net/src/link/codec.rs
+++ b/bergamotswitch-net/src/link/codec.rs
@@ -1,6 +1,6 @@
-//! Provides the frames of a link: a length in four bytes, big-endian, and a
-//! message in bincode 2 (standard configuration), compressed where the length's
-//! highest bit is set.
+//! Provides the frame encoding of links: a length in four bytes, big-endian,
+//! followed by a message in bincode 2 (standard configuration), which is compressed
+//! if the highest bit of the length is set.
 
 use std::fmt;
 use std::io::{Read, Write};
@@ -12,33 +12,33 @@
 use flate2::read::DeflateDecoder;
 use flate2::write::DeflateEncoder;
 
-/// The bytes of a frame's length.
+/// The size of a frame's length prefix in bytes.
 pub const LENGTH_BYTES: usize = 4;
 
-/// The mark in a frame's length that its message is compressed. No message is
-/// so long that it would set the bit.
+/// The bit of the length prefix that marks a compressed message. It is above every
+/// permitted length.
 const COMPRESSED_FLAG: u32 = 1 << 31;
 
-/// The length from which a value is compressed, in bytes: that of one segment
-/// of TCP. Below it nothing is saved on the wire.
+/// The minimum size of a compressed frame in bytes, which is about one TCP segment.
+/// Compressing smaller frames would save no packets.
 const MIN_COMPRESS_BYTES: usize = 1_400;
 
 type FrameConfig = Configuration<LittleEndian, Varint, Limit<MAX_MESSAGE_LEN>>;
 
-// The limit keeps a length inside a message (of a list or a text) from
-// making the decoder allocate more than a whole message may have.
+// The limit prevents a list or text length inside a message from making the decoder
+// allocate more than the maximum message size.
 const FRAME_CONFIG: FrameConfig = config::standard().with_limit::<MAX_MESSAGE_LEN>();
 
-/// A `CodecError` is the reason why bytes are no message, or a message no
-/// frame.
+/// A `CodecError` is the reason why a frame cannot be decoded or a message cannot be
+/// encoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CodecError {
-    /// The message is longer than [`MAX_MESSAGE_LEN`]; the field is its
-    /// length in bytes as far as it is known.
+    /// The message exceeds [`MAX_MESSAGE_LEN`]. The field is its size in bytes, or
+    /// the size up to which it was read.
     TooLong(usize),
-    /// The bytes are no message of this version; the text is the decoder's.
+    /// The bytes are not a message of this version. The text is the decoder's error.
     Malformed(String),
-    /// Bytes follow the message inside its frame; the field is their number.
+    /// The frame contains bytes after the message. The field is their number.
     TrailingBytes(usize),
 }
 
@@ -47,11 +47,11 @@
         match self {
             CodecError::TooLong(len) => write!(
                 f,
-                "a message of {len} bytes is over the bound of {MAX_MESSAGE_LEN}"
+                "message of {len} bytes exceeds the limit of {MAX_MESSAGE_LEN} bytes"
             ),
-            CodecError::Malformed(text) => write!(f, "not a message of this version: {text}"),
+            CodecError::Malformed(text) => write!(f, "malformed message: {text}"),
             CodecError::TrailingBytes(count) => {
-                write!(f, "{count} bytes follow the message inside its frame")
+                write!(f, "frame has {count} trailing bytes after its message")
             }
         }
     }
@@ -59,17 +59,17 @@
 
 impl std::error::Error for CodecError {}
 
-/// Get a message as one frame.
+/// Encode a message as one frame.
 ///
 /// # Errors
 ///
-/// Returns [`CodecError::TooLong`] where no peer would take the message.
+/// Returns [`CodecError::TooLong`] if the message exceeds [`MAX_MESSAGE_LEN`].
 pub fn encode(message: &LinkMessage) -> Result<Bytes, CodecError> {
     let mut frame = BytesMut::new();
     frame.put_u32(0);
     let mut writer = frame.writer();
-    // The bound is checked on the whole frame below, so that the error tells
-    // the length that was too much.
+    // The limit is checked below on the whole frame, so that the error contains the
+    // actual length.
     bincode::serde::encode_into_std_write(message, &mut writer, config::standard())
         .map_err(|error| CodecError::Malformed(error.to_string()))?;
     let mut frame = writer.into_inner();
@@ -81,16 +81,14 @@
     Ok(frame.freeze())
 }
 
-/// Get a message as one frame, compressed where that makes it shorter.
+/// Encode a message as one frame, compressed if that makes it shorter.
 ///
-/// The list of 3,000 targets is some 400 KB of JSON, and every host of a fleet
-/// that starts anew needs it before it serves: over a link of 10 Mbit/s a reader
-/// with fifty peers would send it for 16 s. Compressed it has 34 KB. At 300
-/// hosts the mean host's bytes of all kinds fell from 94 to 51 kB/s (one run).
+/// Large published values such as the target list are sent to every host when a
+/// fleet starts, and uncompressed would saturate the links of the senders.
 ///
 /// # Errors
 ///
-/// Returns [`CodecError::TooLong`] where no peer would take the message.
+/// Returns [`CodecError::TooLong`] if the message exceeds [`MAX_MESSAGE_LEN`].
 pub fn encode_compressed(message: &LinkMessage) -> Result<Bytes, CodecError> {
     let plain = encode(message)?;
     if plain.len() < MIN_COMPRESS_BYTES {
@@ -99,7 +97,7 @@
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     let written = encoder.write_all(&plain[LENGTH_BYTES..]);
     let compressed = written.and_then(|()| encoder.finish());
-    // A buffer in memory takes all that is written.
+    // Writing to a buffer in memory does not fail.
     let compressed = compressed.map_err(|error| CodecError::Malformed(error.to_string()))?;
     if compressed.len() + LENGTH_BYTES >= plain.len() {
         return Ok(plain);
@@ -110,9 +108,9 @@
     Ok(frame.freeze())
 }
 
-/// Get the bytes that a message takes on its link: its frame with the length,
-/// without the headers of HTTP/2, TCP and IP. 0 for a message that cannot be
-/// sent.
+/// Get the size of a message's uncompressed frame in bytes, with the length prefix
+/// and without the headers of HTTP/2, TCP and IP. It is 0 for a message that cannot
+/// be encoded.
 pub fn encoded_len(message: &LinkMessage) -> usize {
     match encode(message) {
         Ok(frame) => frame.len(),
@@ -120,35 +118,35 @@
     }
 }
 
-/// A `ReceivedFrame` is one message taken from a link.
+/// A `ReceivedFrame` is one message received on a link.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedFrame {
     /// The message.
     pub message: LinkMessage,
-    /// The bytes of its frame, with the length.
+    /// The size of its frame in bytes, with the length prefix.
     pub len: usize,
 }
 
-/// A `FrameReader` puts the pieces of a stream together to messages.
+/// A `FrameReader` reassembles messages from the chunks of a stream.
 #[derive(Debug, Default)]
 pub struct FrameReader {
     buffer: BytesMut,
 }
 
 impl FrameReader {
-    /// Add the stream's next bytes.
+    /// Add the next chunk of the stream.
     pub fn push(&mut self, data: &[u8]) {
         self.buffer.extend_from_slice(data);
     }
 
-    /// Try to get the next message; `None` while it is not complete.
+    /// Try to get the next message, `None` if it is not complete yet.
     ///
     /// # Errors
     ///
-    /// Returns the reason why the stream cannot go on. A length over the
-    /// bound is refused as soon as it is read, before room is made for it.
+    /// Returns an error if the next frame is invalid, after which the stream cannot
+    /// be read further. An excessive length is refused before memory is allocated.
     pub fn next_frame(&mut self) -> Result<Option<ReceivedFrame>, CodecError> {
-        // The length comes first; without it nothing can be said.
+        // Wait for the length prefix.
         let Some(prefix) = self.buffer.first_chunk::<LENGTH_BYTES>() else {
             return Ok(None);
         };
@@ -157,7 +155,7 @@
         if len > MAX_MESSAGE_LEN {
             return Err(CodecError::TooLong(len));
         }
-        // The message follows; wait until all of it is there.
+        // Wait for the complete message.
         if self.buffer.len() < LENGTH_BYTES + len {
             return Ok(None);
         }
@@ -174,8 +172,8 @@
     }
 }
 
-/// Get what a compressed message holds. It may be no longer than a plain one:
-/// a few bytes could stand for gigabytes.
+/// Decompress a message. The size of the result is limited, because a few bytes can
+/// decompress to gigabytes.
 fn decompress(compressed: &[u8]) -> Result<Vec<u8>, CodecError> {
     let mut plain = Vec::new();
     let limit = MAX_MESSAGE_LEN as u64 + 1;
@@ -192,8 +190,8 @@
 fn decode(body: &[u8]) -> Result<LinkMessage, CodecError> {
     let (message, used) = bincode::serde::decode_from_slice(body, FRAME_CONFIG)
         .map_err(|error| CodecError::Malformed(error.to_string()))?;
-    // Bytes left over come from a peer with another layout: what was read may
-    // then mean something else.
+    // Trailing bytes indicate a peer with another message layout, so the decoded
+    // message may be wrong.
     if used != body.len() {
         return Err(CodecError::TrailingBytes(body.len() - used));
     }
--- a/bergamotswitch-net/src/link/counters.rs
+++ b/bergamotswitch-net/src/link/counters.rs
@@ -8,14 +8,14 @@
 
 macro_rules! message_kinds {
     ($($(#[$doc:meta])* $variant:ident = $text:literal, $pattern:pat,)*) => {
-        /// A `MessageKind` is the kind of a message between hosts.
+        /// A `MessageKind` is a kind of message between hosts.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub enum MessageKind {
             $($(#[$doc])* $variant,)*
         }
 
         impl MessageKind {
-            /// Every kind.
+            /// All kinds.
             pub const ALL: &'static [MessageKind] = &[$(MessageKind::$variant,)*];
 
             /// Get the kind of a message.
@@ -25,7 +25,7 @@
                 }
             }
 
-            /// Get the kind's name, as in metrics.
+            /// Get the kind's name, which is its label in metrics.
             pub const fn as_str(self) -> &'static str {
                 match self {
                     $(MessageKind::$variant => $text,)*
@@ -36,64 +36,65 @@
 }
 
 message_kinds! {
-    /// Proof of life.
+    /// A heartbeat.
     Heartbeat = "heartbeat", LinkMessage::Heartbeat(_),
-    /// A wish for a slot.
+    /// A request for a slot.
     Ask = "ask", LinkMessage::ToOwner(OwnerMessage::Ask(_)),
-    /// A withdrawn wish.
+    /// A withdrawal of a slot request.
     Withdraw = "withdraw", LinkMessage::ToOwner(OwnerMessage::Withdraw { .. }),
-    /// A permit given back.
+    /// A released permit.
     Release = "release", LinkMessage::ToOwner(OwnerMessage::Release { .. }),
-    /// What an entry host holds.
+    /// The permits and keys of an entry host, sent to a new owner.
     Resync = "retell", LinkMessage::ToOwner(OwnerMessage::Resync { .. }),
-    /// The answer to an audit.
+    /// The answer to an audit: permits that the entry host does not hold.
     NotHeld = "not-held", LinkMessage::ToOwner(OwnerMessage::NotHeld { .. }),
-    /// A host's word that it follows an owner.
+    /// The confirmation that a host accepts the owner.
     OwnerConfirmed = "following", LinkMessage::ToOwner(OwnerMessage::OwnerConfirmed { .. }),
-    /// What a former owner had left in its quotas' buckets.
+    /// The quota units left in the buckets of a former owner.
     QuotaLevels = "quota-levels", LinkMessage::ToOwner(OwnerMessage::QuotaLevels { .. }),
-    /// Targets that fail an owner.
+    /// The targets that another owner has backed off.
     FailedTargets = "failed-targets", LinkMessage::ToOwner(OwnerMessage::FailedTargets { .. }),
-    /// What is used of the quotas, told to a new owner.
+    /// The quota usage of an entry host, sent to a new owner.
     QuotaUse = "quota-use", LinkMessage::ToOwner(OwnerMessage::QuotaUse { .. }),
-    /// A permit.
+    /// A granted permit.
     Granted = "granted", LinkMessage::FromOwner(OwnerReply::Granted { .. }),
-    /// A refused wish.
+    /// A refused slot request.
     Refused = "refused", LinkMessage::FromOwner(OwnerReply::Refused { .. }),
-    /// A key held elsewhere.
+    /// A redirect of a slot request whose idempotency key is held elsewhere.
     KeyHeld = "key-known", LinkMessage::FromOwner(OwnerReply::KeyHeld { .. }),
-    /// An order to stop an attempt.
+    /// A command to preempt an attempt.
     Preempt = "preempt", LinkMessage::FromOwner(OwnerReply::Preempt { .. }),
-    /// A question for permits not held.
+    /// A query which old permits an entry host no longer holds.
     Audit = "audit", LinkMessage::FromOwner(OwnerReply::Audit { .. }),
-    /// Not the owner.
+    /// The reply of a host that does not own the shard.
     NotOwner = "not-owner", LinkMessage::FromOwner(OwnerReply::NotOwner { .. }),
-    /// An owner's question who follows it.
+    /// An owner's query whether a host accepts it.
     ConfirmOwner = "who-follows", LinkMessage::FromOwner(OwnerReply::ConfirmOwner { .. }),
-    /// The revisions seen.
+    /// The revisions that a host has.
     Marks = "marks", LinkMessage::Revision(RevisionMessage::Marks(_)),
-    /// A change of a value.
+    /// A change of a published value.
     Change = "change", LinkMessage::Revision(RevisionMessage::Change { .. }),
-    /// A wish for a whole value.
+    /// A request for a complete published value.
     Want = "want", LinkMessage::Revision(RevisionMessage::Want(_)),
-    /// A whole value.
+    /// A complete published value.
     Whole = "whole", LinkMessage::Revision(RevisionMessage::Whole(_)),
-    /// A question since when a revision is the newest.
+    /// A query how long ago a revision was known to be the latest.
     AskConfirmed = "ask-confirmed", LinkMessage::Revision(RevisionMessage::AskConfirmed { .. }),
-    /// The answer to it.
+    /// The answer to that query.
     Confirmed = "confirmed", LinkMessage::Revision(RevisionMessage::Confirmed { .. }),
 }
 
-/// A `KindCount` is what went one way of one kind.
+/// A `KindCount` is the traffic of one message kind in one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct KindCount {
-    /// The messages.
+    /// The number of messages.
     pub messages: u64,
-    /// Their frames' bytes, with the length, without the headers below.
+    /// The size of their frames in bytes, with the length prefix and without the
+    /// headers of lower layers.
     pub bytes: u64,
 }
 
-/// A `KindCounts` is what went one way, by kind.
+/// A `KindCounts` is the traffic in one direction by message kind.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KindCounts([KindCount; MessageKind::ALL.len()]);
 
@@ -120,22 +121,22 @@
     }
 }
 
-/// A `RefusalCounts` counts the connections refused, by reason.
+/// A `RefusalCounts` is the number of refused connections by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RefusalCounts {
-    /// Another protocol version.
+    /// The peer has another protocol version.
     pub version: u64,
-    /// Header fields that are absent or unreadable.
+    /// A handshake header field is absent or unreadable.
     pub malformed: u64,
-    /// No roster is set yet.
+    /// No host list or key is set yet.
     pub not_ready: u64,
-    /// A host that the roster does not have, or that is not the dialled one.
+    /// The host is not on the host list, or is not the dialled one.
     pub unknown_host: u64,
-    /// No proof of the shared key.
+    /// The proof of the shared key is invalid.
     pub bad_proof: u64,
-    /// The handshake took too long.
+    /// The handshake timed out.
     pub timeout: u64,
-    /// Too many connections in their handshake.
+    /// Too many handshakes were in progress.
     pub too_many: u64,
 }
 
@@ -165,23 +166,24 @@
     }
 }
 
-/// A `LinkCounters` is what a host's links did since its start.
+/// A `LinkCounters` is the set of counters of a host's links since its start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LinkCounters {
-    /// Handed to a connection.
+    /// Messages passed to a connection.
     pub sent: KindCounts,
-    /// Received from a peer and given to the loop.
+    /// Messages received from peers and passed to the loop.
     pub received: KindCounts,
-    /// Messages not sent: no link, too long, or waiting when a link closed.
+    /// Messages not sent because there was no link, the message was too long or
+    /// unknown to the peer, the send queue was full, or the link closed.
     pub dropped: u64,
     /// Links closed because their send queue was full.
     pub overflows: u64,
-    /// Links closed because the peer was silent.
+    /// Links closed because the peer did not answer a PING.
     pub silent: u64,
-    /// Links closed because of bytes that are no message.
+    /// Links closed because of an invalid frame.
     pub malformed: u64,
-    /// Connections refused.
+    /// Connections refused by this host.
     pub refused: RefusalCounts,
-    /// Connections that a dialled peer refused.
+    /// Connections refused by the dialled peer.
     pub refused_by_peers: u64,
 }
--- a/bergamotswitch-net/src/link/dialler.rs
+++ b/bergamotswitch-net/src/link/dialler.rs
@@ -1,4 +1,4 @@
-//! Provides the dialling side of links: it keeps a link to one host.
+//! Provides the dialling side of links.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -17,36 +17,36 @@
 use super::registry::LinkRegistry;
 use super::session::{H2_SEND_BYTES, HEADER_BYTES, LinkSession, WINDOW_BYTES};
 
-/// The longest text of a refusal that is read and logged, in bytes.
+/// The maximum size of a refusal text that is read and logged, in bytes.
 const MAX_REFUSAL_BYTES: usize = 512;
 
-/// A `DialFailure` is why an attempt gave no link.
+/// A `DialFailure` is the reason why a connection attempt did not establish a link.
 #[derive(Debug)]
 enum DialFailure {
-    /// No connection, or it broke.
+    /// The connection could not be established or was closed.
     Closed,
     /// This host refuses the peer.
     Refused(PeerRefusal),
-    /// The peer refuses this host, with this text.
+    /// The peer refuses this host. The field is the status and text of its answer.
     RefusedByPeer(String),
     /// Another link to the peer is in use.
     Duplicate,
 }
 
-/// An `AuthenticatedStream` is a link's stream after its handshake.
+/// An `AuthenticatedStream` is a link's stream after the handshake.
 struct AuthenticatedStream {
     acceptor: Hello,
     writer: SendStream<Bytes>,
     reader: RecvStream,
 }
 
-/// Keep a link to `host` until this future is dropped.
+/// Maintain a link to `host` until this future is dropped.
 pub(crate) async fn maintain_link(registry: Arc<LinkRegistry>, host: EntryHost) {
     let mut backoff = Backoff::new(&registry.opts);
     loop {
         registry.wait_until_dialable(&host.name).await;
         time::sleep(backoff.next_delay()).await;
-        // The peer may have dialled in the meantime.
+        // The peer may have established a link in the meantime.
         registry.wait_until_dialable(&host.name).await;
         let started = Instant::now();
         match run_link(&registry, &host).await {
@@ -56,14 +56,14 @@
             }
             Err(DialFailure::RefusedByPeer(text)) => registry.record_refused_by(&host.name, &text),
         }
-        // A link that broke at once is no reason to come back at once.
+        // A link that closed soon after the attempt does not reset the backoff.
         if started.elapsed() > registry.opts.backoff_max {
             backoff.reset();
         }
     }
 }
 
-/// Connect, prove and carry messages until the link ends.
+/// Connect, perform the handshake and run the link until it ends.
 async fn run_link(registry: &Arc<LinkRegistry>, host: &EntryHost) -> Result<(), DialFailure> {
     let opts = &registry.opts;
     let key = registry.admit(&host.name).map_err(DialFailure::Refused)?;
@@ -71,7 +71,7 @@
         .await
         .map_err(|_| DialFailure::Closed)?
         .map_err(|_| DialFailure::Closed)?;
-    // Small messages must not wait for each other's acknowledgement.
+    // Small messages must not wait for acknowledgements (Nagle's algorithm).
     stream.set_nodelay(true).map_err(|_| DialFailure::Closed)?;
     let (requests, mut connection) = client::Builder::new()
         .initial_window_size(WINDOW_BYTES)
@@ -113,14 +113,14 @@
     Ok(())
 }
 
-/// Go through both exchanges of the handshake.
+/// Perform both exchanges of the handshake.
 async fn authenticate(
     registry: &LinkRegistry,
     host: &EntryHost,
     key: &LinkKey,
     requests: SendRequest<Bytes>,
 ) -> Result<AuthenticatedStream, DialFailure> {
-    // First each side says who it is.
+    // First exchange: both sides identify themselves.
     let hello = Hello::new(&registry.identity.incarnation);
     let mut request = link_request(Method::GET);
     hello.write(request.headers_mut());
@@ -131,12 +131,12 @@
     let answer = answer.await.map_err(|_| DialFailure::Closed)?;
     let answer = check_status(answer).await?;
     let acceptor = Hello::read(answer.headers()).map_err(DialFailure::Refused)?;
-    // Another host may have got the address since the list was written.
+    // Another host may use the address by now.
     if acceptor.incarnation().host != host.name {
         let found = acceptor.incarnation().host.clone();
         return Err(DialFailure::Refused(PeerRefusal::UnknownHost(found)));
     }
-    // Then each side proves that it knows the key.
+    // Second exchange: both sides prove that they know the key.
     let pair = HelloPair {
         dialler: hello,
         acceptor,
@@ -161,13 +161,13 @@
 fn link_request(method: Method) -> Request<()> {
     let mut request = Request::new(());
     *request.method_mut() = method;
-    // The authority is of no use between hosts, but h2 asks for one.
+    // The authority is not used, but h2 requires one.
     *request.uri_mut() = http::Uri::builder()
         .scheme("http")
         .authority("link")
         .path_and_query(LINK_PATH)
         .build()
-        .expect("the parts are constants");
+        .expect("link URI built from constants");
     request
 }
 
--- a/bergamotswitch-net/src/link/handshake.rs
+++ b/bergamotswitch-net/src/link/handshake.rs
@@ -1,19 +1,20 @@
-//! Provides the handshake of a link: who the peer is, and the proof that it
-//! knows the shared key.
+//! Provides the handshake of a link, which identifies both hosts and proves that
+//! they know the shared key.
 //!
-//! Two exchanges over the link's own connection, all in header fields:
+//! It consists of two exchanges on the link's connection, with all data in header
+//! fields:
 //!
-//! 1. `GET /link` carries the dialler's [`Hello`]; the answer carries the
-//!    acceptor's. Each has a fresh random nonce.
-//! 2. `POST /link` carries the dialler's proof; the answer carries the
-//!    acceptor's, and both bodies are the link.
+//! 1. `GET /link` carries the dialler's [`Hello`], the answer the acceptor's. Each
+//!    contains a fresh random nonce.
+//! 2. `POST /link` carries the dialler's proof, the answer the acceptor's. The
+//!    bodies of this request and answer carry the link's messages.
 //!
-//! A proof is an HMAC-SHA256 under the shared key over both hellos and the
-//! role of the prover. The key never crosses the wire; the nonces make a
-//! recorded proof worthless, the role keeps a proof from being sent back to
-//! its maker. The dialler proves itself first, so a stranger gets no proof to
-//! guess keys from. What follows the handshake is neither encrypted nor
-//! authenticated: the network between the hosts is trusted that far.
+//! A proof is an HMAC-SHA256 under the shared key over both hellos and the role of
+//! the proving side. The key is never transmitted, the nonces prevent replay, and
+//! the role prevents reflection of a proof to its sender. The dialler proves itself
+//! first, so that an unauthenticated dialler receives no proof for an offline attack
+//! on the key. Messages after the handshake are neither encrypted nor authenticated:
+//! the network between the hosts is assumed to preserve their integrity.
 
 use std::fmt;
 
@@ -33,27 +34,27 @@
 const MESSAGES_FIELD: &str = "link-messages";
 const PROOF_FIELD: &str = "link-proof";
 
-/// A `PeerRefusal` is the reason why a connection is not taken as a link.
+/// A `PeerRefusal` is the reason why a connection is refused as a link.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerRefusal {
-    /// The peer speaks another version, which the field tells.
+    /// The peer has another protocol version, given by the field.
     Version(String),
-    /// A header field is absent or unreadable.
+    /// A handshake header field is absent or unreadable.
     Malformed,
-    /// No roster is set yet.
+    /// No host list or key is set yet.
     NotReady,
-    /// The roster does not have the host, or it is not the dialled one.
+    /// The host is not on the host list, or is not the dialled one.
     UnknownHost(HostName),
-    /// The host does not prove that it knows the key.
+    /// The host's proof of the shared key is invalid.
     BadProof(HostName),
-    /// The handshake took too long.
+    /// The handshake timed out.
     Timeout,
-    /// Too many connections are in their handshake.
+    /// Too many handshakes are in progress.
     TooMany,
 }
 
 impl PeerRefusal {
-    /// Get the status of the answer that refuses.
+    /// Get the HTTP status of the refusal.
     pub fn status(&self) -> StatusCode {
         match self {
             PeerRefusal::Version(_) => StatusCode::UPGRADE_REQUIRED,
@@ -88,17 +89,17 @@
 
 impl std::error::Error for PeerRefusal {}
 
-/// A `LinkKey` is the key that all hosts share. It is never shown.
+/// A `LinkKey` is the key that all hosts share. Its `Debug` form does not contain it.
 #[derive(Clone, PartialEq, Eq)]
 pub struct LinkKey(Vec<u8>);
 
 impl LinkKey {
-    /// Get the key of a text.
+    /// Get a key from its text form.
     pub fn new(text: &str) -> Self {
         LinkKey(text.as_bytes().to_vec())
     }
 
-    /// Get whether the key is empty: anyone knows that one.
+    /// Get whether the key is empty and therefore offers no protection.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -110,20 +111,20 @@
     }
 }
 
-/// A `Hello` is what each side says of itself.
+/// A `Hello` is the identification that each side sends in the first exchange.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Hello {
     version: u16,
     incarnation: HostIncarnation,
     nonce: u128,
-    /// The newest set of messages that it knows. It is left out of the proof:
-    /// hosts from before it would find no proof right.
+    /// The newest message set that the side supports. It is not part of the proof,
+    /// because releases without message sets could not verify such a proof.
     #[serde(skip)]
     message_set: u16,
 }
 
 impl Hello {
-    /// Get a hello of `run` with a fresh nonce.
+    /// Get a hello of a host incarnation with a fresh nonce.
     pub fn new(incarnation: &HostIncarnation) -> Self {
         Hello {
             version: LINK_VERSION,
@@ -133,17 +134,17 @@
         }
     }
 
-    /// Get the run that says hello.
+    /// Get the host incarnation that sends the hello.
     pub fn incarnation(&self) -> &HostIncarnation {
         &self.incarnation
     }
 
-    /// Get the newest set of messages that this side knows.
+    /// Get the newest message set that the sender supports.
     pub fn message_set(&self) -> u16 {
         self.message_set
     }
 
-    /// Add the hello to header fields.
+    /// Write the hello into header fields.
     pub fn write(&self, fields: &mut HeaderMap) {
         fields.insert(VERSION_FIELD, HeaderValue::from(self.version));
         fields.insert(MESSAGES_FIELD, HeaderValue::from(self.message_set));
@@ -151,12 +152,13 @@
         insert_text(fields, NONCE_FIELD, &format!("{:032x}", self.nonce));
     }
 
-    /// Try to get the hello from header fields.
+    /// Try to read a hello from header fields.
     ///
     /// # Errors
     ///
-    /// Returns [`PeerRefusal::Version`] before anything else is read: another
-    /// version may write the other fields in another way.
+    /// Returns [`PeerRefusal::Version`] if the version differs, before other fields
+    /// are read, because their format may differ. Returns [`PeerRefusal::Malformed`]
+    /// if a field is absent or unreadable.
     pub fn read(fields: &HeaderMap) -> Result<Self, PeerRefusal> {
         let version = field_text(fields, VERSION_FIELD)?;
         if version != LINK_VERSION.to_string() {
@@ -166,7 +168,7 @@
             .map_err(|_| PeerRefusal::Malformed)?;
         let nonce = u128::from_str_radix(field_text(fields, NONCE_FIELD)?, 16)
             .map_err(|_| PeerRefusal::Malformed)?;
-        // A host from before message sets knows the first one.
+        // A release without message sets supports only the original set.
         let message_set = field_text(fields, MESSAGES_FIELD).unwrap_or("0");
         let message_set = message_set.parse().map_err(|_| PeerRefusal::Malformed)?;
         Ok(Hello {
@@ -181,46 +183,47 @@
 /// A `LinkRole` is a side of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum LinkRole {
-    /// It opened the connection.
+    /// The side that opened the connection.
     Dialler,
-    /// It accepted the connection.
+    /// The side that accepted the connection.
     Acceptor,
 }
 
-/// A `HelloPair` is both hellos of one handshake.
+/// A `HelloPair` is the two hellos of one handshake.
 #[derive(Clone, Debug, Serialize)]
 pub struct HelloPair {
-    /// The dialler's.
+    /// The dialler's hello.
     pub dialler: Hello,
-    /// The acceptor's.
+    /// The acceptor's hello.
     pub acceptor: Hello,
 }
 
 impl HelloPair {
     fn mac(&self, key: &LinkKey, role: LinkRole) -> Hmac<Sha256> {
         let mut mac =
-            Hmac::<Sha256>::new_from_slice(&key.0).expect("HMAC takes a key of any length");
+            Hmac::<Sha256>::new_from_slice(&key.0).expect("HMAC accepts a key of any length");
         mac.update(b"bergamotswitch link");
-        // Names are written with their length, so that no two pairs of hellos
-        // give the same bytes.
+        // The encoding contains the lengths of names, so that different pairs never
+        // have the same bytes.
         let text = bincode::serde::encode_to_vec((role, self), bincode::config::standard())
-            .expect("hellos have nothing that bincode refuses");
+            .expect("bincode encodes any pair of hellos");
         mac.update(&text);
         mac
     }
 
-    /// Add the proof of the side `role` to header fields.
+    /// Write the proof of the side `role` into header fields.
     pub fn write_proof(&self, key: &LinkKey, role: LinkRole, fields: &mut HeaderMap) {
         let proof = self.mac(key, role).finalize().into_bytes();
         let digits: String = proof.iter().map(|byte| format!("{byte:02x}")).collect();
         insert_text(fields, PROOF_FIELD, &digits);
     }
 
-    /// Check the proof of the side `role` in header fields, in constant time.
+    /// Verify the proof of the side `role` in header fields, in constant time.
     ///
     /// # Errors
     ///
-    /// Returns [`PeerRefusal::BadProof`] where it proves nothing.
+    /// Returns [`PeerRefusal::BadProof`] if the proof is invalid, and
+    /// [`PeerRefusal::Malformed`] if it is absent or unreadable.
     pub fn check_proof(
         &self,
         key: &LinkKey,
@@ -239,8 +242,8 @@
 }
 
 fn insert_text(fields: &mut HeaderMap, name: &'static str, text: &str) {
-    // Names, numbers and digits are visible ASCII; anything else would be a
-    // fault of this module, and an absent field is refused by the peer.
+    // All values are names, numbers and digits in visible ASCII. If one were not, the
+    // peer would refuse the handshake because of the absent field.
     if let Ok(value) = HeaderValue::from_str(text) {
         fields.insert(name, value);
     }
--- a/bergamotswitch-net/src/link/hub.rs
+++ b/bergamotswitch-net/src/link/hub.rs
@@ -1,4 +1,4 @@
-//! Provides the hub of a host's links: the one thing that the loop speaks to.
+//! Provides the hub of a host's links, which is their interface to the loop.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -19,33 +19,34 @@
 use crate::input::{HostIdentity, NodeSender};
 use crate::task_guard::TaskGuard;
 
-/// A `LinkError` is the reason why a hub cannot be made.
+/// A `LinkError` is the reason why a hub cannot be created.
 #[derive(Debug)]
 pub enum LinkError {
-    /// The listener cannot be used.
+    /// The listener cannot be registered with the runtime.
     Listener(io::Error),
 }
 
 impl fmt::Display for LinkError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            LinkError::Listener(error) => write!(f, "the link listener cannot be used: {error}"),
+            LinkError::Listener(error) => write!(f, "failed to set up the link listener: {error}"),
         }
     }
 }
 
 impl std::error::Error for LinkError {}
 
-/// A `DialTask` keeps a link to one host.
+/// A `DialTask` is a task that maintains a link to one host.
 #[derive(Debug)]
 struct DialTask {
     address: SocketAddr,
     _task: TaskGuard,
 }
 
-/// A `LinkHub` is all links of a host to its peers. It tells the loop when a
-/// peer is up or down and what it sends: for each run of a peer one up, then
-/// its messages, then one down. Dropping the hub closes all links.
+/// A `LinkHub` manages all links of a host to its peers. It reports to the loop when
+/// a peer is up or down and which messages it sends: for each incarnation of a peer
+/// an up event, then its messages, then a down event. Dropping the hub closes all
+/// links.
 #[derive(Debug)]
 pub struct LinkHub {
     registry: Arc<LinkRegistry>,
@@ -54,12 +55,12 @@
 }
 
 impl LinkHub {
-    /// Try to get a hub that accepts links on `listener`; it must be made on
-    /// a tokio runtime. No peer is admitted before [`LinkHub::set_roster`].
+    /// Try to get a hub that accepts links on `listener`. Must be called on a tokio
+    /// runtime. No peer is admitted before [`LinkHub::set_roster`].
     ///
     /// # Errors
     ///
-    /// Returns [`LinkError::Listener`] where the runtime refuses the listener.
+    /// Returns [`LinkError::Listener`] if the runtime cannot use the listener.
     pub fn try_new(
         identity: HostIdentity,
         listener: std::net::TcpListener,
@@ -79,17 +80,16 @@
         })
     }
 
-    /// Set who may link, and the key that each must prove to know. Links to
-    /// hosts that are not listed are closed; an empty list, or an empty key,
-    /// refuses all. Links that are up keep going when the key changes.
+    /// Set the hosts that may link, and the key that each must prove to know. Links
+    /// to other hosts are closed. An empty list or an empty key refuses all
+    /// connections. A change of the key does not affect established links.
     pub fn set_roster(&mut self, hosts: &HostList, key: &str) {
         let names: BTreeSet<HostName> = hosts.hosts.iter().map(|host| host.name.clone()).collect();
         self.registry.set_roster(names, LinkKey::new(key));
     }
 
-    /// Keep a link to this host until [`LinkHub::disconnect`]. Nothing is
-    /// dialled while a link that the peer dialled is up, nor while the host
-    /// is not on the roster.
+    /// Maintain a link to this host until [`LinkHub::disconnect`]. The host is not
+    /// dialled while any link to it is up, or while it is not on the host list.
     pub fn connect(&mut self, host: &EntryHost) {
         let known = self.dials.get(&host.name);
         if known.is_some_and(|dial| dial.address == host.link_address) {
@@ -103,20 +103,20 @@
         self.dials.insert(host.name.clone(), dial);
     }
 
-    /// Keep no link to this host any more. A link that this host dialled is
-    /// closed; one that the peer dialled stays as long as the peer wants it.
+    /// Stop maintaining a link to this host. A link that this host dialled is closed;
+    /// one that the peer dialled stays up until the peer closes it.
     pub fn disconnect(&mut self, host: &HostName) {
         self.registry.stop_dialled(host);
         self.dials.remove(host);
     }
 
-    /// Send a message to a host; `false` where no link to it is up, or the
-    /// message cannot be sent. `true` does not promise that it arrives.
+    /// Queue a message for a host. Returns `false` if no link to it is up or the
+    /// message cannot be sent; `true` does not guarantee delivery.
     pub fn send(&mut self, host: &HostName, message: &LinkMessage) -> bool {
         self.registry.send(host, message)
     }
 
-    /// Get what the links did since the hub was made.
+    /// Get the counters of the links since the hub was created.
     pub fn counters(&self) -> LinkCounters {
         self.registry.counters()
     }
--- a/bergamotswitch-net/src/link/mod.rs
+++ b/bergamotswitch-net/src/link/mod.rs
@@ -1,14 +1,13 @@
-//! Provides links: one h2 connection between two entry hosts, with one
-//! long-lived stream each way, over which typed messages go in order.
+//! Provides links: HTTP/2 connections between two entry hosts, each with one
+//! long-lived bidirectional stream that carries typed messages in order.
 //!
-//! Who may link comes from the published configuration: the host list and a
-//! shared key. A host that has neither yet refuses every peer and is refused
-//! by none that it could prove itself to, so a host which starts while the
-//! configuration service is down waits for the service.
+//! The hosts that may link and the key they share come from the published
+//! configuration. A host without them accepts and dials no peer, so a host that
+//! starts while the configuration service is down waits for the service.
 //!
-//! Messages of one link arrive in order, but may be lost: those that wait or
-//! travel when a link closes are gone. The state machines that send them
-//! repeat what matters.
+//! Messages of one link arrive in order but may be lost: those queued or in transit
+//! when a link closes are not delivered. The state machines that send them retransmit
+//! what is needed.
 
 mod acceptor;
 mod backoff;
--- a/bergamotswitch-net/src/link/options.rs
+++ b/bergamotswitch-net/src/link/options.rs
@@ -1,16 +1,16 @@
-//! Provides the bounds and time limits of links.
+//! Provides the limits and timeouts of links.
 
 use std::time::Duration;
 
-/// The send queue of one peer in bytes: three whole values of the largest
-/// size, since a host that comes up may want several at once.
+/// The default size of a peer's send queue in bytes. It holds three published values
+/// of the maximum size, since a starting host may request several at once.
 const SEND_QUEUE_BYTES: usize = 4 << 20;
 
-/// Connections that have not proven who they are: more than a rack's hosts
-/// that restart together, few enough that strangers cost little memory.
+/// The default limit of concurrent handshakes. It allows for a rack of hosts that
+/// restart together and bounds the memory used by unauthenticated connections.
 const HANDSHAKE_LIMIT: usize = 64;
 
-/// A `LinkOptions` is the set of bounds and time limits of all links.
+/// A `LinkOptions` is the set of limits and timeouts of all links.
 #[derive(Clone, Debug)]
 pub struct LinkOptions {
     pub(crate) connect_timeout: Duration,
@@ -39,51 +39,51 @@
 }
 
 impl LinkOptions {
-    /// Set how long a connection may take to be established.
+    /// Set the timeout for establishing a connection.
     pub fn with_connect_timeout(mut self, span: Duration) -> Self {
         self.connect_timeout = span;
         self
     }
 
-    /// Set how long an established connection may take for its handshake.
+    /// Set the timeout of the handshake on an established connection.
     pub fn with_handshake_timeout(mut self, span: Duration) -> Self {
         self.handshake_timeout = span;
         self
     }
 
-    /// Set after how long without anything received a PING is sent.
+    /// Set the time without received data after which a PING is sent.
     pub fn with_ping_interval(mut self, span: Duration) -> Self {
         self.ping_interval = span;
         self
     }
 
-    /// Set how long an answer to a PING may take.
+    /// Set the timeout of the answer to a PING.
     pub fn with_ping_timeout(mut self, span: Duration) -> Self {
         self.ping_timeout = span;
         self
     }
 
-    /// Set the shortest and the longest pause between two attempts to connect.
+    /// Set the minimum and maximum backoff between two connection attempts.
     pub fn with_backoff(mut self, min: Duration, max: Duration) -> Self {
         self.backoff_min = min;
         self.backoff_max = max.max(min);
         self
     }
 
-    /// Set the most bytes that wait for one peer, as they take up memory.
+    /// Set the maximum memory in bytes that the send queue of a peer uses.
     pub fn with_send_queue_bytes(mut self, bytes: usize) -> Self {
         self.send_queue_bytes = bytes;
         self
     }
 
-    /// Set how many connections may be in their handshake at once.
+    /// Set the maximum number of concurrent handshakes on accepted connections.
     pub fn with_handshake_limit(mut self, limit: usize) -> Self {
         self.handshake_limit = limit;
         self
     }
 
-    /// Get the longest time from the start of an attempt to connect until the
-    /// link is up or given up.
+    /// Get the maximum time from the start of a connection attempt until the link is
+    /// up or the attempt has failed.
     pub(crate) fn dial_timeout(&self) -> Duration {
         self.connect_timeout + self.handshake_timeout
     }
--- a/bergamotswitch-net/src/link/queue.rs
+++ b/bergamotswitch-net/src/link/queue.rs
@@ -1,4 +1,4 @@
-//! Provides the bounded queue of what waits to be sent to one peer.
+//! Provides the bounded send queue of a peer.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -8,20 +8,20 @@
 
 use super::counters::MessageKind;
 
-/// A `QueuedFrame` is one message that waits to be sent.
+/// A `QueuedFrame` is an encoded message that waits to be sent.
 #[derive(Debug)]
 pub(crate) struct QueuedFrame {
     pub(crate) kind: MessageKind,
     pub(crate) bytes: Bytes,
 }
 
-/// Frames are sent together up to this many bytes: one header of h2 and one
-/// write for a burst of small messages, and little is lost with a link.
+/// The maximum size in bytes of frames sent together. Batches save HTTP/2 headers
+/// and writes for bursts of small messages; the limit bounds what is lost when a
+/// link closes.
 const BATCH_BYTES: usize = 16 << 10;
 
-/// What a waiting frame takes in memory beside its bytes: its place in the
-/// queue and its allocation. Without it a queue of the smallest messages
-/// would take ten times its bound.
+/// The memory that a queued frame uses in addition to its bytes. Without it, a queue
+/// of small messages would use a multiple of its limit.
 const FRAME_OVERHEAD: usize = 96;
 
 impl QueuedFrame {
@@ -36,8 +36,8 @@
     cost: usize,
 }
 
-/// A `SendQueue` holds what waits to be sent to one peer. A peer that does
-/// not read fills its own queue and nothing else.
+/// A `SendQueue` is the bounded queue of frames to be sent to one peer. Each peer has
+/// its own, so that a peer that does not read does not affect others.
 #[derive(Debug)]
 pub(crate) struct SendQueue {
     state: Mutex<QueueState>,
@@ -58,8 +58,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Add a frame; `false` where it would go over the bound. An empty queue
-    /// takes any frame: no peer could ever get one that is over the bound.
+    /// Add a frame. Returns `false` if the queue would exceed its limit. An empty queue
+    /// accepts any frame, since a frame above the limit could never be sent otherwise.
     pub(crate) fn push(&self, frame: QueuedFrame) -> bool {
         let mut state = self.lock();
         let cost = state.cost + frame.cost();
@@ -73,7 +73,7 @@
         true
     }
 
-    /// Get the next frames, waiting for the first one.
+    /// Wait for the next frames and take them, up to [`BATCH_BYTES`].
     pub(crate) async fn next_batch(&self) -> Vec<QueuedFrame> {
         loop {
             let batch = self.take_batch();
@@ -100,7 +100,7 @@
         batch
     }
 
-    /// Drop all frames and get their number.
+    /// Remove all frames and get their number.
     pub(crate) fn clear(&self) -> usize {
         let mut state = self.lock();
         let count = state.frames.len();
--- a/bergamotswitch-net/src/link/registry.rs
+++ b/bergamotswitch-net/src/link/registry.rs
@@ -1,5 +1,5 @@
-//! Provides the registry of a host's links: who may link, which link to each
-//! peer is in use, and what the loop is told of it.
+//! Provides the registry of a host's links: the hosts that may link, the active link
+//! to each peer, and the link events sent to the loop.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Display;
@@ -23,35 +23,35 @@
 
 pub(crate) use guard::LinkGuard;
 
-/// Refusals are logged at most once in this time: strangers that connect in
-/// a loop must not fill the log. The counters count each one.
+/// The minimum interval between logged refusals, so that repeated connections of an
+/// unknown process do not fill the log. Every refusal is counted.
 const REFUSAL_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A `SessionCommand` is what the registry wants of a session.
+/// A `SessionCommand` is an instruction of the registry to a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SessionCommand {
-    /// Carry messages.
+    /// Send and receive messages.
     Run,
-    /// Send nothing more, read on for a while: another session to the same
-    /// run took over.
+    /// Stop sending and continue to receive for a while, because another session to
+    /// the same incarnation has taken over.
     Yield,
-    /// End.
+    /// Close the session.
     Close,
 }
 
-/// An `ActiveLink` is the link to one peer that is in use.
+/// An `ActiveLink` is the active link to one peer.
 #[derive(Debug)]
 struct ActiveLink {
     session: u64,
     incarnation: HostIncarnation,
-    /// The newest set of messages that the peer knows.
+    /// The newest message set that the peer supports.
     message_set: u16,
     role: LinkRole,
     established_at: Instant,
     queue: Arc<SendQueue>,
     command: watch::Sender<SessionCommand>,
-    /// A session that yielded to this one. What the peer sent over it goes
-    /// before what it sends over this one, so it counts until that comes.
+    /// The session that yielded to this one. Its messages precede those of this
+    /// session, so they are delivered until the first message on this session.
     yielded: Option<u64>,
 }
 
@@ -66,7 +66,7 @@
     value_frames: ValueFrameCache,
 }
 
-/// A `LinkRegistry` is what all tasks of a host's links share.
+/// A `LinkRegistry` is the state shared by all tasks of a host's links.
 #[derive(Debug)]
 pub(crate) struct LinkRegistry {
     pub(crate) identity: HostIdentity,
@@ -92,11 +92,11 @@
     }
 
     fn notify(&self, event: LinkEvent) {
-        // The loop is gone only while the process ends.
+        // Sending fails only if the loop has terminated at exit.
         let _ = self.node.send(NodeInput::Link(event));
     }
 
-    /// Set who may link. Links to hosts that may not any more are closed.
+    /// Set the hosts that may link and the key. Links to other hosts are closed.
     pub(crate) fn set_roster(&self, hosts: BTreeSet<HostName>, key: LinkKey) {
         let mut state = self.lock();
         state.roster = hosts;
@@ -110,15 +110,15 @@
         self.changes.send_replace(());
     }
 
-    /// Get the key to use with `host`.
+    /// Get the key to use with `host`, or the reason why the host is refused.
     pub(crate) fn admit(&self, host: &HostName) -> Result<LinkKey, PeerRefusal> {
         let state = self.lock();
         let key = state.key.as_ref().ok_or(PeerRefusal::NotReady)?;
         if state.roster.is_empty() {
             return Err(PeerRefusal::NotReady);
         }
-        // A peer with this host's own name is a fault of the settings: two
-        // processes would answer to one name.
+        // A peer with this host's own name is a configuration error: two processes
+        // have the same name.
         if !state.roster.contains(host) || *host == self.identity.incarnation.host {
             return Err(PeerRefusal::UnknownHost(host.clone()));
         }
@@ -133,7 +133,7 @@
             .is_some_and(|link| link.incarnation == *incarnation)
     }
 
-    /// Wait until `host` may link and has no link.
+    /// Wait until `host` may link and has no active link.
     pub(crate) async fn wait_until_dialable(&self, host: &HostName) {
         let mut changes = self.changes.subscribe();
         while self.admit(host).is_err() || self.lock().links.contains_key(host) {
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Try to make a session the link to its peer; `None` where the link that
-    /// is there stays.
+    /// Try to register a session as the active link to its peer. Returns `None` if the
+    /// existing link stays active.
     pub(crate) fn register(self: &Arc<Self>, hello: &Hello, role: LinkRole) -> Option<LinkGuard> {
         let incarnation = hello.incarnation();
         let mut state = self.lock();
@@ -153,8 +153,8 @@
         if same_incarnation.is_some_and(|link| !self.replaces(link, role)) {
             return None;
         }
-        // A link of the same run hands its queue on: the peer was up and
-        // stays up, and what waits keeps its order.
+        // The new session continues the queue of a link to the same incarnation: the
+        // peer stays up, and queued messages keep their order.
         let queue = match same_incarnation {
             Some(link) => Arc::clone(&link.queue),
             None => Arc::new(SendQueue::new(self.opts.send_queue_bytes)),
@@ -194,12 +194,13 @@
         Some(guard)
     }
 
-    /// Get the guard of a dialled session that found another one to the same
-    /// run in use: it yields from the start. `None` where that one is gone.
+    /// Get the guard of a dialled session that yields from the start, because another
+    /// session to the same incarnation is active. Returns `None` if that session has
+    /// ended.
     ///
-    /// To close the dialled connection at once would go wrong: its acceptor
-    /// may have it in use and not yet know of the other one, and would take
-    /// the peer as down. It closes when both sides have settled.
+    /// The dialled connection must not be closed immediately: the acceptor may use it
+    /// as its active link and not know the other one yet, and would report the peer as
+    /// down. It is closed once both sides use the same session.
     pub(crate) fn register_yielded(
         self: &Arc<Self>,
         incarnation: &HostIncarnation,
@@ -231,26 +232,26 @@
         }
     }
 
-    /// Get whether a new session says that the peer has lost `link`. What this
-    /// host sent over it since may be lost, too, so its loop has to hear of a link
-    /// anew: otherwise asks, releases and keys would be missing at the peer until
-    /// they are sent again in their turn.
+    /// Get whether a new session with this role shows that the peer has lost `link`.
+    /// Messages sent on the link may then be lost, so the loop must receive another up
+    /// event: otherwise slot requests, releases and keys would be missing at the peer
+    /// until their regular retransmission.
     ///
-    /// A host dials only while it has no link. So it lost this one where it
-    /// dialled that as well, and where the new session comes later than any
-    /// attempt which began before `link` was up.
+    /// A host dials only while it has no link. The peer has therefore lost `link` if
+    /// the same side dialled both, or if the new session comes later than any attempt
+    /// started before `link` was established.
     fn is_lost_at_peer(&self, link: &ActiveLink, role: LinkRole) -> bool {
         role == link.role || link.established_at.elapsed() > self.opts.dial_timeout()
     }
 
-    /// Get whether a new session of the same run takes the place of `link`.
+    /// Get whether a new session to the same incarnation replaces `link`.
     fn replaces(&self, link: &ActiveLink, role: LinkRole) -> bool {
-        // This host still waits for a PING over one that the peer has lost.
+        // The peer has lost the link before this host detected it by PING.
         if self.is_lost_at_peer(link, role) {
             return true;
         }
-        // Both sides dialled: each must keep the same one of the two, or each
-        // closes the one that the other keeps, and no link stays.
+        // Both sides dialled. They must keep the same connection: otherwise each would
+        // close the one that the other keeps, and no link would remain.
         let dialler_preferred = self.identity.incarnation.host < link.incarnation.host;
         (role == LinkRole::Dialler) == dialler_preferred
     }
@@ -279,7 +280,7 @@
         }
     }
 
-    /// Queue a message; `false` where no link takes it.
+    /// Queue a message. Returns `false` if it cannot be sent.
     pub(crate) fn send(&self, host: &HostName, message: &LinkMessage) -> bool {
         let kind = MessageKind::of(message);
         let mut state = self.lock();
@@ -288,8 +289,8 @@
             state.counters.dropped += 1;
             return false;
         };
-        // An older host takes it for no message and drops the link: one would
-        // see links break at each planned stop while a fleet is replaced.
+        // A peer of an older release would reject the unknown message and close the
+        // link, so links would break during a rolling upgrade.
         if message.message_set() > link.message_set {
             state.counters.dropped += 1;
             return false;
@@ -297,9 +298,9 @@
         if link.queue.push(QueuedFrame { kind, bytes }) {
             return true;
         }
-        // The peer does not read. To wait on would cost memory without bound;
-        // to drop single messages would leave gaps that the peer can't see.
-        // Closing the link tells both sides, and clears the queue.
+        // The peer does not read. Queueing more would use unbounded memory, and
+        // dropping single messages would leave undetected gaps. Closing the link makes
+        // the loss visible to both sides and clears the queue.
         let incarnation = link.incarnation.clone();
         link.command.send_replace(SessionCommand::Close);
         let session = link.session;
@@ -321,14 +322,14 @@
         self.lock().counters.clone()
     }
 
-    /// Count a refused connection, and log it.
+    /// Count and log a connection refused by this host.
     pub(crate) fn record_refusal(&self, refusal: &PeerRefusal, address: &str) {
         let mut state = self.lock();
         state.counters.refused.add(refusal);
         self.log_refusal(state, &[("peer", &address), ("cause", refusal)]);
     }
 
-    /// Count that a peer refused this host, and log it.
+    /// Count and log a connection refused by a peer.
     pub(crate) fn record_refused_by(&self, host: &HostName, text: &str) {
         let mut state = self.lock();
         state.counters.refused_by_peers += 1;
--- a/bergamotswitch-net/src/link/registry/guard.rs
+++ b/bergamotswitch-net/src/link/registry/guard.rs
@@ -1,4 +1,4 @@
-//! Provides the guard of a session: its right to be the link to its peer.
+//! Provides the guard that ties a session to its registered link.
 
 use std::sync::Arc;
 
@@ -11,8 +11,8 @@
 use crate::link::counters::MessageKind;
 use crate::link::queue::{QueuedFrame, SendQueue};
 
-/// A `LinkGuard` is the right of one session to be the link to its peer. Its
-/// `Drop` takes the link down, however the session ended.
+/// A `LinkGuard` is the registration of one session as the link to its peer. Dropping
+/// it unregisters the link, however the session ended.
 #[derive(Debug)]
 pub(crate) struct LinkGuard {
     pub(super) registry: Arc<LinkRegistry>,
@@ -23,12 +23,12 @@
 }
 
 impl LinkGuard {
-    /// Get the peer's run.
+    /// Get the peer's incarnation.
     pub(crate) fn incarnation(&self) -> &HostIncarnation {
         &self.incarnation
     }
 
-    /// Get the next order other than to carry messages.
+    /// Wait for a command other than [`SessionCommand::Run`].
     pub(crate) async fn next_command(&self) -> SessionCommand {
         let mut commands = self.commands.clone();
         match commands
@@ -36,12 +36,12 @@
             .await
         {
             Ok(command) => *command,
-            // The link was removed.
+            // The sender is dropped when the link is unregistered.
             Err(_) => SessionCommand::Close,
         }
     }
 
-    /// Wait until no session is the link to this run any more.
+    /// Wait until there is no active link to the peer's incarnation.
     pub(crate) async fn wait_unlinked(&self) {
         let mut changes = self.registry.changes.subscribe();
         while self.registry.is_linked(&self.incarnation) {
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Give a message to the loop, unless another session has taken over:
-    /// what comes must not come after newer messages.
+    /// Pass a message to the loop. It is ignored if another session has taken over and
+    /// delivered messages already, since it would arrive out of order.
     pub(crate) fn deliver(&self, frame: ReceivedFrame) {
         let mut state = self.registry.lock();
         let Some(link) = state.links.get_mut(&self.incarnation.host) else {
@@ -69,7 +69,7 @@
             .notify(LinkEvent::Message(self.incarnation.clone(), frame.message));
     }
 
-    /// Count a message as handed to the connection.
+    /// Count a message as passed to the connection.
     pub(crate) fn count_sent(&self, frame: &QueuedFrame) {
         let mut state = self.registry.lock();
         state.counters.sent.add(frame.kind, frame.bytes.len());
--- a/bergamotswitch-net/src/link/session.rs
+++ b/bergamotswitch-net/src/link/session.rs
@@ -1,5 +1,4 @@
-//! Provides a session: one proven connection that carries a link's messages
-//! until it ends.
+//! Provides sessions: authenticated connections that carry a link's messages.
 
 use std::future::poll_fn;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -13,36 +12,38 @@
 use super::options::LinkOptions;
 use super::registry::{LinkGuard, SessionCommand};
 
-/// The most bytes that a peer may send ahead of what was read. A whole value
-/// takes a few round trips; a stalled loop holds little for each peer.
+/// The HTTP/2 flow control window, which bounds the unread data of each peer. A
+/// published value of the maximum size takes a few round trips.
 pub(crate) const WINDOW_BYTES: u32 = 256 << 10;
 
-/// The most bytes that h2 itself holds to be sent; the queue bounds the rest.
+/// The maximum number of bytes in the send buffer of h2. Further data stays in the
+/// bounded send queue.
 pub(crate) const H2_SEND_BYTES: usize = 64 << 10;
 
-/// The largest list of header fields; a handshake has under 300 bytes.
+/// The maximum size of a header list in bytes, well above that of a handshake.
 pub(crate) const HEADER_BYTES: u32 = 4 << 10;
 
-/// The slices in which an answer to a PING is awaited. The timer of a process
-/// that was paused fires before its sockets are read; in slices a pause uses
-/// up one of them, and the answer that waits in the socket is still seen.
+/// The number of slices into which the PING timeout is divided. After a pause of the
+/// process its timers fire before its sockets are read; with slices the pause uses up
+/// only one of them, and an answer that waits in the socket is still processed.
 const PING_SLICES: u32 = 4;
 
-/// A `SessionEnd` is why a session ended.
+/// A `SessionEnd` is the reason why a session ended.
 #[derive(Debug)]
 pub(crate) enum SessionEnd {
-    /// The peer closed, or the connection broke.
+    /// The connection was closed by the peer or failed.
     Closed,
-    /// The peer did not answer.
+    /// The peer did not answer a PING in time.
     Silent,
-    /// Another session took over, or the link is unwanted or overfull.
+    /// The registry ended the session: another one took over, the peer may no longer
+    /// link, this host disconnected, or the send queue was full.
     Stopped,
-    /// The peer sent something that is no message.
+    /// The peer sent an invalid frame.
     Malformed(CodecError),
 }
 
-/// A `LinkSession` is one proven connection. Its connection's driver must run
-/// beside [`LinkSession::run`].
+/// A `LinkSession` is one authenticated connection. The driver of the connection must
+/// be polled concurrently with [`LinkSession::run`].
 pub(crate) struct LinkSession {
     pub(crate) guard: LinkGuard,
     pub(crate) writer: SendStream<Bytes>,
@@ -51,12 +52,12 @@
 }
 
 impl LinkSession {
-    /// Carry messages until the session ends. The link is down afterwards.
+    /// Send and receive messages until the session ends. The link is then unregistered.
     pub(crate) async fn run(mut self, opts: &LinkOptions) -> SessionEnd {
         let received = AtomicU64::new(0);
         let mut frames = FrameReader::default();
         let command = tokio::select! {
-            // A session that was told to end brings nothing more.
+            // Commands take precedence, so that a closed session delivers no more messages.
             biased;
             command = self.guard.next_command() => command,
             end = read_frames(&self.guard, &mut self.reader, &mut frames, &received) => return end,
@@ -64,11 +65,11 @@
             end = monitor_liveness(&mut self.ping, opts, &received) => return end,
         };
         if command == SessionCommand::Yield {
-            // The peer may still have this session in use: what it sent comes
-            // here, and a close would tell it that this host is down. After
-            // the longest time that its own attempt can take it has settled;
-            // once the link is gone there is nothing to settle, and the
-            // dialler must not be kept from coming back.
+            // The peer may still use this session: its messages arrive here, and
+            // closing it would make the peer report this host as down. The peer
+            // switches within the time that its own attempt may take. If the link
+            // goes down before, the session ends at once, so that it does not delay
+            // the next dial.
             tokio::select! {
                 _ = read_frames(&self.guard, &mut self.reader, &mut frames, &received) => {}
                 () = self.guard.wait_unlinked() => {}
@@ -98,7 +99,7 @@
                 Err(error) => return SessionEnd::Malformed(error),
             }
         }
-        // A peer that sends without end must not hold the one thread.
+        // Yield, so that a peer that sends continuously does not starve other tasks.
         tokio::task::yield_now().await;
     }
     SessionEnd::Closed
@@ -120,8 +121,8 @@
     }
 }
 
-/// Hand `data` to h2 as the peer's window grows; `None` where the stream is
-/// closed. Without waiting for the window h2 would hold all of it.
+/// Pass `data` to h2 as the peer's flow control window permits. Returns `None` if the
+/// stream is closed. Without waiting for the window, h2 would buffer all data.
 async fn write_all(writer: &mut SendStream<Bytes>, mut data: Bytes) -> Option<()> {
     while !data.is_empty() {
         writer.reserve_capacity(data.len());
@@ -134,10 +135,9 @@
     Some(())
 }
 
-/// Send a PING whenever nothing came for a while, and return when neither
-/// its answer nor anything else comes. A connection can go silent for good
-/// while both ends think it open: nothing is received, no error comes, and
-/// messages are lost until the operating system gives up after minutes.
+/// Send a PING whenever nothing was received for the PING interval, and return when
+/// neither its answer nor other data arrives in time. A half-open connection reports
+/// no error and loses messages until the operating system's timeout of minutes.
 async fn monitor_liveness(
     ping: &mut PingPong,
     opts: &LinkOptions,
@@ -157,8 +157,8 @@
     }
 }
 
-/// Get whether the peer answers a PING in time; `None` where the connection
-/// is closed.
+/// Send a PING and get whether its answer arrives in time. Returns `None` if the
+/// connection is closed.
 async fn ping_answered(ping: &mut PingPong, limit: Duration, received: &AtomicU64) -> Option<bool> {
     let mut before = received.load(Ordering::Relaxed);
     let mut answer = std::pin::pin!(ping.ping(Ping::opaque()));
@@ -169,8 +169,8 @@
             Ok(Err(_)) => return None,
             Err(_) => slices += 1,
         }
-        // The answer may stand behind a large message on its way: what comes
-        // proves as much.
+        // The answer may be queued behind a large message, so any received data shows
+        // that the peer is alive.
         let now = received.load(Ordering::Relaxed);
         if now != before {
             before = now;
--- a/bergamotswitch-net/src/link/value_frames.rs
+++ b/bergamotswitch-net/src/link/value_frames.rs
@@ -1,4 +1,4 @@
-//! Provides the frames of whole values, made once for all peers.
+//! Provides a cache of encoded published values, shared by the links to all peers.
 
 use std::collections::BTreeMap;
 
@@ -8,25 +8,25 @@
 
 use super::codec::{self, CodecError};
 
-/// A `ValueFrame` is the frame of one value.
+/// A `ValueFrame` is a published value with its encoded frame.
 #[derive(Debug)]
 struct ValueFrame {
     value: PublishedValue,
     frame: Bytes,
 }
 
-/// A `ValueFrameCache` is the latest frame of each whole value that was sent. After
-/// a start every peer wants the same values; to compress it for each would take
-/// an owner's or reader's processor for nothing.
+/// A `ValueFrameCache` holds the latest frame of each published value that was sent.
+/// After a start all peers request the same values, and compressing a value for each
+/// peer would waste CPU time.
 #[derive(Debug, Default)]
 pub(crate) struct ValueFrameCache(BTreeMap<ValueName, ValueFrame>);
 
 impl ValueFrameCache {
-    /// Get the frame of a message.
+    /// Encode a message, using the cache for published values.
     ///
     /// # Errors
     ///
-    /// Returns [`CodecError::TooLong`] where no peer would take the message.
+    /// Returns [`CodecError::TooLong`] if the message exceeds the maximum message size.
     pub(crate) fn encode(&mut self, message: &LinkMessage) -> Result<Bytes, CodecError> {
         let LinkMessage::Revision(RevisionMessage::Whole(value)) = message else {
             return codec::encode(message);
--- a/bergamotswitch-net/src/operator.rs
+++ b/bergamotswitch-net/src/operator.rs
@@ -1,4 +1,4 @@
-//! Provides the operators' HTTP interface of a host: metrics, status, health.
+//! Provides the HTTP interface of a host for operators: metrics, status, health.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,14 +13,13 @@
 use crate::caller::CallerDesk;
 use crate::input::NodeInput;
 
-/// The content type of the metrics page.
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// How long the loop may take to answer. Its turns last microseconds; a loop
-/// that answers later than this hangs, and health checks must say so.
+/// The time after which a loop that does not answer counts as hung, so that
+/// health checks fail.
 const LOOP_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Get the operators' routes.
+/// Get the routes of the operator interface.
 pub fn router(desk: &Arc<CallerDesk>) -> Router {
     Router::new()
         .push(Router::with_path("metrics").get(MetricsCall(Arc::clone(desk))))
@@ -28,11 +27,11 @@
         .push(Router::with_path("healthz").get(HealthCall(Arc::clone(desk))))
 }
 
-/// A `MetricsCall` handles scrapes.
+/// A `MetricsCall` handles metrics scrapes.
 #[derive(Debug)]
 struct MetricsCall(Arc<CallerDesk>);
 
-/// A `StatusCall` handles questions for the host's view.
+/// A `StatusCall` handles queries for the host's status.
 #[derive(Debug)]
 struct StatusCall(Arc<CallerDesk>);
 
@@ -91,7 +90,7 @@
     }
 }
 
-/// Get the loop's status; none where the loop is gone or hangs.
+/// Get the loop's status, `None` if the loop has terminated or hangs.
 async fn loop_status(desk: &CallerDesk) -> Option<Value> {
     let (reply, status) = oneshot::channel();
     desk.node.send(NodeInput::Status(reply)).ok()?;
--- a/bergamotswitch-net/src/pending_lines.rs
+++ b/bergamotswitch-net/src/pending_lines.rs
@@ -1,5 +1,4 @@
-//! Provides the log lines that wait to be written, and which of them are left
-//! out.
+//! Provides the bounded buffer of log lines that wait to be written.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -7,43 +6,39 @@
 use bergamotswitch_core::incident::Incident;
 use log::Level;
 
-/// The most plain lines in one interval of 0.1 s: 500 a second. A host of today
-/// answers 40 calls a second with up to three lines each; beyond, lines are
-/// counted only, so that a burst does not spend the processor on its own log.
+/// The maximum number of plain lines in a write interval. Further lines are only
+/// counted, so that a burst of calls does not use up the CPU for logging.
 const MAX_PLAIN_LINES: usize = 50;
 
-/// The lines in one interval that are kept for what must not be lost among
-/// others. As many again as plain ones: a storm of warnings costs the processor
-/// as much as a burst of calls.
+/// The maximum number of priority lines in a write interval. Plain lines do not
+/// count towards it.
 const MAX_PRIORITY_LINES: usize = 50;
 
-/// The most bytes that wait to be written while the host goes on: some thousand
-/// lines. A reader that stands still must cost lines, and not the memory of a
-/// small host.
+/// The buffer size up to which plain lines are accepted. It bounds the memory used
+/// while the reader of the log does not read.
 const MAX_PLAIN_BYTES: usize = 256 * 1024;
 
-/// The bytes up to which needed lines are taken where plain ones fill theirs.
+/// The buffer size up to which priority lines are accepted.
 const MAX_PRIORITY_BYTES: usize = 320 * 1024;
 
-/// The most bytes that wait once the host ends its requests: two lines each of
-/// some 1,200 requests.
+/// The buffer size up to which lines are accepted once the host terminates its
+/// open requests, enough for two lines per request.
 const MAX_TERMINATION_BYTES: usize = 1024 * 1024;
 
-/// The first number of an event that is not about the process itself.
+/// The lowest event number that does not concern the process itself.
 const FIRST_NON_PROCESS_EVENT: u16 = 200;
 
-/// A `LineKind` is what decides whether a line is kept.
+/// A `LineKind` is the properties of a line that decide whether it is kept.
 #[derive(Clone, Copy, Debug)]
 pub struct LineKind {
-    /// How much it matters.
+    /// The severity.
     pub level: Level,
-    /// The number of its event; none for a library's line.
+    /// The event number, `None` for a line of a library.
     pub event: Option<u16>,
 }
 
 impl LineKind {
-    /// Get whether an engineer needs the line whatever else happens: it warns,
-    /// or tells how far the process is.
+    /// Get whether the line is a warning, an error or about the process itself.
     fn is_priority(self) -> bool {
         let is_about_process = self
             .event
@@ -51,19 +46,18 @@
         self.level <= Level::Warn || is_about_process
     }
 
-    /// Get whether the host ends its requests from here on.
+    /// Get whether the host terminates its open requests after this event.
     fn starts_termination(self) -> bool {
         self.event == Some(Incident::GraceEnding.number())
     }
 }
 
-/// A `PendingLines` is the lines since the last interval, within bounds.
+/// A `PendingLines` is a bounded buffer of the lines since the last write.
 ///
-/// With one bound for all, a burst of lines about calls would push out the very
-/// warnings that tell its cause; so these have a part of their own. A host that
-/// ends its requests at the end of a planned stop has hundreds of lines in one
-/// moment and will have no other one: nothing else runs any more that the lines
-/// could hold up, so only their bytes are bounded from there on.
+/// Plain and priority lines have separate limits, so that a burst of lines about
+/// calls does not displace the warnings that show its cause. Once a planned stop
+/// terminates the open requests, only the buffer size is limited: the many lines
+/// of that moment cannot be written later, and there is no other work to delay.
 #[derive(Debug, Default)]
 pub struct PendingLines {
     bytes: Vec<u8>,
@@ -73,16 +67,16 @@
     is_terminating: bool,
 }
 
-/// A `DroppedCounts` counts the lines that were left out, by their events' numbers;
-/// 0 stands for libraries' lines.
+/// A `DroppedCounts` is the number of dropped lines by event number, with 0 for
+/// lines of libraries.
 pub type DroppedCounts = BTreeMap<u16, u64>;
 
 impl PendingLines {
-    /// Add a line where there is room for it, and count it where there is none.
+    /// Add a line, or count it as dropped if a limit is reached.
     ///
     /// # Errors
     ///
-    /// Returns the error of whoever writes the line.
+    /// Returns the error of `write`.
     pub fn add(
         &mut self,
         kind: LineKind,
@@ -102,7 +96,7 @@
         Ok(())
     }
 
-    /// Take what waits and how many lines were left out: an interval ends.
+    /// Take the lines and the counts of dropped ones, and start a new interval.
     pub fn take(&mut self) -> (Vec<u8>, DroppedCounts) {
         self.plain = 0;
         self.priority = 0;
@@ -110,7 +104,7 @@
         (bytes, std::mem::take(&mut self.dropped))
     }
 
-    /// Get whether there is nothing to write.
+    /// Get whether there are neither lines nor counts of dropped lines.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty() && self.dropped.is_empty()
     }
--- a/bergamotswitch-net/src/submit.rs
+++ b/bergamotswitch-net/src/submit.rs
@@ -1,4 +1,4 @@
-//! Provides the handing of a checked request to the loop.
+//! Provides the submission of validated requests to the loop.
 
 use bergamotswitch_core::entry::{Reception, Submission};
 use bergamotswitch_core::host::HostIncarnation;
@@ -8,27 +8,27 @@
 use crate::follower::AnswerFollower;
 use crate::input::{NodeInput, NodeSender, OutgoingCall, SubmissionReply};
 
-/// A `SubmitOutcome` is what became of a request that was handed to the loop.
+/// A `SubmitOutcome` is the outcome of submitting a request to the loop.
 #[derive(Debug)]
 pub(crate) enum SubmitOutcome {
-    /// It is here.
+    /// This host serves the request.
     Local(Box<AnswerFollower>),
-    /// Another run of a host holds it.
+    /// Another host, or an earlier incarnation of this one, holds the request.
     Remote(HostIncarnation),
-    /// It is refused.
+    /// The request is refused.
     Refused(Refusal),
-    /// There is no loop any more that could have taken it.
+    /// The loop has terminated and did not receive the request.
     LoopStopped,
-    /// It was taken, and its answer dropped.
+    /// The loop received the request and dropped the reply or the answer.
     AnswerDropped,
 }
 
-/// Hand a request to the loop and wait for its reception.
+/// Submit a request to the loop and wait for its reply.
 ///
-/// The wait is a task of its own. A caller may leave between the submission
-/// and its reception; the request's id is not known then, and the loop would
-/// never be told. The task always learns the id, and what it made of it is
-/// dropped, with the follower's guard in it, where nobody takes it.
+/// A separate task waits for the reply. If the caller disconnects before the
+/// reply, its request id is not known yet and the disconnect could not be
+/// reported; the task still receives the id and drops the follower, whose guard
+/// reports the disconnect.
 pub(crate) async fn submit(
     node: &NodeSender,
     submission: Submission,
@@ -50,7 +50,7 @@
             Ok(reply) => from_reply(&node, reply),
             Err(_) => SubmitOutcome::AnswerDropped,
         };
-        // Where the caller has left, this drops the follower.
+        // If the caller has disconnected, this drops the follower.
         let _ = sender.send(outcome);
     });
     outcome_receiver
--- a/bergamotswitch-net/src/task_guard.rs
+++ b/bergamotswitch-net/src/task_guard.rs
@@ -1,16 +1,16 @@
-//! Provides the guard of a task that must not outlive its owner.
+//! Provides a guard for tasks that must not outlive their owner.
 
 use std::future::Future;
 
 use tokio::task::AbortHandle;
 
-/// A `TaskGuard` ends its task when it is dropped. A task that waits on a
-/// silent connection would otherwise wait for good, and keep its socket.
+/// A `TaskGuard` aborts its task when dropped. Otherwise a task that waits on a
+/// silent connection would never end and would keep its socket open.
 #[derive(Debug)]
 pub(crate) struct TaskGuard(AbortHandle);
 
 impl TaskGuard {
-    /// Start a task; must be called on a tokio runtime.
+    /// Spawn a task. Must be called on a tokio runtime.
     pub(crate) fn spawn<Task>(task: Task) -> Self
     where
         Task: Future<Output = ()> + Send + 'static,
