--- a/bergamotswitch-net/tests/event_catalogue.rs
+++ b/bergamotswitch-net/tests/event_catalogue.rs
@@ -34,7 +34,7 @@
     rows
 }
 
-fn level_word(level: Level) -> &'static str {
+fn level_text(level: Level) -> &'static str {
     match level {
         Level::Info => "info",
         Level::Warn => "warn",
@@ -51,7 +51,7 @@
     let known: Vec<(u16, &str, &str)> = Incident::ALL
         .iter()
         .map(|incident| {
-            let level = level_word(incident.level());
+            let level = level_text(incident.level());
             (incident.number(), level, incident.text())
         })
         .collect();
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn told_fully() {
+fn complete_rows() {
     let rows = catalogue_rows();
     assert!(!rows.is_empty());
     for row in rows {
--- a/bergamotswitch-net/tests/event_log_lines.rs
+++ b/bergamotswitch-net/tests/event_log_lines.rs
@@ -7,12 +7,12 @@
 use flexi_logger::{DeferredNow, json_format};
 use log::{Log, Metadata, Record};
 
-/// A `LineKeeper` keeps each line in both formats.
-struct LineKeeper(Mutex<Vec<[String; 2]>>);
+/// A `LineRecorder` keeps each line in both formats.
+struct LineRecorder(Mutex<Vec<[String; 2]>>);
 
-static KEEPER: LineKeeper = LineKeeper(Mutex::new(Vec::new()));
+static RECORDER: LineRecorder = LineRecorder(Mutex::new(Vec::new()));
 
-impl Log for LineKeeper {
+impl Log for LineRecorder {
     fn enabled(&self, _metadata: &Metadata<'_>) -> bool {
         true
     }
@@ -23,7 +23,7 @@
         event_log::text_line(&mut text, &mut DeferredNow::new(), record).expect("a line");
         json_format(&mut json, &mut DeferredNow::new(), record).expect("a line");
         let lines = [text, json].map(|line| String::from_utf8(line).expect("a text"));
-        self.0.lock().expect("a keeper").push(lines);
+        self.0.lock().expect("an unpoisoned lock").push(lines);
     }
 
     fn flush(&self) {}
@@ -34,7 +34,7 @@
     // Symptom: the log tells of events that never happened.
     // Sequence: a caller's text with a line break gets into a value.
     // Cause: values written as they come.
-    log::set_logger(&KEEPER).expect("the first logger");
+    log::set_logger(&RECORDER).expect("the first logger");
     log::set_max_level(log::LevelFilter::Info);
     let forged = "a\n2026-12-02 ERROR host stopped";
     event_log::write(
@@ -45,8 +45,8 @@
             ("work", &forged),
         ],
     );
-    let kept = KEEPER.0.lock().expect("a keeper");
-    let [text, json] = &kept[0];
+    let lines = RECORDER.0.lock().expect("an unpoisoned lock");
+    let [text, json] = &lines[0];
     let expected = " WARN  no owner reachable, admitting by own fraction event=205 request=17 \
                     shard=bolido-llm work=\"a\\n2026-12-02 ERROR host stopped\"";
     assert!(text.ends_with(expected), "{text}");
--- a/bergamotswitch-net/tests/link_codec.rs
+++ b/bergamotswitch-net/tests/link_codec.rs
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn foreign_bytes_refused() {
+fn invalid_bytes_refused() {
     // Symptom: a slot is granted that nobody asked for. Sequence: a peer with
     // another layout sends a message. Cause: bytes that do not fit were
     // guessed at instead of refused.
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn length_lies() {
+fn inflated_length() {
     // Symptom: a host runs out of memory. Sequence: a short frame names a list
     // of 2^60 marks. Cause: the decoder made room for what the list claims.
     let body = [3, 0, 253, 0, 0, 0, 0, 0, 0, 0, 16];
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn any_pieces() {
+fn arbitrary_chunks() {
     bergamotswitch_draw::for_each::<(Vec<u64>, Vec<u8>)>(500, |(sequences, cuts)| {
         let sent: Vec<LinkMessage> = sequences.iter().map(|s| heartbeat(*s)).collect();
         let mut stream = Vec::new();
@@ -269,9 +269,9 @@
         let mut received = Vec::new();
         let cuts = cuts.iter().map(|cut| usize::from(*cut));
         for cut in cuts.chain([usize::MAX]) {
-            let (piece, later) = rest.split_at(cut.min(rest.len()));
-            rest = later;
-            reader.push(piece);
+            let (chunk, remaining) = rest.split_at(cut.min(rest.len()));
+            rest = remaining;
+            reader.push(chunk);
             while let Some(frame) = reader.next_frame().unwrap() {
                 received.push(frame.message);
             }
@@ -281,7 +281,7 @@
 }
 
 #[test]
-fn any_bytes() {
+fn arbitrary_bytes() {
     bergamotswitch_draw::for_each::<Vec<u8>>(2_000, |body| {
         // What is taken is taken whole: written again it is no longer.
         if let Ok(Some(frame)) = read_body(body) {
@@ -318,21 +318,21 @@
 fn compressed_values() {
     let message = target_list(3_000);
     let plain = codec::encode(&message).unwrap();
-    let packed = codec::encode_compressed(&message).unwrap();
-    println!("{} bytes, compressed {}", plain.len(), packed.len());
-    assert!(packed.len() * 5 < plain.len(), "{}", packed.len());
+    let compressed = codec::encode_compressed(&message).unwrap();
+    println!("{} bytes, compressed {}", plain.len(), compressed.len());
+    assert!(compressed.len() * 5 < plain.len(), "{}", compressed.len());
     let mut reader = FrameReader::default();
-    reader.push(&packed);
+    reader.push(&compressed);
     reader.push(&codec::encode(&heartbeat(1)).unwrap());
     let frame = reader.next_frame().unwrap().unwrap();
     assert_eq!(frame.message, message);
-    assert_eq!(frame.len, packed.len());
+    assert_eq!(frame.len, compressed.len());
     let frame = reader.next_frame().unwrap().unwrap();
     assert_eq!(frame.message, heartbeat(1));
 }
 
 #[test]
-fn short_stay_plain() {
+fn short_value_uncompressed() {
     let message = whole(100);
     let plain = codec::encode(&message).unwrap();
     assert_eq!(codec::encode_compressed(&message).unwrap(), plain);
@@ -348,10 +348,10 @@
     use std::io::Write;
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::best());
     encoder.write_all(&vec![b'x'; 4 * MAX_MESSAGE_LEN]).unwrap();
-    let packed = encoder.finish().unwrap();
+    let compressed = encoder.finish().unwrap();
     let mut reader = FrameReader::default();
-    reader.push(&(packed.len() as u32 | 1 << 31).to_be_bytes());
-    reader.push(&packed);
+    reader.push(&(compressed.len() as u32 | 1 << 31).to_be_bytes());
+    reader.push(&compressed);
     let refused = reader.next_frame();
     assert!(
         matches!(refused, Err(CodecError::TooLong(_))),
--- a/bergamotswitch-net/tests/link_support/mod.rs
+++ b/bergamotswitch-net/tests/link_support/mod.rs
@@ -23,12 +23,12 @@
 pub const KEY: &str = "a shared key of the tests";
 
 /// Far beyond what any step takes on a busy machine.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Long enough to see that nothing more comes.
-pub const QUIET: Duration = Duration::from_millis(400);
+pub const QUIET_PERIOD: Duration = Duration::from_millis(400);
 
-pub fn fast() -> LinkOptions {
+pub fn fast_options() -> LinkOptions {
     LinkOptions::default()
         .with_ping_interval(Duration::from_millis(100))
         .with_ping_timeout(Duration::from_millis(400))
@@ -49,7 +49,7 @@
         host: name.try_into().unwrap(),
         incarnation: Incarnation(number),
     };
-    let me = HostIdentity {
+    let identity = HostIdentity {
         incarnation: incarnation.clone(),
         domain: "mza-norte".try_into().unwrap(),
     };
@@ -57,13 +57,13 @@
     let entry = EntryHost {
         capacity: 0,
         name: incarnation.host.clone(),
-        domain: me.domain.clone(),
+        domain: identity.domain.clone(),
         caller_address: address,
         link_address: address,
         standing: Default::default(),
     };
     TestHost {
-        hub: LinkHub::try_new(me, listener, opts, node).unwrap(),
+        hub: LinkHub::try_new(identity, listener, opts, node).unwrap(),
         inbox,
         entry,
         incarnation,
@@ -71,10 +71,10 @@
 }
 
 pub fn host(name: &str, number: u128) -> TestHost {
-    host_with(name, number, fast())
+    host_with(name, number, fast_options())
 }
 
-pub fn list(hosts: &[&TestHost]) -> HostList {
+pub fn host_list(hosts: &[&TestHost]) -> HostList {
     HostList {
         hosts: hosts.iter().map(|host| host.entry.clone()).collect(),
         targets: Vec::new(),
@@ -83,13 +83,13 @@
 
 pub fn pair() -> (TestHost, TestHost) {
     let (mut a, mut b) = (host("a", 1), host("b", 2));
-    let roster = list(&[&a, &b]);
+    let roster = host_list(&[&a, &b]);
     a.hub.set_roster(&roster, KEY);
     b.hub.set_roster(&roster, KEY);
     (a, b)
 }
 
-pub fn beat(sequence: u64) -> LinkMessage {
+pub fn heartbeat(sequence: u64) -> LinkMessage {
     LinkMessage::Heartbeat(Heartbeat {
         sequence,
         heard: 0,
@@ -100,7 +100,7 @@
 
 impl TestHost {
     pub async fn event(&mut self) -> LinkEvent {
-        let input = time::timeout(PATIENCE, self.inbox.recv()).await;
+        let input = time::timeout(TIMEOUT, self.inbox.recv()).await;
         match input.expect("an event in time") {
             Some(NodeInput::Link(event)) => event,
             other => panic!("unexpected {other:?}"),
@@ -112,15 +112,15 @@
     }
 
     pub async fn expect_quiet(&mut self) {
-        if let Ok(event) = time::timeout(QUIET, self.inbox.recv()).await {
+        if let Ok(event) = time::timeout(QUIET_PERIOD, self.inbox.recv()).await {
             panic!("unexpected {event:?}");
         }
     }
 
-    pub async fn until(&mut self, what: &str, mut met: impl FnMut(&mut LinkHub) -> bool) {
-        let began = Instant::now();
+    pub async fn wait_until(&mut self, what: &str, mut met: impl FnMut(&mut LinkHub) -> bool) {
+        let started = Instant::now();
         while !met(&mut self.hub) {
-            assert!(began.elapsed() < PATIENCE, "{what}: not met in time");
+            assert!(started.elapsed() < TIMEOUT, "{what}: not met in time");
             time::sleep(Duration::from_millis(5)).await;
         }
     }
@@ -131,51 +131,51 @@
 /// host behind it new connections are closed at once.
 pub struct TestProxy {
     pub address: SocketAddr,
-    pub behind: watch::Sender<Option<SocketAddr>>,
+    pub upstream: watch::Sender<Option<SocketAddr>>,
     pub cut: watch::Sender<u64>,
     pub opened: Arc<AtomicU64>,
     pub forwarded: Arc<AtomicU64>,
 }
 
 impl TestProxy {
-    pub async fn start(to: Option<SocketAddr>) -> Self {
-        TestProxy::start_slow(to, Duration::ZERO).await
+    pub async fn start(upstream: Option<SocketAddr>) -> Self {
+        TestProxy::start_slow(upstream, Duration::ZERO).await
     }
 
     /// Start a proxy that holds back what comes from the host behind it.
-    pub async fn start_slow(to: Option<SocketAddr>, delay: Duration) -> Self {
+    pub async fn start_slow(upstream: Option<SocketAddr>, delay: Duration) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let (cut, cuts) = watch::channel(0);
-        let (behind, to) = watch::channel(to);
+        let (upstream, current_upstream) = watch::channel(upstream);
         let (opened, forwarded) = (Arc::<AtomicU64>::default(), Arc::<AtomicU64>::default());
         let (count, bytes) = (Arc::clone(&opened), Arc::clone(&forwarded));
         tokio::spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
+            while let Ok((client, _)) = listener.accept().await {
                 let number = count.fetch_add(1, Ordering::Relaxed) + 1;
-                let Some(to) = *to.borrow() else {
+                let Some(upstream) = *current_upstream.borrow() else {
                     continue;
                 };
-                let far = TcpStream::connect(to).await.unwrap();
-                near.set_nodelay(true).unwrap();
-                far.set_nodelay(true).unwrap();
-                let (near_reader, near_writer) = near.into_split();
-                let (far_reader, far_writer) = far.into_split();
-                let ways = [
-                    (near_reader, far_writer, Duration::ZERO),
-                    (far_reader, near_writer, delay),
+                let server = TcpStream::connect(upstream).await.unwrap();
+                client.set_nodelay(true).unwrap();
+                server.set_nodelay(true).unwrap();
+                let (client_reader, client_writer) = client.into_split();
+                let (server_reader, server_writer) = server.into_split();
+                let directions = [
+                    (client_reader, server_writer, Duration::ZERO),
+                    (server_reader, client_writer, delay),
                 ];
-                for (reader, writer, delay) in ways {
+                for (reader, writer, delay) in directions {
                     let cuts = cuts.clone();
                     let bytes = Arc::clone(&bytes);
-                    let way = forward(reader, writer, number, delay, cuts, bytes);
-                    tokio::spawn(way);
+                    let direction = forward(reader, writer, number, delay, cuts, bytes);
+                    tokio::spawn(direction);
                 }
             }
         });
         TestProxy {
             address,
-            behind,
+            upstream,
             cut,
             opened,
             forwarded,
@@ -187,7 +187,7 @@
     }
 
     /// Get the entry of a host that is reached through the proxy.
-    pub fn before(&self, host: &TestHost) -> EntryHost {
+    pub fn entry_of(&self, host: &TestHost) -> EntryHost {
         EntryHost {
             link_address: self.address,
             ..host.entry.clone()
@@ -227,7 +227,7 @@
     pub requests: SendRequest<Bytes>,
     pub hello: Hello,
     /// The field that it does not know.
-    pub unknown_field: &'static str,
+    pub omitted_field: &'static str,
 }
 
 impl RawPeer {
@@ -242,11 +242,11 @@
         RawPeer {
             requests,
             hello: Hello::new(&incarnation),
-            unknown_field: "",
+            omitted_field: "",
         }
     }
 
-    pub async fn ask(
+    pub async fn send_request(
         &mut self,
         method: Method,
         fields: HeaderMap,
@@ -257,33 +257,33 @@
         let end = method == Method::GET;
         *request.method_mut() = method;
         let (answer, writer) = self.requests.send_request(request, end).unwrap();
-        let answer = time::timeout(PATIENCE, answer).await.unwrap().unwrap();
+        let answer = time::timeout(TIMEOUT, answer).await.unwrap().unwrap();
         (answer, writer)
     }
 
-    pub async fn say_hello(&mut self) -> Response<RecvStream> {
+    pub async fn send_hello(&mut self) -> Response<RecvStream> {
         let mut fields = HeaderMap::new();
         self.hello.write(&mut fields);
-        if !self.unknown_field.is_empty() {
-            fields.remove(self.unknown_field);
+        if !self.omitted_field.is_empty() {
+            fields.remove(self.omitted_field);
         }
-        self.ask(Method::GET, fields).await.0
+        self.send_request(Method::GET, fields).await.0
     }
 
-    pub async fn prove(&mut self, key: &str) -> (Response<RecvStream>, SendStream<Bytes>) {
-        let answer = self.say_hello().await;
+    pub async fn authenticate(&mut self, key: &str) -> (Response<RecvStream>, SendStream<Bytes>) {
+        let answer = self.send_hello().await;
         let pair = HelloPair {
             dialler: self.hello.clone(),
             acceptor: Hello::read(answer.headers()).unwrap(),
         };
         let mut fields = HeaderMap::new();
         pair.write_proof(&LinkKey::new(key), LinkRole::Dialler, &mut fields);
-        self.ask(Method::POST, fields).await
+        self.send_request(Method::POST, fields).await
     }
 }
 
 pub async fn body_text(answer: Response<RecvStream>) -> String {
     let mut body = answer.into_body();
-    let data = time::timeout(PATIENCE, body.data()).await.unwrap();
+    let data = time::timeout(TIMEOUT, body.data()).await.unwrap();
     String::from_utf8(data.unwrap().unwrap().to_vec()).unwrap()
 }
--- a/bergamotswitch-net/tests/peer_links.rs
+++ b/bergamotswitch-net/tests/peer_links.rs
@@ -24,19 +24,25 @@
 #[tokio::test]
 async fn messages_in_order() {
     let (mut a, mut b) = pair();
-    assert!(!a.hub.send(&b.incarnation.host, &beat(0)));
+    assert!(!a.hub.send(&b.incarnation.host, &heartbeat(0)));
     a.hub.connect(&b.entry);
     a.expect(LinkEvent::Up(b.incarnation.clone())).await;
     b.expect(LinkEvent::Up(a.incarnation.clone())).await;
     for sequence in 0..2_000 {
-        assert!(a.hub.send(&b.incarnation.host, &beat(sequence)));
-        assert!(b.hub.send(&a.incarnation.host, &beat(sequence)));
+        assert!(a.hub.send(&b.incarnation.host, &heartbeat(sequence)));
+        assert!(b.hub.send(&a.incarnation.host, &heartbeat(sequence)));
     }
     for sequence in 0..2_000 {
-        a.expect(LinkEvent::Message(b.incarnation.clone(), beat(sequence)))
-            .await;
-        b.expect(LinkEvent::Message(a.incarnation.clone(), beat(sequence)))
-            .await;
+        a.expect(LinkEvent::Message(
+            b.incarnation.clone(),
+            heartbeat(sequence),
+        ))
+        .await;
+        b.expect(LinkEvent::Message(
+            a.incarnation.clone(),
+            heartbeat(sequence),
+        ))
+        .await;
     }
     // The largest values cross each other, far over any window of h2.
     let value = LinkMessage::Revision(RevisionMessage::Whole(PublishedValue {
@@ -72,18 +78,21 @@
 async fn bytes_on_wire() {
     let (mut a, mut b) = pair();
     let proxy = TestProxy::start(Some(b.entry.link_address)).await;
-    a.hub.connect(&proxy.before(&b));
+    a.hub.connect(&proxy.entry_of(&b));
     a.expect(LinkEvent::Up(b.incarnation.clone())).await;
     b.expect(LinkEvent::Up(a.incarnation.clone())).await;
     let handshake = proxy.forwarded.load(Ordering::Relaxed);
-    println!("handshake: about {handshake} bytes both ways");
+    println!("handshake: about {handshake} bytes both directions");
     for sequence in 0..200 {
-        assert!(a.hub.send(&b.incarnation.host, &beat(sequence)));
-        b.expect(LinkEvent::Message(a.incarnation.clone(), beat(sequence)))
-            .await;
+        assert!(a.hub.send(&b.incarnation.host, &heartbeat(sequence)));
+        b.expect(LinkEvent::Message(
+            a.incarnation.clone(),
+            heartbeat(sequence),
+        ))
+        .await;
     }
     let bytes = proxy.forwarded.load(Ordering::Relaxed) - handshake;
-    let frame = codec::encoded_len(&beat(100)) as u64;
+    let frame = codec::encoded_len(&heartbeat(100)) as u64;
     println!(
         "a message alone: {} bytes on TCP, {frame} of them its frame",
         bytes / 200
@@ -98,12 +107,12 @@
     // Symptom: a stranger's asks take slots. Sequence: a process that knows a
     // host's name but not the key connects. Cause: the name alone was trusted.
     let (mut a, mut b) = pair();
-    let roster = list(&[&a, &b]);
+    let roster = host_list(&[&a, &b]);
     a.hub.set_roster(&roster, "another key");
     a.hub.connect(&b.entry);
-    b.until("refusal", |hub| hub.counters().refused.bad_proof > 0)
+    b.wait_until("refusal", |hub| hub.counters().refused.bad_proof > 0)
         .await;
-    a.until("told", |hub| hub.counters().refused_by_peers > 0)
+    a.wait_until("told", |hub| hub.counters().refused_by_peers > 0)
         .await;
     a.expect_quiet().await;
     b.expect_quiet().await;
@@ -123,7 +132,7 @@
     let mut fields = HeaderMap::new();
     peer.hello.write(&mut fields);
     fields.insert("link-version", HeaderValue::from(7));
-    let (answer, _) = peer.ask(Method::GET, fields).await;
+    let (answer, _) = peer.send_request(Method::GET, fields).await;
     assert_eq!(answer.status(), StatusCode::UPGRADE_REQUIRED);
     let text = body_text(answer).await;
     assert_eq!(text, "link version \"7\" is not spoken here, only 2");
@@ -135,14 +144,14 @@
 async fn unlisted_host() {
     let (_a, mut b) = pair();
     for name in ["stranger", "b"] {
-        let answer = RawPeer::connect(&b, name, 1).await.say_hello().await;
+        let answer = RawPeer::connect(&b, name, 1).await.send_hello().await;
         assert_eq!(answer.status(), StatusCode::FORBIDDEN);
     }
     assert_eq!(b.hub.counters().refused.unknown_host, 2);
     // Before the roster is known, and with an empty one, none may link.
     for _ in 0..2 {
         b.hub.set_roster(&HostList::default(), KEY);
-        let answer = RawPeer::connect(&b, "a", 1).await.say_hello().await;
+        let answer = RawPeer::connect(&b, "a", 1).await.send_hello().await;
         assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
     }
     assert_eq!(b.hub.counters().refused.not_ready, 2);
@@ -155,15 +164,15 @@
     let (mut a, mut b) = pair();
     a.hub.connect(&b.entry);
     b.expect(LinkEvent::Up(a.incarnation.clone())).await;
-    let roster = list(&[&b]);
+    let roster = host_list(&[&b]);
     b.hub.set_roster(&roster, KEY);
     b.expect(LinkEvent::Down(a.incarnation.clone())).await;
-    b.until("refusal", |hub| hub.counters().refused.unknown_host > 0)
+    b.wait_until("refusal", |hub| hub.counters().refused.unknown_host > 0)
         .await;
 }
 
 #[test]
-fn proof_bound() {
+fn proof_binding() {
     // Symptom: a stranger is taken for a host. Sequence: it sends a recorded
     // proof, or sends the prover's own proof back. Cause: a proof that is not
     // bound to this handshake and to its side.
@@ -197,30 +206,33 @@
     // new connections work. Cause: only an answered PING proves a connection.
     let (mut a, mut b) = pair();
     let proxy = TestProxy::start(Some(b.entry.link_address)).await;
-    a.hub.connect(&proxy.before(&b));
+    a.hub.connect(&proxy.entry_of(&b));
     a.expect(LinkEvent::Up(b.incarnation.clone())).await;
     b.expect(LinkEvent::Up(a.incarnation.clone())).await;
     // An idle link that answers its PINGs stays.
     a.expect_quiet().await;
-    let began = Instant::now();
+    let started = Instant::now();
     proxy.cut();
     a.expect(LinkEvent::Down(b.incarnation.clone())).await;
-    println!("down {} ms after the cut", began.elapsed().as_millis());
+    println!("down {} ms after the cut", started.elapsed().as_millis());
     // Half a second is the bound of these options; the rest is for a busy
     // machine.
-    assert!(began.elapsed() < Duration::from_secs(5));
+    assert!(started.elapsed() < Duration::from_secs(5));
     a.expect(LinkEvent::Up(b.incarnation.clone())).await;
-    println!("up again after {} ms", began.elapsed().as_millis());
+    println!("up again after {} ms", started.elapsed().as_millis());
     assert_eq!(proxy.opened.load(Ordering::Relaxed), 2);
     // The acceptor sees the same peer come again, or its silence before it;
     // either way the peer is up in the end, and messages pass.
-    a.hub.send(&b.incarnation.host, &beat(1));
+    a.hub.send(&b.incarnation.host, &heartbeat(1));
     let mut event = b.event().await;
     if event == LinkEvent::Down(a.incarnation.clone()) {
         b.expect(LinkEvent::Up(a.incarnation.clone())).await;
         event = b.event().await;
     }
-    assert_eq!(event, LinkEvent::Message(a.incarnation.clone(), beat(1)));
+    assert_eq!(
+        event,
+        LinkEvent::Message(a.incarnation.clone(), heartbeat(1))
+    );
     a.expect_quiet().await;
     b.expect_quiet().await;
     assert_eq!(a.hub.counters().silent, 1);
@@ -233,17 +245,17 @@
     // Cause: an end that is never noticed, or never tried again.
     let (mut a, mut b) = pair();
     let proxy = TestProxy::start(Some(b.entry.link_address)).await;
-    a.hub.connect(&proxy.before(&b));
+    a.hub.connect(&proxy.entry_of(&b));
     a.expect(LinkEvent::Up(b.incarnation.clone())).await;
     b.expect(LinkEvent::Up(a.incarnation.clone())).await;
-    proxy.behind.send_replace(None);
+    proxy.upstream.send_replace(None);
     proxy.cut();
     a.expect(LinkEvent::Down(b.incarnation.clone())).await;
     b.expect(LinkEvent::Down(a.incarnation.clone())).await;
-    assert!(!a.hub.send(&b.incarnation.host, &beat(1)));
-    assert!(!b.hub.send(&a.incarnation.host, &beat(1)));
+    assert!(!a.hub.send(&b.incarnation.host, &heartbeat(1)));
+    assert!(!b.hub.send(&a.incarnation.host, &heartbeat(1)));
     a.expect_quiet().await;
-    proxy.behind.send_replace(Some(b.entry.link_address));
+    proxy.upstream.send_replace(Some(b.entry.link_address));
     a.expect(LinkEvent::Up(b.incarnation.clone())).await;
     b.expect(LinkEvent::Up(a.incarnation.clone())).await;
     assert_eq!(a.hub.counters().silent + b.hub.counters().silent, 2);
@@ -254,13 +266,13 @@
     // Symptom: facts of a dead run are taken for facts of its successor.
     // Sequence: a host dies without a word (its connection stays open) and
     // its successor links. Cause: the link was known by name only.
-    let slow = fast().with_ping_timeout(PATIENCE);
+    let slow = fast_options().with_ping_timeout(TIMEOUT);
     let (mut a, mut b) = (host_with("a", 1, slow), host("b", 2));
-    let roster = list(&[&a, &b]);
+    let roster = host_list(&[&a, &b]);
     a.hub.set_roster(&roster, KEY);
     b.hub.set_roster(&roster, KEY);
     let proxy = TestProxy::start(Some(a.entry.link_address)).await;
-    b.hub.connect(&proxy.before(&a));
+    b.hub.connect(&proxy.entry_of(&a));
     a.expect(LinkEvent::Up(b.incarnation.clone())).await;
     proxy.cut();
     let dead = b.incarnation.clone();
@@ -272,8 +284,8 @@
     a.expect(LinkEvent::Down(dead)).await;
     a.expect(LinkEvent::Up(b.incarnation.clone())).await;
     b.expect(LinkEvent::Up(a.incarnation.clone())).await;
-    assert!(a.hub.send(&b.incarnation.host, &beat(1)));
-    b.expect(LinkEvent::Message(a.incarnation.clone(), beat(1)))
+    assert!(a.hub.send(&b.incarnation.host, &heartbeat(1)));
+    b.expect(LinkEvent::Message(a.incarnation.clone(), heartbeat(1)))
         .await;
     a.expect_quiet().await;
 }
@@ -284,18 +296,18 @@
     // that is not there yet, then one that comes back at its address as a new
     // run. Cause: an attempt that is not repeated, or the old run kept.
     let (mut a, b) = pair();
-    let roster = list(&[&a, &b]);
+    let roster = host_list(&[&a, &b]);
     let proxy = TestProxy::start(None).await;
-    a.hub.connect(&proxy.before(&b));
+    a.hub.connect(&proxy.entry_of(&b));
     a.expect_quiet().await;
     assert!(proxy.opened.load(Ordering::Relaxed) > 1);
     for incarnation in [3, 4, 5] {
         let mut b = host("b", incarnation);
         b.hub.set_roster(&roster, KEY);
-        proxy.behind.send_replace(Some(b.entry.link_address));
+        proxy.upstream.send_replace(Some(b.entry.link_address));
         a.expect(LinkEvent::Up(b.incarnation.clone())).await;
         b.expect(LinkEvent::Up(a.incarnation.clone())).await;
-        proxy.behind.send_replace(None);
+        proxy.upstream.send_replace(None);
         let incarnation = b.incarnation.clone();
         drop(b);
         a.expect(LinkEvent::Down(incarnation)).await;
@@ -333,8 +345,8 @@
     let (mut a, mut b) = pair();
     let slow = Duration::from_millis(100);
     let proxy = TestProxy::start_slow(Some(b.entry.link_address), slow).await;
-    a.hub.connect(&proxy.before(&b));
-    a.until("dialled", |_| proxy.opened.load(Ordering::Relaxed) > 0)
+    a.hub.connect(&proxy.entry_of(&b));
+    a.wait_until("dialled", |_| proxy.opened.load(Ordering::Relaxed) > 0)
         .await;
     b.hub.connect(&a.entry);
     a.expect(LinkEvent::Up(b.incarnation.clone())).await;
@@ -346,18 +358,18 @@
     assert_eq!(proxy.opened.load(Ordering::Relaxed), 1);
 }
 
-/// Send both ways for a while. What is sent while two connections settle may
+/// Send both directions for a while. What is sent while two connections settle may
 /// be lost; what comes, comes in order, and the peers stay up.
 async fn exchange(a: &mut TestHost, b: &mut TestHost, first: u64) {
     let (mut last_a, mut last_b) = (first, first);
     let mut sequence = first;
-    let began = Instant::now();
+    let started = Instant::now();
     while sequence < first + 30 || last_a < sequence || last_b < sequence {
-        assert!(began.elapsed() < PATIENCE, "{last_a} {last_b} {sequence}");
+        assert!(started.elapsed() < TIMEOUT, "{last_a} {last_b} {sequence}");
         if sequence < first + 30 {
             sequence += 1;
-            assert!(a.hub.send(&b.incarnation.host, &beat(sequence)));
-            assert!(b.hub.send(&a.incarnation.host, &beat(sequence)));
+            assert!(a.hub.send(&b.incarnation.host, &heartbeat(sequence)));
+            assert!(b.hub.send(&a.incarnation.host, &heartbeat(sequence)));
         }
         time::sleep(Duration::from_millis(1)).await;
         drain(a, &mut last_a);
@@ -369,9 +381,9 @@
 fn drain(host: &mut TestHost, last: &mut u64) {
     while let Ok(input) = host.inbox.try_recv() {
         match input {
-            NodeInput::Link(LinkEvent::Message(_, LinkMessage::Heartbeat(beat))) => {
-                assert!(beat.sequence > *last);
-                *last = beat.sequence;
+            NodeInput::Link(LinkEvent::Message(_, LinkMessage::Heartbeat(heartbeat))) => {
+                assert!(heartbeat.sequence > *last);
+                *last = heartbeat.sequence;
             }
             other => panic!("unexpected {other:?}"),
         }
@@ -382,19 +394,19 @@
 async fn oversize_frame() {
     let (a, mut b) = pair();
     let mut peer = RawPeer::connect(&b, "a", 1).await;
-    let (answer, mut writer) = peer.prove(KEY).await;
+    let (answer, mut writer) = peer.authenticate(KEY).await;
     assert_eq!(answer.status(), StatusCode::OK);
     b.expect(LinkEvent::Up(a.incarnation.clone())).await;
     writer
-        .send_data(codec::encode(&beat(5)).unwrap(), false)
+        .send_data(codec::encode(&heartbeat(5)).unwrap(), false)
         .unwrap();
     writer
         .send_data(Bytes::from_static(&[255; 8]), false)
         .unwrap();
-    b.expect(LinkEvent::Message(a.incarnation.clone(), beat(5)))
+    b.expect(LinkEvent::Message(a.incarnation.clone(), heartbeat(5)))
         .await;
     b.expect(LinkEvent::Down(a.incarnation.clone())).await;
-    b.until("counted", |hub| hub.counters().malformed == 1)
+    b.wait_until("counted", |hub| hub.counters().malformed == 1)
         .await;
 }
 
@@ -421,33 +433,33 @@
 async fn older_peer() {
     let (mut a, mut b) = (host("a", 1), host("b", 2));
     let c = host("c", 3);
-    let roster = list(&[&a, &b, &c]);
+    let roster = host_list(&[&a, &b, &c]);
     a.hub.set_roster(&roster, KEY);
     b.hub.set_roster(&roster, KEY);
     a.hub.connect(&b.entry);
     a.expect(LinkEvent::Up(b.incarnation.clone())).await;
     b.expect(LinkEvent::Up(a.incarnation.clone())).await;
     let mut older = RawPeer::connect(&a, "c", 3).await;
-    older.unknown_field = "link-messages";
-    let (answer, _writer) = older.prove(KEY).await;
+    older.omitted_field = "link-messages";
+    let (answer, _writer) = older.authenticate(KEY).await;
     assert_eq!(answer.status(), StatusCode::OK);
     a.expect(LinkEvent::Up(c.incarnation.clone())).await;
     // It gets what it knows, and nothing else; one of this version gets both.
     for host in [&b.incarnation.host, &c.incarnation.host] {
         let sent = a.hub.send(host, &quota_levels());
         assert_eq!(sent, *host == b.incarnation.host);
-        assert!(a.hub.send(host, &beat(1)));
+        assert!(a.hub.send(host, &heartbeat(1)));
     }
-    for message in [quota_levels(), beat(1)] {
+    for message in [quota_levels(), heartbeat(1)] {
         b.expect(LinkEvent::Message(a.incarnation.clone(), message))
             .await;
     }
     let mut body = answer.into_body();
-    let data = time::timeout(PATIENCE, body.data()).await.unwrap();
+    let data = time::timeout(TIMEOUT, body.data()).await.unwrap();
     let mut frames = FrameReader::default();
     frames.push(&data.unwrap().unwrap());
     let first = frames.next_frame().unwrap().unwrap();
-    assert_eq!(first.message, beat(1));
+    assert_eq!(first.message, heartbeat(1));
     assert_eq!(a.hub.counters().dropped, 1);
 }
 
@@ -457,39 +469,39 @@
 async fn dialled_again() {
     let mut a = host("a", 1);
     let c = host("c", 3);
-    a.hub.set_roster(&list(&[&a, &c]), KEY);
+    a.hub.set_roster(&host_list(&[&a, &c]), KEY);
     let mut sessions = Vec::new();
     for _ in 0..2 {
         let mut peer = RawPeer::connect(&a, "c", 3).await;
-        sessions.push(peer.prove(KEY).await);
+        sessions.push(peer.authenticate(KEY).await);
         a.expect(LinkEvent::Up(c.incarnation.clone())).await;
     }
     a.expect_quiet().await;
 }
 
 #[tokio::test]
-async fn unread_peer() {
+async fn peer_not_reading() {
     // Symptom: a host's memory grows until it dies. Sequence: a peer stays
     // connected, answers PINGs and reads nothing. Cause: a queue without
     // bound, or one queue for all peers.
-    let opts = fast().with_send_queue_bytes(64 << 10);
+    let opts = fast_options().with_send_queue_bytes(64 << 10);
     let (mut a, mut b) = (host_with("a", 1, opts), host("b", 2));
     let c = host("c", 3);
-    let roster = list(&[&a, &b, &c]);
+    let roster = host_list(&[&a, &b, &c]);
     a.hub.set_roster(&roster, KEY);
     b.hub.set_roster(&roster, KEY);
     a.hub.connect(&b.entry);
     a.expect(LinkEvent::Up(b.incarnation.clone())).await;
     b.expect(LinkEvent::Up(a.incarnation.clone())).await;
     let mut peer = RawPeer::connect(&a, "c", 3).await;
-    let (_answer, _writer) = peer.prove(KEY).await;
+    let (_answer, _writer) = peer.authenticate(KEY).await;
     a.expect(LinkEvent::Up(c.incarnation.clone())).await;
 
     let mut taken = 0;
-    let began = Instant::now();
-    while a.hub.send(&c.incarnation.host, &beat(taken)) {
+    let started = Instant::now();
+    while a.hub.send(&c.incarnation.host, &heartbeat(taken)) {
         taken += 1;
-        assert!(began.elapsed() < PATIENCE, "still taken: {taken}");
+        assert!(started.elapsed() < TIMEOUT, "still taken: {taken}");
         // Now and then the tasks get their turn to send.
         if taken % 100 == 0 {
             time::sleep(Duration::from_millis(1)).await;
@@ -497,45 +509,45 @@
     }
     println!("{taken} messages taken by a peer that does not read");
     a.expect(LinkEvent::Down(c.incarnation.clone())).await;
-    assert!(!a.hub.send(&c.incarnation.host, &beat(0)));
+    assert!(!a.hub.send(&c.incarnation.host, &heartbeat(0)));
     let counters = a.hub.counters();
     assert_eq!(counters.overflows, 1);
     // The queue is bounded by what it takes in memory, not by its bytes.
     let waited = counters.dropped as usize;
     assert!((100..=(64 << 10) / 96 + 1).contains(&waited), "{waited}");
     // The other peer noticed nothing.
-    assert!(a.hub.send(&b.incarnation.host, &beat(1)));
-    b.expect(LinkEvent::Message(a.incarnation.clone(), beat(1)))
+    assert!(a.hub.send(&b.incarnation.host, &heartbeat(1)));
+    b.expect(LinkEvent::Message(a.incarnation.clone(), heartbeat(1)))
         .await;
     a.expect_quiet().await;
 }
 
 #[tokio::test]
-async fn unproven_connections() {
+async fn handshake_limit() {
     // Symptom: no host can link. Sequence: strangers open connections and say
     // nothing. Cause: connections in their handshake without bound in number
     // and time.
-    let opts = fast()
+    let opts = fast_options()
         .with_handshake_limit(2)
         .with_handshake_timeout(Duration::from_millis(300));
     let mut a = host_with("a", 1, opts);
     let address = a.entry.link_address;
-    let mut strangers = Vec::new();
+    let mut streams = Vec::new();
     for _ in 0..3 {
-        strangers.push(TcpStream::connect(address).await.unwrap());
+        streams.push(TcpStream::connect(address).await.unwrap());
     }
-    a.until("one too many", |hub| hub.counters().refused.too_many == 1)
+    a.wait_until("one too many", |hub| hub.counters().refused.too_many == 1)
         .await;
-    a.until("others late", |hub| hub.counters().refused.timeout == 2)
+    a.wait_until("others late", |hub| hub.counters().refused.timeout == 2)
         .await;
-    for mut stranger in strangers {
+    for mut stream in streams {
         let mut sent = Vec::new();
-        let closed = time::timeout(PATIENCE, stranger.read_to_end(&mut sent)).await;
+        let closed = time::timeout(TIMEOUT, stream.read_to_end(&mut sent)).await;
         assert!(closed.is_ok(), "closed by the host");
     }
     // The places are free again.
     let mut b = host("b", 2);
-    let roster = list(&[&a, &b]);
+    let roster = host_list(&[&a, &b]);
     a.hub.set_roster(&roster, KEY);
     b.hub.set_roster(&roster, KEY);
     b.hub.connect(&a.entry);
--- a/bergamotswitch-net/tests/pending_lines.rs
+++ b/bergamotswitch-net/tests/pending_lines.rs
@@ -6,7 +6,7 @@
 use bergamotswitch_net::pending_lines::{LineKind, PendingLines};
 
 /// More lines than one interval takes of any kind.
-const MANY: usize = 400;
+const LINE_COUNT: usize = 400;
 /// The bytes of a line about a request's end.
 const LINE_BYTES: usize = 450;
 /// What may wait at the most, the line that goes beyond it included.
@@ -30,51 +30,54 @@
 }
 
 /// Take the lines, counted by their numbers, and those left out.
-fn taken(lines: &mut PendingLines) -> (BTreeMap<u16, u64>, BTreeMap<u16, u64>) {
-    let (bytes, left_out) = lines.take();
+fn take_counts(lines: &mut PendingLines) -> (BTreeMap<u16, u64>, BTreeMap<u16, u64>) {
+    let (bytes, dropped) = lines.take();
     let mut kept = BTreeMap::new();
     for line in String::from_utf8(bytes).expect("text").lines() {
         let number = line.trim().parse().expect("number");
         *kept.entry(number).or_default() += 1;
     }
-    (kept, left_out)
+    (kept, dropped)
 }
 
 // Symptom: the log of a crowded second has no line that says why. Sequence: more
 // lines about calls than an interval takes, then a warning, an error and a step of
 // a planned stop. Cause: one bound for all kinds.
 #[test]
-fn needed_among_many() {
+fn priority_lines_kept() {
     let mut lines = PendingLines::default();
-    for _ in 0..MANY {
+    for _ in 0..LINE_COUNT {
         add(&mut lines, Incident::RequestEnded);
     }
-    let needed = [
+    let priority = [
         Incident::TargetBackedOff,
         Incident::RequestLost,
         Incident::StopBegun,
     ];
-    for incident in needed {
+    for incident in priority {
         add(&mut lines, incident);
     }
-    let (kept, left_out) = taken(&mut lines);
+    let (kept, dropped) = take_counts(&mut lines);
     assert_eq!(kept, [(101, 1), (201, 1), (206, 50), (302, 1)].into());
-    assert_eq!(left_out, [(206, 350)].into());
+    assert_eq!(dropped, [(206, 350)].into());
 }
 
 #[test]
-fn storm_of_warnings() {
+fn warning_burst() {
     let mut lines = PendingLines::default();
-    for _ in 0..MANY {
+    for _ in 0..LINE_COUNT {
         add(&mut lines, Incident::DegradedAdmission);
         add(&mut lines, Incident::RequestEnded);
     }
-    let (kept, left_out) = taken(&mut lines);
+    let (kept, dropped) = take_counts(&mut lines);
     assert_eq!(kept, [(205, 50), (206, 50)].into());
-    assert_eq!(left_out, [(205, 350), (206, 350)].into());
+    assert_eq!(dropped, [(205, 350), (206, 350)].into());
     // The next interval begins anew.
     add(&mut lines, Incident::RequestEnded);
-    assert_eq!(taken(&mut lines), ([(206, 1)].into(), BTreeMap::new()));
+    assert_eq!(
+        take_counts(&mut lines),
+        ([(206, 1)].into(), BTreeMap::new())
+    );
     assert!(lines.is_empty());
 }
 
@@ -82,21 +85,24 @@
 // grace is nearly over, and each open request has two lines at once. Cause: bounds
 // that are there for what else runs.
 #[test]
-fn last_lines() {
+fn termination_lines() {
     let mut lines = PendingLines::default();
     add(&mut lines, Incident::GraceEnding);
-    for _ in 0..MANY {
+    for _ in 0..LINE_COUNT {
         add(&mut lines, Incident::RequestOpen);
     }
     assert_eq!(
-        taken(&mut lines),
+        take_counts(&mut lines),
         ([(109, 1), (207, 400)].into(), BTreeMap::new())
     );
     // Those of the requests' ends may come an interval later.
-    for _ in 0..MANY {
+    for _ in 0..LINE_COUNT {
         add(&mut lines, Incident::RequestEnded);
     }
-    assert_eq!(taken(&mut lines), ([(206, 400)].into(), BTreeMap::new()));
+    assert_eq!(
+        take_counts(&mut lines),
+        ([(206, 400)].into(), BTreeMap::new())
+    );
 }
 
 // Symptom: a host's memory grows until it is killed. Sequence: nothing is written
@@ -105,10 +111,10 @@
 fn bounded_bytes() {
     let mut lines = PendingLines::default();
     add(&mut lines, Incident::GraceEnding);
-    for _ in 0..10 * MANY {
+    for _ in 0..10 * LINE_COUNT {
         add(&mut lines, Incident::RequestOpen);
     }
-    let (bytes, left_out) = lines.take();
+    let (bytes, dropped) = lines.take();
     assert!(bytes.len() <= MAX_BYTES, "{}", bytes.len());
-    assert!(left_out[&207] > 0);
+    assert!(dropped[&207] > 0);
 }
--- a/bergamotswitch-net/tests/roster_bytes.rs
+++ b/bergamotswitch-net/tests/roster_bytes.rs
@@ -7,14 +7,14 @@
 use bergamotswitch_core::roster::{MemberFlags, MemberRecord, Roster, RosterMessage};
 
 /// A time of day in milliseconds.
-const DAY_START: u64 = 1_790_000_000_000;
+const START_MS: u64 = 1_790_000_000_000;
 /// The rounds that are watched, and their time: 300 ms each.
 const ROUNDS: u64 = 200;
 const ROUND_MS: u64 = 300;
 /// A host's budget for control, in bytes a second.
 const BUDGET: f64 = 3_000.0;
 
-fn entry(index: usize) -> EntryHost {
+fn host_entry(index: usize) -> EntryHost {
     let address: SocketAddr = ([10, 0, (index / 250) as u8, (index % 250) as u8], 9_000).into();
     EntryHost {
         name: format!("frontend-vantaa-hall-{index}")
@@ -30,14 +30,14 @@
     }
 }
 
-fn news(index: usize, now_ms: u64) -> RosterMessage {
+fn roster_message(index: usize, now_ms: u64) -> RosterMessage {
     let flags = MemberFlags {
         ready: true,
         leaving: false,
     };
     let sender = MemberRecord {
-        host: entry(index),
-        stamp: DAY_START + now_ms,
+        host: host_entry(index),
+        stamp: START_MS + now_ms,
         flags,
     };
     RosterMessage {
@@ -51,15 +51,15 @@
 /// Get the bytes a second that one host of so many sends in its rounds, all
 /// others being heard of in each.
 fn sent_rate(count: usize) -> f64 {
-    let seeds = vec![entry(1).link_address];
-    let mut roster = Roster::new(entry(0), seeds, DAY_START, 7);
+    let seeds = vec![host_entry(1).link_address];
+    let mut roster = Roster::new(host_entry(0), seeds, START_MS, 7);
     let mut bytes = 0;
     for round in 0..ROUNDS {
         let now_ms = round * ROUND_MS;
         let now = Moment::from_millis(now_ms);
         for index in 1..count {
             // News of others is some rounds old when it arrives.
-            roster.handle(now, news(index, now_ms.saturating_sub(900)));
+            roster.handle(now, roster_message(index, now_ms.saturating_sub(900)));
         }
         for action in roster.tick(now) {
             let config = bincode::config::standard();
