--- a/bergamotswitch-net/tests/event_catalogue.rs
+++ b/bergamotswitch-net/tests/event_catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogue of numbered events and the code say the same.
+//! Tests that the event catalogue in `docs/EVENTS.md` matches the events in the code.
 
 use bergamotswitch_core::incident::{Incident, Level};
 
@@ -16,7 +16,7 @@
     let mut rows = Vec::new();
     for line in CATALOGUE.lines() {
         let cells: Vec<&str> = line.split('|').map(str::trim).collect();
-        // A row begins and ends with a bar; its first cell is a number.
+        // Event rows start and end with a bar and have a number in the first cell.
         let [_, number, level, text, when, response, _] = cells[..] else {
             continue;
         };
--- a/bergamotswitch-net/tests/event_log_lines.rs
+++ b/bergamotswitch-net/tests/event_log_lines.rs
@@ -1,4 +1,4 @@
-//! What the log writes.
+//! Tests of the log's line formats.
 
 use std::sync::Mutex;
 
@@ -7,7 +7,7 @@
 use flexi_logger::{DeferredNow, json_format};
 use log::{Log, Metadata, Record};
 
-/// A `LineRecorder` keeps each line in both formats.
+/// A `LineRecorder` is a logger that records each line in both formats.
 struct LineRecorder(Mutex<Vec<[String; 2]>>);
 
 static RECORDER: LineRecorder = LineRecorder(Mutex::new(Vec::new()));
@@ -31,9 +31,8 @@
 
 #[test]
 fn numbered_line() {
-    // Symptom: the log tells of events that never happened.
-    // Sequence: a caller's text with a line break gets into a value.
-    // Cause: values written as they come.
+    // Guards against forged log lines: a value with a line break, such as text from
+    // a caller, must be escaped.
     log::set_logger(&RECORDER).expect("the first logger");
     log::set_max_level(log::LevelFilter::Info);
     let forged = "a\n2026-12-02 ERROR host stopped";
--- a/bergamotswitch-net/tests/link_codec.rs
+++ b/bergamotswitch-net/tests/link_codec.rs
@@ -1,4 +1,4 @@
-//! Tests of the frames of links.
+//! Tests of the frame encoding of links.
 
 use bergamotswitch_core::host::{HostIncarnation, Incarnation};
 use bergamotswitch_core::link::{Heartbeat, LinkMessage, MAX_MESSAGE_LEN};
@@ -183,8 +183,8 @@
 
 #[test]
 fn wire_sizes() {
-    // The sizes decide how many requests a host's control traffic can carry;
-    // a change of a message that makes it larger must be seen.
+    // Guards against changes that enlarge frequent messages, whose size limits how
+    // many requests the control traffic of a host can serve.
     let sizes = [
         ("heartbeat", codec::encoded_len(&heartbeat(100_000)), 24),
         ("ask, no prefixes", codec::encoded_len(&ask(0, false)), 96),
@@ -202,9 +202,8 @@
 
 #[test]
 fn long_message_refused() {
-    // Symptom: a host runs out of memory. Sequence: a peer (or a stray client)
-    // sends a length of 4 GB. Cause: room made before the length was checked.
-    // The highest bit tells whether the message is compressed.
+    // Guards against memory exhaustion by a length prefix of up to 4 GB. The highest
+    // bit of the prefix marks a compressed message.
     for prefix in [u32::MAX, u32::MAX >> 1] {
         let mut reader = FrameReader::default();
         reader.push(&prefix.to_be_bytes());
@@ -229,9 +228,8 @@
 
 #[test]
 fn invalid_bytes_refused() {
-    // Symptom: a slot is granted that nobody asked for. Sequence: a peer with
-    // another layout sends a message. Cause: bytes that do not fit were
-    // guessed at instead of refused.
+    // Guards against wrong decoding of messages from a peer with another message
+    // layout, which could grant a slot that was never requested.
     let unknown_variant = read_body(&[200, 0, 0]);
     assert!(matches!(unknown_variant, Err(CodecError::Malformed(_))));
     let empty = read_body(&[]);
@@ -241,7 +239,7 @@
     longer.extend([0, 0, 0]);
     assert_eq!(read_body(&longer), Err(CodecError::TrailingBytes(3)));
 
-    // A name that no checked type takes is refused, too.
+    // A name with invalid characters is refused, too.
     let mut frame = codec::encode(&whole(1)).unwrap()[LENGTH_BYTES..].to_vec();
     let at = frame.windows(5).position(|w| w == b"rules").unwrap();
     frame[at] = b'/';
@@ -250,8 +248,8 @@
 
 #[test]
 fn inflated_length() {
-    // Symptom: a host runs out of memory. Sequence: a short frame names a list
-    // of 2^60 marks. Cause: the decoder made room for what the list claims.
+    // Guards against memory exhaustion by a short frame that declares a list of 2^60
+    // elements.
     let body = [3, 0, 253, 0, 0, 0, 0, 0, 0, 0, 16];
     assert!(matches!(read_body(&body), Err(CodecError::Malformed(_))));
 }
@@ -283,14 +281,14 @@
 #[test]
 fn arbitrary_bytes() {
     bergamotswitch_draw::for_each::<Vec<u8>>(2_000, |body| {
-        // What is taken is taken whole: written again it is no longer.
+        // A decoded message uses all bytes, so encoding it again is not longer.
         if let Ok(Some(frame)) = read_body(body) {
             assert!(codec::encoded_len(&frame.message) <= frame.len);
         }
     });
 }
 
-/// Get a list of so many targets as a value.
+/// Get a message with a published list of `count` targets.
 fn target_list(count: u32) -> LinkMessage {
     let entries: Vec<String> = (0..count)
         .map(|number| {
@@ -310,10 +308,8 @@
     }))
 }
 
-// Symptom: in a fleet of 300 hosts before 3,000 targets the links of the readers
-// are full for many seconds after a start of all hosts. Sequence: two readers of
-// each failure domain read the list of targets and send it, 400 KB long, to
-// fifty peers each over links of 10 Mbit/s. Cause: values went as plain text.
+// Guards against saturated links when all hosts of a large fleet start and receive
+// the target list: published values must be sent compressed.
 #[test]
 fn compressed_values() {
     let message = target_list(3_000);
@@ -338,9 +334,8 @@
     assert_eq!(codec::encode_compressed(&message).unwrap(), plain);
 }
 
-// Symptom: a host is killed for want of memory. Sequence: a peer sends a
-// compressed message of a few kilobytes that holds gigabytes of one letter.
-// Cause: what it holds was not bounded.
+// Guards against memory exhaustion by a small compressed message that expands beyond
+// the maximum message size.
 #[test]
 fn bounded_expansion() {
     use flate2::Compression;
--- a/bergamotswitch-net/tests/link_support/mod.rs
+++ b/bergamotswitch-net/tests/link_support/mod.rs
@@ -1,4 +1,5 @@
-//! Hosts with links, a path that can be cut, and a peer that speaks by hand.
+//! Provides test hosts with links, a proxy that can be cut, and a peer that speaks
+//! the raw protocol.
 
 use std::net::{SocketAddr, TcpListener as StdListener};
 use std::sync::Arc;
@@ -22,10 +23,10 @@
 
 pub const KEY: &str = "a shared key of the tests";
 
-/// Far beyond what any step takes on a busy machine.
+/// The timeout of each step, far above its duration on a busy machine.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Long enough to see that nothing more comes.
+/// The time for which no event must arrive.
 pub const QUIET_PERIOD: Duration = Duration::from_millis(400);
 
 pub fn fast_options() -> LinkOptions {
@@ -126,9 +127,9 @@
     }
 }
 
-/// A `TestProxy` forwards connections. Those open at a cut go silent: they
-/// stay open, and nothing is forwarded any more, not even a close. Without a
-/// host behind it new connections are closed at once.
+/// A `TestProxy` forwards connections to an upstream host. After a cut, connections
+/// opened before it stay open but forward nothing, not even a close. Without an
+/// upstream, new connections are closed immediately.
 pub struct TestProxy {
     pub address: SocketAddr,
     pub upstream: watch::Sender<Option<SocketAddr>>,
@@ -142,7 +143,7 @@
         TestProxy::start_slow(upstream, Duration::ZERO).await
     }
 
-    /// Start a proxy that holds back what comes from the host behind it.
+    /// Start a proxy that delays the data from the upstream host.
     pub async fn start_slow(upstream: Option<SocketAddr>, delay: Duration) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -186,7 +187,7 @@
         self.cut.send_replace(self.opened.load(Ordering::Relaxed));
     }
 
-    /// Get the entry of a host that is reached through the proxy.
+    /// Get the entry of a host with the proxy's address.
     pub fn entry_of(&self, host: &TestHost) -> EntryHost {
         EntryHost {
             link_address: self.address,
@@ -210,7 +211,7 @@
             _ = cuts.wait_for(|cut| *cut >= number) => None,
             len = reader.read(&mut buffer) => Some(len.unwrap_or(0)),
         };
-        // Both ends stay open while this future is kept.
+        // Both ends stay open while this future is pending.
         let Some(len) = read else {
             return std::future::pending().await;
         };
@@ -222,11 +223,11 @@
     }
 }
 
-/// A `RawPeer` speaks h2 by hand, to send what no hub would.
+/// A `RawPeer` is a peer that speaks the raw protocol, to send what no hub would.
 pub struct RawPeer {
     pub requests: SendRequest<Bytes>,
     pub hello: Hello,
-    /// The field that it does not know.
+    /// The header field that the hello omits, empty for none.
     pub omitted_field: &'static str,
 }
 
--- a/bergamotswitch-net/tests/peer_links.rs
+++ b/bergamotswitch-net/tests/peer_links.rs
@@ -1,4 +1,4 @@
-//! Tests of links between hosts, over sockets.
+//! Tests of links between hosts over sockets.
 
 mod link_support;
 
@@ -44,7 +44,7 @@
         ))
         .await;
     }
-    // The largest values cross each other, far over any window of h2.
+    // Values of about the maximum size, above any HTTP/2 window, in both directions.
     let value = LinkMessage::Revision(RevisionMessage::Whole(PublishedValue {
         name: "rules".try_into().unwrap(),
         revision: Revision(1),
@@ -82,7 +82,7 @@
     a.expect(LinkEvent::Up(b.incarnation.clone())).await;
     b.expect(LinkEvent::Up(a.incarnation.clone())).await;
     let handshake = proxy.forwarded.load(Ordering::Relaxed);
-    println!("handshake: about {handshake} bytes both directions");
+    println!("handshake: about {handshake} bytes in both directions");
     for sequence in 0..200 {
         assert!(a.hub.send(&b.incarnation.host, &heartbeat(sequence)));
         b.expect(LinkEvent::Message(
@@ -94,30 +94,29 @@
     let bytes = proxy.forwarded.load(Ordering::Relaxed) - handshake;
     let frame = codec::encoded_len(&heartbeat(100)) as u64;
     println!(
-        "a message alone: {} bytes on TCP, {frame} of them its frame",
+        "single message: {} bytes on TCP, {frame} of them its frame",
         bytes / 200
     );
-    // 9 bytes are the header of h2; a PING or window update may fall between.
+    // An HTTP/2 frame header has 9 bytes; a PING or window update may add some.
     assert!(bytes >= 200 * (frame + 9) - 200, "{bytes}");
     assert!(bytes < 200 * (frame + 24), "{bytes}");
 }
 
 #[tokio::test]
 async fn wrong_key() {
-    // Symptom: a stranger's asks take slots. Sequence: a process that knows a
-    // host's name but not the key connects. Cause: the name alone was trusted.
+    // Guards against links with a process that knows a host's name but not the key.
     let (mut a, mut b) = pair();
     let roster = host_list(&[&a, &b]);
     a.hub.set_roster(&roster, "another key");
     a.hub.connect(&b.entry);
     b.wait_until("refusal", |hub| hub.counters().refused.bad_proof > 0)
         .await;
-    a.wait_until("told", |hub| hub.counters().refused_by_peers > 0)
+    a.wait_until("refusal by peer", |hub| hub.counters().refused_by_peers > 0)
         .await;
     a.expect_quiet().await;
     b.expect_quiet().await;
 
-    // With the right key the same hosts link.
+    // With the right key, the same hosts link.
     a.hub.set_roster(&roster, KEY);
     a.expect(LinkEvent::Up(b.incarnation.clone())).await;
     b.expect(LinkEvent::Up(a.incarnation.clone())).await;
@@ -125,8 +124,8 @@
 
 #[tokio::test]
 async fn wrong_version() {
-    // Symptom: nonsense in an owner's queue while versions are mixed.
-    // Sequence: a peer of another version links. Cause: no check.
+    // Guards against messages from a peer with another protocol version, which would
+    // be decoded wrongly.
     let (_a, mut b) = pair();
     let mut peer = RawPeer::connect(&b, "a", 1).await;
     let mut fields = HeaderMap::new();
@@ -148,7 +147,7 @@
         assert_eq!(answer.status(), StatusCode::FORBIDDEN);
     }
     assert_eq!(b.hub.counters().refused.unknown_host, 2);
-    // Before the roster is known, and with an empty one, none may link.
+    // No peer may link before the host list is set or with an empty one.
     for _ in 0..2 {
         b.hub.set_roster(&HostList::default(), KEY);
         let answer = RawPeer::connect(&b, "a", 1).await.send_hello().await;
@@ -173,9 +172,8 @@
 
 #[test]
 fn proof_binding() {
-    // Symptom: a stranger is taken for a host. Sequence: it sends a recorded
-    // proof, or sends the prover's own proof back. Cause: a proof that is not
-    // bound to this handshake and to its side.
+    // Guards against replay and reflection: a proof must be bound to its handshake and
+    // to the side that sends it.
     let incarnation = |name: &str| HostIncarnation {
         host: HostName::try_from(name).unwrap(),
         incarnation: Incarnation(1),
@@ -201,28 +199,27 @@
 
 #[tokio::test]
 async fn silent_connection() {
-    // Symptom: a peer seems up and hears nothing for minutes. Sequence: what
-    // stands between loses track of the connection; both ends keep it open,
-    // new connections work. Cause: only an answered PING proves a connection.
+    // Guards against undetected half-open connections, for example after a middlebox
+    // has dropped its state: both ends stay open, and new connections work.
     let (mut a, mut b) = pair();
     let proxy = TestProxy::start(Some(b.entry.link_address)).await;
     a.hub.connect(&proxy.entry_of(&b));
     a.expect(LinkEvent::Up(b.incarnation.clone())).await;
     b.expect(LinkEvent::Up(a.incarnation.clone())).await;
-    // An idle link that answers its PINGs stays.
+    // An idle link that answers PINGs stays up.
     a.expect_quiet().await;
     let started = Instant::now();
     proxy.cut();
     a.expect(LinkEvent::Down(b.incarnation.clone())).await;
     println!("down {} ms after the cut", started.elapsed().as_millis());
-    // Half a second is the bound of these options; the rest is for a busy
-    // machine.
+    // These options detect the cut within half a second; the rest is a margin for a
+    // busy machine.
     assert!(started.elapsed() < Duration::from_secs(5));
     a.expect(LinkEvent::Up(b.incarnation.clone())).await;
     println!("up again after {} ms", started.elapsed().as_millis());
     assert_eq!(proxy.opened.load(Ordering::Relaxed), 2);
-    // The acceptor sees the same peer come again, or its silence before it;
-    // either way the peer is up in the end, and messages pass.
+    // The acceptor either keeps the peer up or reports it as down and up again. In
+    // both cases the peer is up in the end and messages are delivered.
     a.hub.send(&b.incarnation.host, &heartbeat(1));
     let mut event = b.event().await;
     if event == LinkEvent::Down(a.incarnation.clone()) {
@@ -240,9 +237,8 @@
 
 #[tokio::test]
 async fn partition_heals() {
-    // Symptom: two hosts stay apart after a partition. Sequence: what they
-    // send vanishes and no connection can be made, then all is well again.
-    // Cause: an end that is never noticed, or never tried again.
+    // Guards against hosts that stay disconnected after a network partition has
+    // healed.
     let (mut a, mut b) = pair();
     let proxy = TestProxy::start(Some(b.entry.link_address)).await;
     a.hub.connect(&proxy.entry_of(&b));
@@ -263,9 +259,8 @@
 
 #[tokio::test]
 async fn restarted_peer() {
-    // Symptom: facts of a dead run are taken for facts of its successor.
-    // Sequence: a host dies without a word (its connection stays open) and
-    // its successor links. Cause: the link was known by name only.
+    // Guards against state of a terminated incarnation that is attributed to its
+    // successor: the old connection stays open while the restarted host links.
     let slow = fast_options().with_ping_timeout(TIMEOUT);
     let (mut a, mut b) = (host_with("a", 1, slow), host("b", 2));
     let roster = host_list(&[&a, &b]);
@@ -292,9 +287,8 @@
 
 #[tokio::test]
 async fn peer_returns() {
-    // Symptom: a peer that was away stays away. Sequence: a host dials one
-    // that is not there yet, then one that comes back at its address as a new
-    // run. Cause: an attempt that is not repeated, or the old run kept.
+    // Guards against a peer that stays disconnected after it was not reachable yet, or
+    // after it restarted at the same address as a new incarnation.
     let (mut a, b) = pair();
     let roster = host_list(&[&a, &b]);
     let proxy = TestProxy::start(None).await;
@@ -316,9 +310,8 @@
 
 #[tokio::test]
 async fn simultaneous_dial() {
-    // Symptom: links flap for ever after a fleet's start. Sequence: both
-    // sides dial at once, and each closes the connection that the other
-    // keeps. Cause: no common rule for which one stays.
+    // Guards against flapping links when both sides dial at once: they must agree on
+    // the connection to keep.
     let mut pairs = Vec::new();
     for round in 0..20 {
         let (mut a, mut b) = pair();
@@ -329,7 +322,7 @@
         exchange(&mut a, &mut b, round * 1_000).await;
         pairs.push((a, b));
     }
-    // The connections that were not kept are closed after 3 s. Nobody notices.
+    // Closing the redundant connections after 3 s must not affect the links.
     time::sleep(Duration::from_millis(3_500)).await;
     for (a, b) in &mut pairs {
         exchange(a, b, 1_000_000).await;
@@ -338,10 +331,9 @@
 
 #[tokio::test]
 async fn crossed_dial() {
-    // Symptom: a peer is taken as down and up again while a fleet starts.
-    // Sequence: both sides dial; the acceptor of the connection that stays
-    // learns of it first and closes the other one before the dialler has its
-    // answer. Cause: a connection closed that the peer still has in use.
+    // Guards against a peer reported as down and up while both sides dial: the side
+    // that knows first which connection stays must not close the other one while the
+    // peer still uses it.
     let (mut a, mut b) = pair();
     let slow = Duration::from_millis(100);
     let proxy = TestProxy::start_slow(Some(b.entry.link_address), slow).await;
@@ -358,8 +350,8 @@
     assert_eq!(proxy.opened.load(Ordering::Relaxed), 1);
 }
 
-/// Send both directions for a while. What is sent while two connections settle may
-/// be lost; what comes, comes in order, and the peers stay up.
+/// Send heartbeats in both directions for a while. Some may be lost while the sides
+/// agree on a connection, but those delivered are in order and the peers stay up.
 async fn exchange(a: &mut TestHost, b: &mut TestHost, first: u64) {
     let (mut last_a, mut last_b) = (first, first);
     let mut sequence = first;
@@ -377,7 +369,7 @@
     }
 }
 
-/// Take all messages, which must be of rising sequence and nothing else.
+/// Take all inputs, which must be heartbeats with increasing sequence numbers.
 fn drain(host: &mut TestHost, last: &mut u64) {
     while let Ok(input) = host.inbox.try_recv() {
         match input {
@@ -425,10 +417,8 @@
     })
 }
 
-// Symptom: while a fleet is replaced by a newer version, host by host, links
-// between old and new hosts break at each planned stop, and calls wait. Cause:
-// a stopping owner hands its quotas over in a message that the older host takes
-// for no message, and so it drops the link.
+// Guards against links that break during a rolling upgrade because a host sends a
+// message that a peer of an older release does not support.
 #[tokio::test]
 async fn older_peer() {
     let (mut a, mut b) = (host("a", 1), host("b", 2));
@@ -444,7 +434,7 @@
     let (answer, _writer) = older.authenticate(KEY).await;
     assert_eq!(answer.status(), StatusCode::OK);
     a.expect(LinkEvent::Up(c.incarnation.clone())).await;
-    // It gets what it knows, and nothing else; one of this version gets both.
+    // The older peer receives only messages that it supports, the other one both.
     for host in [&b.incarnation.host, &c.incarnation.host] {
         let sent = a.hub.send(host, &quota_levels());
         assert_eq!(sent, *host == b.incarnation.host);
@@ -463,8 +453,8 @@
     assert_eq!(a.hub.counters().dropped, 1);
 }
 
-// Guards against messages that are lost unseen with a connection that the peer has
-// given up before this host.
+// Guards against undetected loss of messages on a connection that the peer has lost
+// before this host detects it: each new session must be reported as up.
 #[tokio::test]
 async fn dialled_again() {
     let mut a = host("a", 1);
@@ -481,9 +471,8 @@
 
 #[tokio::test]
 async fn peer_not_reading() {
-    // Symptom: a host's memory grows until it dies. Sequence: a peer stays
-    // connected, answers PINGs and reads nothing. Cause: a queue without
-    // bound, or one queue for all peers.
+    // Guards against unbounded memory use by a peer that answers PINGs but reads no
+    // messages, and against effects on other peers.
     let opts = fast_options().with_send_queue_bytes(64 << 10);
     let (mut a, mut b) = (host_with("a", 1, opts), host("b", 2));
     let c = host("c", 3);
@@ -497,25 +486,25 @@
     let (_answer, _writer) = peer.authenticate(KEY).await;
     a.expect(LinkEvent::Up(c.incarnation.clone())).await;
 
-    let mut taken = 0;
+    let mut queued = 0;
     let started = Instant::now();
-    while a.hub.send(&c.incarnation.host, &heartbeat(taken)) {
-        taken += 1;
-        assert!(started.elapsed() < TIMEOUT, "still taken: {taken}");
-        // Now and then the tasks get their turn to send.
-        if taken % 100 == 0 {
+    while a.hub.send(&c.incarnation.host, &heartbeat(queued)) {
+        queued += 1;
+        assert!(started.elapsed() < TIMEOUT, "still accepted: {queued}");
+        // Let the tasks send from time to time.
+        if queued % 100 == 0 {
             time::sleep(Duration::from_millis(1)).await;
         }
     }
-    println!("{taken} messages taken by a peer that does not read");
+    println!("{queued} messages queued for a peer that does not read");
     a.expect(LinkEvent::Down(c.incarnation.clone())).await;
     assert!(!a.hub.send(&c.incarnation.host, &heartbeat(0)));
     let counters = a.hub.counters();
     assert_eq!(counters.overflows, 1);
-    // The queue is bounded by what it takes in memory, not by its bytes.
-    let waited = counters.dropped as usize;
-    assert!((100..=(64 << 10) / 96 + 1).contains(&waited), "{waited}");
-    // The other peer noticed nothing.
+    // The limit applies to the queue's memory, not only to the bytes of its frames.
+    let pending = counters.dropped as usize;
+    assert!((100..=(64 << 10) / 96 + 1).contains(&pending), "{pending}");
+    // The other peer is not affected.
     assert!(a.hub.send(&b.incarnation.host, &heartbeat(1)));
     b.expect(LinkEvent::Message(a.incarnation.clone(), heartbeat(1)))
         .await;
@@ -524,9 +513,8 @@
 
 #[tokio::test]
 async fn handshake_limit() {
-    // Symptom: no host can link. Sequence: strangers open connections and say
-    // nothing. Cause: connections in their handshake without bound in number
-    // and time.
+    // Guards against idle connections that block links: handshakes must be limited in
+    // number and duration.
     let opts = fast_options()
         .with_handshake_limit(2)
         .with_handshake_timeout(Duration::from_millis(300));
@@ -536,16 +524,20 @@
     for _ in 0..3 {
         streams.push(TcpStream::connect(address).await.unwrap());
     }
-    a.wait_until("one too many", |hub| hub.counters().refused.too_many == 1)
-        .await;
-    a.wait_until("others late", |hub| hub.counters().refused.timeout == 2)
-        .await;
+    a.wait_until("refused connection", |hub| {
+        hub.counters().refused.too_many == 1
+    })
+    .await;
+    a.wait_until("timed out handshakes", |hub| {
+        hub.counters().refused.timeout == 2
+    })
+    .await;
     for mut stream in streams {
         let mut sent = Vec::new();
         let closed = time::timeout(TIMEOUT, stream.read_to_end(&mut sent)).await;
         assert!(closed.is_ok(), "closed by the host");
     }
-    // The places are free again.
+    // Other hosts can link again.
     let mut b = host("b", 2);
     let roster = host_list(&[&a, &b]);
     a.hub.set_roster(&roster, KEY);
--- a/bergamotswitch-net/tests/pending_lines.rs
+++ b/bergamotswitch-net/tests/pending_lines.rs
@@ -1,15 +1,15 @@
-//! Which log lines are kept where more come than the log takes.
+//! Tests of which log lines are kept when more arrive than the buffer accepts.
 
 use std::collections::BTreeMap;
 
 use bergamotswitch_core::incident::{Incident, Level};
 use bergamotswitch_net::pending_lines::{LineKind, PendingLines};
 
-/// More lines than one interval takes of any kind.
+/// The number of lines in a burst, above the limit of an interval for any kind.
 const LINE_COUNT: usize = 400;
-/// The bytes of a line about a request's end.
+/// The size in bytes of a line about the end of a request.
 const LINE_BYTES: usize = 450;
-/// What may wait at the most, the line that goes beyond it included.
+/// The maximum buffer size, including the line that reaches the limit.
 const MAX_BYTES: usize = 1024 * 1024 + LINE_BYTES;
 
 fn add(lines: &mut PendingLines, incident: Incident) {
@@ -29,7 +29,8 @@
     written.expect("written");
 }
 
-/// Take the lines, counted by their numbers, and those left out.
+/// Take the buffered lines and get their counts and those of dropped lines by event
+/// number.
 fn take_counts(lines: &mut PendingLines) -> (BTreeMap<u16, u64>, BTreeMap<u16, u64>) {
     let (bytes, dropped) = lines.take();
     let mut kept = BTreeMap::new();
@@ -40,9 +41,8 @@
     (kept, dropped)
 }
 
-// Symptom: the log of a crowded second has no line that says why. Sequence: more
-// lines about calls than an interval takes, then a warning, an error and a step of
-// a planned stop. Cause: one bound for all kinds.
+// Guards against a burst of lines about calls that displaces warnings, errors and
+// lines about a planned stop.
 #[test]
 fn priority_lines_kept() {
     let mut lines = PendingLines::default();
@@ -72,7 +72,7 @@
     let (kept, dropped) = take_counts(&mut lines);
     assert_eq!(kept, [(205, 50), (206, 50)].into());
     assert_eq!(dropped, [(205, 350), (206, 350)].into());
-    // The next interval begins anew.
+    // The limits apply to each interval separately.
     add(&mut lines, Incident::RequestEnded);
     assert_eq!(
         take_counts(&mut lines),
@@ -81,9 +81,8 @@
     assert!(lines.is_empty());
 }
 
-// Symptom: the log names some of the requests that a host ended. Sequence: the
-// grace is nearly over, and each open request has two lines at once. Cause: bounds
-// that are there for what else runs.
+// Guards against missing lines about requests that a host terminates at the end of
+// the grace period, when all are logged at once.
 #[test]
 fn termination_lines() {
     let mut lines = PendingLines::default();
@@ -95,7 +94,7 @@
         take_counts(&mut lines),
         ([(109, 1), (207, 400)].into(), BTreeMap::new())
     );
-    // Those of the requests' ends may come an interval later.
+    // The lines about the ends of the requests may follow an interval later.
     for _ in 0..LINE_COUNT {
         add(&mut lines, Incident::RequestEnded);
     }
@@ -105,8 +104,8 @@
     );
 }
 
-// Symptom: a host's memory grows until it is killed. Sequence: nothing is written
-// for long. Cause: a bound on lines alone, or none at the end.
+// Guards against unbounded memory use while no lines are written out, also after the
+// end of the grace period.
 #[test]
 fn bounded_bytes() {
     let mut lines = PendingLines::default();
--- a/bergamotswitch-net/tests/roster_bytes.rs
+++ b/bergamotswitch-net/tests/roster_bytes.rs
@@ -1,4 +1,4 @@
-//! What the rounds of a roster cost a host in bytes, as they are encoded.
+//! Tests of the bandwidth that a host's gossip rounds use, in encoded bytes.
 
 use std::net::SocketAddr;
 
@@ -6,12 +6,13 @@
 use bergamotswitch_core::host::{EntryHost, Standing};
 use bergamotswitch_core::roster::{MemberFlags, MemberRecord, Roster, RosterMessage};
 
-/// A time of day in milliseconds.
+/// The Unix time at which the simulation starts, in milliseconds.
 const START_MS: u64 = 1_790_000_000_000;
-/// The rounds that are watched, and their time: 300 ms each.
+/// The number of simulated rounds.
 const ROUNDS: u64 = 200;
+/// The duration of a round in milliseconds.
 const ROUND_MS: u64 = 300;
-/// A host's budget for control, in bytes a second.
+/// The bandwidth budget of a host's control traffic, in bytes per second.
 const BUDGET: f64 = 3_000.0;
 
 fn host_entry(index: usize) -> EntryHost {
@@ -48,8 +49,8 @@
     }
 }
 
-/// Get the bytes a second that one host of so many sends in its rounds, all
-/// others being heard of in each.
+/// Get the bytes per second that one of `count` hosts sends, while it receives a
+/// message from each other host in every round.
 fn sent_rate(count: usize) -> f64 {
     let seeds = vec![host_entry(1).link_address];
     let mut roster = Roster::new(host_entry(0), seeds, START_MS, 7);
@@ -58,7 +59,7 @@
         let now_ms = round * ROUND_MS;
         let now = Moment::from_millis(now_ms);
         for index in 1..count {
-            // News of others is some rounds old when it arrives.
+            // Records are a few rounds old when they arrive.
             roster.handle(now, roster_message(index, now_ms.saturating_sub(900)));
         }
         for action in roster.tick(now) {
@@ -77,9 +78,9 @@
     assert!(rate < BUDGET, "{rate} bytes a second");
 }
 
-// Each message lists up to a hundred hosts, so that larger fleets are over the
-// budget, as `docs/CAPACITY.md` says. The list's cap must hold whatever the
-// fleet's size.
+// Each message lists up to a hundred hosts, so larger fleets exceed the budget, as
+// described in `docs/CAPACITY.md`. The size of the list must stay bounded in fleets
+// of any size.
 #[test]
 fn large_fleets() {
     for count in [62, 81, 380] {
