--- a/bergamotswitch-net/src/link/registry.rs
+++ b/bergamotswitch-net/src/link/registry.rs
@@ -270,7 +270,7 @@
         self.changes.send_replace(());
     }
 
-    /// Close the link to `host` where this host dialled it.
+    /// Close the link to `host` if this host dialled it.
     pub(crate) fn stop_dialled(&self, host: &HostName) {
         let state = self.lock();
         if let Some(link) = state.links.get(host)
