--- a/bergamotswitch-net/src/link/hub.rs
+++ b/bergamotswitch-net/src/link/hub.rs
@@ -56,7 +56,7 @@
 
 impl LinkHub {
     /// Try to get a hub that accepts links on `listener`. Must be called on a tokio
-    /// runtime. No peer is admitted before [`LinkHub::set_roster`].
+    /// runtime. No peer is admitted before [`LinkHub::set_host_list`].
     ///
     /// # Errors
     ///
@@ -83,9 +83,9 @@
     /// Set the hosts that may link, and the key that each must prove to know. Links
     /// to other hosts are closed. An empty list or an empty key refuses all
     /// connections. A change of the key does not affect established links.
-    pub fn set_roster(&mut self, hosts: &HostList, key: &str) {
+    pub fn set_host_list(&mut self, hosts: &HostList, key: &str) {
         let names: BTreeSet<HostName> = hosts.hosts.iter().map(|host| host.name.clone()).collect();
-        self.registry.set_roster(names, LinkKey::new(key));
+        self.registry.set_host_list(names, LinkKey::new(key));
     }
 
     /// Maintain a link to this host until [`LinkHub::disconnect`]. The host is not
--- a/bergamotswitch-net/src/link/registry.rs
+++ b/bergamotswitch-net/src/link/registry.rs
@@ -97,7 +97,7 @@
     }
 
     /// Set the hosts that may link and the key. Links to other hosts are closed.
-    pub(crate) fn set_roster(&self, hosts: BTreeSet<HostName>, key: LinkKey) {
+    pub(crate) fn set_host_list(&self, hosts: BTreeSet<HostName>, key: LinkKey) {
         let mut state = self.lock();
         state.roster = hosts;
         state.key = (!key.is_empty()).then_some(key);
--- a/bergamotswitch-net/src/node/drive.rs
+++ b/bergamotswitch-net/src/node/drive.rs
@@ -397,7 +397,7 @@
         self.platform.set_limits(limits);
         self.open.set_max_answer_bytes(limits.max_answer_bytes);
         self.links
-            .set_roster(&publication.hosts, &publication.limits.link_key);
+            .set_host_list(&publication.hosts, &publication.limits.link_key);
         self.publication.send_replace(Arc::new(publication.clone()));
         if publication.routed && name.as_str() == HOSTS_VALUE {
             let hosts = &publication.hosts.hosts;
--- a/bergamotswitch-net/tests/link_support/mod.rs
+++ b/bergamotswitch-net/tests/link_support/mod.rs
@@ -85,8 +85,8 @@
 pub fn pair() -> (TestHost, TestHost) {
     let (mut a, mut b) = (host("a", 1), host("b", 2));
     let roster = host_list(&[&a, &b]);
-    a.hub.set_roster(&roster, KEY);
-    b.hub.set_roster(&roster, KEY);
+    a.hub.set_host_list(&roster, KEY);
+    b.hub.set_host_list(&roster, KEY);
     (a, b)
 }
 
--- a/bergamotswitch-net/tests/peer_links.rs
+++ b/bergamotswitch-net/tests/peer_links.rs
@@ -107,7 +107,7 @@
     // Guards against links with a process that knows a host's name but not the key.
     let (mut a, mut b) = pair();
     let roster = host_list(&[&a, &b]);
-    a.hub.set_roster(&roster, "another key");
+    a.hub.set_host_list(&roster, "another key");
     a.hub.connect(&b.entry);
     b.wait_until("refusal", |hub| hub.counters().refused.bad_proof > 0)
         .await;
@@ -117,7 +117,7 @@
     b.expect_quiet().await;
 
     // With the right key, the same hosts link.
-    a.hub.set_roster(&roster, KEY);
+    a.hub.set_host_list(&roster, KEY);
     a.expect(LinkEvent::Up(b.incarnation.clone())).await;
     b.expect(LinkEvent::Up(a.incarnation.clone())).await;
 }
@@ -149,7 +149,7 @@
     assert_eq!(b.hub.counters().refused.unknown_host, 2);
     // No peer may link before the host list is set or with an empty one.
     for _ in 0..2 {
-        b.hub.set_roster(&HostList::default(), KEY);
+        b.hub.set_host_list(&HostList::default(), KEY);
         let answer = RawPeer::connect(&b, "a", 1).await.send_hello().await;
         assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
     }
@@ -164,7 +164,7 @@
     a.hub.connect(&b.entry);
     b.expect(LinkEvent::Up(a.incarnation.clone())).await;
     let roster = host_list(&[&b]);
-    b.hub.set_roster(&roster, KEY);
+    b.hub.set_host_list(&roster, KEY);
     b.expect(LinkEvent::Down(a.incarnation.clone())).await;
     b.wait_until("refusal", |hub| hub.counters().refused.unknown_host > 0)
         .await;
@@ -264,8 +264,8 @@
     let slow = fast_options().with_ping_timeout(TIMEOUT);
     let (mut a, mut b) = (host_with("a", 1, slow), host("b", 2));
     let roster = host_list(&[&a, &b]);
-    a.hub.set_roster(&roster, KEY);
-    b.hub.set_roster(&roster, KEY);
+    a.hub.set_host_list(&roster, KEY);
+    b.hub.set_host_list(&roster, KEY);
     let proxy = TestProxy::start(Some(a.entry.link_address)).await;
     b.hub.connect(&proxy.entry_of(&a));
     a.expect(LinkEvent::Up(b.incarnation.clone())).await;
@@ -274,7 +274,7 @@
     drop(b);
 
     let mut b = host("b", 3);
-    b.hub.set_roster(&roster, KEY);
+    b.hub.set_host_list(&roster, KEY);
     b.hub.connect(&a.entry);
     a.expect(LinkEvent::Down(dead)).await;
     a.expect(LinkEvent::Up(b.incarnation.clone())).await;
@@ -297,7 +297,7 @@
     assert!(proxy.opened.load(Ordering::Relaxed) > 1);
     for incarnation in [3, 4, 5] {
         let mut b = host("b", incarnation);
-        b.hub.set_roster(&roster, KEY);
+        b.hub.set_host_list(&roster, KEY);
         proxy.upstream.send_replace(Some(b.entry.link_address));
         a.expect(LinkEvent::Up(b.incarnation.clone())).await;
         b.expect(LinkEvent::Up(a.incarnation.clone())).await;
@@ -424,8 +424,8 @@
     let (mut a, mut b) = (host("a", 1), host("b", 2));
     let c = host("c", 3);
     let roster = host_list(&[&a, &b, &c]);
-    a.hub.set_roster(&roster, KEY);
-    b.hub.set_roster(&roster, KEY);
+    a.hub.set_host_list(&roster, KEY);
+    b.hub.set_host_list(&roster, KEY);
     a.hub.connect(&b.entry);
     a.expect(LinkEvent::Up(b.incarnation.clone())).await;
     b.expect(LinkEvent::Up(a.incarnation.clone())).await;
@@ -459,7 +459,7 @@
 async fn dialled_again() {
     let mut a = host("a", 1);
     let c = host("c", 3);
-    a.hub.set_roster(&host_list(&[&a, &c]), KEY);
+    a.hub.set_host_list(&host_list(&[&a, &c]), KEY);
     let mut sessions = Vec::new();
     for _ in 0..2 {
         let mut peer = RawPeer::connect(&a, "c", 3).await;
@@ -477,8 +477,8 @@
     let (mut a, mut b) = (host_with("a", 1, opts), host("b", 2));
     let c = host("c", 3);
     let roster = host_list(&[&a, &b, &c]);
-    a.hub.set_roster(&roster, KEY);
-    b.hub.set_roster(&roster, KEY);
+    a.hub.set_host_list(&roster, KEY);
+    b.hub.set_host_list(&roster, KEY);
     a.hub.connect(&b.entry);
     a.expect(LinkEvent::Up(b.incarnation.clone())).await;
     b.expect(LinkEvent::Up(a.incarnation.clone())).await;
@@ -540,8 +540,8 @@
     // Other hosts can link again.
     let mut b = host("b", 2);
     let roster = host_list(&[&a, &b]);
-    a.hub.set_roster(&roster, KEY);
-    b.hub.set_roster(&roster, KEY);
+    a.hub.set_host_list(&roster, KEY);
+    b.hub.set_host_list(&roster, KEY);
     b.hub.connect(&a.entry);
     b.expect(LinkEvent::Up(a.incarnation.clone())).await;
 }
--- a/bergamotswitch/examples/slopes/links.rs
+++ b/bergamotswitch/examples/slopes/links.rs
@@ -120,7 +120,7 @@
         targets: Vec::new(),
     };
     for end in ends {
-        end.hub.set_roster(&list, KEY);
+        end.hub.set_host_list(&list, KEY);
     }
 }
 
