--- a/bergamotswitch-net/src/link/acceptor.rs
+++ b/bergamotswitch-net/src/link/acceptor.rs
@@ -198,7 +198,7 @@
         true => pair.check_proof(&key, LinkRole::Dialler, request.headers()),
         false => Err(PeerRefusal::Malformed),
     };
-    // The roster may have changed since the hello.
+    // The host list may have changed since the hello.
     let admitted = proof.and_then(|()| registry.admit(&pair.dialler.incarnation().host));
     if let Err(refusal) = admitted {
         return Err(AcceptFailure::Refused(refusal, answer));
--- a/bergamotswitch-net/src/link/dialler.rs
+++ b/bergamotswitch-net/src/link/dialler.rs
@@ -93,7 +93,7 @@
         }
         _ = connection.as_mut() => return Err(DialFailure::Closed),
     };
-    // The roster may have changed since the attempt began.
+    // The host list may have changed since the attempt began.
     registry.admit(&host.name).map_err(DialFailure::Refused)?;
     let guard = registry
         .register(&stream.acceptor, LinkRole::Dialler)
--- a/bergamotswitch-net/src/link/registry.rs
+++ b/bergamotswitch-net/src/link/registry.rs
@@ -57,7 +57,7 @@
 
 #[derive(Debug, Default)]
 struct RegistryState {
-    roster: BTreeSet<HostName>,
+    allowed_hosts: BTreeSet<HostName>,
     key: Option<LinkKey>,
     links: BTreeMap<HostName, ActiveLink>,
     sessions: u64,
@@ -99,10 +99,10 @@
     /// Set the hosts that may link and the key. Links to other hosts are closed.
     pub(crate) fn set_host_list(&self, hosts: BTreeSet<HostName>, key: LinkKey) {
         let mut state = self.lock();
-        state.roster = hosts;
+        state.allowed_hosts = hosts;
         state.key = (!key.is_empty()).then_some(key);
         for (host, link) in &state.links {
-            if !state.roster.contains(host) {
+            if !state.allowed_hosts.contains(host) {
                 link.command.send_replace(SessionCommand::Close);
             }
         }
@@ -114,12 +114,12 @@
     pub(crate) fn admit(&self, host: &HostName) -> Result<LinkKey, PeerRefusal> {
         let state = self.lock();
         let key = state.key.as_ref().ok_or(PeerRefusal::NotReady)?;
-        if state.roster.is_empty() {
+        if state.allowed_hosts.is_empty() {
             return Err(PeerRefusal::NotReady);
         }
         // A peer with this host's own name is a configuration error: two processes
         // have the same name.
-        if !state.roster.contains(host) || *host == self.identity.incarnation.host {
+        if !state.allowed_hosts.contains(host) || *host == self.identity.incarnation.host {
             return Err(PeerRefusal::UnknownHost(host.clone()));
         }
         Ok(key.clone())
--- a/bergamotswitch-net/tests/link_support/mod.rs
+++ b/bergamotswitch-net/tests/link_support/mod.rs
@@ -84,9 +84,9 @@
 
 pub fn pair() -> (TestHost, TestHost) {
     let (mut a, mut b) = (host("a", 1), host("b", 2));
-    let roster = host_list(&[&a, &b]);
-    a.hub.set_host_list(&roster, KEY);
-    b.hub.set_host_list(&roster, KEY);
+    let hosts = host_list(&[&a, &b]);
+    a.hub.set_host_list(&hosts, KEY);
+    b.hub.set_host_list(&hosts, KEY);
     (a, b)
 }
 
--- a/bergamotswitch-net/tests/peer_links.rs
+++ b/bergamotswitch-net/tests/peer_links.rs
@@ -106,8 +106,8 @@
 async fn wrong_key() {
     // Guards against links with a process that knows a host's name but not the key.
     let (mut a, mut b) = pair();
-    let roster = host_list(&[&a, &b]);
-    a.hub.set_host_list(&roster, "another key");
+    let hosts = host_list(&[&a, &b]);
+    a.hub.set_host_list(&hosts, "another key");
     a.hub.connect(&b.entry);
     b.wait_until("refusal", |hub| hub.counters().refused.bad_proof > 0)
         .await;
@@ -117,7 +117,7 @@
     b.expect_quiet().await;
 
     // With the right key, the same hosts link.
-    a.hub.set_host_list(&roster, KEY);
+    a.hub.set_host_list(&hosts, KEY);
     a.expect(LinkEvent::Up(b.incarnation.clone())).await;
     b.expect(LinkEvent::Up(a.incarnation.clone())).await;
 }
@@ -163,8 +163,8 @@
     let (mut a, mut b) = pair();
     a.hub.connect(&b.entry);
     b.expect(LinkEvent::Up(a.incarnation.clone())).await;
-    let roster = host_list(&[&b]);
-    b.hub.set_host_list(&roster, KEY);
+    let hosts = host_list(&[&b]);
+    b.hub.set_host_list(&hosts, KEY);
     b.expect(LinkEvent::Down(a.incarnation.clone())).await;
     b.wait_until("refusal", |hub| hub.counters().refused.unknown_host > 0)
         .await;
@@ -263,9 +263,9 @@
     // successor: the old connection stays open while the restarted host links.
     let slow = fast_options().with_ping_timeout(TIMEOUT);
     let (mut a, mut b) = (host_with("a", 1, slow), host("b", 2));
-    let roster = host_list(&[&a, &b]);
-    a.hub.set_host_list(&roster, KEY);
-    b.hub.set_host_list(&roster, KEY);
+    let hosts = host_list(&[&a, &b]);
+    a.hub.set_host_list(&hosts, KEY);
+    b.hub.set_host_list(&hosts, KEY);
     let proxy = TestProxy::start(Some(a.entry.link_address)).await;
     b.hub.connect(&proxy.entry_of(&a));
     a.expect(LinkEvent::Up(b.incarnation.clone())).await;
@@ -274,7 +274,7 @@
     drop(b);
 
     let mut b = host("b", 3);
-    b.hub.set_host_list(&roster, KEY);
+    b.hub.set_host_list(&hosts, KEY);
     b.hub.connect(&a.entry);
     a.expect(LinkEvent::Down(dead)).await;
     a.expect(LinkEvent::Up(b.incarnation.clone())).await;
@@ -290,14 +290,14 @@
     // Guards against a peer that stays disconnected after it was not reachable yet, or
     // after it restarted at the same address as a new incarnation.
     let (mut a, b) = pair();
-    let roster = host_list(&[&a, &b]);
+    let hosts = host_list(&[&a, &b]);
     let proxy = TestProxy::start(None).await;
     a.hub.connect(&proxy.entry_of(&b));
     a.expect_quiet().await;
     assert!(proxy.opened.load(Ordering::Relaxed) > 1);
     for incarnation in [3, 4, 5] {
         let mut b = host("b", incarnation);
-        b.hub.set_host_list(&roster, KEY);
+        b.hub.set_host_list(&hosts, KEY);
         proxy.upstream.send_replace(Some(b.entry.link_address));
         a.expect(LinkEvent::Up(b.incarnation.clone())).await;
         b.expect(LinkEvent::Up(a.incarnation.clone())).await;
@@ -423,9 +423,9 @@
 async fn older_peer() {
     let (mut a, mut b) = (host("a", 1), host("b", 2));
     let c = host("c", 3);
-    let roster = host_list(&[&a, &b, &c]);
-    a.hub.set_host_list(&roster, KEY);
-    b.hub.set_host_list(&roster, KEY);
+    let hosts = host_list(&[&a, &b, &c]);
+    a.hub.set_host_list(&hosts, KEY);
+    b.hub.set_host_list(&hosts, KEY);
     a.hub.connect(&b.entry);
     a.expect(LinkEvent::Up(b.incarnation.clone())).await;
     b.expect(LinkEvent::Up(a.incarnation.clone())).await;
@@ -476,9 +476,9 @@
     let opts = fast_options().with_send_queue_bytes(64 << 10);
     let (mut a, mut b) = (host_with("a", 1, opts), host("b", 2));
     let c = host("c", 3);
-    let roster = host_list(&[&a, &b, &c]);
-    a.hub.set_host_list(&roster, KEY);
-    b.hub.set_host_list(&roster, KEY);
+    let hosts = host_list(&[&a, &b, &c]);
+    a.hub.set_host_list(&hosts, KEY);
+    b.hub.set_host_list(&hosts, KEY);
     a.hub.connect(&b.entry);
     a.expect(LinkEvent::Up(b.incarnation.clone())).await;
     b.expect(LinkEvent::Up(a.incarnation.clone())).await;
@@ -539,9 +539,9 @@
     }
     // Other hosts can link again.
     let mut b = host("b", 2);
-    let roster = host_list(&[&a, &b]);
-    a.hub.set_host_list(&roster, KEY);
-    b.hub.set_host_list(&roster, KEY);
+    let hosts = host_list(&[&a, &b]);
+    a.hub.set_host_list(&hosts, KEY);
+    b.hub.set_host_list(&hosts, KEY);
     b.hub.connect(&a.entry);
     b.expect(LinkEvent::Up(a.incarnation.clone())).await;
 }
