--- a/bergamotswitch-net/src/answer.rs
+++ b/bergamotswitch-net/src/answer.rs
@@ -208,7 +208,7 @@
     }
     log.overlong = true;
     // A send fails only during shutdown, when no caller waits for the answer.
-    let _ = bound.node.send(NodeInput::Overlong(bound.request));
+    let _ = bound.node.send(NodeInput::AnswerTooLong(bound.request));
 }
 
 impl Default for AnswerWriter {
--- a/bergamotswitch-net/src/gateway/call.rs
+++ b/bergamotswitch-net/src/gateway/call.rs
@@ -28,8 +28,8 @@
 use super::lookup::ask;
 use crate::answer::AnswerPart;
 use crate::follower::AnswerFollower;
-use crate::handover::{HandedOver, hand_over};
 use crate::input::{NodeInput, OutgoingCall};
+use crate::submit::{SubmitResult, submit};
 use crate::target_client::routed_call::RoutedCall;
 
 /// How much longer than on time an answer that may come from another target
@@ -82,7 +82,7 @@
     match serve(&desk, request).await {
         Ok(response) => response,
         Err(CallStop::Refused(refusal)) => {
-            let turned = NodeInput::Turned(refusal.reason(), None);
+            let turned = NodeInput::EarlyRefusal(refusal.reason(), None);
             // The loop is gone only while the process ends.
             let _ = desk.node.send(turned);
             refused(&refusal)
@@ -116,13 +116,13 @@
     let submission = entry.submission(&call);
     let is_stream = entry.route.work.is_stream();
     let call = entry.outgoing(&parts, call, bytes, received_at);
-    match hand_over(&desk.node, submission, call).await {
-        HandedOver::Here(follower) => Ok(follow(*follower, is_stream).await),
-        HandedOver::Refused(refusal) => Ok(refused(&refusal)),
-        HandedOver::Elsewhere(_) | HandedOver::AnswerDropped => {
+    match submit(&desk.node, submission, call).await {
+        SubmitResult::Local(follower) => Ok(follow(*follower, is_stream).await),
+        SubmitResult::Refused(refusal) => Ok(refused(&refusal)),
+        SubmitResult::Remote(_) | SubmitResult::AnswerDropped => {
             Ok(refused(&Refusal::may_have_run(RefusalReason::Lost)))
         }
-        HandedOver::LoopGone => Err(CallStop::later(
+        SubmitResult::LoopStopped => Err(CallStop::later(
             RefusalReason::Stopping,
             STOPPING_RETRY_AFTER,
         )),
@@ -327,9 +327,9 @@
 /// left: the caller has no answer at all. Only a stream's own head begins one.
 async fn follow(mut follower: AnswerFollower, is_stream: bool) -> Response<AnswerBody> {
     if !is_stream {
-        return whole_answer(follower.whole().await);
+        return whole_answer(follower.collect_parts().await);
     }
-    match follower.begun(has_event).await {
+    match follower.wait_first_part(has_event).await {
         AnswerPart::Head {
             status,
             content_type,
@@ -337,7 +337,7 @@
         } if is_success(status) => {
             target_answer(status, &content_type, fields, AnswerBody::follow(follower))
         }
-        _ => whole_answer(follower.whole().await),
+        _ => whole_answer(follower.collect_parts().await),
     }
 }
 
--- a/bergamotswitch-net/src/lib.rs
+++ b/bergamotswitch-net/src/lib.rs
@@ -1,17 +1,17 @@
-//! Provides the sockets, timers and loop of a bergamotswitch host: links to
-//! peers, clients to targets and platform, HTTP to callers and operators.
+//! Provides the sockets, timers and event loop of a bergamotswitch host: links to
+//! peers, clients of targets and the platform, and the HTTP interfaces for callers
+//! and operators.
 
 #![forbid(unsafe_code)]
 
 pub mod answer;
 pub mod boot_clock;
 pub mod caller;
+pub mod event_log;
 mod follower;
 pub mod gateway;
 pub mod gossip;
-mod handover;
 pub mod input;
-pub mod journal;
 mod line_buffer;
 pub mod link;
 pub mod metrics;
@@ -20,5 +20,6 @@
 pub mod pending_lines;
 pub mod platform;
 pub mod store_source;
+mod submit;
 pub mod target_client;
 mod task_guard;
--- a/bergamotswitch-net/src/line_buffer.rs
+++ b/bergamotswitch-net/src/line_buffer.rs
@@ -1,6 +1,5 @@
-//! Provides the way of log lines to standard output that never holds up the
-//! loop: lines are kept in a bounded buffer, and a thread of its own writes
-//! them.
+//! Provides a non-blocking log writer for standard output: a bounded buffer that
+//! a separate thread writes out, so that a slow reader does not block the loop.
 
 use std::fmt;
 use std::io::{self, Write};
@@ -14,39 +13,39 @@
 use log::Record;
 use log::kv::Key;
 
-use crate::journal::EVENT_KEY;
-use crate::pending_lines::{LeftOut, LineKind, PendingLines};
+use crate::event_log::EVENT_KEY;
+use crate::pending_lines::{DroppedCounts, LineKind, PendingLines};
 
-/// How often the buffer is written out. A whole second of lines at once would
-/// hold the reader's pipe up; more often costs wake-ups for nothing.
+/// The interval at which the buffer is written out. A longer one would write more
+/// than the pipe can hold, a shorter one would cost wake-ups.
 const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long the end of the process waits for its last lines to be written: less
-/// than a stopping host has left when it ends at the last moment. A reader that
-/// stands still would otherwise hold the process until it is killed.
-const LAST_WRITE: Duration = Duration::from_millis(50);
+/// The maximum time that the process waits at exit for the buffer to be written.
+/// Without a limit, a reader that does not read would delay the exit until the
+/// process is killed.
+const SHUTDOWN_FLUSH_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// The bytes that a pipe takes in one piece (`PIPE_BUF` of Linux).
-const PIECE_BYTES: usize = 4_096;
+/// The size up to which a write to a pipe is atomic (`PIPE_BUF` on Linux).
+const PIPE_BUF_BYTES: usize = 4_096;
 
-/// A `LineFormat` writes one record as a line without its end.
+/// A `LineFormat` writes one record as a line without the line break.
 pub(crate) type LineFormat =
     fn(&mut dyn Write, &mut DeferredNow, &Record<'_>) -> Result<(), io::Error>;
 
-/// What the loop and the writing thread share.
+/// A `SharedLines` is the state shared by the logging threads and the writer thread.
 #[derive(Debug, Default)]
 struct SharedLines {
     state: Mutex<BufferState>,
-    /// Told when lines should be written before the interval is over.
-    hastened: Condvar,
-    /// Told when lines have been written.
+    /// Notified to write the lines before the interval has elapsed.
+    flush_requested: Condvar,
+    /// Notified after lines have been written.
     written: Condvar,
 }
 
 #[derive(Debug, Default)]
 struct BufferState {
     lines: PendingLines,
-    is_hastened: bool,
+    is_flush_requested: bool,
     is_writing: bool,
 }
 
@@ -55,42 +54,43 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Write what comes, for ever.
-    fn write_on(&self) {
+    /// Write out the buffer at each interval or flush request, forever.
+    fn run_writer(&self) {
         loop {
-            let waited = self
-                .hastened
-                .wait_timeout_while(self.lock(), WRITE_INTERVAL, |state| !state.is_hastened);
+            let waited =
+                self.flush_requested
+                    .wait_timeout_while(self.lock(), WRITE_INTERVAL, |state| {
+                        !state.is_flush_requested
+                    });
             let (mut state, _) = waited.unwrap_or_else(PoisonError::into_inner);
-            let (bytes, left_out) = state.lines.take();
-            state.is_hastened = false;
+            let (bytes, dropped) = state.lines.take();
+            state.is_flush_requested = false;
             state.is_writing = true;
             drop(state);
-            // Where standard output is closed nobody reads, and the lines are
-            // dropped.
-            drop(write_out(&bytes, &left_out));
+            // If standard output is closed, the lines are dropped.
+            drop(write_out(&bytes, &dropped));
             self.lock().is_writing = false;
             self.written.notify_all();
         }
     }
 
-    /// Have what waits written now.
-    fn hasten(&self) {
-        self.lock().is_hastened = true;
-        self.hastened.notify_one();
+    /// Request that the buffer be written now.
+    fn request_flush(&self) {
+        self.lock().is_flush_requested = true;
+        self.flush_requested.notify_one();
     }
 
-    /// Wait until nothing waits to be written, but not for long.
-    fn wait_written(&self) {
-        let is_unwritten = |state: &mut BufferState| state.is_writing || !state.lines.is_empty();
-        let waited = self
-            .written
-            .wait_timeout_while(self.lock(), LAST_WRITE, is_unwritten);
+    /// Wait until the buffer is written, at most for [`SHUTDOWN_FLUSH_TIMEOUT`].
+    fn wait_flushed(&self) {
+        let is_pending = |state: &mut BufferState| state.is_writing || !state.lines.is_empty();
+        let waited =
+            self.written
+                .wait_timeout_while(self.lock(), SHUTDOWN_FLUSH_TIMEOUT, is_pending);
         drop(waited);
     }
 }
 
-/// A `LineBuffer` takes log lines without ever waiting.
+/// A `LineBuffer` is a log writer that buffers lines and never blocks on output.
 pub(crate) struct LineBuffer {
     shared: Arc<SharedLines>,
     format: LineFormat,
@@ -103,25 +103,25 @@
 }
 
 impl LineBuffer {
-    /// Get a buffer whose lines a new thread writes to standard output.
+    /// Get a buffer that a new thread writes to standard output.
     pub(crate) fn to_stdout(format: LineFormat) -> Self {
         let shared = Arc::<SharedLines>::default();
         let writing = Arc::clone(&shared);
-        thread::spawn(move || writing.write_on());
+        thread::spawn(move || writing.run_writer());
         LineBuffer { shared, format }
     }
 }
 
-/// Write lines, and how many were left out.
-fn write_out(bytes: &[u8], left_out: &LeftOut) -> io::Result<()> {
-    if bytes.is_empty() && left_out.is_empty() {
+/// Write the lines, followed by an event with the counts of dropped lines.
+fn write_out(bytes: &[u8], dropped: &DroppedCounts) -> io::Result<()> {
+    if bytes.is_empty() && dropped.is_empty() {
         return Ok(());
     }
     let mut out = io::stdout().lock();
     write_lines(&mut out, bytes)?;
-    if !left_out.is_empty() {
+    if !dropped.is_empty() {
         let incident = Incident::LinesDropped;
-        let counts = left_out
+        let counts = dropped
             .iter()
             .map(|(event, count)| format!("\"{event}\":{count}"));
         writeln!(
@@ -129,30 +129,30 @@
             "{{\"event\":{},\"text\":\"{}\",\"count\":{},\"events\":{{{}}}}}",
             incident.number(),
             incident.text(),
-            left_out.values().sum::<u64>(),
+            dropped.values().sum::<u64>(),
             counts.collect::<Vec<_>>().join(",")
         )?;
     }
     out.flush()
 }
 
-/// Write whole lines together, as many as a pipe takes in one piece: a reader
-/// that other processes share would otherwise see parts of lines.
+/// Write the lines in chunks of whole lines that a pipe accepts atomically, so
+/// that lines of several processes sharing a pipe are not interleaved.
 fn write_lines(out: &mut impl Write, bytes: &[u8]) -> io::Result<()> {
     let mut rest = bytes;
     while !rest.is_empty() {
-        let most = rest.len().min(PIECE_BYTES);
-        let end = rest[..most].iter().rposition(|byte| *byte == b'\n');
-        let (piece, behind) = rest.split_at(end.map_or(most, |end| end + 1));
-        out.write_all(piece)?;
+        let max_len = rest.len().min(PIPE_BUF_BYTES);
+        let end = rest[..max_len].iter().rposition(|byte| *byte == b'\n');
+        let (chunk, remaining) = rest.split_at(end.map_or(max_len, |end| end + 1));
+        out.write_all(chunk)?;
         out.flush()?;
-        rest = behind;
+        rest = remaining;
     }
     Ok(())
 }
 
-/// Get what decides whether a record's line is kept.
-fn kind_of(record: &Record<'_>) -> LineKind {
+/// Get the level and event number of a record.
+fn line_kind(record: &Record<'_>) -> LineKind {
     let event = record.key_values().get(Key::from_str(EVENT_KEY));
     let event = event.and_then(|value| value.to_u64());
     LineKind {
@@ -166,18 +166,17 @@
         let mut state = self.shared.lock();
         let format = self.format;
         let written = |bytes: &mut Vec<u8>| format(bytes, now, record);
-        state.lines.add(kind_of(record), written)
+        state.lines.add(line_kind(record), written)
     }
 
     fn flush(&self) -> io::Result<()> {
-        self.shared.hasten();
+        self.shared.request_flush();
         Ok(())
     }
 
-    /// Write the last lines: those since the last interval would otherwise end
-    /// with the process.
+    /// Write the remaining lines, which would otherwise be lost at exit.
     fn shutdown(&self) {
-        self.shared.hasten();
-        self.shared.wait_written();
+        self.shared.request_flush();
+        self.shared.wait_flushed();
     }
 }
--- a/bergamotswitch-net/src/link/acceptor.rs
+++ b/bergamotswitch-net/src/link/acceptor.rs
@@ -19,23 +19,23 @@
 use super::handshake::{Hello, HelloPair, LINK_PATH, LinkKey, LinkRole, PeerRefusal};
 use super::registry::LinkRegistry;
 use super::session::{H2_SEND_BYTES, HEADER_BYTES, LinkSession, SessionEnd, WINDOW_BYTES};
-use crate::journal;
+use crate::event_log;
 
-/// The status that says: the link which is there stays.
+/// The status of the answer that refuses a connection in favour of another link.
 pub(crate) const DUPLICATE_STATUS: StatusCode = StatusCode::CONFLICT;
 
-/// The pause after a failed accept: it fails at once and for long where the
-/// process has no file descriptors left, and a loop without pause would use
-/// up the one thread.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// The delay after a failed accept. While the process has no free file
+/// descriptors, accepting keeps failing immediately and would occupy the thread.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The most streams at once: a link uses one, after a short first one.
+/// The maximum number of concurrent streams. A link uses one, after a short one for
+/// the first exchange of the handshake.
 const MAX_STREAMS: u32 = 2;
 
-/// An `AcceptFailure` is why an accepted connection gave no link.
+/// An `AcceptFailure` is the reason why an accepted connection did not become a link.
 #[derive(Debug)]
 enum AcceptFailure {
-    /// The connection broke.
+    /// The connection was closed.
     Closed,
     /// The peer is refused.
     Refused(PeerRefusal, SendResponse<Bytes>),
@@ -45,68 +45,68 @@
 
 /// Accept links until this future is dropped.
 pub(crate) async fn accept_links(registry: Arc<LinkRegistry>, listener: TcpListener) {
-    let unproven = Arc::new(Semaphore::new(registry.opts.unproven_limit));
-    // Sessions live in this set, so they end with the listener.
+    let handshake_slots = Arc::new(Semaphore::new(registry.opts.handshake_limit));
+    // Dropping the set aborts all sessions, so that they end with the listener.
     let mut sessions = JoinSet::new();
     loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
-                Ok((stream, address)) => match Arc::clone(&unproven).try_acquire_owned() {
-                    Ok(place) => {
-                        sessions.spawn(serve(Arc::clone(&registry), stream, address, place));
+                Ok((stream, address)) => match Arc::clone(&handshake_slots).try_acquire_owned() {
+                    Ok(permit) => {
+                        sessions.spawn(serve(Arc::clone(&registry), stream, address, permit));
                     }
-                    Err(_) => registry.note_refusal(&PeerRefusal::TooMany, &address.to_string()),
+                    Err(_) => registry.record_refusal(&PeerRefusal::TooMany, &address.to_string()),
                 },
-                Err(_) => time::sleep(ACCEPT_PAUSE).await,
+                Err(_) => time::sleep(ACCEPT_RETRY_DELAY).await,
             },
             Some(_) = sessions.join_next() => {}
         }
     }
 }
 
-/// Carry one accepted connection from its first byte to its end. `place` is
-/// given back when the peer has proven itself or is gone.
+/// Serve an accepted connection until it ends. The handshake `permit` is released
+/// once the peer is authenticated or the connection has ended.
 async fn serve(
     registry: Arc<LinkRegistry>,
     stream: TcpStream,
     address: SocketAddr,
-    place: OwnedSemaphorePermit,
+    permit: OwnedSemaphorePermit,
 ) {
     if stream.set_nodelay(true).is_err() {
         return;
     }
     let limit = registry.opts.handshake_timeout;
     let opened = time::timeout(limit, open(&registry, stream)).await;
-    let (mut connection, proven) = match opened {
+    let (mut connection, authenticated) = match opened {
         Ok(Some(opened)) => opened,
         Ok(None) => return,
-        Err(_) => return registry.note_refusal(&PeerRefusal::Timeout, &address.to_string()),
+        Err(_) => return registry.record_refusal(&PeerRefusal::Timeout, &address.to_string()),
     };
-    let session = match proven {
+    let session = match authenticated {
         Ok(session) => session,
         Err(failure) => {
             if let AcceptFailure::Refused(refusal, _) = &failure {
-                registry.note_refusal(refusal, &address.to_string());
+                registry.record_refusal(refusal, &address.to_string());
             }
             let _ = time::timeout(limit, refuse(connection, failure)).await;
             return;
         }
     };
-    drop(place);
-    let run = session.guard.run().clone();
+    drop(permit);
+    let incarnation = session.guard.incarnation().clone();
     let driver = async {
-        // Whatever else the peer asks for has no place beside its link.
+        // Requests other than the link's are rejected.
         while let Some(Ok((_, mut answer))) = connection.accept().await {
             answer.send_reset(Reason::REFUSED_STREAM);
         }
     };
-    finish_session(&registry, &run, session, driver).await;
+    finish_session(&registry, &incarnation, session, driver).await;
 }
 
-/// Carry messages until the session or its connection ends, and note why.
+/// Run the session until it or its connection ends, and count and log failures.
 pub(crate) async fn finish_session(
     registry: &LinkRegistry,
-    run: &HostIncarnation,
+    incarnation: &HostIncarnation,
     session: LinkSession,
     driver: impl Future<Output = ()>,
 ) {
@@ -118,18 +118,22 @@
         SessionEnd::Closed | SessionEnd::Stopped => {}
         SessionEnd::Silent => {
             registry.count(|counters| counters.silent += 1);
-            journal::write(Incident::ConnectionSilent, &[("peer", run)]);
+            event_log::write(Incident::ConnectionSilent, &[("peer", incarnation)]);
         }
         SessionEnd::Malformed(error) => {
             registry.count(|counters| counters.malformed += 1);
-            journal::write(Incident::PeerRefused, &[("peer", run), ("cause", &error)]);
+            event_log::write(
+                Incident::PeerRefused,
+                &[("peer", incarnation), ("cause", &error)],
+            );
         }
     }
 }
 
 type LinkConnection = Connection<TcpStream, Bytes>;
 
-/// Go through the handshake; `None` where the peer does not speak h2.
+/// Open an HTTP/2 connection and perform the handshake. Returns `None` if the peer
+/// does not speak HTTP/2.
 async fn open(
     registry: &Arc<LinkRegistry>,
     stream: TcpStream,
@@ -143,11 +147,11 @@
         .handshake::<_, Bytes>(stream)
         .await
         .ok()?;
-    let proven = prove(registry, &mut connection).await;
-    Some((connection, proven))
+    let authenticated = authenticate(registry, &mut connection).await;
+    Some((connection, authenticated))
 }
 
-/// Answer with a status and a text, and close once they are sent.
+/// Answer with a status and a text, and close the connection once they are sent.
 async fn refuse(mut connection: LinkConnection, failure: AcceptFailure) {
     let (mut answer, status, text) = match failure {
         AcceptFailure::Closed => return,
@@ -167,13 +171,13 @@
     while let Some(Ok(_)) = connection.accept().await {}
 }
 
-/// Go through both exchanges of the handshake, and take the link up.
-async fn prove(
+/// Perform both exchanges of the handshake and register the link.
+async fn authenticate(
     registry: &Arc<LinkRegistry>,
     connection: &mut LinkConnection,
 ) -> Result<LinkSession, AcceptFailure> {
     let ping = connection.ping_pong().ok_or(AcceptFailure::Closed)?;
-    // First each side says who it is.
+    // First exchange: both sides identify themselves.
     let (request, mut answer) = next_request(connection).await?;
     let (dialler, key) = match check_hello(registry, &request) {
         Ok(checked) => checked,
@@ -181,21 +185,21 @@
     };
     let pair = HelloPair {
         dialler,
-        acceptor: Hello::new(&registry.me.run),
+        acceptor: Hello::new(&registry.identity.incarnation),
     };
     let mut head = Response::new(());
     pair.acceptor.write(head.headers_mut());
     answer
         .send_response(head, true)
         .map_err(|_| AcceptFailure::Closed)?;
-    // Then each side proves that it knows the key.
+    // Second exchange: both sides prove that they know the key.
     let (request, mut answer) = next_request(connection).await?;
     let proof = match is_link(&request, &Method::POST) {
         true => pair.check_proof(&key, LinkRole::Dialler, request.headers()),
         false => Err(PeerRefusal::Malformed),
     };
-    // The roster may have changed since the hello.
-    let admitted = proof.and_then(|()| registry.admit(&pair.dialler.run().host));
+    // The host list may have changed since the hello.
+    let admitted = proof.and_then(|()| registry.admit(&pair.dialler.incarnation().host));
     if let Err(refusal) = admitted {
         return Err(AcceptFailure::Refused(refusal, answer));
     }
@@ -236,6 +240,6 @@
         return Err(PeerRefusal::Malformed);
     }
     let hello = Hello::read(request.headers())?;
-    let key = registry.admit(&hello.run().host)?;
+    let key = registry.admit(&hello.incarnation().host)?;
     Ok((hello, key))
 }
--- a/bergamotswitch-net/src/link/dialler.rs
+++ b/bergamotswitch-net/src/link/dialler.rs
@@ -1,4 +1,4 @@
-//! Provides the dialling side of links: it keeps a link to one host.
+//! Provides the dialling side of links.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -17,53 +17,53 @@
 use super::registry::LinkRegistry;
 use super::session::{H2_SEND_BYTES, HEADER_BYTES, LinkSession, WINDOW_BYTES};
 
-/// The longest text of a refusal that is read and logged, in bytes.
-const MAX_REFUSAL_TEXT: usize = 512;
+/// The maximum size of a refusal text that is read and logged, in bytes.
+const MAX_REFUSAL_BYTES: usize = 512;
 
-/// A `DialFailure` is why an attempt gave no link.
+/// A `DialFailure` is the reason why a connection attempt did not establish a link.
 #[derive(Debug)]
 enum DialFailure {
-    /// No connection, or it broke.
+    /// The connection could not be established or was closed.
     Closed,
     /// This host refuses the peer.
     Refused(PeerRefusal),
-    /// The peer refuses this host, with this text.
+    /// The peer refuses this host. The field is the status and text of its answer.
     RefusedByPeer(String),
     /// Another link to the peer is in use.
     Duplicate,
 }
 
-/// A `ProvenStream` is a link's stream after its handshake.
-struct ProvenStream {
+/// An `AuthenticatedStream` is a link's stream after the handshake.
+struct AuthenticatedStream {
     acceptor: Hello,
     writer: SendStream<Bytes>,
     reader: RecvStream,
 }
 
-/// Keep a link to `host` until this future is dropped.
-pub(crate) async fn keep_link(registry: Arc<LinkRegistry>, host: EntryHost) {
+/// Maintain a link to `host` until this future is dropped.
+pub(crate) async fn maintain_link(registry: Arc<LinkRegistry>, host: EntryHost) {
     let mut backoff = Backoff::new(&registry.opts);
     loop {
-        registry.until_wanted(&host.name).await;
-        time::sleep(backoff.next_pause()).await;
-        // The peer may have dialled in the meantime.
-        registry.until_wanted(&host.name).await;
-        let began = Instant::now();
+        registry.wait_until_dialable(&host.name).await;
+        time::sleep(backoff.next_delay()).await;
+        // The peer may have established a link in the meantime.
+        registry.wait_until_dialable(&host.name).await;
+        let started = Instant::now();
         match run_link(&registry, &host).await {
             Ok(()) | Err(DialFailure::Closed | DialFailure::Duplicate) => {}
             Err(DialFailure::Refused(refusal)) => {
-                registry.note_refusal(&refusal, &format!("dialled {}", host.link_address));
+                registry.record_refusal(&refusal, &format!("dialled {}", host.link_address));
             }
-            Err(DialFailure::RefusedByPeer(text)) => registry.note_refused_by(&host.name, &text),
+            Err(DialFailure::RefusedByPeer(text)) => registry.record_refused_by(&host.name, &text),
         }
-        // A link that broke at once is no reason to come back at once.
-        if began.elapsed() > registry.opts.backoff_max {
+        // A link that closed soon after the attempt does not reset the backoff.
+        if started.elapsed() > registry.opts.backoff_max {
             backoff.reset();
         }
     }
 }
 
-/// Connect, prove and carry messages until the link ends.
+/// Connect, perform the handshake and run the link until it ends.
 async fn run_link(registry: &Arc<LinkRegistry>, host: &EntryHost) -> Result<(), DialFailure> {
     let opts = &registry.opts;
     let key = registry.admit(&host.name).map_err(DialFailure::Refused)?;
@@ -71,7 +71,7 @@
         .await
         .map_err(|_| DialFailure::Closed)?
         .map_err(|_| DialFailure::Closed)?;
-    // Small messages must not wait for each other's acknowledgement.
+    // Small messages must not wait for acknowledgements (Nagle's algorithm).
     stream.set_nodelay(true).map_err(|_| DialFailure::Closed)?;
     let (requests, mut connection) = client::Builder::new()
         .initial_window_size(WINDOW_BYTES)
@@ -84,41 +84,44 @@
         .map_err(|_| DialFailure::Closed)?;
     let ping = connection.ping_pong().ok_or(DialFailure::Closed)?;
     let mut connection = std::pin::pin!(connection);
-    let proven = tokio::select! {
-        proven = time::timeout(opts.handshake_timeout, prove(registry, host, &key, requests)) => {
-            proven.map_err(|_| DialFailure::Refused(PeerRefusal::Timeout))??
+    let stream = tokio::select! {
+        stream = time::timeout(
+            opts.handshake_timeout,
+            authenticate(registry, host, &key, requests),
+        ) => {
+            stream.map_err(|_| DialFailure::Refused(PeerRefusal::Timeout))??
         }
         _ = connection.as_mut() => return Err(DialFailure::Closed),
     };
-    // The roster may have changed since the attempt began.
+    // The host list may have changed since the attempt began.
     registry.admit(&host.name).map_err(DialFailure::Refused)?;
     let guard = registry
-        .register(&proven.acceptor, LinkRole::Dialler)
-        .or_else(|| registry.register_yielded(proven.acceptor.run()))
+        .register(&stream.acceptor, LinkRole::Dialler)
+        .or_else(|| registry.register_yielded(stream.acceptor.incarnation()))
         .ok_or(DialFailure::Duplicate)?;
-    let run = proven.acceptor.run().clone();
+    let incarnation = stream.acceptor.incarnation().clone();
     let session = LinkSession {
         guard,
-        writer: proven.writer,
-        reader: proven.reader,
+        writer: stream.writer,
+        reader: stream.reader,
         ping,
     };
-    finish_session(registry, &run, session, async {
+    finish_session(registry, &incarnation, session, async {
         let _ = connection.await;
     })
     .await;
     Ok(())
 }
 
-/// Go through both exchanges of the handshake.
-async fn prove(
+/// Perform both exchanges of the handshake.
+async fn authenticate(
     registry: &LinkRegistry,
     host: &EntryHost,
     key: &LinkKey,
     requests: SendRequest<Bytes>,
-) -> Result<ProvenStream, DialFailure> {
-    // First each side says who it is.
-    let hello = Hello::new(&registry.me.run);
+) -> Result<AuthenticatedStream, DialFailure> {
+    // First exchange: both sides identify themselves.
+    let hello = Hello::new(&registry.identity.incarnation);
     let mut request = link_request(Method::GET);
     hello.write(request.headers_mut());
     let mut requests = requests.ready().await.map_err(|_| DialFailure::Closed)?;
@@ -128,12 +131,12 @@
     let answer = answer.await.map_err(|_| DialFailure::Closed)?;
     let answer = check_status(answer).await?;
     let acceptor = Hello::read(answer.headers()).map_err(DialFailure::Refused)?;
-    // Another host may have got the address since the list was written.
-    if acceptor.run().host != host.name {
-        let found = acceptor.run().host.clone();
+    // Another host may use the address by now.
+    if acceptor.incarnation().host != host.name {
+        let found = acceptor.incarnation().host.clone();
         return Err(DialFailure::Refused(PeerRefusal::UnknownHost(found)));
     }
-    // Then each side proves that it knows the key.
+    // Second exchange: both sides prove that they know the key.
     let pair = HelloPair {
         dialler: hello,
         acceptor,
@@ -148,7 +151,7 @@
     let answer = check_status(answer).await?;
     pair.check_proof(key, LinkRole::Acceptor, answer.headers())
         .map_err(DialFailure::Refused)?;
-    Ok(ProvenStream {
+    Ok(AuthenticatedStream {
         acceptor: pair.acceptor,
         writer,
         reader: answer.into_body(),
@@ -158,13 +161,13 @@
 fn link_request(method: Method) -> Request<()> {
     let mut request = Request::new(());
     *request.method_mut() = method;
-    // The authority is of no use between hosts, but h2 asks for one.
+    // The authority is not used, but h2 requires one.
     *request.uri_mut() = http::Uri::builder()
         .scheme("http")
         .authority("link")
         .path_and_query(LINK_PATH)
         .build()
-        .expect("the parts are constants");
+        .expect("link URI built from constants");
     request
 }
 
@@ -183,10 +186,10 @@
     let mut text = Vec::new();
     while let Some(Ok(data)) = body.data().await {
         text.extend_from_slice(&data);
-        if text.len() >= MAX_REFUSAL_TEXT {
+        if text.len() >= MAX_REFUSAL_BYTES {
             break;
         }
     }
-    text.truncate(MAX_REFUSAL_TEXT);
+    text.truncate(MAX_REFUSAL_BYTES);
     String::from_utf8_lossy(&text).into_owned()
 }
--- a/bergamotswitch-net/src/link/registry.rs
+++ b/bergamotswitch-net/src/link/registry.rs
@@ -1,5 +1,5 @@
-//! Provides the registry of a host's links: who may link, which link to each
-//! peer is in use, and what the loop is told of it.
+//! Provides the registry of a host's links: the hosts that may link, the active link
+//! to each peer, and the link events sent to the loop.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Display;
@@ -15,61 +15,61 @@
 use super::handshake::{Hello, LinkKey, LinkRole, PeerRefusal};
 use super::options::LinkOptions;
 use super::queue::{QueuedFrame, SendQueue};
-use super::value_frames::ValueFrames;
-use crate::input::{HostSelf, NodeInput, NodeSender};
-use crate::journal;
+use super::value_frames::ValueFrameCache;
+use crate::event_log;
+use crate::input::{HostIdentity, NodeInput, NodeSender};
 
 mod guard;
 
 pub(crate) use guard::LinkGuard;
 
-/// Refusals are logged at most once in this time: strangers that connect in
-/// a loop must not fill the log. The counters count each one.
-const REFUSAL_LOG_GAP: Duration = Duration::from_secs(1);
+/// The minimum interval between logged refusals, so that repeated connections of an
+/// unknown process do not fill the log. Every refusal is counted.
+const REFUSAL_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A `SessionOrder` is what the registry wants of a session.
+/// A `SessionCommand` is an instruction of the registry to a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum SessionOrder {
-    /// Carry messages.
-    Carry,
-    /// Send nothing more, read on for a while: another session to the same
-    /// run took over.
+pub(crate) enum SessionCommand {
+    /// Send and receive messages.
+    Run,
+    /// Stop sending and continue to receive for a while, because another session to
+    /// the same incarnation has taken over.
     Yield,
-    /// End.
+    /// Close the session.
     Close,
 }
 
-/// An `ActiveLink` is the link to one peer that is in use.
+/// An `ActiveLink` is the active link to one peer.
 #[derive(Debug)]
 struct ActiveLink {
     session: u64,
-    run: HostIncarnation,
-    /// The newest set of messages that the peer knows.
+    incarnation: HostIncarnation,
+    /// The newest message set that the peer supports.
     message_set: u16,
     role: LinkRole,
-    since: Instant,
+    established_at: Instant,
     queue: Arc<SendQueue>,
-    order: watch::Sender<SessionOrder>,
-    /// A session that yielded to this one. What the peer sent over it goes
-    /// before what it sends over this one, so it counts until that comes.
+    command: watch::Sender<SessionCommand>,
+    /// The session that yielded to this one. Its messages precede those of this
+    /// session, so they are delivered until the first message on this session.
     yielded: Option<u64>,
 }
 
 #[derive(Debug, Default)]
 struct RegistryState {
-    roster: BTreeSet<HostName>,
+    allowed_hosts: BTreeSet<HostName>,
     key: Option<LinkKey>,
     links: BTreeMap<HostName, ActiveLink>,
     sessions: u64,
     counters: LinkCounters,
     refusal_logged: Option<Instant>,
-    frames: ValueFrames,
+    value_frames: ValueFrameCache,
 }
 
-/// A `LinkRegistry` is what all tasks of a host's links share.
+/// A `LinkRegistry` is the state shared by all tasks of a host's links.
 #[derive(Debug)]
 pub(crate) struct LinkRegistry {
-    pub(crate) me: HostSelf,
+    pub(crate) identity: HostIdentity,
     pub(crate) opts: LinkOptions,
     node: NodeSender,
     state: Mutex<RegistryState>,
@@ -77,9 +77,9 @@
 }
 
 impl LinkRegistry {
-    pub(crate) fn new(me: HostSelf, opts: LinkOptions, node: NodeSender) -> Self {
+    pub(crate) fn new(identity: HostIdentity, opts: LinkOptions, node: NodeSender) -> Self {
         LinkRegistry {
-            me,
+            identity,
             opts,
             node,
             state: Mutex::default(),
@@ -91,50 +91,50 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn tell(&self, event: LinkEvent) {
-        // The loop is gone only while the process ends.
+    fn notify(&self, event: LinkEvent) {
+        // Sending fails only if the loop has terminated at exit.
         let _ = self.node.send(NodeInput::Link(event));
     }
 
-    /// Set who may link. Links to hosts that may not any more are closed.
-    pub(crate) fn set_roster(&self, hosts: BTreeSet<HostName>, key: LinkKey) {
+    /// Set the hosts that may link and the key. Links to other hosts are closed.
+    pub(crate) fn set_host_list(&self, hosts: BTreeSet<HostName>, key: LinkKey) {
         let mut state = self.lock();
-        state.roster = hosts;
+        state.allowed_hosts = hosts;
         state.key = (!key.is_empty()).then_some(key);
         for (host, link) in &state.links {
-            if !state.roster.contains(host) {
-                link.order.send_replace(SessionOrder::Close);
+            if !state.allowed_hosts.contains(host) {
+                link.command.send_replace(SessionCommand::Close);
             }
         }
         drop(state);
         self.changes.send_replace(());
     }
 
-    /// Get the key to use with `host`.
+    /// Get the key to use with `host`, or the reason why the host is refused.
     pub(crate) fn admit(&self, host: &HostName) -> Result<LinkKey, PeerRefusal> {
         let state = self.lock();
         let key = state.key.as_ref().ok_or(PeerRefusal::NotReady)?;
-        if state.roster.is_empty() {
+        if state.allowed_hosts.is_empty() {
             return Err(PeerRefusal::NotReady);
         }
-        // A peer with this host's own name is a fault of the settings: two
-        // processes would answer to one name.
-        if !state.roster.contains(host) || *host == self.me.run.host {
+        // A peer with this host's own name is a configuration error: two processes
+        // have the same name.
+        if !state.allowed_hosts.contains(host) || *host == self.identity.incarnation.host {
             return Err(PeerRefusal::UnknownHost(host.clone()));
         }
         Ok(key.clone())
     }
 
-    fn is_linked(&self, run: &HostIncarnation) -> bool {
+    fn is_linked(&self, incarnation: &HostIncarnation) -> bool {
         let state = self.lock();
         state
             .links
-            .get(&run.host)
-            .is_some_and(|link| link.run == *run)
+            .get(&incarnation.host)
+            .is_some_and(|link| link.incarnation == *incarnation)
     }
 
-    /// Wait until `host` may link and has no link.
-    pub(crate) async fn until_wanted(&self, host: &HostName) {
+    /// Wait until `host` may link and has no active link.
+    pub(crate) async fn wait_until_dialable(&self, host: &HostName) {
         let mut changes = self.changes.subscribe();
         while self.admit(host).is_err() || self.lock().links.contains_key(host) {
             if changes.changed().await.is_err() {
@@ -143,112 +143,116 @@
         }
     }
 
-    /// Try to make a session the link to its peer; `None` where the link that
-    /// is there stays.
+    /// Try to register a session as the active link to its peer. Returns `None` if the
+    /// existing link stays active.
     pub(crate) fn register(self: &Arc<Self>, hello: &Hello, role: LinkRole) -> Option<LinkGuard> {
-        let run = hello.run();
+        let incarnation = hello.incarnation();
         let mut state = self.lock();
-        let known = state.links.get(&run.host);
-        let same_run = known.filter(|link| link.run == *run);
-        if same_run.is_some_and(|link| !self.replaces(link, role)) {
+        let known = state.links.get(&incarnation.host);
+        let same_incarnation = known.filter(|link| link.incarnation == *incarnation);
+        if same_incarnation.is_some_and(|link| !self.replaces(link, role)) {
             return None;
         }
-        // A link of the same run hands its queue on: the peer was up and
-        // stays up, and what waits keeps its order.
-        let queue = match same_run {
+        // The new session continues the queue of a link to the same incarnation: the
+        // peer stays up, and queued messages keep their order.
+        let queue = match same_incarnation {
             Some(link) => Arc::clone(&link.queue),
             None => Arc::new(SendQueue::new(self.opts.send_queue_bytes)),
         };
-        let yielded = same_run.map(|link| link.session);
-        let lost = same_run.is_some_and(|link| self.is_lost(link, role));
+        let yielded = same_incarnation.map(|link| link.session);
+        let lost = same_incarnation.is_some_and(|link| self.is_lost_at_peer(link, role));
         state.sessions += 1;
         let link = ActiveLink {
             session: state.sessions,
-            run: run.clone(),
+            incarnation: incarnation.clone(),
             message_set: hello.message_set(),
             role,
-            since: Instant::now(),
+            established_at: Instant::now(),
             queue,
-            order: watch::Sender::new(SessionOrder::Carry),
+            command: watch::Sender::new(SessionCommand::Run),
             yielded,
         };
-        let guard = self.guard(&link, link.session, link.order.subscribe());
-        let former = state.links.insert(run.host.clone(), link);
-        match (former, yielded) {
-            (Some(former), Some(_)) => {
-                former.order.send_replace(SessionOrder::Yield);
+        let guard = self.guard(&link, link.session, link.command.subscribe());
+        let previous = state.links.insert(incarnation.host.clone(), link);
+        match (previous, yielded) {
+            (Some(previous), Some(_)) => {
+                previous.command.send_replace(SessionCommand::Yield);
                 if lost {
-                    self.tell(LinkEvent::Up(run.clone()));
+                    self.notify(LinkEvent::Up(incarnation.clone()));
                 }
             }
-            (Some(former), None) => {
-                former.order.send_replace(SessionOrder::Close);
-                state.counters.dropped += former.queue.clear() as u64;
-                self.tell(LinkEvent::Down(former.run));
-                self.tell(LinkEvent::Up(run.clone()));
+            (Some(previous), None) => {
+                previous.command.send_replace(SessionCommand::Close);
+                state.counters.dropped += previous.queue.clear() as u64;
+                self.notify(LinkEvent::Down(previous.incarnation));
+                self.notify(LinkEvent::Up(incarnation.clone()));
             }
-            (None, _) => self.tell(LinkEvent::Up(run.clone())),
+            (None, _) => self.notify(LinkEvent::Up(incarnation.clone())),
         }
         drop(state);
         self.changes.send_replace(());
         Some(guard)
     }
 
-    /// Get the guard of a dialled session that found another one to the same
-    /// run in use: it yields from the start. `None` where that one is gone.
+    /// Get the guard of a dialled session that yields from the start, because another
+    /// session to the same incarnation is active. Returns `None` if that session has
+    /// ended.
     ///
-    /// To close the dialled connection at once would go wrong: its acceptor
-    /// may have it in use and not yet know of the other one, and would take
-    /// the peer as down. It closes when both sides have settled.
-    pub(crate) fn register_yielded(self: &Arc<Self>, run: &HostIncarnation) -> Option<LinkGuard> {
+    /// The dialled connection must not be closed immediately: the acceptor may use it
+    /// as its active link and not know the other one yet, and would report the peer as
+    /// down. It is closed once both sides use the same session.
+    pub(crate) fn register_yielded(
+        self: &Arc<Self>,
+        incarnation: &HostIncarnation,
+    ) -> Option<LinkGuard> {
         let mut state = self.lock();
         state.sessions += 1;
         let session = state.sessions;
-        let link = state.links.get_mut(&run.host)?;
-        if link.run != *run {
+        let link = state.links.get_mut(&incarnation.host)?;
+        if link.incarnation != *incarnation {
             return None;
         }
         link.yielded = link.yielded.or(Some(session));
-        let orders = watch::Sender::new(SessionOrder::Yield).subscribe();
-        Some(self.guard(link, session, orders))
+        let commands = watch::Sender::new(SessionCommand::Yield).subscribe();
+        Some(self.guard(link, session, commands))
     }
 
     fn guard(
         self: &Arc<Self>,
         link: &ActiveLink,
         session: u64,
-        orders: watch::Receiver<SessionOrder>,
+        commands: watch::Receiver<SessionCommand>,
     ) -> LinkGuard {
         LinkGuard {
             registry: Arc::clone(self),
             session,
-            run: link.run.clone(),
+            incarnation: link.incarnation.clone(),
             queue: Arc::clone(&link.queue),
-            orders,
+            commands,
         }
     }
 
-    /// Get whether a new session says that the peer has lost `link`. What this
-    /// host sent over it since may be lost, too, so its loop has to hear of a link
-    /// anew: otherwise asks, releases and keys would be missing at the peer until
-    /// they are sent again in their turn.
+    /// Get whether a new session with this role shows that the peer has lost `link`.
+    /// Messages sent on the link may then be lost, so the loop must receive another up
+    /// event: otherwise slot requests, releases and keys would be missing at the peer
+    /// until their regular retransmission.
     ///
-    /// A host dials only while it has no link. So it lost this one where it
-    /// dialled that as well, and where the new session comes later than any
-    /// attempt which began before `link` was up.
-    fn is_lost(&self, link: &ActiveLink, role: LinkRole) -> bool {
-        role == link.role || link.since.elapsed() > self.opts.dial_bound()
+    /// A host dials only while it has no link. The peer has therefore lost `link` if
+    /// the same side dialled both, or if the new session comes later than any attempt
+    /// started before `link` was established.
+    fn is_lost_at_peer(&self, link: &ActiveLink, role: LinkRole) -> bool {
+        role == link.role || link.established_at.elapsed() > self.opts.dial_timeout()
     }
 
-    /// Get whether a new session of the same run takes the place of `link`.
+    /// Get whether a new session to the same incarnation replaces `link`.
     fn replaces(&self, link: &ActiveLink, role: LinkRole) -> bool {
-        // This host still waits for a PING over one that the peer has lost.
-        if self.is_lost(link, role) {
+        // The peer has lost the link before this host detected it by PING.
+        if self.is_lost_at_peer(link, role) {
             return true;
         }
-        // Both sides dialled: each must keep the same one of the two, or each
-        // closes the one that the other keeps, and no link stays.
-        let dialler_preferred = self.me.run.host < link.run.host;
+        // Both sides dialled. They must keep the same connection: otherwise each would
+        // close the one that the other keeps, and no link would remain.
+        let dialler_preferred = self.identity.incarnation.host < link.incarnation.host;
         (role == LinkRole::Dialler) == dialler_preferred
     }
 
@@ -260,33 +264,33 @@
         }
         if let Some(link) = state.links.remove(host) {
             state.counters.dropped += link.queue.clear() as u64;
-            self.tell(LinkEvent::Down(link.run));
+            self.notify(LinkEvent::Down(link.incarnation));
         }
         drop(state);
         self.changes.send_replace(());
     }
 
-    /// Close the link to `host` where this host dialled it.
+    /// Close the link to `host` if this host dialled it.
     pub(crate) fn stop_dialled(&self, host: &HostName) {
         let state = self.lock();
         if let Some(link) = state.links.get(host)
             && link.role == LinkRole::Dialler
         {
-            link.order.send_replace(SessionOrder::Close);
+            link.command.send_replace(SessionCommand::Close);
         }
     }
 
-    /// Queue a message; `false` where no link takes it.
+    /// Queue a message. Returns `false` if it cannot be sent.
     pub(crate) fn send(&self, host: &HostName, message: &LinkMessage) -> bool {
         let kind = MessageKind::of(message);
         let mut state = self.lock();
-        let encoded = state.frames.encode(message);
+        let encoded = state.value_frames.encode(message);
         let (Some(link), Ok(bytes)) = (state.links.get(host), encoded) else {
             state.counters.dropped += 1;
             return false;
         };
-        // An older host takes it for no message and drops the link: one would
-        // see links break at each planned stop while a fleet is replaced.
+        // A peer of an older release would reject the unknown message and close the
+        // link, so links would break during a rolling upgrade.
         if message.message_set() > link.message_set {
             state.counters.dropped += 1;
             return false;
@@ -294,17 +298,18 @@
         if link.queue.push(QueuedFrame { kind, bytes }) {
             return true;
         }
-        // The peer does not read. To wait on would cost memory without bound;
-        // to drop single messages would leave gaps that the peer can't see.
-        // Closing the link tells both sides, and clears the queue.
-        let run = link.run.clone();
-        link.order.send_replace(SessionOrder::Close);
+        // The peer does not read. Queueing more would use unbounded memory, and
+        // dropping single messages would leave undetected gaps. Closing the link makes
+        // the loss visible to both sides and clears the queue.
+        let incarnation = link.incarnation.clone();
+        link.command.send_replace(SessionCommand::Close);
         let session = link.session;
         state.counters.dropped += 1;
         state.counters.overflows += 1;
         drop(state);
-        let pairs: [(&str, &dyn Display); 2] = [("peer", &run), ("cause", &"send queue full")];
-        journal::write(Incident::ConnectionSilent, &pairs);
+        let pairs: [(&str, &dyn Display); 2] =
+            [("peer", &incarnation), ("cause", &"send queue full")];
+        event_log::write(Incident::ConnectionSilent, &pairs);
         self.unregister(host, session);
         false
     }
@@ -317,15 +322,15 @@
         self.lock().counters.clone()
     }
 
-    /// Count a refused connection, and log it.
-    pub(crate) fn note_refusal(&self, refusal: &PeerRefusal, place: &str) {
+    /// Count and log a connection refused by this host.
+    pub(crate) fn record_refusal(&self, refusal: &PeerRefusal, address: &str) {
         let mut state = self.lock();
         state.counters.refused.add(refusal);
-        self.log_refusal(state, &[("peer", &place), ("cause", refusal)]);
+        self.log_refusal(state, &[("peer", &address), ("cause", refusal)]);
     }
 
-    /// Count that a peer refused this host, and log it.
-    pub(crate) fn note_refused_by(&self, host: &HostName, text: &str) {
+    /// Count and log a connection refused by a peer.
+    pub(crate) fn record_refused_by(&self, host: &HostName, text: &str) {
         let mut state = self.lock();
         state.counters.refused_by_peers += 1;
         self.log_refusal(state, &[("by", host), ("cause", &text)]);
@@ -337,11 +342,11 @@
         pairs: &[(&str, &dyn Display)],
     ) {
         let recent = state.refusal_logged.map(|at| at.elapsed());
-        if recent.is_some_and(|age| age < REFUSAL_LOG_GAP) {
+        if recent.is_some_and(|age| age < REFUSAL_LOG_INTERVAL) {
             return;
         }
         state.refusal_logged = Some(Instant::now());
         drop(state);
-        journal::write(Incident::PeerRefused, pairs);
+        event_log::write(Incident::PeerRefused, pairs);
     }
 }
--- a/bergamotswitch-net/src/link/registry/guard.rs
+++ b/bergamotswitch-net/src/link/registry/guard.rs
@@ -1,4 +1,4 @@
-//! Provides the guard of a session: its right to be the link to its peer.
+//! Provides the guard that ties a session to its registered link.
 
 use std::sync::Arc;
 
@@ -6,53 +6,56 @@
 use bergamotswitch_core::link::LinkEvent;
 use tokio::sync::watch;
 
-use super::{LinkRegistry, SessionOrder};
+use super::{LinkRegistry, SessionCommand};
 use crate::link::codec::ReceivedFrame;
 use crate::link::counters::MessageKind;
 use crate::link::queue::{QueuedFrame, SendQueue};
 
-/// A `LinkGuard` is the right of one session to be the link to its peer. Its
-/// `Drop` takes the link down, however the session ended.
+/// A `LinkGuard` is the registration of one session as the link to its peer. Dropping
+/// it unregisters the link, however the session ended.
 #[derive(Debug)]
 pub(crate) struct LinkGuard {
     pub(super) registry: Arc<LinkRegistry>,
     pub(super) session: u64,
-    pub(super) run: HostIncarnation,
+    pub(super) incarnation: HostIncarnation,
     pub(crate) queue: Arc<SendQueue>,
-    pub(super) orders: watch::Receiver<SessionOrder>,
+    pub(super) commands: watch::Receiver<SessionCommand>,
 }
 
 impl LinkGuard {
-    /// Get the peer's run.
-    pub(crate) fn run(&self) -> &HostIncarnation {
-        &self.run
+    /// Get the peer's incarnation.
+    pub(crate) fn incarnation(&self) -> &HostIncarnation {
+        &self.incarnation
     }
 
-    /// Get the next order other than to carry messages.
-    pub(crate) async fn order(&self) -> SessionOrder {
-        let mut orders = self.orders.clone();
-        match orders.wait_for(|order| *order != SessionOrder::Carry).await {
-            Ok(order) => *order,
-            // The link was removed.
-            Err(_) => SessionOrder::Close,
+    /// Wait for a command other than [`SessionCommand::Run`].
+    pub(crate) async fn next_command(&self) -> SessionCommand {
+        let mut commands = self.commands.clone();
+        match commands
+            .wait_for(|command| *command != SessionCommand::Run)
+            .await
+        {
+            Ok(command) => *command,
+            // The sender is dropped when the link is unregistered.
+            Err(_) => SessionCommand::Close,
         }
     }
 
-    /// Wait until no session is the link to this run any more.
-    pub(crate) async fn link_gone(&self) {
+    /// Wait until there is no active link to the peer's incarnation.
+    pub(crate) async fn wait_unlinked(&self) {
         let mut changes = self.registry.changes.subscribe();
-        while self.registry.is_linked(&self.run) {
+        while self.registry.is_linked(&self.incarnation) {
             if changes.changed().await.is_err() {
                 return;
             }
         }
     }
 
-    /// Give a message to the loop, unless another session has taken over:
-    /// what comes must not come after newer messages.
+    /// Pass a message to the loop. It is ignored if another session has taken over and
+    /// delivered messages already, since it would arrive out of order.
     pub(crate) fn deliver(&self, frame: ReceivedFrame) {
         let mut state = self.registry.lock();
-        let Some(link) = state.links.get_mut(&self.run.host) else {
+        let Some(link) = state.links.get_mut(&self.incarnation.host) else {
             return;
         };
         if link.session == self.session {
@@ -63,10 +66,10 @@
         let kind = MessageKind::of(&frame.message);
         state.counters.received.add(kind, frame.len);
         self.registry
-            .tell(LinkEvent::Message(self.run.clone(), frame.message));
+            .notify(LinkEvent::Message(self.incarnation.clone(), frame.message));
     }
 
-    /// Count a message as handed to the connection.
+    /// Count a message as passed to the connection.
     pub(crate) fn count_sent(&self, frame: &QueuedFrame) {
         let mut state = self.registry.lock();
         state.counters.sent.add(frame.kind, frame.bytes.len());
@@ -75,6 +78,7 @@
 
 impl Drop for LinkGuard {
     fn drop(&mut self) {
-        self.registry.unregister(&self.run.host, self.session);
+        self.registry
+            .unregister(&self.incarnation.host, self.session);
     }
 }
--- a/bergamotswitch-net/src/node/drive.rs
+++ b/bergamotswitch-net/src/node/drive.rs
@@ -29,9 +29,11 @@
 use crate::answer::AnswerPart;
 use crate::boot_clock::BootClock;
 use crate::caller::{CallerDesk, CallerOptions};
+use crate::event_log;
 use crate::gossip::GossipSocket;
-use crate::input::{HostSelf, NodeInput, NodeSender, OutgoingCall, PlatformEvent, Received};
-use crate::journal;
+use crate::input::{
+    HostIdentity, NodeInput, NodeSender, OutgoingCall, PlatformEvent, SubmissionReply,
+};
 use crate::link::{LinkHub, LinkOptions};
 use crate::metrics::{NodeMetrics, OwnerTotals};
 use crate::target_client::{TargetClient, TargetClientOptions};
@@ -39,7 +41,7 @@
 /// A `HostNode` is one entry host's process: it owns every machine and every
 /// client, and one loop on one thread drives them.
 pub struct HostNode {
-    me: HostSelf,
+    me: HostIdentity,
     core: NodeCore,
     open: OpenRequests,
     targets: TargetClient,
@@ -70,7 +72,12 @@
     pub fn try_new(setup: NodeSetup) -> Result<Self, NodeError> {
         let (sender, inbox) = mpsc::unbounded_channel();
         let me = setup.me;
-        let core = NodeCore::new(me.run.clone(), me.domain.clone(), setup.opts, Moment::START);
+        let core = NodeCore::new(
+            me.incarnation.clone(),
+            me.domain.clone(),
+            setup.opts,
+            Moment::START,
+        );
         let (publication, published) = watch::channel(Arc::new(Publication::default()));
         let links = LinkHub::try_new(
             me.clone(),
@@ -118,13 +125,13 @@
     }
 
     /// Get this run.
-    pub fn me(&self) -> &HostSelf {
+    pub fn me(&self) -> &HostIdentity {
         &self.me
     }
 
     /// Run until a planned stop is complete.
     pub async fn run(mut self) {
-        self.note(Incident::HostStarted, &self.me.run.to_string());
+        self.note(Incident::HostStarted, &self.me.incarnation.to_string());
         self.handle(NodeEvent::Tick);
         while !self.stop.may_close(self.core.is_idle()) {
             let wake = self.core.next_wake().min(self.stop.next_wake());
@@ -169,7 +176,7 @@
                 input = inbox.recv() => turn_away(input, clock.now(), stop_at, &metrics),
             }
         }
-        journal::write(Incident::HostStopped, &[("run", &me.run)]);
+        event_log::write(Incident::HostStopped, &[("run", &me.incarnation)]);
     }
 
     fn now(&self) -> Moment {
@@ -245,7 +252,7 @@
                 }
                 self.handle(NodeEvent::Attempt(id, event));
             }
-            NodeInput::Overlong(id) => {
+            NodeInput::AnswerTooLong(id) => {
                 // An answer that began anew meanwhile is another run's.
                 let overlong = |request: &OpenRequest| request.answer.is_overlong();
                 if self.open.get(id).is_some_and(overlong) {
@@ -256,7 +263,7 @@
             NodeInput::Prefix(name, prefix, held) => {
                 self.handle(NodeEvent::Prefix(name, prefix, held));
             }
-            NodeInput::Turned(reason, tier) => self.metrics.refused(reason, tier),
+            NodeInput::EarlyRefusal(reason, tier) => self.metrics.refused(reason, tier),
             NodeInput::Stop => self.on_stop(),
         }
     }
@@ -266,7 +273,7 @@
         reception: SubmitOutcome,
         call: OutgoingCall,
         label: RequestLabel,
-    ) -> Received {
+    ) -> SubmissionReply {
         let answer = match &reception {
             SubmitOutcome::Accepted(id) => Some(self.open.open(*id, call, label)),
             SubmitOutcome::Attached(id) => self.open.attach(*id),
@@ -278,7 +285,7 @@
                 None
             }
         };
-        Received { reception, answer }
+        SubmissionReply { reception, answer }
     }
 
     fn handle(&mut self, event: NodeEvent) {
@@ -390,7 +397,7 @@
         self.platform.set_limits(limits);
         self.open.set_max_answer_bytes(limits.max_answer_bytes);
         self.links
-            .set_roster(&publication.hosts, &publication.limits.link_key);
+            .set_host_list(&publication.hosts, &publication.limits.link_key);
         self.publication.send_replace(Arc::new(publication.clone()));
         if publication.uses_routes && name.as_str() == HOSTS_VALUE {
             let hosts = &publication.hosts.hosts;
--- a/bergamotswitch-net/src/node/drive/stopping.rs
+++ b/bergamotswitch-net/src/node/drive/stopping.rs
@@ -9,8 +9,8 @@
 use bergamotswitch_core::node::NodeEvent;
 
 use super::HostNode;
-use crate::input::{HostSelf, NodeInput, Received};
-use crate::journal;
+use crate::event_log;
+use crate::input::{HostIdentity, NodeInput, SubmissionReply};
 use crate::metrics::NodeMetrics;
 use crate::node::request_label::RequestLabel;
 use crate::node::seams::CallerDoor;
@@ -58,7 +58,7 @@
                 self.note_open(&times);
                 // A host that is late is killed while it ends its requests; what
                 // it held is in the log by then.
-                journal::hasten();
+                event_log::request_flush();
                 self.handle(NodeEvent::GraceExpired);
             }
         }
@@ -88,11 +88,11 @@
 }
 
 /// Note that the grace is over before callers have read their answers.
-pub(super) fn note_unread(me: &HostSelf, metrics: &NodeMetrics) {
+pub(super) fn note_unread(me: &HostIdentity, metrics: &NodeMetrics) {
     metrics.incident(Incident::GraceEnding);
     let about = "answers that are still being read";
-    let pairs: [(&str, &dyn Display); 2] = [("host", &me.run.host), ("about", &about)];
-    journal::write(Incident::GraceEnding, &pairs);
+    let pairs: [(&str, &dyn Display); 2] = [("host", &me.incarnation.host), ("about", &about)];
+    event_log::write(Incident::GraceEnding, &pairs);
 }
 
 /// Turn away what comes when the loop has ended, such as a request whose body
@@ -116,7 +116,7 @@
     metrics.refused(refusal.reason(), Some(label.tier));
     label.note_end(now, None, &Conclusion::Refused(refusal.clone()), 0);
     // A caller that is gone needs no answer.
-    let _ = reply.send(Received {
+    let _ = reply.send(SubmissionReply {
         reception: SubmitOutcome::Refused(refusal),
         answer: None,
     });
--- a/bergamotswitch-net/src/store_source/entry_reader.rs
+++ b/bergamotswitch-net/src/store_source/entry_reader.rs
@@ -8,7 +8,7 @@
 use bergamotswitch_platform::registration;
 use bergamotswitch_platform::store::StoreItem;
 
-use crate::journal;
+use crate::event_log;
 
 /// The maximum number of keys tracked as logged. Once it is reached, further
 /// unreadable entries are not logged.
@@ -37,7 +37,7 @@
             }
             Err(fault) => {
                 if self.should_log(&item.key) {
-                    journal::write(
+                    event_log::write(
                         Incident::EntryUnreadable,
                         &[("key", &item.key), ("cause", &fault)],
                     );
--- a/bergamotswitch-net/src/store_source/mod.rs
+++ b/bergamotswitch-net/src/store_source/mod.rs
@@ -20,8 +20,8 @@
 use bergamotswitch_platform::{config, registration};
 use tokio::sync::Mutex;
 
+use crate::event_log;
 use crate::input::{NodeInput, NodeSender, PlatformEvent};
-use crate::journal;
 use crate::task_guard::TaskGuard;
 use connection::StoreCallError;
 use cursor::{StoreCursor, StoreUpdate};
@@ -118,7 +118,7 @@
 }
 
 fn failure_input(name: &ValueName, error: StoreCallError) -> NodeInput {
-    journal::write(
+    event_log::write(
         Incident::ServiceCallFailed,
         &[("value", name), ("cause", &error)],
     );
@@ -189,7 +189,7 @@
             body,
         }),
         None => {
-            journal::write(Incident::EntryUnreadable, &[("key", &item.key)]);
+            event_log::write(Incident::EntryUnreadable, &[("key", &item.key)]);
             PlatformEvent::Failed(name.clone())
         }
     }
--- a/bergamotswitch-net/src/target_client/attempt_report.rs
+++ b/bergamotswitch-net/src/target_client/attempt_report.rs
@@ -11,8 +11,8 @@
 use bergamotswitch_core::request::AttemptId;
 use bergamotswitch_core::target::TargetName;
 
+use crate::event_log;
 use crate::input::{NodeInput, NodeSender};
-use crate::journal;
 
 /// An `AbortFlag` is set when an attempt is aborted and must report nothing
 /// more.
@@ -87,5 +87,5 @@
 ) {
     let pairs: [(&str, &dyn fmt::Display); 3] =
         [("attempt", &attempt), ("to", target), ("cause", &cause)];
-    journal::write(incident, &pairs);
+    event_log::write(incident, &pairs);
 }
--- a/bergamotswitch-net/tests/event_catalogue.rs
+++ b/bergamotswitch-net/tests/event_catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogue of numbered events and the code say the same.
+//! Tests that the event catalogue in `docs/EVENTS.md` matches the events in the code.
 
 use bergamotswitch_core::incident::{Incident, Level};
 
@@ -16,7 +16,7 @@
     let mut rows = Vec::new();
     for line in CATALOGUE.lines() {
         let cells: Vec<&str> = line.split('|').map(str::trim).collect();
-        // A row begins and ends with a bar; its first cell is a number.
+        // Event rows start and end with a bar and have a number in the first cell.
         let [_, number, level, text, when, response, _] = cells[..] else {
             continue;
         };
@@ -34,7 +34,7 @@
     rows
 }
 
-fn level_word(level: Level) -> &'static str {
+fn level_text(level: Level) -> &'static str {
     match level {
         Level::Info => "info",
         Level::Warn => "warn",
@@ -51,7 +51,7 @@
     let known: Vec<(u16, &str, &str)> = Incident::ALL
         .iter()
         .map(|incident| {
-            let level = level_word(incident.level());
+            let level = level_text(incident.level());
             (incident.number(), level, incident.text())
         })
         .collect();
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn told_fully() {
+fn complete_rows() {
     let rows = catalogue_rows();
     assert!(!rows.is_empty());
     for row in rows {
--- a/bergamotswitch-net/tests/link_codec.rs
+++ b/bergamotswitch-net/tests/link_codec.rs
@@ -1,4 +1,4 @@
-//! Tests of the frames of links.
+//! Tests of the frame encoding of links.
 
 use bergamotswitch_core::host::{HostIncarnation, Incarnation};
 use bergamotswitch_core::link::{Heartbeat, LinkMessage, MAX_MESSAGE_LEN};
@@ -183,8 +183,8 @@
 
 #[test]
 fn wire_sizes() {
-    // The sizes decide how many requests a host's control traffic can carry;
-    // a change of a message that makes it larger must be seen.
+    // Guards against changes that enlarge frequent messages, whose size limits how
+    // many requests the control traffic of a host can serve.
     let sizes = [
         ("heartbeat", codec::encoded_len(&heartbeat(100_000)), 24),
         ("ask, no prefixes", codec::encoded_len(&ask(0, false)), 96),
@@ -202,9 +202,8 @@
 
 #[test]
 fn long_message_refused() {
-    // Symptom: a host runs out of memory. Sequence: a peer (or a stray client)
-    // sends a length of 4 GB. Cause: room made before the length was checked.
-    // The highest bit tells whether the message is compressed.
+    // Guards against memory exhaustion by a length prefix of up to 4 GB. The highest
+    // bit of the prefix marks a compressed message.
     for prefix in [u32::MAX, u32::MAX >> 1] {
         let mut reader = FrameReader::default();
         reader.push(&prefix.to_be_bytes());
@@ -228,10 +227,9 @@
 }
 
 #[test]
-fn foreign_bytes_refused() {
-    // Symptom: a slot is granted that nobody asked for. Sequence: a peer with
-    // another layout sends a message. Cause: bytes that do not fit were
-    // guessed at instead of refused.
+fn invalid_bytes_refused() {
+    // Guards against wrong decoding of messages from a peer with another message
+    // layout, which could grant a slot that was never requested.
     let unknown_variant = read_body(&[200, 0, 0]);
     assert!(matches!(unknown_variant, Err(CodecError::Malformed(_))));
     let empty = read_body(&[]);
@@ -241,7 +239,7 @@
     longer.extend([0, 0, 0]);
     assert_eq!(read_body(&longer), Err(CodecError::TrailingBytes(3)));
 
-    // A name that no checked type takes is refused, too.
+    // A name with invalid characters is refused, too.
     let mut frame = codec::encode(&whole(1)).unwrap()[LENGTH_BYTES..].to_vec();
     let at = frame.windows(5).position(|w| w == b"rules").unwrap();
     frame[at] = b'/';
@@ -249,15 +247,15 @@
 }
 
 #[test]
-fn length_lies() {
-    // Symptom: a host runs out of memory. Sequence: a short frame names a list
-    // of 2^60 marks. Cause: the decoder made room for what the list claims.
+fn inflated_length() {
+    // Guards against memory exhaustion by a short frame that declares a list of 2^60
+    // elements.
     let body = [3, 0, 253, 0, 0, 0, 0, 0, 0, 0, 16];
     assert!(matches!(read_body(&body), Err(CodecError::Malformed(_))));
 }
 
 #[test]
-fn any_pieces() {
+fn arbitrary_chunks() {
     bergamotswitch_draw::for_each::<(Vec<u64>, Vec<u8>)>(500, |(sequences, cuts)| {
         let sent: Vec<LinkMessage> = sequences.iter().map(|s| heartbeat(*s)).collect();
         let mut stream = Vec::new();
@@ -269,9 +267,9 @@
         let mut received = Vec::new();
         let cuts = cuts.iter().map(|cut| usize::from(*cut));
         for cut in cuts.chain([usize::MAX]) {
-            let (piece, later) = rest.split_at(cut.min(rest.len()));
-            rest = later;
-            reader.push(piece);
+            let (chunk, remaining) = rest.split_at(cut.min(rest.len()));
+            rest = remaining;
+            reader.push(chunk);
             while let Some(frame) = reader.next_frame().unwrap() {
                 received.push(frame.message);
             }
@@ -281,16 +279,16 @@
 }
 
 #[test]
-fn any_bytes() {
+fn arbitrary_bytes() {
     bergamotswitch_draw::for_each::<Vec<u8>>(2_000, |body| {
-        // What is taken is taken whole: written again it is no longer.
+        // A decoded message uses all bytes, so encoding it again is not longer.
         if let Ok(Some(frame)) = read_body(body) {
             assert!(codec::encoded_len(&frame.message) <= frame.len);
         }
     });
 }
 
-/// Get a list of so many targets as a value.
+/// Get a message with a published list of `count` targets.
 fn target_list(count: u32) -> LinkMessage {
     let entries: Vec<String> = (0..count)
         .map(|number| {
@@ -310,37 +308,34 @@
     }))
 }
 
-// Symptom: in a fleet of 300 hosts before 3,000 targets the links of the readers
-// are full for many seconds after a start of all hosts. Sequence: two readers of
-// each failure domain read the list of targets and send it, 400 KB long, to
-// fifty peers each over links of 10 Mbit/s. Cause: values went as plain text.
+// Guards against saturated links when all hosts of a large fleet start and receive
+// the target list: published values must be sent compressed.
 #[test]
 fn compressed_values() {
     let message = target_list(3_000);
     let plain = codec::encode(&message).unwrap();
-    let packed = codec::encode_compressed(&message).unwrap();
-    println!("{} bytes, compressed {}", plain.len(), packed.len());
-    assert!(packed.len() * 5 < plain.len(), "{}", packed.len());
+    let compressed = codec::encode_compressed(&message).unwrap();
+    println!("{} bytes, compressed {}", plain.len(), compressed.len());
+    assert!(compressed.len() * 5 < plain.len(), "{}", compressed.len());
     let mut reader = FrameReader::default();
-    reader.push(&packed);
+    reader.push(&compressed);
     reader.push(&codec::encode(&heartbeat(1)).unwrap());
     let frame = reader.next_frame().unwrap().unwrap();
     assert_eq!(frame.message, message);
-    assert_eq!(frame.len, packed.len());
+    assert_eq!(frame.len, compressed.len());
     let frame = reader.next_frame().unwrap().unwrap();
     assert_eq!(frame.message, heartbeat(1));
 }
 
 #[test]
-fn short_stay_plain() {
+fn short_value_uncompressed() {
     let message = whole(100);
     let plain = codec::encode(&message).unwrap();
     assert_eq!(codec::encode_compressed(&message).unwrap(), plain);
 }
 
-// Symptom: a host is killed for want of memory. Sequence: a peer sends a
-// compressed message of a few kilobytes that holds gigabytes of one letter.
-// Cause: what it holds was not bounded.
+// Guards against memory exhaustion by a small compressed message that expands beyond
+// the maximum message size.
 #[test]
 fn bounded_expansion() {
     use flate2::Compression;
@@ -348,10 +343,10 @@
     use std::io::Write;
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::best());
     encoder.write_all(&vec![b'x'; 4 * MAX_MESSAGE_LEN]).unwrap();
-    let packed = encoder.finish().unwrap();
+    let compressed = encoder.finish().unwrap();
     let mut reader = FrameReader::default();
-    reader.push(&(packed.len() as u32 | 1 << 31).to_be_bytes());
-    reader.push(&packed);
+    reader.push(&(compressed.len() as u32 | 1 << 31).to_be_bytes());
+    reader.push(&compressed);
     let refused = reader.next_frame();
     assert!(
         matches!(refused, Err(CodecError::TooLong(_))),
--- a/bergamotswitch/examples/slopes/links.rs
+++ b/bergamotswitch/examples/slopes/links.rs
@@ -8,7 +8,7 @@
 use bergamotswitch_core::host::{EntryHost, HostList};
 use bergamotswitch_core::link::{LinkEvent, LinkMessage};
 use bergamotswitch_core::permit::OwnerMessage;
-use bergamotswitch_net::input::{HostSelf, NodeInput};
+use bergamotswitch_net::input::{HostIdentity, NodeInput};
 use bergamotswitch_net::link::codec::encoded_len;
 use bergamotswitch_net::link::{LinkHub, LinkOptions};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -50,8 +50,8 @@
         link_address: address,
         standing: Default::default(),
     };
-    let me = HostSelf {
-        run,
+    let me = HostIdentity {
+        incarnation: run,
         domain: entry.domain.clone(),
     };
     let (node, inbox) = mpsc::unbounded_channel();
@@ -120,7 +120,7 @@
         targets: Vec::new(),
     };
     for end in ends {
-        end.hub.set_roster(&list, KEY);
+        end.hub.set_host_list(&list, KEY);
     }
 }
 
