--- a/bergamotswitch-core/tests/entry_grace.rs
+++ b/bergamotswitch-core/tests/entry_grace.rs
@@ -28,32 +28,37 @@
     submission
 }
 
-fn stop(desk: &mut TestDesk, left: Duration) -> Vec<EntryAction> {
-    let whole_by = desk.now.plus(left);
-    let mut actions = desk.event(EntryEvent::FinishBy(whole_by));
-    actions.extend(desk.event(EntryEvent::Stop));
+fn stop(dispatcher: &mut TestDispatcher, left: Duration) -> Vec<EntryAction> {
+    let whole_by = dispatcher.now.plus(left);
+    let mut actions = dispatcher.event(EntryEvent::FinishBy(whole_by));
+    actions.extend(dispatcher.event(EntryEvent::Stop));
     actions
 }
 
 /// Record many runs of the given duration.
-fn record_runs(desk: &mut TestDesk, span: Duration) {
+fn record_runs(dispatcher: &mut TestDispatcher, span: Duration) {
     for _ in 0..MANY_RUNS {
-        let attempt = desk.begin(submission(), "t0");
-        desk.pass(span);
-        desk.attempt(attempt, AttemptEvent::Finished(usage()));
+        let attempt = dispatcher.begin(submission(), "t0");
+        dispatcher.pass(span);
+        dispatcher.attempt(attempt, AttemptEvent::Finished(usage()));
     }
 }
 
 /// Record one run of the given duration and number of chunks.
-fn record_run(desk: &mut TestDesk, submission: Submission, span: Duration, chunks: u32) {
-    let attempt = desk.begin(submission, "t0");
-    desk.attempt(attempt, AttemptEvent::FirstToken);
-    desk.pass(span);
+fn record_run(
+    dispatcher: &mut TestDispatcher,
+    submission: Submission,
+    span: Duration,
+    chunks: u32,
+) {
+    let attempt = dispatcher.begin(submission, "t0");
+    dispatcher.attempt(attempt, AttemptEvent::FirstToken);
+    dispatcher.pass(span);
     let usage = Usage {
         decode: chunks,
         ..usage()
     };
-    desk.attempt(attempt, AttemptEvent::Finished(usage));
+    dispatcher.attempt(attempt, AttemptEvent::Finished(usage));
 }
 
 /// Get a call with an estimate of its output and a maximum of 4,000 tokens.
@@ -66,23 +71,34 @@
 
 /// Record runs of very different output at the same chunk interval of 20 ms,
 /// with about 8 tokens per chunk.
-fn record_mixed_runs(desk: &mut TestDesk) {
+fn record_mixed_runs(dispatcher: &mut TestDispatcher) {
     for _ in 0..MANY_RUNS {
-        record_run(desk, with_estimate(40), Duration::from_millis(100), 5);
+        record_run(dispatcher, with_estimate(40), Duration::from_millis(100), 5);
     }
     for _ in 0..MANY_RUNS {
-        record_run(desk, with_estimate(2_000), Duration::from_secs(5), 250);
+        record_run(
+            dispatcher,
+            with_estimate(2_000),
+            Duration::from_secs(5),
+            250,
+        );
     }
 }
 
-fn is_accepted(desk: &mut TestDesk) -> bool {
-    matches!(desk.submit(submission()).0, SubmitOutcome::Accepted(_))
+fn is_accepted(dispatcher: &mut TestDispatcher) -> bool {
+    matches!(
+        dispatcher.submit(submission()).0,
+        SubmitOutcome::Accepted(_)
+    )
 }
 
 /// Get the run claim and the retry delay of a submission that is refused
 /// because of the shutdown.
-fn refused_while_stopping(desk: &mut TestDesk, submission: Submission) -> (RunClaim, Duration) {
-    match desk.submit(submission).0 {
+fn refused_while_stopping(
+    dispatcher: &mut TestDispatcher,
+    submission: Submission,
+) -> (RunClaim, Duration) {
+    match dispatcher.submit(submission).0 {
         SubmitOutcome::Refused(refusal) => {
             assert_eq!(refusal.reason(), RefusalReason::Stopping);
             let retry_after = refusal.retry_after().expect("a retry delay");
@@ -107,47 +123,48 @@
 // cannot finish before the process is killed.
 #[test]
 fn long_work() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    stop(&mut desk, GRACE_LEFT);
-    desk.pass(Duration::from_millis(3_200));
-    let (claim, retry_after) = refused_while_stopping(&mut desk, bounded(Duration::from_secs(12)));
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    stop(&mut dispatcher, GRACE_LEFT);
+    dispatcher.pass(Duration::from_millis(3_200));
+    let (claim, retry_after) =
+        refused_while_stopping(&mut dispatcher, bounded(Duration::from_secs(12)));
     assert_eq!(claim, RunClaim::NotRun);
     assert!(retry_after < Duration::from_millis(500));
     // Calls that their deadline ends in time are still served.
-    desk.begin(bounded(Duration::from_secs(3)), "t0");
+    dispatcher.begin(bounded(Duration::from_secs(3)), "t0");
 }
 
 // Guards against starting a run of unknown duration during a shutdown.
 #[test]
 fn unknown_length() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    stop(&mut desk, GRACE_LEFT);
-    refused_while_stopping(&mut desk, submission());
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    stop(&mut dispatcher, GRACE_LEFT);
+    refused_while_stopping(&mut dispatcher, submission());
 }
 
 #[test]
 fn known_lengths() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    record_runs(&mut desk, Duration::from_millis(200));
-    stop(&mut desk, GRACE_LEFT);
-    desk.begin(submission(), "t0");
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    record_runs(&mut dispatcher, Duration::from_millis(200));
+    stop(&mut dispatcher, GRACE_LEFT);
+    dispatcher.begin(submission(), "t0");
     // Recent runs no longer fit into what is left now.
-    desk.pass(GRACE_LEFT - Duration::from_millis(300));
-    refused_while_stopping(&mut desk, submission());
+    dispatcher.pass(GRACE_LEFT - Duration::from_millis(300));
+    refused_while_stopping(&mut dispatcher, submission());
 }
 
 // Guards against truncated answers of requests that were already waiting when
 // the shutdown began and get a permit late.
 #[test]
 fn late_permit() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    let attempt = first_attempt(desk.accept(bounded(Duration::from_secs(6))));
-    stop(&mut desk, GRACE_LEFT);
-    let retried = desk.begin(bounded(Duration::from_secs(5)), "t0");
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    let attempt = first_attempt(dispatcher.accept(bounded(Duration::from_secs(6))));
+    stop(&mut dispatcher, GRACE_LEFT);
+    let retried = dispatcher.begin(bounded(Duration::from_secs(5)), "t0");
     // The first target refuses it; its deadline is unchanged.
-    desk.attempt(retried, AttemptEvent::Refused);
-    desk.start(attempt, "t0");
-    let mut slow = TestDesk::new(EntryOptions::default());
+    dispatcher.attempt(retried, AttemptEvent::Refused);
+    dispatcher.start(attempt, "t0");
+    let mut slow = TestDispatcher::new(EntryOptions::default());
     record_runs(&mut slow, Duration::from_millis(500));
     let attempt = first_attempt(slow.accept(submission()));
     stop(&mut slow, GRACE_LEFT);
@@ -169,23 +186,23 @@
 // instead of while another host could still serve them.
 #[test]
 fn waiting_work() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    desk.accept(bounded(Duration::from_secs(12)));
-    let fitting = first_attempt(desk.accept(bounded(Duration::from_secs(6))));
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    dispatcher.accept(bounded(Duration::from_secs(12)));
+    let fitting = first_attempt(dispatcher.accept(bounded(Duration::from_secs(6))));
     let expected = (RefusalReason::Stopping, RunClaim::NotRun);
-    assert_eq!(refusals(&stop(&mut desk, GRACE_LEFT)), vec![expected]);
-    desk.start(fitting, "t0");
+    assert_eq!(refusals(&stop(&mut dispatcher, GRACE_LEFT)), vec![expected]);
+    dispatcher.start(fitting, "t0");
 }
 
 // Guards against a retry that cannot finish before the process is killed. As
 // the first attempt may have run, the claim is "unknown".
 #[test]
 fn second_attempt() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    let attempt = desk.begin(submission(), "t0");
-    stop(&mut desk, GRACE_LEFT);
-    let mut actions = desk.attempt(attempt, AttemptEvent::Broken(usage()));
-    actions.extend(desk.pass(Duration::from_millis(100)));
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    let attempt = dispatcher.begin(submission(), "t0");
+    stop(&mut dispatcher, GRACE_LEFT);
+    let mut actions = dispatcher.attempt(attempt, AttemptEvent::Broken(usage()));
+    actions.extend(dispatcher.pass(Duration::from_millis(100)));
     let expected = (RefusalReason::Stopping, RunClaim::Unknown);
     assert_eq!(refusals(&actions), vec![expected]);
 }
@@ -194,12 +211,12 @@
 // no answer, owners no permits, and the log no entry.
 #[test]
 fn grace_expired() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    desk.begin(non_idempotent(Duration::from_secs(20)), "t0");
-    desk.begin(bounded(Duration::from_secs(20)), "t0");
-    stop(&mut desk, GRACE_LEFT);
-    desk.pass(GRACE_LEFT);
-    let actions = desk.event(EntryEvent::GraceExpired);
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    dispatcher.begin(non_idempotent(Duration::from_secs(20)), "t0");
+    dispatcher.begin(bounded(Duration::from_secs(20)), "t0");
+    stop(&mut dispatcher, GRACE_LEFT);
+    dispatcher.pass(GRACE_LEFT);
+    let actions = dispatcher.event(EntryEvent::GraceExpired);
     let expected = (RefusalReason::Stopping, RunClaim::Unknown);
     assert_eq!(refusals(&actions), vec![expected, expected]);
     assert_eq!(releases(&actions).len(), 2);
@@ -210,28 +227,28 @@
 // run in ten takes longer than the grace period, so the run must not start.
 #[test]
 fn few_other_hosts() {
-    let mut desk = TestDesk::new(EntryOptions::default());
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
     for _ in 0..MANY_RUNS {
-        record_run(&mut desk, submission(), Duration::from_millis(100), 1);
+        record_run(&mut dispatcher, submission(), Duration::from_millis(100), 1);
     }
     for _ in 0..MANY_RUNS / 10 {
-        record_run(&mut desk, submission(), Duration::from_secs(8), 1);
+        record_run(&mut dispatcher, submission(), Duration::from_secs(8), 1);
     }
-    stop(&mut desk, GRACE_LEFT);
-    refused_while_stopping(&mut desk, submission());
-    let back_at = desk.now.plus(Duration::from_secs(5));
-    desk.event(EntryEvent::HostsAvailableAt(Some(back_at)));
-    desk.pass(Duration::from_millis(1_100));
+    stop(&mut dispatcher, GRACE_LEFT);
+    refused_while_stopping(&mut dispatcher, submission());
+    let back_at = dispatcher.now.plus(Duration::from_secs(5));
+    dispatcher.event(EntryEvent::HostsAvailableAt(Some(back_at)));
+    dispatcher.pass(Duration::from_millis(1_100));
     // The caller is told to retry when enough hosts accept requests again.
-    let (claim, retry_after) = refused_while_stopping(&mut desk, submission());
+    let (claim, retry_after) = refused_while_stopping(&mut dispatcher, submission());
     assert_eq!(claim, RunClaim::NotRun);
-    let wait = back_at.since(desk.now);
+    let wait = back_at.since(dispatcher.now);
     assert!(
         wait <= retry_after && retry_after <= wait * 5 / 4,
         "{retry_after:?}"
     );
-    desk.event(EntryEvent::HostsAvailableAt(None));
-    let (_, retry_after) = refused_while_stopping(&mut desk, submission());
+    dispatcher.event(EntryEvent::HostsAvailableAt(None));
+    let (_, retry_after) = refused_while_stopping(&mut dispatcher, submission());
     assert!(retry_after < Duration::from_millis(500));
 }
 
@@ -239,68 +256,83 @@
 // rule run much longer.
 #[test]
 fn output_estimate() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    record_mixed_runs(&mut desk);
-    stop(&mut desk, GRACE_LEFT);
-    desk.begin(with_estimate(40), "t0");
-    refused_while_stopping(&mut desk, with_estimate(2_000));
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    record_mixed_runs(&mut dispatcher);
+    stop(&mut dispatcher, GRACE_LEFT);
+    dispatcher.begin(with_estimate(40), "t0");
+    refused_while_stopping(&mut dispatcher, with_estimate(2_000));
     // A call that states only its maximum output, or no output at all, has no
     // usable estimate.
     let mut max_only = with_estimate(40);
     max_only.options.max_output_tokens = Some(40);
-    refused_while_stopping(&mut desk, max_only);
+    refused_while_stopping(&mut dispatcher, max_only);
     let mut unnamed = with_estimate(40);
     unnamed.options.max_output_tokens = None;
-    refused_while_stopping(&mut desk, unnamed);
+    refused_while_stopping(&mut dispatcher, unnamed);
 }
 
 // Guards against ignoring the chunk interval of runs in flight when a target
 // has become slow.
 #[test]
 fn slow_target() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    record_mixed_runs(&mut desk);
-    let attempt = desk.begin(with_estimate(40), "t0");
-    desk.attempt(attempt, AttemptEvent::FirstToken);
-    desk.pass(Duration::from_secs(4));
-    desk.attempt(attempt, AttemptEvent::Progress(4));
-    stop(&mut desk, GRACE_LEFT);
-    refused_while_stopping(&mut desk, with_estimate(40));
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    record_mixed_runs(&mut dispatcher);
+    let attempt = dispatcher.begin(with_estimate(40), "t0");
+    dispatcher.attempt(attempt, AttemptEvent::FirstToken);
+    dispatcher.pass(Duration::from_secs(4));
+    dispatcher.attempt(attempt, AttemptEvent::Progress(4));
+    stop(&mut dispatcher, GRACE_LEFT);
+    refused_while_stopping(&mut dispatcher, with_estimate(40));
 }
 
 // Guards against relying on estimates that recent runs have exceeded.
 #[test]
 fn underestimated_output() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    record_mixed_runs(&mut desk);
-    record_run(&mut desk, with_estimate(40), Duration::from_secs(4), 200);
-    stop(&mut desk, GRACE_LEFT);
-    refused_while_stopping(&mut desk, with_estimate(40));
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    record_mixed_runs(&mut dispatcher);
+    record_run(
+        &mut dispatcher,
+        with_estimate(40),
+        Duration::from_secs(4),
+        200,
+    );
+    stop(&mut dispatcher, GRACE_LEFT);
+    refused_while_stopping(&mut dispatcher, with_estimate(40));
     // The maximum output limits a call regardless of its estimate.
     let mut tiny = with_estimate(20);
     tiny.options.max_output_tokens = Some(21);
-    desk.begin(tiny, "t0");
+    dispatcher.begin(tiny, "t0");
 }
 
 // Guards against applying the accuracy of small output estimates to a large
 // one.
 #[test]
 fn large_estimate() {
-    let mut desk = TestDesk::new(EntryOptions::default());
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
     for _ in 0..MANY_RUNS {
-        record_run(&mut desk, with_estimate(40), Duration::from_millis(100), 5);
+        record_run(
+            &mut dispatcher,
+            with_estimate(40),
+            Duration::from_millis(100),
+            5,
+        );
     }
     for _ in 0..MANY_RUNS / 10 {
-        record_run(&mut desk, with_estimate(400), Duration::from_secs(1), 50);
+        record_run(
+            &mut dispatcher,
+            with_estimate(400),
+            Duration::from_secs(1),
+            50,
+        );
     }
-    stop(&mut desk, GRACE_LEFT);
-    desk.begin(with_estimate(40), "t0");
-    refused_while_stopping(&mut desk, with_estimate(400));
+    stop(&mut dispatcher, GRACE_LEFT);
+    dispatcher.begin(with_estimate(40), "t0");
+    refused_while_stopping(&mut dispatcher, with_estimate(400));
     // The maximum output still limits the call.
     let mut bounded = with_estimate(400);
     bounded.options.max_output_tokens = Some(401);
-    desk.event(EntryEvent::FinishBy(desk.now.plus(GRACE_LEFT * 2)));
-    desk.begin(bounded, "t0");
+    dispatcher.event(EntryEvent::FinishBy(dispatcher.now.plus(GRACE_LEFT * 2)));
+    dispatcher.begin(bounded, "t0");
 }
 
 /// Get a call with an output estimate for the given rule.
@@ -314,31 +346,41 @@
 // right.
 #[test]
 fn estimates_by_rule() {
-    let mut desk = TestDesk::new(EntryOptions::default());
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
     for _ in 0..MANY_RUNS {
-        record_run(&mut desk, of_rule("other", 400), Duration::from_secs(1), 50);
         record_run(
-            &mut desk,
+            &mut dispatcher,
+            of_rule("other", 400),
+            Duration::from_secs(1),
+            50,
+        );
+        record_run(
+            &mut dispatcher,
             of_rule("rule", 40),
             Duration::from_millis(100),
             5,
         );
     }
-    stop(&mut desk, GRACE_LEFT);
-    desk.begin(of_rule("other", 400), "t0");
-    refused_while_stopping(&mut desk, of_rule("rule", 400));
+    stop(&mut dispatcher, GRACE_LEFT);
+    dispatcher.begin(of_rule("other", 400), "t0");
+    refused_while_stopping(&mut dispatcher, of_rule("rule", 400));
 }
 
 // Guards against relying on an estimate after too few runs.
 #[test]
 fn too_few_runs() {
     for runs in [0, 1, 8, 15] {
-        let mut desk = TestDesk::new(EntryOptions::default());
+        let mut dispatcher = TestDispatcher::new(EntryOptions::default());
         for _ in 0..runs {
-            record_run(&mut desk, with_estimate(40), Duration::from_millis(100), 5);
+            record_run(
+                &mut dispatcher,
+                with_estimate(40),
+                Duration::from_millis(100),
+                5,
+            );
         }
-        stop(&mut desk, GRACE_LEFT);
-        refused_while_stopping(&mut desk, with_estimate(40));
+        stop(&mut dispatcher, GRACE_LEFT);
+        refused_while_stopping(&mut dispatcher, with_estimate(40));
     }
 }
 
@@ -347,19 +389,29 @@
 #[test]
 fn wrong_estimates() {
     for wrong in [1, 4, MANY_RUNS] {
-        let mut desk = TestDesk::new(EntryOptions::default());
+        let mut dispatcher = TestDispatcher::new(EntryOptions::default());
         for _ in 0..MANY_RUNS {
-            record_run(&mut desk, with_estimate(400), Duration::from_secs(1), 50);
+            record_run(
+                &mut dispatcher,
+                with_estimate(400),
+                Duration::from_secs(1),
+                50,
+            );
         }
         for _ in 0..wrong {
-            record_run(&mut desk, with_estimate(400), Duration::from_secs(3), 150);
+            record_run(
+                &mut dispatcher,
+                with_estimate(400),
+                Duration::from_secs(3),
+                150,
+            );
         }
         // The bound leaves room for an estimate that is wrong by twice as much
         // again.
-        stop(&mut desk, Duration::from_secs(5));
-        refused_while_stopping(&mut desk, with_estimate(400));
-        desk.event(EntryEvent::FinishBy(desk.now.plus(GRACE_LEFT)));
-        desk.begin(with_estimate(400), "t0");
+        stop(&mut dispatcher, Duration::from_secs(5));
+        refused_while_stopping(&mut dispatcher, with_estimate(400));
+        dispatcher.event(EntryEvent::FinishBy(dispatcher.now.plus(GRACE_LEFT)));
+        dispatcher.begin(with_estimate(400), "t0");
     }
 }
 
@@ -367,57 +419,57 @@
 // the window and lower the bound.
 #[test]
 fn aborted_runs() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    record_runs(&mut desk, Duration::from_secs(3));
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    record_runs(&mut dispatcher, Duration::from_secs(3));
     for _ in 0..64 {
-        let id = desk.accept(submission());
-        desk.start(first_attempt(id), "t0");
-        desk.pass(Duration::from_millis(1));
-        desk.event(EntryEvent::CallerLeft(id));
+        let id = dispatcher.accept(submission());
+        dispatcher.start(first_attempt(id), "t0");
+        dispatcher.pass(Duration::from_millis(1));
+        dispatcher.event(EntryEvent::CallerLeft(id));
     }
     for _ in 0..64 {
-        let id = desk.accept(submission());
-        desk.start(first_attempt(id), "t0");
-        desk.attempt(first_attempt(id), AttemptEvent::Failed);
-        desk.event(EntryEvent::CallerLeft(id));
+        let id = dispatcher.accept(submission());
+        dispatcher.start(first_attempt(id), "t0");
+        dispatcher.attempt(first_attempt(id), AttemptEvent::Failed);
+        dispatcher.event(EntryEvent::CallerLeft(id));
     }
-    stop(&mut desk, Duration::from_secs(2));
-    assert!(!is_accepted(&mut desk));
+    stop(&mut dispatcher, Duration::from_secs(2));
+    assert!(!is_accepted(&mut dispatcher));
 }
 
 // Guards against a bound from ended runs alone when all targets have become
 // slow just before the shutdown.
 #[test]
 fn runs_in_flight() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    record_runs(&mut desk, Duration::from_millis(100));
-    desk.begin(submission(), "t0");
-    desk.pass(Duration::from_secs(10));
-    stop(&mut desk, Duration::from_secs(2));
-    assert!(!is_accepted(&mut desk));
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    record_runs(&mut dispatcher, Duration::from_millis(100));
+    dispatcher.begin(submission(), "t0");
+    dispatcher.pass(Duration::from_secs(10));
+    stop(&mut dispatcher, Duration::from_secs(2));
+    assert!(!is_accepted(&mut dispatcher));
 }
 
 // Guards against a bound from recent short answers for a call that expects much
 // more output.
 #[test]
 fn larger_call() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    record_runs(&mut desk, Duration::from_millis(130));
-    stop(&mut desk, Duration::from_secs(4));
-    assert!(is_accepted(&mut desk));
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    record_runs(&mut dispatcher, Duration::from_millis(130));
+    stop(&mut dispatcher, Duration::from_secs(4));
+    assert!(is_accepted(&mut dispatcher));
     let mut large = submission();
     large.cost.decode *= 30;
-    refused_while_stopping(&mut desk, large);
+    refused_while_stopping(&mut dispatcher, large);
 }
 
 // Guards against replacing the target's error by a refusal when a retry can no
 // longer start.
 #[test]
 fn error_kept() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    let attempt = desk.begin(submission(), "t0");
-    stop(&mut desk, GRACE_LEFT);
-    let actions = desk.attempt(attempt, AttemptEvent::Failed);
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    let attempt = dispatcher.begin(submission(), "t0");
+    stop(&mut dispatcher, GRACE_LEFT);
+    let actions = dispatcher.attempt(attempt, AttemptEvent::Failed);
     assert_eq!(conclusions(&actions), vec![Conclusion::TargetError]);
 }
 
@@ -425,11 +477,11 @@
 // this host. Whether the request runs at the other host is not known here.
 #[test]
 fn forwarded_copy() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    stop(&mut desk, GRACE_LEFT);
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    stop(&mut dispatcher, GRACE_LEFT);
     let mut copy = alert("key");
     copy.holder = Some(run_of("entry-2", 2));
-    match desk.submit(copy).0 {
+    match dispatcher.submit(copy).0 {
         SubmitOutcome::Refused(refusal) => assert_eq!(refusal.claim(), RunClaim::Unknown),
         other => panic!("not refused: {other:?}"),
     }
@@ -439,21 +491,21 @@
 // short calls after their address lease has expired.
 #[test]
 fn admission_closed() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    desk.event(EntryEvent::Stop);
-    let waiting = first_attempt(desk.accept(submission()));
-    desk.event(EntryEvent::AdmissionClosed);
-    refused_while_stopping(&mut desk, submission());
-    desk.start(waiting, "t0");
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    dispatcher.event(EntryEvent::Stop);
+    let waiting = first_attempt(dispatcher.accept(submission()));
+    dispatcher.event(EntryEvent::AdmissionClosed);
+    refused_while_stopping(&mut dispatcher, submission());
+    dispatcher.start(waiting, "t0");
 }
 
 // Guards against refusing or aborting requests in a shutdown without a grace
 // period.
 #[test]
 fn no_grace_period() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    desk.event(EntryEvent::FinishBy(Moment::NEVER));
-    desk.event(EntryEvent::Stop);
-    desk.begin(submission(), "t0");
-    assert_eq!(desk.pass(Duration::from_secs(20)), vec![]);
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    dispatcher.event(EntryEvent::FinishBy(Moment::NEVER));
+    dispatcher.event(EntryEvent::Stop);
+    dispatcher.begin(submission(), "t0");
+    assert_eq!(dispatcher.pass(Duration::from_secs(20)), vec![]);
 }
--- a/bergamotswitch-core/tests/entry_lifecycle.rs
+++ b/bergamotswitch-core/tests/entry_lifecycle.rs
@@ -25,15 +25,15 @@
 
 #[test]
 fn complete_request() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    let (outcome, actions) = desk.submit(submission());
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    let (outcome, actions) = dispatcher.submit(submission());
     let ask = asks(&actions).remove(0);
     assert_eq!(outcome, SubmitOutcome::Accepted(ask.attempt.request));
     assert_eq!(ask.claim, None);
-    desk.start(ask.attempt, "t0");
-    desk.now = desk.now.plus(Duration::from_millis(300));
-    desk.attempt(ask.attempt, AttemptEvent::FirstToken);
-    let actions = desk.attempt(ask.attempt, AttemptEvent::Finished(usage()));
+    dispatcher.start(ask.attempt, "t0");
+    dispatcher.now = dispatcher.now.plus(Duration::from_millis(300));
+    dispatcher.attempt(ask.attempt, AttemptEvent::FirstToken);
+    let actions = dispatcher.attempt(ask.attempt, AttemptEvent::Finished(usage()));
     assert_eq!(conclusions(&actions), vec![Conclusion::Answered]);
     let outcome = ReleaseOutcome::Finished(usage());
     assert_eq!(releases(&actions)[0].outcome, outcome);
@@ -45,44 +45,56 @@
     // The request cannot be resubmitted, so its answer is not stored.
     let forget = EntryAction::DropAnswer(ask.attempt.request);
     assert_eq!(actions.last(), Some(&forget));
-    assert_eq!(desk.desk.view().kept_answers, 0);
+    assert_eq!(dispatcher.dispatcher.view().kept_answers, 0);
 }
 
 #[test]
 fn kept_answer() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    let attempt = first_attempt(desk.accept(alert("k")));
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    let attempt = first_attempt(dispatcher.accept(alert("k")));
     let id = attempt.request;
     let by_id = OutcomeQuery::Id(id);
     let by_key = OutcomeQuery::Key(name("crew"), name("k"));
-    assert_eq!(desk.desk.outcome(&by_id), OutcomeView::Waiting(id));
-    desk.start(attempt, "t0");
-    assert_eq!(desk.desk.outcome(&by_key), OutcomeView::Running(id));
-    desk.attempt(attempt, AttemptEvent::Finished(usage()));
-    assert_eq!(desk.desk.outcome(&by_id), OutcomeView::Answered(id));
-    assert_eq!(desk.desk.outcome(&by_key), OutcomeView::Answered(id));
-    let wake = desk.desk.next_wake().since(desk.now);
-    assert_eq!(desk.pass(wake), vec![EntryAction::DropAnswer(id)]);
+    assert_eq!(
+        dispatcher.dispatcher.outcome(&by_id),
+        OutcomeView::Waiting(id)
+    );
+    dispatcher.start(attempt, "t0");
+    assert_eq!(
+        dispatcher.dispatcher.outcome(&by_key),
+        OutcomeView::Running(id)
+    );
+    dispatcher.attempt(attempt, AttemptEvent::Finished(usage()));
+    assert_eq!(
+        dispatcher.dispatcher.outcome(&by_id),
+        OutcomeView::Answered(id)
+    );
+    assert_eq!(
+        dispatcher.dispatcher.outcome(&by_key),
+        OutcomeView::Answered(id)
+    );
+    let wake = dispatcher.dispatcher.next_wake().since(dispatcher.now);
+    assert_eq!(dispatcher.pass(wake), vec![EntryAction::DropAnswer(id)]);
     let unknown = OutcomeView::Unknown(RefusalReason::OutcomeUnknown);
-    assert_eq!(desk.desk.outcome(&by_key), unknown);
+    assert_eq!(dispatcher.dispatcher.outcome(&by_key), unknown);
     let other = OutcomeQuery::Id(RequestId {
         incarnation: run_of("entry-1", 9).incarnation,
         sequence: id.sequence,
     });
     let lost = OutcomeView::Unknown(RefusalReason::Lost);
-    assert_eq!(desk.desk.outcome(&other), lost);
+    assert_eq!(dispatcher.dispatcher.outcome(&other), lost);
 }
 
 // Guards against running a request twice when its permit is duplicated or a
 // second one is granted.
 #[test]
 fn duplicate_permit() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    let attempt = first_attempt(desk.accept(alert("k")));
-    let permit = desk.start(attempt, "t0");
-    assert_eq!(desk.grant(&permit), vec![]);
-    let other = desk.permit(attempt, "t1");
-    let actions = desk.grant(&other);
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    let attempt = first_attempt(dispatcher.accept(alert("k")));
+    let permit = dispatcher.start(attempt, "t0");
+    assert_eq!(dispatcher.grant(&permit), vec![]);
+    let other = dispatcher.permit(attempt, "t1");
+    let actions = dispatcher.grant(&other);
     assert_eq!(starts(&actions), vec![]);
     assert_eq!(releases(&actions)[0].permit, other.id);
     assert_eq!(releases(&actions)[0].outcome, ReleaseOutcome::Unused);
@@ -92,17 +104,17 @@
 // while the owner's target list is outdated.
 #[test]
 fn draining_target() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    let attempt = first_attempt(desk.accept(submission()));
-    desk.event(EntryEvent::TargetDraining(name("t0"), true));
-    let permit = desk.permit(attempt, "t0");
-    let actions = desk.grant(&permit);
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    let attempt = first_attempt(dispatcher.accept(submission()));
+    dispatcher.event(EntryEvent::TargetDraining(name("t0"), true));
+    let permit = dispatcher.permit(attempt, "t0");
+    let actions = dispatcher.grant(&permit);
     assert_eq!(starts(&actions), vec![]);
     assert_eq!(releases(&actions)[0].outcome, ReleaseOutcome::Unused);
     assert!(actions.contains(&EntryAction::CountRetry(RetryReason::PermitVoid)));
     let ask = asks(&actions).remove(0);
     assert_eq!(ask.avoid, vec![name("t0")]);
-    desk.start(ask.attempt, "t1");
+    dispatcher.start(ask.attempt, "t1");
 }
 
 // Guards against using a permit that was granted before a pause of the process
@@ -110,37 +122,37 @@
 #[test]
 fn paused_process() {
     for reported in [true, false] {
-        let mut desk = TestDesk::new(EntryOptions::default());
-        let attempt = first_attempt(desk.accept(submission()));
-        let permit = desk.permit(attempt, "t0");
-        desk.now = desk.now.plus(Duration::from_secs(10));
+        let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+        let attempt = first_attempt(dispatcher.accept(submission()));
+        let permit = dispatcher.permit(attempt, "t0");
+        dispatcher.now = dispatcher.now.plus(Duration::from_secs(10));
         let mut actions = Vec::new();
         if reported {
-            actions.extend(desk.event(EntryEvent::ProcessPaused(Duration::from_secs(10))));
+            actions.extend(dispatcher.event(EntryEvent::ProcessPaused(Duration::from_secs(10))));
         }
-        actions.extend(desk.grant(&permit));
+        actions.extend(dispatcher.grant(&permit));
         assert_eq!(starts(&actions), vec![]);
         assert_eq!(releases(&actions)[0].permit, permit.id);
         let ask = asks(&actions).remove(0);
         assert_ne!(ask.attempt, attempt);
-        desk.start(ask.attempt, "t0");
+        dispatcher.start(ask.attempt, "t0");
     }
 }
 
 // Guards against a request that waits forever because its permit was lost.
 #[test]
 fn lost_permit() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    let attempt = first_attempt(desk.accept(submission()));
-    let wake = desk.desk.next_wake().since(desk.now);
-    let actions = desk.pass(wake);
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    let attempt = first_attempt(dispatcher.accept(submission()));
+    let wake = dispatcher.dispatcher.next_wake().since(dispatcher.now);
+    let actions = dispatcher.pass(wake);
     let ask = asks(&actions).remove(0);
     assert_eq!(ask.attempt, attempt);
     assert_eq!(u128::from(ask.waited_ms), wake.as_millis());
     // The resend interval grows while the request waits.
     let mut repeats = 0;
     for _ in 0..100 {
-        repeats += asks(&desk.pass(Duration::from_millis(250))).len();
+        repeats += asks(&dispatcher.pass(Duration::from_millis(250))).len();
     }
     assert_eq!(repeats, 2);
 }
@@ -150,17 +162,17 @@
 #[test]
 fn split_pool() {
     let options = EntryOptions::default().with_domain(name("south"));
-    let mut desk = TestDesk::new(options);
-    let attempt = first_attempt(desk.accept(submission()));
-    let actions = desk.event(EntryEvent::Pools(vec![pool(true)]));
+    let mut dispatcher = TestDispatcher::new(options);
+    let attempt = first_attempt(dispatcher.accept(submission()));
+    let actions = dispatcher.event(EntryEvent::Pools(vec![pool(true)]));
     let withdraw = OwnerMessage::Withdraw {
         shard: shard(),
         attempt,
     };
     assert_eq!(actions, vec![EntryAction::Send(name(OWNER), withdraw)]);
-    let south = desk.desk.used_shards().remove(0);
+    let south = dispatcher.dispatcher.used_shards().remove(0);
     assert_eq!(south.domain, Some(name("south")));
-    let actions = desk.event(EntryEvent::OwnerChanged(south, name(OWNER)));
+    let actions = dispatcher.event(EntryEvent::OwnerChanged(south, name(OWNER)));
     assert_ne!(asks(&actions)[0].attempt, attempt);
 }
 
@@ -168,14 +180,14 @@
 // before any tick.
 #[test]
 fn late_permit() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    let attempt = first_attempt(desk.accept(submission()));
-    desk.now = desk.now.plus(Duration::from_secs(29));
-    let ask = asks(&desk.event(EntryEvent::Tick)).remove(0);
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    let attempt = first_attempt(dispatcher.accept(submission()));
+    dispatcher.now = dispatcher.now.plus(Duration::from_secs(29));
+    let ask = asks(&dispatcher.event(EntryEvent::Tick)).remove(0);
     assert_ne!(ask.attempt, attempt);
-    desk.now = desk.now.plus(Duration::from_secs(1));
-    let permit = desk.permit(ask.attempt, "t0");
-    let actions = desk.grant(&permit);
+    dispatcher.now = dispatcher.now.plus(Duration::from_secs(1));
+    let permit = dispatcher.permit(ask.attempt, "t0");
+    let actions = dispatcher.grant(&permit);
     assert_eq!(starts(&actions), vec![]);
     assert_eq!(releases(&actions)[0].permit, permit.id);
     let not_run = (RefusalReason::DeadlinePassed, RunClaim::NotRun);
@@ -187,11 +199,11 @@
 // requested.
 #[test]
 fn owner_change() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    let running = first_attempt(desk.accept(alert("k")));
-    let permit = desk.start(running, "t0");
-    let waiting = first_attempt(desk.accept(submission()));
-    let actions = desk.event(EntryEvent::OwnerChanged(shard(), name("owner-2")));
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    let running = first_attempt(dispatcher.accept(alert("k")));
+    let permit = dispatcher.start(running, "t0");
+    let waiting = first_attempt(dispatcher.accept(submission()));
+    let actions = dispatcher.event(EntryEvent::OwnerChanged(shard(), name("owner-2")));
     match &actions[0] {
         EntryAction::Send(host, OwnerMessage::Resync { held, claims, .. }) => {
             assert_eq!(host.as_str(), "owner-2");
@@ -203,8 +215,8 @@
     assert_eq!(asks(&actions)[0].attempt, waiting);
     // The former owner's permit is not used, and an audit confirms the permit
     // in use.
-    let late = desk.permit(waiting, "t0");
-    let actions = desk.grant(&late);
+    let late = dispatcher.permit(waiting, "t0");
+    let actions = dispatcher.grant(&late);
     assert_eq!(starts(&actions), vec![]);
     assert_eq!(releases(&actions)[0].permit, late.id);
     let audit = OwnerReply::Audit {
@@ -216,7 +228,7 @@
         permits: vec![late.id],
     };
     let answer = EntryAction::Send(name(OWNER), not_held);
-    assert_eq!(desk.reply(audit), vec![answer]);
+    assert_eq!(dispatcher.reply(audit), vec![answer]);
 }
 
 // Guards against a second run of a marked resubmission: if the key of the
@@ -224,11 +236,11 @@
 // and grant a permit.
 #[test]
 fn waiting_resubmission() {
-    let mut desk = TestDesk::new(EntryOptions::default());
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
     let mut copy = alert("k");
     copy.resubmission = true;
-    desk.accept(copy);
-    let actions = desk.event(EntryEvent::OwnerChanged(shard(), name("owner-2")));
+    dispatcher.accept(copy);
+    let actions = dispatcher.event(EntryEvent::OwnerChanged(shard(), name("owner-2")));
     match &actions[0] {
         EntryAction::Send(_, OwnerMessage::Resync { claims, .. }) => assert_eq!(claims, &[]),
         other => panic!("held work not reported: {other:?}"),
@@ -243,52 +255,52 @@
 fn uncertain_resubmission() {
     let mut copy = alert("k");
     copy.resubmission = true;
-    let mut desk = TestDesk::new(EntryOptions::default());
-    desk.accept(copy.clone());
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    dispatcher.accept(copy.clone());
     let late = (RefusalReason::DeadlinePassed, RunClaim::Unknown);
-    assert_eq!(refusals(&desk.pass(DEADLINE)), vec![late]);
+    assert_eq!(refusals(&dispatcher.pass(DEADLINE)), vec![late]);
     // The key remains usable, as this copy did not run here.
-    let attempt = first_attempt(desk.accept(copy.clone()));
+    let attempt = first_attempt(dispatcher.accept(copy.clone()));
     let refused = refused_for(RefusalReason::Overloaded, attempt);
     let uncertain = (RefusalReason::Overloaded, RunClaim::Unknown);
-    assert_eq!(refusals(&desk.reply(refused)), vec![uncertain]);
+    assert_eq!(refusals(&dispatcher.reply(refused)), vec![uncertain]);
     copy.verdict.domains = vec![name("east")];
     let no_target = (RefusalReason::NoTarget, RunClaim::Unknown);
-    assert_eq!(refusal_of(desk.submit(copy.clone()).0), no_target);
+    assert_eq!(refusal_of(dispatcher.submit(copy.clone()).0), no_target);
     // A caller that names this incarnation asks only about what this one knows.
     copy.holder = Some(run_of("entry-1", 1));
     let known = (RefusalReason::NoTarget, RunClaim::NotRun);
-    assert_eq!(refusal_of(desk.submit(copy).0), known);
+    assert_eq!(refusal_of(dispatcher.submit(copy).0), known);
 }
 
 #[test]
 fn same_key() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    let id = desk.accept(alert("k"));
-    assert_eq!(desk.submit(alert("k")).0, SubmitOutcome::Attached(id));
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    let id = dispatcher.accept(alert("k"));
+    assert_eq!(dispatcher.submit(alert("k")).0, SubmitOutcome::Attached(id));
     let mut other = alert("k");
     other.fingerprint = 2;
-    let refusal = refusal_of(desk.submit(other).0);
+    let refusal = refusal_of(dispatcher.submit(other).0);
     assert_eq!(refusal, (RefusalReason::KeyReused, RunClaim::NotRun));
     let mut neighbour = alert("k");
     neighbour.account = name("neighbour");
-    assert_ne!(desk.accept(neighbour), id);
+    assert_ne!(dispatcher.accept(neighbour), id);
 }
 
 // Guards against a second run after the answer was evicted and its key
 // forgotten.
 #[test]
 fn dropped_answer() {
-    let mut desk = TestDesk::new(EntryOptions::default().with_max_kept_answers(1));
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default().with_max_kept_answers(1));
     for key in ["k1", "k2"] {
-        let attempt = desk.begin(alert(key), "t0");
-        let actions = desk.attempt(attempt, AttemptEvent::Finished(usage()));
+        let attempt = dispatcher.begin(alert(key), "t0");
+        let actions = dispatcher.attempt(attempt, AttemptEvent::Finished(usage()));
         let dropped = matches!(actions.last(), Some(EntryAction::DropAnswer(_)));
         assert_eq!(dropped, key == "k2");
     }
-    let refusal = refusal_of(desk.submit(alert("k1")).0);
+    let refusal = refusal_of(dispatcher.submit(alert("k1")).0);
     assert_eq!(refusal, (RefusalReason::OutcomeUnknown, RunClaim::Unknown));
-    let kept = desk.submit(alert("k2")).0;
+    let kept = dispatcher.submit(alert("k2")).0;
     assert!(matches!(kept, SubmitOutcome::Attached(_)));
 }
 
@@ -296,7 +308,7 @@
 // restart of the host.
 #[test]
 fn other_incarnation() {
-    let mut desk = TestDesk::new(EntryOptions::default());
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
     let holders = [
         (run_of("entry-1", 9), RefusalReason::Lost),
         (run_of("entry-1", 1), RefusalReason::OutcomeUnknown),
@@ -305,26 +317,26 @@
         let mut again = alert("k");
         again.holder = Some(holder);
         again.resubmission = true;
-        let refusal = refusal_of(desk.submit(again).0);
+        let refusal = refusal_of(dispatcher.submit(again).0);
         assert_eq!(refusal, (reason, RunClaim::Unknown));
     }
     let elsewhere = run_of("entry-2", 5);
     let mut again = alert("k");
     again.holder = Some(elsewhere.clone());
     assert_eq!(
-        desk.submit(again).0,
+        dispatcher.submit(again).0,
         SubmitOutcome::Forward(elsewhere.clone())
     );
 
-    let attempt = first_attempt(desk.accept(alert("k")));
+    let attempt = first_attempt(dispatcher.accept(alert("k")));
     let known = |holder| OwnerReply::KeyHeld { attempt, holder };
-    assert_eq!(desk.reply(known(run_of("entry-1", 1))), vec![]);
+    assert_eq!(dispatcher.reply(known(run_of("entry-1", 1))), vec![]);
     let forward = EntryAction::Forward(attempt.request, elsewhere.clone());
-    assert_eq!(desk.reply(known(elsewhere)), vec![forward]);
+    assert_eq!(dispatcher.reply(known(elsewhere)), vec![forward]);
 
-    let attempt = first_attempt(desk.accept(alert("k2")));
+    let attempt = first_attempt(dispatcher.accept(alert("k2")));
     let holder = run_of("entry-1", 9);
-    let actions = desk.reply(OwnerReply::KeyHeld { attempt, holder });
+    let actions = dispatcher.reply(OwnerReply::KeyHeld { attempt, holder });
     let lost = (RefusalReason::Lost, RunClaim::Unknown);
     assert_eq!(refusals(&actions), vec![lost]);
 }
@@ -333,17 +345,17 @@
 // the incarnation from the address answer.
 #[test]
 fn named_holder() {
-    let mut desk = TestDesk::new(EntryOptions::default());
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
     let mut first = alert("k");
     first.holder = Some(run_of("entry-1", 1));
-    let id = desk.accept(first.clone());
+    let id = dispatcher.accept(first.clone());
     first.resubmission = true;
-    assert_eq!(desk.submit(first).0, SubmitOutcome::Attached(id));
+    assert_eq!(dispatcher.submit(first).0, SubmitOutcome::Attached(id));
 }
 
 #[test]
 fn refused_by_owner() {
-    let mut desk = TestDesk::new(EntryOptions::default());
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
     // The key remains usable each time, as the request did not run here and the
     // owner may know more next time.
     let reasons = [
@@ -352,23 +364,23 @@
         (RefusalReason::OutcomeUnknown, RunClaim::Unknown),
     ];
     for (reason, claim) in reasons {
-        let attempt = first_attempt(desk.accept(alert("k")));
+        let attempt = first_attempt(dispatcher.accept(alert("k")));
         let refused = refused_for(reason, attempt);
-        let actions = desk.reply(refused);
+        let actions = dispatcher.reply(refused);
         assert_eq!(refusals(&actions), vec![(reason, claim)]);
     }
 }
 
 #[test]
 fn caller_left() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    let waiting = desk.accept(submission());
-    let actions = desk.event(EntryEvent::CallerLeft(waiting));
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    let waiting = dispatcher.accept(submission());
+    let actions = dispatcher.event(EntryEvent::CallerLeft(waiting));
     let left_caller = (RefusalReason::CallerLeft, RunClaim::NotRun);
     assert_eq!(refusals(&actions), vec![left_caller]);
 
-    let attempt = desk.begin(submission(), "t0");
-    let actions = desk.event(EntryEvent::CallerLeft(attempt.request));
+    let attempt = dispatcher.begin(submission(), "t0");
+    let actions = dispatcher.event(EntryEvent::CallerLeft(attempt.request));
     let cancel = EntryAction::Abort {
         attempt,
         cancel: true,
@@ -377,33 +389,33 @@
     let waste = EntryAction::CountWaste(Tier(1), WasteCause::CallerLeft, 100);
     assert!(actions.contains(&waste));
 
-    let attempt = desk.begin(alert("k"), "t0");
-    let left = desk.event(EntryEvent::CallerLeft(attempt.request));
+    let attempt = dispatcher.begin(alert("k"), "t0");
+    let left = dispatcher.event(EntryEvent::CallerLeft(attempt.request));
     assert_eq!(left, vec![]);
-    let actions = desk.attempt(attempt, AttemptEvent::Finished(usage()));
+    let actions = dispatcher.attempt(attempt, AttemptEvent::Finished(usage()));
     assert_eq!(conclusions(&actions), vec![Conclusion::Answered]);
-    let again = desk.submit(alert("k")).0;
+    let again = dispatcher.submit(alert("k")).0;
     assert_eq!(again, SubmitOutcome::Attached(attempt.request));
 }
 
 #[test]
 fn passed_deadline() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    let waiting = desk.accept(alert("w"));
-    let followed = desk.begin(submission(), "t0");
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    let waiting = dispatcher.accept(alert("w"));
+    let followed = dispatcher.begin(submission(), "t0");
     let mut keyed = submission();
     keyed.key = Some(name("k"));
-    let left = desk.begin(keyed, "t0");
-    desk.event(EntryEvent::CallerLeft(left.request));
-    let actions = desk.pass(DEADLINE);
+    let left = dispatcher.begin(keyed, "t0");
+    dispatcher.event(EntryEvent::CallerLeft(left.request));
+    let actions = dispatcher.pass(DEADLINE);
     let not_run = (RefusalReason::DeadlinePassed, RunClaim::NotRun);
     let unknown = (RefusalReason::DeadlinePassed, RunClaim::Unknown);
     assert_eq!(refusals(&actions), vec![not_run, unknown]);
-    let outcome = desk.desk.outcome(&OutcomeQuery::Id(waiting));
+    let outcome = dispatcher.dispatcher.outcome(&OutcomeQuery::Id(waiting));
     assert!(matches!(outcome, OutcomeView::Refused(..)));
     // An answer that a caller follows is not aborted, but counts as late.
-    desk.now = desk.now.plus(Duration::from_millis(1));
-    let actions = desk.attempt(followed, AttemptEvent::Finished(usage()));
+    dispatcher.now = dispatcher.now.plus(Duration::from_millis(1));
+    let actions = dispatcher.attempt(followed, AttemptEvent::Finished(usage()));
     assert_eq!(conclusions(&actions), vec![Conclusion::Answered]);
     let waste = EntryAction::CountWaste(Tier(1), WasteCause::Late, 100);
     assert!(actions.contains(&waste));
@@ -420,37 +432,37 @@
 // without live requests still has to report its keys to the new owner.
 #[test]
 fn idle_holder() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    desk.event(EntryEvent::Pools(vec![pool(false)]));
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    dispatcher.event(EntryEvent::Pools(vec![pool(false)]));
     for (key, request) in [(None, submission()), (Some("k"), alert("k"))] {
-        let attempt = first_attempt(desk.accept(request));
-        assert!(!desk.desk.is_idle());
-        desk.start(attempt, "t0");
-        desk.attempt(attempt, AttemptEvent::Finished(usage()));
-        assert!(desk.desk.is_idle());
+        let attempt = first_attempt(dispatcher.accept(request));
+        assert!(!dispatcher.dispatcher.is_idle());
+        dispatcher.start(attempt, "t0");
+        dispatcher.attempt(attempt, AttemptEvent::Finished(usage()));
+        assert!(dispatcher.dispatcher.is_idle());
         let kept = key.map(|_| shard());
-        assert_eq!(desk.desk.used_shards(), Vec::from_iter(kept));
+        assert_eq!(dispatcher.dispatcher.used_shards(), Vec::from_iter(kept));
     }
     // The owner is no longer tracked after the keys have expired.
-    desk.pass(Duration::from_secs(90_000));
-    desk.pass(Duration::from_secs(90_000));
-    assert_eq!(desk.desk.used_shards(), vec![]);
+    dispatcher.pass(Duration::from_secs(90_000));
+    dispatcher.pass(Duration::from_secs(90_000));
+    assert_eq!(dispatcher.dispatcher.used_shards(), vec![]);
 }
 
 #[test]
 fn own_domain() {
     let options = EntryOptions::default().with_domain(name("south"));
-    let mut desk = TestDesk::new(options);
-    desk.event(EntryEvent::Pools(vec![pool(true)]));
-    let id = desk.accept(submission());
-    assert_eq!(desk.desk.used_shards(), vec![shard_in("south")]);
-    desk.event(EntryEvent::CallerLeft(id));
+    let mut dispatcher = TestDispatcher::new(options);
+    dispatcher.event(EntryEvent::Pools(vec![pool(true)]));
+    let id = dispatcher.accept(submission());
+    assert_eq!(dispatcher.dispatcher.used_shards(), vec![shard_in("south")]);
+    dispatcher.event(EntryEvent::CallerLeft(id));
     let mut northern = submission();
     northern.verdict.domains = vec![name("north")];
-    desk.accept(northern.clone());
-    assert_eq!(desk.desk.used_shards(), vec![shard_in("north")]);
+    dispatcher.accept(northern.clone());
+    assert_eq!(dispatcher.dispatcher.used_shards(), vec![shard_in("north")]);
     northern.verdict.domains = vec![name("east")];
-    let refusal = refusal_of(desk.submit(northern).0);
+    let refusal = refusal_of(dispatcher.submit(northern).0);
     assert_eq!(refusal, (RefusalReason::NoTarget, RunClaim::NotRun));
 }
 
@@ -464,12 +476,12 @@
         let mut shards = Vec::new();
         for domain in ["north", "south"] {
             let options = EntryOptions::default().with_domain(name(domain));
-            let mut desk = TestDesk::new(options);
-            desk.event(EntryEvent::Pools(vec![pool(true)]));
+            let mut dispatcher = TestDispatcher::new(options);
+            dispatcher.event(EntryEvent::Pools(vec![pool(true)]));
             for shard in ["north", "south"].map(shard_in) {
-                desk.event(EntryEvent::OwnerChanged(shard, name("owner-1")));
+                dispatcher.event(EntryEvent::OwnerChanged(shard, name("owner-1")));
             }
-            let actions = desk.submit(alert(&key)).1;
+            let actions = dispatcher.submit(alert(&key)).1;
             shards.extend(asks(&actions).into_iter().map(|ask| ask.shard));
         }
         assert_eq!(shards.len(), 2);
--- a/bergamotswitch-core/tests/entry_retries.rs
+++ b/bergamotswitch-core/tests/entry_retries.rs
@@ -21,11 +21,11 @@
 
 /// Run one attempt of a submission on a target and get the resulting actions.
 fn fail_once(submission: Submission, target: &str, events: &[AttemptEvent]) -> Vec<EntryAction> {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    let attempt = desk.begin(submission, target);
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    let attempt = dispatcher.begin(submission, target);
     let mut actions = Vec::new();
     for event in events {
-        actions = desk.attempt(attempt, *event);
+        actions = dispatcher.attempt(attempt, *event);
     }
     actions
 }
@@ -90,54 +90,54 @@
 #[test]
 fn earlier_attempt() {
     let options = EntryOptions::default().with_attempts_per_request(2);
-    let mut desk = TestDesk::new(options);
-    let attempt = desk.begin(submission(), "t0");
-    let actions = desk.attempt(attempt, AttemptEvent::Broken(usage()));
+    let mut dispatcher = TestDispatcher::new(options);
+    let attempt = dispatcher.begin(submission(), "t0");
+    let actions = dispatcher.attempt(attempt, AttemptEvent::Broken(usage()));
     let second = asks(&actions)[0].attempt;
-    desk.start(second, "t1");
-    let actions = desk.attempt(second, UNSENT);
+    dispatcher.start(second, "t1");
+    let actions = dispatcher.attempt(second, UNSENT);
     let unknown = (RefusalReason::RetriesExhausted, RunClaim::Unknown);
     assert_eq!(refused(&actions), Some(unknown));
 }
 
 #[test]
 fn freed_key() {
-    let mut desk = TestDesk::new(EntryOptions::default().with_attempts_per_request(1));
-    let attempt = desk.begin(alert("k"), "t0");
-    let actions = desk.attempt(attempt, UNSENT);
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default().with_attempts_per_request(1));
+    let attempt = dispatcher.begin(alert("k"), "t0");
+    let actions = dispatcher.attempt(attempt, UNSENT);
     let not_run = (RefusalReason::RetriesExhausted, RunClaim::NotRun);
     assert_eq!(refused(&actions), Some(not_run));
     // A request that did not run may be submitted again, also if it names the
     // incarnation that refused it.
     let mut again = alert("k");
     again.holder = Some(run_of("entry-1", 1));
-    assert_ne!(desk.accept(again), attempt.request);
+    assert_ne!(dispatcher.accept(again), attempt.request);
 }
 
 #[test]
 fn preempted_attempt() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    let attempt = first_attempt(desk.accept(submission()));
-    let permit = desk.start(attempt, "t0");
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    let attempt = first_attempt(dispatcher.accept(submission()));
+    let permit = dispatcher.start(attempt, "t0");
     let preempt = |permit, attempt| OwnerReply::Preempt { permit, attempt };
-    let actions = desk.reply(preempt(permit.id, attempt));
+    let actions = dispatcher.reply(preempt(permit.id, attempt));
     assert!(retried(&actions, RetryReason::Preempted));
     let waste = EntryAction::CountWaste(Tier(1), WasteCause::Preemption, 100);
     assert!(actions.contains(&waste));
     // Events of the aborted attempt are ignored.
-    let late = desk.attempt(attempt, AttemptEvent::Finished(usage()));
+    let late = dispatcher.attempt(attempt, AttemptEvent::Finished(usage()));
     assert_eq!(late, vec![]);
 
-    let attempt = first_attempt(desk.accept(alert("k")));
-    let permit = desk.start(attempt, "t0");
-    assert_eq!(desk.reply(preempt(permit.id, attempt)), vec![]);
+    let attempt = first_attempt(dispatcher.accept(alert("k")));
+    let permit = dispatcher.start(attempt, "t0");
+    assert_eq!(dispatcher.reply(preempt(permit.id, attempt)), vec![]);
 
     let mut stream = submission();
     stream.streaming = true;
-    let attempt = first_attempt(desk.accept(stream));
-    let permit = desk.start(attempt, "t0");
-    desk.attempt(attempt, AttemptEvent::FirstToken);
-    assert_eq!(desk.reply(preempt(permit.id, attempt)), vec![]);
+    let attempt = first_attempt(dispatcher.accept(stream));
+    let permit = dispatcher.start(attempt, "t0");
+    dispatcher.attempt(attempt, AttemptEvent::FirstToken);
+    assert_eq!(dispatcher.reply(preempt(permit.id, attempt)), vec![]);
 }
 
 // Guards against aborting a stalled stream when no other run may follow.
@@ -147,10 +147,10 @@
     stream.streaming = true;
     stream.options.resumable = true;
     stream.options.max_runs = Some(2);
-    let mut desk = TestDesk::new(EntryOptions::default());
-    let first = desk.begin(stream, "t0");
-    desk.attempt(first, AttemptEvent::FirstToken);
-    let actions = desk.attempt(first, AttemptEvent::Stalled);
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    let first = dispatcher.begin(stream, "t0");
+    dispatcher.attempt(first, AttemptEvent::FirstToken);
+    let actions = dispatcher.attempt(first, AttemptEvent::Stalled);
     assert!(retried(&actions, RetryReason::ConnectionBroke));
     let aborted = |attempt| EntryAction::Abort {
         attempt,
@@ -159,18 +159,18 @@
     assert!(actions.contains(&aborted(first)));
     // No further run is allowed, so the stalled one continues.
     let second = asks(&actions)[0].attempt;
-    desk.start(second, "t1");
-    assert_eq!(desk.attempt(second, AttemptEvent::Stalled), vec![]);
-    let actions = desk.attempt(second, AttemptEvent::Finished(usage()));
+    dispatcher.start(second, "t1");
+    assert_eq!(dispatcher.attempt(second, AttemptEvent::Stalled), vec![]);
+    let actions = dispatcher.attempt(second, AttemptEvent::Finished(usage()));
     assert_eq!(conclusions(&actions), vec![Conclusion::Answered]);
 }
 
 #[test]
 fn no_late_retry() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    let attempt = desk.begin(submission(), "t0");
-    desk.now = desk.now.plus(DEADLINE);
-    let actions = desk.attempt(attempt, UNSENT);
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    let attempt = dispatcher.begin(submission(), "t0");
+    dispatcher.now = dispatcher.now.plus(DEADLINE);
+    let actions = dispatcher.attempt(attempt, UNSENT);
     let late = (RefusalReason::DeadlinePassed, RunClaim::NotRun);
     assert_eq!(refused(&actions), Some(late));
 }
@@ -180,18 +180,18 @@
 #[test]
 fn unreachable_targets() {
     const UNREACHABLE: usize = 5;
-    let mut desk = TestDesk::new(EntryOptions::default());
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
     for _ in 0..UNREACHABLE {
-        let attempt = desk.begin(submission(), "t0");
-        desk.attempt(attempt, AttemptEvent::Finished(usage()));
+        let attempt = dispatcher.begin(submission(), "t0");
+        dispatcher.attempt(attempt, AttemptEvent::Finished(usage()));
     }
-    let mut attempt = desk.begin(submission(), "t0");
+    let mut attempt = dispatcher.begin(submission(), "t0");
     for _ in 0..UNREACHABLE {
-        let actions = desk.attempt(attempt, UNSENT);
+        let actions = dispatcher.attempt(attempt, UNSENT);
         attempt = asks(&actions).first().expect("asked again").attempt;
-        desk.start(attempt, "t0");
+        dispatcher.start(attempt, "t0");
     }
-    let actions = desk.attempt(attempt, AttemptEvent::Finished(usage()));
+    let actions = dispatcher.attempt(attempt, AttemptEvent::Finished(usage()));
     assert_eq!(conclusions(&actions), vec![Conclusion::Answered]);
 }
 
@@ -204,10 +204,10 @@
         slack: 430,
         ..RetryRate::default()
     };
-    let mut desk = TestDesk::new(EntryOptions::default().with_retry_rate(rate));
-    desk.event(EntryEvent::Hosts(HOSTS));
-    let attempt = desk.begin(submission(), "t0");
-    let actions = desk.attempt(attempt, AttemptEvent::Failed);
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default().with_retry_rate(rate));
+    dispatcher.event(EntryEvent::Hosts(HOSTS));
+    let attempt = dispatcher.begin(submission(), "t0");
+    let actions = dispatcher.attempt(attempt, AttemptEvent::Failed);
     assert!(retried(&actions, RetryReason::TargetError));
 }
 
@@ -221,15 +221,15 @@
         slack: 8,
         ..RetryRate::default()
     };
-    let mut desk = TestDesk::new(EntryOptions::default().with_retry_rate(rate));
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default().with_retry_rate(rate));
     let mut attempts = 0;
     for _ in 0..REQUESTS {
-        desk.now = desk.now.plus(Duration::from_millis(5));
-        let (_, mut actions) = desk.submit(submission());
+        dispatcher.now = dispatcher.now.plus(Duration::from_millis(5));
+        let (_, mut actions) = dispatcher.submit(submission());
         while let Some(ask) = asks(&actions).first() {
-            desk.start(ask.attempt, "t0");
+            dispatcher.start(ask.attempt, "t0");
             attempts += 1;
-            actions = desk.attempt(ask.attempt, UNSENT);
+            actions = dispatcher.attempt(ask.attempt, UNSENT);
         }
         let last = refused(&actions);
         let not_run = (RefusalReason::RetriesExhausted, RunClaim::NotRun);
@@ -240,5 +240,5 @@
     println!("{attempts} attempts for {REQUESTS} requests, bound {bound}");
     assert!(attempts <= bound);
     assert!(attempts > REQUESTS);
-    assert_eq!(desk.event(EntryEvent::Tick), vec![]);
+    assert_eq!(dispatcher.event(EntryEvent::Tick), vec![]);
 }
--- a/bergamotswitch-core/tests/entry_stop.rs
+++ b/bergamotswitch-core/tests/entry_stop.rs
@@ -6,32 +6,36 @@
 
 #[test]
 fn idle_stop() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    let actions = desk.event(EntryEvent::Stop);
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    let actions = dispatcher.event(EntryEvent::Stop);
     assert_eq!(actions, vec![EntryAction::Stopped]);
-    assert_eq!(desk.event(EntryEvent::Tick), vec![]);
+    assert_eq!(dispatcher.event(EntryEvent::Tick), vec![]);
 }
 
 // Guards against a shutdown that ends running or waiting requests, or refuses
 // those of callers with an old address answer.
 #[test]
 fn stop_under_work() {
-    let mut desk = TestDesk::new(EntryOptions::default());
-    let running = desk.begin(submission(), "t0");
-    let waiting = first_attempt(desk.accept(submission()));
-    assert_eq!(desk.event(EntryEvent::Stop), vec![]);
-    let late = first_attempt(desk.accept(submission()));
+    let mut dispatcher = TestDispatcher::new(EntryOptions::default());
+    let running = dispatcher.begin(submission(), "t0");
+    let waiting = first_attempt(dispatcher.accept(submission()));
+    assert_eq!(dispatcher.event(EntryEvent::Stop), vec![]);
+    let late = first_attempt(dispatcher.accept(submission()));
     for attempt in [waiting, late] {
-        desk.start(attempt, "t0");
+        dispatcher.start(attempt, "t0");
     }
     for attempt in [running, waiting, late] {
-        let actions = desk.attempt(attempt, AttemptEvent::Finished(usage()));
+        let actions = dispatcher.attempt(attempt, AttemptEvent::Finished(usage()));
         let stopped = actions.contains(&EntryAction::Stopped);
         assert_eq!(stopped, attempt == late);
     }
     // Another request makes the shutdown incomplete again.
-    let last = desk.accept(submission());
-    assert!(!desk.event(EntryEvent::Tick).contains(&EntryAction::Stopped));
-    let actions = desk.event(EntryEvent::CallerLeft(last));
+    let last = dispatcher.accept(submission());
+    assert!(
+        !dispatcher
+            .event(EntryEvent::Tick)
+            .contains(&EntryAction::Stopped)
+    );
+    let actions = dispatcher.event(EntryEvent::CallerLeft(last));
     assert!(actions.contains(&EntryAction::Stopped));
 }
--- a/bergamotswitch-core/tests/entry_support/mod.rs
+++ b/bergamotswitch-core/tests/entry_support/mod.rs
@@ -118,30 +118,30 @@
 }
 
 /// A `TestDesk` is a desk with a clock and an owner.
-pub struct TestDesk {
-    pub desk: EntryDispatcher,
+pub struct TestDispatcher {
+    pub dispatcher: EntryDispatcher,
     pub now: Moment,
     permits: u64,
 }
 
-impl TestDesk {
+impl TestDispatcher {
     pub fn new(options: EntryOptions) -> Self {
-        let mut desk = TestDesk {
-            desk: EntryDispatcher::new(run_of("entry-1", 1), options),
+        let mut dispatcher = TestDispatcher {
+            dispatcher: EntryDispatcher::new(run_of("entry-1", 1), options),
             now: Moment::from_millis(1_000),
             permits: 0,
         };
-        desk.event(EntryEvent::Pools(vec![pool(false)]));
-        desk.event(EntryEvent::OwnerChanged(shard(), name(OWNER)));
-        desk
+        dispatcher.event(EntryEvent::Pools(vec![pool(false)]));
+        dispatcher.event(EntryEvent::OwnerChanged(shard(), name(OWNER)));
+        dispatcher
     }
 
     pub fn event(&mut self, event: EntryEvent) -> Vec<EntryAction> {
-        self.desk.handle(self.now, event)
+        self.dispatcher.handle(self.now, event)
     }
 
     pub fn submit(&mut self, submission: Submission) -> (SubmitOutcome, Vec<EntryAction>) {
-        self.desk.submit(self.now, submission)
+        self.dispatcher.submit(self.now, submission)
     }
 
     /// Accept a request and get its id.
--- a/bergamotswitch-core/tests/entry_world/mod.rs
+++ b/bergamotswitch-core/tests/entry_world/mod.rs
@@ -37,7 +37,7 @@
 
 struct WorldHost {
     run: HostIncarnation,
-    desk: EntryDispatcher,
+    dispatcher: EntryDispatcher,
     flights: BTreeMap<AttemptId, Flight>,
     ended: Vec<AttemptId>,
     leaving: BTreeSet<TargetName>,
@@ -89,11 +89,11 @@
     fn fresh_host(&mut self, host: usize) -> WorldHost {
         self.runs += 1;
         let run = run_of(HOSTS[host], self.runs);
-        let mut desk = EntryDispatcher::new(run.clone(), self.options.clone());
-        desk.handle(self.now, EntryEvent::Pools(vec![pool(false)]));
+        let mut dispatcher = EntryDispatcher::new(run.clone(), self.options.clone());
+        dispatcher.handle(self.now, EntryEvent::Pools(vec![pool(false)]));
         WorldHost {
             run,
-            desk,
+            dispatcher,
             flights: BTreeMap::new(),
             ended: Vec::new(),
             leaving: BTreeSet::new(),
@@ -159,8 +159,8 @@
     }
 
     fn send_to(&mut self, host: usize, identity: CallerIdentity, submission: Submission) {
-        let desk = &mut self.hosts[host].desk;
-        let (reception, actions) = desk.submit(self.now, submission.clone());
+        let dispatcher = &mut self.hosts[host].dispatcher;
+        let (reception, actions) = dispatcher.submit(self.now, submission.clone());
         match reception {
             SubmitOutcome::Accepted(id) => {
                 self.count("requests");
@@ -196,7 +196,7 @@
 
     fn handle(&mut self, host: usize, event: EntryEvent) {
         let stop = event == EntryEvent::Stop;
-        let actions = self.hosts[host].desk.handle(self.now, event);
+        let actions = self.hosts[host].dispatcher.handle(self.now, event);
         self.act(host, actions, stop);
     }
 
