--- a/bergamotswitch-core/tests/entry_grace.rs
+++ b/bergamotswitch-core/tests/entry_grace.rs
@@ -479,7 +479,7 @@
 fn forwarded_copy() {
     let mut dispatcher = TestDispatcher::new(EntryOptions::default());
     stop(&mut dispatcher, GRACE_LEFT);
-    let mut copy = alert("key");
+    let mut copy = keyed_submission("key");
     copy.holder = Some(run_of("entry-2", 2));
     match dispatcher.submit(copy).0 {
         SubmitOutcome::Refused(refusal) => assert_eq!(refusal.claim(), RunClaim::Unknown),
--- a/bergamotswitch-core/tests/entry_lifecycle.rs
+++ b/bergamotswitch-core/tests/entry_lifecycle.rs
@@ -51,7 +51,7 @@
 #[test]
 fn kept_answer() {
     let mut dispatcher = TestDispatcher::new(EntryOptions::default());
-    let attempt = first_attempt(dispatcher.accept(alert("k")));
+    let attempt = first_attempt(dispatcher.accept(keyed_submission("k")));
     let id = attempt.request;
     let by_id = OutcomeQuery::Id(id);
     let by_key = OutcomeQuery::Key(name("crew"), name("k"));
@@ -90,7 +90,7 @@
 #[test]
 fn duplicate_permit() {
     let mut dispatcher = TestDispatcher::new(EntryOptions::default());
-    let attempt = first_attempt(dispatcher.accept(alert("k")));
+    let attempt = first_attempt(dispatcher.accept(keyed_submission("k")));
     let permit = dispatcher.start(attempt, "t0");
     assert_eq!(dispatcher.grant(&permit), vec![]);
     let other = dispatcher.permit(attempt, "t1");
@@ -200,7 +200,7 @@
 #[test]
 fn owner_change() {
     let mut dispatcher = TestDispatcher::new(EntryOptions::default());
-    let running = first_attempt(dispatcher.accept(alert("k")));
+    let running = first_attempt(dispatcher.accept(keyed_submission("k")));
     let permit = dispatcher.start(running, "t0");
     let waiting = first_attempt(dispatcher.accept(submission()));
     let actions = dispatcher.event(EntryEvent::OwnerChanged(shard(), name("owner-2")));
@@ -237,7 +237,7 @@
 #[test]
 fn waiting_resubmission() {
     let mut dispatcher = TestDispatcher::new(EntryOptions::default());
-    let mut copy = alert("k");
+    let mut copy = keyed_submission("k");
     copy.resubmission = true;
     dispatcher.accept(copy);
     let actions = dispatcher.event(EntryEvent::OwnerChanged(shard(), name("owner-2")));
@@ -253,7 +253,7 @@
 // all copies, and another one may have run at another host.
 #[test]
 fn uncertain_resubmission() {
-    let mut copy = alert("k");
+    let mut copy = keyed_submission("k");
     copy.resubmission = true;
     let mut dispatcher = TestDispatcher::new(EntryOptions::default());
     dispatcher.accept(copy.clone());
@@ -276,13 +276,16 @@
 #[test]
 fn same_key() {
     let mut dispatcher = TestDispatcher::new(EntryOptions::default());
-    let id = dispatcher.accept(alert("k"));
-    assert_eq!(dispatcher.submit(alert("k")).0, SubmitOutcome::Attached(id));
-    let mut other = alert("k");
+    let id = dispatcher.accept(keyed_submission("k"));
+    assert_eq!(
+        dispatcher.submit(keyed_submission("k")).0,
+        SubmitOutcome::Attached(id)
+    );
+    let mut other = keyed_submission("k");
     other.fingerprint = 2;
     let refusal = refusal_of(dispatcher.submit(other).0);
     assert_eq!(refusal, (RefusalReason::KeyReused, RunClaim::NotRun));
-    let mut neighbour = alert("k");
+    let mut neighbour = keyed_submission("k");
     neighbour.account = name("neighbour");
     assert_ne!(dispatcher.accept(neighbour), id);
 }
@@ -293,14 +296,14 @@
 fn dropped_answer() {
     let mut dispatcher = TestDispatcher::new(EntryOptions::default().with_max_kept_answers(1));
     for key in ["k1", "k2"] {
-        let attempt = dispatcher.begin(alert(key), "t0");
+        let attempt = dispatcher.begin(keyed_submission(key), "t0");
         let actions = dispatcher.attempt(attempt, AttemptEvent::Finished(usage()));
         let dropped = matches!(actions.last(), Some(EntryAction::DropAnswer(_)));
         assert_eq!(dropped, key == "k2");
     }
-    let refusal = refusal_of(dispatcher.submit(alert("k1")).0);
+    let refusal = refusal_of(dispatcher.submit(keyed_submission("k1")).0);
     assert_eq!(refusal, (RefusalReason::OutcomeUnknown, RunClaim::Unknown));
-    let kept = dispatcher.submit(alert("k2")).0;
+    let kept = dispatcher.submit(keyed_submission("k2")).0;
     assert!(matches!(kept, SubmitOutcome::Attached(_)));
 }
 
@@ -314,27 +317,27 @@
         (run_of("entry-1", 1), RefusalReason::OutcomeUnknown),
     ];
     for (holder, reason) in holders {
-        let mut again = alert("k");
+        let mut again = keyed_submission("k");
         again.holder = Some(holder);
         again.resubmission = true;
         let refusal = refusal_of(dispatcher.submit(again).0);
         assert_eq!(refusal, (reason, RunClaim::Unknown));
     }
     let elsewhere = run_of("entry-2", 5);
-    let mut again = alert("k");
+    let mut again = keyed_submission("k");
     again.holder = Some(elsewhere.clone());
     assert_eq!(
         dispatcher.submit(again).0,
         SubmitOutcome::Forward(elsewhere.clone())
     );
 
-    let attempt = first_attempt(dispatcher.accept(alert("k")));
+    let attempt = first_attempt(dispatcher.accept(keyed_submission("k")));
     let known = |holder| OwnerReply::KeyHeld { attempt, holder };
     assert_eq!(dispatcher.reply(known(run_of("entry-1", 1))), vec![]);
     let forward = EntryAction::Forward(attempt.request, elsewhere.clone());
     assert_eq!(dispatcher.reply(known(elsewhere)), vec![forward]);
 
-    let attempt = first_attempt(dispatcher.accept(alert("k2")));
+    let attempt = first_attempt(dispatcher.accept(keyed_submission("k2")));
     let holder = run_of("entry-1", 9);
     let actions = dispatcher.reply(OwnerReply::KeyHeld { attempt, holder });
     let lost = (RefusalReason::Lost, RunClaim::Unknown);
@@ -346,7 +349,7 @@
 #[test]
 fn named_holder() {
     let mut dispatcher = TestDispatcher::new(EntryOptions::default());
-    let mut first = alert("k");
+    let mut first = keyed_submission("k");
     first.holder = Some(run_of("entry-1", 1));
     let id = dispatcher.accept(first.clone());
     first.resubmission = true;
@@ -364,7 +367,7 @@
         (RefusalReason::OutcomeUnknown, RunClaim::Unknown),
     ];
     for (reason, claim) in reasons {
-        let attempt = first_attempt(dispatcher.accept(alert("k")));
+        let attempt = first_attempt(dispatcher.accept(keyed_submission("k")));
         let refused = refused_for(reason, attempt);
         let actions = dispatcher.reply(refused);
         assert_eq!(refusals(&actions), vec![(reason, claim)]);
@@ -389,19 +392,19 @@
     let waste = EntryAction::CountWaste(Tier(1), WasteCause::CallerLeft, 100);
     assert!(actions.contains(&waste));
 
-    let attempt = dispatcher.begin(alert("k"), "t0");
+    let attempt = dispatcher.begin(keyed_submission("k"), "t0");
     let left = dispatcher.event(EntryEvent::CallerLeft(attempt.request));
     assert_eq!(left, vec![]);
     let actions = dispatcher.attempt(attempt, AttemptEvent::Finished(usage()));
     assert_eq!(conclusions(&actions), vec![Conclusion::Answered]);
-    let again = dispatcher.submit(alert("k")).0;
+    let again = dispatcher.submit(keyed_submission("k")).0;
     assert_eq!(again, SubmitOutcome::Attached(attempt.request));
 }
 
 #[test]
 fn passed_deadline() {
     let mut dispatcher = TestDispatcher::new(EntryOptions::default());
-    let waiting = dispatcher.accept(alert("w"));
+    let waiting = dispatcher.accept(keyed_submission("w"));
     let followed = dispatcher.begin(submission(), "t0");
     let mut keyed = submission();
     keyed.key = Some(name("k"));
@@ -434,7 +437,7 @@
 fn idle_holder() {
     let mut dispatcher = TestDispatcher::new(EntryOptions::default());
     dispatcher.event(EntryEvent::Pools(vec![pool(false)]));
-    for (key, request) in [(None, submission()), (Some("k"), alert("k"))] {
+    for (key, request) in [(None, submission()), (Some("k"), keyed_submission("k"))] {
         let attempt = first_attempt(dispatcher.accept(request));
         assert!(!dispatcher.dispatcher.is_idle());
         dispatcher.start(attempt, "t0");
@@ -481,7 +484,7 @@
             for shard in ["north", "south"].map(shard_in) {
                 dispatcher.event(EntryEvent::OwnerChanged(shard, name("owner-1")));
             }
-            let actions = dispatcher.submit(alert(&key)).1;
+            let actions = dispatcher.submit(keyed_submission(&key)).1;
             shards.extend(asks(&actions).into_iter().map(|ask| ask.shard));
         }
         assert_eq!(shards.len(), 2);
--- a/bergamotswitch-core/tests/entry_retries.rs
+++ b/bergamotswitch-core/tests/entry_retries.rs
@@ -36,7 +36,7 @@
 
 #[test]
 fn unsent_attempt() {
-    let actions = fail_once(alert("k"), "t0", &[UNSENT]);
+    let actions = fail_once(keyed_submission("k"), "t0", &[UNSENT]);
     assert!(retried(&actions, RetryReason::ConnectFailed));
     assert_eq!(asks(&actions)[0].avoid, vec![name("t0")]);
     assert_eq!(releases(&actions)[0].outcome, ReleaseOutcome::Unreachable);
@@ -46,9 +46,9 @@
 fn refused_attempt() {
     // The contract of `t0` guarantees that a refused request did not run, that
     // of `t1` does not.
-    let actions = fail_once(alert("k"), "t0", &[AttemptEvent::Refused]);
+    let actions = fail_once(keyed_submission("k"), "t0", &[AttemptEvent::Refused]);
     assert!(retried(&actions, RetryReason::TargetRefused));
-    let actions = fail_once(alert("k"), "t1", &[AttemptEvent::Refused]);
+    let actions = fail_once(keyed_submission("k"), "t1", &[AttemptEvent::Refused]);
     let unknown = (RefusalReason::TargetFailed, RunClaim::Unknown);
     assert_eq!(refused(&actions), Some(unknown));
     let actions = fail_once(submission(), "t1", &[AttemptEvent::Refused]);
@@ -62,7 +62,7 @@
     assert!(retried(&actions, RetryReason::ConnectionBroke));
     let waste = EntryAction::CountWaste(Tier(1), WasteCause::Retry, 100);
     assert!(actions.contains(&waste));
-    let actions = fail_once(alert("k"), "t0", &[broken]);
+    let actions = fail_once(keyed_submission("k"), "t0", &[broken]);
     let unknown = (RefusalReason::TargetFailed, RunClaim::Unknown);
     assert_eq!(refused(&actions), Some(unknown));
     let mut once = submission();
@@ -81,7 +81,7 @@
 fn failed_attempt() {
     let actions = fail_once(submission(), "t0", &[AttemptEvent::Failed]);
     assert!(retried(&actions, RetryReason::TargetError));
-    let actions = fail_once(alert("k"), "t0", &[AttemptEvent::Failed]);
+    let actions = fail_once(keyed_submission("k"), "t0", &[AttemptEvent::Failed]);
     assert_eq!(conclusions(&actions), vec![Conclusion::TargetError]);
 }
 
@@ -103,13 +103,13 @@
 #[test]
 fn freed_key() {
     let mut dispatcher = TestDispatcher::new(EntryOptions::default().with_attempts_per_request(1));
-    let attempt = dispatcher.begin(alert("k"), "t0");
+    let attempt = dispatcher.begin(keyed_submission("k"), "t0");
     let actions = dispatcher.attempt(attempt, UNSENT);
     let not_run = (RefusalReason::RetriesExhausted, RunClaim::NotRun);
     assert_eq!(refused(&actions), Some(not_run));
     // A request that did not run may be submitted again, also if it names the
     // incarnation that refused it.
-    let mut again = alert("k");
+    let mut again = keyed_submission("k");
     again.holder = Some(run_of("entry-1", 1));
     assert_ne!(dispatcher.accept(again), attempt.request);
 }
@@ -128,7 +128,7 @@
     let late = dispatcher.attempt(attempt, AttemptEvent::Finished(usage()));
     assert_eq!(late, vec![]);
 
-    let attempt = first_attempt(dispatcher.accept(alert("k")));
+    let attempt = first_attempt(dispatcher.accept(keyed_submission("k")));
     let permit = dispatcher.start(attempt, "t0");
     assert_eq!(dispatcher.reply(preempt(permit.id, attempt)), vec![]);
 
--- a/bergamotswitch-core/tests/entry_support/mod.rs
+++ b/bergamotswitch-core/tests/entry_support/mod.rs
@@ -110,7 +110,7 @@
 }
 
 /// Get a keyed submission that must not run twice.
-pub fn alert(key: &str) -> Submission {
+pub fn keyed_submission(key: &str) -> Submission {
     let mut submission = submission();
     submission.verdict.idempotent = false;
     submission.key = Some(name::<CallerKey>(key));
--- a/bergamotswitch-core/tests/key_guard.rs
+++ b/bergamotswitch-core/tests/key_guard.rs
@@ -34,7 +34,7 @@
     assert_eq!(net.owners().len(), 2, "both act as owner");
     for round in 0..10 {
         for host in [first, second, third] {
-            net.nodes[host].submit(alert(&format!("alert-{round}")));
+            net.nodes[host].submit(keyed_submission(&format!("alert-{round}")));
         }
         net.advance(Duration::from_millis(100));
     }
@@ -65,7 +65,7 @@
     }
     net.advance(Duration::from_secs(8));
     for host in 0..HOSTS.len() {
-        net.nodes[host].submit(alert("alert"));
+        net.nodes[host].submit(keyed_submission("alert"));
         net.nodes[host].submit(submission());
     }
     net.advance(DEADLINE + Duration::from_secs(1));
@@ -87,17 +87,17 @@
 fn bounded_wait() {
     let mut net = NodeNet::start_with("plain");
     let [first, second, third] = candidates();
-    net.nodes[third].submit(alert("calm"));
+    net.nodes[third].submit(keyed_submission("calm"));
     net.advance(Duration::from_millis(50));
     assert_eq!(net.started.len(), 1, "starts at once");
     cut(&mut net, first, second);
     cut(&mut net, first, third);
-    net.nodes[third].submit(alert("after"));
+    net.nodes[third].submit(keyed_submission("after"));
     net.advance(Duration::from_secs(6));
     assert_eq!(net.started.len(), 2, "{:?}", net.started);
     // The second host recognizes resubmissions by their keys.
-    net.nodes[second].submit(alert("after"));
-    net.nodes[second].submit(alert("calm"));
+    net.nodes[second].submit(keyed_submission("after"));
+    net.nodes[second].submit(keyed_submission("calm"));
     net.advance(Duration::from_secs(1));
     assert_eq!(net.started.len(), 2, "{:?}", net.started);
 }
@@ -107,12 +107,12 @@
 fn paused_owner() {
     let mut net = NodeNet::start_with("plain");
     let [first, second, _] = candidates();
-    net.nodes[first].submit(alert("before"));
+    net.nodes[first].submit(keyed_submission("before"));
     net.advance(Duration::from_millis(50));
     net.freeze(first, Duration::from_secs(6));
     assert!(net.owners().contains(&second));
-    net.nodes[first].submit(alert("woken"));
-    net.nodes[second].submit(alert("meanwhile"));
+    net.nodes[first].submit(keyed_submission("woken"));
+    net.nodes[second].submit(keyed_submission("meanwhile"));
     net.advance(Duration::from_secs(9));
     assert_eq!(net.owners(), [first]);
     assert_eq!(net.started.len(), 3, "{:?}", net.started);
--- a/bergamotswitch-core/tests/node_cold_path.rs
+++ b/bergamotswitch-core/tests/node_cold_path.rs
@@ -144,7 +144,7 @@
     let mut node = linked_node();
     answered(&mut node, Duration::from_secs(2));
     node.actions.clear();
-    let mut alert = alert("a");
+    let mut alert = keyed_submission("a");
     alert.verdict.domains = vec![name("north")];
     node.submit(alert);
     let owner = node.actions.iter().find_map(|action| match action {
--- a/bergamotswitch-core/tests/node_counts.rs
+++ b/bergamotswitch-core/tests/node_counts.rs
@@ -24,8 +24,8 @@
     let mut node = non_candidate();
     node.advance(Duration::from_secs(10));
     node.start(submission());
-    node.start(alert("a"));
-    let mut marked = alert("b");
+    node.start(keyed_submission("a"));
+    let mut marked = keyed_submission("b");
     marked.resubmission = true;
     node.submit(marked);
     let counts = node.core.view(node.now).counts;
@@ -36,7 +36,7 @@
 #[test]
 fn owned_shard_uncounted() {
     let mut node = TestNode::serving(&["me"], json!({}));
-    node.start(alert("a"));
+    node.start(keyed_submission("a"));
     let counts = node.core.view(node.now).counts;
     assert_eq!(counts, NodeCounts::default());
 }
--- a/bergamotswitch-core/tests/node_limits.rs
+++ b/bergamotswitch-core/tests/node_limits.rs
@@ -153,7 +153,7 @@
 fn forgotten(limits: &Value) -> u64 {
     let mut node = bound(limits, ALONE, json!({}));
     for key in ["a", "b"] {
-        node.answer(alert(key), 600_000);
+        node.answer(keyed_submission(key), 600_000);
     }
     node.advance(Duration::from_secs(5));
     node.count(|action| matches!(action, NodeAction::DropAnswer(_)))
@@ -161,7 +161,7 @@
 
 fn keys_later(limits: &Value) -> u64 {
     let mut node = bound(limits, ALONE, json!({}));
-    node.answer(alert("a"), 100);
+    node.answer(keyed_submission("a"), 100);
     node.advance(Duration::from_secs(20));
     keys(&node)
 }
@@ -169,7 +169,7 @@
 fn keys_of_many(limits: &Value) -> u64 {
     let mut node = bound(limits, ALONE, json!({}));
     for number in 0..1_100 {
-        node.submit(alert(&format!("key-{number}")));
+        node.submit(keyed_submission(&format!("key-{number}")));
     }
     keys(&node)
 }
@@ -260,15 +260,15 @@
     let limits = json!({"kept_answer_bytes": 1_048_576, "max_answer_bytes": 1_048_576});
     let mut node = bound(&limits, ALONE, json!({}));
     for key in ["a", "b"] {
-        node.answer(alert(key), 600_000);
+        node.answer(keyed_submission(key), 600_000);
     }
-    let (again, _) = node.core.submit(node.now, alert("a"));
+    let (again, _) = node.core.submit(node.now, keyed_submission("a"));
     let SubmitOutcome::Refused(refusal) = again else {
         panic!("{again:?}");
     };
     assert_eq!(refusal.reason(), RefusalReason::OutcomeUnknown);
     assert_eq!(refusal.claim(), RunClaim::Unknown);
-    let (kept, _) = node.core.submit(node.now, alert("b"));
+    let (kept, _) = node.core.submit(node.now, keyed_submission("b"));
     assert!(matches!(kept, SubmitOutcome::Attached(_)), "{kept:?}");
 }
 
