--- a/bergamotswitch-core/tests/fleet/mod.rs
+++ b/bergamotswitch-core/tests/fleet/mod.rs
@@ -51,13 +51,13 @@
 }
 
 pub struct Node {
-    pub machine: Membership,
+    pub membership: Membership,
     pub run: HostIncarnation,
     pub dialing: BTreeSet<HostName>,
-    pub gone: Vec<HostName>,
-    pub notes: Vec<MembershipAction>,
+    pub terminated: Vec<HostName>,
+    pub log_actions: Vec<MembershipAction>,
     pub owner_changes: usize,
-    pub act_changes: usize,
+    pub acting_changes: usize,
     pub sent: usize,
     pub received: usize,
     paused: bool,
@@ -100,27 +100,27 @@
             incarnation: Incarnation(run * 1000 + index as u128),
         };
         let node = Node {
-            machine: Membership::new(run.clone(), MembershipOptions::default(), self.now),
+            membership: Membership::new(run.clone(), MembershipOptions::default(), self.now),
             run,
             dialing: BTreeSet::new(),
-            gone: Vec::new(),
-            notes: Vec::new(),
+            terminated: Vec::new(),
+            log_actions: Vec::new(),
             owner_changes: 0,
-            act_changes: 0,
+            acting_changes: 0,
             sent: 0,
             received: 0,
             paused: false,
             wake_at: Moment::NEVER,
         };
         self.nodes.insert(host(index), node);
-        self.tell(&host(index), MembershipEvent::Shards(shards.to_vec()));
-        self.tell(&host(index), MembershipEvent::Hosts(list));
+        self.handle(&host(index), MembershipEvent::Shards(shards.to_vec()));
+        self.handle(&host(index), MembershipEvent::Hosts(list));
     }
 
-    pub fn tell(&mut self, name: &HostName, event: MembershipEvent) {
+    pub fn handle(&mut self, name: &HostName, event: MembershipEvent) {
         let now = self.now;
         let node = self.nodes.get_mut(name).unwrap();
-        for action in node.machine.handle(now, event) {
+        for action in node.membership.handle(now, event) {
             match action {
                 MembershipAction::Connect(entry) => {
                     node.dialing.insert(entry.name);
@@ -141,9 +141,9 @@
                         .insert((now.plus(LATENCY), self.counter), parcel);
                 }
                 MembershipAction::OwnerChanged(..) => node.owner_changes += 1,
-                MembershipAction::Act(..) => node.act_changes += 1,
-                MembershipAction::HostTerminated(host, _) => node.gone.push(host),
-                note @ MembershipAction::Log(..) => node.notes.push(note),
+                MembershipAction::Act(..) => node.acting_changes += 1,
+                MembershipAction::HostTerminated(host, _) => node.terminated.push(host),
+                note @ MembershipAction::Log(..) => node.log_actions.push(note),
             }
         }
         self.note_wake(name);
@@ -152,15 +152,15 @@
     fn note_wake(&mut self, name: &HostName) {
         let node = self.nodes.get_mut(name).unwrap();
         self.wakes.remove(&(node.wake_at, name.clone()));
-        node.wake_at = node.machine.next_wake();
+        node.wake_at = node.membership.next_wake();
         if !node.paused {
             self.wakes.insert((node.wake_at, name.clone()));
         }
     }
 
-    pub fn tell_all(&mut self, event: MembershipEvent) {
+    pub fn handle_all(&mut self, event: MembershipEvent) {
         for name in self.nodes.keys().cloned().collect::<Vec<_>>() {
-            self.tell(&name, event.clone());
+            self.handle(&name, event.clone());
         }
     }
 
@@ -175,7 +175,7 @@
             }
             self.links.remove(&(a.clone(), b.clone()));
             let other = if a == *name { b } else { a };
-            self.tell(&other, MembershipEvent::LinkDown(run.clone()));
+            self.handle(&other, MembershipEvent::LinkDown(run.clone()));
         }
     }
 
@@ -186,7 +186,7 @@
 
     pub fn resume(&mut self, name: &HostName, slept: Duration) {
         self.nodes.get_mut(name).unwrap().paused = false;
-        self.tell(name, MembershipEvent::Resumed(slept));
+        self.handle(name, MembershipEvent::Resumed(slept));
     }
 
     pub fn cut(&mut self, from: &HostName, to: &HostName) {
@@ -194,7 +194,7 @@
     }
 
     /// Part the hosts: no host of one side reaches one of the other.
-    pub fn part(&mut self, side: impl Fn(&HostName) -> bool) {
+    pub fn partition(&mut self, side: impl Fn(&HostName) -> bool) {
         let names: Vec<_> = self.nodes.keys().cloned().collect();
         for a in &names {
             for b in names.iter().filter(|b| side(a) != side(b)) {
@@ -223,8 +223,8 @@
             let run_a = self.nodes[&a].run.clone();
             let run_b = self.nodes[&b].run.clone();
             self.links.insert((a.clone(), b.clone()));
-            self.tell(&a, MembershipEvent::LinkUp(run_b));
-            self.tell(&b, MembershipEvent::LinkUp(run_a));
+            self.handle(&a, MembershipEvent::LinkUp(run_b));
+            self.handle(&b, MembershipEvent::LinkUp(run_a));
         }
     }
 
@@ -250,7 +250,7 @@
         match open {
             true => {
                 let event = MembershipEvent::Heartbeat(parcel.from, parcel.beat);
-                self.tell(&parcel.to, event);
+                self.handle(&parcel.to, event);
             }
             // What reaches a paused process waits in its socket.
             false if self.nodes.contains_key(&parcel.to) => {
@@ -281,19 +281,19 @@
                 let parcel = self.parcels.pop_first().unwrap().1;
                 self.deliver(parcel);
             } else if let Some((_, name)) = wake {
-                self.tell(&name, MembershipEvent::Tick);
+                self.handle(&name, MembershipEvent::Tick);
             }
         }
         self.now = end;
     }
 
     pub fn owners_of(&self, shard: &PoolShard) -> Vec<HostName> {
-        let acts = |node: &Node| node.machine.acting_shards().contains(shard);
+        let acts = |node: &Node| node.membership.acting_shards().contains(shard);
         let owners = self.nodes.iter().filter(|(_, node)| acts(node));
         owners.map(|(name, _)| name.clone()).collect()
     }
 
     pub fn view(&self, name: &HostName, shard: &PoolShard) -> Option<HostName> {
-        self.nodes[name].machine.owner_of(shard).cloned()
+        self.nodes[name].membership.owner_of(shard).cloned()
     }
 }
--- a/bergamotswitch-core/tests/membership_faults.rs
+++ b/bergamotswitch-core/tests/membership_faults.rs
@@ -14,7 +14,7 @@
 
 fn converged(count: usize) -> (Fleet, Vec<HostName>) {
     let mut fleet = Fleet::start(count, &[shard(0)]);
-    fleet.tell_all(MembershipEvent::Using(shard(0), true));
+    fleet.handle_all(MembershipEvent::Using(shard(0), true));
     fleet.run(secs(10));
     (fleet, order(count))
 }
@@ -47,14 +47,14 @@
     assert_eq!(fleet.owners_of(&shard(0)), vec![order[1].clone()]);
     for name in &order[1..] {
         assert_eq!(fleet.view(name, &shard(0)), Some(order[1].clone()));
-        assert!(fleet.nodes[name].gone.is_empty());
+        assert!(fleet.nodes[name].terminated.is_empty());
     }
     fleet.add(index_of(&order[0]), 2, &[shard(0)], list(0..8));
     fleet.run(secs(8));
     assert_eq!(fleet.owners_of(&shard(0)), vec![order[0].clone()]);
     for name in &order[1..] {
         assert_eq!(fleet.view(name, &shard(0)), Some(order[0].clone()));
-        assert_eq!(fleet.nodes[name].gone, vec![order[0].clone()]);
+        assert_eq!(fleet.nodes[name].terminated, vec![order[0].clone()]);
     }
 }
 
@@ -75,7 +75,7 @@
     assert_eq!(fleet.owners_of(&shard(0)), vec![order[0].clone()]);
     for name in &order {
         assert_eq!(fleet.view(name, &shard(0)), Some(order[0].clone()));
-        assert!(fleet.nodes[name].gone.is_empty());
+        assert!(fleet.nodes[name].terminated.is_empty());
     }
 }
 
@@ -92,7 +92,7 @@
     fleet.run(secs(1));
     fleet.add(index_of(&order[0]), 2, &[shard(0)], list(0..8));
     fleet.run(secs(60));
-    fleet.nodes.get_mut(&order[1]).unwrap().notes.clear();
+    fleet.nodes.get_mut(&order[1]).unwrap().log_actions.clear();
     fleet.resume(&order[1], secs(61));
     assert_eq!(fleet.owners_of(&shard(0)), vec![order[0].clone()]);
     fleet.run(secs(10));
@@ -101,7 +101,7 @@
     let unreachable = |note: &MembershipAction| {
         matches!(note, MembershipAction::Log(Incident::PeerUnreachable, _))
     };
-    assert!(!fleet.nodes[&order[1]].notes.iter().any(unreachable));
+    assert!(!fleet.nodes[&order[1]].log_actions.iter().any(unreachable));
 }
 
 // Guards against an owner that keeps acting, or ceases without an action, after
@@ -113,10 +113,10 @@
     fleet.run(secs(4));
     fleet.pause(&order[1]);
     fleet.run(secs(4));
-    let changes = fleet.nodes[&order[1]].act_changes;
+    let changes = fleet.nodes[&order[1]].acting_changes;
     fleet.resume(&order[1], secs(4));
-    assert!(fleet.nodes[&order[1]].machine.acting_shards().is_empty());
-    assert_eq!(fleet.nodes[&order[1]].act_changes, changes + 1);
+    assert!(fleet.nodes[&order[1]].membership.acting_shards().is_empty());
+    assert_eq!(fleet.nodes[&order[1]].acting_changes, changes + 1);
 }
 
 // Guards against a shard without an owner after a suspension too short to be
@@ -126,7 +126,7 @@
     let (mut fleet, order) = converged(8);
     fleet.kill(&order[0]);
     fleet.run(secs(4));
-    let changes = fleet.nodes[&order[1]].act_changes;
+    let changes = fleet.nodes[&order[1]].acting_changes;
     fleet.pause(&order[1]);
     fleet.run(Duration::from_millis(1_100));
     fleet.resume(&order[1], Duration::from_millis(1_100));
@@ -134,7 +134,7 @@
         fleet.run(Duration::from_millis(100));
         assert_eq!(fleet.owners_of(&shard(0)), vec![order[1].clone()]);
     }
-    assert_eq!(fleet.nodes[&order[1]].act_changes, changes);
+    assert_eq!(fleet.nodes[&order[1]].acting_changes, changes);
 }
 
 #[test]
@@ -144,11 +144,11 @@
     let (mut fleet, order) = converged(8);
     fleet.pause(&order[2]);
     fleet.run(secs(30));
-    fleet.nodes.get_mut(&order[2]).unwrap().notes.clear();
-    fleet.tell(&order[2], MembershipEvent::Tick);
+    fleet.nodes.get_mut(&order[2]).unwrap().log_actions.clear();
+    fleet.handle(&order[2], MembershipEvent::Tick);
     fleet.resume(&order[2], Duration::ZERO);
     fleet.run(secs(5));
-    assert!(fleet.nodes[&order[2]].notes.is_empty());
+    assert!(fleet.nodes[&order[2]].log_actions.is_empty());
     assert_eq!(fleet.owners_of(&shard(0)), vec![order[0].clone()]);
 }
 
@@ -160,7 +160,7 @@
     fleet.cut(&order[0], &order[1]);
     fleet.run(secs(4));
     let reachable = |fleet: &Fleet, at: &HostName, peer: &HostName| {
-        let mut peers = fleet.nodes[at].machine.peers().into_iter();
+        let mut peers = fleet.nodes[at].membership.peers().into_iter();
         peers.find(|view| view.host == *peer).unwrap().reachable
     };
     assert_eq!(reachable(&fleet, &order[0], &order[1]), Some(false));
@@ -178,18 +178,18 @@
     // Guards against an owner that changes with every flap of the link between
     // the first two candidates.
     let (mut fleet, order) = converged(8);
-    let before = fleet.nodes[&order[1]].act_changes;
+    let before = fleet.nodes[&order[1]].acting_changes;
     for _ in 0..20 {
         fleet.cut(&order[0], &order[1]);
         fleet.run(secs(3));
         fleet.cuts.clear();
         fleet.run(secs(3));
     }
-    let changes = fleet.nodes[&order[1]].act_changes - before;
+    let changes = fleet.nodes[&order[1]].acting_changes - before;
     assert_eq!(changes, 1);
     fleet.run(secs(10));
     assert_eq!(fleet.owners_of(&shard(0)), vec![order[0].clone()]);
-    assert_eq!(fleet.nodes[&order[1]].act_changes - before, 2);
+    assert_eq!(fleet.nodes[&order[1]].acting_changes - before, 2);
 }
 
 #[test]
@@ -198,7 +198,7 @@
     // the first candidate with some users has healed.
     let (mut fleet, order) = converged(8);
     let small = [order[0].clone(), order[5].clone(), order[6].clone()];
-    fleet.part(|name| small.contains(name));
+    fleet.partition(|name| small.contains(name));
     fleet.run(secs(6));
     assert_both_own(&fleet, &order);
     assert_eq!(fleet.view(&order[5], &shard(0)), Some(order[0].clone()));
@@ -210,7 +210,7 @@
     for name in &order {
         assert_eq!(fleet.view(name, &shard(0)), Some(order[0].clone()));
         // A host behind a partition still runs its requests.
-        assert!(fleet.nodes[name].gone.is_empty());
+        assert!(fleet.nodes[name].terminated.is_empty());
     }
 }
 
@@ -219,7 +219,7 @@
     // Guards against a stopping owner that ceases to act before the next
     // candidate has taken over.
     let (mut fleet, order) = converged(8);
-    fleet.tell(&order[0], MembershipEvent::Stop);
+    fleet.handle(&order[0], MembershipEvent::Stop);
     // During the handover both act, and users switch to the next candidate.
     fleet.run(Duration::from_millis(500));
     assert_both_own(&fleet, &order);
@@ -240,14 +240,14 @@
             host.standing = Standing::Leaving;
         }
     }
-    fleet.tell_all(MembershipEvent::Hosts(shorter));
+    fleet.handle_all(MembershipEvent::Hosts(shorter));
     fleet.run(secs(120));
-    assert!(fleet.nodes[&order[0]].gone.is_empty());
+    assert!(fleet.nodes[&order[0]].terminated.is_empty());
     fleet.kill(&leaving);
     fleet.run(secs(40));
-    assert!(fleet.nodes[&order[0]].gone.is_empty());
+    assert!(fleet.nodes[&order[0]].terminated.is_empty());
     fleet.run(secs(30));
-    assert_eq!(fleet.nodes[&order[0]].gone, vec![leaving]);
+    assert_eq!(fleet.nodes[&order[0]].terminated, vec![leaving]);
 }
 
 #[test]
@@ -258,9 +258,9 @@
     let old = fleet.nodes[&order[0]].run.clone();
     let mut new = old.clone();
     new.incarnation = Incarnation(77);
-    fleet.tell(&order[1], MembershipEvent::LinkUp(new));
-    fleet.tell(&order[1], MembershipEvent::LinkUp(old));
-    assert_eq!(fleet.nodes[&order[1]].gone, vec![order[0].clone()]);
+    fleet.handle(&order[1], MembershipEvent::LinkUp(new));
+    fleet.handle(&order[1], MembershipEvent::LinkUp(old));
+    assert_eq!(fleet.nodes[&order[1]].terminated, vec![order[0].clone()]);
 }
 
 #[test]
@@ -271,14 +271,14 @@
     let mut names: Vec<usize> = (0..8).collect();
     for (index, added) in (100..108).enumerate() {
         let old = names[index];
-        fleet.tell(&host(old), MembershipEvent::Stop);
+        fleet.handle(&host(old), MembershipEvent::Stop);
         names[index] = added;
         fleet.add(added, 1, &[shard(0)], list(names.clone()));
-        fleet.tell(&host(added), MembershipEvent::Using(shard(0), true));
+        fleet.handle(&host(added), MembershipEvent::Using(shard(0), true));
         fleet.run(secs(2));
         assert!(!fleet.owners_of(&shard(0)).is_empty());
         fleet.kill(&host(old));
-        fleet.tell_all(MembershipEvent::Hosts(list(names.clone())));
+        fleet.handle_all(MembershipEvent::Hosts(list(names.clone())));
         fleet.run(secs(10));
         assert_eq!(fleet.owners_of(&shard(0)).len(), 1);
     }
@@ -324,7 +324,7 @@
         let acts = fleet.owners_of(&shard(0)).contains(next);
         if fleet.view(last, &shard(0)).as_ref() == Some(next) && !acts {
             asked += 1;
-            fleet.tell(last, MembershipEvent::NotOwner(next.clone(), shard(0)));
+            fleet.handle(last, MembershipEvent::NotOwner(next.clone(), shard(0)));
         }
         assert!(!fleet.owners_of(&shard(0)).contains(last), "step {step}");
         if step == 20 {
--- a/bergamotswitch-core/tests/owner_choice.rs
+++ b/bergamotswitch-core/tests/owner_choice.rs
@@ -40,7 +40,7 @@
     let shards: Vec<_> = (0..4).map(shard).collect();
     let mut fleet = Fleet::start(8, &shards);
     for shard in &shards {
-        fleet.tell_all(MembershipEvent::Using(shard.clone(), true));
+        fleet.handle_all(MembershipEvent::Using(shard.clone(), true));
     }
     fleet.run(secs(10));
     for (pool, shard) in shards.iter().enumerate() {
@@ -86,11 +86,11 @@
     let shards = [shard(0)];
     let mut fleet = Fleet::start(8, &shards);
     let order = ranked(8, 0);
-    fleet.tell(&order[5], MembershipEvent::Using(shard(0), true));
+    fleet.handle(&order[5], MembershipEvent::Using(shard(0), true));
     fleet.run(secs(3));
     assert_eq!(fleet.view(&order[5], &shard(0)), Some(order[0].clone()));
     let denial = MembershipEvent::NotOwner(order[0].clone(), shard(0));
-    fleet.tell(&order[5], denial);
+    fleet.handle(&order[5], denial);
     fleet.run(secs(1));
     assert_eq!(fleet.view(&order[5], &shard(0)), Some(order[1].clone()));
     fleet.run(secs(12));
@@ -104,7 +104,7 @@
     // Cause: the host never says that nobody owns the shard.
     let mut fleet = Fleet::start(6, &[shard(0)]);
     let order = ranked(6, 0);
-    fleet.tell(&order[4], MembershipEvent::Using(shard(0), true));
+    fleet.handle(&order[4], MembershipEvent::Using(shard(0), true));
     fleet.run(secs(3));
     for name in &order[..3] {
         fleet.kill(name);
@@ -114,7 +114,7 @@
     assert!(fleet.nodes[&order[4]].owner_changes >= 2);
     // The list catches up: the next three are candidates.
     let left: Vec<_> = (0..6).filter(|i| !order[..3].contains(&host(*i))).collect();
-    fleet.tell_all(MembershipEvent::Hosts(list(left)));
+    fleet.handle_all(MembershipEvent::Hosts(list(left)));
     fleet.run(secs(5));
     assert_eq!(fleet.owners_of(&shard(0)), vec![order[3].clone()]);
     assert_eq!(fleet.view(&order[4], &shard(0)), Some(order[3].clone()));
@@ -135,7 +135,7 @@
     for index in 0..hosts {
         for used in 0..shard_count.min(9) {
             let used = shard((index % 8 * 9 + used) % shard_count);
-            fleet.tell(&host(index), MembershipEvent::Using(used, true));
+            fleet.handle(&host(index), MembershipEvent::Using(used, true));
         }
     }
     fleet.run(secs(5));
