--- a/bergamotswitch-core/tests/fleet/mod.rs
+++ b/bergamotswitch-core/tests/fleet/mod.rs
@@ -65,11 +65,11 @@
 }
 
 #[derive(Clone, Debug)]
-struct Parcel {
+struct Delivery {
     from: HostName,
     to: HostName,
     run: Incarnation,
-    beat: Heartbeat,
+    heartbeat: Heartbeat,
 }
 
 #[derive(Default)]
@@ -78,7 +78,7 @@
     pub nodes: BTreeMap<HostName, Node>,
     pub cuts: BTreeSet<(HostName, HostName)>,
     links: BTreeSet<(HostName, HostName)>,
-    parcels: BTreeMap<(Moment, u64), Parcel>,
+    deliveries: BTreeMap<(Moment, u64), Delivery>,
     wakes: BTreeSet<(Moment, HostName)>,
     counter: u64,
     redial_at: Moment,
@@ -128,28 +128,28 @@
                 MembershipAction::Disconnect(peer) => {
                     node.dialing.remove(&peer);
                 }
-                MembershipAction::Send(to, beat) => {
+                MembershipAction::Send(to, heartbeat) => {
                     node.sent += 1;
                     self.counter += 1;
-                    let parcel = Parcel {
+                    let delivery = Delivery {
                         from: name.clone(),
                         to,
                         run: node.run.incarnation,
-                        beat,
+                        heartbeat,
                     };
-                    self.parcels
-                        .insert((now.plus(LATENCY), self.counter), parcel);
+                    self.deliveries
+                        .insert((now.plus(LATENCY), self.counter), delivery);
                 }
                 MembershipAction::OwnerChanged(..) => node.owner_changes += 1,
                 MembershipAction::Act(..) => node.acting_changes += 1,
                 MembershipAction::HostTerminated(host, _) => node.terminated.push(host),
-                note @ MembershipAction::Log(..) => node.log_actions.push(note),
+                action @ MembershipAction::Log(..) => node.log_actions.push(action),
             }
         }
-        self.note_wake(name);
+        self.schedule_wake(name);
     }
 
-    fn note_wake(&mut self, name: &HostName) {
+    fn schedule_wake(&mut self, name: &HostName) {
         let node = self.nodes.get_mut(name).unwrap();
         self.wakes.remove(&(node.wake_at, name.clone()));
         node.wake_at = node.membership.next_wake();
@@ -168,8 +168,8 @@
         let node = self.nodes.remove(name).unwrap();
         self.wakes.remove(&(node.wake_at, name.clone()));
         let run = node.run;
-        let ends: Vec<_> = self.links.iter().cloned().collect();
-        for (a, b) in ends {
+        let links: Vec<_> = self.links.iter().cloned().collect();
+        for (a, b) in links {
             if a != *name && b != *name {
                 continue;
             }
@@ -181,7 +181,7 @@
 
     pub fn pause(&mut self, name: &HostName) {
         self.nodes.get_mut(name).unwrap().paused = true;
-        self.note_wake(name);
+        self.schedule_wake(name);
     }
 
     pub fn resume(&mut self, name: &HostName, slept: Duration) {
@@ -228,19 +228,19 @@
         }
     }
 
-    fn deliver(&mut self, parcel: Parcel) {
+    fn deliver(&mut self, delivery: Delivery) {
         let pair = (
-            parcel.from.clone().min(parcel.to.clone()),
-            parcel.from.clone().max(parcel.to.clone()),
+            delivery.from.clone().min(delivery.to.clone()),
+            delivery.from.clone().max(delivery.to.clone()),
         );
-        if self.is_cut(&parcel.from, &parcel.to) || !self.links.contains(&pair) {
+        if self.is_cut(&delivery.from, &delivery.to) || !self.links.contains(&pair) {
             return;
         }
-        let sender = self.nodes.get(&parcel.from);
-        if sender.is_none_or(|sender| sender.run.incarnation != parcel.run) {
+        let sender = self.nodes.get(&delivery.from);
+        if sender.is_none_or(|sender| sender.run.incarnation != delivery.run) {
             return;
         }
-        let open = match self.nodes.get_mut(&parcel.to) {
+        let open = match self.nodes.get_mut(&delivery.to) {
             Some(node) => {
                 node.received += 1;
                 !node.paused
@@ -249,14 +249,14 @@
         };
         match open {
             true => {
-                let event = MembershipEvent::Heartbeat(parcel.from, parcel.beat);
-                self.handle(&parcel.to, event);
+                let event = MembershipEvent::Heartbeat(delivery.from, delivery.heartbeat);
+                self.handle(&delivery.to, event);
             }
             // What reaches a paused process waits in its socket.
-            false if self.nodes.contains_key(&parcel.to) => {
+            false if self.nodes.contains_key(&delivery.to) => {
                 self.counter += 1;
                 let at = self.now.plus(Duration::from_millis(5));
-                self.parcels.insert((at, self.counter), parcel);
+                self.deliveries.insert((at, self.counter), delivery);
             }
             false => {}
         }
@@ -265,11 +265,11 @@
     pub fn run(&mut self, span: Duration) {
         let end = self.now.plus(span);
         loop {
-            let parcel_at = self.parcels.keys().next().map(|key| key.0);
+            let delivery_at = self.deliveries.keys().next().map(|key| key.0);
             let wake = self.wakes.first().cloned();
             let wake_at = wake.as_ref().map_or(Moment::NEVER, |wake| wake.0);
-            let parcel_at = parcel_at.unwrap_or(Moment::NEVER);
-            let at = wake_at.min(parcel_at).min(self.redial_at);
+            let delivery_at = delivery_at.unwrap_or(Moment::NEVER);
+            let at = wake_at.min(delivery_at).min(self.redial_at);
             if at > end {
                 break;
             }
@@ -277,9 +277,9 @@
             if self.redial_at == at {
                 self.redial_at = self.now.plus(REDIAL);
                 self.dial();
-            } else if parcel_at == at {
-                let parcel = self.parcels.pop_first().unwrap().1;
-                self.deliver(parcel);
+            } else if delivery_at == at {
+                let delivery = self.deliveries.pop_first().unwrap().1;
+                self.deliver(delivery);
             } else if let Some((_, name)) = wake {
                 self.handle(&name, MembershipEvent::Tick);
             }
