--- a/bergamotswitch-core/tests/failed_targets.rs
+++ b/bergamotswitch-core/tests/failed_targets.rs
@@ -24,10 +24,10 @@
 /// Start a fleet in which only calls to dead targets fail.
 fn start() -> QuotaFleet {
     let entry = EntryOptions::default();
-    let mut fleet = QuotaFleet::start_before(TARGETS, Duration::from_millis(5), entry);
+    let mut fleet = QuotaFleet::start_with_targets(TARGETS, Duration::from_millis(5), entry);
     fleet.fails_every = u64::MAX;
     fleet.pass(Duration::from_secs(5), send_load);
-    fleet.dead = DEAD.map(|index| format!("t{index}")).collect();
+    fleet.unreachable = DEAD.map(|index| format!("t{index}")).collect();
     // The next owner tries all targets in turn and discovers the dead ones.
     let owner = fleet.owner();
     restart_host(&mut fleet, owner);
@@ -57,9 +57,9 @@
 /// Get the number of calls that reach a dead target while another host takes
 /// over.
 fn failed_during_takeover(fleet: &mut QuotaFleet) -> usize {
-    let before = fleet.unreached.len();
+    let before = fleet.connect_failures.len();
     fleet.pass(TAKEOVER_TIME, send_load);
-    fleet.unreached.len() - before
+    fleet.connect_failures.len() - before
 }
 
 // Guards against a new owner that does not learn from the stopping one which
@@ -90,7 +90,7 @@
     for host in 0..HOSTS {
         restart_host(&mut fleet, host);
     }
-    println!("{} calls met dead targets", fleet.unreached.len());
+    println!("{} calls met dead targets", fleet.connect_failures.len());
     assert_eq!(out_of_retries(&fleet), 0);
 }
 
@@ -100,7 +100,7 @@
 fn recovered_target() {
     let mut fleet = start();
     let owner = fleet.owner();
-    fleet.dead.clear();
+    fleet.unreachable.clear();
     let before = served(&fleet);
     restart_host(&mut fleet, owner);
     fleet.pass(Duration::from_secs(10), send_load);
--- a/bergamotswitch-core/tests/host_standstill.rs
+++ b/bergamotswitch-core/tests/host_standstill.rs
@@ -30,20 +30,20 @@
 
 fn assert_quotas(fleet: &QuotaFleet, case: &str) {
     let refused = fleet.refused("calm", RefusalReason::OverQuota);
-    assert_eq!(refused, 0, "{case}: {:?}", fleet.turns);
+    assert_eq!(refused, 0, "{case}: {:?}", fleet.ownership_changes);
     let (most, begin) = fleet.most_in_window("busy");
     assert!(
         most as f64 <= ALLOWED,
         "{case}: {most} of {ALLOWED} from {begin:?}, {:?}",
-        fleet.turns
+        fleet.ownership_changes
     );
 }
 
 /// Let one host of a fleet stand still for a while and go on.
 fn stand_still(fleet: &mut QuotaFleet, index: usize, span_ms: u64) {
-    fleet.freeze(index);
+    fleet.pause(index);
     fleet.pass(Duration::from_millis(span_ms), traffic);
-    fleet.thaw(index);
+    fleet.resume(index);
     fleet.pass(Duration::from_secs(8), traffic);
 }
 
@@ -80,10 +80,10 @@
         let mut fleet = QuotaFleet::start(Duration::from_millis(5));
         fleet.pass(Duration::from_secs(4), traffic);
         let first = fleet.owner();
-        fleet.freeze(first);
+        fleet.pause(first);
         fleet.pass(Duration::from_millis(1_400), traffic);
         let second = fleet.owner();
-        fleet.thaw(first);
+        fleet.resume(first);
         stand_still(&mut fleet, second, span_ms);
         assert_quotas(&fleet, &format!("successor late by {span_ms} ms"));
     }
@@ -96,19 +96,19 @@
     const CALLS: usize = 12;
     for span_ms in STANDSTILLS_MS {
         let latency = Duration::from_millis(5);
-        let mut fleet = QuotaFleet::start_before((1, 2), latency, EntryOptions::default());
+        let mut fleet = QuotaFleet::start_with_targets((1, 2), latency, EntryOptions::default());
         fleet.fails_every = u64::MAX;
         // An owner that has seen no run refuses by the size of calls alone.
         fleet.send("calm", 2);
         fleet.pass(Duration::from_secs(1), |_| {});
         fleet.calls.clear();
         let owner = fleet.owner();
-        fleet.freeze(owner);
+        fleet.pause(owner);
         for _ in 0..CALLS {
-            fleet.send_beside(owner, "calm");
+            fleet.send_avoiding(owner, "calm");
         }
         fleet.pass(Duration::from_millis(span_ms), |_| {});
-        fleet.thaw(owner);
+        fleet.resume(owner);
         fleet.pass(Duration::from_secs(3), |_| {});
         let ran = fleet.calls.values().filter(|call| call.ran_at.is_some());
         assert_eq!(ran.count(), CALLS, "{span_ms} ms: {:?}", fleet.calls);
--- a/bergamotswitch-core/tests/quota_fleet/mod.rs
+++ b/bergamotswitch-core/tests/quota_fleet/mod.rs
@@ -97,7 +97,7 @@
     pub now: Moment,
     pub calls: BTreeMap<RequestId, CallRecord>,
     /// When hosts began and ceased to order the shard.
-    pub turns: Vec<(Moment, usize, bool)>,
+    pub ownership_changes: Vec<(Moment, usize, bool)>,
     /// When calls were sent to a target once more.
     pub retries: Vec<Moment>,
     /// One first run in so many fails, and its call is sent once more.
@@ -105,8 +105,8 @@
     /// Whether all runs fail.
     pub all_fail: bool,
     /// The targets that cannot be reached, and when calls met them.
-    pub dead: BTreeSet<String>,
-    pub unreached: Vec<Moment>,
+    pub unreachable: BTreeSet<String>,
+    pub connect_failures: Vec<Moment>,
     targets: (usize, u32),
     served: BTreeMap<String, usize>,
     entry: EntryOptions,
@@ -128,21 +128,25 @@
 
     /// Start such a fleet whose entry desks have these options.
     pub fn start_with(latency: Duration, entry: EntryOptions) -> Self {
-        Self::start_before(TARGETS, latency, entry)
+        Self::start_with_targets(TARGETS, latency, entry)
     }
 
     /// Start such a fleet before so many targets of so many slots.
-    pub fn start_before(targets: (usize, u32), latency: Duration, entry: EntryOptions) -> Self {
+    pub fn start_with_targets(
+        targets: (usize, u32),
+        latency: Duration,
+        entry: EntryOptions,
+    ) -> Self {
         let mut fleet = QuotaFleet {
             now: Moment::START,
             calls: BTreeMap::new(),
-            turns: Vec::new(),
+            ownership_changes: Vec::new(),
             retries: Vec::new(),
             fails_every: FAILS_EVERY,
             all_fail: false,
             targets,
-            dead: BTreeSet::new(),
-            unreached: Vec::new(),
+            unreachable: BTreeSet::new(),
+            connect_failures: Vec::new(),
             served: BTreeMap::new(),
             entry,
             hosts: Vec::new(),
@@ -211,12 +215,12 @@
     }
 
     /// Let a host's process stand still: what is sent to it waits.
-    pub fn freeze(&mut self, index: usize) {
+    pub fn pause(&mut self, index: usize) {
         self.hosts[index].held = Some(Vec::new());
     }
 
     /// Let a host's process go on, with all that waits for it.
-    pub fn thaw(&mut self, index: usize) {
+    pub fn resume(&mut self, index: usize) {
         let run = self.hosts[index].run.incarnation;
         for parcel in self.hosts[index].held.take().unwrap_or_default() {
             self.hand_over(run, parcel);
@@ -230,7 +234,7 @@
             core.is_some_and(|core| core.view(self.own_time(*index)).owns.contains(&shard()))
         };
         let owners: Vec<usize> = (0..HOSTS).filter(owns).collect();
-        let begun = self.turns.iter().rev().filter(|turn| turn.2);
+        let begun = self.ownership_changes.iter().rev().filter(|turn| turn.2);
         let mut begun = begun.map(|turn| turn.1);
         begun
             .find(|index| owners.contains(index))
@@ -289,7 +293,7 @@
     }
 
     /// Send a call to the next host that is not this one.
-    pub fn send_beside(&mut self, index: usize, account: &'static str) {
+    pub fn send_avoiding(&mut self, index: usize, account: &'static str) {
         if (self.next_host + 1) % HOSTS == index {
             self.next_host = index;
         }
@@ -443,7 +447,7 @@
                 }
                 NodeAction::Start {
                     attempt, target, ..
-                } if self.dead.contains(target.name.as_str()) => self.miss(index, attempt),
+                } if self.unreachable.contains(target.name.as_str()) => self.miss(index, attempt),
                 NodeAction::Start {
                     attempt, target, ..
                 } => {
@@ -473,7 +477,7 @@
 
     /// Let a call meet a target that refuses the connection.
     fn miss(&mut self, index: usize, attempt: AttemptId) {
-        self.unreached.push(self.now);
+        self.connect_failures.push(self.now);
         let event = AttemptEvent::NotSent(NotSentReason::ConnectFailed);
         let end = Parcel::Attempt(index, attempt, event);
         self.post(index, REFUSED_AFTER, end);
@@ -498,7 +502,8 @@
 
     fn note(&mut self, index: usize, number: u16, text: &str) {
         if text == format!("shard={}", shard()) && (number == 300 || number == 301) {
-            self.turns.push((self.now, index, number == 300));
+            self.ownership_changes
+                .push((self.now, index, number == 300));
         }
     }
 }
--- a/bergamotswitch-core/tests/quota_handover.rs
+++ b/bergamotswitch-core/tests/quota_handover.rs
@@ -26,10 +26,10 @@
 
 fn assert_kept(fleet: &QuotaFleet, case: &str) {
     let (most, begin) = fleet.most_in_window("busy");
-    let turns = &fleet.turns;
+    let changes = &fleet.ownership_changes;
     assert!(
         most as f64 <= ALLOWED,
-        "{case}: {most} of {ALLOWED} from {begin:?}, {turns:?}"
+        "{case}: {most} of {ALLOWED} from {begin:?}, {changes:?}"
     );
     let least = (RATE * 8) as f64 * 0.9;
     assert!(most as f64 >= least, "{case}: only {most}");
@@ -133,7 +133,11 @@
         fleet.send("late", BURST_CALLS);
         fleet.pass(Duration::from_secs(1), traffic);
         let refused = fleet.refused("late", RefusalReason::OverQuota);
-        assert_eq!(refused, 0, "{wait_ms} ms after the stop, {:?}", fleet.turns);
+        assert_eq!(
+            refused, 0,
+            "{wait_ms} ms after the stop, {:?}",
+            fleet.ownership_changes
+        );
         let (most, _) = fleet.most_in_window("busy");
         assert!(most as f64 <= ALLOWED, "{most}");
     }
