--- a/bergamotswitch-core/tests/account_quotas.rs
+++ b/bergamotswitch-core/tests/account_quotas.rs
@@ -27,15 +27,20 @@
 
 fn owner(now: Moment) -> ShardOwner {
     let mut owner = ShardOwner::new(run_of("owner", 1), shard(), OwnerOptions::default(), now);
-    let place = target("t", "d", 1_000_000_000);
-    owner.handle(now, OwnerEvent::Targets(vec![place]));
+    let pool_target = target("t", "d", 1_000_000_000);
+    owner.handle(now, OwnerEvent::Targets(vec![pool_target]));
     let rate = tolerance().rate(&quota(), 1);
     owner.handle(now, OwnerEvent::Quotas(vec![(named("busy"), rate)]));
     owner
 }
 
 /// Send ten calls every 10 ms and get the units that were let in.
-fn drive(owner: &mut ShardOwner, from_ms: u64, to_ms: u64, sequence: &mut u64) -> Vec<(u64, u32)> {
+fn send_calls(
+    owner: &mut ShardOwner,
+    from_ms: u64,
+    to_ms: u64,
+    sequence: &mut u64,
+) -> Vec<(u64, u32)> {
     let mut granted = Vec::new();
     for ms in (from_ms..to_ms).step_by(10) {
         for _ in 0..10 {
@@ -67,7 +72,7 @@
 #[test]
 fn bounded_window() {
     let mut owner = owner(Moment::START);
-    let granted = drive(&mut owner, 10_000, 30_000, &mut 0);
+    let granted = send_calls(&mut owner, 10_000, 30_000, &mut 0);
     let most = most_in_window(&granted);
     let in_window = 9 * RATE;
     assert!(most <= in_window * 125 / 100, "{most}");
@@ -81,9 +86,9 @@
 fn new_owner() {
     let mut sequence = 0;
     let mut first = owner(Moment::START);
-    let mut granted = drive(&mut first, 10_000, 13_000, &mut sequence);
+    let mut granted = send_calls(&mut first, 10_000, 13_000, &mut sequence);
     let mut second = owner(Moment::from_millis(14_000));
-    granted.extend(drive(&mut second, 14_000, 24_000, &mut sequence));
+    granted.extend(send_calls(&mut second, 14_000, 24_000, &mut sequence));
     let most = most_in_window(&granted);
     assert!(most <= 9 * RATE * 125 / 100, "{most}");
 }
@@ -91,9 +96,9 @@
 // Over its quota an account is refused truthfully, and told when to come back;
 // others are not touched by it.
 #[test]
-fn told_when() {
+fn over_quota_retry_after() {
     let mut owner = owner(Moment::START);
-    drive(&mut owner, 10_000, 11_000, &mut 0);
+    send_calls(&mut owner, 10_000, 11_000, &mut 0);
     let now = Moment::from_millis(11_000);
     let mut reply = |account: &str, sequence: u64| {
         let mut call = ask(sequence, 0, account);
@@ -129,7 +134,7 @@
 #[test]
 fn sent_again() {
     let mut owner = owner(Moment::START);
-    drive(&mut owner, 10_000, 11_000, &mut 0);
+    send_calls(&mut owner, 10_000, 11_000, &mut 0);
     let mut call = ask(10_001, 0, "busy");
     call.quota_units = 0;
     let message = OwnerMessage::Ask(Box::new(call));
@@ -142,8 +147,8 @@
 /// Get an owner whose one target has no place left.
 fn full_owner(now: Moment) -> (ShardOwner, Permit) {
     let mut owner = owner(now);
-    let place = target("t", "d", 100);
-    owner.handle(now, OwnerEvent::Targets(vec![place]));
+    let pool_target = target("t", "d", 100);
+    owner.handle(now, OwnerEvent::Targets(vec![pool_target]));
     let message = OwnerMessage::Ask(Box::new(ask(1_000_000, 0, "other")));
     let event = OwnerEvent::Message(named("entry"), message);
     let permit = owner
@@ -165,25 +170,25 @@
 fn callers_left() {
     let (mut owner, permit) = full_owner(Moment::START);
     let mut sequence = 0;
-    drive(&mut owner, 18_000, 20_000, &mut sequence);
+    send_calls(&mut owner, 18_000, 20_000, &mut sequence);
     let waiting_calls = sequence;
     for waiting in 1..=waiting_calls {
         let ms = 20_000 + waiting / 10;
         let message = withdrawal(attempt_of(ENTRY_RUN, waiting));
         let event = OwnerEvent::Message(named("entry"), message);
         owner.handle(Moment::from_millis(ms), event);
-        drive(&mut owner, ms, ms + 1, &mut sequence);
+        send_calls(&mut owner, ms, ms + 1, &mut sequence);
     }
     let now = Moment::from_millis(20_200);
     let message = released(&permit, ReleaseOutcome::Unused);
     owner.handle(now, OwnerEvent::Message(named("entry"), message));
-    let place = target("t", "d", 1_000_000_000);
-    let actions = owner.handle(now, OwnerEvent::Targets(vec![place]));
-    let begun = actions
+    let pool_target = target("t", "d", 1_000_000_000);
+    let actions = owner.handle(now, OwnerEvent::Targets(vec![pool_target]));
+    let started = actions
         .iter()
         .filter(|action| matches!(action, OwnerAction::Reply(_, OwnerReply::Granted { .. })));
-    let mut granted = vec![(20_200, UNITS); begun.count()];
-    granted.extend(drive(&mut owner, 20_200, 32_000, &mut sequence));
+    let mut granted = vec![(20_200, UNITS); started.count()];
+    granted.extend(send_calls(&mut owner, 20_200, 32_000, &mut sequence));
     let most = most_in_window(&granted);
     assert!(most <= 9 * RATE * 125 / 100, "{most}");
     assert!(most >= 8 * RATE, "{most}");
--- a/bergamotswitch-core/tests/entry_support/mod.rs
+++ b/bergamotswitch-core/tests/entry_support/mod.rs
@@ -23,7 +23,7 @@
 pub use bergamotswitch_core::target::PoolTarget;
 
 pub const OWNER: &str = "owner-1";
-pub const OWNER_RUN: Incarnation = Incarnation(77);
+pub const OWNER_INCARNATION: Incarnation = Incarnation(77);
 pub const DEADLINE: Duration = Duration::from_secs(30);
 
 /// Get a checked name, caller's key or the like from a text that is one.
@@ -193,7 +193,7 @@
 pub fn permit_of(sequence: u64, attempt: AttemptId, target: &str) -> Permit {
     Permit {
         id: PermitId {
-            owner: OWNER_RUN,
+            owner: OWNER_INCARNATION,
             sequence,
         },
         attempt,
--- a/bergamotswitch-core/tests/host_standstill.rs
+++ b/bergamotswitch-core/tests/host_pauses.rs
@@ -8,22 +8,22 @@
 use quota_fleet::*;
 
 /// What an account may use in one window over all hosts.
-const ALLOWED: f64 = ((RATE * 8 + BURST) as f64) * (1.0 + OVERAGE);
+const MAX_UNITS: f64 = ((RATE * 8 + BURST) as f64) * (1.0 + OVERAGE);
 
 /// The busy account's calls in each step of 5 ms: four times its quota.
 const BUSY_CALLS: usize = 2;
 
 /// The calm account's calls are this far apart, in milliseconds: half of its
 /// quota.
-const CALM_EVERY_MS: u64 = 20;
+const CALM_INTERVAL_MS: u64 = 20;
 
 /// Standstills that peers hardly notice, that move the order of a shard, and
 /// that the process itself takes for a pause.
-const STANDSTILLS_MS: [u64; 5] = [500, 900, 1_400, 1_900, 3_000];
+const PAUSES_MS: [u64; 5] = [500, 900, 1_400, 1_900, 3_000];
 
 fn traffic(fleet: &mut QuotaFleet) {
     fleet.send("busy", BUSY_CALLS);
-    if (fleet.now.as_micros() / 1_000).is_multiple_of(CALM_EVERY_MS) {
+    if (fleet.now.as_micros() / 1_000).is_multiple_of(CALM_INTERVAL_MS) {
         fleet.send("calm", 1);
     }
 }
@@ -33,14 +33,14 @@
     assert_eq!(refused, 0, "{case}: {:?}", fleet.ownership_changes);
     let (most, begin) = fleet.most_in_window("busy");
     assert!(
-        most as f64 <= ALLOWED,
-        "{case}: {most} of {ALLOWED} from {begin:?}, {:?}",
+        most as f64 <= MAX_UNITS,
+        "{case}: {most} of {MAX_UNITS} from {begin:?}, {:?}",
         fleet.ownership_changes
     );
 }
 
 /// Let one host of a fleet stand still for a while and go on.
-fn stand_still(fleet: &mut QuotaFleet, index: usize, span_ms: u64) {
+fn pause_host(fleet: &mut QuotaFleet, index: usize, span_ms: u64) {
     fleet.pause(index);
     fleet.pass(Duration::from_millis(span_ms), traffic);
     fleet.resume(index);
@@ -49,12 +49,12 @@
 
 // Guards against 429 for accounts within their quota when an owner is late.
 #[test]
-fn late_owner() {
-    for span_ms in STANDSTILLS_MS {
+fn paused_owner() {
+    for span_ms in PAUSES_MS {
         let mut fleet = QuotaFleet::start(Duration::from_millis(5));
         fleet.pass(Duration::from_secs(4), traffic);
         let owner = fleet.owner();
-        stand_still(&mut fleet, owner, span_ms);
+        pause_host(&mut fleet, owner, span_ms);
         assert_quotas(&fleet, &format!("owner late by {span_ms} ms"));
     }
 }
@@ -62,12 +62,12 @@
 // Guards against 429 for accounts within their quota when a host that owns
 // nothing is late.
 #[test]
-fn late_entry() {
-    for span_ms in STANDSTILLS_MS {
+fn paused_entry() {
+    for span_ms in PAUSES_MS {
         let mut fleet = QuotaFleet::start(Duration::from_millis(5));
         fleet.pass(Duration::from_secs(4), traffic);
         let entry = (fleet.owner() + 1) % HOSTS;
-        stand_still(&mut fleet, entry, span_ms);
+        pause_host(&mut fleet, entry, span_ms);
         assert_quotas(&fleet, &format!("host late by {span_ms} ms"));
     }
 }
@@ -75,8 +75,8 @@
 // Guards against 429 for accounts within their quota when the host that has
 // taken a shard over is late in turn.
 #[test]
-fn late_successor() {
-    for span_ms in STANDSTILLS_MS {
+fn paused_successor() {
+    for span_ms in PAUSES_MS {
         let mut fleet = QuotaFleet::start(Duration::from_millis(5));
         fleet.pass(Duration::from_secs(4), traffic);
         let first = fleet.owner();
@@ -84,7 +84,7 @@
         fleet.pass(Duration::from_millis(1_400), traffic);
         let second = fleet.owner();
         fleet.resume(first);
-        stand_still(&mut fleet, second, span_ms);
+        pause_host(&mut fleet, second, span_ms);
         assert_quotas(&fleet, &format!("successor late by {span_ms} ms"));
     }
 }
@@ -94,7 +94,7 @@
 #[test]
 fn waiting_calls() {
     const CALLS: usize = 12;
-    for span_ms in STANDSTILLS_MS {
+    for span_ms in PAUSES_MS {
         let latency = Duration::from_millis(5);
         let mut fleet = QuotaFleet::start_with_targets((1, 2), latency, EntryOptions::default());
         fleet.fails_every = u64::MAX;
--- a/bergamotswitch-core/tests/quota_fleet/mod.rs
+++ b/bergamotswitch-core/tests/quota_fleet/mod.rs
@@ -41,14 +41,14 @@
 pub const UNITS: u32 = 1_000;
 
 const STEP: Duration = Duration::from_millis(5);
-const DIAL: Duration = Duration::from_millis(10);
-const STORE: Duration = Duration::from_millis(20);
+const DIAL_DELAY: Duration = Duration::from_millis(10);
+const READ_TIME: Duration = Duration::from_millis(20);
 const TARGETS: (usize, u32) = (4, 500);
 
 /// One first run in so many fails where a test says nothing else.
 const FAILS_EVERY: u64 = 7;
-const REFUSED_AFTER: Duration = Duration::from_millis(2);
-const RUN_SPAN: Duration = Duration::from_millis(150);
+const CONNECT_REFUSED_AFTER: Duration = Duration::from_millis(2);
+const RUN_TIME: Duration = Duration::from_millis(150);
 
 /// A `CallRecord` is what became of one call.
 #[derive(Debug)]
@@ -68,26 +68,26 @@
     started_at: Moment,
     wanted: BTreeSet<usize>,
     /// What waits for a process that stands still.
-    held: Option<Vec<Parcel>>,
+    paused_queue: Option<Vec<Delivery>>,
 }
 
-enum Parcel {
+enum Delivery {
     Call(usize, &'static str, Moment),
-    Letter(usize, usize, LinkMessage),
+    Message(usize, usize, LinkMessage),
     Gossip(usize, Box<RosterMessage>),
     Value(usize, PublishedValue),
     Attempt(usize, AttemptId, AttemptEvent),
 }
 
-impl Parcel {
+impl Delivery {
     /// Get the host whose process takes the parcel.
     fn receiver(&self) -> usize {
         match self {
-            Parcel::Letter(_, to, _)
-            | Parcel::Call(to, ..)
-            | Parcel::Gossip(to, _)
-            | Parcel::Value(to, _)
-            | Parcel::Attempt(to, ..) => *to,
+            Delivery::Message(_, to, _)
+            | Delivery::Call(to, ..)
+            | Delivery::Gossip(to, _)
+            | Delivery::Value(to, _)
+            | Delivery::Attempt(to, ..) => *to,
         }
     }
 }
@@ -112,11 +112,11 @@
     entry: EntryOptions,
     hosts: Vec<FleetHost>,
     links: BTreeSet<(usize, usize)>,
-    parcels: BTreeMap<(Moment, u64), (Incarnation, Parcel)>,
+    deliveries: BTreeMap<(Moment, u64), (Incarnation, Delivery)>,
     count: u64,
     latency: Duration,
     /// How much later than that a host's processor takes things in.
-    lags: [Duration; HOSTS],
+    processing_delays: [Duration; HOSTS],
     next_host: usize,
 }
 
@@ -151,21 +151,21 @@
             entry,
             hosts: Vec::new(),
             links: BTreeSet::new(),
-            parcels: BTreeMap::new(),
+            deliveries: BTreeMap::new(),
             count: 0,
             latency,
-            lags: [Duration::ZERO; HOSTS],
+            processing_delays: [Duration::ZERO; HOSTS],
             next_host: 0,
         };
         for index in 0..HOSTS {
-            let host = fleet.process(index);
+            let host = fleet.new_process(index);
             fleet.hosts.push(host);
         }
         fleet.pass(Duration::from_secs(12), |_| {});
         fleet
     }
 
-    fn process(&mut self, index: usize) -> FleetHost {
+    fn new_process(&mut self, index: usize) -> FleetHost {
         self.count += 1;
         let entry = host_entry(index);
         let run = HostIncarnation {
@@ -184,7 +184,7 @@
             run,
             started_at: self.now,
             wanted: BTreeSet::new(),
-            held: None,
+            paused_queue: None,
         }
     }
 
@@ -203,27 +203,27 @@
     }
 
     fn tick(&mut self, index: usize) {
-        let own = self.own_time(index);
+        let local_now = self.process_time(index);
         let host = &self.hosts[index];
         let due = host
             .core
             .as_ref()
-            .is_some_and(|core| core.next_wake() <= own);
-        if due && host.held.is_none() {
-            self.tell(index, NodeEvent::Tick);
+            .is_some_and(|core| core.next_wake() <= local_now);
+        if due && host.paused_queue.is_none() {
+            self.handle(index, NodeEvent::Tick);
         }
     }
 
     /// Let a host's process stand still: what is sent to it waits.
     pub fn pause(&mut self, index: usize) {
-        self.hosts[index].held = Some(Vec::new());
+        self.hosts[index].paused_queue = Some(Vec::new());
     }
 
     /// Let a host's process go on, with all that waits for it.
     pub fn resume(&mut self, index: usize) {
         let run = self.hosts[index].run.incarnation;
-        for parcel in self.hosts[index].held.take().unwrap_or_default() {
-            self.hand_over(run, parcel);
+        for delivery in self.hosts[index].paused_queue.take().unwrap_or_default() {
+            self.deliver_to_process(run, delivery);
         }
     }
 
@@ -231,24 +231,24 @@
     pub fn owner(&self) -> usize {
         let owns = |index: &usize| {
             let core = self.hosts[*index].core.as_ref();
-            core.is_some_and(|core| core.view(self.own_time(*index)).owns.contains(&shard()))
+            core.is_some_and(|core| core.view(self.process_time(*index)).owns.contains(&shard()))
         };
         let owners: Vec<usize> = (0..HOSTS).filter(owns).collect();
-        let begun = self.ownership_changes.iter().rev().filter(|turn| turn.2);
-        let mut begun = begun.map(|turn| turn.1);
-        begun
+        let acquired = self.ownership_changes.iter().rev().filter(|turn| turn.2);
+        let mut acquired = acquired.map(|turn| turn.1);
+        acquired
             .find(|index| owners.contains(index))
             .expect("an owner")
     }
 
     /// Let a host's processor take everything in this much later.
     pub fn slow(&mut self, index: usize, lag: Duration) {
-        self.lags[index] = lag;
+        self.processing_delays[index] = lag;
     }
 
     /// Begin a planned stop.
     pub fn stop(&mut self, index: usize) {
-        self.tell(index, NodeEvent::Stop);
+        self.handle(index, NodeEvent::Stop);
     }
 
     /// End a host's process.
@@ -261,14 +261,14 @@
                 self.links.remove(&(a, b));
                 let other = if a == index { b } else { a };
                 let run = self.hosts[index].run.clone();
-                self.tell(other, NodeEvent::Link(LinkEvent::Down(run)));
+                self.handle(other, NodeEvent::Link(LinkEvent::Down(run)));
             }
         }
     }
 
     /// Start a host's next process.
     pub fn restart(&mut self, index: usize) {
-        self.hosts[index] = self.process(index);
+        self.hosts[index] = self.new_process(index);
     }
 
     /// Send calls of an account, each at the next host that takes callers.
@@ -282,8 +282,8 @@
         for _ in 0..HOSTS {
             self.next_host = (self.next_host + 1) % HOSTS;
             let index = self.next_host;
-            if let Some(held) = &mut self.hosts[index].held {
-                held.push(Parcel::Call(index, account, self.now));
+            if let Some(paused_queue) = &mut self.hosts[index].paused_queue {
+                paused_queue.push(Delivery::Call(index, account, self.now));
                 return;
             }
             if self.submit(index, account, self.now) {
@@ -302,14 +302,14 @@
 
     /// Hand a call to a host; get whether it took it.
     fn submit(&mut self, index: usize, account: &'static str, sent_at: Moment) -> bool {
-        let own = self.own_time(index);
+        let local_now = self.process_time(index);
         let core = self.hosts[index].core.as_mut();
-        let Some(core) = core.filter(|core| core.is_ready(own)) else {
+        let Some(core) = core.filter(|core| core.is_ready(local_now)) else {
             return false;
         };
-        let (reception, actions) = core.submit(own, submission(account));
-        let SubmitOutcome::Accepted(id) = reception else {
-            self.carry_out(index, actions);
+        let (outcome, actions) = core.submit(local_now, submission(account));
+        let SubmitOutcome::Accepted(id) = outcome else {
+            self.apply_actions(index, actions);
             return false;
         };
         let record = CallRecord {
@@ -320,7 +320,7 @@
             refused_at: None,
         };
         self.calls.insert(id, record);
-        self.carry_out(index, actions);
+        self.apply_actions(index, actions);
         true
     }
 
@@ -352,60 +352,60 @@
         self.served.get(target).copied().unwrap_or(0)
     }
 
-    fn own_time(&self, index: usize) -> Moment {
+    fn process_time(&self, index: usize) -> Moment {
         Moment::START.plus(self.now.since(self.hosts[index].started_at))
     }
 
-    fn post(&mut self, to: usize, span: Duration, parcel: Parcel) {
+    fn post(&mut self, to: usize, span: Duration, delivery: Delivery) {
         self.count += 1;
         let run = self.hosts[to].run.incarnation;
-        let at = self.now.plus(span).plus(self.lags[to]);
-        self.parcels.insert((at, self.count), (run, parcel));
+        let at = self.now.plus(span).plus(self.processing_delays[to]);
+        self.deliveries.insert((at, self.count), (run, delivery));
     }
 
     fn deliver(&mut self) {
-        while let Some(entry) = self.parcels.first_entry() {
+        while let Some(entry) = self.deliveries.first_entry() {
             if entry.key().0 > self.now {
                 return;
             }
-            let (run, parcel) = entry.remove();
-            let host = &mut self.hosts[parcel.receiver()];
-            match &mut host.held {
-                Some(held) if host.run.incarnation == run => held.push(parcel),
-                _ => self.hand_over(run, parcel),
+            let (run, delivery) = entry.remove();
+            let host = &mut self.hosts[delivery.receiver()];
+            match &mut host.paused_queue {
+                Some(paused_queue) if host.run.incarnation == run => paused_queue.push(delivery),
+                _ => self.deliver_to_process(run, delivery),
             }
         }
     }
 
-    fn hand_over(&mut self, run: Incarnation, parcel: Parcel) {
-        let (to, event) = match parcel {
-            Parcel::Call(to, account, sent_at) => {
+    fn deliver_to_process(&mut self, run: Incarnation, delivery: Delivery) {
+        let (to, event) = match delivery {
+            Delivery::Call(to, account, sent_at) => {
                 self.submit(to, account, sent_at);
                 return;
             }
-            Parcel::Letter(from, to, message) => {
+            Delivery::Message(from, to, message) => {
                 if !self.links.contains(&(from.min(to), from.max(to))) {
                     return;
                 }
                 let from = self.hosts[from].run.clone();
                 (to, NodeEvent::Link(LinkEvent::Message(from, message)))
             }
-            Parcel::Gossip(to, message) => (to, NodeEvent::Gossip(message)),
-            Parcel::Value(to, value) => (to, NodeEvent::Read(value)),
-            Parcel::Attempt(to, attempt, event) => (to, NodeEvent::Attempt(attempt, event)),
+            Delivery::Gossip(to, message) => (to, NodeEvent::Gossip(message)),
+            Delivery::Value(to, value) => (to, NodeEvent::Read(value)),
+            Delivery::Attempt(to, attempt, event) => (to, NodeEvent::Attempt(attempt, event)),
         };
         if self.hosts[to].run.incarnation == run {
-            self.tell(to, event);
+            self.handle(to, event);
         }
     }
 
-    fn tell(&mut self, index: usize, event: NodeEvent) {
-        let own = self.own_time(index);
+    fn handle(&mut self, index: usize, event: NodeEvent) {
+        let local_now = self.process_time(index);
         let Some(core) = self.hosts[index].core.as_mut() else {
             return;
         };
-        let actions = core.handle(own, event);
-        self.carry_out(index, actions);
+        let actions = core.handle(local_now, event);
+        self.apply_actions(index, actions);
     }
 
     fn dial(&mut self) {
@@ -414,25 +414,25 @@
                 let wanted = self.hosts[a].wanted.contains(&b) || self.hosts[b].wanted.contains(&a);
                 let runs = |at: usize| {
                     let age = self.now.since(self.hosts[at].started_at);
-                    self.hosts[at].core.is_some() && age >= DIAL
+                    self.hosts[at].core.is_some() && age >= DIAL_DELAY
                 };
                 if wanted && runs(a) && runs(b) && self.links.insert((a, b)) {
                     for (end, peer) in [(a, b), (b, a)] {
                         let run = self.hosts[peer].run.clone();
-                        self.tell(end, NodeEvent::Link(LinkEvent::Up(run)));
+                        self.handle(end, NodeEvent::Link(LinkEvent::Up(run)));
                     }
                 }
             }
         }
     }
 
-    fn carry_out(&mut self, index: usize, actions: Vec<NodeAction>) {
+    fn apply_actions(&mut self, index: usize, actions: Vec<NodeAction>) {
         for action in actions {
             match action {
                 NodeAction::Send(to, message) => {
                     let to = index_of(&to);
-                    let letter = Parcel::Letter(index, to, message);
-                    self.post(to, self.latency, letter);
+                    let delivery = Delivery::Message(index, to, message);
+                    self.post(to, self.latency, delivery);
                 }
                 NodeAction::Gossip(action) => self.gossip(action.to, action.message),
                 NodeAction::Connect(host) => {
@@ -443,11 +443,13 @@
                 }
                 NodeAction::Read(value) => {
                     let value = published(&value, self.targets);
-                    self.post(index, STORE, Parcel::Value(index, value));
+                    self.post(index, READ_TIME, Delivery::Value(index, value));
                 }
                 NodeAction::Start {
                     attempt, target, ..
-                } if self.unreachable.contains(target.name.as_str()) => self.miss(index, attempt),
+                } if self.unreachable.contains(target.name.as_str()) => {
+                    self.refuse_connection(index, attempt)
+                }
                 NodeAction::Start {
                     attempt, target, ..
                 } => {
@@ -461,7 +463,7 @@
                     }
                 }
                 NodeAction::LogIncident(incident, text) => {
-                    self.note(index, incident.number(), &text)
+                    self.record_incident(index, incident.number(), &text)
                 }
                 _ => {}
             }
@@ -472,15 +474,15 @@
         let mut hosts = 0..HOSTS;
         let to = hosts.find(|index| host_entry(*index).link_address == to);
         let to = to.expect("a host of the fleet");
-        self.post(to, self.latency, Parcel::Gossip(to, Box::new(message)));
+        self.post(to, self.latency, Delivery::Gossip(to, Box::new(message)));
     }
 
     /// Let a call meet a target that refuses the connection.
-    fn miss(&mut self, index: usize, attempt: AttemptId) {
+    fn refuse_connection(&mut self, index: usize, attempt: AttemptId) {
         self.connect_failures.push(self.now);
         let event = AttemptEvent::NotSent(NotSentReason::ConnectFailed);
-        let end = Parcel::Attempt(index, attempt, event);
-        self.post(index, REFUSED_AFTER, end);
+        let end = Delivery::Attempt(index, attempt, event);
+        self.post(index, CONNECT_REFUSED_AFTER, end);
     }
 
     fn run(&mut self, index: usize, attempt: AttemptId) {
@@ -496,11 +498,11 @@
             true => AttemptEvent::Failed,
             false => AttemptEvent::Finished(usage()),
         };
-        let end = Parcel::Attempt(index, attempt, event);
-        self.post(index, RUN_SPAN, end);
+        let end = Delivery::Attempt(index, attempt, event);
+        self.post(index, RUN_TIME, end);
     }
 
-    fn note(&mut self, index: usize, number: u16, text: &str) {
+    fn record_incident(&mut self, index: usize, number: u16, text: &str) {
         if text == format!("shard={}", shard()) && (number == 300 || number == 301) {
             self.ownership_changes
                 .push((self.now, index, number == 300));
--- a/bergamotswitch-core/tests/quota_fleet/setup.rs
+++ b/bergamotswitch-core/tests/quota_fleet/setup.rs
@@ -14,7 +14,7 @@
 use bergamotswitch_core::revision::{ROUTES_VALUE, RevisionOptions, TARGETS_VALUE, ValueName};
 use bergamotswitch_core::roster::RosterOptions;
 
-use super::{BURST_PART, HOSTS, OVERAGE, RUN_SPAN, UNITS, WINDOW};
+use super::{BURST_PART, HOSTS, OVERAGE, RUN_TIME, UNITS, WINDOW};
 
 pub fn name<T: TryFrom<String>>(text: &str) -> T {
     T::try_from(text.to_owned()).ok().expect("a name")
@@ -74,7 +74,7 @@
 }
 
 pub(super) fn usage() -> Usage {
-    let run = RUN_SPAN.as_millis() as u32;
+    let run = RUN_TIME.as_millis() as u32;
     Usage {
         prefill: UNITS,
         decode: 1,
--- a/bergamotswitch-core/tests/quota_handover.rs
+++ b/bergamotswitch-core/tests/quota_handover.rs
@@ -8,43 +8,43 @@
 /// What an account may use in one window over all hosts. The slack that the
 /// users allow beyond it is left to calls of other pools, of which there are
 /// none here.
-const ALLOWED: f64 = ((RATE * 8 + BURST) as f64) * (1.0 + OVERAGE);
+const MAX_UNITS: f64 = ((RATE * 8 + BURST) as f64) * (1.0 + OVERAGE);
 
 /// The busy account's calls in each step of 5 ms: four times its quota.
 const BUSY_CALLS: usize = 2;
 
 /// The calm account's calls are this far apart, in milliseconds: half of its
 /// quota.
-const CALM_EVERY_MS: u64 = 20;
+const CALM_INTERVAL_MS: u64 = 20;
 
 fn traffic(fleet: &mut QuotaFleet) {
     fleet.send("busy", BUSY_CALLS);
-    if (fleet.now.as_micros() / 1_000).is_multiple_of(CALM_EVERY_MS) {
+    if (fleet.now.as_micros() / 1_000).is_multiple_of(CALM_INTERVAL_MS) {
         fleet.send("calm", 1);
     }
 }
 
-fn assert_kept(fleet: &QuotaFleet, case: &str) {
+fn assert_within_quota(fleet: &QuotaFleet, case: &str) {
     let (most, begin) = fleet.most_in_window("busy");
     let changes = &fleet.ownership_changes;
     assert!(
-        most as f64 <= ALLOWED,
-        "{case}: {most} of {ALLOWED} from {begin:?}, {changes:?}"
+        most as f64 <= MAX_UNITS,
+        "{case}: {most} of {MAX_UNITS} from {begin:?}, {changes:?}"
     );
     let least = (RATE * 8) as f64 * 0.9;
     assert!(most as f64 >= least, "{case}: only {most}");
 }
 
 /// Assert that an account within its quota is hardly ever told that it is over.
-fn assert_owed(fleet: &QuotaFleet, case: &str) {
+fn assert_rarely_refused(fleet: &QuotaFleet, case: &str) {
     let refused = fleet.refused("calm", RefusalReason::OverQuota);
     let calls = fleet.calls.values();
     let sent = calls.filter(|call| call.account == "calm").count();
     assert!(refused * 100 <= sent, "{case}: {refused} of {sent}");
 }
 
-fn stop_in_turn(fleet: &mut QuotaFleet, turns: usize) {
-    for _ in 0..turns {
+fn restart_in_turn(fleet: &mut QuotaFleet, restarts: usize) {
+    for _ in 0..restarts {
         let owner = fleet.owner();
         fleet.stop(owner);
         fleet.pass(Duration::from_millis(800), traffic);
@@ -68,10 +68,10 @@
     for latency_ms in [1, 20, 60] {
         let mut fleet = QuotaFleet::start(Duration::from_millis(latency_ms));
         fleet.pass(Duration::from_secs(3), traffic);
-        stop_in_turn(&mut fleet, 6);
+        restart_in_turn(&mut fleet, 6);
         let case = format!("links {latency_ms} ms late");
-        assert_kept(&fleet, &case);
-        assert_owed(&fleet, &case);
+        assert_within_quota(&fleet, &case);
+        assert_rarely_refused(&fleet, &case);
     }
 }
 
@@ -83,10 +83,10 @@
         let mut fleet = QuotaFleet::start(Duration::from_millis(5));
         fleet.slow(slow, Duration::from_millis(120));
         fleet.pass(Duration::from_secs(3), traffic);
-        stop_in_turn(&mut fleet, 3);
+        restart_in_turn(&mut fleet, 3);
         let case = format!("host {slow} slow");
-        assert_kept(&fleet, &case);
-        assert_owed(&fleet, &case);
+        assert_within_quota(&fleet, &case);
+        assert_rarely_refused(&fleet, &case);
     }
 }
 
@@ -94,7 +94,7 @@
 // ones before them still end their work: the order passes on several times
 // within one window.
 #[test]
-fn hosts_rolled() {
+fn rolling_restart() {
     for gap_ms in [400, 1_300, 2_500] {
         let mut fleet = QuotaFleet::start(Duration::from_millis(10));
         fleet.pass(Duration::from_secs(3), traffic);
@@ -108,8 +108,8 @@
         }
         fleet.pass(Duration::from_secs(10), traffic);
         let case = format!("{gap_ms} ms apart");
-        assert_kept(&fleet, &case);
-        assert_owed(&fleet, &case);
+        assert_within_quota(&fleet, &case);
+        assert_rarely_refused(&fleet, &case);
     }
 }
 
@@ -119,7 +119,7 @@
 // Cause: the next owner's buckets begin empty, or nearly so, and what had come
 // together at the former one was lost.
 #[test]
-fn burst_kept() {
+fn burst_after_handover() {
     const BURST_CALLS: usize = 80;
     for wait_ms in [100, 1_000, 3_600] {
         let mut fleet = QuotaFleet::start(Duration::from_millis(5));
@@ -139,6 +139,6 @@
             fleet.ownership_changes
         );
         let (most, _) = fleet.most_in_window("busy");
-        assert!(most as f64 <= ALLOWED, "{most}");
+        assert!(most as f64 <= MAX_UNITS, "{most}");
     }
 }
