--- a/bergamotswitch-core/tests/entry_fuzz.rs
+++ b/bergamotswitch-core/tests/entry_fuzz.rs
@@ -1,12 +1,12 @@
 //! Tests of the entry side by stateful fuzzing, compared with a simple oracle.
 
+mod entry_simulation;
 mod entry_support;
-mod entry_world;
 mod oracle;
 
 use bergamotswitch_core::entry::{EntryOptions, Fault};
 use bergamotswitch_draw::any;
-use entry_world::{World, WorldEvent};
+use entry_simulation::{EntrySimulation, SimulationEvent};
 use oracle::{Breach, RunReach, add_counts};
 
 const RUNS: u64 = 3_000;
@@ -15,17 +15,20 @@
 const EVENTS: std::ops::RangeInclusive<usize> = 40..=400;
 
 /// Generate the events of a run.
-fn generate_events(run: u64) -> Vec<WorldEvent> {
-    bergamotswitch_draw::draw(&any::<Vec<WorldEvent>>().with().len(EVENTS), run)
+fn generate_events(run: u64) -> Vec<SimulationEvent> {
+    bergamotswitch_draw::draw(&any::<Vec<SimulationEvent>>().with().len(EVENTS), run)
 }
 
-fn run_events(options: EntryOptions, events: &[WorldEvent]) -> Result<World, Breach> {
-    let mut world = World::new(options);
+fn run_events(
+    options: EntryOptions,
+    events: &[SimulationEvent],
+) -> Result<EntrySimulation, Breach> {
+    let mut simulation = EntrySimulation::new(options);
     for event in events {
-        world.take(*event)?;
+        simulation.apply(*event)?;
     }
-    world.rest()?;
-    Ok(world)
+    simulation.settle()?;
+    Ok(simulation)
 }
 
 #[test]
@@ -35,7 +38,7 @@
     for run in 0..RUNS {
         let events = generate_events(run);
         match run_events(EntryOptions::default(), &events) {
-            Ok(world) => add_counts(&mut reach, &world.reach),
+            Ok(simulation) => add_counts(&mut reach, &simulation.reach),
             Err(breach) => panic!("run {run}: {breach:?}"),
         }
         count += events.len();
--- a/bergamotswitch-core/tests/entry_world/engines.rs
+++ b/bergamotswitch-core/tests/entry_simulation/engines.rs
@@ -4,19 +4,19 @@
 
 use super::*;
 
-impl World {
+impl EntrySimulation {
     pub(super) fn start(&mut self, host: usize, attempt: AttemptId, permit: Permit) {
         self.count("dispatches");
         self.oracle.dispatched(attempt.request);
         let here = &mut self.hosts[host];
-        if here.leaving.contains(&permit.target) {
+        if here.draining.contains(&permit.target) {
             self.oracle.breach(Breach::LeavingTarget);
         }
-        if self.permit_steps[&permit.id] < here.woke_at {
+        if self.grant_steps[&permit.id] < here.resumed_at {
             self.oracle.breach(Breach::StalePermit);
         }
-        let flight = Flight { permit, ran: false };
-        if here.flights.insert(attempt, flight).is_some() {
+        let attempt_state = RunningAttempt { permit, ran: false };
+        if here.running.insert(attempt, attempt_state).is_some() {
             self.oracle.breach(Breach::DispatchOnce);
         }
     }
@@ -26,30 +26,30 @@
             self.oracle.breach(Breach::StopCut);
         }
         self.count("aborts");
-        if let Some(flight) = self.hosts[host].flights.remove(&attempt) {
-            self.run_once_more(attempt.request, flight.ran);
-            self.hosts[host].ended.push(attempt);
+        if let Some(attempt_state) = self.hosts[host].running.remove(&attempt) {
+            self.record_run(attempt.request, attempt_state.ran);
+            self.hosts[host].ended_attempts.push(attempt);
         }
     }
 
-    pub(super) fn run_once_more(&mut self, id: RequestId, counted: bool) {
-        if !counted {
+    pub(super) fn record_run(&mut self, id: RequestId, recorded: bool) {
+        if !recorded {
             self.oracle.ran(id);
         }
     }
 
     pub(super) fn finish_all(&mut self) {
         for host in 0..HOSTS.len() {
-            let flights: Vec<AttemptId> = self.hosts[host].flights.keys().copied().collect();
-            for attempt in flights {
-                self.engine_does(host, attempt, AttemptEvent::Finished(usage()));
+            let running: Vec<AttemptId> = self.hosts[host].running.keys().copied().collect();
+            for attempt in running {
+                self.apply_engine_event(host, attempt, AttemptEvent::Finished(usage()));
             }
         }
     }
 
-    pub(super) fn move_flight(&mut self, host: usize, b: u8, c: u8) {
-        let flights: Vec<AttemptId> = self.hosts[host].flights.keys().copied().collect();
-        let Some(attempt) = pick(&flights, b) else {
+    pub(super) fn advance_attempt(&mut self, host: usize, b: u8, c: u8) {
+        let running: Vec<AttemptId> = self.hosts[host].running.keys().copied().collect();
+        let Some(attempt) = pick(&running, b) else {
             return;
         };
         let event = match c % 13 {
@@ -64,40 +64,40 @@
             11 => AttemptEvent::Stalled,
             _ => AttemptEvent::Finished(usage()),
         };
-        self.engine_does(host, attempt, event);
+        self.apply_engine_event(host, attempt, event);
     }
 
     /// The engine's own ledger is written before the host hears of it.
-    fn engine_does(&mut self, host: usize, attempt: AttemptId, event: AttemptEvent) {
-        let Some(flight) = self.hosts[host].flights.get_mut(&attempt) else {
+    fn apply_engine_event(&mut self, host: usize, attempt: AttemptId, event: AttemptEvent) {
+        let Some(attempt_state) = self.hosts[host].running.get_mut(&attempt) else {
             return;
         };
         let id = attempt.request;
-        let ran = flight.ran;
-        let promises = flight.permit.target.as_str() != "t1";
+        let ran = attempt_state.ran;
+        let refusal_means_not_run = attempt_state.permit.target.as_str() != "t1";
         match event {
             AttemptEvent::FirstToken
             | AttemptEvent::Progress(_)
             | AttemptEvent::Resumed
             | AttemptEvent::Stalled => {
-                flight.ran = true;
-                self.run_once_more(id, ran);
+                attempt_state.ran = true;
+                self.record_run(id, ran);
                 return self.handle(host, EntryEvent::Attempt(attempt, event));
             }
             // What has begun to answer can't be unsent or refused any more.
             AttemptEvent::NotSent(_) | AttemptEvent::Refused if ran => return,
             AttemptEvent::NotSent(_) => self.oracle.proven_unrun(id),
-            AttemptEvent::Refused if promises => self.oracle.proven_unrun(id),
+            AttemptEvent::Refused if refusal_means_not_run => self.oracle.proven_unrun(id),
             AttemptEvent::Finished(_) => {
-                self.run_once_more(id, ran);
+                self.record_run(id, ran);
                 self.oracle.finished(id);
             }
             AttemptEvent::Refused | AttemptEvent::Failed | AttemptEvent::Broken(_) => {
-                self.run_once_more(id, ran);
+                self.record_run(id, ran);
             }
         }
-        self.hosts[host].flights.remove(&attempt);
-        self.hosts[host].ended.push(attempt);
+        self.hosts[host].running.remove(&attempt);
+        self.hosts[host].ended_attempts.push(attempt);
         self.handle(host, EntryEvent::Attempt(attempt, event));
     }
 }
--- a/bergamotswitch-core/tests/entry_world/mishaps.rs
+++ b/bergamotswitch-core/tests/entry_simulation/faults.rs
@@ -3,53 +3,53 @@
 
 use super::*;
 
-impl World {
+impl EntrySimulation {
     /// Lose a message, or have it come twice.
-    pub(super) fn disturb(&mut self, a: u8, b: u8) {
-        if self.transit.is_empty() {
+    pub(super) fn lose_or_duplicate(&mut self, a: u8, b: u8) {
+        if self.in_transit.is_empty() {
             return;
         }
-        let index = usize::from(a) % self.transit.len();
+        let index = usize::from(a) % self.in_transit.len();
         match b % 2 {
             0 => {
-                self.transit.remove(index);
+                self.in_transit.remove(index);
             }
             _ => {
-                let copy = self.transit[index].clone();
-                self.transit.push(copy);
+                let copy = self.in_transit[index].clone();
+                self.in_transit.push(copy);
             }
         }
     }
 
-    pub(super) fn befall(&mut self, host: usize, b: u8, c: u8) {
-        let flights: Vec<AttemptId> = self.hosts[host].flights.keys().copied().collect();
+    pub(super) fn inject_event(&mut self, host: usize, b: u8, c: u8) {
+        let running: Vec<AttemptId> = self.hosts[host].running.keys().copied().collect();
         match b % 8 {
             0..=2 => {
                 let run = self.hosts[host].run.incarnation;
                 let open = |id: &RequestId| id.incarnation == run;
-                let fates = self.oracle.requests.iter();
-                let live: Vec<RequestId> = fates
-                    .filter(|(id, fate)| open(id) && fate.conclusions == 0)
+                let requests = self.oracle.requests.iter();
+                let live: Vec<RequestId> = requests
+                    .filter(|(id, request)| open(id) && request.conclusions == 0)
                     .map(|(id, _)| *id)
                     .collect();
-                let flying = flights.iter().map(|attempt| attempt.request);
-                let flying: Vec<RequestId> = flying.collect();
-                let left = match c % 4 {
+                let running_requests = running.iter().map(|attempt| attempt.request);
+                let running_requests: Vec<RequestId> = running_requests.collect();
+                let disconnected = match c % 4 {
                     0 => pick(&live, c),
-                    _ => pick(&flying, c),
+                    _ => pick(&running_requests, c),
                 };
-                if let Some(id) = left {
+                if let Some(id) = disconnected {
                     self.handle(host, EntryEvent::CallerLeft(id));
                 }
             }
             3..=5 => {
-                if let Some(attempt) = pick(&flights, c) {
-                    let permit = self.hosts[host].flights[&attempt].permit.id;
+                if let Some(attempt) = pick(&running, c) {
+                    let permit = self.hosts[host].running[&attempt].permit.id;
                     let preempt = OwnerReply::Preempt { permit, attempt };
                     match c % 4 {
                         0 => self
-                            .transit
-                            .push(Letter::ToHost(host, self.acting, preempt)),
+                            .in_transit
+                            .push(Message::ToHost(host, self.acting, preempt)),
                         _ => {
                             self.handle(host, EntryEvent::Reply(name(OWNERS[self.acting]), preempt))
                         }
@@ -58,30 +58,31 @@
             }
             6 => {
                 let target: TargetName = name(TARGETS[usize::from(c) % TARGETS.len()]);
-                let leaving = c & 64 != 0;
-                match leaving {
-                    true => self.hosts[host].leaving.insert(target.clone()),
-                    false => self.hosts[host].leaving.remove(&target),
+                let draining = c & 64 != 0;
+                match draining {
+                    true => self.hosts[host].draining.insert(target.clone()),
+                    false => self.hosts[host].draining.remove(&target),
                 };
-                self.handle(host, EntryEvent::TargetDraining(target, leaving));
+                self.handle(host, EntryEvent::TargetDraining(target, draining));
             }
             _ if c.is_multiple_of(2) => {
                 // News of an attempt that is over, late or doubled.
-                if let Some(attempt) = pick(&self.hosts[host].ended, c) {
+                if let Some(attempt) = pick(&self.hosts[host].ended_attempts, c) {
                     let event = AttemptEvent::Finished(usage());
                     self.handle(host, EntryEvent::Attempt(attempt, event));
                 }
             }
             _ => {
-                let permits: Vec<PermitId> = self.permit_steps.keys().copied().collect();
+                let permits: Vec<PermitId> = self.grant_steps.keys().copied().collect();
                 let shard = shard();
                 let audit = OwnerReply::Audit { shard, permits };
-                self.transit.push(Letter::ToHost(host, self.acting, audit));
+                self.in_transit
+                    .push(Message::ToHost(host, self.acting, audit));
             }
         }
     }
 
-    pub(super) fn befall_rarely(&mut self, host: usize, b: u8, c: u8) {
+    pub(super) fn inject_rare_event(&mut self, host: usize, b: u8, c: u8) {
         match b % 8 {
             0 => self.crash(host),
             1 => {
@@ -91,19 +92,20 @@
             2 => {
                 self.acting = 1 - self.acting;
                 for host in 0..HOSTS.len() {
-                    self.transit.push(Letter::OwnerIs(host, self.acting));
+                    self.in_transit
+                        .push(Message::OwnerChanged(host, self.acting));
                 }
             }
             3..=5 => {
                 let span = Duration::from_millis(u64::from(c) * 20);
                 self.now = self.now.plus(span);
-                self.hosts[host].woke_at = self.step;
+                self.hosts[host].resumed_at = self.step;
                 self.handle(host, EntryEvent::ProcessPaused(span));
             }
             6 if self.hosts[host].stopping => {
-                let left = Duration::from_millis(u64::from(c) * 100);
-                let whole_by = self.now.plus(left);
-                self.handle(host, EntryEvent::FinishBy(whole_by));
+                let time_left = Duration::from_millis(u64::from(c) * 100);
+                let finish_by = self.now.plus(time_left);
+                self.handle(host, EntryEvent::FinishBy(finish_by));
             }
             // The grace of a stop is over.
             7 if self.hosts[host].stopping => {
@@ -119,12 +121,13 @@
     /// successor gets the messages that were meant for it.
     fn crash(&mut self, host: usize) {
         self.count("crashes");
-        let fresh = self.fresh_host(host);
-        let gone = std::mem::replace(&mut self.hosts[host], fresh);
-        for (attempt, flight) in gone.flights {
-            self.run_once_more(attempt.request, flight.ran);
-            self.oracle.excused(flight.permit.id);
+        let new_host = self.new_host(host);
+        let crashed = std::mem::replace(&mut self.hosts[host], new_host);
+        for (attempt, attempt_state) in crashed.running {
+            self.record_run(attempt.request, attempt_state.ran);
+            self.oracle.excused(attempt_state.permit.id);
         }
-        self.transit.push(Letter::OwnerIs(host, self.acting));
+        self.in_transit
+            .push(Message::OwnerChanged(host, self.acting));
     }
 }
--- a/bergamotswitch-core/tests/entry_world/mod.rs
+++ b/bergamotswitch-core/tests/entry_simulation/mod.rs
@@ -2,7 +2,7 @@
 //! pause, two owners that take turns, engines, and messages in any order.
 
 mod engines;
-mod mishaps;
+mod faults;
 mod owners;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,31 +17,31 @@
 const OWNERS: [&str; 2] = ["owner-1", "owner-2"];
 const HOSTS: [&str; 3] = ["entry-1", "entry-2", "entry-3"];
 const TARGETS: [&str; 3] = ["t0", "t1", "t2"];
-const ROUNDS_TO_REST: usize = 60;
+const SETTLE_ROUNDS: usize = 60;
 
 /// A `WorldEvent` is one step of a run, drawn at random: what, and on what.
-pub type WorldEvent = [u8; 4];
+pub type SimulationEvent = [u8; 4];
 
 #[derive(Clone, Debug)]
-enum Letter {
+enum Message {
     ToOwner(usize, usize, OwnerMessage),
     ToHost(usize, usize, OwnerReply),
-    OwnerIs(usize, usize),
+    OwnerChanged(usize, usize),
 }
 
 #[derive(Debug)]
-struct Flight {
+struct RunningAttempt {
     permit: Permit,
     ran: bool,
 }
 
-struct WorldHost {
+struct SimulatedHost {
     run: HostIncarnation,
     dispatcher: EntryDispatcher,
-    flights: BTreeMap<AttemptId, Flight>,
-    ended: Vec<AttemptId>,
-    leaving: BTreeSet<TargetName>,
-    woke_at: u64,
+    running: BTreeMap<AttemptId, RunningAttempt>,
+    ended_attempts: Vec<AttemptId>,
+    draining: BTreeSet<TargetName>,
+    resumed_at: u64,
     stopping: bool,
     stopped: bool,
 }
@@ -53,17 +53,17 @@
 }
 
 #[derive(Default)]
-pub struct World {
+pub struct EntrySimulation {
     options: EntryOptions,
-    hosts: Vec<WorldHost>,
+    hosts: Vec<SimulatedHost>,
     owners: [FakeOwner; 2],
     acting: usize,
     /// Keys outlive a change of owner here: that an owner and a key's holder
     /// die together is a gap that the design names.
     keys: BTreeMap<u128, HostIncarnation>,
     callers: Callers,
-    permit_steps: BTreeMap<PermitId, u64>,
-    transit: Vec<Letter>,
+    grant_steps: BTreeMap<PermitId, u64>,
+    in_transit: Vec<Message>,
     pub oracle: Oracle,
     pub reach: RunReach,
     now: Moment,
@@ -71,33 +71,33 @@
     runs: u128,
 }
 
-impl World {
+impl EntrySimulation {
     pub fn new(options: EntryOptions) -> Self {
-        let mut world = World {
+        let mut simulation = EntrySimulation {
             options: options.with_max_kept_answers(4),
             now: Moment::from_millis(1_000),
-            ..World::default()
+            ..EntrySimulation::default()
         };
         for host in 0..HOSTS.len() {
-            let fresh = world.fresh_host(host);
-            world.hosts.push(fresh);
-            world.handle(host, EntryEvent::OwnerChanged(shard(), name(OWNERS[0])));
+            let new_host = simulation.new_host(host);
+            simulation.hosts.push(new_host);
+            simulation.handle(host, EntryEvent::OwnerChanged(shard(), name(OWNERS[0])));
         }
-        world
+        simulation
     }
 
-    fn fresh_host(&mut self, host: usize) -> WorldHost {
+    fn new_host(&mut self, host: usize) -> SimulatedHost {
         self.runs += 1;
         let run = run_of(HOSTS[host], self.runs);
         let mut dispatcher = EntryDispatcher::new(run.clone(), self.options.clone());
         dispatcher.handle(self.now, EntryEvent::Pools(vec![pool(false)]));
-        WorldHost {
+        SimulatedHost {
             run,
             dispatcher,
-            flights: BTreeMap::new(),
-            ended: Vec::new(),
-            leaving: BTreeSet::new(),
-            woke_at: 0,
+            running: BTreeMap::new(),
+            ended_attempts: Vec::new(),
+            draining: BTreeSet::new(),
+            resumed_at: 0,
             stopping: false,
             stopped: false,
         }
@@ -108,7 +108,7 @@
     }
 
     /// Take one step and check every promise.
-    pub fn take(&mut self, event: WorldEvent) -> Result<(), Breach> {
+    pub fn apply(&mut self, event: SimulationEvent) -> Result<(), Breach> {
         let [what, a, b, c] = event;
         self.step += 1;
         self.now = self.now.plus(Duration::from_millis(u64::from(c) % 40));
@@ -116,33 +116,34 @@
         match what % 16 {
             0..=2 => self.submit(host, b, c),
             3..=6 => self.deliver_some(a, b),
-            7 => self.disturb(a, b),
+            7 => self.lose_or_duplicate(a, b),
             8..=9 => self.grant_one(a, b, c),
-            10..=11 => self.move_flight(host, b, c),
-            12..=13 => self.befall(host, b, c),
-            14 => self.befall_rarely(host, b, c),
-            _ => self.pass(Duration::from_millis(u64::from(c) * 10)),
+            10..=11 => self.advance_attempt(host, b, c),
+            12..=13 => self.inject_event(host, b, c),
+            14 => self.inject_rare_event(host, b, c),
+            _ => self.advance(Duration::from_millis(u64::from(c) * 10)),
         }
         self.oracle.check()
     }
 
     /// Let everything come to rest and check what must hold then.
-    pub fn rest(&mut self) -> Result<(), Breach> {
+    pub fn settle(&mut self) -> Result<(), Breach> {
         for host in 0..HOSTS.len() {
-            self.transit.push(Letter::OwnerIs(host, self.acting));
+            self.in_transit
+                .push(Message::OwnerChanged(host, self.acting));
         }
-        for _ in 0..ROUNDS_TO_REST {
-            while !self.transit.is_empty() {
+        for _ in 0..SETTLE_ROUNDS {
+            while !self.in_transit.is_empty() {
                 self.deliver(0);
             }
             self.grant_all();
             self.finish_all();
-            self.pass(Duration::from_millis(500));
+            self.advance(Duration::from_millis(500));
             self.oracle.check()?;
         }
-        self.pass(DEADLINE);
+        self.advance(DEADLINE);
         self.finish_all();
-        while !self.transit.is_empty() {
+        while !self.in_transit.is_empty() {
             self.deliver(0);
         }
         self.finish_all();
@@ -160,8 +161,8 @@
 
     fn send_to(&mut self, host: usize, identity: CallerIdentity, submission: Submission) {
         let dispatcher = &mut self.hosts[host].dispatcher;
-        let (reception, actions) = dispatcher.submit(self.now, submission.clone());
-        match reception {
+        let (outcome, actions) = dispatcher.submit(self.now, submission.clone());
+        match outcome {
             SubmitOutcome::Accepted(id) => {
                 self.count("requests");
                 self.hosts[host].stopped = false;
@@ -177,7 +178,7 @@
             SubmitOutcome::Forward(holder) => self.forward(identity, submission, holder),
             SubmitOutcome::Refused(_) => {}
         }
-        self.act(host, actions, false);
+        self.apply_actions(host, actions, false);
     }
 
     fn forward(
@@ -197,21 +198,23 @@
     fn handle(&mut self, host: usize, event: EntryEvent) {
         let stop = event == EntryEvent::Stop;
         let actions = self.hosts[host].dispatcher.handle(self.now, event);
-        self.act(host, actions, stop);
+        self.apply_actions(host, actions, stop);
     }
 
-    fn act(&mut self, host: usize, actions: Vec<EntryAction>, stop: bool) {
+    fn apply_actions(&mut self, host: usize, actions: Vec<EntryAction>, stop: bool) {
         for action in actions {
             match action {
-                EntryAction::Send(owner, message) => self.post(host, owner.as_str(), message),
+                EntryAction::Send(owner, message) => {
+                    self.send_to_owner(host, owner.as_str(), message)
+                }
                 EntryAction::Start { attempt, permit } => self.start(host, attempt, permit),
                 EntryAction::Abort { attempt, .. } => self.abort(host, attempt, stop),
                 EntryAction::Conclude(id, conclusion) => self.oracle.concluded(id, &conclusion),
                 EntryAction::Forward(id, holder) => {
                     self.oracle.forwarded(id);
-                    if let Some(fate) = self.oracle.requests.get(&id) {
-                        let identity = fate.identity.clone();
-                        let mut submission = fate.submission.clone();
+                    if let Some(request) = self.oracle.requests.get(&id) {
+                        let identity = request.identity.clone();
+                        let mut submission = request.submission.clone();
                         submission.resubmission = true;
                         self.forward(identity, submission, holder);
                     }
@@ -229,19 +232,19 @@
         }
     }
 
-    fn post(&mut self, host: usize, owner: &str, message: OwnerMessage) {
+    fn send_to_owner(&mut self, host: usize, owner: &str, message: OwnerMessage) {
         if let OwnerMessage::Release { release, .. } = &message {
-            let flights = &self.hosts[host].flights;
-            if flights
+            let running = &self.hosts[host].running;
+            if running
                 .values()
-                .any(|flight| flight.permit.id == release.permit)
+                .any(|attempt_state| attempt_state.permit.id == release.permit)
             {
                 self.oracle.breach(Breach::PermitLeak);
             }
             self.oracle.released(release.permit, &release.outcome);
         }
         let owner = usize::from(owner == OWNERS[1]);
-        self.transit.push(Letter::ToOwner(host, owner, message));
+        self.in_transit.push(Message::ToOwner(host, owner, message));
     }
 
     fn stopped(&mut self, host: usize) {
@@ -249,36 +252,36 @@
         here.stopped = true;
         let run = here.run.incarnation;
         let open = |id: &RequestId| id.incarnation == run;
-        let mut fates = self.oracle.requests.iter();
-        if fates.any(|(id, fate)| open(id) && fate.conclusions == 0) {
+        let mut requests = self.oracle.requests.iter();
+        if requests.any(|(id, request)| open(id) && request.conclusions == 0) {
             self.oracle.breach(Breach::StopCut);
         }
     }
 
     fn deliver_some(&mut self, a: u8, b: u8) {
         for _ in 0..=(b % 4) {
-            if !self.transit.is_empty() {
-                self.deliver(usize::from(a) % self.transit.len());
+            if !self.in_transit.is_empty() {
+                self.deliver(usize::from(a) % self.in_transit.len());
             }
         }
     }
 
     fn deliver(&mut self, index: usize) {
-        match self.transit.remove(index) {
-            Letter::ToOwner(host, owner, message) => self.owner_hears(host, owner, message),
-            Letter::ToHost(host, owner, reply) => {
+        match self.in_transit.remove(index) {
+            Message::ToOwner(host, owner, message) => self.deliver_to_owner(host, owner, message),
+            Message::ToHost(host, owner, reply) => {
                 if let OwnerReply::Granted { permit, .. } = &reply {
                     self.oracle.permit_arrived(permit.id);
                 }
                 self.handle(host, EntryEvent::Reply(name(OWNERS[owner]), reply));
             }
-            Letter::OwnerIs(host, owner) => {
+            Message::OwnerChanged(host, owner) => {
                 self.handle(host, EntryEvent::OwnerChanged(shard(), name(OWNERS[owner])));
             }
         }
     }
 
-    fn pass(&mut self, span: Duration) {
+    fn advance(&mut self, span: Duration) {
         self.now = self.now.plus(span);
         for host in 0..HOSTS.len() {
             self.handle(host, EntryEvent::Tick);
--- a/bergamotswitch-core/tests/entry_world/owners.rs
+++ b/bergamotswitch-core/tests/entry_simulation/owners.rs
@@ -3,11 +3,11 @@
 
 use super::*;
 
-impl World {
-    pub(super) fn owner_hears(&mut self, host: usize, owner: usize, message: OwnerMessage) {
+impl EntrySimulation {
+    pub(super) fn deliver_to_owner(&mut self, host: usize, owner: usize, message: OwnerMessage) {
         let here = &mut self.owners[owner];
         match message {
-            OwnerMessage::Ask(ask) => self.owner_asked(host, owner, *ask),
+            OwnerMessage::Ask(ask) => self.handle_ask(host, owner, *ask),
             OwnerMessage::Withdraw { attempt, .. } => {
                 here.pending.remove(&attempt);
             }
@@ -23,21 +23,21 @@
         }
     }
 
-    fn owner_asked(&mut self, host: usize, owner: usize, ask: Ask) {
+    fn handle_ask(&mut self, host: usize, owner: usize, ask: Ask) {
         let attempt = ask.attempt;
         if let Some(claim) = &ask.claim {
             let holder = self.keys.entry(claim.key).or_insert(claim.holder.clone());
             if *holder != claim.holder {
                 let holder = holder.clone();
                 let known = OwnerReply::KeyHeld { attempt, holder };
-                self.transit.push(Letter::ToHost(host, owner, known));
+                self.in_transit.push(Message::ToHost(host, owner, known));
                 return;
             }
         }
         match self.owners[owner].granted.get(&attempt) {
             Some(permit) => {
-                let letter = Letter::ToHost(host, owner, granted(permit));
-                self.transit.push(letter);
+                let message = Message::ToHost(host, owner, granted(permit));
+                self.in_transit.push(message);
             }
             None => {
                 self.owners[owner].pending.insert(attempt, (host, ask));
@@ -55,7 +55,7 @@
             return;
         };
         match c % 16 {
-            1 => self.owner_refuses(owner, attempt),
+            1 => self.refuse(owner, attempt),
             _ => self.grant(owner, attempt, TARGETS[usize::from(b) % TARGETS.len()]),
         }
     }
@@ -64,22 +64,22 @@
         let Some((host, _)) = self.owners[owner].pending.remove(&attempt) else {
             return;
         };
-        let sequence = self.permit_steps.len() as u64;
+        let sequence = self.grant_steps.len() as u64;
         let permit = permit_of(sequence, attempt, target);
-        self.permit_steps.insert(permit.id, self.step);
-        let letter = Letter::ToHost(host, owner, granted(&permit));
-        self.transit.push(letter);
+        self.grant_steps.insert(permit.id, self.step);
+        let message = Message::ToHost(host, owner, granted(&permit));
+        self.in_transit.push(message);
         self.owners[owner].granted.insert(attempt, permit);
     }
 
-    fn owner_refuses(&mut self, owner: usize, attempt: AttemptId) {
+    fn refuse(&mut self, owner: usize, attempt: AttemptId) {
         if let Some((host, _)) = self.owners[owner].pending.remove(&attempt) {
             let refused = OwnerReply::Refused {
                 attempt,
                 reason: RefusalReason::Overloaded,
                 retry_after_ms: 100,
             };
-            self.transit.push(Letter::ToHost(host, owner, refused));
+            self.in_transit.push(Message::ToHost(host, owner, refused));
         }
     }
 
