--- a/bergamotswitch-core/tests/fleet_fuzz.rs
+++ b/bergamotswitch-core/tests/fleet_fuzz.rs
@@ -3,7 +3,7 @@
 //! that fail, one fault or two together.
 
 mod entry_support;
-mod fleet_world;
+mod fleet_simulation;
 mod oracle;
 
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use bergamotswitch_core::retry::RetryRate;
 use bergamotswitch_core::revision::RevisionOptions;
 use bergamotswitch_draw::any;
-use fleet_world::{FleetEvent, FleetOptions, FleetWorld};
+use fleet_simulation::{FleetEvent, FleetOptions, FleetSimulation};
 use oracle::{Breach, RunReach, add_counts};
 
 /// The number of runs, each of some 40 seconds of virtual time and 35 more in
@@ -23,32 +23,32 @@
 const EVENTS: std::ops::RangeInclusive<usize> = 60..=160;
 
 /// Get the events of a run.
-fn draw(run: u64) -> Vec<FleetEvent> {
+fn generate_events(run: u64) -> Vec<FleetEvent> {
     bergamotswitch_draw::draw(&any::<Vec<FleetEvent>>().with().len(EVENTS), run)
 }
 
-fn play(opts: FleetOptions, events: &[FleetEvent]) -> Result<FleetWorld, Breach> {
-    let mut world = FleetWorld::new(opts);
+fn run_events(opts: FleetOptions, events: &[FleetEvent]) -> Result<FleetSimulation, Breach> {
+    let mut simulation = FleetSimulation::new(opts);
     for event in events {
-        world.take(*event)?;
+        simulation.apply(*event)?;
     }
-    world.rest()?;
-    Ok(world)
+    simulation.settle()?;
+    Ok(simulation)
 }
 
 /// Get the event by which one caller sends its alert to a host.
-fn alert_at(host: u8) -> FleetEvent {
+fn submit_keyed_at(host: u8) -> FleetEvent {
     [0, host, 7, 4]
 }
 
 /// Play runs and get what they reached.
-fn reach_of(runs: u64, events: impl Fn(u64) -> Vec<FleetEvent>) -> RunReach {
+fn collect_reach(runs: u64, events: impl Fn(u64) -> Vec<FleetEvent>) -> RunReach {
     let mut count = 0;
     let mut reach = RunReach::new();
     for run in 0..runs {
         let events = events(run);
-        match play(FleetOptions::default(), &events) {
-            Ok(world) => add_counts(&mut reach, &world.reach),
+        match run_events(FleetOptions::default(), &events) {
+            Ok(simulation) => add_counts(&mut reach, &simulation.reach),
             Err(breach) => panic!("run {run}: {breach:?}"),
         }
         count += events.len();
@@ -65,7 +65,7 @@
 
 #[test]
 fn any_faults() {
-    let reach = reach_of(RUNS, draw);
+    let reach = collect_reach(RUNS, generate_events);
     let often = "aborts, answered, attached, crashes, degraded, forwards, in force, late news, \
         letters disturbed, links lost, one-way cuts, outages, partitions, \
         past a leaving target, pauses noticed, retries, revisions refused, shed, \
@@ -85,7 +85,7 @@
 fn deaths_only() {
     // No fault of the network or of a clock hides what deaths alone lead to.
     let events = |run| {
-        let mut events = draw(run);
+        let mut events = generate_events(run);
         for [what, _, b, _] in &mut events {
             if matches!(what, 152..=167 | 199..=215 | 218..=223) {
                 *what = 194 + *b % 5;
@@ -93,7 +93,7 @@
         }
         events
     };
-    let reach = reach_of(RUNS / 4, events);
+    let reach = collect_reach(RUNS / 4, events);
     assert!(reach["crashes"] > RUNS && reach["takeovers"] > RUNS);
     assert!(!reach.contains_key("gap: partition"));
     assert!(reach["gap: double death"] < RUNS / 8);
@@ -115,7 +115,7 @@
         ..FleetOptions::default()
     };
     for run in KEPT_RUNS.into_iter().chain(0..RUNS / 10) {
-        let breach = play(opts.clone(), &draw(run)).err();
+        let breach = run_events(opts.clone(), &generate_events(run)).err();
         assert_eq!(breach, None, "run {run}");
     }
 }
@@ -128,25 +128,33 @@
 #[test]
 fn idle_holder() {
     let wait = [255, 0, 250, 0];
-    let owner_dies = [194, 2, 255, 0];
-    let events = [alert_at(0), wait, owner_dies, wait, wait, alert_at(3), wait];
-    let world = play(FleetOptions::default(), &events);
-    let reach = world.map(|world| world.reach);
+    let owner_crash = [194, 2, 255, 0];
+    let events = [
+        submit_keyed_at(0),
+        wait,
+        owner_crash,
+        wait,
+        wait,
+        submit_keyed_at(3),
+        wait,
+    ];
+    let simulation = run_events(FleetOptions::default(), &events);
+    let reach = simulation.map(|simulation| simulation.reach);
     assert!(reach.is_ok_and(|reach| excused(&reach) == 0));
 }
 
 /// Play runs of a broken fleet until the oracle objects.
-fn caught(opts: &FleetOptions) -> Option<Breach> {
+fn find_breach(opts: &FleetOptions) -> Option<Breach> {
     let breach = |run| {
-        let breach = play(opts.clone(), &draw(run)).err()?;
+        let breach = run_events(opts.clone(), &generate_events(run)).err()?;
         println!("run {run}: {breach:?}");
         Some(breach)
     };
     (0..RUNS).find_map(breach)
 }
 
-fn caught_fault(fault: Fault) -> Option<Breach> {
-    caught(&FleetOptions {
+fn find_breach_of_fault(fault: Fault) -> Option<Breach> {
+    find_breach(&FleetOptions {
         entry: EntryOptions::default().with_fault(fault),
         ..FleetOptions::default()
     })
@@ -158,33 +166,35 @@
 
 #[test]
 fn retry_after_dispatch() {
-    assert!(is_second_run(caught_fault(Fault::RetryAfterDispatch)));
+    assert!(is_second_run(find_breach_of_fault(
+        Fault::RetryAfterDispatch
+    )));
 }
 
 #[test]
 fn claim_after_write() {
-    let breach = caught_fault(Fault::NotRunAfterWrite);
+    let breach = find_breach_of_fault(Fault::NotRunAfterWrite);
     assert_eq!(breach, Some(Breach::NotRun));
 }
 
 #[test]
 fn key_alone() {
     assert_eq!(
-        caught_fault(Fault::KeyWithoutAccount),
+        find_breach_of_fault(Fault::KeyWithoutAccount),
         Some(Breach::OwnAnswer)
     );
 }
 
 #[test]
 fn permit_after_pause() {
-    let breach = caught_fault(Fault::PermitAfterPause);
+    let breach = find_breach_of_fault(Fault::PermitAfterPause);
     assert_eq!(breach, Some(Breach::StalePermit));
 }
 
 #[test]
-fn forgetful_owner() {
+fn claims_dropped() {
     // An owner that hears of no key but its own host's.
-    assert!(is_second_run(caught(&FleetOptions {
+    assert!(is_second_run(find_breach(&FleetOptions {
         drop_claims: true,
         ..FleetOptions::default()
     })));
@@ -192,7 +202,7 @@
 
 #[test]
 fn flipped_tiers() {
-    let breach = caught(&FleetOptions {
+    let breach = find_breach(&FleetOptions {
         flip_tiers: true,
         ..FleetOptions::default()
     });
@@ -200,10 +210,10 @@
 }
 
 #[test]
-fn slow_readers() {
+fn late_reads() {
     // Hosts that wait for a minute before they read again.
     let minute = Duration::from_secs(60);
-    let breach = caught(&FleetOptions {
+    let breach = find_breach(&FleetOptions {
         revision: RevisionOptions::default().with_backoff(minute, minute),
         ..FleetOptions::default()
     });
--- a/bergamotswitch-core/tests/fleet_world/calls.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/calls.rs
@@ -5,11 +5,11 @@
 use super::*;
 
 const DEADLINE: Duration = Duration::from_secs(12);
-const WAY: Duration = Duration::from_millis(2);
+const CALLER_LATENCY: Duration = Duration::from_millis(2);
 /// A caller that saw an error comes back with the same key for so many steps.
 const STEPS_PER_SERIES: u64 = 40;
 
-impl FleetWorld {
+impl FleetSimulation {
     pub(super) fn draw_submission(&mut self, a: u8, b: u8, c: u8) {
         let series = self.step / STEPS_PER_SERIES;
         let (identity, mut submission) = self.callers.draw(b, c, series);
@@ -21,90 +21,101 @@
             submission.kind = PoolKind::Plain;
         }
         let host = usize::from(a) % HOSTS.len();
-        self.post(WAY, Parcel::Submit(host, identity, Box::new(submission)));
+        self.post(
+            CALLER_LATENCY,
+            ScheduledTask::Submit(host, identity, Box::new(submission)),
+        );
     }
 
-    pub(super) fn submit(&mut self, host: usize, identity: CallerIdentity, asked: Submission) {
+    pub(super) fn submit(&mut self, host: usize, identity: CallerIdentity, submission: Submission) {
         let now = self.now;
         let here = &mut self.hosts[host];
-        let lapsed = here
+        let address_expired = here
             .stopping_since
             .is_some_and(|at| now > at.plus(ADDRESS_LIFETIME));
-        let Some(core) = here.core.as_mut().filter(|_| !lapsed) else {
+        let Some(core) = here.core.as_mut().filter(|_| !address_expired) else {
             return self.count("no answer");
         };
-        let (reception, actions) = core.submit(now, asked.clone());
-        match reception {
+        let (outcome, actions) = core.submit(now, submission.clone());
+        match outcome {
             SubmitOutcome::Accepted(id) => {
                 self.count("accepted");
                 let run = self.hosts[host].run.clone();
                 self.callers.tell(identity.clone(), run);
-                self.oracle.accepted(id, identity, asked);
+                self.oracle.accepted(id, identity, submission);
             }
             SubmitOutcome::Attached(id) => {
                 self.count("attached");
-                self.oracle.attached(id, &identity, asked.fingerprint);
+                self.oracle.attached(id, &identity, submission.fingerprint);
                 if self.hosts[host].forgotten.contains(&id) {
                     self.oracle.breach(Breach::OwnAnswer);
                 }
             }
-            SubmitOutcome::Forward(holder) => self.forward(identity, asked, holder),
+            SubmitOutcome::Forward(holder) => self.forward(identity, submission, holder),
             SubmitOutcome::Refused(refusal) => {
                 self.count("turned away");
                 if refusal.claim() == RunClaim::NotRun {
-                    self.oracle.told_not_run(&identity, &asked);
+                    self.oracle.told_not_run(&identity, &submission);
                 }
             }
         }
-        self.act(host, actions, &Cause::default());
+        self.apply_actions(host, actions, &Cause::default());
     }
 
     /// A host hands a request over to the run that holds its key.
-    pub(super) fn hand_over(&mut self, id: RequestId, holder: HostIncarnation) {
+    pub(super) fn forward_to_holder(&mut self, id: RequestId, holder: HostIncarnation) {
         self.oracle.forwarded(id);
-        if let Some(fate) = self.oracle.requests.get(&id) {
-            let (identity, submission) = (fate.identity.clone(), fate.submission.clone());
+        if let Some(request) = self.oracle.requests.get(&id) {
+            let (identity, submission) = (request.identity.clone(), request.submission.clone());
             self.forward(identity, submission, holder);
         }
     }
 
-    fn forward(&mut self, identity: CallerIdentity, mut asked: Submission, to: HostIncarnation) {
+    fn forward(
+        &mut self,
+        identity: CallerIdentity,
+        mut submission: Submission,
+        to: HostIncarnation,
+    ) {
         self.count("forwards");
-        let host = host_of(to.host.as_str());
-        asked.holder = Some(to);
-        self.post(WAY, Parcel::Submit(host, identity, Box::new(asked)));
+        let host = host_index(to.host.as_str());
+        submission.holder = Some(to);
+        self.post(
+            CALLER_LATENCY,
+            ScheduledTask::Submit(host, identity, Box::new(submission)),
+        );
     }
 
     pub(super) fn caller_leaves(&mut self, host: usize, b: u8) {
         let run = self.hosts[host].run.incarnation;
-        let fates = self.oracle.requests.iter();
-        let open: Vec<RequestId> = fates
-            .filter(|(id, fate)| id.incarnation == run && fate.conclusions == 0)
+        let requests = self.oracle.requests.iter();
+        let open: Vec<RequestId> = requests
+            .filter(|(id, request)| id.incarnation == run && request.conclusions == 0)
             .map(|(id, _)| *id)
             .collect();
         if let Some(id) = pick(&open, b)
-            && self.hosts[host].held.is_none()
+            && self.hosts[host].paused_queue.is_none()
         {
             self.count("callers left");
-            self.tell(host, NodeEvent::CallerDisconnected(id));
+            self.handle(host, NodeEvent::CallerDisconnected(id));
         }
     }
 
     pub(super) fn stop(&mut self, host: usize) {
         let here = &self.hosts[host];
-        let running = here.core.is_some() && here.held.is_none();
+        let running = here.core.is_some() && here.paused_queue.is_none();
         if !running || here.stopping_since.is_some() {
             return;
         }
         self.count("stops");
         self.faults += 1;
-        self.changed_at = self.now;
+        self.last_change_at = self.now;
         self.hosts[host].stopping_since = Some(self.now);
         let cause = Cause {
-            letter: None,
+            delivery: None,
             stop: true,
         };
-        self.tell_with(host, NodeEvent::Stop, &cause);
+        self.handle_with(host, NodeEvent::Stop, &cause);
     }
 
     /// A stopping process ends once it is idle and no caller can have its
@@ -118,13 +129,13 @@
             return;
         }
         let run = here.run.incarnation;
-        let mut fates = self.oracle.requests.iter();
-        let cut = fates.any(|(id, fate)| id.incarnation == run && fate.conclusions == 0);
-        if cut || !here.flights.is_empty() {
+        let mut requests = self.oracle.requests.iter();
+        let cut = requests.any(|(id, request)| id.incarnation == run && request.conclusions == 0);
+        if cut || !here.running.is_empty() {
             self.oracle.breach(Breach::StopCut);
         }
         self.count("stops ended");
-        self.die(host);
-        self.post(Duration::from_millis(700), Parcel::Start(host));
+        self.end_process(host);
+        self.post(Duration::from_millis(700), ScheduledTask::Start(host));
     }
 }
--- a/bergamotswitch-core/tests/fleet_world/engines.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/engines.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum TargetMode {
     #[default]
-    Well,
+    Healthy,
     Slow,
     Silent,
     Refusing,
@@ -17,11 +17,11 @@
     Failing,
 }
 
-impl FleetWorld {
+impl FleetSimulation {
     pub(super) fn set_mode(&mut self, target: u8, mode: u8) {
         let modes = [
-            TargetMode::Well,
-            TargetMode::Well,
+            TargetMode::Healthy,
+            TargetMode::Healthy,
             TargetMode::Slow,
             TargetMode::Silent,
             TargetMode::Refusing,
@@ -45,25 +45,26 @@
         let index = index.expect("a target of this world");
         self.check_leaving(index);
         let grant = self.check_permit(host, attempt, cause);
-        self.excuse_gap(attempt.request, grant);
+        self.excuse_known_gap(attempt.request, grant);
         self.grants.insert(attempt.request, grant);
         self.oracle.dispatched(attempt.request);
-        if !self.hosts[host].flights.insert(attempt) {
+        if !self.hosts[host].running.insert(attempt) {
             self.oracle.breach(Breach::DispatchOnce);
         }
         self.run(host, attempt, index, target.contract.refusal_means_not_run);
     }
 
     /// The ledger is written before the host hears anything.
-    fn run(&mut self, host: usize, attempt: AttemptId, target: usize, promises: bool) {
+    fn run(&mut self, host: usize, attempt: AttemptId, target: usize, refusal_means_not_run: bool) {
         let id = attempt.request;
         let mode = self.modes[target];
-        let unrun = mode == TargetMode::Unreachable || (mode == TargetMode::Refusing && promises);
-        match unrun {
+        let not_run = mode == TargetMode::Unreachable
+            || (mode == TargetMode::Refusing && refusal_means_not_run);
+        match not_run {
             true => self.oracle.proven_unrun(id),
             false => self.oracle.ran(id),
         }
-        let quick = 40 + 37 * (id.sequence % 16);
+        let finish_ms = 40 + 37 * (id.sequence % 16);
         let broken = AttemptEvent::Broken(usage());
         let finished = AttemptEvent::Finished(usage());
         let script: &[(u64, AttemptEvent)] = match mode {
@@ -79,28 +80,33 @@
                 (5_000, AttemptEvent::Resumed),
                 (7_000, finished),
             ],
-            TargetMode::Well => &[(30, AttemptEvent::FirstToken), (quick, finished)],
+            TargetMode::Healthy => &[(30, AttemptEvent::FirstToken), (finish_ms, finished)],
         };
         let run = self.hosts[host].run.incarnation;
         for (after, event) in script {
-            let parcel = Parcel::Attempt(host, run, attempt, *event);
-            self.post(Duration::from_millis(*after), parcel);
+            let task = ScheduledTask::Attempt(host, run, attempt, *event);
+            self.post(Duration::from_millis(*after), task);
         }
     }
 
     /// News of an attempt; of one that is over it comes late and may change
     /// nothing.
-    pub(super) fn engine_says(&mut self, host: usize, attempt: AttemptId, event: AttemptEvent) {
-        let goes_on = matches!(
+    pub(super) fn apply_attempt_event(
+        &mut self,
+        host: usize,
+        attempt: AttemptId,
+        event: AttemptEvent,
+    ) {
+        let is_progress = matches!(
             event,
             AttemptEvent::FirstToken
                 | AttemptEvent::Progress(_)
                 | AttemptEvent::Resumed
                 | AttemptEvent::Stalled
         );
-        let known = match goes_on {
-            true => self.hosts[host].flights.contains(&attempt),
-            false => self.hosts[host].flights.remove(&attempt),
+        let known = match is_progress {
+            true => self.hosts[host].running.contains(&attempt),
+            false => self.hosts[host].running.remove(&attempt),
         };
         if !known {
             self.count("late news");
@@ -108,7 +114,7 @@
         if known && matches!(event, AttemptEvent::Finished(_)) {
             self.oracle.finished(attempt.request);
         }
-        self.tell(host, NodeEvent::Attempt(attempt, event));
+        self.handle(host, NodeEvent::Attempt(attempt, event));
     }
 
     pub(super) fn abort(&mut self, host: usize, attempt: AttemptId, cause: &Cause) {
@@ -116,7 +122,7 @@
         if cause.stop {
             self.oracle.breach(Breach::StopCut);
         }
-        self.hosts[host].flights.remove(&attempt);
+        self.hosts[host].running.remove(&attempt);
     }
 
     /// The host list said long ago that the target is leaving.
@@ -124,8 +130,8 @@
         let Some((leaving, at)) = self.platform.leaving else {
             return;
         };
-        let calm = self.faults == 0 && self.changed_at.plus(PEACE) <= at;
-        if calm && self.now > at.plus(LEFT_WITHIN) {
+        let settled = self.faults == 0 && self.last_change_at.plus(RECOVERY_TIME) <= at;
+        if settled && self.now > at.plus(DRAIN_WITHIN) {
             self.count("past a leaving target");
             if leaving == target {
                 self.oracle.breach(Breach::LeavingTarget);
@@ -136,37 +142,42 @@
     /// A permit that was sent before the host's pause is void. Get the order
     /// that it came from.
     fn check_permit(&mut self, host: usize, attempt: AttemptId, cause: &Cause) -> Grant {
-        if let Some(letter) = &cause.letter
-            && let LinkMessage::FromOwner(OwnerReply::Granted { permit, .. }) = &letter.message
-            && let Some(grant) = letter.grant
+        if let Some(delivery) = &cause.delivery
+            && let LinkMessage::FromOwner(OwnerReply::Granted { permit, .. }) = &delivery.message
+            && let Some(grant) = delivery.grant
             && permit.attempt == attempt
         {
-            if letter.sent_at < self.hosts[host].woke_at {
+            if delivery.sent_at < self.hosts[host].resumed_at {
                 self.oracle.breach(Breach::StalePermit);
             }
             return grant;
         }
-        self.own_grant(host, self.shard_of(attempt.request))
+        self.current_grant(host, self.shard_of(attempt.request))
     }
 
     fn shard_of(&self, id: RequestId) -> &str {
-        let fate = self.oracle.requests.get(&id);
-        fate.map_or("", |fate| fate.submission.pool.as_str())
+        let request = self.oracle.requests.get(&id);
+        request.map_or("", |request| request.submission.pool.as_str())
     }
 
     /// A second run of a key is excused where the design says that nothing
     /// can prevent it: an unmarked retry that names no run, across a
     /// partition, or after holder and owner died both. One that names another
     /// run than the earlier one is no better off.
-    fn excuse_gap(&mut self, id: RequestId, grant: Grant) {
-        let Some(fate) = self.oracle.requests.get(&id) else {
+    fn excuse_known_gap(&mut self, id: RequestId, grant: Grant) {
+        let Some(request) = self.oracle.requests.get(&id) else {
             return;
         };
-        let harmless = fate.submission.verdict.idempotent && !fate.submission.verdict.dispatch_once;
-        if fate.submission.resubmission || harmless {
+        let harmless =
+            request.submission.verdict.idempotent && !request.submission.verdict.dispatch_once;
+        if request.submission.resubmission || harmless {
             return;
         }
-        let named = fate.submission.holder.as_ref().map(|run| run.incarnation);
+        let named = request
+            .submission
+            .holder
+            .as_ref()
+            .map(|run| run.incarnation);
         for earlier in self.oracle.earlier_runs(id) {
             let first = self.grants.get(&earlier).copied();
             let Some(first) = first.filter(|first| *first != grant) else {
@@ -175,9 +186,9 @@
             if named == Some(earlier.incarnation) {
                 return;
             }
-            let gap = self.gap(earlier, first, grant);
-            self.count(gap);
-            if gap != "gap: untold" {
+            let gap_reason = self.gap_reason(earlier, first, grant);
+            self.count(gap_reason);
+            if gap_reason != "gap: untold" {
                 self.oracle.excuse(id);
             }
             return;
@@ -185,29 +196,32 @@
     }
 
     /// Get why the order that grants now does not know of an earlier run.
-    fn gap(&self, earlier: RequestId, first: Grant, grant: Grant) -> &'static str {
+    fn gap_reason(&self, earlier: RequestId, first: Grant, grant: Grant) -> &'static str {
         let shard = format!("shard={}", self.shard_of(earlier));
-        let turns = |grant: Grant| &self.orders[&(grant.owner, shard.clone())];
-        let first_end = turns(first).get(first.turn).copied();
-        let begun = turns(grant).get(grant.turn.wrapping_sub(1)).copied();
-        let begun = begun.unwrap_or_default();
+        let changes = |grant: Grant| &self.ownership_changes[&(grant.owner, shard.clone())];
+        let first_term_end = changes(first).get(first.term).copied();
+        let term_start = changes(grant).get(grant.term.wrapping_sub(1)).copied();
+        let term_start = term_start.unwrap_or_default();
         let holder_lives = (0..self.hosts.len()).any(|at| self.is_run(at, earlier.incarnation));
-        if !holder_lives && first_end.is_some() {
+        if !holder_lives && first_term_end.is_some() {
             return "gap: double death";
         }
-        let parted = self.parted_at > Moment::START;
-        if parted && self.parted_at.plus(PEACE) >= begun {
+        let partitioned = self.partitioned_at > Moment::START;
+        if partitioned && self.partitioned_at.plus(RECOVERY_TIME) >= term_start {
             return "gap: partition";
         }
         let mut acting = self.acting.iter();
         let other = acting.any(|(at, about)| *at != grant.owner && *about == shard);
-        if other || first_end.is_none_or(|end| end > begun) {
+        if other || first_term_end.is_none_or(|end| end > term_start) {
             return "gap: two owners";
         }
         // Until then a host may not have noticed that its owner died.
         let noticed = |at: &Moment| self.now.since(*at) > Duration::from_secs(3);
-        let mut orders = self.orders.iter().filter(|((_, about), _)| *about == shard);
-        if !orders.all(|(_, turns)| turns.iter().all(noticed)) {
+        let mut ownership_changes = self
+            .ownership_changes
+            .iter()
+            .filter(|((_, about), _)| *about == shard);
+        if !ownership_changes.all(|(_, changes)| changes.iter().all(noticed)) {
             return "gap: takeover";
         }
         "gap: untold"
--- a/bergamotswitch-core/tests/fleet_world/faults.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/faults.rs
@@ -5,15 +5,15 @@
 /// A host notices a pause that is longer than two seconds and a tick.
 const NOTICED_PAUSE: Duration = Duration::from_millis(2_200);
 
-impl FleetWorld {
-    pub(super) fn draw_event(&mut self, event: FleetEvent) {
+impl FleetSimulation {
+    pub(super) fn inject_event(&mut self, event: FleetEvent) {
         let [what, a, b, c] = event;
         let host = usize::from(a) % HOSTS.len();
         match what {
             0..=119 => self.draw_submission(a, b, c),
             120..=127 => self.burst(a, b),
             128..=151 => self.set_mode(a, b),
-            152..=167 => self.disturb(a, b, c),
+            152..=167 => self.disturb_delivery(a, b, c),
             168..=175 => self.caller_leaves(host, b),
             176..=183 => self.publish_rules(b),
             184..=187 => {
@@ -25,17 +25,17 @@
                 let target = pick(&[None, Some(0), Some(1), Some(2)], b);
                 self.publish_leaving(target.flatten());
             }
-            194..=217 => self.fault(what, a, b),
+            194..=217 => self.inject_fault(what, a, b),
             218..=223 => {
                 self.count("two faults");
-                self.fault(194 + b % 24, a, b);
-                self.fault(194 + c % 24, a.wrapping_add(1), c);
+                self.inject_fault(194 + b % 24, a, b);
+                self.inject_fault(194 + c % 24, a.wrapping_add(1), c);
             }
-            _ => self.pass(Duration::from_millis(u64::from(b) * 8)),
+            _ => self.advance(Duration::from_millis(u64::from(b) * 8)),
         }
     }
 
-    fn fault(&mut self, what: u8, a: u8, b: u8) {
+    fn inject_fault(&mut self, what: u8, a: u8, b: u8) {
         let host = usize::from(a) % HOSTS.len();
         let span = Duration::from_millis(500 + u64::from(b) * 40);
         match what {
@@ -54,7 +54,7 @@
             }
             210..=212 => {
                 self.count("links lost");
-                self.parted_at = self.now;
+                self.partitioned_at = self.now;
                 self.link_down(host, (host + 1 + usize::from(b) % 3) % 4);
             }
             213 | 214 => {
@@ -79,39 +79,39 @@
     }
 
     /// Lose a letter, or have it come twice, or late and so after others.
-    fn disturb(&mut self, a: u8, b: u8, c: u8) {
-        let letters = self.parcels.iter();
-        let letters = letters.filter(|(_, parcel)| matches!(parcel, Parcel::Letter(_)));
-        let keys: Vec<_> = letters.map(|(key, _)| *key).collect();
+    fn disturb_delivery(&mut self, a: u8, b: u8, c: u8) {
+        let deliveries = self.tasks.iter();
+        let deliveries = deliveries.filter(|(_, task)| matches!(task, ScheduledTask::Delivery(_)));
+        let keys: Vec<_> = deliveries.map(|(key, _)| *key).collect();
         let Some(key) = pick(&keys, a) else {
             return self.tick_all();
         };
         self.count("letters disturbed");
-        self.parted_at = self.now;
-        let Some(parcel) = self.parcels.remove(&key) else {
+        self.partitioned_at = self.now;
+        let Some(task) = self.tasks.remove(&key) else {
             return;
         };
         let late = Duration::from_millis(u64::from(c) * 10);
         match b % 3 {
             0 => {}
             1 => {
-                self.parcels.insert(key, parcel.clone());
-                self.post(late, parcel);
+                self.tasks.insert(key, task.clone());
+                self.post(late, task);
             }
-            _ => self.post(late, parcel),
+            _ => self.post(late, task),
         }
     }
 
     /// Have every host send something, so that there are letters to disturb.
     fn tick_all(&mut self) {
         for host in 0..HOSTS.len() {
-            if self.hosts[host].held.is_none() {
-                self.tell(host, NodeEvent::Tick);
+            if self.hosts[host].paused_queue.is_none() {
+                self.handle(host, NodeEvent::Tick);
             }
         }
     }
 
-    fn crash(&mut self, host: usize, away: Duration) {
+    fn crash(&mut self, host: usize, downtime: Duration) {
         if self.hosts[host].core.is_none() {
             return;
         }
@@ -120,66 +120,66 @@
         if self.hosts[host].stopping_since.is_none() {
             self.faults += 1;
         }
-        self.die(host);
-        self.post(away, Parcel::Start(host));
+        self.end_process(host);
+        self.post(downtime, ScheduledTask::Start(host));
     }
 
     /// End a process; what it had dispatched may run on in the engines.
-    pub(super) fn die(&mut self, host: usize) {
-        self.changed_at = self.now;
+    pub(super) fn end_process(&mut self, host: usize) {
+        self.last_change_at = self.now;
         for peer in (0..HOSTS.len()).filter(|peer| *peer != host) {
             self.link_down(host, peer);
         }
         let here = &mut self.hosts[host];
         here.core = None;
-        here.held = None;
+        here.paused_queue = None;
         here.wanted.clear();
         self.acting.retain(|(at, _)| *at != host);
         // Whoever ordered a shard there orders it no more.
-        let orders: Vec<_> = self.orders.keys().cloned().collect();
-        for order in orders.into_iter().filter(|(at, _)| *at == host) {
-            self.turn(order);
+        let ownership_changes: Vec<_> = self.ownership_changes.keys().cloned().collect();
+        for ownership in ownership_changes.into_iter().filter(|(at, _)| *at == host) {
+            self.record_ownership_change(ownership);
         }
     }
 
     fn pause(&mut self, host: usize, span: Duration, b: u8) {
         let here = &mut self.hosts[host];
-        if here.core.is_none() || here.held.is_some() {
+        if here.core.is_none() || here.paused_queue.is_some() {
             return;
         }
         self.count("pauses");
         self.faults += 1;
-        self.changed_at = self.now;
-        self.parted_at = self.now;
+        self.last_change_at = self.now;
+        self.partitioned_at = self.now;
         let here = &mut self.hosts[host];
-        here.held = Some(Vec::new());
+        here.paused_queue = Some(Vec::new());
         here.paused_at = self.now;
         let span = span + Duration::from_secs(u64::from(b % 3));
-        self.post(span, Parcel::Wake(host, self.now));
+        self.post(span, ScheduledTask::Resume(host, self.now));
     }
 
     /// A process wakes, believing old facts; what came meanwhile waits, in
     /// every other case behind a tick.
-    pub(super) fn wake(&mut self, host: usize, since: Moment) {
+    pub(super) fn resume(&mut self, host: usize, since: Moment) {
         self.faults -= 1;
         // A process that died in its pause has a successor by now.
         if self.hosts[host].paused_at != since {
             return;
         }
-        let Some(held) = self.hosts[host].held.take() else {
+        let Some(paused_queue) = self.hosts[host].paused_queue.take() else {
             return;
         };
-        self.changed_at = self.now;
-        self.parted_at = self.now;
+        self.last_change_at = self.now;
+        self.partitioned_at = self.now;
         if self.now.since(since) > NOTICED_PAUSE {
-            self.hosts[host].woke_at = self.now;
+            self.hosts[host].resumed_at = self.now;
         }
         self.hosts[host].running_since = self.now;
-        if held.len().is_multiple_of(2) {
-            self.tell(host, NodeEvent::Tick);
+        if paused_queue.len().is_multiple_of(2) {
+            self.handle(host, NodeEvent::Tick);
         }
-        for parcel in held {
-            self.happen(parcel);
+        for task in paused_queue {
+            self.run_task(task);
         }
     }
 
@@ -187,16 +187,19 @@
     pub(super) fn end_faults(&mut self) {
         self.modes = Default::default();
         // What ends a fault comes now; what else is to happen keeps its time.
-        let ends = self.parcels.iter().filter(|(_, parcel)| {
+        let ends = self.tasks.iter().filter(|(_, task)| {
             matches!(
-                parcel,
-                Parcel::Start(_) | Parcel::Wake(..) | Parcel::Heal(_) | Parcel::ServiceBack
+                task,
+                ScheduledTask::Start(_)
+                    | ScheduledTask::Resume(..)
+                    | ScheduledTask::Heal(_)
+                    | ScheduledTask::ServiceBack
             )
         });
         let keys: Vec<_> = ends.map(|(key, _)| *key).collect();
         for key in keys {
-            if let Some(parcel) = self.parcels.remove(&key) {
-                self.post(Duration::ZERO, parcel);
+            if let Some(task) = self.tasks.remove(&key) {
+                self.post(Duration::ZERO, task);
             }
         }
     }
--- a/bergamotswitch-core/tests/fleet_world/mod.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/mod.rs
@@ -18,7 +18,7 @@
 use crate::oracle::callers::Callers;
 use crate::oracle::{Breach, CallerIdentity, Oracle, RunReach, pick};
 use engines::TargetMode;
-use network::{Letter, Network};
+use network::{Delivery, Network};
 use platform::Platform;
 
 pub const HOSTS: [&str; 4] = ["h0", "h1", "h2", "h3"];
@@ -30,9 +30,9 @@
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(9);
 /// The longest time until a leaving target gets no new work, in a fleet that
 /// was at peace when the list said so.
-const LEFT_WITHIN: Duration = Duration::from_secs(3);
+const DRAIN_WITHIN: Duration = Duration::from_secs(3);
 /// So long after a fault every host hangs from a relay that answers again.
-const PEACE: Duration = Duration::from_secs(12);
+const RECOVERY_TIME: Duration = Duration::from_secs(12);
 
 /// A `FleetEvent` is one step of a run, drawn at random: what, and on what.
 pub type FleetEvent = [u8; 4];
@@ -50,31 +50,31 @@
 
 /// A `Parcel` is something that is to happen.
 #[derive(Clone, Debug)]
-enum Parcel {
+enum ScheduledTask {
     Tick(usize, Incarnation),
-    Letter(Letter),
+    Delivery(Delivery),
     Link(usize, Incarnation, LinkEvent),
     Attempt(usize, Incarnation, AttemptId, AttemptEvent),
     Answer(usize, Incarnation, platform::ServiceCall),
     Submit(usize, CallerIdentity, Box<Submission>),
     Start(usize),
-    Wake(usize, Moment),
+    Resume(usize, Moment),
     Heal(Vec<(usize, usize)>),
     LinkTimeout(usize, usize, u64),
     ServiceBack,
     Dial,
 }
 
-impl Parcel {
+impl ScheduledTask {
     /// Get the host whose process takes the parcel.
     fn receiver(&self) -> Option<usize> {
         match self {
-            Parcel::Letter(letter) => Some(letter.to),
-            Parcel::Tick(host, _)
-            | Parcel::Link(host, ..)
-            | Parcel::Attempt(host, ..)
-            | Parcel::Answer(host, ..)
-            | Parcel::Submit(host, ..) => Some(*host),
+            ScheduledTask::Delivery(delivery) => Some(delivery.to),
+            ScheduledTask::Tick(host, _)
+            | ScheduledTask::Link(host, ..)
+            | ScheduledTask::Attempt(host, ..)
+            | ScheduledTask::Answer(host, ..)
+            | ScheduledTask::Submit(host, ..) => Some(*host),
             _ => None,
         }
     }
@@ -84,15 +84,15 @@
     run: HostIncarnation,
     core: Option<NodeCore>,
     /// What reaches a paused process waits for it.
-    held: Option<Vec<Parcel>>,
+    paused_queue: Option<Vec<ScheduledTask>>,
     paused_at: Moment,
-    woke_at: Moment,
+    resumed_at: Moment,
     running_since: Moment,
     stopping_since: Option<Moment>,
     wanted: BTreeSet<usize>,
     calls: BTreeMap<ValueName, u64>,
     in_force: BTreeMap<ValueName, Revision>,
-    flights: BTreeSet<AttemptId>,
+    running: BTreeSet<AttemptId>,
     forgotten: BTreeSet<RequestId>,
 }
 
@@ -101,15 +101,15 @@
         FleetHost {
             run,
             core,
-            held: None,
+            paused_queue: None,
             paused_at: Moment::START,
-            woke_at: Moment::START,
+            resumed_at: Moment::START,
             running_since: now,
             stopping_since: None,
             wanted: BTreeSet::new(),
             calls: BTreeMap::new(),
             in_force: BTreeMap::new(),
-            flights: BTreeSet::new(),
+            running: BTreeSet::new(),
             forgotten: BTreeSet::new(),
         }
     }
@@ -119,18 +119,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Grant {
     owner: usize,
-    turn: usize,
+    term: usize,
 }
 
 /// What is being handled, as far as the checks need it.
 #[derive(Clone, Debug, Default)]
 struct Cause {
-    letter: Option<Letter>,
+    delivery: Option<Delivery>,
     stop: bool,
 }
 
 #[derive(Default)]
-pub struct FleetWorld {
+pub struct FleetSimulation {
     opts: FleetOptions,
     pub now: Moment,
     hosts: Vec<FleetHost>,
@@ -140,39 +140,39 @@
     callers: Callers,
     pub oracle: Oracle,
     pub reach: RunReach,
-    parcels: BTreeMap<(Moment, u64), Parcel>,
+    tasks: BTreeMap<(Moment, u64), ScheduledTask>,
     counter: u64,
     runs: u128,
     step: u64,
     /// When each host began and ended to order a shard, or to order it for
     /// itself alone.
-    orders: BTreeMap<(usize, String), Vec<Moment>>,
+    ownership_changes: BTreeMap<(usize, String), Vec<Moment>>,
     acting: BTreeSet<(usize, String)>,
     grants: BTreeMap<RequestId, Grant>,
     faults: usize,
     /// When a process, a path or the service failed or came back last.
-    changed_at: Moment,
+    last_change_at: Moment,
     /// When paths between hosts were bad last.
-    parted_at: Moment,
+    partitioned_at: Moment,
     service_since: Moment,
 }
 
-impl FleetWorld {
+impl FleetSimulation {
     pub fn new(opts: FleetOptions) -> Self {
-        let mut world = FleetWorld {
+        let mut simulation = FleetSimulation {
             opts,
             now: Moment::from_millis(1_000),
             platform: Platform::start(),
-            ..FleetWorld::default()
+            ..FleetSimulation::default()
         };
         for (index, host) in HOSTS.iter().enumerate() {
-            let gone = FleetHost::new(run_of(host, 0), None, world.now);
-            world.hosts.push(gone);
-            world.start(index);
+            let stopped = FleetHost::new(run_of(host, 0), None, simulation.now);
+            simulation.hosts.push(stopped);
+            simulation.start(index);
         }
-        world.post(Duration::ZERO, Parcel::Dial);
-        world.pass(Duration::from_secs(6));
-        world
+        simulation.post(Duration::ZERO, ScheduledTask::Dial);
+        simulation.advance(Duration::from_secs(6));
+        simulation
     }
 
     /// Start a run of a host that knows nothing.
@@ -187,61 +187,65 @@
         let domain = name(platform::DOMAINS[host % 2]);
         let core = NodeCore::new(run.clone(), domain, opts, self.now);
         self.hosts[host] = FleetHost::new(run.clone(), Some(core), self.now);
-        self.changed_at = self.now;
-        self.post(Duration::ZERO, Parcel::Tick(host, run.incarnation));
+        self.last_change_at = self.now;
+        self.post(Duration::ZERO, ScheduledTask::Tick(host, run.incarnation));
     }
 
     fn count(&mut self, what: &'static str) {
         *self.reach.entry(what).or_default() += 1;
     }
 
-    fn post(&mut self, after: Duration, parcel: Parcel) {
+    fn post(&mut self, after: Duration, task: ScheduledTask) {
         self.counter += 1;
         let at = self.now.plus(after);
-        self.parcels.insert((at, self.counter), parcel);
+        self.tasks.insert((at, self.counter), task);
     }
 
     /// Let time pass, and with it what is to happen.
-    fn pass(&mut self, span: Duration) {
+    fn advance(&mut self, span: Duration) {
         let end = self.now.plus(span);
-        while let Some(next) = self.parcels.first_entry() {
+        while let Some(next) = self.tasks.first_entry() {
             if next.key().0 > end {
                 break;
             }
-            let ((at, _), parcel) = next.remove_entry();
+            let ((at, _), task) = next.remove_entry();
             self.now = self.now.max(at);
-            self.happen(parcel);
+            self.run_task(task);
         }
         self.now = end;
     }
 
-    fn happen(&mut self, parcel: Parcel) {
-        if let Some(host) = parcel.receiver()
-            && let Some(held) = &mut self.hosts[host].held
+    fn run_task(&mut self, task: ScheduledTask) {
+        if let Some(host) = task.receiver()
+            && let Some(paused_queue) = &mut self.hosts[host].paused_queue
         {
-            return held.push(parcel);
+            return paused_queue.push(task);
         }
-        match parcel {
-            Parcel::Tick(host, run) => self.tick(host, run),
-            Parcel::Letter(letter) => self.deliver(letter),
-            Parcel::Link(host, run, event) if self.is_run(host, run) => {
-                self.tell(host, NodeEvent::Link(event));
+        match task {
+            ScheduledTask::Tick(host, run) => self.tick(host, run),
+            ScheduledTask::Delivery(delivery) => self.deliver(delivery),
+            ScheduledTask::Link(host, run, event) if self.is_run(host, run) => {
+                self.handle(host, NodeEvent::Link(event));
             }
-            Parcel::Attempt(host, run, attempt, event) if self.is_run(host, run) => {
-                self.engine_says(host, attempt, event);
+            ScheduledTask::Attempt(host, run, attempt, event) if self.is_run(host, run) => {
+                self.apply_attempt_event(host, attempt, event);
             }
-            Parcel::Answer(host, run, call) if self.is_run(host, run) => self.answer(host, call),
-            Parcel::Link(..) | Parcel::Attempt(..) | Parcel::Answer(..) => {}
-            Parcel::Submit(host, identity, submission) => self.submit(host, identity, *submission),
-            Parcel::Start(host) => {
+            ScheduledTask::Answer(host, run, call) if self.is_run(host, run) => {
+                self.answer(host, call)
+            }
+            ScheduledTask::Link(..) | ScheduledTask::Attempt(..) | ScheduledTask::Answer(..) => {}
+            ScheduledTask::Submit(host, identity, submission) => {
+                self.submit(host, identity, *submission)
+            }
+            ScheduledTask::Start(host) => {
                 self.faults -= 1;
                 self.start(host);
             }
-            Parcel::Wake(host, since) => self.wake(host, since),
-            Parcel::Heal(cuts) => self.heal(&cuts),
-            Parcel::LinkTimeout(a, b, link) => self.time_out(a, b, link),
-            Parcel::ServiceBack => self.service_back(),
-            Parcel::Dial => self.dial(),
+            ScheduledTask::Resume(host, since) => self.resume(host, since),
+            ScheduledTask::Heal(cuts) => self.heal(&cuts),
+            ScheduledTask::LinkTimeout(a, b, link) => self.expire_link(a, b, link),
+            ScheduledTask::ServiceBack => self.service_back(),
+            ScheduledTask::Dial => self.dial(),
         }
     }
 
@@ -253,24 +257,24 @@
         if !self.is_run(host, run) {
             return;
         }
-        self.tell(host, NodeEvent::Tick);
-        self.post(TICK, Parcel::Tick(host, run));
+        self.handle(host, NodeEvent::Tick);
+        self.post(TICK, ScheduledTask::Tick(host, run));
         self.end_stop(host);
     }
 
-    fn tell(&mut self, host: usize, event: NodeEvent) {
-        self.tell_with(host, event, &Cause::default());
+    fn handle(&mut self, host: usize, event: NodeEvent) {
+        self.handle_with(host, event, &Cause::default());
     }
 
-    fn tell_with(&mut self, host: usize, event: NodeEvent, cause: &Cause) {
+    fn handle_with(&mut self, host: usize, event: NodeEvent, cause: &Cause) {
         let now = self.now;
         if let Some(core) = &mut self.hosts[host].core {
             let actions = core.handle(now, event);
-            self.act(host, actions, cause);
+            self.apply_actions(host, actions, cause);
         }
     }
 
-    fn act(&mut self, host: usize, actions: Vec<NodeAction>, cause: &Cause) {
+    fn apply_actions(&mut self, host: usize, actions: Vec<NodeAction>, cause: &Cause) {
         for action in actions {
             match action {
                 NodeAction::Send(to, message) => {
@@ -280,18 +284,18 @@
                     {
                         self.check_shed_order(host, attempt.request, *reason);
                     }
-                    self.send(host, host_of(to.as_str()), message);
+                    self.send(host, host_index(to.as_str()), message);
                 }
                 NodeAction::Connect(entry) => {
-                    let peer = host_of(entry.name.as_str());
+                    let peer = host_index(entry.name.as_str());
                     self.hosts[host].wanted.insert(peer);
                 }
                 NodeAction::Disconnect(peer) => {
-                    self.hosts[host].wanted.remove(&host_of(peer.as_str()));
+                    self.hosts[host].wanted.remove(&host_index(peer.as_str()));
                 }
                 NodeAction::Read(value) => self.call(host, value, None),
                 NodeAction::Watch(value, after) => self.call(host, value, Some(after)),
-                NodeAction::Published(_) => self.note_in_force(host),
+                NodeAction::Published(_) => self.record_in_force(host),
                 NodeAction::Start {
                     attempt, target, ..
                 } => self.dispatch(host, attempt, &target, cause),
@@ -302,8 +306,10 @@
                 NodeAction::DropAnswer(id) => {
                     self.hosts[host].forgotten.insert(id);
                 }
-                NodeAction::Forward(id, holder) => self.hand_over(id, holder),
-                NodeAction::LogIncident(incident, text) => self.note(host, incident, &text),
+                NodeAction::Forward(id, holder) => self.forward_to_holder(id, holder),
+                NodeAction::LogIncident(incident, text) => {
+                    self.record_incident(host, incident, &text)
+                }
                 NodeAction::CountRetry(_) => self.count("retries"),
                 NodeAction::WatchTargets(_)
                 | NodeAction::Gossip(_)
@@ -316,19 +322,19 @@
         }
     }
 
-    fn note(&mut self, host: usize, incident: Incident, text: &str) {
+    fn record_incident(&mut self, host: usize, incident: Incident, text: &str) {
         match incident {
             Incident::OwnershipTaken
             | Incident::OwnershipReleased
             | Incident::DegradedAdmission => {
-                let order = (host, text.to_owned());
-                self.turn(order.clone());
+                let ownership = (host, text.to_owned());
+                self.record_ownership_change(ownership.clone());
                 if incident == Incident::OwnershipTaken {
                     self.count("takeovers");
-                    self.acting.insert(order.clone());
+                    self.acting.insert(ownership.clone());
                 }
                 if incident == Incident::OwnershipReleased {
-                    self.acting.remove(&order);
+                    self.acting.remove(&ownership);
                 }
                 if incident == Incident::DegradedAdmission {
                     self.count("degraded");
@@ -342,14 +348,17 @@
         }
     }
 
-    fn turn(&mut self, order: (usize, String)) {
-        self.orders.entry(order).or_default().push(self.now);
+    fn record_ownership_change(&mut self, ownership: (usize, String)) {
+        self.ownership_changes
+            .entry(ownership)
+            .or_default()
+            .push(self.now);
     }
 
     fn conclude(&mut self, host: usize, id: RequestId, conclusion: &Conclusion, cause: &Cause) {
         if let Conclusion::Refused(refusal) = conclusion {
             // A refusal by a peer was checked where it was sent.
-            if cause.letter.is_none() {
+            if cause.delivery.is_none() {
                 self.check_shed_order(host, id, refusal.reason());
             }
             let shed = [RefusalReason::Overloaded, RefusalReason::ShedForHigherTier];
@@ -371,10 +380,10 @@
         ) {
             return;
         }
-        let Some(fate) = self.oracle.requests.get(&id) else {
+        let Some(request) = self.oracle.requests.get(&id) else {
             return;
         };
-        let (pool, tier) = (&fate.submission.pool, fate.submission.verdict.tier);
+        let (pool, tier) = (&request.submission.pool, request.submission.verdict.tier);
         let Some(core) = &self.hosts[owner].core else {
             return;
         };
@@ -387,10 +396,10 @@
     }
 
     /// Take one step and check every promise.
-    pub fn take(&mut self, event: FleetEvent) -> Result<(), Breach> {
+    pub fn apply(&mut self, event: FleetEvent) -> Result<(), Breach> {
         self.step += 1;
-        self.draw_event(event);
-        self.pass(Duration::from_millis(u64::from(event[3]) * 2));
+        self.inject_event(event);
+        self.advance(Duration::from_millis(u64::from(event[3]) * 2));
         self.check()
     }
 
@@ -400,21 +409,21 @@
     }
 
     /// Let the faults end, and check what must hold then.
-    pub fn rest(&mut self) -> Result<(), Breach> {
+    pub fn settle(&mut self) -> Result<(), Breach> {
         self.end_faults();
         for round in 0..40u8 {
-            self.pass(Duration::from_millis(500));
+            self.advance(Duration::from_millis(500));
             // After a while of peace a target leaves and rules change, while
             // work goes on.
             if round == 26 {
-                self.publish_last();
+                self.publish_final_changes();
             }
             if round >= 26 {
                 self.draw_submission(round, round.wrapping_mul(37), round);
             }
             self.check()?;
         }
-        self.pass(Duration::from_secs(15));
+        self.advance(Duration::from_secs(15));
         self.check()?;
         let alive: Vec<_> = self.hosts.iter().map(|host| host.run.incarnation).collect();
         self.oracle.check_at_rest(&alive)
@@ -422,7 +431,7 @@
 }
 
 /// Get the number of a host.
-fn host_of(name: &str) -> usize {
+fn host_index(name: &str) -> usize {
     let found = HOSTS.iter().position(|host| *host == name);
     found.expect("a host of this world")
 }
--- a/bergamotswitch-core/tests/fleet_world/network.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/network.rs
@@ -11,7 +11,7 @@
 
 /// A `Letter` is a message on its way over one link.
 #[derive(Clone, Debug)]
-pub struct Letter {
+pub struct Delivery {
     pub from: usize,
     pub to: usize,
     pub link: u64,
@@ -34,7 +34,7 @@
     (a.min(b), a.max(b))
 }
 
-impl FleetWorld {
+impl FleetSimulation {
     pub(super) fn send(&mut self, from: usize, to: usize, mut message: LinkMessage) {
         let Some(link) = self.network.links.get(&ends(from, to)).copied() else {
             return;
@@ -47,11 +47,11 @@
         }
         let grant = match &message {
             LinkMessage::FromOwner(OwnerReply::Granted { shard, .. }) => {
-                Some(self.own_grant(from, &shard.to_string()))
+                Some(self.current_grant(from, &shard.to_string()))
             }
             _ => None,
         };
-        let letter = Letter {
+        let delivery = Delivery {
             from,
             to,
             link,
@@ -60,29 +60,29 @@
             grant,
             message,
         };
-        self.post(LATENCY, Parcel::Letter(letter));
+        self.post(LATENCY, ScheduledTask::Delivery(delivery));
     }
 
-    pub(super) fn own_grant(&self, owner: usize, shard: &str) -> Grant {
-        let order = (owner, format!("shard={shard}"));
-        let turn = self.orders.get(&order).map_or(0, Vec::len);
-        Grant { owner, turn }
+    pub(super) fn current_grant(&self, owner: usize, shard: &str) -> Grant {
+        let ownership = (owner, format!("shard={shard}"));
+        let term = self.ownership_changes.get(&ownership).map_or(0, Vec::len);
+        Grant { owner, term }
     }
 
-    pub(super) fn deliver(&mut self, letter: Letter) {
-        if self.network.links.get(&ends(letter.from, letter.to)) != Some(&letter.link) {
+    pub(super) fn deliver(&mut self, delivery: Delivery) {
+        if self.network.links.get(&ends(delivery.from, delivery.to)) != Some(&delivery.link) {
             return;
         }
-        if self.network.cuts.contains(&(letter.from, letter.to)) {
-            return self.post(RESEND, Parcel::Letter(letter));
+        if self.network.cuts.contains(&(delivery.from, delivery.to)) {
+            return self.post(RESEND, ScheduledTask::Delivery(delivery));
         }
-        let event = LinkEvent::Message(letter.run.clone(), letter.message.clone());
+        let event = LinkEvent::Message(delivery.run.clone(), delivery.message.clone());
         let cause = Cause {
-            letter: Some(letter),
+            delivery: Some(delivery),
             stop: false,
         };
-        let to = cause.letter.as_ref().map_or(0, |letter| letter.to);
-        self.tell_with(to, NodeEvent::Link(event), &cause);
+        let to = cause.delivery.as_ref().map_or(0, |delivery| delivery.to);
+        self.handle_with(to, NodeEvent::Link(event), &cause);
     }
 
     pub(super) fn is_cut(&self, a: usize, b: usize) -> bool {
@@ -96,7 +96,7 @@
                 let wanted = self.hosts[a].wanted.contains(&b) || self.hosts[b].wanted.contains(&a);
                 let open = [a, b].iter().all(|host| {
                     let host = &self.hosts[*host];
-                    host.core.is_some() && host.held.is_none()
+                    host.core.is_some() && host.paused_queue.is_none()
                 });
                 let up = self.network.links.contains_key(&(a, b));
                 match (up, wanted) {
@@ -106,27 +106,27 @@
                 }
             }
         }
-        self.post(REDIAL, Parcel::Dial);
+        self.post(REDIAL, ScheduledTask::Dial);
     }
 
     fn link_up(&mut self, a: usize, b: usize) {
         self.network.count += 1;
         self.network.links.insert((a, b), self.network.count);
-        self.tell_ends(a, b, LinkEvent::Up);
+        self.notify_ends(a, b, LinkEvent::Up);
     }
 
     /// Drop a link, and with it all letters that are on their way.
     pub(super) fn link_down(&mut self, a: usize, b: usize) {
         if self.network.links.remove(&ends(a, b)).is_some() {
-            self.tell_ends(a, b, LinkEvent::Down);
+            self.notify_ends(a, b, LinkEvent::Down);
         }
     }
 
-    fn tell_ends(&mut self, a: usize, b: usize, news: fn(HostIncarnation) -> LinkEvent) {
+    fn notify_ends(&mut self, a: usize, b: usize, make_event: fn(HostIncarnation) -> LinkEvent) {
         for (end, peer) in [(a, b), (b, a)] {
-            let event = news(self.hosts[peer].run.clone());
+            let event = make_event(self.hosts[peer].run.clone());
             let run = self.hosts[end].run.incarnation;
-            self.post(LATENCY, Parcel::Link(end, run, event));
+            self.post(LATENCY, ScheduledTask::Link(end, run, event));
         }
     }
 
@@ -136,12 +136,12 @@
         for (a, b) in &cuts {
             self.network.cuts.insert((*a, *b));
             if let Some(link) = self.network.links.get(&ends(*a, *b)).copied() {
-                self.post(LINK_TIMEOUT, Parcel::LinkTimeout(*a, *b, link));
+                self.post(LINK_TIMEOUT, ScheduledTask::LinkTimeout(*a, *b, link));
             }
         }
-        self.parted_at = self.now;
-        self.changed_at = self.now;
-        self.post(span, Parcel::Heal(cuts));
+        self.partitioned_at = self.now;
+        self.last_change_at = self.now;
+        self.post(span, ScheduledTask::Heal(cuts));
     }
 
     pub(super) fn heal(&mut self, cuts: &[(usize, usize)]) {
@@ -149,11 +149,11 @@
         for cut in cuts {
             self.network.cuts.remove(cut);
         }
-        self.parted_at = self.now;
-        self.changed_at = self.now;
+        self.partitioned_at = self.now;
+        self.last_change_at = self.now;
     }
 
-    pub(super) fn time_out(&mut self, a: usize, b: usize, link: u64) {
+    pub(super) fn expire_link(&mut self, a: usize, b: usize, link: u64) {
         if self.is_cut(a, b) && self.network.links.get(&ends(a, b)) == Some(&link) {
             self.link_down(a, b);
         }
--- a/bergamotswitch-core/tests/fleet_world/platform.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/platform.rs
@@ -15,7 +15,7 @@
 pub struct ServiceCall {
     number: u64,
     value: ValueName,
-    beyond: Option<Revision>,
+    after: Option<Revision>,
     /// Whether the answer is due; else the watch has waited in vain.
     due: bool,
 }
@@ -31,7 +31,7 @@
 pub struct Platform {
     values: BTreeMap<ValueName, Vec<Published>>,
     /// While it is behind, each value's revision that it still tells.
-    behind: Option<BTreeMap<ValueName, usize>>,
+    stale_positions: Option<BTreeMap<ValueName, usize>>,
     pub up: bool,
     /// The target that the list calls leaving, and since when.
     pub leaving: Option<(usize, Moment)>,
@@ -104,14 +104,17 @@
         history.push(Published { value, good, at });
     }
 
-    fn told(&self, value: &ValueName) -> &Published {
+    fn served(&self, value: &ValueName) -> &Published {
         let history = &self.values[value];
-        let seen = self.behind.as_ref().map(|behind| behind[value]);
+        let seen = self
+            .stale_positions
+            .as_ref()
+            .map(|stale_positions| stale_positions[value]);
         &history[seen.unwrap_or(history.len()) - 1]
     }
 }
 
-impl FleetWorld {
+impl FleetSimulation {
     pub(super) fn publish_rules(&mut self, tier: u8) {
         self.count("publications");
         let (body, good) = match tier % 4 {
@@ -119,7 +122,7 @@
             tier => (rules_body(u64::from(tier)).to_string(), true),
         };
         self.platform.publish(self.now, "rules", body, good);
-        self.wake_watches();
+        self.recheck_watches();
     }
 
     /// Have a target leave, or all be back.
@@ -128,76 +131,77 @@
         self.platform.leaving = target.map(|target| (target, self.now));
         let body = hosts_body(target).to_string();
         self.platform.publish(self.now, "hosts", body, true);
-        self.wake_watches();
+        self.recheck_watches();
     }
 
-    pub(super) fn publish_last(&mut self) {
+    pub(super) fn publish_final_changes(&mut self) {
         self.publish_rules(1);
         self.publish_leaving(Some(0));
     }
 
     /// The service answers nothing, or what it knew some revisions ago.
     pub(super) fn fail_service(&mut self, stale: bool, span: Duration) {
-        if !self.platform.up || self.platform.behind.is_some() {
+        if !self.platform.up || self.platform.stale_positions.is_some() {
             return;
         }
         self.faults += 1;
-        self.changed_at = self.now;
+        self.last_change_at = self.now;
         self.service_since = Moment::NEVER;
         match stale {
             true => {
                 let old = |history: &Vec<Published>| history.len().saturating_sub(2).max(1);
                 let values = self.platform.values.iter();
-                let behind = values.map(|(name, history)| (name.clone(), old(history)));
-                self.platform.behind = Some(behind.collect());
+                let stale_positions = values.map(|(name, history)| (name.clone(), old(history)));
+                self.platform.stale_positions = Some(stale_positions.collect());
             }
             false => self.platform.up = false,
         }
-        self.wake_watches();
-        self.post(span, Parcel::ServiceBack);
+        self.recheck_watches();
+        self.post(span, ScheduledTask::ServiceBack);
     }
 
     pub(super) fn service_back(&mut self) {
         self.faults -= 1;
         self.platform.up = true;
-        self.platform.behind = None;
-        self.changed_at = self.now;
+        self.platform.stale_positions = None;
+        self.last_change_at = self.now;
         self.service_since = self.now;
-        self.wake_watches();
+        self.recheck_watches();
     }
 
     /// Have each watch that waits look again.
-    fn wake_watches(&mut self) {
-        let waits = |parcel: &Parcel| match parcel {
-            Parcel::Answer(_, _, call) => !call.due,
+    fn recheck_watches(&mut self) {
+        let waits = |task: &ScheduledTask| match task {
+            ScheduledTask::Answer(_, _, call) => !call.due,
             _ => false,
         };
-        let waiting = self.parcels.iter().filter(|(_, parcel)| waits(parcel));
+        let waiting = self.tasks.iter().filter(|(_, task)| waits(task));
         let keys: Vec<_> = waiting.map(|(key, _)| *key).collect();
         for key in keys {
-            if let Some(Parcel::Answer(host, run, mut call)) = self.parcels.remove(&key) {
-                call.due = self.is_due(&call.value, call.beyond);
+            if let Some(ScheduledTask::Answer(host, run, mut call)) = self.tasks.remove(&key) {
+                call.due = self.is_due(&call.value, call.after);
                 match call.due {
-                    true => self.post(SERVICE_TIME, Parcel::Answer(host, run, call)),
+                    true => self.post(SERVICE_TIME, ScheduledTask::Answer(host, run, call)),
                     false => {
-                        self.parcels.insert(key, Parcel::Answer(host, run, call));
+                        self.tasks
+                            .insert(key, ScheduledTask::Answer(host, run, call));
                     }
                 }
             }
         }
     }
 
-    fn is_due(&self, value: &ValueName, beyond: Option<Revision>) -> bool {
-        !self.platform.up || Some(self.platform.told(value).value.revision) != beyond
+    fn is_due(&self, value: &ValueName, after: Option<Revision>) -> bool {
+        !self.platform.up || Some(self.platform.served(value).value.revision) != after
     }
 
-    pub(super) fn call(&mut self, host: usize, value: ValueName, beyond: Option<Revision>) {
+    pub(super) fn call(&mut self, host: usize, value: ValueName, after: Option<Revision>) {
         self.platform.count += 1;
         let number = self.platform.count;
         let here = &mut self.hosts[host];
         here.calls.insert(value.clone(), number);
         let run = here.run.incarnation;
-        let due = self.is_due(&value, beyond);
+        let due = self.is_due(&value, after);
         let wait = match due {
             true => SERVICE_TIME,
             false => WATCH_TIME,
@@ -205,10 +209,10 @@
         let call = ServiceCall {
             number,
             value,
-            beyond,
+            after,
             due,
         };
-        self.post(wait, Parcel::Answer(host, run, call));
+        self.post(wait, ScheduledTask::Answer(host, run, call));
     }
 
     pub(super) fn answer(&mut self, host: usize, call: ServiceCall) {
@@ -220,15 +224,15 @@
         here.calls.remove(&call.value);
         let event = match (self.platform.up, call.due) {
             (false, _) => NodeEvent::ReadFailed(call.value),
-            (true, true) => NodeEvent::Read(self.platform.told(&call.value).value.clone()),
+            (true, true) => NodeEvent::Read(self.platform.served(&call.value).value.clone()),
             (true, false) => NodeEvent::Unchanged(call.value),
         };
-        self.tell(host, event);
+        self.handle(host, event);
     }
 
     /// A revision in force is one that was published and passed the check,
     /// and never lower than an earlier one of the same run.
-    pub(super) fn note_in_force(&mut self, host: usize) {
+    pub(super) fn record_in_force(&mut self, host: usize) {
         let Some(core) = &self.hosts[host].core else {
             return;
         };
@@ -250,7 +254,7 @@
     pub(super) fn check_in_force(&mut self) {
         for host in 0..HOSTS.len() {
             let here = &self.hosts[host];
-            if here.core.is_none() || here.held.is_some() {
+            if here.core.is_none() || here.paused_queue.is_some() {
                 continue;
             }
             for (value, history) in &self.platform.values {
