--- a/bergamotswitch-core/tests/fleet_fuzz.rs
+++ b/bergamotswitch-core/tests/fleet_fuzz.rs
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn deaths_only() {
+fn crashes_only() {
     // No fault of the network or of a clock hides what deaths alone lead to.
     let events = |run| {
         let mut events = generate_events(run);
--- a/bergamotswitch-core/tests/fleet_simulation/engines.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/engines.rs
@@ -168,9 +168,9 @@
         let Some(request) = self.oracle.requests.get(&id) else {
             return;
         };
-        let harmless =
+        let repeatable =
             request.submission.verdict.idempotent && !request.submission.verdict.dispatch_once;
-        if request.submission.resubmission || harmless {
+        if request.submission.resubmission || repeatable {
             return;
         }
         let named = request
@@ -206,8 +206,8 @@
         if !holder_lives && first_term_end.is_some() {
             return "gap: double death";
         }
-        let partitioned = self.partitioned_at > Moment::START;
-        if partitioned && self.partitioned_at.plus(RECOVERY_TIME) >= term_start {
+        let had_network_fault = self.last_network_fault_at > Moment::START;
+        if had_network_fault && self.last_network_fault_at.plus(RECOVERY_TIME) >= term_start {
             return "gap: partition";
         }
         let mut acting = self.acting.iter();
@@ -217,11 +217,11 @@
         }
         // Until then a host may not have noticed that its owner died.
         let noticed = |at: &Moment| self.now.since(*at) > Duration::from_secs(3);
-        let mut ownership_changes = self
+        let mut changes_of_shard = self
             .ownership_changes
             .iter()
             .filter(|((_, about), _)| *about == shard);
-        if !ownership_changes.all(|(_, changes)| changes.iter().all(noticed)) {
+        if !changes_of_shard.all(|(_, changes)| changes.iter().all(noticed)) {
             return "gap: takeover";
         }
         "gap: untold"
--- a/bergamotswitch-core/tests/fleet_simulation/faults.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/faults.rs
@@ -54,7 +54,7 @@
             }
             210..=212 => {
                 self.count("links lost");
-                self.partitioned_at = self.now;
+                self.last_network_fault_at = self.now;
                 self.link_down(host, (host + 1 + usize::from(b) % 3) % 4);
             }
             213 | 214 => {
@@ -87,7 +87,7 @@
             return self.tick_all();
         };
         self.count("letters disturbed");
-        self.partitioned_at = self.now;
+        self.last_network_fault_at = self.now;
         let Some(task) = self.tasks.remove(&key) else {
             return;
         };
@@ -136,8 +136,8 @@
         here.wanted.clear();
         self.acting.retain(|(at, _)| *at != host);
         // Whoever ordered a shard there orders it no more.
-        let ownership_changes: Vec<_> = self.ownership_changes.keys().cloned().collect();
-        for ownership in ownership_changes.into_iter().filter(|(at, _)| *at == host) {
+        let owned_shards: Vec<_> = self.ownership_changes.keys().cloned().collect();
+        for ownership in owned_shards.into_iter().filter(|(at, _)| *at == host) {
             self.record_ownership_change(ownership);
         }
     }
@@ -150,7 +150,7 @@
         self.count("pauses");
         self.faults += 1;
         self.last_change_at = self.now;
-        self.partitioned_at = self.now;
+        self.last_network_fault_at = self.now;
         let here = &mut self.hosts[host];
         here.paused_queue = Some(Vec::new());
         here.paused_at = self.now;
@@ -170,7 +170,7 @@
             return;
         };
         self.last_change_at = self.now;
-        self.partitioned_at = self.now;
+        self.last_network_fault_at = self.now;
         if self.now.since(since) > NOTICED_PAUSE {
             self.hosts[host].resumed_at = self.now;
         }
--- a/bergamotswitch-core/tests/fleet_simulation/mod.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/mod.rs
@@ -153,7 +153,7 @@
     /// When a process, a path or the service failed or came back last.
     last_change_at: Moment,
     /// When paths between hosts were bad last.
-    partitioned_at: Moment,
+    last_network_fault_at: Moment,
     service_since: Moment,
 }
 
--- a/bergamotswitch-core/tests/fleet_simulation/network.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/network.rs
@@ -139,7 +139,7 @@
                 self.post(LINK_TIMEOUT, ScheduledTask::LinkTimeout(*a, *b, link));
             }
         }
-        self.partitioned_at = self.now;
+        self.last_network_fault_at = self.now;
         self.last_change_at = self.now;
         self.post(span, ScheduledTask::Heal(cuts));
     }
@@ -149,7 +149,7 @@
         for cut in cuts {
             self.network.cuts.remove(cut);
         }
-        self.partitioned_at = self.now;
+        self.last_network_fault_at = self.now;
         self.last_change_at = self.now;
     }
 
--- a/bergamotswitch-core/tests/fleet_start.rs
+++ b/bergamotswitch-core/tests/fleet_start.rs
@@ -8,13 +8,18 @@
 };
 
 fn first_reads() -> Vec<String> {
-    let me = HostIncarnation {
+    let incarnation = HostIncarnation {
         host: HostName::try_from("entry-1").expect("name"),
         incarnation: Incarnation(7),
     };
     let domain = DomainName::try_from("north").expect("name");
-    let mut book = RevisionReplica::new(me, domain, RevisionOptions::default(), Moment::START);
-    let actions = book.handle(Moment::START, RevisionEvent::Tick);
+    let mut replica = RevisionReplica::new(
+        incarnation,
+        domain,
+        RevisionOptions::default(),
+        Moment::START,
+    );
+    let actions = replica.handle(Moment::START, RevisionEvent::Tick);
     let reads = actions.iter().filter_map(|action| match action {
         RevisionAction::Read(name) => Some(name.as_str().to_owned()),
         _ => None,
