--- a/bergamotswitch-core/tests/account_quotas.rs
+++ b/bergamotswitch-core/tests/account_quotas.rs
@@ -1,4 +1,4 @@
-//! Quotas of client accounts over all hosts.
+//! Tests of the quota that a shard's owner enforces for each client account.
 
 mod owner_bench;
 
@@ -34,7 +34,7 @@
     owner
 }
 
-/// Send ten calls every 10 ms and get the units that were let in.
+/// Send ten calls every 10 ms and get the time and units of each granted call.
 fn send_calls(
     owner: &mut ShardOwner,
     from_ms: u64,
@@ -79,9 +79,8 @@
     assert!(most >= in_window, "{most}");
 }
 
-// Symptom: an account uses its quota twice within one window. Sequence: it has
-// used all of it when every host is killed; the new owner knows of nothing.
-// Cause: the new owner began with a full allowance.
+// Guards against an account that uses its quota twice in one window: an owner
+// that starts without usage data must not start with full token buckets.
 #[test]
 fn new_owner() {
     let mut sequence = 0;
@@ -93,8 +92,8 @@
     assert!(most <= 9 * RATE * 125 / 100, "{most}");
 }
 
-// Over its quota an account is refused truthfully, and told when to come back;
-// others are not touched by it.
+// Guards against a refusal without a usable retry-after for an account that is
+// over its quota, and against refusing other accounts along with it.
 #[test]
 fn over_quota_retry_after() {
     let mut owner = owner(Moment::START);
@@ -127,10 +126,8 @@
     ));
 }
 
-// Symptom: a call is told that its account is over the quota, after it has run.
-// Sequence: its run fails, and it is sent once more; its account has used up
-// its quota meanwhile. Cause: its ask takes no units, as they were taken with
-// its first one, but was refused all the same.
+// Guards against refusing a retry as over the quota after the call has run: a
+// retry takes no units, as the first attempt paid for them.
 #[test]
 fn sent_again() {
     let mut owner = owner(Moment::START);
@@ -144,7 +141,7 @@
     assert!(granted, "{reply:?}");
 }
 
-/// Get an owner whose one target has no place left.
+/// Get an owner whose only target is full, and the permit that fills it.
 fn full_owner(now: Moment) -> (ShardOwner, Permit) {
     let mut owner = owner(now);
     let pool_target = target("t", "d", 100);
@@ -161,11 +158,9 @@
     (owner, permit.expect("a permit"))
 }
 
-// Symptom: an account uses more than its quota in a window. Sequence: its calls
-// wait for two seconds, since all targets are busy, and take their units; their
-// callers leave one after the other while it goes on far over its quota; then
-// targets are free again. Cause: the units came back although the bucket had
-// filled again meanwhile.
+// Guards against an account that exceeds its quota when callers of queued calls
+// disconnect: units of a withdrawn request must not be refunded to a token
+// bucket that has refilled since they were taken.
 #[test]
 fn callers_left() {
     let (mut owner, permit) = full_owner(Moment::START);
--- a/bergamotswitch-core/tests/entry_simulation/engines.rs
+++ b/bergamotswitch-core/tests/entry_simulation/engines.rs
@@ -1,4 +1,4 @@
-//! Provides the engines' side of the world: what they run, refuse and break.
+//! Provides the simulated engines, which run, refuse or fail attempts.
 
 use bergamotswitch_core::entry::NotSentReason;
 
@@ -32,6 +32,7 @@
         }
     }
 
+    /// Record a run at the oracle unless it is `recorded` already.
     pub(super) fn record_run(&mut self, id: RequestId, recorded: bool) {
         if !recorded {
             self.oracle.ran(id);
@@ -47,6 +48,7 @@
         }
     }
 
+    /// Report a drawn event for one of the host's running attempts.
     pub(super) fn advance_attempt(&mut self, host: usize, b: u8, c: u8) {
         let running: Vec<AttemptId> = self.hosts[host].running.keys().copied().collect();
         let Some(attempt) = pick(&running, b) else {
@@ -67,7 +69,7 @@
         self.apply_engine_event(host, attempt, event);
     }
 
-    /// The engine's own ledger is written before the host hears of it.
+    /// Record what the engine did at the oracle, then report the event to the host.
     fn apply_engine_event(&mut self, host: usize, attempt: AttemptId, event: AttemptEvent) {
         let Some(attempt_state) = self.hosts[host].running.get_mut(&attempt) else {
             return;
@@ -84,7 +86,7 @@
                 self.record_run(id, ran);
                 return self.handle(host, EntryEvent::Attempt(attempt, event));
             }
-            // What has begun to answer can't be unsent or refused any more.
+            // An attempt whose answer has started can no longer be unsent or refused.
             AttemptEvent::NotSent(_) | AttemptEvent::Refused if ran => return,
             AttemptEvent::NotSent(_) => self.oracle.proven_unrun(id),
             AttemptEvent::Refused if refusal_means_not_run => self.oracle.proven_unrun(id),
--- a/bergamotswitch-core/tests/entry_simulation/faults.rs
+++ b/bergamotswitch-core/tests/entry_simulation/faults.rs
@@ -1,10 +1,11 @@
-//! Provides what befalls the world: lost and doubled messages, leaving
-//! callers and targets, preemption, pauses, crashes, stops, owner changes.
+//! Provides the injected faults and events: lost and duplicated messages, caller
+//! disconnects, draining targets, preemption, pauses, crashes, stops and owner
+//! changes.
 
 use super::*;
 
 impl EntrySimulation {
-    /// Lose a message, or have it come twice.
+    /// Lose or duplicate a message in transit.
     pub(super) fn lose_or_duplicate(&mut self, a: u8, b: u8) {
         if self.in_transit.is_empty() {
             return;
@@ -21,6 +22,8 @@
         }
     }
 
+    /// Inject a caller disconnect, a preemption, a change of a target's draining
+    /// state, a late attempt event or a permit audit.
     pub(super) fn inject_event(&mut self, host: usize, b: u8, c: u8) {
         let running: Vec<AttemptId> = self.hosts[host].running.keys().copied().collect();
         match b % 8 {
@@ -66,7 +69,7 @@
                 self.handle(host, EntryEvent::TargetDraining(target, draining));
             }
             _ if c.is_multiple_of(2) => {
-                // News of an attempt that is over, late or doubled.
+                // A late or duplicated event of an attempt that has ended.
                 if let Some(attempt) = pick(&self.hosts[host].ended_attempts, c) {
                     let event = AttemptEvent::Finished(usage());
                     self.handle(host, EntryEvent::Attempt(attempt, event));
@@ -82,6 +85,7 @@
         }
     }
 
+    /// Inject a crash, a planned stop, an owner change or a process pause.
     pub(super) fn inject_rare_event(&mut self, host: usize, b: u8, c: u8) {
         match b % 8 {
             0 => self.crash(host),
@@ -107,7 +111,7 @@
                 let finish_by = self.now.plus(time_left);
                 self.handle(host, EntryEvent::FinishBy(finish_by));
             }
-            // The grace of a stop is over.
+            // The grace period of the stop has expired.
             7 if self.hosts[host].stopping => {
                 self.count("cut stops");
                 self.handle(host, EntryEvent::GraceExpired);
@@ -117,8 +121,8 @@
         }
     }
 
-    /// A process dies; what it had dispatched may run on in the engine. Its
-    /// successor gets the messages that were meant for it.
+    /// Crash a host's process and start a new one. Dispatched attempts may still
+    /// run in the engine, and the new process receives the messages in transit.
     fn crash(&mut self, host: usize) {
         self.count("crashes");
         let new_host = self.new_host(host);
--- a/bergamotswitch-core/tests/entry_simulation/mod.rs
+++ b/bergamotswitch-core/tests/entry_simulation/mod.rs
@@ -1,5 +1,5 @@
-//! Provides a small world around entry desks: three hosts that crash and
-//! pause, two owners that take turns, engines, and messages in any order.
+//! Provides a simulation around entry dispatchers: three hosts that crash and
+//! pause, two alternating owners, engines, and messages in any order.
 
 mod engines;
 mod faults;
@@ -19,7 +19,8 @@
 const TARGETS: [&str; 3] = ["t0", "t1", "t2"];
 const SETTLE_ROUNDS: usize = 60;
 
-/// A `WorldEvent` is one step of a run, drawn at random: what, and on what.
+/// A `SimulationEvent` is one randomly drawn step of a run: the first byte selects
+/// the kind, the others its parameters.
 pub type SimulationEvent = [u8; 4];
 
 #[derive(Clone, Debug)]
@@ -58,8 +59,8 @@
     hosts: Vec<SimulatedHost>,
     owners: [FakeOwner; 2],
     acting: usize,
-    /// Keys outlive a change of owner here: that an owner and a key's holder
-    /// die together is a gap that the design names.
+    /// The holder of each key, kept across owner changes. The loss of an owner
+    /// together with a key's holder is a known gap and not simulated here.
     keys: BTreeMap<u128, HostIncarnation>,
     callers: Callers,
     grant_steps: BTreeMap<PermitId, u64>,
@@ -107,7 +108,7 @@
         *self.reach.entry(what).or_default() += 1;
     }
 
-    /// Take one step and check every promise.
+    /// Apply one step and check every invariant.
     pub fn apply(&mut self, event: SimulationEvent) -> Result<(), Breach> {
         let [what, a, b, c] = event;
         self.step += 1;
@@ -126,7 +127,7 @@
         self.oracle.check()
     }
 
-    /// Let everything come to rest and check what must hold then.
+    /// Deliver and finish everything, then check the invariants of an idle system.
     pub fn settle(&mut self) -> Result<(), Breach> {
         for host in 0..HOSTS.len() {
             self.in_transit
--- a/bergamotswitch-core/tests/entry_simulation/owners.rs
+++ b/bergamotswitch-core/tests/entry_simulation/owners.rs
@@ -1,5 +1,5 @@
-//! Provides the owners' side of the world: a naive owner that permits what it
-//! likes and knows each key's first holder.
+//! Provides the simulated owners, which grant permits without regard to load and
+//! record the first holder of each key.
 
 use super::*;
 
--- a/bergamotswitch-core/tests/entry_support/mod.rs
+++ b/bergamotswitch-core/tests/entry_support/mod.rs
@@ -1,7 +1,7 @@
-//! Provides what the tests of the entry side share: a desk with a clock of
-//! its own, and short ways to make submissions and to read actions.
+//! Provides shared helpers for tests of the entry side: a dispatcher with a
+//! virtual clock, submissions, and filters for actions.
 
-// Each test file uses a part of these.
+// No test file uses all of these helpers.
 #![allow(dead_code)]
 
 pub use std::time::Duration;
@@ -26,7 +26,7 @@
 pub const OWNER_INCARNATION: Incarnation = Incarnation(77);
 pub const DEADLINE: Duration = Duration::from_secs(30);
 
-/// Get a checked name, caller's key or the like from a text that is one.
+/// Convert a text to a validated type, such as a name or a caller's key.
 pub fn name<T: TryFrom<String>>(text: &str) -> T {
     T::try_from(text.to_owned())
         .ok()
@@ -63,8 +63,8 @@
     }
 }
 
-/// Get a pool whose target `t1` promises nothing, while a refusal of `t0`
-/// and `t2` means "not run".
+/// Get a pool of three targets. A refusal by `t0` or `t2` means that the request
+/// was not run; a refusal by `t1` leaves that open.
 pub fn pool(shard_by_domain: bool) -> TargetPool {
     TargetPool {
         name: name("llm"),
@@ -78,7 +78,7 @@
     }
 }
 
-/// Get an idempotent submission without a key.
+/// Get an idempotent submission without a caller key.
 pub fn submission() -> Submission {
     Submission {
         options: CallOptions::default(),
@@ -109,7 +109,7 @@
     }
 }
 
-/// Get a keyed submission that must not run twice.
+/// Get a non-idempotent submission with a caller key.
 pub fn keyed_submission(key: &str) -> Submission {
     let mut submission = submission();
     submission.verdict.idempotent = false;
@@ -117,7 +117,8 @@
     submission
 }
 
-/// A `TestDesk` is a desk with a clock and an owner.
+/// A `TestDispatcher` is an entry dispatcher with a virtual clock and a known
+/// shard owner.
 pub struct TestDispatcher {
     pub dispatcher: EntryDispatcher,
     pub now: Moment,
@@ -144,7 +145,7 @@
         self.dispatcher.submit(self.now, submission)
     }
 
-    /// Accept a request and get its id.
+    /// Submit a request, expect its acceptance and get its id.
     pub fn accept(&mut self, submission: Submission) -> RequestId {
         match self.submit(submission).0 {
             SubmitOutcome::Accepted(id) => id,
@@ -152,6 +153,7 @@
         }
     }
 
+    /// Advance the clock and deliver a tick.
     pub fn pass(&mut self, span: Duration) -> Vec<EntryAction> {
         self.now = self.now.plus(span);
         self.event(EntryEvent::Tick)
@@ -178,7 +180,7 @@
         permit
     }
 
-    /// Accept a request, grant it a permit and get its first attempt.
+    /// Submit a request, grant its first attempt a permit and get that attempt.
     pub fn begin(&mut self, submission: Submission, target: &str) -> AttemptId {
         let attempt = first_attempt(self.accept(submission));
         self.start(attempt, target);
--- a/bergamotswitch-core/tests/fleet/mod.rs
+++ b/bergamotswitch-core/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A small network of memberships in virtual time.
-#![allow(dead_code)] // Each test file uses a part of it.
+//! Provides a simulated network of membership state machines in virtual time.
+#![allow(dead_code)] // No test file uses all of these helpers.
 
 pub use std::collections::{BTreeMap, BTreeSet};
 pub use std::time::Duration;
@@ -85,7 +85,7 @@
 }
 
 impl Fleet {
-    /// Start `count` hosts that all know each other and the shards.
+    /// Start `count` hosts that have the same host list and shards.
     pub fn start(count: usize, shards: &[PoolShard]) -> Self {
         let mut fleet = Fleet::default();
         for index in 0..count {
@@ -193,7 +193,7 @@
         self.cuts.insert((from.clone(), to.clone()));
     }
 
-    /// Part the hosts: no host of one side reaches one of the other.
+    /// Partition the hosts: cut all paths between the two sides.
     pub fn partition(&mut self, side: impl Fn(&HostName) -> bool) {
         let names: Vec<_> = self.nodes.keys().cloned().collect();
         for a in &names {
@@ -252,7 +252,7 @@
                 let event = MembershipEvent::Heartbeat(delivery.from, delivery.heartbeat);
                 self.handle(&delivery.to, event);
             }
-            // What reaches a paused process waits in its socket.
+            // Messages to a paused process wait in its socket.
             false if self.nodes.contains_key(&delivery.to) => {
                 self.counter += 1;
                 let at = self.now.plus(Duration::from_millis(5));
--- a/bergamotswitch-core/tests/fleet_fuzz.rs
+++ b/bergamotswitch-core/tests/fleet_fuzz.rs
@@ -1,6 +1,6 @@
 //! Tests of whole hosts by stateful fuzzing: four node cores with real owners,
-//! membership and revision books, joined by a network, a platform and targets
-//! that fail, one fault or two together.
+//! membership and revision replicas, under single and double faults of the
+//! network, the platform, the targets and the hosts themselves.
 
 mod entry_support;
 mod fleet_simulation;
@@ -15,14 +15,14 @@
 use fleet_simulation::{FleetEvent, FleetOptions, FleetSimulation};
 use oracle::{Breach, RunReach, add_counts};
 
-/// The number of runs, each of some 40 seconds of virtual time and 35 more in
-/// which the faults end.
+/// The number of runs. A run covers about 40 seconds of virtual time with faults,
+/// and 35 seconds in which the system recovers.
 const RUNS: u64 = 1_000;
 
 /// The number of events in a run.
 const EVENTS: std::ops::RangeInclusive<usize> = 60..=160;
 
-/// Get the events of a run.
+/// Generate the events of a run.
 fn generate_events(run: u64) -> Vec<FleetEvent> {
     bergamotswitch_draw::draw(&any::<Vec<FleetEvent>>().with().len(EVENTS), run)
 }
@@ -36,12 +36,13 @@
     Ok(simulation)
 }
 
-/// Get the event by which one caller sends its alert to a host.
+/// Get the event by which one caller sends its keyed, non-idempotent request to a
+/// host.
 fn submit_keyed_at(host: u8) -> FleetEvent {
     [0, host, 7, 4]
 }
 
-/// Play runs and get what they reached.
+/// Simulate runs without a breach and get the counts of what occurred in them.
 fn collect_reach(runs: u64, events: impl Fn(u64) -> Vec<FleetEvent>) -> RunReach {
     let mut count = 0;
     let mut reach = RunReach::new();
@@ -57,7 +58,7 @@
     reach
 }
 
-/// Get how many second runs were excused.
+/// Get the number of duplicate runs that known gaps of the design account for.
 fn excused(reach: &RunReach) -> u64 {
     let gaps = reach.iter().filter(|(what, _)| what.starts_with("gap"));
     gaps.map(|(_, count)| count).sum()
@@ -74,7 +75,7 @@
         let count = reach.get(what).copied().unwrap_or_default();
         assert!(count >= RUNS / 5, "{what}: {count}");
     }
-    // What the design leaves open stays rare, each kind for itself.
+    // Duplicate runs by known gaps of the design stay rare, each kind by itself.
     let gap = |what: &str| reach.get(what).copied().unwrap_or_default();
     assert!(gap("gap: partition") < RUNS * 2 / 5);
     assert!(gap("gap: double death") < RUNS / 8);
@@ -83,7 +84,8 @@
 
 #[test]
 fn crashes_only() {
-    // No fault of the network or of a clock hides what deaths alone lead to.
+    // Replaces network faults, pauses, outages and double faults by crashes, so that
+    // they can't mask the effects of crashes.
     let events = |run| {
         let mut events = generate_events(run);
         for [what, _, b, _] in &mut events {
@@ -100,8 +102,8 @@
     assert!(excused(&reach) < RUNS / 8);
 }
 
-// Guards against second runs that retries hide: a request that is not sent once
-// more leaves its key at the owner.
+// Guards against duplicate runs that retries mask: the key of a request that is not
+// retried must stay known to the owner.
 #[test]
 fn without_retries() {
     const KEPT_RUNS: [u64; 3] = [330, 1_863, 2_381];
@@ -120,11 +122,9 @@
     }
 }
 
-// Symptom: a crew alert goes out twice although no path was cut. Sequence: its
-// host has nothing else to do; the shard's owner dies, the next one takes over,
-// and the caller sends the alert unmarked to another host. Cause: a host
-// without work for a shard followed its owner no more, so it never told the
-// new owner the key.
+// Guards against a duplicate run after an owner crash without a partition: a host
+// that holds a key but has no other work for the shard must still report the key
+// to the new owner.
 #[test]
 fn idle_holder() {
     let wait = [255, 0, 250, 0];
@@ -143,7 +143,7 @@
     assert!(reach.is_ok_and(|reach| excused(&reach) == 0));
 }
 
-/// Play runs of a broken fleet until the oracle objects.
+/// Simulate a fleet with an injected defect until the oracle detects a breach.
 fn find_breach(opts: &FleetOptions) -> Option<Breach> {
     let breach = |run| {
         let breach = run_events(opts.clone(), &generate_events(run)).err()?;
@@ -193,7 +193,7 @@
 
 #[test]
 fn claims_dropped() {
-    // An owner that hears of no key but its own host's.
+    // Permit requests from other hosts reach the owner without their key claims.
     assert!(is_second_run(find_breach(&FleetOptions {
         drop_claims: true,
         ..FleetOptions::default()
@@ -211,7 +211,7 @@
 
 #[test]
 fn late_reads() {
-    // Hosts that wait for a minute before they read again.
+    // Hosts back off for a minute before they read again.
     let minute = Duration::from_secs(60);
     let breach = find_breach(&FleetOptions {
         revision: RevisionOptions::default().with_backoff(minute, minute),
--- a/bergamotswitch-core/tests/fleet_simulation/calls.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/calls.rs
@@ -1,4 +1,5 @@
-//! Provides the callers' side: submissions, hand-overs and planned stops.
+//! Provides the callers' side of the simulation, submissions, forwarding and
+//! disconnects, and planned stops of hosts.
 
 use bergamotswitch_core::refusal::RunClaim;
 
@@ -6,7 +7,7 @@
 
 const DEADLINE: Duration = Duration::from_secs(12);
 const CALLER_LATENCY: Duration = Duration::from_millis(2);
-/// A caller that saw an error comes back with the same key for so many steps.
+/// The number of steps during which a caller retries with the same key.
 const STEPS_PER_SERIES: u64 = 40;
 
 impl FleetSimulation {
@@ -15,7 +16,8 @@
         let (identity, mut submission) = self.callers.draw(b, c, series);
         submission.deadline_in = DEADLINE;
         submission.verdict.tier = Tier(a / 4 % 3);
-        // A key belongs to one pool: used in another it is another request's.
+        // All keyed requests of a series go to one pool, as a key is only valid within
+        // a pool.
         if submission.key.is_some() && series.is_multiple_of(4) {
             submission.pool = name("desk");
             submission.kind = PoolKind::Plain;
@@ -62,7 +64,7 @@
         self.apply_actions(host, actions, &Cause::default());
     }
 
-    /// A host hands a request over to the run that holds its key.
+    /// Forward a request to the host incarnation that holds its key.
     pub(super) fn forward_to_holder(&mut self, id: RequestId, holder: HostIncarnation) {
         self.oracle.forwarded(id);
         if let Some(request) = self.oracle.requests.get(&id) {
@@ -101,6 +103,7 @@
         }
     }
 
+    /// Begin the planned stop of a host.
     pub(super) fn stop(&mut self, host: usize) {
         let here = &self.hosts[host];
         let running = here.core.is_some() && here.paused_queue.is_none();
@@ -118,8 +121,8 @@
         self.handle_with(host, NodeEvent::Stop, &cause);
     }
 
-    /// A stopping process ends once it is idle and no caller can have its
-    /// address any more.
+    /// End a stopping process once it is idle and every published answer with its
+    /// address has expired.
     pub(super) fn end_stop(&mut self, host: usize) {
         let here = &self.hosts[host];
         let (Some(core), Some(since)) = (&here.core, here.stopping_since) else {
--- a/bergamotswitch-core/tests/fleet_simulation/engines.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/engines.rs
@@ -1,11 +1,11 @@
-//! Provides the targets: what they run, refuse, break and leave unanswered,
-//! and the ledger of what they ran.
+//! Provides the simulated targets, which run, refuse, fail or don't answer attempts,
+//! and the checks made at each dispatch.
 
 use bergamotswitch_core::entry::NotSentReason;
 
 use super::*;
 
-/// A `TargetMode` is how a target answers now.
+/// A `TargetMode` is how a target currently responds to attempts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum TargetMode {
     #[default]
@@ -54,7 +54,8 @@
         self.run(host, attempt, index, target.contract.refusal_means_not_run);
     }
 
-    /// The ledger is written before the host hears anything.
+    /// Record the run at the oracle, then schedule the attempt's events by the mode
+    /// of the target.
     fn run(&mut self, host: usize, attempt: AttemptId, target: usize, refusal_means_not_run: bool) {
         let id = attempt.request;
         let mode = self.modes[target];
@@ -89,8 +90,8 @@
         }
     }
 
-    /// News of an attempt; of one that is over it comes late and may change
-    /// nothing.
+    /// Report an attempt event to its host. An event of an attempt that has ended is
+    /// late and must have no effect.
     pub(super) fn apply_attempt_event(
         &mut self,
         host: usize,
@@ -125,7 +126,8 @@
         self.hosts[host].running.remove(&attempt);
     }
 
-    /// The host list said long ago that the target is leaving.
+    /// Check that the target has not been listed as leaving for longer than hosts
+    /// need to learn of it.
     fn check_leaving(&mut self, target: usize) {
         let Some((leaving, at)) = self.platform.leaving else {
             return;
@@ -139,8 +141,8 @@
         }
     }
 
-    /// A permit that was sent before the host's pause is void. Get the order
-    /// that it came from.
+    /// Check that the permit was not sent before the host's last pause, and get the
+    /// ownership term that it was granted in.
     fn check_permit(&mut self, host: usize, attempt: AttemptId, cause: &Cause) -> Grant {
         if let Some(delivery) = &cause.delivery
             && let LinkMessage::FromOwner(OwnerReply::Granted { permit, .. }) = &delivery.message
@@ -160,10 +162,10 @@
         request.map_or("", |request| request.submission.pool.as_str())
     }
 
-    /// A second run of a key is excused where the design says that nothing
-    /// can prevent it: an unmarked retry that names no run, across a
-    /// partition, or after holder and owner died both. One that names another
-    /// run than the earlier one is no better off.
+    /// Excuse a duplicate run of a key where it is a known gap of the design: a
+    /// resubmission that is not marked as one and does not name the incarnation
+    /// that ran the request before, after a partition, a takeover or a crash of
+    /// both holder and owner.
     fn excuse_known_gap(&mut self, id: RequestId, grant: Grant) {
         let Some(request) = self.oracle.requests.get(&id) else {
             return;
@@ -195,7 +197,8 @@
         }
     }
 
-    /// Get why the order that grants now does not know of an earlier run.
+    /// Get the reason why the owner of the current grant does not know of an earlier
+    /// run.
     fn gap_reason(&self, earlier: RequestId, first: Grant, grant: Grant) -> &'static str {
         let shard = format!("shard={}", self.shard_of(earlier));
         let changes = |grant: Grant| &self.ownership_changes[&(grant.owner, shard.clone())];
@@ -215,7 +218,7 @@
         if other || first_term_end.is_none_or(|end| end > term_start) {
             return "gap: two owners";
         }
-        // Until then a host may not have noticed that its owner died.
+        // Until then a host may not have detected that its owner crashed.
         let noticed = |at: &Moment| self.now.since(*at) > Duration::from_secs(3);
         let mut changes_of_shard = self
             .ownership_changes
--- a/bergamotswitch-core/tests/fleet_simulation/faults.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/faults.rs
@@ -1,8 +1,8 @@
-//! Provides what befalls the fleet, one fault or two together.
+//! Provides the injected events and faults, single or two at once.
 
 use super::*;
 
-/// A host notices a pause that is longer than two seconds and a tick.
+/// The shortest pause that a host is sure to detect: two seconds and a tick.
 const NOTICED_PAUSE: Duration = Duration::from_millis(2_200);
 
 impl FleetSimulation {
@@ -17,7 +17,7 @@
             168..=175 => self.caller_leaves(host, b),
             176..=183 => self.publish_rules(b),
             184..=187 => {
-                // Two operators at once.
+                // Two operators publish at the same time.
                 self.publish_rules(b);
                 self.publish_rules(b / 4);
             }
@@ -69,7 +69,7 @@
         }
     }
 
-    /// A burst of low-tier work that is longer than the queue.
+    /// Submit more low-tier requests at once than the queue can hold.
     fn burst(&mut self, a: u8, b: u8) {
         self.count("bursts");
         for number in 0..24 {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Lose a letter, or have it come twice, or late and so after others.
+    /// Lose, duplicate or delay a message in transit; a delay reorders it.
     fn disturb_delivery(&mut self, a: u8, b: u8, c: u8) {
         let deliveries = self.tasks.iter();
         let deliveries = deliveries.filter(|(_, task)| matches!(task, ScheduledTask::Delivery(_)));
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Have every host send something, so that there are letters to disturb.
+    /// Deliver a tick to every running host, so that there are messages in transit.
     fn tick_all(&mut self) {
         for host in 0..HOSTS.len() {
             if self.hosts[host].paused_queue.is_none() {
@@ -116,7 +116,7 @@
             return;
         }
         self.count("crashes");
-        // The end of a stop would have counted it.
+        // A planned stop is already counted as a fault.
         if self.hosts[host].stopping_since.is_none() {
             self.faults += 1;
         }
@@ -124,7 +124,7 @@
         self.post(downtime, ScheduledTask::Start(host));
     }
 
-    /// End a process; what it had dispatched may run on in the engines.
+    /// End a host's process. Dispatched attempts may still run in the engines.
     pub(super) fn end_process(&mut self, host: usize) {
         self.last_change_at = self.now;
         for peer in (0..HOSTS.len()).filter(|peer| *peer != host) {
@@ -135,7 +135,7 @@
         here.paused_queue = None;
         here.wanted.clear();
         self.acting.retain(|(at, _)| *at != host);
-        // Whoever ordered a shard there orders it no more.
+        // Ends the ownership terms of the process.
         let owned_shards: Vec<_> = self.ownership_changes.keys().cloned().collect();
         for ownership in owned_shards.into_iter().filter(|(at, _)| *at == host) {
             self.record_ownership_change(ownership);
@@ -158,11 +158,11 @@
         self.post(span, ScheduledTask::Resume(host, self.now));
     }
 
-    /// A process wakes, believing old facts; what came meanwhile waits, in
-    /// every other case behind a tick.
+    /// Resume a paused process with its outdated state. The messages that arrived
+    /// during the pause are delivered next, after a tick if their number is even.
     pub(super) fn resume(&mut self, host: usize, since: Moment) {
         self.faults -= 1;
-        // A process that died in its pause has a successor by now.
+        // The process was replaced during its pause.
         if self.hosts[host].paused_at != since {
             return;
         }
@@ -183,10 +183,10 @@
         }
     }
 
-    /// Have all faults end soon.
+    /// End all faults now.
     pub(super) fn end_faults(&mut self) {
         self.modes = Default::default();
-        // What ends a fault comes now; what else is to happen keeps its time.
+        // Other tasks keep their time.
         let ends = self.tasks.iter().filter(|(_, task)| {
             matches!(
                 task,
--- a/bergamotswitch-core/tests/fleet_simulation/mod.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/mod.rs
@@ -1,5 +1,5 @@
-//! Provides a small world around whole hosts: four node cores joined by a
-//! network that fails, a platform that fails, and targets that fail.
+//! Provides a simulation of whole hosts: four node cores with an unreliable
+//! network, an unreliable platform and unreliable targets.
 
 mod calls;
 mod engines;
@@ -24,31 +24,33 @@
 pub const HOSTS: [&str; 4] = ["h0", "h1", "h2", "h3"];
 pub const TARGETS: [&str; 4] = ["t0", "t1", "t2", "s0"];
 const TICK: Duration = Duration::from_millis(200);
-/// The published lifetime of an address answer: a stop lasts at least as long.
+/// The published lifetime of an address answer, which is the shortest duration of a
+/// planned stop.
 const ADDRESS_LIFETIME: Duration = Duration::from_secs(10);
 /// The longest time until a published value is in force.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(9);
-/// The longest time until a leaving target gets no new work, in a fleet that
-/// was at peace when the list said so.
+/// The longest time until a leaving target gets no new work, in a fleet without
+/// recent faults.
 const DRAIN_WITHIN: Duration = Duration::from_secs(3);
-/// So long after a fault every host hangs from a relay that answers again.
+/// The time after a fault by which every host reads from a responsive relay again.
 const RECOVERY_TIME: Duration = Duration::from_secs(12);
 
-/// A `FleetEvent` is one step of a run, drawn at random: what, and on what.
+/// A `FleetEvent` is one randomly drawn step of a run: the first byte selects the
+/// kind, the others its parameters.
 pub type FleetEvent = [u8; 4];
 
-/// A `FleetOptions` sets up a world, and what is deliberately broken in it.
+/// A `FleetOptions` configures a simulation and the defects injected into it.
 #[derive(Clone, Debug, Default)]
 pub struct FleetOptions {
     pub entry: EntryOptions,
     pub revision: RevisionOptions,
-    /// Whether asks lose their order of tiers between hosts.
+    /// Whether permit requests between hosts have their tiers reversed.
     pub flip_tiers: bool,
-    /// Whether asks lose the claims to their keys between hosts.
+    /// Whether permit requests between hosts lose their key claims.
     pub drop_claims: bool,
 }
 
-/// A `Parcel` is something that is to happen.
+/// A `ScheduledTask` is something that happens at a set time.
 #[derive(Clone, Debug)]
 enum ScheduledTask {
     Tick(usize, Incarnation),
@@ -66,7 +68,7 @@
 }
 
 impl ScheduledTask {
-    /// Get the host whose process takes the parcel.
+    /// Get the host whose process receives the task, if any.
     fn receiver(&self) -> Option<usize> {
         match self {
             ScheduledTask::Delivery(delivery) => Some(delivery.to),
@@ -83,7 +85,7 @@
 struct FleetHost {
     run: HostIncarnation,
     core: Option<NodeCore>,
-    /// What reaches a paused process waits for it.
+    /// The tasks that a paused process receives once it resumes.
     paused_queue: Option<Vec<ScheduledTask>>,
     paused_at: Moment,
     resumed_at: Moment,
@@ -115,14 +117,14 @@
     }
 }
 
-/// A `Grant` says which order of which host a dispatch came from.
+/// A `Grant` is the owner that granted a permit, and its ownership term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Grant {
     owner: usize,
     term: usize,
 }
 
-/// What is being handled, as far as the checks need it.
+/// A `Cause` is what led to the actions being applied, as far as checks need it.
 #[derive(Clone, Debug, Default)]
 struct Cause {
     delivery: Option<Delivery>,
@@ -144,15 +146,15 @@
     counter: u64,
     runs: u128,
     step: u64,
-    /// When each host began and ended to order a shard, or to order it for
-    /// itself alone.
+    /// The times at which each host acquired or released ownership of a shard, or
+    /// entered degraded admission for it.
     ownership_changes: BTreeMap<(usize, String), Vec<Moment>>,
     acting: BTreeSet<(usize, String)>,
     grants: BTreeMap<RequestId, Grant>,
     faults: usize,
-    /// When a process, a path or the service failed or came back last.
+    /// When a process, a network path or the service last failed or recovered.
     last_change_at: Moment,
-    /// When paths between hosts were bad last.
+    /// When messages between hosts were last lost, delayed or cut off.
     last_network_fault_at: Moment,
     service_since: Moment,
 }
@@ -175,7 +177,7 @@
         simulation
     }
 
-    /// Start a run of a host that knows nothing.
+    /// Start a new process of a host, without any state.
     fn start(&mut self, host: usize) {
         self.runs += 1;
         let run = run_of(HOSTS[host], self.runs * 7_919);
@@ -201,7 +203,7 @@
         self.tasks.insert((at, self.counter), task);
     }
 
-    /// Let time pass, and with it what is to happen.
+    /// Advance the clock and run the tasks that become due.
     fn advance(&mut self, span: Duration) {
         let end = self.now.plus(span);
         while let Some(next) = self.tasks.first_entry() {
@@ -357,7 +359,7 @@
 
     fn conclude(&mut self, host: usize, id: RequestId, conclusion: &Conclusion, cause: &Cause) {
         if let Conclusion::Refused(refusal) = conclusion {
-            // A refusal by a peer was checked where it was sent.
+            // A refusal by a peer was checked when the peer sent it.
             if cause.delivery.is_none() {
                 self.check_shed_order(host, id, refusal.reason());
             }
@@ -372,7 +374,7 @@
         self.oracle.concluded(id, conclusion);
     }
 
-    /// Nothing is shed while its owner keeps work of a lower tier queued.
+    /// Check that no request is shed while its owner has work of a lower tier queued.
     fn check_shed_order(&mut self, owner: usize, id: RequestId, reason: RefusalReason) {
         if !matches!(
             reason,
@@ -395,7 +397,7 @@
         }
     }
 
-    /// Take one step and check every promise.
+    /// Apply one step and check every invariant.
     pub fn apply(&mut self, event: FleetEvent) -> Result<(), Breach> {
         self.step += 1;
         self.inject_event(event);
@@ -408,13 +410,14 @@
         self.oracle.check()
     }
 
-    /// Let the faults end, and check what must hold then.
+    /// End the faults, let the system recover, and check the invariants of an idle
+    /// system.
     pub fn settle(&mut self) -> Result<(), Breach> {
         self.end_faults();
         for round in 0..40u8 {
             self.advance(Duration::from_millis(500));
-            // After a while of peace a target leaves and rules change, while
-            // work goes on.
+            // Once the fleet has recovered, a target leaves and the rules change
+            // under load.
             if round == 26 {
                 self.publish_final_changes();
             }
@@ -430,7 +433,7 @@
     }
 }
 
-/// Get the number of a host.
+/// Get the index of a host.
 fn host_index(name: &str) -> usize {
     let found = HOSTS.iter().position(|host| *host == name);
     found.expect("a host of this world")
--- a/bergamotswitch-core/tests/fleet_simulation/network.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/network.rs
@@ -1,15 +1,15 @@
-//! Provides the network: links that carry letters, cuts and timeouts.
+//! Provides the simulated network: links, messages in transit, cuts and timeouts.
 
 use super::*;
 
 const LATENCY: Duration = Duration::from_millis(1);
 const REDIAL: Duration = Duration::from_millis(500);
-/// How long a link's pings go unanswered before both ends drop it.
+/// The time without answered pings after which both ends drop a link.
 const LINK_TIMEOUT: Duration = Duration::from_secs(4);
-/// TCP sends again what a cut path lost.
+/// The interval at which TCP retransmits what a cut path lost.
 const RESEND: Duration = Duration::from_millis(200);
 
-/// A `Letter` is a message on its way over one link.
+/// A `Delivery` is a message in transit over one link.
 #[derive(Clone, Debug)]
 pub struct Delivery {
     pub from: usize,
@@ -17,14 +17,14 @@
     pub link: u64,
     pub run: HostIncarnation,
     pub sent_at: Moment,
-    /// The order that a permit comes from.
+    /// The grant, where the message carries a permit.
     pub(super) grant: Option<Grant>,
     pub message: LinkMessage,
 }
 
 #[derive(Debug, Default)]
 pub struct Network {
-    /// The links that are up, each with its number.
+    /// The links that are up, each with a unique number.
     pub links: BTreeMap<(usize, usize), u64>,
     pub cuts: BTreeSet<(usize, usize)>,
     count: u64,
@@ -89,7 +89,8 @@
         self.network.cuts.contains(&(a, b)) || self.network.cuts.contains(&(b, a))
     }
 
-    /// Set up the links that one end wants, and drop those that none wants.
+    /// Establish the links that at least one end wants, and drop those that no end
+    /// wants.
     pub(super) fn dial(&mut self) {
         for a in 0..HOSTS.len() {
             for b in a + 1..HOSTS.len() {
@@ -115,7 +116,7 @@
         self.notify_ends(a, b, LinkEvent::Up);
     }
 
-    /// Drop a link, and with it all letters that are on their way.
+    /// Drop a link together with its messages in transit.
     pub(super) fn link_down(&mut self, a: usize, b: usize) {
         if self.network.links.remove(&ends(a, b)).is_some() {
             self.notify_ends(a, b, LinkEvent::Down);
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Cut paths one way each, for a while.
+    /// Cut each path in one direction for the time `span`.
     pub(super) fn cut(&mut self, cuts: Vec<(usize, usize)>, span: Duration) {
         self.faults += 1;
         for (a, b) in &cuts {
--- a/bergamotswitch-core/tests/fleet_simulation/platform.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/platform.rs
@@ -1,5 +1,5 @@
-//! Provides the platform: the configuration service and the host list, with
-//! outages and a replica that is behind.
+//! Provides the simulated platform: the configuration service and the host list,
+//! with outages and stale reads.
 
 use bergamotswitch_core::revision::PublishedValue;
 use serde_json::{Value, json};
@@ -10,13 +10,13 @@
 const SERVICE_TIME: Duration = Duration::from_millis(3);
 const WATCH_TIME: Duration = Duration::from_secs(30);
 
-/// A `ServiceCall` is a read or a watch that is under way.
+/// A `ServiceCall` is a pending read or watch of a published value.
 #[derive(Clone, Debug)]
 pub struct ServiceCall {
     number: u64,
     value: ValueName,
     after: Option<Revision>,
-    /// Whether the answer is due; else the watch has waited in vain.
+    /// Whether there is a revision to answer with. Otherwise the watch times out.
     due: bool,
 }
 
@@ -30,10 +30,10 @@
 #[derive(Debug, Default)]
 pub struct Platform {
     values: BTreeMap<ValueName, Vec<Published>>,
-    /// While it is behind, each value's revision that it still tells.
+    /// The old revision served for each value while reads are stale.
     stale_positions: Option<BTreeMap<ValueName, usize>>,
     pub up: bool,
-    /// The target that the list calls leaving, and since when.
+    /// The target listed as leaving, and since when.
     pub leaving: Option<(usize, Moment)>,
     count: u64,
 }
@@ -53,7 +53,8 @@
     json!({"hosts": hosts, "targets": targets})
 }
 
-/// The target `t1` promises nothing; a refusal of the others means "not run".
+/// Get the pools. A refusal by `t1` leaves open whether the request was run; a refusal
+/// by another target means that it was not.
 fn pools_body() -> Value {
     let target = |index: usize| {
         json!({"name": TARGETS[index], "domain": DOMAINS[index % 2],
@@ -125,7 +126,7 @@
         self.recheck_watches();
     }
 
-    /// Have a target leave, or all be back.
+    /// Publish a host list with one leaving target, or with none.
     pub(super) fn publish_leaving(&mut self, target: Option<usize>) {
         self.count("host lists");
         self.platform.leaving = target.map(|target| (target, self.now));
@@ -139,7 +140,7 @@
         self.publish_leaving(Some(0));
     }
 
-    /// The service answers nothing, or what it knew some revisions ago.
+    /// Have the service fail every call, or serve old revisions if `stale`.
     pub(super) fn fail_service(&mut self, stale: bool, span: Duration) {
         if !self.platform.up || self.platform.stale_positions.is_some() {
             return;
@@ -169,7 +170,7 @@
         self.recheck_watches();
     }
 
-    /// Have each watch that waits look again.
+    /// Recheck each pending watch for a revision to answer with.
     fn recheck_watches(&mut self) {
         let waits = |task: &ScheduledTask| match task {
             ScheduledTask::Answer(_, _, call) => !call.due,
@@ -217,7 +218,7 @@
 
     pub(super) fn answer(&mut self, host: usize, call: ServiceCall) {
         let here = &mut self.hosts[host];
-        // A later call takes the place of an earlier one.
+        // A later call replaces an earlier one for the same value.
         if here.calls.get(&call.value) != Some(&call.number) {
             return;
         }
@@ -230,8 +231,8 @@
         self.handle(host, event);
     }
 
-    /// A revision in force is one that was published and passed the check,
-    /// and never lower than an earlier one of the same run.
+    /// Record the revisions in force on a host. Check that each is valid and not lower
+    /// than an earlier one of the same process.
     pub(super) fn record_in_force(&mut self, host: usize) {
         let Some(core) = &self.hosts[host].core else {
             return;
@@ -248,9 +249,9 @@
         }
     }
 
-    /// The newest good revision is in force on each host that has run, beside
-    /// a service that answers, for long enough: no cut between hosts may keep
-    /// it from there.
+    /// Check that the newest valid revision is in force on each host that has been
+    /// running for long enough while the service was available. Partitions between
+    /// hosts must not prevent that.
     pub(super) fn check_in_force(&mut self) {
         for host in 0..HOSTS.len() {
             let here = &self.hosts[host];
--- a/bergamotswitch-core/tests/fleet_start.rs
+++ b/bergamotswitch-core/tests/fleet_start.rs
@@ -1,4 +1,4 @@
-//! A fleet whose hosts all start at once.
+//! Tests of the start of a fleet whose hosts all start at once.
 
 use bergamotswitch_core::clock::Moment;
 use bergamotswitch_core::failure_domain::DomainName;
@@ -27,16 +27,16 @@
     reads.collect()
 }
 
-// Symptom: a fleet that starts together serves only after three seconds, and
-// every host calls itself alone.
-// Sequence: each host reads the host list, waits for a peer to vouch before
-// it reads on, and refuses its peers' links because it has no key yet.
-// Cause: the links' key stands in the limits, which were read only after the
-// wait that needs the links.
+// Guards against a delayed start when all hosts start together: the link key is part
+// of the limits, so these must be read before a host waits for its peers over links.
 #[test]
 fn key_read_first() {
     let reads = first_reads();
     assert!(reads.iter().any(|name| name == LIMITS_VALUE), "{reads:?}");
     assert!(reads.iter().any(|name| name == HOSTS_VALUE), "{reads:?}");
-    assert_eq!(reads.len(), 2, "the rest waits for peers: {reads:?}");
+    assert_eq!(
+        reads.len(),
+        2,
+        "other values must wait for peers: {reads:?}"
+    );
 }
--- a/bergamotswitch-core/tests/host_pauses.rs
+++ b/bergamotswitch-core/tests/host_pauses.rs
@@ -1,5 +1,4 @@
-//! Quotas of client accounts around hosts whose processes stand still for a
-//! second or two.
+//! Tests of client account quotas when host processes are paused for a few seconds.
 
 mod quota_fleet;
 
@@ -7,18 +6,17 @@
 use bergamotswitch_core::refusal::RefusalReason;
 use quota_fleet::*;
 
-/// What an account may use in one window over all hosts.
+/// The units that an account may use in one window over all hosts.
 const MAX_UNITS: f64 = ((RATE * 8 + BURST) as f64) * (1.0 + OVERAGE);
 
-/// The busy account's calls in each step of 5 ms: four times its quota.
+/// The calls of the `busy` account per step of 5 ms, at four times its quota.
 const BUSY_CALLS: usize = 2;
 
-/// The calm account's calls are this far apart, in milliseconds: half of its
-/// quota.
+/// The milliseconds between calls of the `calm` account, at half of its quota.
 const CALM_INTERVAL_MS: u64 = 20;
 
-/// Standstills that peers hardly notice, that move the order of a shard, and
-/// that the process itself takes for a pause.
+/// Pauses that peers don't detect, that cause an owner change, and that the process
+/// itself detects.
 const PAUSES_MS: [u64; 5] = [500, 900, 1_400, 1_900, 3_000];
 
 fn traffic(fleet: &mut QuotaFleet) {
@@ -39,7 +37,7 @@
     );
 }
 
-/// Let one host of a fleet stand still for a while and go on.
+/// Pause the process of a host and resume it.
 fn pause_host(fleet: &mut QuotaFleet, index: usize, span_ms: u64) {
     fleet.pause(index);
     fleet.pass(Duration::from_millis(span_ms), traffic);
@@ -47,7 +45,7 @@
     fleet.pass(Duration::from_secs(8), traffic);
 }
 
-// Guards against 429 for accounts within their quota when an owner is late.
+// Guards against 429 for accounts within their quota when an owner is paused.
 #[test]
 fn paused_owner() {
     for span_ms in PAUSES_MS {
@@ -55,12 +53,12 @@
         fleet.pass(Duration::from_secs(4), traffic);
         let owner = fleet.owner();
         pause_host(&mut fleet, owner, span_ms);
-        assert_quotas(&fleet, &format!("owner late by {span_ms} ms"));
+        assert_quotas(&fleet, &format!("owner paused for {span_ms} ms"));
     }
 }
 
-// Guards against 429 for accounts within their quota when a host that owns
-// nothing is late.
+// Guards against 429 for accounts within their quota when a host that owns no shard
+// is paused.
 #[test]
 fn paused_entry() {
     for span_ms in PAUSES_MS {
@@ -68,12 +66,12 @@
         fleet.pass(Duration::from_secs(4), traffic);
         let entry = (fleet.owner() + 1) % HOSTS;
         pause_host(&mut fleet, entry, span_ms);
-        assert_quotas(&fleet, &format!("host late by {span_ms} ms"));
+        assert_quotas(&fleet, &format!("host paused for {span_ms} ms"));
     }
 }
 
-// Guards against 429 for accounts within their quota when the host that has
-// taken a shard over is late in turn.
+// Guards against 429 for accounts within their quota when the host that has taken
+// over a shard is paused as well.
 #[test]
 fn paused_successor() {
     for span_ms in PAUSES_MS {
@@ -85,12 +83,12 @@
         let second = fleet.owner();
         fleet.resume(first);
         pause_host(&mut fleet, second, span_ms);
-        assert_quotas(&fleet, &format!("successor late by {span_ms} ms"));
+        assert_quotas(&fleet, &format!("successor paused for {span_ms} ms"));
     }
 }
 
-// Guards against calls that are refused as overloaded, although targets come free
-// in time, because they are asked for anew after an owner stood still.
+// Guards against refusing queued calls as overloaded, although slots become free in
+// time, because their permits are requested again after the owner was paused.
 #[test]
 fn waiting_calls() {
     const CALLS: usize = 12;
@@ -98,7 +96,7 @@
         let latency = Duration::from_millis(5);
         let mut fleet = QuotaFleet::start_with_targets((1, 2), latency, EntryOptions::default());
         fleet.fails_every = u64::MAX;
-        // An owner that has seen no run refuses by the size of calls alone.
+        // Without a recorded run time, an owner refuses calls by their size alone.
         fleet.send("calm", 2);
         fleet.pass(Duration::from_secs(1), |_| {});
         fleet.calls.clear();
@@ -115,8 +113,8 @@
     }
 }
 
-// Guards against 429 for accounts within their quota after the death of an
-// owner, and against more than their quota.
+// Guards against 429 for accounts within their quota after an owner crashed, and
+// against use beyond the quota.
 #[test]
 fn lost_owner() {
     for back_ms in [300, 1_000, 5_000] {
--- a/bergamotswitch-core/tests/quota_fleet/mod.rs
+++ b/bergamotswitch-core/tests/quota_fleet/mod.rs
@@ -1,7 +1,7 @@
-//! A fleet of whole hosts in virtual time that find each other by their roster
-//! and keep the quotas of client accounts and the retry budget of a pool.
+//! Provides a simulated fleet of whole hosts in virtual time, which discover each
+//! other by gossip and enforce client account quotas and a pool's retry budget.
 
-#![allow(dead_code)] // Each test file uses a part of it.
+#![allow(dead_code)] // No test file uses all of these helpers.
 
 mod setup;
 mod values;
@@ -24,15 +24,15 @@
 pub use setup::{name, shard};
 use values::{published, submission};
 
-/// The hosts of the fleet.
+/// The number of hosts in the fleet.
 pub const HOSTS: usize = 8;
 
-/// The units a second of each account, and those at once.
+/// The quota of each account: units per second, and units in a burst.
 pub const RATE: u64 = 100_000;
 pub const BURST: u64 = 100_000;
 
-/// The window of quotas, how much more may be used in it, and the part of that
-/// which an owner gives to bursts.
+/// The quota window, the fraction by which use within it may exceed the quota, and
+/// the part of that fraction which an owner grants for bursts.
 pub const WINDOW: Duration = Duration::from_secs(8);
 pub const OVERAGE: f64 = 0.25;
 const BURST_PART: f64 = 0.75;
@@ -45,29 +45,29 @@
 const READ_TIME: Duration = Duration::from_millis(20);
 const TARGETS: (usize, u32) = (4, 500);
 
-/// One first run in so many fails where a test says nothing else.
+/// By default, one in this many first attempts fails.
 const FAILS_EVERY: u64 = 7;
 const CONNECT_REFUSED_AFTER: Duration = Duration::from_millis(2);
 const RUN_TIME: Duration = Duration::from_millis(150);
 
-/// A `CallRecord` is what became of one call.
+/// A `CallRecord` is the history of one call.
 #[derive(Debug)]
 pub struct CallRecord {
     pub account: &'static str,
     pub sent_at: Moment,
-    /// When it first reached a target.
+    /// When a target first ran it.
     pub ran_at: Option<Moment>,
     pub refusal: Option<RefusalReason>,
     pub refused_at: Option<Moment>,
 }
 
-/// A `FleetHost` is one host, with the process that runs on it now.
+/// A `FleetHost` is a host with its current process, if one is running.
 struct FleetHost {
     core: Option<NodeCore>,
     run: HostIncarnation,
     started_at: Moment,
     wanted: BTreeSet<usize>,
-    /// What waits for a process that stands still.
+    /// The deliveries that a paused process receives once it resumes.
     paused_queue: Option<Vec<Delivery>>,
 }
 
@@ -80,7 +80,7 @@
 }
 
 impl Delivery {
-    /// Get the host whose process takes the parcel.
+    /// Get the host whose process receives the delivery.
     fn receiver(&self) -> usize {
         match self {
             Delivery::Message(_, to, _)
@@ -92,19 +92,19 @@
     }
 }
 
-/// A `QuotaFleet` is the fleet, its network and what its callers have seen.
+/// A `QuotaFleet` is a simulated fleet with its network, targets and callers.
 pub struct QuotaFleet {
     pub now: Moment,
     pub calls: BTreeMap<RequestId, CallRecord>,
-    /// When hosts began and ceased to order the shard.
+    /// When each host acquired (`true`) or released the ownership of the shard.
     pub ownership_changes: Vec<(Moment, usize, bool)>,
-    /// When calls were sent to a target once more.
+    /// When calls were retried at a target.
     pub retries: Vec<Moment>,
-    /// One first run in so many fails, and its call is sent once more.
+    /// One in this many first attempts fails and is retried.
     pub fails_every: u64,
-    /// Whether all runs fail.
+    /// Whether all attempts fail.
     pub all_fail: bool,
-    /// The targets that cannot be reached, and when calls met them.
+    /// The targets that refuse connections, and when attempts failed to connect.
     pub unreachable: BTreeSet<String>,
     pub connect_failures: Vec<Moment>,
     targets: (usize, u32),
@@ -115,23 +115,23 @@
     deliveries: BTreeMap<(Moment, u64), (Incarnation, Delivery)>,
     count: u64,
     latency: Duration,
-    /// How much later than that a host's processor takes things in.
+    /// The delay of each host's processing, in addition to the latency.
     processing_delays: [Duration; HOSTS],
     next_host: usize,
 }
 
 impl QuotaFleet {
-    /// Start a fleet whose messages take this long, and let it settle.
+    /// Start a fleet with this link latency, and run it until it is ready.
     pub fn start(latency: Duration) -> Self {
         Self::start_with(latency, EntryOptions::default())
     }
 
-    /// Start such a fleet whose entry desks have these options.
+    /// Start a fleet with these options of the entry side.
     pub fn start_with(latency: Duration, entry: EntryOptions) -> Self {
         Self::start_with_targets(TARGETS, latency, entry)
     }
 
-    /// Start such a fleet before so many targets of so many slots.
+    /// Start a fleet with this number of targets and of slots per target.
     pub fn start_with_targets(
         targets: (usize, u32),
         latency: Duration,
@@ -172,7 +172,7 @@
             host: entry.name,
             incarnation: Incarnation(u128::from(self.count)),
         };
-        // A process's clock begins with the process.
+        // The monotonic clock of a process starts at zero.
         let core = NodeCore::new(
             run.clone(),
             entry.domain,
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Let time pass; `each` happens at every step.
+    /// Advance the clock, and call `each` after every step.
     pub fn pass(&mut self, span: Duration, mut each: impl FnMut(&mut Self)) {
         let end = self.now.plus(span);
         while self.now < end {
@@ -214,12 +214,12 @@
         }
     }
 
-    /// Let a host's process stand still: what is sent to it waits.
+    /// Pause a host's process and queue all deliveries to it.
     pub fn pause(&mut self, index: usize) {
         self.hosts[index].paused_queue = Some(Vec::new());
     }
 
-    /// Let a host's process go on, with all that waits for it.
+    /// Resume a host's process and pass it the queued deliveries.
     pub fn resume(&mut self, index: usize) {
         let run = self.hosts[index].run.incarnation;
         for delivery in self.hosts[index].paused_queue.take().unwrap_or_default() {
@@ -227,7 +227,8 @@
         }
     }
 
-    /// Get the host that orders the shard, as most see it: the last to begin.
+    /// Get the owner of the shard. If several hosts own it, it is the latest to acquire
+    /// it.
     pub fn owner(&self) -> usize {
         let owns = |index: &usize| {
             let core = self.hosts[*index].core.as_ref();
@@ -241,17 +242,17 @@
             .expect("an owner")
     }
 
-    /// Let a host's processor take everything in this much later.
+    /// Delay a host's processing of all deliveries.
     pub fn slow(&mut self, index: usize, lag: Duration) {
         self.processing_delays[index] = lag;
     }
 
-    /// Begin a planned stop.
+    /// Begin the planned stop of a host.
     pub fn stop(&mut self, index: usize) {
         self.handle(index, NodeEvent::Stop);
     }
 
-    /// End a host's process.
+    /// Terminate a host's process.
     pub fn end(&mut self, index: usize) {
         self.hosts[index].core = None;
         self.hosts[index].wanted.clear();
@@ -266,12 +267,12 @@
         }
     }
 
-    /// Start a host's next process.
+    /// Start a new process of a host.
     pub fn restart(&mut self, index: usize) {
         self.hosts[index] = self.new_process(index);
     }
 
-    /// Send calls of an account, each at the next host that takes callers.
+    /// Send calls of an account to the hosts that accept calls, in round-robin order.
     pub fn send(&mut self, account: &'static str, calls: usize) {
         for _ in 0..calls {
             self.send_one(account);
@@ -292,7 +293,7 @@
         }
     }
 
-    /// Send a call to the next host that is not this one.
+    /// Send a call to the next host other than `index`.
     pub fn send_avoiding(&mut self, index: usize, account: &'static str) {
         if (self.next_host + 1) % HOSTS == index {
             self.next_host = index;
@@ -300,7 +301,7 @@
         self.send_one(account);
     }
 
-    /// Hand a call to a host; get whether it took it.
+    /// Submit a call to a host, and get whether the host accepted it.
     fn submit(&mut self, index: usize, account: &'static str, sent_at: Moment) -> bool {
         let local_now = self.process_time(index);
         let core = self.hosts[index].core.as_mut();
@@ -324,8 +325,8 @@
         true
     }
 
-    /// Get the most units of an account that were both sent and run in one
-    /// window, over all hosts, and where it began.
+    /// Get the largest number of an account's units that were both sent and run within
+    /// one window over all hosts, and the start of that window.
     pub fn most_in_window(&self, account: &str) -> (u64, Moment) {
         let calls = self.calls.values().filter(|call| call.account == account);
         let ran = calls.filter_map(|call| Some((call.sent_at, call.ran_at?)));
@@ -341,13 +342,13 @@
             .unwrap_or((0, Moment::START))
     }
 
-    /// Get how many calls of an account were refused for this reason.
+    /// Get the number of an account's calls refused for this reason.
     pub fn refused(&self, account: &str, reason: RefusalReason) -> usize {
         let calls = self.calls.values().filter(|call| call.account == account);
         calls.filter(|call| call.refusal == Some(reason)).count()
     }
 
-    /// Get how many calls ran at a target.
+    /// Get the number of attempts that a target ran.
     pub fn served_by(&self, target: &str) -> usize {
         self.served.get(target).copied().unwrap_or(0)
     }
@@ -477,7 +478,7 @@
         self.post(to, self.latency, Delivery::Gossip(to, Box::new(message)));
     }
 
-    /// Let a call meet a target that refuses the connection.
+    /// Fail an attempt because its target refuses the connection.
     fn refuse_connection(&mut self, index: usize, attempt: AttemptId) {
         self.connect_failures.push(self.now);
         let event = AttemptEvent::NotSent(NotSentReason::ConnectFailed);
--- a/bergamotswitch-core/tests/quota_fleet/setup.rs
+++ b/bergamotswitch-core/tests/quota_fleet/setup.rs
@@ -1,4 +1,4 @@
-//! How the hosts of the fleet are made, and what their runs use.
+//! Provides the names and options of the fleet's hosts, and the usage of an attempt.
 
 use std::time::Duration;
 
--- a/bergamotswitch-core/tests/quota_fleet/values.rs
+++ b/bergamotswitch-core/tests/quota_fleet/values.rs
@@ -1,4 +1,4 @@
-//! What is published to the fleet, and what its callers ask for.
+//! Provides the values published to the fleet, and the submissions of its callers.
 
 use std::time::Duration;
 
--- a/bergamotswitch-core/tests/quota_handover.rs
+++ b/bergamotswitch-core/tests/quota_handover.rs
@@ -1,20 +1,18 @@
-//! Quotas of client accounts while hosts are stopped and started in turn.
+//! Tests of client account quotas while hosts are restarted in turn.
 
 mod quota_fleet;
 
 use bergamotswitch_core::refusal::RefusalReason;
 use quota_fleet::*;
 
-/// What an account may use in one window over all hosts. The slack that the
-/// users allow beyond it is left to calls of other pools, of which there are
-/// none here.
+/// The units that an account may use in one window over all hosts. The additional
+/// tolerance for calls of other pools is left out, as there is only one pool.
 const MAX_UNITS: f64 = ((RATE * 8 + BURST) as f64) * (1.0 + OVERAGE);
 
-/// The busy account's calls in each step of 5 ms: four times its quota.
+/// The calls of the `busy` account per step of 5 ms, at four times its quota.
 const BUSY_CALLS: usize = 2;
 
-/// The calm account's calls are this far apart, in milliseconds: half of its
-/// quota.
+/// The milliseconds between calls of the `calm` account, at half of its quota.
 const CALM_INTERVAL_MS: u64 = 20;
 
 fn traffic(fleet: &mut QuotaFleet) {
@@ -35,7 +33,7 @@
     assert!(most as f64 >= least, "{case}: only {most}");
 }
 
-/// Assert that an account within its quota is hardly ever told that it is over.
+/// Assert that an account within its quota is rarely refused as over it.
 fn assert_rarely_refused(fleet: &QuotaFleet, case: &str) {
     let refused = fleet.refused("calm", RefusalReason::OverQuota);
     let calls = fleet.calls.values();
@@ -55,28 +53,23 @@
     }
 }
 
-// Symptom: an account far over its quota uses a third more than is allowed in
-// eight seconds around a planned stop. Sequence: the owner of its pool's order
-// is stopped; another host takes over, and the account goes on at its quota
-// there. The first one starts again and, as the first of the candidates, orders
-// the pool at once beside the other one, for two seconds; then all hosts turn
-// to it. Cause: its buckets filled in these two seconds too, so the account
-// found a whole burst there, besides what the other one had let in; and calls
-// that came to the host itself were let in by a second full quota.
+// Guards against use beyond the quota when a restarted owner takes its shard back:
+// while it and the acting owner overlap, the token buckets of both refill, so the
+// account must not get a second quota and burst from them.
 #[test]
 fn owner_returns() {
     for latency_ms in [1, 20, 60] {
         let mut fleet = QuotaFleet::start(Duration::from_millis(latency_ms));
         fleet.pass(Duration::from_secs(3), traffic);
         restart_in_turn(&mut fleet, 6);
-        let case = format!("links {latency_ms} ms late");
+        let case = format!("link latency {latency_ms} ms");
         assert_within_quota(&fleet, &case);
         assert_rarely_refused(&fleet, &case);
     }
 }
 
-// The same where processors are slow: a host learns late who orders the pool,
-// and for that long two hosts are asked.
+// Guards against use beyond the quota when a slow host learns of an owner change
+// late, so that two owners get permit requests meanwhile.
 #[test]
 fn slow_hosts() {
     for slow in 0..HOSTS {
@@ -90,9 +83,8 @@
     }
 }
 
-// Symptom and cause as above, with hosts stopped one after the other while the
-// ones before them still end their work: the order passes on several times
-// within one window.
+// Guards against use beyond the quota when overlapping restarts change the owner of
+// a shard several times within one window.
 #[test]
 fn rolling_restart() {
     for gap_ms in [400, 1_300, 2_500] {
@@ -113,11 +105,8 @@
     }
 }
 
-// Symptom: an account that had been silent is told that it is over its quota
-// at its first calls. Sequence: it may send a burst; the order of its pool
-// passes on, by a stop or back to a host that is up again; it sends the burst.
-// Cause: the next owner's buckets begin empty, or nearly so, and what had come
-// together at the former one was lost.
+// Guards against refusing the burst of an idle account after an owner change: the
+// new owner must take over the bucket levels of the former one.
 #[test]
 fn burst_after_handover() {
     const BURST_CALLS: usize = 80;
