--- a/bergamotswitch-core/tests/account_quotas.rs
+++ b/bergamotswitch-core/tests/account_quotas.rs
@@ -129,7 +129,7 @@
 // Guards against refusing a retry as over the quota after the call has run: a
 // retry takes no units, as the first attempt paid for them.
 #[test]
-fn sent_again() {
+fn retried_call() {
     let mut owner = owner(Moment::START);
     send_calls(&mut owner, 10_000, 11_000, &mut 0);
     let mut call = ask(10_001, 0, "busy");
--- a/bergamotswitch-core/tests/entry_simulation/engines.rs
+++ b/bergamotswitch-core/tests/entry_simulation/engines.rs
@@ -8,15 +8,15 @@
     pub(super) fn start(&mut self, host: usize, attempt: AttemptId, permit: Permit) {
         self.count("dispatches");
         self.oracle.dispatched(attempt.request);
-        let here = &mut self.hosts[host];
-        if here.draining.contains(&permit.target) {
+        let host_state = &mut self.hosts[host];
+        if host_state.draining.contains(&permit.target) {
             self.oracle.breach(Breach::LeavingTarget);
         }
-        if self.grant_steps[&permit.id] < here.resumed_at {
+        if self.grant_steps[&permit.id] < host_state.resumed_at {
             self.oracle.breach(Breach::StalePermit);
         }
         let attempt_state = RunningAttempt { permit, ran: false };
-        if here.running.insert(attempt, attempt_state).is_some() {
+        if host_state.running.insert(attempt, attempt_state).is_some() {
             self.oracle.breach(Breach::DispatchOnce);
         }
     }
--- a/bergamotswitch-core/tests/entry_simulation/mod.rs
+++ b/bergamotswitch-core/tests/entry_simulation/mod.rs
@@ -249,9 +249,9 @@
     }
 
     fn stopped(&mut self, host: usize) {
-        let here = &mut self.hosts[host];
-        here.stopped = true;
-        let run = here.run.incarnation;
+        let host_state = &mut self.hosts[host];
+        host_state.stopped = true;
+        let run = host_state.run.incarnation;
         let open = |id: &RequestId| id.incarnation == run;
         let mut requests = self.oracle.requests.iter();
         if requests.any(|(id, request)| open(id) && request.conclusions == 0) {
--- a/bergamotswitch-core/tests/entry_simulation/owners.rs
+++ b/bergamotswitch-core/tests/entry_simulation/owners.rs
@@ -5,14 +5,14 @@
 
 impl EntrySimulation {
     pub(super) fn deliver_to_owner(&mut self, host: usize, owner: usize, message: OwnerMessage) {
-        let here = &mut self.owners[owner];
+        let owner_state = &mut self.owners[owner];
         match message {
             OwnerMessage::Ask(ask) => self.handle_ask(host, owner, *ask),
             OwnerMessage::Withdraw { attempt, .. } => {
-                here.pending.remove(&attempt);
+                owner_state.pending.remove(&attempt);
             }
             OwnerMessage::Release { release, .. } => {
-                here.granted.remove(&release.attempt);
+                owner_state.granted.remove(&release.attempt);
             }
             OwnerMessage::Resync { .. }
             | OwnerMessage::NotHeld { .. }
--- a/bergamotswitch-core/tests/fleet_fuzz.rs
+++ b/bergamotswitch-core/tests/fleet_fuzz.rs
@@ -160,13 +160,13 @@
     })
 }
 
-fn is_second_run(breach: Option<Breach>) -> bool {
+fn is_duplicate_run(breach: Option<Breach>) -> bool {
     matches!(breach, Some(Breach::DispatchOnce | Breach::RunOnce))
 }
 
 #[test]
 fn retry_after_dispatch() {
-    assert!(is_second_run(find_breach_of_fault(
+    assert!(is_duplicate_run(find_breach_of_fault(
         Fault::RetryAfterDispatch
     )));
 }
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn key_alone() {
+fn key_without_account() {
     assert_eq!(
         find_breach_of_fault(Fault::KeyWithoutAccount),
         Some(Breach::OwnAnswer)
@@ -194,7 +194,7 @@
 #[test]
 fn claims_dropped() {
     // Permit requests from other hosts reach the owner without their key claims.
-    assert!(is_second_run(find_breach(&FleetOptions {
+    assert!(is_duplicate_run(find_breach(&FleetOptions {
         drop_claims: true,
         ..FleetOptions::default()
     })));
--- a/bergamotswitch-core/tests/fleet_simulation/calls.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/calls.rs
@@ -31,11 +31,11 @@
 
     pub(super) fn submit(&mut self, host: usize, identity: CallerIdentity, submission: Submission) {
         let now = self.now;
-        let here = &mut self.hosts[host];
-        let address_expired = here
+        let host_state = &mut self.hosts[host];
+        let address_expired = host_state
             .stopping_since
             .is_some_and(|at| now > at.plus(ADDRESS_LIFETIME));
-        let Some(core) = here.core.as_mut().filter(|_| !address_expired) else {
+        let Some(core) = host_state.core.as_mut().filter(|_| !address_expired) else {
             return self.count("no answer");
         };
         let (outcome, actions) = core.submit(now, submission.clone());
@@ -49,7 +49,7 @@
             SubmitOutcome::Attached(id) => {
                 self.count("attached");
                 self.oracle.attached(id, &identity, submission.fingerprint);
-                if self.hosts[host].forgotten.contains(&id) {
+                if self.hosts[host].dropped_answers.contains(&id) {
                     self.oracle.breach(Breach::OwnAnswer);
                 }
             }
@@ -105,9 +105,9 @@
 
     /// Begin the planned stop of a host.
     pub(super) fn stop(&mut self, host: usize) {
-        let here = &self.hosts[host];
-        let running = here.core.is_some() && here.paused_queue.is_none();
-        if !running || here.stopping_since.is_some() {
+        let host_state = &self.hosts[host];
+        let running = host_state.core.is_some() && host_state.paused_queue.is_none();
+        if !running || host_state.stopping_since.is_some() {
             return;
         }
         self.count("stops");
@@ -124,17 +124,17 @@
     /// End a stopping process once it is idle and every published answer with its
     /// address has expired.
     pub(super) fn end_stop(&mut self, host: usize) {
-        let here = &self.hosts[host];
-        let (Some(core), Some(since)) = (&here.core, here.stopping_since) else {
+        let host_state = &self.hosts[host];
+        let (Some(core), Some(since)) = (&host_state.core, host_state.stopping_since) else {
             return;
         };
         if self.now <= since.plus(ADDRESS_LIFETIME) || !core.is_idle() {
             return;
         }
-        let run = here.run.incarnation;
+        let run = host_state.run.incarnation;
         let mut requests = self.oracle.requests.iter();
         let cut = requests.any(|(id, request)| id.incarnation == run && request.conclusions == 0);
-        if cut || !here.running.is_empty() {
+        if cut || !host_state.running.is_empty() {
             self.oracle.breach(Breach::StopCut);
         }
         self.count("stops ended");
--- a/bergamotswitch-core/tests/fleet_simulation/faults.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/faults.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// The shortest pause that a host is sure to detect: two seconds and a tick.
-const NOTICED_PAUSE: Duration = Duration::from_millis(2_200);
+const DETECTED_PAUSE: Duration = Duration::from_millis(2_200);
 
 impl FleetSimulation {
     pub(super) fn inject_event(&mut self, event: FleetEvent) {
@@ -130,10 +130,10 @@
         for peer in (0..HOSTS.len()).filter(|peer| *peer != host) {
             self.link_down(host, peer);
         }
-        let here = &mut self.hosts[host];
-        here.core = None;
-        here.paused_queue = None;
-        here.wanted.clear();
+        let host_state = &mut self.hosts[host];
+        host_state.core = None;
+        host_state.paused_queue = None;
+        host_state.wanted.clear();
         self.acting.retain(|(at, _)| *at != host);
         // Ends the ownership terms of the process.
         let owned_shards: Vec<_> = self.ownership_changes.keys().cloned().collect();
@@ -143,17 +143,17 @@
     }
 
     fn pause(&mut self, host: usize, span: Duration, b: u8) {
-        let here = &mut self.hosts[host];
-        if here.core.is_none() || here.paused_queue.is_some() {
+        let host_state = &mut self.hosts[host];
+        if host_state.core.is_none() || host_state.paused_queue.is_some() {
             return;
         }
         self.count("pauses");
         self.faults += 1;
         self.last_change_at = self.now;
         self.last_network_fault_at = self.now;
-        let here = &mut self.hosts[host];
-        here.paused_queue = Some(Vec::new());
-        here.paused_at = self.now;
+        let host_state = &mut self.hosts[host];
+        host_state.paused_queue = Some(Vec::new());
+        host_state.paused_at = self.now;
         let span = span + Duration::from_secs(u64::from(b % 3));
         self.post(span, ScheduledTask::Resume(host, self.now));
     }
@@ -171,7 +171,7 @@
         };
         self.last_change_at = self.now;
         self.last_network_fault_at = self.now;
-        if self.now.since(since) > NOTICED_PAUSE {
+        if self.now.since(since) > DETECTED_PAUSE {
             self.hosts[host].resumed_at = self.now;
         }
         self.hosts[host].running_since = self.now;
--- a/bergamotswitch-core/tests/fleet_simulation/mod.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/mod.rs
@@ -95,7 +95,7 @@
     calls: BTreeMap<ValueName, u64>,
     in_force: BTreeMap<ValueName, Revision>,
     running: BTreeSet<AttemptId>,
-    forgotten: BTreeSet<RequestId>,
+    dropped_answers: BTreeSet<RequestId>,
 }
 
 impl FleetHost {
@@ -112,7 +112,7 @@
             calls: BTreeMap::new(),
             in_force: BTreeMap::new(),
             running: BTreeSet::new(),
-            forgotten: BTreeSet::new(),
+            dropped_answers: BTreeSet::new(),
         }
     }
 }
@@ -306,7 +306,7 @@
                     self.conclude(host, id, &conclusion, cause);
                 }
                 NodeAction::DropAnswer(id) => {
-                    self.hosts[host].forgotten.insert(id);
+                    self.hosts[host].dropped_answers.insert(id);
                 }
                 NodeAction::Forward(id, holder) => self.forward_to_holder(id, holder),
                 NodeAction::LogIncident(incident, text) => {
--- a/bergamotswitch-core/tests/fleet_simulation/platform.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/platform.rs
@@ -199,9 +199,9 @@
     pub(super) fn call(&mut self, host: usize, value: ValueName, after: Option<Revision>) {
         self.platform.count += 1;
         let number = self.platform.count;
-        let here = &mut self.hosts[host];
-        here.calls.insert(value.clone(), number);
-        let run = here.run.incarnation;
+        let host_state = &mut self.hosts[host];
+        host_state.calls.insert(value.clone(), number);
+        let run = host_state.run.incarnation;
         let due = self.is_due(&value, after);
         let wait = match due {
             true => SERVICE_TIME,
@@ -217,12 +217,12 @@
     }
 
     pub(super) fn answer(&mut self, host: usize, call: ServiceCall) {
-        let here = &mut self.hosts[host];
+        let host_state = &mut self.hosts[host];
         // A later call replaces an earlier one for the same value.
-        if here.calls.get(&call.value) != Some(&call.number) {
+        if host_state.calls.get(&call.value) != Some(&call.number) {
             return;
         }
-        here.calls.remove(&call.value);
+        host_state.calls.remove(&call.value);
         let event = match (self.platform.up, call.due) {
             (false, _) => NodeEvent::ReadFailed(call.value),
             (true, true) => NodeEvent::Read(self.platform.served(&call.value).value.clone()),
@@ -254,20 +254,23 @@
     /// hosts must not prevent that.
     pub(super) fn check_in_force(&mut self) {
         for host in 0..HOSTS.len() {
-            let here = &self.hosts[host];
-            if here.core.is_none() || here.paused_queue.is_some() {
+            let host_state = &self.hosts[host];
+            if host_state.core.is_none() || host_state.paused_queue.is_some() {
                 continue;
             }
             for (value, history) in &self.platform.values {
                 let Some(newest) = history.last().filter(|newest| newest.good) else {
                     continue;
                 };
-                let since = newest.at.max(here.running_since).max(self.service_since);
+                let since = newest
+                    .at
+                    .max(host_state.running_since)
+                    .max(self.service_since);
                 if self.now <= since.plus(IN_FORCE_WITHIN) {
                     continue;
                 }
                 *self.reach.entry("in force").or_default() += 1;
-                if here.in_force.get(value) != Some(&newest.value.revision) {
+                if host_state.in_force.get(value) != Some(&newest.value.revision) {
                     self.oracle.breach(Breach::RevisionLate);
                 }
             }
