--- a/bergamotswitch-core/tests/entry_simulation/engines.rs
+++ b/bergamotswitch-core/tests/entry_simulation/engines.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Report a drawn event for one of the host's running attempts.
+    /// Report an event of one of the host's running attempts.
     pub(super) fn advance_attempt(&mut self, host: usize, b: u8, c: u8) {
         let running: Vec<AttemptId> = self.hosts[host].running.keys().copied().collect();
         let Some(attempt) = pick(&running, b) else {
--- a/bergamotswitch-core/tests/fleet_simulation/calls.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/calls.rs
@@ -1,5 +1,5 @@
-//! Provides the callers' side of the simulation, submissions, forwarding and
-//! disconnects, and planned stops of hosts.
+//! Provides the simulated callers, which submit, forward and abandon requests, and
+//! the planned stops of hosts.
 
 use bergamotswitch_core::refusal::RunClaim;
 
--- a/bergamotswitch-core/tests/fleet_simulation/engines.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/engines.rs
@@ -42,7 +42,7 @@
         let index = TARGETS
             .iter()
             .position(|name| *name == target.name.as_str());
-        let index = index.expect("a target of this world");
+        let index = index.expect("a target of this simulation");
         self.check_leaving(index);
         let grant = self.check_permit(host, attempt, cause);
         self.excuse_known_gap(attempt.request, grant);
--- a/bergamotswitch-core/tests/fleet_simulation/faults.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/faults.rs
@@ -186,7 +186,7 @@
     /// End all faults now.
     pub(super) fn end_faults(&mut self) {
         self.modes = Default::default();
-        // Other tasks keep their time.
+        // Runs the tasks that end a fault now; other tasks keep their time.
         let ends = self.tasks.iter().filter(|(_, task)| {
             matches!(
                 task,
--- a/bergamotswitch-core/tests/fleet_simulation/mod.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/mod.rs
@@ -436,5 +436,5 @@
 /// Get the index of a host.
 fn host_index(name: &str) -> usize {
     let found = HOSTS.iter().position(|host| *host == name);
-    found.expect("a host of this world")
+    found.expect("a host of this simulation")
 }
