--- a/bergamotswitch-core/tests/account_quotas.rs
+++ b/bergamotswitch-core/tests/account_quotas.rs
@@ -1,4 +1,4 @@
-//! Quotas of client accounts over all hosts.
+//! Tests of the quota that a shard's owner enforces for each client account.
 
 mod owner_bench;
 
@@ -32,15 +32,20 @@
         OwnerOptions::default(),
         now,
     );
-    let place = target("t", "d", 1_000_000_000);
-    owner.handle(now, OwnerEvent::Targets(vec![place]));
+    let pool_target = target("t", "d", 1_000_000_000);
+    owner.handle(now, OwnerEvent::Targets(vec![pool_target]));
     let rate = tolerance().rate(&quota(), 1);
     owner.handle(now, OwnerEvent::Quotas(vec![(named("busy"), rate)]));
     owner
 }
 
-/// Send ten calls every 10 ms and get the units that were let in.
-fn drive(owner: &mut ShardOwner, from_ms: u64, to_ms: u64, sequence: &mut u64) -> Vec<(u64, u32)> {
+/// Send ten calls every 10 ms and get the time and units of each granted call.
+fn send_calls(
+    owner: &mut ShardOwner,
+    from_ms: u64,
+    to_ms: u64,
+    sequence: &mut u64,
+) -> Vec<(u64, u32)> {
     let mut granted = Vec::new();
     for ms in (from_ms..to_ms).step_by(10) {
         for _ in 0..10 {
@@ -72,33 +77,32 @@
 #[test]
 fn bounded_window() {
     let mut owner = owner(Moment::START);
-    let granted = drive(&mut owner, 10_000, 30_000, &mut 0);
+    let granted = send_calls(&mut owner, 10_000, 30_000, &mut 0);
     let most = most_in_window(&granted);
     let in_window = 9 * RATE;
     assert!(most <= in_window * 125 / 100, "{most}");
     assert!(most >= in_window, "{most}");
 }
 
-// Symptom: an account uses its quota twice within one window. Sequence: it has
-// used all of it when every host is killed; the new owner knows of nothing.
-// Cause: the new owner began with a full allowance.
+// Guards against an account that uses its quota twice in one window: an owner
+// that starts without usage data must not start with full token buckets.
 #[test]
 fn new_owner() {
     let mut sequence = 0;
     let mut first = owner(Moment::START);
-    let mut granted = drive(&mut first, 10_000, 13_000, &mut sequence);
+    let mut granted = send_calls(&mut first, 10_000, 13_000, &mut sequence);
     let mut second = owner(Moment::from_millis(14_000));
-    granted.extend(drive(&mut second, 14_000, 24_000, &mut sequence));
+    granted.extend(send_calls(&mut second, 14_000, 24_000, &mut sequence));
     let most = most_in_window(&granted);
     assert!(most <= 9 * RATE * 125 / 100, "{most}");
 }
 
-// Over its quota an account is refused truthfully, and told when to come back;
-// others are not touched by it.
+// Guards against a refusal without a usable retry-after for an account that is
+// over its quota, and against refusing other accounts along with it.
 #[test]
-fn told_when() {
+fn over_quota_retry_after() {
     let mut owner = owner(Moment::START);
-    drive(&mut owner, 10_000, 11_000, &mut 0);
+    send_calls(&mut owner, 10_000, 11_000, &mut 0);
     let now = Moment::from_millis(11_000);
     let mut reply = |account: &str, sequence: u64| {
         let mut call = ask(sequence, 0, account);
@@ -127,14 +131,12 @@
     ));
 }
 
-// Symptom: a call is told that its account is over the quota, after it has run.
-// Sequence: its run fails, and it is sent once more; its account has used up
-// its quota meanwhile. Cause: its ask takes no units, as they were taken with
-// its first one, but was refused all the same.
+// Guards against refusing a retry as over the quota after the call has run: a
+// retry takes no units, as the first attempt paid for them.
 #[test]
-fn sent_again() {
+fn retried_call() {
     let mut owner = owner(Moment::START);
-    drive(&mut owner, 10_000, 11_000, &mut 0);
+    send_calls(&mut owner, 10_000, 11_000, &mut 0);
     let mut call = ask(10_001, 0, "busy");
     call.quota_units = 0;
     let message = OwnerMessage::Ask(Box::new(call));
@@ -144,11 +146,11 @@
     assert!(granted, "{reply:?}");
 }
 
-/// Get an owner whose one target has no place left.
+/// Get an owner whose only target is full, and the permit that fills it.
 fn full_owner(now: Moment) -> (ShardOwner, Permit) {
     let mut owner = owner(now);
-    let place = target("t", "d", 100);
-    owner.handle(now, OwnerEvent::Targets(vec![place]));
+    let pool_target = target("t", "d", 100);
+    owner.handle(now, OwnerEvent::Targets(vec![pool_target]));
     let message = OwnerMessage::Ask(Box::new(ask(1_000_000, 0, "other")));
     let event = OwnerEvent::Message(named("entry"), message);
     let permit = owner
@@ -161,34 +163,32 @@
     (owner, permit.expect("a permit"))
 }
 
-// Symptom: an account uses more than its quota in a window. Sequence: its calls
-// wait for two seconds, since all targets are busy, and take their units; their
-// callers leave one after the other while it goes on far over its quota; then
-// targets are free again. Cause: the units came back although the bucket had
-// filled again meanwhile.
+// Guards against an account that exceeds its quota when callers of queued calls
+// disconnect: units of a withdrawn request must not be refunded to a token
+// bucket that has refilled since they were taken.
 #[test]
 fn callers_left() {
     let (mut owner, permit) = full_owner(Moment::START);
     let mut sequence = 0;
-    drive(&mut owner, 18_000, 20_000, &mut sequence);
+    send_calls(&mut owner, 18_000, 20_000, &mut sequence);
     let waiting_calls = sequence;
     for waiting in 1..=waiting_calls {
         let ms = 20_000 + waiting / 10;
         let message = withdrawal(attempt_of(ENTRY_INCARNATION, waiting));
         let event = OwnerEvent::Message(named("entry"), message);
         owner.handle(Moment::from_millis(ms), event);
-        drive(&mut owner, ms, ms + 1, &mut sequence);
+        send_calls(&mut owner, ms, ms + 1, &mut sequence);
     }
     let now = Moment::from_millis(20_200);
     let message = released(&permit, ReleaseOutcome::Unused);
     owner.handle(now, OwnerEvent::Message(named("entry"), message));
-    let place = target("t", "d", 1_000_000_000);
-    let actions = owner.handle(now, OwnerEvent::Targets(vec![place]));
-    let begun = actions
+    let pool_target = target("t", "d", 1_000_000_000);
+    let actions = owner.handle(now, OwnerEvent::Targets(vec![pool_target]));
+    let started = actions
         .iter()
         .filter(|action| matches!(action, OwnerAction::Reply(_, OwnerReply::Granted { .. })));
-    let mut granted = vec![(20_200, UNITS); begun.count()];
-    granted.extend(drive(&mut owner, 20_200, 32_000, &mut sequence));
+    let mut granted = vec![(20_200, UNITS); started.count()];
+    granted.extend(send_calls(&mut owner, 20_200, 32_000, &mut sequence));
     let most = most_in_window(&granted);
     assert!(most <= 9 * RATE * 125 / 100, "{most}");
     assert!(most >= 8 * RATE, "{most}");
--- a/bergamotswitch-core/tests/entry_support/mod.rs
+++ b/bergamotswitch-core/tests/entry_support/mod.rs
@@ -1,7 +1,7 @@
-//! Provides what the tests of the entry side share: a desk with a clock of
-//! its own, and short ways to make submissions and to read actions.
+//! Provides shared helpers for tests of the entry side: a dispatcher with a
+//! virtual clock, submissions, and filters for actions.
 
-// Each test file uses a part of these.
+// No test file uses all of these helpers.
 #![allow(dead_code)]
 
 pub use std::time::Duration;
@@ -23,10 +23,10 @@
 pub use bergamotswitch_core::target::PoolTarget;
 
 pub const OWNER: &str = "owner-1";
-pub const OWNER_RUN: Incarnation = Incarnation(77);
+pub const OWNER_INCARNATION: Incarnation = Incarnation(77);
 pub const DEADLINE: Duration = Duration::from_secs(30);
 
-/// Get a checked name, caller's key or the like from a text that is one.
+/// Convert a text to a validated type, such as a name or a caller's key.
 pub fn name<T: TryFrom<String>>(text: &str) -> T {
     T::try_from(text.to_owned())
         .ok()
@@ -63,8 +63,8 @@
     }
 }
 
-/// Get a pool whose target `t1` promises nothing, while a refusal of `t0`
-/// and `t2` means "not run".
+/// Get a pool of three targets. A refusal by `t0` or `t2` means that the request
+/// was not run; a refusal by `t1` leaves that open.
 pub fn pool(shard_by_domain: bool) -> TargetPool {
     TargetPool {
         name: name("llm"),
@@ -78,7 +78,7 @@
     }
 }
 
-/// Get an idempotent submission without a key.
+/// Get an idempotent submission without a caller key.
 pub fn submission() -> Submission {
     Submission {
         options: CallOptions::default(),
@@ -109,42 +109,43 @@
     }
 }
 
-/// Get a keyed submission that must not run twice.
-pub fn alert(key: &str) -> Submission {
+/// Get a non-idempotent submission with a caller key.
+pub fn keyed_submission(key: &str) -> Submission {
     let mut submission = submission();
     submission.verdict.idempotent = false;
     submission.key = Some(name::<CallerKey>(key));
     submission
 }
 
-/// A `TestDesk` is a desk with a clock and an owner.
-pub struct TestDesk {
-    pub desk: EntryDispatcher,
+/// A `TestDispatcher` is an entry dispatcher with a virtual clock and a known
+/// shard owner.
+pub struct TestDispatcher {
+    pub dispatcher: EntryDispatcher,
     pub now: Moment,
     permits: u64,
 }
 
-impl TestDesk {
+impl TestDispatcher {
     pub fn new(options: EntryOptions) -> Self {
-        let mut desk = TestDesk {
-            desk: EntryDispatcher::new(run_of("entry-1", 1), options),
+        let mut dispatcher = TestDispatcher {
+            dispatcher: EntryDispatcher::new(run_of("entry-1", 1), options),
             now: Moment::from_millis(1_000),
             permits: 0,
         };
-        desk.event(EntryEvent::Pools(vec![pool(false)]));
-        desk.event(EntryEvent::OwnerChanged(shard(), name(OWNER)));
-        desk
+        dispatcher.event(EntryEvent::Pools(vec![pool(false)]));
+        dispatcher.event(EntryEvent::OwnerChanged(shard(), name(OWNER)));
+        dispatcher
     }
 
     pub fn event(&mut self, event: EntryEvent) -> Vec<EntryAction> {
-        self.desk.handle(self.now, event)
+        self.dispatcher.handle(self.now, event)
     }
 
     pub fn submit(&mut self, submission: Submission) -> (SubmitOutcome, Vec<EntryAction>) {
-        self.desk.submit(self.now, submission)
+        self.dispatcher.submit(self.now, submission)
     }
 
-    /// Accept a request and get its id.
+    /// Submit a request, expect its acceptance and get its id.
     pub fn accept(&mut self, submission: Submission) -> RequestId {
         match self.submit(submission).0 {
             SubmitOutcome::Accepted(id) => id,
@@ -152,6 +153,7 @@
         }
     }
 
+    /// Advance the clock and deliver a tick.
     pub fn pass(&mut self, span: Duration) -> Vec<EntryAction> {
         self.now = self.now.plus(span);
         self.event(EntryEvent::Tick)
@@ -178,7 +180,7 @@
         permit
     }
 
-    /// Accept a request, grant it a permit and get its first attempt.
+    /// Submit a request, grant its first attempt a permit and get that attempt.
     pub fn begin(&mut self, submission: Submission, target: &str) -> AttemptId {
         let attempt = first_attempt(self.accept(submission));
         self.start(attempt, target);
@@ -193,7 +195,7 @@
 pub fn permit_of(sequence: u64, attempt: AttemptId, target: &str) -> Permit {
     Permit {
         id: PermitId {
-            owner: OWNER_RUN,
+            owner: OWNER_INCARNATION,
             sequence,
         },
         attempt,
--- a/bergamotswitch-core/tests/fleet/mod.rs
+++ b/bergamotswitch-core/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A small network of memberships in virtual time.
-#![allow(dead_code)] // Each test file uses a part of it.
+//! Provides a simulated network of membership state machines in virtual time.
+#![allow(dead_code)] // No test file uses all of these helpers.
 
 pub use std::collections::{BTreeMap, BTreeSet};
 pub use std::time::Duration;
@@ -51,13 +51,13 @@
 }
 
 pub struct Node {
-    pub machine: Membership,
+    pub membership: Membership,
     pub run: HostIncarnation,
     pub dialing: BTreeSet<HostName>,
-    pub gone: Vec<HostName>,
-    pub notes: Vec<MembershipAction>,
+    pub terminated: Vec<HostName>,
+    pub log_actions: Vec<MembershipAction>,
     pub owner_changes: usize,
-    pub act_changes: usize,
+    pub acting_changes: usize,
     pub sent: usize,
     pub received: usize,
     paused: bool,
@@ -65,11 +65,11 @@
 }
 
 #[derive(Clone, Debug)]
-struct Parcel {
+struct Delivery {
     from: HostName,
     to: HostName,
     run: Incarnation,
-    beat: Heartbeat,
+    heartbeat: Heartbeat,
 }
 
 #[derive(Default)]
@@ -78,14 +78,14 @@
     pub nodes: BTreeMap<HostName, Node>,
     pub cuts: BTreeSet<(HostName, HostName)>,
     links: BTreeSet<(HostName, HostName)>,
-    parcels: BTreeMap<(Moment, u64), Parcel>,
+    deliveries: BTreeMap<(Moment, u64), Delivery>,
     wakes: BTreeSet<(Moment, HostName)>,
     counter: u64,
     redial_at: Moment,
 }
 
 impl Fleet {
-    /// Start `count` hosts that all know each other and the shards.
+    /// Start `count` hosts that have the same host list and shards.
     pub fn start(count: usize, shards: &[PoolShard]) -> Self {
         let mut fleet = Fleet::default();
         for index in 0..count {
@@ -100,27 +100,27 @@
             incarnation: Incarnation(run * 1000 + index as u128),
         };
         let node = Node {
-            machine: Membership::new(run.clone(), MembershipOptions::default(), self.now),
+            membership: Membership::new(run.clone(), MembershipOptions::default(), self.now),
             run,
             dialing: BTreeSet::new(),
-            gone: Vec::new(),
-            notes: Vec::new(),
+            terminated: Vec::new(),
+            log_actions: Vec::new(),
             owner_changes: 0,
-            act_changes: 0,
+            acting_changes: 0,
             sent: 0,
             received: 0,
             paused: false,
             wake_at: Moment::NEVER,
         };
         self.nodes.insert(host(index), node);
-        self.tell(&host(index), MembershipEvent::Shards(shards.to_vec()));
-        self.tell(&host(index), MembershipEvent::Hosts(list));
+        self.handle(&host(index), MembershipEvent::Shards(shards.to_vec()));
+        self.handle(&host(index), MembershipEvent::Hosts(list));
     }
 
-    pub fn tell(&mut self, name: &HostName, event: MembershipEvent) {
+    pub fn handle(&mut self, name: &HostName, event: MembershipEvent) {
         let now = self.now;
         let node = self.nodes.get_mut(name).unwrap();
-        for action in node.machine.handle(now, event) {
+        for action in node.membership.handle(now, event) {
             match action {
                 MembershipAction::Connect(entry) => {
                     node.dialing.insert(entry.name);
@@ -128,39 +128,39 @@
                 MembershipAction::Disconnect(peer) => {
                     node.dialing.remove(&peer);
                 }
-                MembershipAction::Send(to, beat) => {
+                MembershipAction::Send(to, heartbeat) => {
                     node.sent += 1;
                     self.counter += 1;
-                    let parcel = Parcel {
+                    let delivery = Delivery {
                         from: name.clone(),
                         to,
                         run: node.run.incarnation,
-                        beat,
+                        heartbeat,
                     };
-                    self.parcels
-                        .insert((now.plus(LATENCY), self.counter), parcel);
+                    self.deliveries
+                        .insert((now.plus(LATENCY), self.counter), delivery);
                 }
                 MembershipAction::OwnerChanged(..) => node.owner_changes += 1,
-                MembershipAction::Act(..) => node.act_changes += 1,
-                MembershipAction::HostTerminated(host, _) => node.gone.push(host),
-                note @ MembershipAction::Log(..) => node.notes.push(note),
+                MembershipAction::Act(..) => node.acting_changes += 1,
+                MembershipAction::HostTerminated(host, _) => node.terminated.push(host),
+                action @ MembershipAction::Log(..) => node.log_actions.push(action),
             }
         }
-        self.note_wake(name);
+        self.schedule_wake(name);
     }
 
-    fn note_wake(&mut self, name: &HostName) {
+    fn schedule_wake(&mut self, name: &HostName) {
         let node = self.nodes.get_mut(name).unwrap();
         self.wakes.remove(&(node.wake_at, name.clone()));
-        node.wake_at = node.machine.next_wake();
+        node.wake_at = node.membership.next_wake();
         if !node.paused {
             self.wakes.insert((node.wake_at, name.clone()));
         }
     }
 
-    pub fn tell_all(&mut self, event: MembershipEvent) {
+    pub fn handle_all(&mut self, event: MembershipEvent) {
         for name in self.nodes.keys().cloned().collect::<Vec<_>>() {
-            self.tell(&name, event.clone());
+            self.handle(&name, event.clone());
         }
     }
 
@@ -168,33 +168,33 @@
         let node = self.nodes.remove(name).unwrap();
         self.wakes.remove(&(node.wake_at, name.clone()));
         let run = node.run;
-        let ends: Vec<_> = self.links.iter().cloned().collect();
-        for (a, b) in ends {
+        let links: Vec<_> = self.links.iter().cloned().collect();
+        for (a, b) in links {
             if a != *name && b != *name {
                 continue;
             }
             self.links.remove(&(a.clone(), b.clone()));
             let other = if a == *name { b } else { a };
-            self.tell(&other, MembershipEvent::LinkDown(run.clone()));
+            self.handle(&other, MembershipEvent::LinkDown(run.clone()));
         }
     }
 
     pub fn pause(&mut self, name: &HostName) {
         self.nodes.get_mut(name).unwrap().paused = true;
-        self.note_wake(name);
+        self.schedule_wake(name);
     }
 
     pub fn resume(&mut self, name: &HostName, slept: Duration) {
         self.nodes.get_mut(name).unwrap().paused = false;
-        self.tell(name, MembershipEvent::Resumed(slept));
+        self.handle(name, MembershipEvent::Resumed(slept));
     }
 
     pub fn cut(&mut self, from: &HostName, to: &HostName) {
         self.cuts.insert((from.clone(), to.clone()));
     }
 
-    /// Part the hosts: no host of one side reaches one of the other.
-    pub fn part(&mut self, side: impl Fn(&HostName) -> bool) {
+    /// Partition the hosts: cut all paths between the two sides.
+    pub fn partition(&mut self, side: impl Fn(&HostName) -> bool) {
         let names: Vec<_> = self.nodes.keys().cloned().collect();
         for a in &names {
             for b in names.iter().filter(|b| side(a) != side(b)) {
@@ -223,24 +223,24 @@
             let run_a = self.nodes[&a].run.clone();
             let run_b = self.nodes[&b].run.clone();
             self.links.insert((a.clone(), b.clone()));
-            self.tell(&a, MembershipEvent::LinkUp(run_b));
-            self.tell(&b, MembershipEvent::LinkUp(run_a));
+            self.handle(&a, MembershipEvent::LinkUp(run_b));
+            self.handle(&b, MembershipEvent::LinkUp(run_a));
         }
     }
 
-    fn deliver(&mut self, parcel: Parcel) {
+    fn deliver(&mut self, delivery: Delivery) {
         let pair = (
-            parcel.from.clone().min(parcel.to.clone()),
-            parcel.from.clone().max(parcel.to.clone()),
+            delivery.from.clone().min(delivery.to.clone()),
+            delivery.from.clone().max(delivery.to.clone()),
         );
-        if self.is_cut(&parcel.from, &parcel.to) || !self.links.contains(&pair) {
+        if self.is_cut(&delivery.from, &delivery.to) || !self.links.contains(&pair) {
             return;
         }
-        let sender = self.nodes.get(&parcel.from);
-        if sender.is_none_or(|sender| sender.run.incarnation != parcel.run) {
+        let sender = self.nodes.get(&delivery.from);
+        if sender.is_none_or(|sender| sender.run.incarnation != delivery.run) {
             return;
         }
-        let open = match self.nodes.get_mut(&parcel.to) {
+        let open = match self.nodes.get_mut(&delivery.to) {
             Some(node) => {
                 node.received += 1;
                 !node.paused
@@ -249,14 +249,14 @@
         };
         match open {
             true => {
-                let event = MembershipEvent::Heartbeat(parcel.from, parcel.beat);
-                self.tell(&parcel.to, event);
+                let event = MembershipEvent::Heartbeat(delivery.from, delivery.heartbeat);
+                self.handle(&delivery.to, event);
             }
-            // What reaches a paused process waits in its socket.
-            false if self.nodes.contains_key(&parcel.to) => {
+            // Messages to a paused process wait in its socket.
+            false if self.nodes.contains_key(&delivery.to) => {
                 self.counter += 1;
                 let at = self.now.plus(Duration::from_millis(5));
-                self.parcels.insert((at, self.counter), parcel);
+                self.deliveries.insert((at, self.counter), delivery);
             }
             false => {}
         }
@@ -265,11 +265,11 @@
     pub fn run(&mut self, span: Duration) {
         let end = self.now.plus(span);
         loop {
-            let parcel_at = self.parcels.keys().next().map(|key| key.0);
+            let delivery_at = self.deliveries.keys().next().map(|key| key.0);
             let wake = self.wakes.first().cloned();
             let wake_at = wake.as_ref().map_or(Moment::NEVER, |wake| wake.0);
-            let parcel_at = parcel_at.unwrap_or(Moment::NEVER);
-            let at = wake_at.min(parcel_at).min(self.redial_at);
+            let delivery_at = delivery_at.unwrap_or(Moment::NEVER);
+            let at = wake_at.min(delivery_at).min(self.redial_at);
             if at > end {
                 break;
             }
@@ -277,23 +277,23 @@
             if self.redial_at == at {
                 self.redial_at = self.now.plus(REDIAL);
                 self.dial();
-            } else if parcel_at == at {
-                let parcel = self.parcels.pop_first().unwrap().1;
-                self.deliver(parcel);
+            } else if delivery_at == at {
+                let delivery = self.deliveries.pop_first().unwrap().1;
+                self.deliver(delivery);
             } else if let Some((_, name)) = wake {
-                self.tell(&name, MembershipEvent::Tick);
+                self.handle(&name, MembershipEvent::Tick);
             }
         }
         self.now = end;
     }
 
     pub fn owners_of(&self, shard: &PoolShard) -> Vec<HostName> {
-        let acts = |node: &Node| node.machine.acting_shards().contains(shard);
+        let acts = |node: &Node| node.membership.acting_shards().contains(shard);
         let owners = self.nodes.iter().filter(|(_, node)| acts(node));
         owners.map(|(name, _)| name.clone()).collect()
     }
 
     pub fn view(&self, name: &HostName, shard: &PoolShard) -> Option<HostName> {
-        self.nodes[name].machine.owner_of(shard).cloned()
+        self.nodes[name].membership.owner_of(shard).cloned()
     }
 }
--- a/bergamotswitch-core/tests/fleet_fuzz.rs
+++ b/bergamotswitch-core/tests/fleet_fuzz.rs
@@ -1,9 +1,9 @@
 //! Tests of whole hosts by stateful fuzzing: four node cores with real owners,
-//! membership and revision books, joined by a network, a platform and targets
-//! that fail, one fault or two together.
+//! membership and revision replicas, under single and double faults of the
+//! network, the platform, the targets and the hosts themselves.
 
 mod entry_support;
-mod fleet_world;
+mod fleet_simulation;
 mod oracle;
 
 use std::time::Duration;
@@ -12,43 +12,44 @@
 use bergamotswitch_core::retry::RetryRate;
 use bergamotswitch_core::revision::RevisionOptions;
 use bergamotswitch_draw::any;
-use fleet_world::{FleetEvent, FleetOptions, FleetWorld};
+use fleet_simulation::{FleetEvent, FleetOptions, FleetSimulation};
 use oracle::{Coverage, Violation, add_counts};
 
-/// The number of runs, each of some 40 seconds of virtual time and 35 more in
-/// which the faults end.
+/// The number of runs. A run covers about 40 seconds of virtual time with faults,
+/// and 35 seconds in which the system recovers.
 const RUNS: u64 = 1_000;
 
 /// The number of events in a run.
 const EVENTS: std::ops::RangeInclusive<usize> = 60..=160;
 
-/// Get the events of a run.
-fn draw(run: u64) -> Vec<FleetEvent> {
+/// Generate the events of a run.
+fn generate_events(run: u64) -> Vec<FleetEvent> {
     bergamotswitch_draw::draw(&any::<Vec<FleetEvent>>().with().len(EVENTS), run)
 }
 
-fn play(opts: FleetOptions, events: &[FleetEvent]) -> Result<FleetWorld, Violation> {
-    let mut world = FleetWorld::new(opts);
+fn run_events(opts: FleetOptions, events: &[FleetEvent]) -> Result<FleetSimulation, Violation> {
+    let mut simulation = FleetSimulation::new(opts);
     for event in events {
-        world.take(*event)?;
+        simulation.apply(*event)?;
     }
-    world.rest()?;
-    Ok(world)
+    simulation.settle()?;
+    Ok(simulation)
 }
 
-/// Get the event by which one caller sends its alert to a host.
-fn alert_at(host: u8) -> FleetEvent {
+/// Get the event by which one caller sends its keyed, non-idempotent request to a
+/// host.
+fn submit_keyed_at(host: u8) -> FleetEvent {
     [0, host, 7, 4]
 }
 
-/// Play runs and get what they reached.
-fn reach_of(runs: u64, events: impl Fn(u64) -> Vec<FleetEvent>) -> Coverage {
+/// Simulate runs without a breach and get the counts of what occurred in them.
+fn collect_reach(runs: u64, events: impl Fn(u64) -> Vec<FleetEvent>) -> Coverage {
     let mut count = 0;
     let mut reach = Coverage::new();
     for run in 0..runs {
         let events = events(run);
-        match play(FleetOptions::default(), &events) {
-            Ok(world) => add_counts(&mut reach, &world.reach),
+        match run_events(FleetOptions::default(), &events) {
+            Ok(simulation) => add_counts(&mut reach, &simulation.reach),
             Err(breach) => panic!("run {run}: {breach:?}"),
         }
         count += events.len();
@@ -57,7 +58,7 @@
     reach
 }
 
-/// Get how many second runs were excused.
+/// Get the number of duplicate runs that known gaps of the design account for.
 fn excused(reach: &Coverage) -> u64 {
     let gaps = reach.iter().filter(|(what, _)| what.starts_with("gap"));
     gaps.map(|(_, count)| count).sum()
@@ -65,7 +66,7 @@
 
 #[test]
 fn any_faults() {
-    let reach = reach_of(RUNS, draw);
+    let reach = collect_reach(RUNS, generate_events);
     let often = "aborts, answered, attached, crashes, degraded, forwards, in force, late news, \
         letters disturbed, links lost, one-way cuts, outages, partitions, \
         past a leaving target, pauses noticed, retries, revisions refused, shed, \
@@ -74,7 +75,7 @@
         let count = reach.get(what).copied().unwrap_or_default();
         assert!(count >= RUNS / 5, "{what}: {count}");
     }
-    // What the design leaves open stays rare, each kind for itself.
+    // Duplicate runs by known gaps of the design stay rare, each kind by itself.
     let gap = |what: &str| reach.get(what).copied().unwrap_or_default();
     assert!(gap("gap: partition") < RUNS * 2 / 5);
     assert!(gap("gap: double death") < RUNS / 8);
@@ -82,10 +83,11 @@
 }
 
 #[test]
-fn deaths_only() {
-    // No fault of the network or of a clock hides what deaths alone lead to.
+fn crashes_only() {
+    // Replaces network faults, pauses, outages and double faults by crashes, so that
+    // they can't mask the effects of crashes.
     let events = |run| {
-        let mut events = draw(run);
+        let mut events = generate_events(run);
         for [what, _, b, _] in &mut events {
             if matches!(what, 152..=167 | 199..=215 | 218..=223) {
                 *what = 194 + *b % 5;
@@ -93,15 +95,15 @@
         }
         events
     };
-    let reach = reach_of(RUNS / 4, events);
+    let reach = collect_reach(RUNS / 4, events);
     assert!(reach["crashes"] > RUNS && reach["takeovers"] > RUNS);
     assert!(!reach.contains_key("gap: partition"));
     assert!(reach["gap: double death"] < RUNS / 8);
     assert!(excused(&reach) < RUNS / 8);
 }
 
-// Guards against second runs that retries hide: a request that is not sent once
-// more leaves its key at the owner.
+// Guards against duplicate runs that retries mask: the key of a request that is not
+// retried must stay known to the owner.
 #[test]
 fn without_retries() {
     const KEPT_RUNS: [u64; 3] = [330, 1_863, 2_381];
@@ -115,76 +117,84 @@
         ..FleetOptions::default()
     };
     for run in KEPT_RUNS.into_iter().chain(0..RUNS / 10) {
-        let breach = play(opts.clone(), &draw(run)).err();
+        let breach = run_events(opts.clone(), &generate_events(run)).err();
         assert_eq!(breach, None, "run {run}");
     }
 }
 
-// Symptom: a crew alert goes out twice although no path was cut. Sequence: its
-// host has nothing else to do; the shard's owner dies, the next one takes over,
-// and the caller sends the alert unmarked to another host. Cause: a host
-// without work for a shard followed its owner no more, so it never told the
-// new owner the key.
+// Guards against a duplicate run after an owner crash without a partition: a host
+// that holds a key but has no other work for the shard must still report the key
+// to the new owner.
 #[test]
 fn idle_holder() {
     let wait = [255, 0, 250, 0];
-    let owner_dies = [194, 2, 255, 0];
-    let events = [alert_at(0), wait, owner_dies, wait, wait, alert_at(3), wait];
-    let world = play(FleetOptions::default(), &events);
-    let reach = world.map(|world| world.reach);
+    let owner_crash = [194, 2, 255, 0];
+    let events = [
+        submit_keyed_at(0),
+        wait,
+        owner_crash,
+        wait,
+        wait,
+        submit_keyed_at(3),
+        wait,
+    ];
+    let simulation = run_events(FleetOptions::default(), &events);
+    let reach = simulation.map(|simulation| simulation.reach);
     assert!(reach.is_ok_and(|reach| excused(&reach) == 0));
 }
 
-/// Play runs of a broken fleet until the oracle objects.
-fn caught(opts: &FleetOptions) -> Option<Violation> {
+/// Simulate a fleet with an injected defect until the oracle detects a breach.
+fn find_breach(opts: &FleetOptions) -> Option<Violation> {
     let breach = |run| {
-        let breach = play(opts.clone(), &draw(run)).err()?;
+        let breach = run_events(opts.clone(), &generate_events(run)).err()?;
         println!("run {run}: {breach:?}");
         Some(breach)
     };
     (0..RUNS).find_map(breach)
 }
 
-fn caught_fault(fault: Fault) -> Option<Violation> {
-    caught(&FleetOptions {
+fn find_breach_of_fault(fault: Fault) -> Option<Violation> {
+    find_breach(&FleetOptions {
         entry: EntryOptions::default().with_fault(fault),
         ..FleetOptions::default()
     })
 }
 
-fn is_second_run(breach: Option<Violation>) -> bool {
+fn is_duplicate_run(breach: Option<Violation>) -> bool {
     matches!(breach, Some(Violation::DispatchOnce | Violation::RunOnce))
 }
 
 #[test]
 fn retry_after_dispatch() {
-    assert!(is_second_run(caught_fault(Fault::RetryAfterDispatch)));
+    assert!(is_duplicate_run(find_breach_of_fault(
+        Fault::RetryAfterDispatch
+    )));
 }
 
 #[test]
 fn claim_after_write() {
-    let breach = caught_fault(Fault::NotRunAfterWrite);
+    let breach = find_breach_of_fault(Fault::NotRunAfterWrite);
     assert_eq!(breach, Some(Violation::NotRun));
 }
 
 #[test]
-fn key_alone() {
+fn key_without_account() {
     assert_eq!(
-        caught_fault(Fault::KeyWithoutAccount),
+        find_breach_of_fault(Fault::KeyWithoutAccount),
         Some(Violation::ForeignAnswer)
     );
 }
 
 #[test]
 fn permit_after_pause() {
-    let breach = caught_fault(Fault::PermitAfterPause);
+    let breach = find_breach_of_fault(Fault::PermitAfterPause);
     assert_eq!(breach, Some(Violation::StalePermit));
 }
 
 #[test]
-fn forgetful_owner() {
-    // An owner that hears of no key but its own host's.
-    assert!(is_second_run(caught(&FleetOptions {
+fn claims_dropped() {
+    // Permit requests from other hosts reach the owner without their key claims.
+    assert!(is_duplicate_run(find_breach(&FleetOptions {
         drop_claims: true,
         ..FleetOptions::default()
     })));
@@ -192,7 +202,7 @@
 
 #[test]
 fn flipped_tiers() {
-    let breach = caught(&FleetOptions {
+    let breach = find_breach(&FleetOptions {
         flip_tiers: true,
         ..FleetOptions::default()
     });
@@ -200,10 +210,10 @@
 }
 
 #[test]
-fn slow_readers() {
-    // Hosts that wait for a minute before they read again.
+fn late_reads() {
+    // Hosts back off for a minute before they read again.
     let minute = Duration::from_secs(60);
-    let breach = caught(&FleetOptions {
+    let breach = find_breach(&FleetOptions {
         revision: RevisionOptions::default().with_backoff(minute, minute),
         ..FleetOptions::default()
     });
--- a/bergamotswitch-core/tests/fleet_world/platform.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/platform.rs
@@ -1,5 +1,5 @@
-//! Provides the platform: the configuration service and the host list, with
-//! outages and a replica that is behind.
+//! Provides the simulated platform: the configuration service and the host list,
+//! with outages and stale reads.
 
 use bergamotswitch_core::revision::PublishedValue;
 use serde_json::{Value, json};
@@ -10,13 +10,13 @@
 const SERVICE_TIME: Duration = Duration::from_millis(3);
 const WATCH_TIME: Duration = Duration::from_secs(30);
 
-/// A `ServiceCall` is a read or a watch that is under way.
+/// A `ServiceCall` is a pending read or watch of a published value.
 #[derive(Clone, Debug)]
 pub struct ServiceCall {
     number: u64,
     value: ValueName,
-    beyond: Option<Revision>,
-    /// Whether the answer is due; else the watch has waited in vain.
+    after: Option<Revision>,
+    /// Whether there is a revision to answer with. Otherwise the watch times out.
     due: bool,
 }
 
@@ -30,10 +30,10 @@
 #[derive(Debug, Default)]
 pub struct Platform {
     values: BTreeMap<ValueName, Vec<Published>>,
-    /// While it is behind, each value's revision that it still tells.
-    behind: Option<BTreeMap<ValueName, usize>>,
+    /// The old revision served for each value while reads are stale.
+    stale_positions: Option<BTreeMap<ValueName, usize>>,
     pub up: bool,
-    /// The target that the list calls leaving, and since when.
+    /// The target listed as leaving, and since when.
     pub leaving: Option<(usize, Moment)>,
     count: u64,
 }
@@ -53,7 +53,8 @@
     json!({"hosts": hosts, "targets": targets})
 }
 
-/// The target `t1` promises nothing; a refusal of the others means "not run".
+/// Get the pools. A refusal by `t1` leaves open whether the request was run; a refusal
+/// by another target means that it was not.
 fn pools_body() -> Value {
     let target = |index: usize| {
         json!({"name": TARGETS[index], "domain": DOMAINS[index % 2],
@@ -104,14 +105,17 @@
         history.push(Published { value, good, at });
     }
 
-    fn told(&self, value: &ValueName) -> &Published {
+    fn served(&self, value: &ValueName) -> &Published {
         let history = &self.values[value];
-        let seen = self.behind.as_ref().map(|behind| behind[value]);
+        let seen = self
+            .stale_positions
+            .as_ref()
+            .map(|stale_positions| stale_positions[value]);
         &history[seen.unwrap_or(history.len()) - 1]
     }
 }
 
-impl FleetWorld {
+impl FleetSimulation {
     pub(super) fn publish_rules(&mut self, tier: u8) {
         self.count("publications");
         let (body, good) = match tier % 4 {
@@ -119,85 +123,86 @@
             tier => (rules_body(u64::from(tier)).to_string(), true),
         };
         self.platform.publish(self.now, "rules", body, good);
-        self.wake_watches();
+        self.recheck_watches();
     }
 
-    /// Have a target leave, or all be back.
+    /// Publish a host list with one leaving target, or with none.
     pub(super) fn publish_leaving(&mut self, target: Option<usize>) {
         self.count("host lists");
         self.platform.leaving = target.map(|target| (target, self.now));
         let body = hosts_body(target).to_string();
         self.platform.publish(self.now, "hosts", body, true);
-        self.wake_watches();
+        self.recheck_watches();
     }
 
-    pub(super) fn publish_last(&mut self) {
+    pub(super) fn publish_final_changes(&mut self) {
         self.publish_rules(1);
         self.publish_leaving(Some(0));
     }
 
-    /// The service answers nothing, or what it knew some revisions ago.
+    /// Have the service fail every call, or serve old revisions if `stale`.
     pub(super) fn fail_service(&mut self, stale: bool, span: Duration) {
-        if !self.platform.up || self.platform.behind.is_some() {
+        if !self.platform.up || self.platform.stale_positions.is_some() {
             return;
         }
         self.faults += 1;
-        self.changed_at = self.now;
+        self.last_change_at = self.now;
         self.service_since = Moment::NEVER;
         match stale {
             true => {
                 let old = |history: &Vec<Published>| history.len().saturating_sub(2).max(1);
                 let values = self.platform.values.iter();
-                let behind = values.map(|(name, history)| (name.clone(), old(history)));
-                self.platform.behind = Some(behind.collect());
+                let stale_positions = values.map(|(name, history)| (name.clone(), old(history)));
+                self.platform.stale_positions = Some(stale_positions.collect());
             }
             false => self.platform.up = false,
         }
-        self.wake_watches();
-        self.post(span, Parcel::ServiceBack);
+        self.recheck_watches();
+        self.post(span, ScheduledTask::ServiceBack);
     }
 
     pub(super) fn service_back(&mut self) {
         self.faults -= 1;
         self.platform.up = true;
-        self.platform.behind = None;
-        self.changed_at = self.now;
+        self.platform.stale_positions = None;
+        self.last_change_at = self.now;
         self.service_since = self.now;
-        self.wake_watches();
+        self.recheck_watches();
     }
 
-    /// Have each watch that waits look again.
-    fn wake_watches(&mut self) {
-        let waits = |parcel: &Parcel| match parcel {
-            Parcel::Answer(_, _, call) => !call.due,
+    /// Recheck each pending watch for a revision to answer with.
+    fn recheck_watches(&mut self) {
+        let waits = |task: &ScheduledTask| match task {
+            ScheduledTask::Answer(_, _, call) => !call.due,
             _ => false,
         };
-        let waiting = self.parcels.iter().filter(|(_, parcel)| waits(parcel));
+        let waiting = self.tasks.iter().filter(|(_, task)| waits(task));
         let keys: Vec<_> = waiting.map(|(key, _)| *key).collect();
         for key in keys {
-            if let Some(Parcel::Answer(host, run, mut call)) = self.parcels.remove(&key) {
-                call.due = self.is_due(&call.value, call.beyond);
+            if let Some(ScheduledTask::Answer(host, run, mut call)) = self.tasks.remove(&key) {
+                call.due = self.is_due(&call.value, call.after);
                 match call.due {
-                    true => self.post(SERVICE_TIME, Parcel::Answer(host, run, call)),
+                    true => self.post(SERVICE_TIME, ScheduledTask::Answer(host, run, call)),
                     false => {
-                        self.parcels.insert(key, Parcel::Answer(host, run, call));
+                        self.tasks
+                            .insert(key, ScheduledTask::Answer(host, run, call));
                     }
                 }
             }
         }
     }
 
-    fn is_due(&self, value: &ValueName, beyond: Option<Revision>) -> bool {
-        !self.platform.up || Some(self.platform.told(value).value.revision) != beyond
+    fn is_due(&self, value: &ValueName, after: Option<Revision>) -> bool {
+        !self.platform.up || Some(self.platform.served(value).value.revision) != after
     }
 
-    pub(super) fn call(&mut self, host: usize, value: ValueName, beyond: Option<Revision>) {
+    pub(super) fn call(&mut self, host: usize, value: ValueName, after: Option<Revision>) {
         self.platform.count += 1;
         let number = self.platform.count;
-        let here = &mut self.hosts[host];
-        here.calls.insert(value.clone(), number);
-        let run = here.run.incarnation;
-        let due = self.is_due(&value, beyond);
+        let host_state = &mut self.hosts[host];
+        host_state.calls.insert(value.clone(), number);
+        let run = host_state.run.incarnation;
+        let due = self.is_due(&value, after);
         let wait = match due {
             true => SERVICE_TIME,
             false => WATCH_TIME,
@@ -205,30 +210,30 @@
         let call = ServiceCall {
             number,
             value,
-            beyond,
+            after,
             due,
         };
-        self.post(wait, Parcel::Answer(host, run, call));
+        self.post(wait, ScheduledTask::Answer(host, run, call));
     }
 
     pub(super) fn answer(&mut self, host: usize, call: ServiceCall) {
-        let here = &mut self.hosts[host];
-        // A later call takes the place of an earlier one.
-        if here.calls.get(&call.value) != Some(&call.number) {
+        let host_state = &mut self.hosts[host];
+        // A later call replaces an earlier one for the same value.
+        if host_state.calls.get(&call.value) != Some(&call.number) {
             return;
         }
-        here.calls.remove(&call.value);
+        host_state.calls.remove(&call.value);
         let event = match (self.platform.up, call.due) {
             (false, _) => NodeEvent::ReadFailed(call.value),
-            (true, true) => NodeEvent::Read(self.platform.told(&call.value).value.clone()),
+            (true, true) => NodeEvent::Read(self.platform.served(&call.value).value.clone()),
             (true, false) => NodeEvent::Unchanged(call.value),
         };
-        self.tell(host, event);
+        self.handle(host, event);
     }
 
-    /// A revision in force is one that was published and passed the check,
-    /// and never lower than an earlier one of the same run.
-    pub(super) fn note_in_force(&mut self, host: usize) {
+    /// Record the revisions in force on a host. Check that each is valid and not lower
+    /// than an earlier one of the same process.
+    pub(super) fn record_in_force(&mut self, host: usize) {
         let Some(core) = &self.hosts[host].core else {
             return;
         };
@@ -244,25 +249,28 @@
         }
     }
 
-    /// The newest good revision is in force on each host that has run, beside
-    /// a service that answers, for long enough: no cut between hosts may keep
-    /// it from there.
+    /// Check that the newest valid revision is in force on each host that has been
+    /// running for long enough while the service was available. Partitions between
+    /// hosts must not prevent that.
     pub(super) fn check_in_force(&mut self) {
         for host in 0..HOSTS.len() {
-            let here = &self.hosts[host];
-            if here.core.is_none() || here.held.is_some() {
+            let host_state = &self.hosts[host];
+            if host_state.core.is_none() || host_state.paused_queue.is_some() {
                 continue;
             }
             for (value, history) in &self.platform.values {
                 let Some(newest) = history.last().filter(|newest| newest.good) else {
                     continue;
                 };
-                let since = newest.at.max(here.running_since).max(self.service_since);
+                let since = newest
+                    .at
+                    .max(host_state.running_since)
+                    .max(self.service_since);
                 if self.now <= since.plus(IN_FORCE_WITHIN) {
                     continue;
                 }
                 *self.reach.entry("in force").or_default() += 1;
-                if here.in_force.get(value) != Some(&newest.value.revision) {
+                if host_state.in_force.get(value) != Some(&newest.value.revision) {
                     self.oracle.record_violation(Violation::RevisionLate);
                 }
             }
--- a/bergamotswitch-core/tests/quota_fleet/mod.rs
+++ b/bergamotswitch-core/tests/quota_fleet/mod.rs
@@ -1,7 +1,7 @@
-//! A fleet of whole hosts in virtual time that find each other by their roster
-//! and keep the quotas of client accounts and the retry budget of a pool.
+//! Provides a simulated fleet of whole hosts in virtual time, which discover each
+//! other by gossip and enforce client account quotas and a pool's retry budget.
 
-#![allow(dead_code)] // Each test file uses a part of it.
+#![allow(dead_code)] // No test file uses all of these helpers.
 
 mod setup;
 mod values;
@@ -24,15 +24,15 @@
 pub use setup::{name, shard};
 use values::{published, submission};
 
-/// The hosts of the fleet.
+/// The number of hosts in the fleet.
 pub const HOSTS: usize = 8;
 
-/// The units a second of each account, and those at once.
+/// The quota of each account: units per second, and units in a burst.
 pub const RATE: u64 = 100_000;
 pub const BURST: u64 = 100_000;
 
-/// The window of quotas, how much more may be used in it, and the part of that
-/// which an owner gives to bursts.
+/// The quota window, the fraction by which use within it may exceed the quota, and
+/// the part of that fraction which an owner grants for bursts.
 pub const WINDOW: Duration = Duration::from_secs(8);
 pub const OVERAGE: f64 = 0.25;
 const BURST_PART: f64 = 0.75;
@@ -41,134 +41,138 @@
 pub const UNITS: u32 = 1_000;
 
 const STEP: Duration = Duration::from_millis(5);
-const DIAL: Duration = Duration::from_millis(10);
-const STORE: Duration = Duration::from_millis(20);
+const DIAL_DELAY: Duration = Duration::from_millis(10);
+const READ_TIME: Duration = Duration::from_millis(20);
 const TARGETS: (usize, u32) = (4, 500);
 
-/// One first run in so many fails where a test says nothing else.
+/// By default, one in this many first attempts fails.
 const FAILS_EVERY: u64 = 7;
-const REFUSED_AFTER: Duration = Duration::from_millis(2);
-const RUN_SPAN: Duration = Duration::from_millis(150);
+const CONNECT_REFUSED_AFTER: Duration = Duration::from_millis(2);
+const RUN_TIME: Duration = Duration::from_millis(150);
 
-/// A `CallRecord` is what became of one call.
+/// A `CallRecord` is the history of one call.
 #[derive(Debug)]
 pub struct CallRecord {
     pub account: &'static str,
     pub sent_at: Moment,
-    /// When it first reached a target.
+    /// When a target first ran it.
     pub ran_at: Option<Moment>,
     pub refusal: Option<RefusalReason>,
     pub refused_at: Option<Moment>,
 }
 
-/// A `FleetHost` is one host, with the process that runs on it now.
+/// A `FleetHost` is a host with its current process, if one is running.
 struct FleetHost {
     core: Option<NodeCore>,
     run: HostIncarnation,
     started_at: Moment,
     wanted: BTreeSet<usize>,
-    /// What waits for a process that stands still.
-    held: Option<Vec<Parcel>>,
+    /// The deliveries that a paused process receives once it resumes.
+    paused_queue: Option<Vec<Delivery>>,
 }
 
-enum Parcel {
+enum Delivery {
     Call(usize, &'static str, Moment),
-    Letter(usize, usize, LinkMessage),
+    Message(usize, usize, LinkMessage),
     Gossip(usize, Box<RosterMessage>),
     Value(usize, PublishedValue),
     Attempt(usize, AttemptId, AttemptEvent),
 }
 
-impl Parcel {
-    /// Get the host whose process takes the parcel.
+impl Delivery {
+    /// Get the host whose process receives the delivery.
     fn receiver(&self) -> usize {
         match self {
-            Parcel::Letter(_, to, _)
-            | Parcel::Call(to, ..)
-            | Parcel::Gossip(to, _)
-            | Parcel::Value(to, _)
-            | Parcel::Attempt(to, ..) => *to,
+            Delivery::Message(_, to, _)
+            | Delivery::Call(to, ..)
+            | Delivery::Gossip(to, _)
+            | Delivery::Value(to, _)
+            | Delivery::Attempt(to, ..) => *to,
         }
     }
 }
 
-/// A `QuotaFleet` is the fleet, its network and what its callers have seen.
+/// A `QuotaFleet` is a simulated fleet with its network, targets and callers.
 pub struct QuotaFleet {
     pub now: Moment,
     pub calls: BTreeMap<RequestId, CallRecord>,
-    /// When hosts began and ceased to order the shard.
-    pub turns: Vec<(Moment, usize, bool)>,
-    /// When calls were sent to a target once more.
+    /// When each host acquired (`true`) or released the ownership of the shard.
+    pub ownership_changes: Vec<(Moment, usize, bool)>,
+    /// When calls were retried at a target.
     pub retries: Vec<Moment>,
-    /// One first run in so many fails, and its call is sent once more.
+    /// One in this many first attempts fails and is retried.
     pub fails_every: u64,
-    /// Whether all runs fail.
+    /// Whether all attempts fail.
     pub all_fail: bool,
-    /// The targets that cannot be reached, and when calls met them.
-    pub dead: BTreeSet<String>,
-    pub unreached: Vec<Moment>,
+    /// The targets that refuse connections, and when attempts failed to connect.
+    pub unreachable: BTreeSet<String>,
+    pub connect_failures: Vec<Moment>,
     targets: (usize, u32),
     served: BTreeMap<String, usize>,
     entry: EntryOptions,
     hosts: Vec<FleetHost>,
     links: BTreeSet<(usize, usize)>,
-    parcels: BTreeMap<(Moment, u64), (Incarnation, Parcel)>,
+    deliveries: BTreeMap<(Moment, u64), (Incarnation, Delivery)>,
     count: u64,
     latency: Duration,
-    /// How much later than that a host's processor takes things in.
-    lags: [Duration; HOSTS],
+    /// The delay of each host's processing, in addition to the latency.
+    processing_delays: [Duration; HOSTS],
     next_host: usize,
 }
 
 impl QuotaFleet {
-    /// Start a fleet whose messages take this long, and let it settle.
+    /// Start a fleet with this link latency, and run it until it is ready.
     pub fn start(latency: Duration) -> Self {
         Self::start_with(latency, EntryOptions::default())
     }
 
-    /// Start such a fleet whose entry desks have these options.
+    /// Start a fleet with these options of the entry side.
     pub fn start_with(latency: Duration, entry: EntryOptions) -> Self {
-        Self::start_before(TARGETS, latency, entry)
+        Self::start_with_targets(TARGETS, latency, entry)
     }
 
-    /// Start such a fleet before so many targets of so many slots.
-    pub fn start_before(targets: (usize, u32), latency: Duration, entry: EntryOptions) -> Self {
+    /// Start a fleet with this number of targets and of slots per target.
+    pub fn start_with_targets(
+        targets: (usize, u32),
+        latency: Duration,
+        entry: EntryOptions,
+    ) -> Self {
         let mut fleet = QuotaFleet {
             now: Moment::START,
             calls: BTreeMap::new(),
-            turns: Vec::new(),
+            ownership_changes: Vec::new(),
             retries: Vec::new(),
             fails_every: FAILS_EVERY,
             all_fail: false,
             targets,
-            dead: BTreeSet::new(),
-            unreached: Vec::new(),
+            unreachable: BTreeSet::new(),
+            connect_failures: Vec::new(),
             served: BTreeMap::new(),
             entry,
             hosts: Vec::new(),
             links: BTreeSet::new(),
-            parcels: BTreeMap::new(),
+            deliveries: BTreeMap::new(),
             count: 0,
             latency,
-            lags: [Duration::ZERO; HOSTS],
+            processing_delays: [Duration::ZERO; HOSTS],
             next_host: 0,
         };
         for index in 0..HOSTS {
-            let host = fleet.process(index);
+            let host = fleet.new_process(index);
             fleet.hosts.push(host);
         }
         fleet.pass(Duration::from_secs(12), |_| {});
         fleet
     }
 
-    fn process(&mut self, index: usize) -> FleetHost {
+    fn new_process(&mut self, index: usize) -> FleetHost {
         self.count += 1;
         let entry = host_entry(index);
         let run = HostIncarnation {
             host: entry.name,
             incarnation: Incarnation(u128::from(self.count)),
         };
-        // A process's clock begins with the process.
+        // The monotonic clock of a process starts at zero.
         let core = NodeCore::new(
             run.clone(),
             entry.domain,
@@ -180,11 +184,11 @@
             run,
             started_at: self.now,
             wanted: BTreeSet::new(),
-            held: None,
+            paused_queue: None,
         }
     }
 
-    /// Let time pass; `each` happens at every step.
+    /// Advance the clock, and call `each` after every step.
     pub fn pass(&mut self, span: Duration, mut each: impl FnMut(&mut Self)) {
         let end = self.now.plus(span);
         while self.now < end {
@@ -199,55 +203,56 @@
     }
 
     fn tick(&mut self, index: usize) {
-        let own = self.own_time(index);
+        let local_now = self.process_time(index);
         let host = &self.hosts[index];
         let due = host
             .core
             .as_ref()
-            .is_some_and(|core| core.next_wake() <= own);
-        if due && host.held.is_none() {
-            self.tell(index, NodeEvent::Tick);
+            .is_some_and(|core| core.next_wake() <= local_now);
+        if due && host.paused_queue.is_none() {
+            self.handle(index, NodeEvent::Tick);
         }
     }
 
-    /// Let a host's process stand still: what is sent to it waits.
-    pub fn freeze(&mut self, index: usize) {
-        self.hosts[index].held = Some(Vec::new());
+    /// Pause a host's process and queue all deliveries to it.
+    pub fn pause(&mut self, index: usize) {
+        self.hosts[index].paused_queue = Some(Vec::new());
     }
 
-    /// Let a host's process go on, with all that waits for it.
-    pub fn thaw(&mut self, index: usize) {
+    /// Resume a host's process and pass it the queued deliveries.
+    pub fn resume(&mut self, index: usize) {
         let run = self.hosts[index].run.incarnation;
-        for parcel in self.hosts[index].held.take().unwrap_or_default() {
-            self.hand_over(run, parcel);
+        for delivery in self.hosts[index].paused_queue.take().unwrap_or_default() {
+            self.deliver_to_process(run, delivery);
         }
     }
 
-    /// Get the host that orders the shard, as most see it: the last to begin.
+    /// Get the owner of the shard. If several hosts own it, it is the latest to acquire
+    /// it.
     pub fn owner(&self) -> usize {
         let owns = |index: &usize| {
             let core = self.hosts[*index].core.as_ref();
-            core.is_some_and(|core| core.view(self.own_time(*index)).owns.contains(&shard()))
+            core.is_some_and(|core| core.view(self.process_time(*index)).owns.contains(&shard()))
         };
         let owners: Vec<usize> = (0..HOSTS).filter(owns).collect();
-        let begun = self.turns.iter().rev().filter(|turn| turn.2);
-        let mut begun = begun.map(|turn| turn.1);
-        begun
+        let acquired = self.ownership_changes.iter().rev().filter(|turn| turn.2);
+        let mut acquired = acquired.map(|turn| turn.1);
+        acquired
             .find(|index| owners.contains(index))
             .expect("an owner")
     }
 
-    /// Let a host's processor take everything in this much later.
+    /// Delay a host's processing of all deliveries.
     pub fn slow(&mut self, index: usize, lag: Duration) {
-        self.lags[index] = lag;
+        self.processing_delays[index] = lag;
     }
 
-    /// Begin a planned stop.
+    /// Begin the planned stop of a host.
     pub fn stop(&mut self, index: usize) {
-        self.tell(index, NodeEvent::Stop);
+        self.handle(index, NodeEvent::Stop);
     }
 
-    /// End a host's process.
+    /// Terminate a host's process.
     pub fn end(&mut self, index: usize) {
         self.hosts[index].core = None;
         self.hosts[index].wanted.clear();
@@ -257,17 +262,17 @@
                 self.links.remove(&(a, b));
                 let other = if a == index { b } else { a };
                 let run = self.hosts[index].run.clone();
-                self.tell(other, NodeEvent::Link(LinkEvent::Down(run)));
+                self.handle(other, NodeEvent::Link(LinkEvent::Down(run)));
             }
         }
     }
 
-    /// Start a host's next process.
+    /// Start a new process of a host.
     pub fn restart(&mut self, index: usize) {
-        self.hosts[index] = self.process(index);
+        self.hosts[index] = self.new_process(index);
     }
 
-    /// Send calls of an account, each at the next host that takes callers.
+    /// Send calls of an account to the hosts that accept calls, in round-robin order.
     pub fn send(&mut self, account: &'static str, calls: usize) {
         for _ in 0..calls {
             self.send_one(account);
@@ -278,8 +283,8 @@
         for _ in 0..HOSTS {
             self.next_host = (self.next_host + 1) % HOSTS;
             let index = self.next_host;
-            if let Some(held) = &mut self.hosts[index].held {
-                held.push(Parcel::Call(index, account, self.now));
+            if let Some(paused_queue) = &mut self.hosts[index].paused_queue {
+                paused_queue.push(Delivery::Call(index, account, self.now));
                 return;
             }
             if self.submit(index, account, self.now) {
@@ -288,24 +293,24 @@
         }
     }
 
-    /// Send a call to the next host that is not this one.
-    pub fn send_beside(&mut self, index: usize, account: &'static str) {
+    /// Send a call to the next host other than `index`.
+    pub fn send_avoiding(&mut self, index: usize, account: &'static str) {
         if (self.next_host + 1) % HOSTS == index {
             self.next_host = index;
         }
         self.send_one(account);
     }
 
-    /// Hand a call to a host; get whether it took it.
+    /// Submit a call to a host, and get whether the host accepted it.
     fn submit(&mut self, index: usize, account: &'static str, sent_at: Moment) -> bool {
-        let own = self.own_time(index);
+        let local_now = self.process_time(index);
         let core = self.hosts[index].core.as_mut();
-        let Some(core) = core.filter(|core| core.is_ready(own)) else {
+        let Some(core) = core.filter(|core| core.is_ready(local_now)) else {
             return false;
         };
-        let (reception, actions) = core.submit(own, submission(account));
-        let SubmitOutcome::Accepted(id) = reception else {
-            self.carry_out(index, actions);
+        let (outcome, actions) = core.submit(local_now, submission(account));
+        let SubmitOutcome::Accepted(id) = outcome else {
+            self.apply_actions(index, actions);
             return false;
         };
         let record = CallRecord {
@@ -316,12 +321,12 @@
             refused_at: None,
         };
         self.calls.insert(id, record);
-        self.carry_out(index, actions);
+        self.apply_actions(index, actions);
         true
     }
 
-    /// Get the most units of an account that were both sent and run in one
-    /// window, over all hosts, and where it began.
+    /// Get the largest number of an account's units that were both sent and run within
+    /// one window over all hosts, and the start of that window.
     pub fn most_in_window(&self, account: &str) -> (u64, Moment) {
         let calls = self.calls.values().filter(|call| call.account == account);
         let ran = calls.filter_map(|call| Some((call.sent_at, call.ran_at?)));
@@ -337,71 +342,71 @@
             .unwrap_or((0, Moment::START))
     }
 
-    /// Get how many calls of an account were refused for this reason.
+    /// Get the number of an account's calls refused for this reason.
     pub fn refused(&self, account: &str, reason: RefusalReason) -> usize {
         let calls = self.calls.values().filter(|call| call.account == account);
         calls.filter(|call| call.refusal == Some(reason)).count()
     }
 
-    /// Get how many calls ran at a target.
+    /// Get the number of attempts that a target ran.
     pub fn served_by(&self, target: &str) -> usize {
         self.served.get(target).copied().unwrap_or(0)
     }
 
-    fn own_time(&self, index: usize) -> Moment {
+    fn process_time(&self, index: usize) -> Moment {
         Moment::START.plus(self.now.since(self.hosts[index].started_at))
     }
 
-    fn post(&mut self, to: usize, span: Duration, parcel: Parcel) {
+    fn post(&mut self, to: usize, span: Duration, delivery: Delivery) {
         self.count += 1;
         let run = self.hosts[to].run.incarnation;
-        let at = self.now.plus(span).plus(self.lags[to]);
-        self.parcels.insert((at, self.count), (run, parcel));
+        let at = self.now.plus(span).plus(self.processing_delays[to]);
+        self.deliveries.insert((at, self.count), (run, delivery));
     }
 
     fn deliver(&mut self) {
-        while let Some(entry) = self.parcels.first_entry() {
+        while let Some(entry) = self.deliveries.first_entry() {
             if entry.key().0 > self.now {
                 return;
             }
-            let (run, parcel) = entry.remove();
-            let host = &mut self.hosts[parcel.receiver()];
-            match &mut host.held {
-                Some(held) if host.run.incarnation == run => held.push(parcel),
-                _ => self.hand_over(run, parcel),
+            let (run, delivery) = entry.remove();
+            let host = &mut self.hosts[delivery.receiver()];
+            match &mut host.paused_queue {
+                Some(paused_queue) if host.run.incarnation == run => paused_queue.push(delivery),
+                _ => self.deliver_to_process(run, delivery),
             }
         }
     }
 
-    fn hand_over(&mut self, run: Incarnation, parcel: Parcel) {
-        let (to, event) = match parcel {
-            Parcel::Call(to, account, sent_at) => {
+    fn deliver_to_process(&mut self, run: Incarnation, delivery: Delivery) {
+        let (to, event) = match delivery {
+            Delivery::Call(to, account, sent_at) => {
                 self.submit(to, account, sent_at);
                 return;
             }
-            Parcel::Letter(from, to, message) => {
+            Delivery::Message(from, to, message) => {
                 if !self.links.contains(&(from.min(to), from.max(to))) {
                     return;
                 }
                 let from = self.hosts[from].run.clone();
                 (to, NodeEvent::Link(LinkEvent::Message(from, message)))
             }
-            Parcel::Gossip(to, message) => (to, NodeEvent::Gossip(message)),
-            Parcel::Value(to, value) => (to, NodeEvent::Read(value)),
-            Parcel::Attempt(to, attempt, event) => (to, NodeEvent::Attempt(attempt, event)),
+            Delivery::Gossip(to, message) => (to, NodeEvent::Gossip(message)),
+            Delivery::Value(to, value) => (to, NodeEvent::Read(value)),
+            Delivery::Attempt(to, attempt, event) => (to, NodeEvent::Attempt(attempt, event)),
         };
         if self.hosts[to].run.incarnation == run {
-            self.tell(to, event);
+            self.handle(to, event);
         }
     }
 
-    fn tell(&mut self, index: usize, event: NodeEvent) {
-        let own = self.own_time(index);
+    fn handle(&mut self, index: usize, event: NodeEvent) {
+        let local_now = self.process_time(index);
         let Some(core) = self.hosts[index].core.as_mut() else {
             return;
         };
-        let actions = core.handle(own, event);
-        self.carry_out(index, actions);
+        let actions = core.handle(local_now, event);
+        self.apply_actions(index, actions);
     }
 
     fn dial(&mut self) {
@@ -410,25 +415,25 @@
                 let wanted = self.hosts[a].wanted.contains(&b) || self.hosts[b].wanted.contains(&a);
                 let runs = |at: usize| {
                     let age = self.now.since(self.hosts[at].started_at);
-                    self.hosts[at].core.is_some() && age >= DIAL
+                    self.hosts[at].core.is_some() && age >= DIAL_DELAY
                 };
                 if wanted && runs(a) && runs(b) && self.links.insert((a, b)) {
                     for (end, peer) in [(a, b), (b, a)] {
                         let run = self.hosts[peer].run.clone();
-                        self.tell(end, NodeEvent::Link(LinkEvent::Up(run)));
+                        self.handle(end, NodeEvent::Link(LinkEvent::Up(run)));
                     }
                 }
             }
         }
     }
 
-    fn carry_out(&mut self, index: usize, actions: Vec<NodeAction>) {
+    fn apply_actions(&mut self, index: usize, actions: Vec<NodeAction>) {
         for action in actions {
             match action {
                 NodeAction::Send(to, message) => {
                     let to = index_of(&to);
-                    let letter = Parcel::Letter(index, to, message);
-                    self.post(to, self.latency, letter);
+                    let delivery = Delivery::Message(index, to, message);
+                    self.post(to, self.latency, delivery);
                 }
                 NodeAction::Gossip(action) => self.gossip(action.to, action.message),
                 NodeAction::Connect(host) => {
@@ -439,11 +444,13 @@
                 }
                 NodeAction::Read(value) => {
                     let value = published(&value, self.targets);
-                    self.post(index, STORE, Parcel::Value(index, value));
+                    self.post(index, READ_TIME, Delivery::Value(index, value));
                 }
                 NodeAction::Start {
                     attempt, target, ..
-                } if self.dead.contains(target.name.as_str()) => self.miss(index, attempt),
+                } if self.unreachable.contains(target.name.as_str()) => {
+                    self.refuse_connection(index, attempt)
+                }
                 NodeAction::Start {
                     attempt, target, ..
                 } => {
@@ -457,7 +464,7 @@
                     }
                 }
                 NodeAction::LogIncident(incident, text) => {
-                    self.note(index, incident.number(), &text)
+                    self.record_incident(index, incident.number(), &text)
                 }
                 _ => {}
             }
@@ -468,15 +475,15 @@
         let mut hosts = 0..HOSTS;
         let to = hosts.find(|index| host_entry(*index).link_address == to);
         let to = to.expect("a host of the fleet");
-        self.post(to, self.latency, Parcel::Gossip(to, Box::new(message)));
+        self.post(to, self.latency, Delivery::Gossip(to, Box::new(message)));
     }
 
-    /// Let a call meet a target that refuses the connection.
-    fn miss(&mut self, index: usize, attempt: AttemptId) {
-        self.unreached.push(self.now);
+    /// Fail an attempt because its target refuses the connection.
+    fn refuse_connection(&mut self, index: usize, attempt: AttemptId) {
+        self.connect_failures.push(self.now);
         let event = AttemptEvent::NotSent(NotSentReason::ConnectFailed);
-        let end = Parcel::Attempt(index, attempt, event);
-        self.post(index, REFUSED_AFTER, end);
+        let end = Delivery::Attempt(index, attempt, event);
+        self.post(index, CONNECT_REFUSED_AFTER, end);
     }
 
     fn run(&mut self, index: usize, attempt: AttemptId) {
@@ -492,13 +499,14 @@
             true => AttemptEvent::Failed,
             false => AttemptEvent::Finished(usage()),
         };
-        let end = Parcel::Attempt(index, attempt, event);
-        self.post(index, RUN_SPAN, end);
+        let end = Delivery::Attempt(index, attempt, event);
+        self.post(index, RUN_TIME, end);
     }
 
-    fn note(&mut self, index: usize, number: u16, text: &str) {
+    fn record_incident(&mut self, index: usize, number: u16, text: &str) {
         if text == format!("shard={}", shard()) && (number == 300 || number == 301) {
-            self.turns.push((self.now, index, number == 300));
+            self.ownership_changes
+                .push((self.now, index, number == 300));
         }
     }
 }
