--- a/bergamotswitch/src/command/demo/exchange.rs
+++ b/bergamotswitch/src/command/demo/exchange.rs
@@ -20,7 +20,7 @@
     /// The refusal's reason code, where it was refused.
     pub refusal: Option<String>,
     /// Whether the answer is whole.
-    pub whole: bool,
+    pub complete: bool,
     /// The answer's text: an engine's output or a service's echo.
     pub text: String,
     /// The run of the host that holds the request, `host~hex`.
@@ -101,13 +101,13 @@
         let run = answer.fields.get("bergamot-incarnation");
         let run = run.and_then(|run| run.to_str().ok());
         // A refusal that came before the stream began is one JSON object.
-        let (refusal, whole, text) = match self.streaming && answer.status.is_success() {
+        let (refusal, complete, text) = match self.streaming && answer.status.is_success() {
             true => read_stream(&text),
             false => read_whole(&text),
         };
         CallOutcome {
             status: answer.status,
-            whole: whole && answer.status.is_success(),
+            complete: complete && answer.status.is_success(),
             refusal,
             text,
             run: run.unwrap_or_default().to_owned(),
@@ -122,19 +122,19 @@
     let refusal = value["error"]["code"].as_str().map(str::to_owned);
     let content = &value["choices"][0]["message"]["content"];
     let content = content.as_str().or(value["echo"].as_str());
-    let whole = content.is_some();
-    (refusal, whole, content.unwrap_or_default().to_owned())
+    let complete = content.is_some();
+    (refusal, complete, content.unwrap_or_default().to_owned())
 }
 
 /// Read a stream of events: refusal, wholeness, text. Only `[DONE]` makes a
 /// stream whole.
 fn read_stream(text: &str) -> (Option<String>, bool, String) {
     let mut refusal = None;
-    let mut whole = false;
+    let mut complete = false;
     let mut output = String::new();
     for data in text.lines().filter_map(|line| line.strip_prefix("data: ")) {
         if data == "[DONE]" {
-            whole = true;
+            complete = true;
             continue;
         }
         let value: Value = serde_json::from_str(data).unwrap_or_default();
@@ -144,7 +144,7 @@
         let delta = &value["choices"][0]["delta"]["content"];
         output.push_str(delta.as_str().unwrap_or_default());
     }
-    (refusal, whole, output)
+    (refusal, complete, output)
 }
 
 /// Try to ask a host which host to use, as a caller does.
--- a/bergamotswitch/src/command/demo/provoked.rs
+++ b/bergamotswitch/src/command/demo/provoked.rs
@@ -204,7 +204,7 @@
     let second = call.send_with(other.unwrap_or(host), "again", &fields);
     let second = second.await?;
     let change = FleetCounters::read(&hosts).await? - before;
-    let title = match second.whole && first.text == second.text {
+    let title = match second.complete && first.text == second.text {
         true => "sent again at another host: same answer",
         false => "sent again at another host: OTHER ANSWER",
     };
--- a/bergamotswitch/src/command/demo/report.rs
+++ b/bergamotswitch/src/command/demo/report.rs
@@ -54,7 +54,7 @@
         let report = self.rows.entry(row).or_default();
         report.sent += 1;
         report.slowest = report.slowest.max(outcome.elapsed);
-        if outcome.whole {
+        if outcome.complete {
             report.answered += 1;
             return;
         }
@@ -107,9 +107,9 @@
         outcomes: &[CallOutcome],
         change: FleetCounters,
     ) {
-        let answered = outcomes.iter().filter(|outcome| outcome.whole).count();
+        let answered = outcomes.iter().filter(|outcome| outcome.complete).count();
         let mut refused = BTreeMap::new();
-        for outcome in outcomes.iter().filter(|outcome| !outcome.whole) {
+        for outcome in outcomes.iter().filter(|outcome| !outcome.complete) {
             *refused.entry(reason(outcome)).or_default() += 1;
         }
         self.table.add(vec![
--- a/bergamotswitch/tests/answer_bound.rs
+++ b/bergamotswitch/tests/answer_bound.rs
@@ -22,7 +22,7 @@
     let host = fleet.hosts[0].address();
     let plain = calls::DEPLOYMENTS[0].calls[1];
     let kept = plain.send(host, "kept").await.expect("answer");
-    assert!(kept.whole, "{kept:?}");
+    assert!(kept.complete, "{kept:?}");
     let before = view(host).await;
     let kept_bytes = before["desk"]["kept_answer_bytes"].as_u64();
     assert!(kept_bytes.is_some_and(|bytes| bytes > 100), "{before}");
--- a/bergamotswitch/tests/separate_processes.rs
+++ b/bergamotswitch/tests/separate_processes.rs
@@ -16,7 +16,7 @@
         let host = calls::ask_address(first, call.key).await.expect("address");
         let outcome = call.send(host, &format!("kind-{number}")).await;
         let outcome = outcome.expect("answer");
-        assert!(outcome.whole, "{}: {outcome:?}", call.work);
+        assert!(outcome.complete, "{}: {outcome:?}", call.work);
         assert!(
             texts.insert(outcome.text),
             "{}: another's answer",
