--- a/bergamotswitch/src/command/args.rs
+++ b/bergamotswitch/src/command/args.rs
@@ -7,7 +7,7 @@
 use lexopt::prelude::*;
 
 use super::error::CommandError;
-use super::logs::{LogsArgs, LogsQuestion};
+use super::logs::{LogsArgs, LogsQuery};
 
 /// The text of `--help`.
 pub const HELP: &str = "\
@@ -139,11 +139,11 @@
     usage(format!("{}; {allowed}", arg.unexpected()))
 }
 
-fn needed<T>(value: Option<T>, option: &str) -> Result<T, CommandError> {
+fn required<T>(value: Option<T>, option: &str) -> Result<T, CommandError> {
     value.ok_or_else(|| usage(format!("option {option} is missing")))
 }
 
-fn text(parser: &mut lexopt::Parser, option: &str) -> Result<String, CommandError> {
+fn text_value(parser: &mut lexopt::Parser, option: &str) -> Result<String, CommandError> {
     let value = parser.value()?;
     let text = value.into_string();
     text.map_err(|_| usage(format!("option {option}: allowed is UTF-8 text")))
@@ -157,7 +157,7 @@
             other => return Err(unexpected(other, SERVE_ALLOWED)),
         }
     }
-    let settings = needed(settings, "--settings FILE")?;
+    let settings = required(settings, "--settings FILE")?;
     Ok(Command::Serve { settings })
 }
 
@@ -181,26 +181,26 @@
     while let Some(arg) = parser.next()? {
         match arg {
             Long("deployment") => deployment = Some(PathBuf::from(parser.value()?)),
-            Long("pool") => pool = Some(text(parser, "--pool")?),
-            Long("account") => account = Some(text(parser, "--account")?),
-            Long("work") => args.work = Some(text(parser, "--work")?),
-            Long("path") => args.path = Some(text(parser, "--path")?),
-            Long("domain") => args.domain = Some(text(parser, "--domain")?),
-            Long("prompt-tokens") => args.prompt_tokens = number(parser)?,
+            Long("pool") => pool = Some(text_value(parser, "--pool")?),
+            Long("account") => account = Some(text_value(parser, "--account")?),
+            Long("work") => args.work = Some(text_value(parser, "--work")?),
+            Long("path") => args.path = Some(text_value(parser, "--path")?),
+            Long("domain") => args.domain = Some(text_value(parser, "--domain")?),
+            Long("prompt-tokens") => args.prompt_tokens = parse_prompt_tokens(parser)?,
             Long("stream") => args.streaming = true,
             other => return Err(unexpected(other, EXPLAIN_ALLOWED)),
         }
     }
-    args.deployment = needed(deployment, "--deployment DIRECTORY")?;
-    args.pool = needed(pool, "--pool NAME")?;
-    args.account = needed(account, "--account NAME")?;
+    args.deployment = required(deployment, "--deployment DIRECTORY")?;
+    args.pool = required(pool, "--pool NAME")?;
+    args.account = required(account, "--account NAME")?;
     Ok(Command::Explain(args))
 }
 
-fn number(parser: &mut lexopt::Parser) -> Result<u32, CommandError> {
-    let value = text(parser, "--prompt-tokens")?;
-    let number = value.parse();
-    number.map_err(|_| {
+fn parse_prompt_tokens(parser: &mut lexopt::Parser) -> Result<u32, CommandError> {
+    let value = text_value(parser, "--prompt-tokens")?;
+    let count = value.parse();
+    count.map_err(|_| {
         usage(format!(
             "option --prompt-tokens {value:?}: allowed is a whole number from 0 to {}",
             u32::MAX
@@ -214,7 +214,7 @@
     while let Some(arg) = parser.next()? {
         match arg {
             Long("host") => {
-                let value = text(parser, "--host")?;
+                let value = text_value(parser, "--host")?;
                 let address = value.parse::<SocketAddr>();
                 host = Some(address.map_err(|_| {
                     usage(format!(
@@ -226,38 +226,34 @@
             other => return Err(unexpected(other, STATUS_ALLOWED)),
         }
     }
-    let host = needed(host, "--host IP:PORT")?;
+    let host = required(host, "--host IP:PORT")?;
     Ok(Command::Status { host, json })
 }
 
 fn parse_logs(parser: &mut lexopt::Parser) -> Result<Command, CommandError> {
-    let mut words = Vec::new();
+    let mut values = Vec::new();
     let mut json = false;
     while let Some(arg) = parser.next()? {
         match arg {
-            Value(word) => words.push(word),
+            Value(value) => values.push(value),
             Long("json") => json = true,
             other => return Err(unexpected(other, LOGS_ALLOWED)),
         }
     }
-    let mut words = words.into_iter();
-    let verb = words.next().unwrap_or_default();
-    let question = match verb.to_str() {
-        Some("summary") => LogsQuestion::Summary,
+    let mut values = values.into_iter();
+    let name = values.next().unwrap_or_default();
+    let query = match name.to_str() {
+        Some("summary") => LogsQuery::Summary,
         Some("trace") => {
-            let id = words.next().and_then(|id| id.into_string().ok());
-            LogsQuestion::Trace(needed(id, "ID of logs trace")?)
+            let id = values.next().and_then(|id| id.into_string().ok());
+            LogsQuery::Trace(required(id, "ID of logs trace")?)
         }
-        _ => return Err(usage(format!("logs {verb:?}; {LOGS_ALLOWED}"))),
+        _ => return Err(usage(format!("logs {name:?}; {LOGS_ALLOWED}"))),
     };
-    let files: Vec<PathBuf> = words.map(PathBuf::from).collect();
+    let files: Vec<PathBuf> = values.map(PathBuf::from).collect();
     match files.is_empty() {
         true => Err(usage("logs: name at least one file".into())),
-        false => Ok(Command::Logs(LogsArgs {
-            question,
-            files,
-            json,
-        })),
+        false => Ok(Command::Logs(LogsArgs { query, files, json })),
     }
 }
 
--- a/bergamotswitch/src/command/check.rs
+++ b/bergamotswitch/src/command/check.rs
@@ -17,10 +17,10 @@
     let mut report = CheckReport::default();
     for path in paths {
         let mut publication = Publication::default();
-        for file in expand(path)? {
+        for file in list_files(path)? {
             let findings = check_file(&file, &mut publication)?;
             report.add(&file, &findings);
-            report.checked += 1;
+            report.file_count += 1;
         }
         // References between values mean something only for a whole deployment.
         if path.is_dir() {
@@ -28,7 +28,7 @@
         }
     }
     write_out(&report.to_string())?;
-    match report.faults {
+    match report.finding_count {
         0 => Ok(ExitCode::SUCCESS),
         _ => Ok(ExitCode::from(1)),
     }
@@ -36,7 +36,7 @@
 
 /// Get a directory's JSON files, those of its `settings` last, or the file
 /// itself.
-fn expand(path: &Path) -> Result<Vec<PathBuf>, CommandError> {
+fn list_files(path: &Path) -> Result<Vec<PathBuf>, CommandError> {
     if !path.is_dir() {
         return Ok(vec![path.to_owned()]);
     }
@@ -49,19 +49,19 @@
 }
 
 fn check_file(path: &Path, publication: &mut Publication) -> Result<Findings, CommandError> {
-    let verdict = match files::value_name(path) {
+    let result = match files::value_name(path) {
         Some(name) => publication.apply(&files::read_value(path, name)?),
         None => HostSettings::try_from_json(&files::read(path)?).map(|_| ()),
     };
-    Ok(verdict.err().unwrap_or_default())
+    Ok(result.err().unwrap_or_default())
 }
 
 /// A `CheckReport` is what was found, one finding a line.
 #[derive(Debug, Default)]
 struct CheckReport {
     lines: Vec<String>,
-    checked: usize,
-    faults: usize,
+    file_count: usize,
+    finding_count: usize,
 }
 
 impl CheckReport {
@@ -69,7 +69,7 @@
         let path = path.display();
         let lines = findings.iter().map(|finding| format!("{path}: {finding}"));
         self.lines.extend(lines);
-        self.faults += findings.len();
+        self.finding_count += findings.len();
     }
 }
 
@@ -78,7 +78,7 @@
         for line in &self.lines {
             writeln!(f, "{line}")?;
         }
-        let (checked, faults) = (self.checked, self.faults);
-        writeln!(f, "{checked} files checked, {faults} findings")
+        let (file_count, finding_count) = (self.file_count, self.finding_count);
+        writeln!(f, "{file_count} files checked, {finding_count} findings")
     }
 }
--- a/bergamotswitch/src/command/client.rs
+++ b/bergamotswitch/src/command/client.rs
@@ -41,7 +41,7 @@
     let io = TokioIo::new(stream);
     let handshake = hyper::client::conn::http1::handshake(io).await;
     let (mut sender, connection) = handshake.map_err(|e| fail(&e))?;
-    let driver = tokio::spawn(connection);
+    let connection_task = tokio::spawn(connection);
     let mut request = Request::new(Full::new(body));
     *request.method_mut() = method;
     *request.uri_mut() = path.parse().map_err(|e: http::uri::InvalidUri| fail(&e))?;
@@ -53,7 +53,7 @@
     let response = sender.send_request(request).await.map_err(|e| fail(&e))?;
     let (parts, body) = response.into_parts();
     let body = body.collect().await.map_err(|e| fail(&e))?.to_bytes();
-    driver.abort();
+    connection_task.abort();
     Ok(HttpAnswer {
         status: parts.status,
         fields: parts.headers,
--- a/bergamotswitch/src/command/demo/calls.rs
+++ b/bergamotswitch/src/command/demo/calls.rs
@@ -1,6 +1,6 @@
 //! Provides the demo's calls: one for each kind of work of both deployments.
 
-pub use super::exchange::{CallOutcome, ask_address};
+pub use super::exchange::{CallOutcome, resolve_host};
 
 /// A `DemoDeployment` is one deployment and its calls.
 #[derive(Clone, Copy, Debug)]
@@ -192,8 +192,8 @@
 
     /// Each deployment of [`DEPLOYMENTS`] has a call of each kind; the first
     /// call stands in where a further deployment has none.
-    fn find(&self, is_meant: impl Fn(&&DemoCall) -> bool) -> DemoCall {
-        let call = self.calls.iter().find(is_meant);
+    fn find(&self, predicate: impl Fn(&&DemoCall) -> bool) -> DemoCall {
+        let call = self.calls.iter().find(predicate);
         *call.unwrap_or(&self.calls[0])
     }
 }
--- a/bergamotswitch/src/command/demo/counters.rs
+++ b/bergamotswitch/src/command/demo/counters.rs
@@ -28,9 +28,10 @@
         for host in hosts {
             let answer = client::get(*host, "/metrics").await?;
             let page = String::from_utf8_lossy(&answer.body);
-            counters.retried += total(&page, &format!("{METRIC_PREFIX}_retries_total{{"));
-            counters.resumed += total(&page, &incident_series(Incident::StreamResumed));
-            counters.attached += total(&page, &incident_series(Incident::ResubmissionAttached));
+            counters.retried += sum_series(&page, &format!("{METRIC_PREFIX}_retries_total{{"));
+            counters.resumed += sum_series(&page, &incident_series(Incident::StreamResumed));
+            counters.attached +=
+                sum_series(&page, &incident_series(Incident::ResubmissionAttached));
         }
         Ok(counters)
     }
@@ -54,7 +55,7 @@
 }
 
 /// Get the sum of the series whose lines begin with `series`.
-fn total(page: &str, series: &str) -> u64 {
+fn sum_series(page: &str, series: &str) -> u64 {
     let lines = page.lines().filter(|line| line.starts_with(series));
     let values = lines.filter_map(|line| line.rsplit(' ').next()?.parse::<u64>().ok());
     values.sum()
--- a/bergamotswitch/src/command/demo/exchange.rs
+++ b/bergamotswitch/src/command/demo/exchange.rs
@@ -24,7 +24,7 @@
     /// The answer's text: an engine's output or a service's echo.
     pub text: String,
     /// The run of the host that holds the request, `host~hex`.
-    pub run: String,
+    pub incarnation: String,
     /// From sending to the whole answer.
     pub elapsed: Duration,
 }
@@ -50,21 +50,21 @@
         key: &str,
         fields: &[(&'static str, &str)],
     ) -> Result<CallOutcome, CommandError> {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let path = match self.service_path {
             Some(path) => format!("/v1/services/{}/{path}", self.pool),
             None => "/v1/chat/completions".to_owned(),
         };
         let body = Bytes::from(self.body(key).to_string());
-        let fields = self.all_fields(key, fields)?;
+        let fields = self.header_fields(key, fields)?;
         let answer = client::call(host, Method::POST, &path, fields, body).await?;
-        Ok(self.outcome(&answer, begun.elapsed()))
+        Ok(self.outcome(&answer, started_at.elapsed()))
     }
 
-    fn all_fields(
+    fn header_fields(
         &self,
         key: &str,
-        further: &[(&'static str, &str)],
+        additional: &[(&'static str, &str)],
     ) -> Result<HeaderMap, CommandError> {
         let mut fields = HeaderMap::new();
         let mut add = |name: &'static str, text: &str| {
@@ -77,7 +77,7 @@
         add("content-type", "application/json")?;
         add("idempotency-key", key)?;
         add("bergamot-work", self.work)?;
-        for (name, text) in self.fields.iter().chain(further) {
+        for (name, text) in self.fields.iter().chain(additional) {
             add(name, text)?;
         }
         Ok(fields)
@@ -98,26 +98,26 @@
 
     fn outcome(&self, answer: &HttpAnswer, elapsed: Duration) -> CallOutcome {
         let text = String::from_utf8_lossy(&answer.body);
-        let run = answer.fields.get("bergamot-incarnation");
-        let run = run.and_then(|run| run.to_str().ok());
+        let incarnation = answer.fields.get("bergamot-incarnation");
+        let incarnation = incarnation.and_then(|incarnation| incarnation.to_str().ok());
         // A refusal that came before the stream began is one JSON object.
         let (refusal, complete, text) = match self.streaming && answer.status.is_success() {
             true => read_stream(&text),
-            false => read_whole(&text),
+            false => read_json(&text),
         };
         CallOutcome {
             status: answer.status,
             complete: complete && answer.status.is_success(),
             refusal,
             text,
-            run: run.unwrap_or_default().to_owned(),
+            incarnation: incarnation.unwrap_or_default().to_owned(),
             elapsed,
         }
     }
 }
 
 /// Read a whole JSON answer: refusal, wholeness, text.
-fn read_whole(text: &str) -> (Option<String>, bool, String) {
+fn read_json(text: &str) -> (Option<String>, bool, String) {
     let value: Value = serde_json::from_str(text).unwrap_or_default();
     let refusal = value["error"]["code"].as_str().map(str::to_owned);
     let content = &value["choices"][0]["message"]["content"];
@@ -152,17 +152,17 @@
 /// # Errors
 ///
 /// Returns [`CommandError::Answer`] where it names none.
-pub async fn ask_address(first: SocketAddr, key: &str) -> Result<SocketAddr, CommandError> {
+pub async fn resolve_host(entry_host: SocketAddr, key: &str) -> Result<SocketAddr, CommandError> {
     let mut fields = HeaderMap::new();
     let bearer = HeaderValue::from_str(&format!("Bearer {key}"));
     let bearer = bearer.map_err(|error| CommandError::Answer(error.to_string()))?;
     fields.insert(http::header::AUTHORIZATION, bearer);
-    let answer = client::call(first, Method::GET, "/v1/address", fields, Bytes::new()).await?;
+    let answer = client::call(entry_host, Method::GET, "/v1/address", fields, Bytes::new()).await?;
     let address: AddressAnswer = serde_json::from_slice(&answer.body).map_err(|error| {
         let body = String::from_utf8_lossy(&answer.body);
-        CommandError::Answer(format!("{first}/v1/address: {error}: {body}"))
+        CommandError::Answer(format!("{entry_host}/v1/address: {error}: {body}"))
     })?;
     let host = address.hosts.first();
-    let host = host.ok_or_else(|| CommandError::Answer(format!("{first} names no host")))?;
+    let host = host.ok_or_else(|| CommandError::Answer(format!("{entry_host} names no host")))?;
     Ok(host.address)
 }
--- a/bergamotswitch/src/command/demo/fleet.rs
+++ b/bergamotswitch/src/command/demo/fleet.rs
@@ -29,10 +29,10 @@
 
 /// How long the hosts have to stop and to take a publication. Both take
 /// little more than a second; a slow machine is no fault of the demo.
-const PATIENCE: Duration = Duration::from_secs(20);
+const FLEET_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// How long to wait between two looks at a host's view.
-const VIEW_POLL: Duration = Duration::from_millis(50);
+const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A `DemoHost` is one entry host of the demo.
 struct DemoHost {
@@ -53,10 +53,10 @@
     pub async fn try_start(directory: &Path) -> Result<Self, CommandError> {
         let stage = StagedDeployment::try_new(directory)
             .map_err(|error| CommandError::Read(directory.to_owned(), error))?;
-        shorten_addresses(stage.directory())?;
+        shorten_address_lifetime(stage.directory())?;
         let settings = read_settings(&stage)?;
-        let opts = platform_opts(&stage, &settings)?;
-        let platform = PlatformStandin::try_start(&opts).await;
+        let options = platform_options(&stage, &settings)?;
+        let platform = PlatformStandin::try_start(&options).await;
         let platform = platform.map_err(|error| CommandError::Answer(error.to_string()))?;
         let hosts = start_hosts(settings)?;
         for host in &hosts {
@@ -87,20 +87,20 @@
     /// Try to make the named targets misbehave, or behave again.
     pub async fn set(&self, targets: &[String], switches: &Value) -> Result<(), CommandError> {
         for target in targets {
-            let order = json!({ "target": target, "set": switches });
-            self.control(&order).await?;
+            let command = json!({ "target": target, "set": switches });
+            self.control(&command).await?;
         }
         Ok(())
     }
 
     /// Try to publish a value and wait until every host acts by it.
     pub async fn publish(&self, name: &str, body: &Value) -> Result<u64, CommandError> {
-        let order = json!({ "publish": { "name": name, "body": body } });
-        let answer = self.control(&order).await?;
+        let command = json!({ "publish": { "name": name, "body": body } });
+        let answer = self.control(&command).await?;
         let revision = answer["revision"].as_u64().unwrap_or_default();
         for host in &self.hosts {
             let waited = wait_revision(host.caller_address, name, revision);
-            let waited = tokio::time::timeout(PATIENCE, waited).await;
+            let waited = tokio::time::timeout(FLEET_TIMEOUT, waited).await;
             waited.map_err(|_| {
                 let host = host.caller_address;
                 CommandError::Answer(format!("{host} does not act by {name} {revision}"))
@@ -109,9 +109,9 @@
         Ok(revision)
     }
 
-    async fn control(&self, order: &Value) -> Result<Value, CommandError> {
+    async fn control(&self, command: &Value) -> Result<Value, CommandError> {
         let service = self.platform.configuration_address();
-        let body = Bytes::from(order.to_string());
+        let body = Bytes::from(command.to_string());
         let answer =
             client::call(service, Method::POST, "/control", HeaderMap::new(), body).await?;
         let text = String::from_utf8_lossy(&answer.body);
@@ -128,7 +128,7 @@
             let _ = host.sender.send(NodeInput::Stop);
         }
         for host in self.hosts {
-            let ended = tokio::time::timeout(PATIENCE, host.task).await;
+            let ended = tokio::time::timeout(FLEET_TIMEOUT, host.task).await;
             let ended = ended.map_err(|_| {
                 CommandError::Answer(format!("{} does not stop", host.caller_address))
             })?;
@@ -144,7 +144,7 @@
 }
 
 /// Publish a shorter address lifetime in the stage's copy.
-fn shorten_addresses(stage: &Path) -> Result<(), CommandError> {
+fn shorten_address_lifetime(stage: &Path) -> Result<(), CommandError> {
     let path = stage.join(format!("{LIMITS_VALUE}.json"));
     let mut limits = read_json(&path)?;
     limits["address_lifetime_ms"] = ADDRESS_LIFETIME_MS.into();
@@ -156,13 +156,13 @@
     let mut all = Vec::new();
     for path in files::json_files(&stage.settings_directory())? {
         let settings = HostSettings::try_from_json(&files::read(&path)?);
-        all.push(settings.map_err(|findings| CommandError::Faulty(path, findings))?);
+        all.push(settings.map_err(|findings| CommandError::Invalid(path, findings))?);
     }
     Ok(all)
 }
 
 /// Get a platform that listens where the hosts' settings look for it.
-fn platform_opts(
+fn platform_options(
     stage: &StagedDeployment,
     settings: &[HostSettings],
 ) -> Result<PlatformOptions, CommandError> {
@@ -204,7 +204,7 @@
         {
             return;
         }
-        tokio::time::sleep(VIEW_POLL).await;
+        tokio::time::sleep(STATUS_POLL_INTERVAL).await;
     }
 }
 
--- a/bergamotswitch/src/command/demo/mod.rs
+++ b/bergamotswitch/src/command/demo/mod.rs
@@ -7,8 +7,8 @@
 mod counters;
 mod exchange;
 mod fleet;
-mod provoked;
 mod report;
+mod scenarios;
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -29,7 +29,7 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// How long to wait between two looks at a host's health.
-const READY_POLL: Duration = Duration::from_millis(50);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Run the demo for both deployments.
 pub(super) fn demo() -> Result<ExitCode, CommandError> {
@@ -48,7 +48,7 @@
 }
 
 async fn run_deployment(deployment: &DemoDeployment) -> Result<(), CommandError> {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let fleet = DemoFleet::try_start(&deployment_directory(deployment.name)).await?;
     let hosts = fleet.addresses();
     println!(
@@ -56,7 +56,7 @@
         deployment.name,
         hosts.len(),
         fleet.target_count(),
-        begun.elapsed().as_millis()
+        started_at.elapsed().as_millis()
     );
     let before = FleetCounters::read(&hosts).await?;
     let report = send_all(&hosts, deployment.calls).await?;
@@ -64,19 +64,19 @@
     println!("\n  each kind of work, all calls at once");
     print!("{report}");
     println!("  retried meanwhile: {}", change.retried);
-    let provoked = provoked::provoke(&fleet, deployment).await?;
+    let scenario_report = scenarios::run_all(&fleet, deployment).await?;
     println!("\n  provoked on purpose");
-    print!("{provoked}");
+    print!("{scenario_report}");
     println!("\n  what the hosts counted (GET /metrics; series of value 0 are left out)");
     for host in hosts {
         let metrics = client::get(host, "/metrics").await?;
         report::print_counters(&String::from_utf8_lossy(&metrics.body), host);
     }
-    let stopping = Instant::now();
+    let stop_started_at = Instant::now();
     fleet.stop().await?;
     println!(
         "\n  planned stop of all hosts: {} ms",
-        stopping.elapsed().as_millis()
+        stop_started_at.elapsed().as_millis()
     );
     Ok(())
 }
@@ -96,7 +96,7 @@
             {
                 return;
             }
-            tokio::time::sleep(READY_POLL).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
     };
     let waited = tokio::time::timeout(READY_TIMEOUT, ready).await;
@@ -112,7 +112,7 @@
             let first = hosts[number % hosts.len()];
             let (call, key) = (*call, format!("{}-{number}", call.work));
             sent.spawn_local(async move {
-                let host = calls::ask_address(first, call.key).await?;
+                let host = calls::resolve_host(first, call.key).await?;
                 let outcome = call.send(host, &key).await?;
                 Ok::<(DemoCall, CallOutcome), CommandError>((call, outcome))
             });
--- a/bergamotswitch/src/command/demo/report.rs
+++ b/bergamotswitch/src/command/demo/report.rs
@@ -14,7 +14,7 @@
 
 /// The counters of a host that the demo shows, by the beginning of their
 /// names: a line of value 0 is left out.
-const SHOWN_COUNTERS: [&str; 5] = [
+const SHOWN_METRICS: [&str; 5] = [
     "bergamot_refusals",
     "bergamot_retries",
     "bergamot_wasted",
@@ -74,31 +74,31 @@
                 report.sent.to_string(),
                 report.answered.to_string(),
                 report.slowest.as_millis().to_string(),
-                counted(&report.refused),
+                format_counts(&report.refused),
             ]);
         }
         write!(f, "{table}")
     }
 }
 
-/// A `ProvokedReport` is what became of the calls that provoke something.
+/// A `ScenarioReport` is what became of the calls that provoke something.
 #[derive(Debug)]
-pub(super) struct ProvokedReport {
+pub(super) struct ScenarioReport {
     table: TextTable,
 }
 
-impl Default for ProvokedReport {
+impl Default for ScenarioReport {
     fn default() -> Self {
         let head = [
             "tier", "provoked", "sent", "answered", "retried", "resumed", "attached", "refused",
         ];
-        ProvokedReport {
+        ScenarioReport {
             table: TextTable::new(&head).with_indent(INDENT),
         }
     }
 }
 
-impl ProvokedReport {
+impl ScenarioReport {
     /// Add the outcomes of one case, and what the hosts counted meanwhile.
     pub(super) fn add(
         &mut self,
@@ -120,12 +120,12 @@
             change.retried.to_string(),
             change.resumed.to_string(),
             change.attached.to_string(),
-            counted(&refused),
+            format_counts(&refused),
         ]);
     }
 }
 
-impl fmt::Display for ProvokedReport {
+impl fmt::Display for ScenarioReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.table)
     }
@@ -140,7 +140,7 @@
     }
 }
 
-fn counted(reasons: &BTreeMap<String, usize>) -> String {
+fn format_counts(reasons: &BTreeMap<String, usize>) -> String {
     let reasons: Vec<String> = reasons
         .iter()
         .map(|(reason, count)| format!("{reason} x{count}"))
@@ -152,7 +152,7 @@
 pub(super) fn print_counters(page: &str, host: SocketAddr) {
     println!("  counters of {host}");
     for line in page.lines() {
-        let shown = SHOWN_COUNTERS.iter().any(|name| line.starts_with(name));
+        let shown = SHOWN_METRICS.iter().any(|name| line.starts_with(name));
         if shown && !line.ends_with(" 0") {
             println!("    {line}");
         }
--- a/bergamotswitch/src/command/error.rs
+++ b/bergamotswitch/src/command/error.rs
@@ -16,7 +16,7 @@
     /// A file cannot be read.
     Read(PathBuf, std::io::Error),
     /// A file has faults.
-    Faulty(PathBuf, Findings),
+    Invalid(PathBuf, Findings),
     /// The host cannot start.
     Start(NodeError),
     /// The runtime cannot start.
@@ -36,7 +36,7 @@
             CommandError::Read(path, error) => {
                 write!(f, "cannot read {}: {error}", path.display())
             }
-            CommandError::Faulty(path, findings) => {
+            CommandError::Invalid(path, findings) => {
                 write!(f, "{} has faults:\n{findings}", path.display())
             }
             CommandError::Start(error) => write!(f, "cannot start: {error}"),
--- a/bergamotswitch/src/command/explain.rs
+++ b/bergamotswitch/src/command/explain.rs
@@ -22,11 +22,12 @@
 /// may run. Exit 1 where no rule matches.
 pub(super) fn explain(args: &ExplainArgs) -> Result<ExitCode, CommandError> {
     let publication = files::read_deployment(&args.deployment)?;
-    let pool = PoolName::try_from(args.pool.as_str()).map_err(|error| named("--pool", error))?;
-    let account =
-        AccountName::try_from(args.account.as_str()).map_err(|error| named("--account", error))?;
+    let pool =
+        PoolName::try_from(args.pool.as_str()).map_err(|error| invalid_name("--pool", error))?;
+    let account = AccountName::try_from(args.account.as_str())
+        .map_err(|error| invalid_name("--account", error))?;
     let work = args.work.as_deref().map(WorkKind::try_from).transpose();
-    let work = work.map_err(|error| named("--work", error))?;
+    let work = work.map_err(|error| invalid_name("--work", error))?;
     let domain = domain(args, &publication)?;
     let facts = RequestFacts {
         pool: &pool,
@@ -45,13 +46,13 @@
     }
 }
 
-fn named(option: &str, error: NameError) -> CommandError {
+fn invalid_name(option: &str, error: NameError) -> CommandError {
     CommandError::Usage(format!("option {option}: {error}"))
 }
 
 fn domain(args: &ExplainArgs, publication: &Publication) -> Result<DomainName, CommandError> {
     if let Some(name) = args.domain.as_deref() {
-        return DomainName::try_from(name).map_err(|error| named("--domain", error));
+        return DomainName::try_from(name).map_err(|error| invalid_name("--domain", error));
     }
     let first = publication.domains.domains().first();
     let domain = first.map(|domain| domain.name.clone());
--- a/bergamotswitch/src/command/files.rs
+++ b/bergamotswitch/src/command/files.rs
@@ -32,7 +32,10 @@
     let mut files = Vec::new();
     for entry in std::fs::read_dir(directory).map_err(fail)? {
         let file = entry.map_err(fail)?.path();
-        if file.extension().is_some_and(|ending| ending == "json") {
+        if file
+            .extension()
+            .is_some_and(|extension| extension == "json")
+        {
             files.push(file);
         }
     }
@@ -72,8 +75,8 @@
             continue;
         };
         let value = read_value(&path, name)?;
-        let verdict: Result<(), Findings> = publication.apply(&value);
-        verdict.map_err(|findings| CommandError::Faulty(path, findings))?;
+        let result: Result<(), Findings> = publication.apply(&value);
+        result.map_err(|findings| CommandError::Invalid(path, findings))?;
     }
     Ok(publication)
 }
--- a/bergamotswitch/src/command/logs/line.rs
+++ b/bergamotswitch/src/command/logs/line.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 
 /// The length of a time stamp up to its second.
-const SECOND_LEN: usize = "2026-01-31 23:59:59".len();
+const SECOND_LENGTH: usize = "2026-01-31 23:59:59".len();
 
 /// A `LogLine` is an event that a host logged.
 #[derive(Clone, Debug, PartialEq)]
@@ -13,7 +13,7 @@
     /// The host, as far as the line or its file tells.
     pub(super) host: String,
     /// The time, in a form whose order as text is the order in time.
-    pub(super) at: String,
+    pub(super) timestamp: String,
     /// The event's number.
     pub(super) event: u64,
     /// The event's text.
@@ -25,7 +25,7 @@
 impl LogLine {
     /// Try to read a line; `None` where it is no event. What collects logs may
     /// put the host's name before the line: the last word there counts.
-    pub(super) fn read(bytes: &[u8], file_host: &str) -> Option<Self> {
+    pub(super) fn parse(bytes: &[u8], file_host: &str) -> Option<Self> {
         let text = std::str::from_utf8(bytes).ok()?;
         let (prefix, body) = text.split_at(text.find('{')?);
         let found: Value = serde_json::from_str(body.trim_end()).ok()?;
@@ -33,15 +33,15 @@
         let event = pairs.get("event")?.as_u64()?;
         let fields: BTreeMap<String, String> = pairs
             .iter()
-            .map(|(name, value)| (name.clone(), plain(value)))
+            .map(|(name, value)| (name.clone(), plain_text(value)))
             .collect();
         let named = fields.get("host").map(String::as_str);
         let prefixed = prefix.split_whitespace().next_back();
         Some(LogLine {
             host: named.or(prefixed).unwrap_or(file_host).to_owned(),
-            at: found.get("timestamp")?.as_str()?.to_owned(),
+            timestamp: found.get("timestamp")?.as_str()?.to_owned(),
             event,
-            text: found.get("text").map(plain).unwrap_or_default(),
+            text: found.get("text").map(plain_text).unwrap_or_default(),
             fields,
         })
     }
@@ -58,11 +58,13 @@
 
     /// Get the second in which it was written.
     pub(super) fn second(&self) -> &str {
-        self.at.get(..SECOND_LEN).unwrap_or(&self.at)
+        self.timestamp
+            .get(..SECOND_LENGTH)
+            .unwrap_or(&self.timestamp)
     }
 }
 
-fn plain(value: &Value) -> String {
+fn plain_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         other => other.to_string(),
--- a/bergamotswitch/src/command/logs/mod.rs
+++ b/bergamotswitch/src/command/logs/mod.rs
@@ -4,8 +4,8 @@
 //! Logs are read line by line and may be larger than the memory. A line that is
 //! no event is counted and passed over.
 
-mod fate;
 mod line;
+mod outcome;
 mod reader;
 mod summary;
 mod trace;
@@ -20,16 +20,16 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogsArgs {
     /// The question.
-    pub question: LogsQuestion,
+    pub query: LogsQuery,
     /// The hosts' log files.
     pub files: Vec<PathBuf>,
     /// Whether to print JSON.
     pub json: bool,
 }
 
-/// A `LogsQuestion` is what the logs are to tell.
+/// A `LogsQuery` is what the logs are to tell.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum LogsQuestion {
+pub enum LogsQuery {
     /// What became of all requests.
     Summary,
     /// All lines about the request with this caller's id.
@@ -38,9 +38,9 @@
 
 /// Print what the logs tell. Exit 1 where they have nothing of it.
 pub(super) fn logs(args: &LogsArgs) -> Result<ExitCode, CommandError> {
-    let (text, found) = match &args.question {
-        LogsQuestion::Summary => summary::summary(&args.files, args.json)?,
-        LogsQuestion::Trace(id) => trace::trace(id, &args.files, args.json)?,
+    let (text, found) = match &args.query {
+        LogsQuery::Summary => summary::summary(&args.files, args.json)?,
+        LogsQuery::Trace(id) => trace::trace(id, &args.files, args.json)?,
     };
     write_out(&text)?;
     match found {
--- a/bergamotswitch/src/command/logs/summary.rs
+++ b/bergamotswitch/src/command/logs/summary.rs
@@ -6,9 +6,9 @@
 
 use serde_json::{Value, json};
 
-use super::fate::{FateTable, RequestFate};
 use super::line::LogLine;
-use super::reader::{ReadCount, read_all};
+use super::outcome::{OutcomeTable, RequestOutcome};
+use super::reader::{ReadCount, read_lines};
 use crate::command::error::CommandError;
 use crate::command::table::TextTable;
 
@@ -18,13 +18,13 @@
 /// A `LogSummary` is the tables of many requests.
 #[derive(Debug, Default)]
 struct LogSummary {
-    all: FateTable,
-    reasons: FateTable,
-    ranks: FateTable,
-    routes: FateTable,
-    accounts: FateTable,
-    targets: FateTable,
-    seconds: FateTable,
+    all: OutcomeTable,
+    reasons: OutcomeTable,
+    tiers: OutcomeTable,
+    routes: OutcomeTable,
+    accounts: OutcomeTable,
+    targets: OutcomeTable,
+    seconds: OutcomeTable,
     /// Refusals by reason and how long they had waited.
     waits: BTreeMap<String, WaitCount>,
     /// How often each event was logged.
@@ -34,54 +34,54 @@
 /// A `WaitCount` is refusals without a target by the time that they waited.
 #[derive(Clone, Copy, Debug, Default)]
 struct WaitCount {
-    at_once: u64,
+    immediate: u64,
     waited: u64,
     waited_ms: u64,
 }
 
 /// A refusal below this many milliseconds was made on arrival: the answer of
 /// another host takes a few.
-const AT_ONCE_MS: u64 = 20;
+const IMMEDIATE_MS: u64 = 20;
 
 impl LogSummary {
-    fn take(&mut self, line: &LogLine) {
+    fn add(&mut self, line: &LogLine) {
         let event = (line.event, line.text.clone());
         *self.events.entry(event).or_default() += 1;
         if line.event != REQUEST_ENDED {
             return;
         }
-        let fate = RequestFate::of(line);
+        let outcome = RequestOutcome::of(line);
         let waited = line.number("waited_ms").unwrap_or(0);
         let took = line.number("took_ms").unwrap_or(0);
-        let place_ms = match fate {
-            RequestFate::Untried => 0,
+        let slot_ms = match outcome {
+            RequestOutcome::Untried => 0,
             _ => took.saturating_sub(waited),
         };
         let reason = match line.field("reason") {
             "" => line.field("outcome"),
             reason => reason,
         };
-        self.all.add("all", fate, place_ms);
-        self.reasons.add(reason, fate, place_ms);
-        self.ranks.add(line.field("tier"), fate, place_ms);
-        self.routes.add(line.field("route"), fate, place_ms);
-        self.accounts.add(line.field("account"), fate, place_ms);
-        self.seconds.add(line.second(), fate, place_ms);
+        self.all.add("all", outcome, slot_ms);
+        self.reasons.add(reason, outcome, slot_ms);
+        self.tiers.add(line.field("tier"), outcome, slot_ms);
+        self.routes.add(line.field("route"), outcome, slot_ms);
+        self.accounts.add(line.field("account"), outcome, slot_ms);
+        self.seconds.add(line.second(), outcome, slot_ms);
         // The last one held the place; those before it gave it back.
         if let Some(target) = line.field("targets").rsplit(',').next()
             && !target.is_empty()
         {
-            self.targets.add(target, fate, place_ms);
+            self.targets.add(target, outcome, slot_ms);
         }
-        if fate == RequestFate::Untried {
-            self.note_wait(reason, took);
+        if outcome == RequestOutcome::Untried {
+            self.add_wait(reason, took);
         }
     }
 
-    fn note_wait(&mut self, reason: &str, took: u64) {
+    fn add_wait(&mut self, reason: &str, took: u64) {
         let wait = self.waits.entry(reason.to_owned()).or_default();
-        match took < AT_ONCE_MS {
-            true => wait.at_once += 1,
+        match took < IMMEDIATE_MS {
+            true => wait.immediate += 1,
             false => {
                 wait.waited += 1;
                 wait.waited_ms += took;
@@ -89,11 +89,11 @@
         }
     }
 
-    fn tables(&self) -> [(&'static str, &FateTable); 7] {
+    fn tables(&self) -> [(&'static str, &OutcomeTable); 7] {
         [
             ("requests", &self.all),
             ("reason", &self.reasons),
-            ("rank", &self.ranks),
+            ("rank", &self.tiers),
             ("route", &self.routes),
             ("account", &self.accounts),
             ("target", &self.targets),
@@ -107,7 +107,7 @@
             let mean = wait.waited_ms.checked_div(wait.waited);
             table.add(vec![
                 reason.clone(),
-                wait.at_once.to_string(),
+                wait.immediate.to_string(),
                 wait.waited.to_string(),
                 mean.map_or("-".to_owned(), |mean| mean.to_string()),
             ]);
@@ -143,7 +143,7 @@
             .collect();
         let waits = self.waits.iter().map(|(reason, wait)| {
             let mean = wait.waited_ms.checked_div(wait.waited);
-            let wait = json!({"at_once": wait.at_once, "waited": wait.waited, "mean_ms": mean});
+            let wait = json!({"at_once": wait.immediate, "waited": wait.waited, "mean_ms": mean});
             (reason.clone(), wait)
         });
         let events = self.events.iter();
@@ -163,7 +163,7 @@
 /// Returns [`CommandError::Read`] where a file cannot be read.
 pub(super) fn summary(files: &[PathBuf], json: bool) -> Result<(String, bool), CommandError> {
     let mut summary = LogSummary::default();
-    let count = read_all(files, |line| summary.take(&line))?;
+    let count = read_lines(files, |line| summary.add(&line))?;
     let text = match json {
         true => format!("{:#}\n", summary.json(count)),
         false => summary.text(count),
--- a/bergamotswitch/src/command/logs/trace.rs
+++ b/bergamotswitch/src/command/logs/trace.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 
 use super::line::LogLine;
-use super::reader::read_all;
+use super::reader::read_lines;
 use crate::command::error::CommandError;
 
 const HOST_STARTED: u64 = 100;
@@ -16,50 +16,51 @@
 /// callers use again and again may have many.
 const MAX_LINES: usize = 10_000;
 
-/// A `RequestName` is what hosts call a request among themselves: the run of
+/// A `InternalId` is what hosts call a request among themselves: the run of
 /// the host that accepted it, and a number.
-type RequestName = String;
+type InternalId = String;
 
-/// A `NameSearch` finds the names of the requests with a caller's id.
+/// A `IdSearch` finds the names of the requests with a caller's id.
 #[derive(Debug, Default)]
-struct NameSearch {
+struct IdSearch {
     /// Each host's run at this point of the logs.
-    runs: BTreeMap<String, String>,
-    names: BTreeSet<RequestName>,
+    incarnations: BTreeMap<String, String>,
+    ids: BTreeSet<InternalId>,
 }
 
-impl NameSearch {
-    fn take(&mut self, id: &str, line: &LogLine) {
+impl IdSearch {
+    fn add(&mut self, id: &str, line: &LogLine) {
         if line.event == HOST_STARTED
-            && let Some((_, run)) = line.field("about").split_once('~')
+            && let Some((_, incarnation)) = line.field("about").split_once('~')
         {
-            self.runs.insert(line.host.clone(), run.to_owned());
+            self.incarnations
+                .insert(line.host.clone(), incarnation.to_owned());
         }
         if line.event != REQUEST_ENDED || line.field("request") != id {
             return;
         }
         let number = line.field("number");
-        if let Some(run) = self.runs.get(&line.host)
+        if let Some(incarnation) = self.incarnations.get(&line.host)
             && !number.is_empty()
-            && self.names.len() < MAX_LINES
+            && self.ids.len() < MAX_LINES
         {
-            self.names.insert(format!("{run}-{number}"));
+            self.ids.insert(format!("{incarnation}-{number}"));
         }
     }
 }
 
 /// Get whether a line is about one of the named requests, or has the caller's
 /// id itself.
-fn is_about(line: &LogLine, id: &str, names: &BTreeSet<RequestName>) -> bool {
+fn concerns_request(line: &LogLine, id: &str, ids: &BTreeSet<InternalId>) -> bool {
     let mut texts = line.fields.values();
-    texts.any(|text| text == id || names.iter().any(|name| holds_name(text, name)))
+    texts.any(|text| text == id || ids.iter().any(|internal_id| contains_id(text, internal_id)))
 }
 
 /// Get whether a text holds a name that is not the beginning of a longer one.
-fn holds_name(text: &str, name: &str) -> bool {
-    let mut found = text.match_indices(name);
+fn contains_id(text: &str, internal_id: &str) -> bool {
+    let mut found = text.match_indices(internal_id);
     found.any(|(at, _)| {
-        let next = text[at + name.len()..].chars().next();
+        let next = text[at + internal_id.len()..].chars().next();
         next.is_none_or(|next| !next.is_ascii_alphanumeric())
     })
 }
@@ -76,29 +77,29 @@
     json: bool,
 ) -> Result<(String, bool), CommandError> {
     // The line that ties the id to the hosts' name for it comes last.
-    let mut search = NameSearch::default();
-    read_all(files, |line| search.take(id, &line))?;
+    let mut search = IdSearch::default();
+    read_lines(files, |line| search.add(id, &line))?;
     let mut lines = Vec::new();
-    let mut left_out = 0_u64;
-    let count = read_all(files, |line| {
-        if !is_about(&line, id, &search.names) {
+    let mut omitted = 0_u64;
+    let count = read_lines(files, |line| {
+        if !concerns_request(&line, id, &search.ids) {
             return;
         }
         match lines.len() < MAX_LINES {
             true => lines.push(line),
-            false => left_out += 1,
+            false => omitted += 1,
         }
     })?;
-    lines.sort_by(|a: &LogLine, b| a.at.cmp(&b.at));
+    lines.sort_by(|a: &LogLine, b| a.timestamp.cmp(&b.timestamp));
     let found = !lines.is_empty();
     let text = match json {
-        true => format!("{:#}\n", json_of(&lines, count.unreadable, left_out)),
-        false => text_of(&lines, count.unreadable, left_out),
+        true => format!("{:#}\n", format_json(&lines, count.unreadable, omitted)),
+        false => format_text(&lines, count.unreadable, omitted),
     };
     Ok((text, found))
 }
 
-fn text_of(lines: &[LogLine], unreadable: u64, left_out: u64) -> String {
+fn format_text(lines: &[LogLine], unreadable: u64, omitted: u64) -> String {
     let mut text = String::new();
     for line in lines {
         let pairs = line.fields.iter().filter(|(name, value)| {
@@ -107,23 +108,23 @@
         let pairs: Vec<String> = pairs
             .map(|(name, value)| format!("{name}={value}"))
             .collect();
-        let (at, host, event) = (&line.at, &line.host, line.event);
+        let (at, host, event) = (&line.timestamp, &line.host, line.event);
         text += &format!("{at}  {host}  {event} {}: {}\n", line.text, pairs.join(" "));
     }
     text += &format!("{} lines, {unreadable} unreadable lines", lines.len());
-    match left_out {
+    match omitted {
         0 => text + "\n",
-        _ => text + &format!(", {left_out} more left out\n"),
+        _ => text + &format!(", {omitted} more left out\n"),
     }
 }
 
-fn json_of(lines: &[LogLine], unreadable: u64, left_out: u64) -> Value {
+fn format_json(lines: &[LogLine], unreadable: u64, omitted: u64) -> Value {
     let lines: Vec<Value> = lines
         .iter()
         .map(|line| {
-            json!({"at": line.at, "host": line.host, "event": line.event, "text": line.text,
+            json!({"at": line.timestamp, "host": line.host, "event": line.event, "text": line.text,
                    "fields": line.fields})
         })
         .collect();
-    json!({"lines": lines, "unreadable": unreadable, "left_out": left_out})
+    json!({"lines": lines, "unreadable": unreadable, "left_out": omitted})
 }
--- a/bergamotswitch/src/command/mod.rs
+++ b/bergamotswitch/src/command/mod.rs
@@ -19,7 +19,7 @@
 
 pub use self::args::{Command, ExplainArgs, parse};
 pub use self::error::CommandError;
-pub use self::logs::{LogsArgs, LogsQuestion};
+pub use self::logs::{LogsArgs, LogsQuery};
 
 /// The exit code for a command line that is not understood or a command that
 /// could not be carried out; 1 is for findings.
--- a/bergamotswitch/src/command/serve.rs
+++ b/bergamotswitch/src/command/serve.rs
@@ -16,13 +16,13 @@
 use super::files;
 
 /// How often the settings file is looked at without a signal.
-const SETTINGS_INTERVAL: Duration = Duration::from_secs(2);
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Run one entry host until a planned stop is complete.
 pub(super) fn serve(path: &Path) -> Result<ExitCode, CommandError> {
     let text = files::read(path)?;
     let settings = HostSettings::try_from_json(&text)
-        .map_err(|findings| CommandError::Faulty(path.to_owned(), findings))?;
+        .map_err(|findings| CommandError::Invalid(path.to_owned(), findings))?;
     let _journal = journal::start(&settings.log).map_err(CommandError::Journal)?;
     runtime()?.block_on(run(settings, path))
 }
@@ -45,27 +45,27 @@
     let node = HostNode::try_new(setup).map_err(CommandError::Start)?;
     println!("ready callers={callers} links={peers}");
     tokio::spawn(forward_signals(node.sender()));
-    tokio::spawn(follow_settings(path.to_owned(), node.sender()));
+    tokio::spawn(watch_settings(path.to_owned(), node.sender()));
     node.run().await;
     Ok(ExitCode::SUCCESS)
 }
 
 /// Tell the loop of changed settings. The file may change with a signal or
 /// without one, so it is read on a signal and now and then.
-async fn follow_settings(path: PathBuf, node: NodeSender) {
+async fn watch_settings(path: PathBuf, node: NodeSender) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
         return;
     };
-    let mut known = files::read(&path).unwrap_or_default();
+    let mut current = files::read(&path).unwrap_or_default();
     loop {
         tokio::select! {
             _ = hangup.recv() => {}
-            () = sleep(SETTINGS_INTERVAL) => {}
+            () = sleep(SETTINGS_POLL_INTERVAL) => {}
         }
         let Ok(text) = files::read(&path) else {
             continue;
         };
-        if text == known {
+        if text == current {
             continue;
         }
         match HostSettings::try_from_json(&text) {
@@ -79,7 +79,7 @@
                 journal::write(Incident::SettingsRefused, &[("findings", &text)]);
             }
         }
-        known = text;
+        current = text;
     }
 }
 
@@ -92,11 +92,11 @@
         return;
     };
     loop {
-        let heard = tokio::select! {
-            heard = terminate.recv() => heard,
-            heard = interrupt.recv() => heard,
+        let received = tokio::select! {
+            received = terminate.recv() => received,
+            received = interrupt.recv() => received,
         };
-        if heard.is_none() || node.send(NodeInput::Stop).is_err() {
+        if received.is_none() || node.send(NodeInput::Stop).is_err() {
             return;
         }
     }
--- a/bergamotswitch/src/command/status.rs
+++ b/bergamotswitch/src/command/status.rs
@@ -67,7 +67,7 @@
 fn write_revisions(f: &mut fmt::Formatter<'_>, view: &Value) -> fmt::Result {
     let revisions = &view["revisions"];
     let mut table = TextTable::new(&["value", "in force", "seen", "refused"]).with_indent(2);
-    let mut faults = Vec::new();
+    let mut findings = Vec::new();
     for value in items(&revisions["values"]) {
         let refused = &value["refused"];
         table.add(vec![
@@ -76,7 +76,7 @@
             text(&value["seen"]),
             text(&refused["revision"]),
         ]);
-        faults.extend(items(&refused["findings"]));
+        findings.extend(items(&refused["findings"]));
     }
     let role = match revisions["is_reader"] == true {
         true => "reads the configuration service",
@@ -87,8 +87,8 @@
         f,
         "\nrevisions ({role}; {calls} calls to the service)\n{table}"
     )?;
-    for fault in faults {
-        writeln!(f, "  refused: {}", text(fault))?;
+    for finding in findings {
+        writeln!(f, "  refused: {}", text(finding))?;
     }
     if revisions["alone"] == true {
         writeln!(
@@ -99,9 +99,13 @@
     Ok(())
 }
 
-fn write_requests(f: &mut fmt::Formatter<'_>, desk: &Value) -> fmt::Result {
+fn write_requests(f: &mut fmt::Formatter<'_>, requests: &Value) -> fmt::Result {
     // Only gateways have tiers beyond those of rules; unused ones are noise.
-    let used = |field: &str| items(&desk[field]).iter().rposition(|count| *count != 0);
+    let used = |field: &str| {
+        items(&requests[field])
+            .iter()
+            .rposition(|count| *count != 0)
+    };
     let last = used("waiting").max(used("running")).unwrap_or_default();
     let shown = TIER_COUNT.max(last + 1);
     let mut head = vec!["tier".to_owned()];
@@ -110,7 +114,7 @@
     let mut table = TextTable::new(&head).with_indent(2);
     for field in ["waiting", "running"] {
         let mut row = vec![field.to_owned()];
-        row.extend(items(&desk[field]).iter().take(shown).map(text));
+        row.extend(items(&requests[field]).iter().take(shown).map(text));
         table.add(row);
     }
     writeln!(f, "requests of this host's callers\n{table}")?;
@@ -123,7 +127,7 @@
     ];
     let counts: Vec<String> = counts
         .iter()
-        .map(|field| format!("{} {}", field.replace('_', " "), text(&desk[*field])))
+        .map(|field| format!("{} {}", field.replace('_', " "), text(&requests[*field])))
         .collect();
     writeln!(f, "  {}\n", counts.join(", "))?;
     Ok(())
--- a/bergamotswitch/src/command/table.rs
+++ b/bergamotswitch/src/command/table.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 /// The blanks between two columns.
-const GAP: &str = "  ";
+const COLUMN_GAP: &str = "  ";
 
 /// A `TextTable` is rows of cells under a head, written in columns. Columns
 /// of numbers stand to the right, all others to the left.
@@ -79,8 +79,8 @@
             for (cell, column) in row.iter().zip(&columns) {
                 let width = column.width;
                 match column.numeric {
-                    true => line += &format!("{cell:>width$}{GAP}"),
-                    false => line += &format!("{cell:<width$}{GAP}"),
+                    true => line += &format!("{cell:>width$}{COLUMN_GAP}"),
+                    false => line += &format!("{cell:<width$}{COLUMN_GAP}"),
                 }
             }
             writeln!(f, "{}", line.trim_end())?;
--- a/bergamotswitch/tests/separate_processes.rs
+++ b/bergamotswitch/tests/separate_processes.rs
@@ -8,12 +8,12 @@
 use bergamotswitch::command::demo::calls::{self, DemoCall};
 use fleet::Fleet;
 
-async fn serve_each_kind(deployment: &str, demo_calls: &[DemoCall]) {
+async fn send_each_kind(deployment: &str, demo_calls: &[DemoCall]) {
     let fleet = Fleet::start(deployment).await;
     let mut texts = BTreeSet::new();
     for (number, call) in demo_calls.iter().enumerate() {
         let first = fleet.hosts[number % fleet.hosts.len()].address();
-        let host = calls::ask_address(first, call.key).await.expect("address");
+        let host = calls::resolve_host(first, call.key).await.expect("address");
         let outcome = call.send(host, &format!("kind-{number}")).await;
         let outcome = outcome.expect("answer");
         assert!(outcome.complete, "{}: {outcome:?}", call.work);
@@ -28,10 +28,10 @@
 
 #[tokio::test]
 async fn red_austral() {
-    serve_each_kind("red-austral", calls::DEPLOYMENTS[0].calls).await;
+    send_each_kind("red-austral", calls::DEPLOYMENTS[0].calls).await;
 }
 
 #[tokio::test]
 async fn naapuriseina() {
-    serve_each_kind("naapuriseina", calls::DEPLOYMENTS[1].calls).await;
+    send_each_kind("naapuriseina", calls::DEPLOYMENTS[1].calls).await;
 }
