--- a/bergamotswitch/src/bin/bergamotswitch-standin.rs
+++ b/bergamotswitch/src/bin/bergamotswitch-standin.rs
@@ -1,4 +1,5 @@
-//! The platform of stand-ins as one process: tests, demo and measuring only.
+//! Runs a simulated platform and its targets in one process, for tests, demos
+//! and benchmarks only.
 
 #![forbid(unsafe_code)]
 
--- a/bergamotswitch/src/command/args.rs
+++ b/bergamotswitch/src/command/args.rs
@@ -1,4 +1,4 @@
-//! Provides the command line, read with `lexopt`.
+//! Provides the command-line parser, based on `lexopt`.
 
 use std::ffi::OsString;
 use std::net::SocketAddr;
@@ -11,37 +11,38 @@
 
 /// The text of `--help`.
 pub const HELP: &str = "\
-bergamotswitch - a request scheduler for groups that share unlike model engines
+bergamotswitch - a request scheduler for shared, heterogeneous model engines
 
 Usage:
   bergamotswitch serve --settings FILE
-      Run one entry host until SIGTERM or SIGINT begins a planned stop.
+      Run one entry host until SIGTERM or SIGINT starts a planned stop.
   bergamotswitch check FILE|DIRECTORY...
       Check published values (rules.json, accounts.json, pools.json,
-      domains.json, limits.json, hosts.json); any other file is taken for a
-      host's settings. Exit 1 with every finding and its place.
+      domains.json, limits.json, hosts.json); any other file is checked as a
+      host's settings. Print every finding with its location; exit 1 if there
+      are any.
   bergamotswitch explain --deployment DIRECTORY --pool NAME --account NAME
       [--work KIND] [--path PATH] [--domain NAME] [--prompt-tokens N] [--stream]
-      Which rule a described request matches, why the earlier ones do not,
-      and where it may run.
+      Show which rule the described request matches, why earlier rules do
+      not match, and which targets may run it.
   bergamotswitch status --host IP:PORT [--json]
-      What one host knows: revisions in force, shards owned, targets, queue by
-      tier, peers.
+      Show one host's view: revisions in force, owned shards, targets, queue
+      length by tier, peers.
   bergamotswitch logs summary [--json] FILE...
-      What became of the requests in the hosts' logs: by reason, rank, route,
-      account, target and second, and the time that targets spent on them.
+      Summarize the outcomes of all requests in the hosts' logs by reason,
+      rank, route, account, target and second, with the time targets spent.
   bergamotswitch logs trace ID [--json] FILE...
-      All lines about one request, over all hosts, in order of time.
+      Show all log lines about one request, from all hosts, in time order.
   bergamotswitch demo
-      Both deployments on loopback with stand-ins: three hosts each, real
-      requests, and what became of them by tier.
+      Run both example deployments on loopback with simulated targets: three
+      hosts each, real HTTP requests, and their outcomes by tier.
   bergamotswitch --help | --version
 ";
 
-/// The commands that the program knows, as errors list them.
+/// The available commands, as listed in usage errors.
 const COMMANDS: &str = "serve, check, explain, status, logs, demo";
 
-/// What stands after a command, as errors list it.
+/// The arguments that a command accepts, as listed in usage errors.
 const SERVE_ALLOWED: &str = "serve takes --settings FILE";
 const CHECK_ALLOWED: &str = "check takes files and directories and no options";
 const EXPLAIN_ALLOWED: &str = "explain takes --deployment DIRECTORY, --pool NAME, \
@@ -68,52 +69,52 @@
         /// Files and directories.
         files: Vec<PathBuf>,
     },
-    /// Explain what the rules say of a request.
+    /// Explain how the rules apply to a request.
     Explain(ExplainArgs),
-    /// Show a host's view.
+    /// Show a host's status.
     Status {
-        /// The host's caller address.
+        /// The address on which the host accepts callers.
         host: SocketAddr,
-        /// Whether to print the JSON as it is.
+        /// Whether to print the host's JSON instead of text.
         json: bool,
     },
-    /// Tell what logs say.
+    /// Analyze the hosts' log files.
     Logs(LogsArgs),
     /// Run the demo.
     Demo,
 }
 
-/// An `ExplainArgs` describes a request to `explain`.
+/// An `ExplainArgs` is the description of a request passed to `explain`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ExplainArgs {
-    /// The directory of published values.
+    /// The directory that holds the deployment's published values.
     pub deployment: PathBuf,
-    /// The pool.
+    /// The name of the requested pool.
     pub pool: String,
-    /// The client account.
+    /// The name of the client account.
     pub account: String,
-    /// The work kind.
+    /// The work kind, if the caller states one.
     pub work: Option<String>,
-    /// The path; that of chat completions where absent.
+    /// The request path; by default that of chat completions.
     pub path: Option<String>,
-    /// The accepting host's failure domain; the first one where absent.
+    /// The failure domain of the entry host; by default the first published one.
     pub domain: Option<String>,
-    /// The estimated prompt tokens.
+    /// The estimated number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Whether the caller wants a stream.
+    /// Whether the caller requests a streaming answer.
     pub streaming: bool,
 }
 
-/// Try to read a command line, without the program's name.
+/// Try to parse a command line that excludes the program's name.
 ///
 /// # Errors
 ///
-/// Returns [`CommandError::Usage`], which names the option and what is
-/// allowed.
+/// Returns [`CommandError::Usage`], which names the invalid argument and the
+/// accepted ones.
 pub fn parse(args: impl Iterator<Item = OsString>) -> Result<Command, CommandError> {
     let mut parser = lexopt::Parser::from_args(args);
     let Some(first) = parser.next()? else {
-        return Err(usage(format!("no command; allowed: {COMMANDS}")));
+        return Err(usage(format!("no command given; allowed: {COMMANDS}")));
     };
     match first {
         Long("help") | Short('h') => Ok(Command::Help),
@@ -125,7 +126,9 @@
             Some("status") => parse_status(&mut parser),
             Some("logs") => parse_logs(&mut parser),
             Some("demo") => parse_demo(&mut parser),
-            _ => Err(usage(format!("command {word:?}; allowed: {COMMANDS}"))),
+            _ => Err(usage(format!(
+                "unknown command {word:?}; allowed: {COMMANDS}"
+            ))),
         },
         other => Err(unexpected(other, HELP_ALLOWED)),
     }
@@ -140,13 +143,13 @@
 }
 
 fn required<T>(value: Option<T>, option: &str) -> Result<T, CommandError> {
-    value.ok_or_else(|| usage(format!("option {option} is missing")))
+    value.ok_or_else(|| usage(format!("required argument missing: {option}")))
 }
 
 fn text_value(parser: &mut lexopt::Parser, option: &str) -> Result<String, CommandError> {
     let value = parser.value()?;
     let text = value.into_string();
-    text.map_err(|_| usage(format!("option {option}: allowed is UTF-8 text")))
+    text.map_err(|_| usage(format!("option {option}: value must be UTF-8 text")))
 }
 
 fn parse_serve(parser: &mut lexopt::Parser) -> Result<Command, CommandError> {
@@ -170,7 +173,9 @@
         }
     }
     match files.is_empty() {
-        true => Err(usage("check: name at least one file or directory".into())),
+        true => Err(usage(
+            "check: specify at least one file or directory".into(),
+        )),
         false => Ok(Command::Check { files }),
     }
 }
@@ -202,7 +207,7 @@
     let count = value.parse();
     count.map_err(|_| {
         usage(format!(
-            "option --prompt-tokens {value:?}: allowed is a whole number from 0 to {}",
+            "option --prompt-tokens {value:?}: value must be a whole number from 0 to {}",
             u32::MAX
         ))
     })
@@ -218,7 +223,7 @@
                 let address = value.parse::<SocketAddr>();
                 host = Some(address.map_err(|_| {
                     usage(format!(
-                        "option --host {value:?}: allowed is IP:PORT, such as 127.0.0.1:7101"
+                        "option --host {value:?}: value must be IP:PORT, such as 127.0.0.1:7101"
                     ))
                 })?);
             }
@@ -248,11 +253,15 @@
             let id = values.next().and_then(|id| id.into_string().ok());
             LogsQuery::Trace(required(id, "ID of logs trace")?)
         }
-        _ => return Err(usage(format!("logs {name:?}; {LOGS_ALLOWED}"))),
+        _ => {
+            return Err(usage(format!(
+                "unknown logs command {name:?}; {LOGS_ALLOWED}"
+            )));
+        }
     };
     let files: Vec<PathBuf> = values.map(PathBuf::from).collect();
     match files.is_empty() {
-        true => Err(usage("logs: name at least one file".into())),
+        true => Err(usage("logs: specify at least one file".into())),
         false => Ok(Command::Logs(LogsArgs { query, files, json })),
     }
 }
--- a/bergamotswitch/src/command/check.rs
+++ b/bergamotswitch/src/command/check.rs
@@ -1,4 +1,5 @@
-//! Provides `check`: every fault of published values and host settings.
+//! Provides the `check` command, which validates published values and host
+//! settings.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -12,7 +13,8 @@
 use super::files;
 use super::output::write_out;
 
-/// Check files and directories and print every finding with its place.
+/// Check files and directories and print every finding with its location.
+/// Exits with 1 if there are any.
 pub(super) fn check(paths: &[PathBuf]) -> Result<ExitCode, CommandError> {
     let mut report = CheckReport::default();
     for path in paths {
@@ -22,7 +24,8 @@
             report.add(&file, &findings);
             report.file_count += 1;
         }
-        // References between values mean something only for a whole deployment.
+        // References between values can be resolved only with all values of a
+        // deployment.
         if path.is_dir() {
             report.add(path, &check_consistency(&publication));
         }
@@ -34,8 +37,8 @@
     }
 }
 
-/// Get a directory's JSON files, those of its `settings` last, or the file
-/// itself.
+/// Get the file itself, or a directory's JSON files followed by those of its
+/// `settings` subdirectory.
 fn list_files(path: &Path) -> Result<Vec<PathBuf>, CommandError> {
     if !path.is_dir() {
         return Ok(vec![path.to_owned()]);
@@ -56,7 +59,7 @@
     Ok(result.err().unwrap_or_default())
 }
 
-/// A `CheckReport` is what was found, one finding a line.
+/// A `CheckReport` is the findings of all checked files, one per line.
 #[derive(Debug, Default)]
 struct CheckReport {
     lines: Vec<String>,
--- a/bergamotswitch/src/command/client.rs
+++ b/bergamotswitch/src/command/client.rs
@@ -1,4 +1,4 @@
-//! Provides the small HTTP client of the commands.
+//! Provides a minimal HTTP/1.1 client for the commands.
 
 use std::net::SocketAddr;
 
@@ -10,23 +10,24 @@
 
 use super::error::CommandError;
 
-/// A `HttpAnswer` is a whole answer.
+/// An `HttpAnswer` is a complete HTTP response.
 #[derive(Debug)]
 pub struct HttpAnswer {
-    /// The status.
+    /// The status code.
     pub status: StatusCode,
-    /// The fields.
+    /// The header fields.
     pub fields: HeaderMap,
-    /// The body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// Try to send one request over a connection of its own and read the whole
-/// answer.
+/// Try to send one request over a new connection and read the complete
+/// response.
 ///
 /// # Errors
 ///
-/// Returns [`CommandError::Answer`] where the connection or the answer fails.
+/// Returns [`CommandError::Answer`] if the connection, the request or the
+/// response fails.
 pub async fn call(
     address: SocketAddr,
     method: Method,
@@ -35,7 +36,7 @@
     body: Bytes,
 ) -> Result<HttpAnswer, CommandError> {
     let fail = |error: &dyn std::fmt::Display| {
-        CommandError::Answer(format!("{address}{path}: no answer: {error}"))
+        CommandError::Answer(format!("request to {address}{path} failed: {error}"))
     };
     let stream = TcpStream::connect(address).await.map_err(|e| fail(&e))?;
     let io = TokioIo::new(stream);
@@ -61,11 +62,12 @@
     })
 }
 
-/// Try to get a path.
+/// Try to send a GET request for a path.
 ///
 /// # Errors
 ///
-/// Returns [`CommandError::Answer`] where the connection or the answer fails.
+/// Returns [`CommandError::Answer`] if the connection, the request or the
+/// response fails.
 pub async fn get(address: SocketAddr, path: &str) -> Result<HttpAnswer, CommandError> {
     call(address, Method::GET, path, HeaderMap::new(), Bytes::new()).await
 }
--- a/bergamotswitch/src/command/error.rs
+++ b/bergamotswitch/src/command/error.rs
@@ -1,4 +1,4 @@
-//! Provides the errors of the commands.
+//! Provides the error type of the commands.
 
 use std::fmt;
 use std::path::PathBuf;
@@ -7,25 +7,25 @@
 use bergamotswitch_net::journal::JournalError;
 use bergamotswitch_net::node::NodeError;
 
-/// A `CommandError` is the reason why a command was not carried out.
+/// A `CommandError` is the reason why a command failed.
 #[derive(Debug)]
 pub enum CommandError {
-    /// The command line is not understood; the text names the option and what
-    /// is allowed.
+    /// The command line is invalid; the text names the invalid argument and the
+    /// accepted ones.
     Usage(String),
-    /// A file cannot be read.
+    /// A file or directory cannot be accessed.
     Read(PathBuf, std::io::Error),
-    /// A file has faults.
+    /// A file has invalid contents.
     Invalid(PathBuf, Findings),
     /// The host cannot start.
     Start(NodeError),
-    /// The runtime cannot start.
+    /// The async runtime cannot start, or a listening address is unavailable.
     Runtime(std::io::Error),
-    /// The log cannot be started.
+    /// The log cannot be opened.
     Journal(JournalError),
     /// The output cannot be written.
     Output(std::io::Error),
-    /// A host or stand-in does not answer as it should.
+    /// A host or a simulated platform did not respond as expected.
     Answer(String),
 }
 
@@ -37,11 +37,11 @@
                 write!(f, "cannot read {}: {error}", path.display())
             }
             CommandError::Invalid(path, findings) => {
-                write!(f, "{} has faults:\n{findings}", path.display())
+                write!(f, "{} is invalid:\n{findings}", path.display())
             }
-            CommandError::Start(error) => write!(f, "cannot start: {error}"),
+            CommandError::Start(error) => write!(f, "cannot start the host: {error}"),
             CommandError::Runtime(error) => write!(f, "cannot start the runtime: {error}"),
-            CommandError::Journal(error) => write!(f, "cannot start the log: {error}"),
+            CommandError::Journal(error) => write!(f, "cannot open the log: {error}"),
             CommandError::Output(error) => write!(f, "cannot write the output: {error}"),
             CommandError::Answer(text) => f.write_str(text),
         }
--- a/bergamotswitch/src/command/explain.rs
+++ b/bergamotswitch/src/command/explain.rs
@@ -1,4 +1,5 @@
-//! Provides `explain`: what the rules say of a described request.
+//! Provides the `explain` command, which shows how the rules apply to a
+//! described request.
 
 use std::process::ExitCode;
 
@@ -15,11 +16,11 @@
 use super::files;
 use super::output::write_out;
 
-/// The path that a request is taken to have where none is given.
+/// The request path if none is given.
 const DEFAULT_PATH: &str = "/v1/chat/completions";
 
-/// Print which rule matches, why earlier ones do not, and where the request
-/// may run. Exit 1 where no rule matches.
+/// Print which rule matches, why earlier rules do not, and which targets may
+/// run the request. Exits with 1 if no rule matches.
 pub(super) fn explain(args: &ExplainArgs) -> Result<ExitCode, CommandError> {
     let publication = files::read_deployment(&args.deployment)?;
     let pool =
@@ -56,5 +57,5 @@
     }
     let first = publication.domains.domains().first();
     let domain = first.map(|domain| domain.name.clone());
-    domain.ok_or_else(|| CommandError::Usage("the deployment has no failure domain".into()))
+    domain.ok_or_else(|| CommandError::Usage("the deployment defines no failure domain".into()))
 }
--- a/bergamotswitch/src/command/files.rs
+++ b/bergamotswitch/src/command/files.rs
@@ -1,4 +1,5 @@
-//! Provides the files of a deployment as values of the configuration service.
+//! Provides access to the files of a deployment, which hold the values that the
+//! configuration service publishes.
 
 use std::path::{Path, PathBuf};
 
@@ -11,7 +12,7 @@
 
 use super::error::CommandError;
 
-/// The published values, in the order in which they are checked.
+/// The names of the published values, in the order in which they are checked.
 pub(super) const VALUE_NAMES: [&str; 6] = [
     DOMAINS_VALUE,
     ACCOUNTS_VALUE,
@@ -26,7 +27,7 @@
     std::fs::read_to_string(path).map_err(|error| CommandError::Read(path.to_owned(), error))
 }
 
-/// Try to get the JSON files of a directory, in the order of their names.
+/// Try to list the JSON files of a directory, sorted by name.
 pub(super) fn json_files(directory: &Path) -> Result<Vec<PathBuf>, CommandError> {
     let fail = |error| CommandError::Read(directory.to_owned(), error);
     let mut files = Vec::new();
@@ -43,7 +44,7 @@
     Ok(files)
 }
 
-/// Get the value that a file publishes, by its name: `rules.json` is `rules`.
+/// Get the name of the value that a file holds: `rules.json` holds `rules`.
 pub(super) fn value_name(path: &Path) -> Option<ValueName> {
     let stem = path.file_stem()?.to_str()?;
     match VALUE_NAMES.contains(&stem) {
@@ -52,7 +53,7 @@
     }
 }
 
-/// Try to read a file as a published value of revision 1.
+/// Try to read a file as a published value with revision 1.
 pub(super) fn read_value(path: &Path, name: ValueName) -> Result<PublishedValue, CommandError> {
     Ok(PublishedValue {
         name,
@@ -61,12 +62,12 @@
     })
 }
 
-/// Try to read a whole deployment.
+/// Try to read all published values of a deployment.
 ///
 /// # Errors
 ///
-/// Returns the first file that cannot be read or has faults, with all faults
-/// of that file.
+/// Returns the first file that cannot be read or is invalid, with all findings
+/// for that file.
 pub(super) fn read_deployment(directory: &Path) -> Result<Publication, CommandError> {
     let mut publication = Publication::default();
     for name in VALUE_NAMES {
--- a/bergamotswitch/src/command/mod.rs
+++ b/bergamotswitch/src/command/mod.rs
@@ -1,5 +1,5 @@
-//! Provides the commands of the program: `serve`, `check`, `explain`,
-//! `status`, `logs` and `demo`.
+//! Provides the program's commands: `serve`, `check`, `explain`, `status`,
+//! `logs` and `demo`.
 
 mod args;
 mod check;
@@ -21,16 +21,16 @@
 pub use self::error::CommandError;
 pub use self::logs::{LogsArgs, LogsQuery};
 
-/// The exit code for a command line that is not understood or a command that
-/// could not be carried out; 1 is for findings.
+/// The exit code for an invalid command line or a failed command. Exit code 1
+/// means that the command ran and reports a negative result.
 pub const USAGE_EXIT: u8 = 2;
 
-/// Run the program.
+/// Run the command that the arguments specify.
 ///
 /// # Errors
 ///
-/// Returns a [`CommandError`] where the command line is not understood or the
-/// command cannot be carried out.
+/// Returns a [`CommandError`] if the command line is invalid or the command
+/// fails.
 pub fn run(args: impl Iterator<Item = OsString>) -> Result<ExitCode, CommandError> {
     match parse(args)? {
         Command::Help => {
--- a/bergamotswitch/src/command/output.rs
+++ b/bergamotswitch/src/command/output.rs
@@ -1,16 +1,15 @@
-//! Provides the writing of a command's output.
+//! Provides output to the standard output.
 
 use std::io::{self, Write};
 
 use super::error::CommandError;
 
-/// Try to write a command's whole output. A reader that has left, such as
-/// `head` after its last line, is no fault: `println!` would end the program
-/// with a panic instead of its exit code.
+/// Try to write a command's output. Ignores a broken pipe, as when the output is
+/// piped to `head`; `println!` would panic in that case.
 ///
 /// # Errors
 ///
-/// Returns [`CommandError::Output`] where it cannot be written.
+/// Returns [`CommandError::Output`] if writing fails for any other reason.
 pub(super) fn write_out(text: &str) -> Result<(), CommandError> {
     let mut output = io::stdout().lock();
     let written = output
--- a/bergamotswitch/src/command/serve.rs
+++ b/bergamotswitch/src/command/serve.rs
@@ -1,4 +1,4 @@
-//! Provides `serve`: one entry host as a process.
+//! Provides the `serve` command, which runs one entry host as a daemon.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -15,7 +15,7 @@
 use super::error::CommandError;
 use super::files;
 
-/// How often the settings file is looked at without a signal.
+/// How often the settings file is checked for changes without a signal.
 const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Run one entry host until a planned stop is complete.
@@ -27,7 +27,7 @@
     runtime()?.block_on(run(settings, path))
 }
 
-/// Get the runtime: one loop on one thread.
+/// Try to create a single-threaded async runtime.
 pub(super) fn runtime() -> Result<tokio::runtime::Runtime, CommandError> {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -50,8 +50,8 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Tell the loop of changed settings. The file may change with a signal or
-/// without one, so it is read on a signal and now and then.
+/// Send changed settings to the host's event loop. The file is read on SIGHUP
+/// and periodically, because it may change without a signal.
 async fn watch_settings(path: PathBuf, node: NodeSender) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
         return;
@@ -83,8 +83,8 @@
     }
 }
 
-/// Turn SIGTERM and SIGINT into a planned stop. Every signal is passed on:
-/// the loop logs the further ones, which change nothing.
+/// Translate SIGTERM and SIGINT into a planned stop. Repeated signals are
+/// forwarded too: the event loop logs and ignores them.
 async fn forward_signals(node: NodeSender) {
     let terminate = signal(SignalKind::terminate());
     let interrupt = signal(SignalKind::interrupt());
--- a/bergamotswitch/src/command/status.rs
+++ b/bergamotswitch/src/command/status.rs
@@ -1,4 +1,4 @@
-//! Provides `status`: one host's view of the fleet.
+//! Provides the `status` command, which shows one host's view of the fleet.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -12,10 +12,10 @@
 use super::table::TextTable;
 use super::{client, serve};
 
-/// What stands in a table where there is nothing to tell.
+/// The placeholder for a value that is absent.
 const ABSENT: &str = "-";
 
-/// Print a host's view. Exit 1 where the host does not serve yet.
+/// Print a host's view. Exits with 1 if the host is not ready to serve.
 pub(super) fn status(host: SocketAddr, json: bool) -> Result<ExitCode, CommandError> {
     let answer = serve::runtime()?.block_on(client::get(host, "/status"))?;
     let view: Value = serde_json::from_slice(&answer.body)
@@ -30,8 +30,8 @@
     }
 }
 
-/// A `StatusPage` is a host's view as text. It takes what it finds: the host
-/// may be of another version than this command.
+/// A `StatusPage` formats a host's view as text. Missing fields are tolerated,
+/// because the host may run another version than this command.
 struct StatusPage<'a>(&'a Value);
 
 impl fmt::Display for StatusPage<'_> {
@@ -53,7 +53,7 @@
     }
 }
 
-/// Get what the host does now, and what it waits for.
+/// Get the host's serving state and, if it is not ready, what is missing.
 fn state(view: &Value) -> String {
     if view["stopping"] == true {
         return "stopping".to_owned();
@@ -80,7 +80,7 @@
     }
     let role = match revisions["is_reader"] == true {
         true => "reads the configuration service",
-        false => "hears changes from peers",
+        false => "receives changes from peers",
     };
     let calls = text(&view["service_calls"]);
     writeln!(
@@ -93,14 +93,14 @@
     if revisions["alone"] == true {
         writeln!(
             f,
-            "  no peer has confirmed these revisions: the service alone may be stale\n"
+            "  no peer has confirmed these revisions; the configuration service may be stale\n"
         )?;
     }
     Ok(())
 }
 
 fn write_requests(f: &mut fmt::Formatter<'_>, requests: &Value) -> fmt::Result {
-    // Only gateways have tiers beyond those of rules; unused ones are noise.
+    // Only gateways use tiers above those of the rules; show them only if used.
     let used = |field: &str| {
         items(&requests[field])
             .iter()
@@ -136,12 +136,15 @@
 fn write_shard(f: &mut fmt::Formatter<'_>, shard: &Value) -> fmt::Result {
     writeln!(
         f,
-        "shard {} (ordered by this host)",
+        "shard {} (owned by this host)",
         shard_name(&shard["shard"])
     )?;
     let queued = list(&shard["queued"], |tier| {
         let (asks, tokens) = (text(&tier["asks"]), text(&tier["tokens"]));
-        format!("tier {}: {asks} asks, {tokens} tokens", text(&tier["tier"]))
+        format!(
+            "tier {}: {asks} requests, {tokens} tokens",
+            text(&tier["tier"])
+        )
     });
     writeln!(f, "  queue    {queued}")?;
     let counts = ["in_flight", "granted", "preempted", "reclaimed"];
@@ -190,7 +193,7 @@
             (true, _) => "stopping",
             (false, Some(true)) => "reachable",
             (false, Some(false)) => "unreachable",
-            (false, None) => "not watched",
+            (false, None) => "not monitored",
         };
         let load = peer["load_permille"].as_f64().unwrap_or_default() / 10.0;
         table.add(vec![
@@ -218,7 +221,7 @@
     }
 }
 
-/// Get a shard's name as incidents and refusals write it.
+/// Get a shard's name in the form used by log events and refusals.
 fn shard_name(shard: &Value) -> String {
     match shard["domain"].as_str() {
         Some(domain) => format!("{}@{domain}", text(&shard["pool"])),
@@ -226,7 +229,7 @@
     }
 }
 
-/// Get a value on one line, texts without quotes.
+/// Format a JSON value on one line, strings without quotes.
 fn text(value: &Value) -> String {
     match value {
         Value::Null => ABSENT.to_owned(),
--- a/bergamotswitch/src/command/table.rs
+++ b/bergamotswitch/src/command/table.rs
@@ -1,12 +1,12 @@
-//! Provides text tables for the commands' output.
+//! Provides plain-text tables for the commands' output.
 
 use std::fmt;
 
-/// The blanks between two columns.
+/// The separator between two columns.
 const COLUMN_GAP: &str = "  ";
 
-/// A `TextTable` is rows of cells under a head, written in columns. Columns
-/// of numbers stand to the right, all others to the left.
+/// A `TextTable` is a header row and rows of cells, printed in columns. Numeric
+/// columns are right-aligned, all others left-aligned.
 #[derive(Clone, Debug, Default)]
 pub struct TextTable {
     indent: usize,
@@ -14,7 +14,7 @@
 }
 
 impl TextTable {
-    /// Get a table with its head and no rows.
+    /// Create a table with a header row only.
     pub fn new(head: &[&str]) -> Self {
         let head = head.iter().map(|cell| (*cell).to_owned()).collect();
         TextTable {
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Set the blanks before each line.
+    /// Set the number of spaces before each line.
     pub fn with_indent(mut self, indent: usize) -> Self {
         self.indent = indent;
         self
@@ -34,7 +34,7 @@
         self.rows.push(row);
     }
 
-    /// Get whether there is no row under the head.
+    /// Get whether the table has no row besides the header.
     pub fn is_empty(&self) -> bool {
         self.rows.len() <= 1
     }
@@ -47,7 +47,7 @@
     }
 }
 
-/// A `TableColumn` is how one column is written.
+/// A `TableColumn` is the width and alignment of one column.
 #[derive(Clone, Copy, Debug)]
 struct TableColumn {
     width: usize,
@@ -66,7 +66,7 @@
     }
 }
 
-/// Get whether a cell is a number, or the mark of one that is absent.
+/// Get whether a cell is a number or the placeholder for an absent one.
 fn is_number(cell: &str) -> bool {
     cell == "-" || cell.parse::<f64>().is_ok()
 }
--- a/bergamotswitch/src/lib.rs
+++ b/bergamotswitch/src/lib.rs
@@ -1,8 +1,10 @@
-//! Provides the library's front door: the decisions and the sockets of a
-//! bergamotswitch host under one name, and the operator's commands.
+//! Provides the public interface of bergamotswitch: the scheduling logic
+//! ([`core`]), the network layer ([`net`]) and the operator's commands
+//! ([`command`]).
 //!
-//! A program that runs a host needs only this crate:
-//! [`net::node::NodeSetup`] listens, [`net::node::HostNode`] runs.
+//! A program that embeds a host needs only this crate:
+//! [`net::node::NodeSetup`] binds the listening sockets and
+//! [`net::node::HostNode`] runs the host.
 
 #![forbid(unsafe_code)]
 
--- a/bergamotswitch/src/main.rs
+++ b/bergamotswitch/src/main.rs
@@ -1,4 +1,5 @@
-//! The bergamotswitch program: the daemon and the operator's command.
+//! Runs the `bergamotswitch` program: the host daemon and the operator's
+//! commands.
 
 #![forbid(unsafe_code)]
 
