--- a/bergamotswitch/src/command/demo/calls.rs
+++ b/bergamotswitch/src/command/demo/calls.rs
@@ -1,38 +1,40 @@
-//! Provides the demo's calls: one for each kind of work of both deployments.
+//! Provides the demo's requests: one call definition for each kind of work of
+//! both deployments.
 
 pub use super::exchange::{CallOutcome, resolve_host};
 
-/// A `DemoDeployment` is one deployment and its calls.
+/// A `DemoDeployment` is an example deployment and the calls that the demo
+/// sends to it.
 #[derive(Clone, Copy, Debug)]
 pub struct DemoDeployment {
     /// The name of its directory under `deployments/`.
     pub name: &'static str,
-    /// The calls.
+    /// One call for each kind of work.
     pub calls: &'static [DemoCall],
 }
 
-/// A `DemoCall` is one kind of work.
+/// A `DemoCall` is the definition of a request for one kind of work.
 #[derive(Clone, Copy, Debug)]
 pub struct DemoCall {
-    /// The work kind, as the rules name it.
+    /// The work kind, as named in the rules.
     pub work: &'static str,
-    /// The tier that the deployment's rules give it.
+    /// The tier that the deployment's rules assign to it.
     pub tier: u8,
-    /// The pool.
+    /// The name of the requested pool.
     pub pool: &'static str,
-    /// The demo key of the client account.
+    /// The API key of the client account.
     pub key: &'static str,
-    /// The path of a plain-service call; an engine's call where absent.
+    /// The path of a plain-service call; `None` for a call to an engine.
     pub service_path: Option<&'static str>,
-    /// Whether the caller wants a stream.
+    /// Whether the caller requests a streaming answer.
     pub streaming: bool,
-    /// Words of prompt.
+    /// The length of the prompt in words.
     pub prompt_words: usize,
-    /// Output tokens asked for.
+    /// The maximum number of output tokens.
     pub max_tokens: u32,
-    /// How many are sent.
+    /// The number of requests to send.
     pub count: usize,
-    /// Further fields, as the caller would set them.
+    /// Additional HTTP header fields.
     pub fields: &'static [(&'static str, &'static str)],
 }
 
@@ -64,7 +66,7 @@
     }
 }
 
-/// Red Austral's calls.
+/// The calls to the Red Austral deployment.
 const RED_AUSTRAL: &[DemoCall] = &[
     DemoCall {
         streaming: true,
@@ -113,7 +115,7 @@
     ),
 ];
 
-/// Naapuriseina's calls.
+/// The calls to the Naapuriseina deployment.
 const NAAPURISEINA: &[DemoCall] = &[
     DemoCall {
         streaming: true,
@@ -162,7 +164,7 @@
     ),
 ];
 
-/// Both deployments.
+/// The deployments that the demo runs.
 pub const DEPLOYMENTS: [DemoDeployment; 2] = [
     DemoDeployment {
         name: "red-austral",
@@ -175,23 +177,23 @@
 ];
 
 impl DemoDeployment {
-    /// Get the urgent work that is answered as a stream and may run twice.
+    /// Get the call that is streamed, urgent (tier 0) and idempotent.
     pub fn urgent_stream(&self) -> DemoCall {
         self.find(|call| call.streaming)
     }
 
-    /// Get the engine work that is dispatched at most once.
+    /// Get the engine call that is dispatched at most once.
     pub fn dispatched_once(&self) -> DemoCall {
         self.find(|call| matches!(call.work, "trajectory-report" | "notice-draft"))
     }
 
-    /// Get the plain-service call that may be repeated.
+    /// Get the plain-service call that is idempotent.
     pub fn repeatable_service(&self) -> DemoCall {
         self.find(|call| matches!(call.work, "status" | "status-lookup"))
     }
 
-    /// Each deployment of [`DEPLOYMENTS`] has a call of each kind; the first
-    /// call stands in where a further deployment has none.
+    /// Find the first call that satisfies a predicate. Falls back to the first
+    /// call; every deployment in [`DEPLOYMENTS`] has a matching one.
     fn find(&self, predicate: impl Fn(&&DemoCall) -> bool) -> DemoCall {
         let call = self.calls.iter().find(predicate);
         *call.unwrap_or(&self.calls[0])
--- a/bergamotswitch/src/command/demo/counters.rs
+++ b/bergamotswitch/src/command/demo/counters.rs
@@ -1,4 +1,4 @@
-//! Provides the counters of the demo's hosts, added up.
+//! Provides the counters of the demo's hosts, summed over all hosts.
 
 use std::net::SocketAddr;
 use std::ops::Sub;
@@ -9,20 +9,20 @@
 use crate::command::client;
 use crate::command::error::CommandError;
 
-/// A `FleetCounters` is what all hosts have counted so far of what callers
-/// do not see.
+/// A `FleetCounters` is the sums, over all hosts, of counters for recoveries
+/// that callers cannot observe.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct FleetCounters {
-    /// Attempts that followed another one.
+    /// Retried attempts.
     pub retried: u64,
-    /// Streams that went on over a new connection.
+    /// Streams resumed over a new connection.
     pub resumed: u64,
-    /// Resubmissions that got their first submission's answer.
+    /// Resubmissions attached to the original request.
     pub attached: u64,
 }
 
 impl FleetCounters {
-    /// Try to read the counters of all hosts.
+    /// Try to read the counters of all hosts from their metrics pages.
     pub async fn read(hosts: &[SocketAddr]) -> Result<Self, CommandError> {
         let mut counters = FleetCounters::default();
         for host in hosts {
@@ -54,7 +54,7 @@
     format!("{METRIC_PREFIX}_incidents_total{{number=\"{number}\"}}")
 }
 
-/// Get the sum of the series whose lines begin with `series`.
+/// Sum the values of all series whose lines start with `series`.
 fn sum_series(page: &str, series: &str) -> u64 {
     let lines = page.lines().filter(|line| line.starts_with(series));
     let values = lines.filter_map(|line| line.rsplit(' ').next()?.parse::<u64>().ok());
--- a/bergamotswitch/src/command/demo/exchange.rs
+++ b/bergamotswitch/src/command/demo/exchange.rs
@@ -1,4 +1,4 @@
-//! Provides the sending of the demo's calls and the reading of their answers.
+//! Provides functions that send the demo's calls and parse the responses.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,38 +12,38 @@
 use crate::command::client::{self, HttpAnswer};
 use crate::command::error::CommandError;
 
-/// A `CallOutcome` is what became of one call.
+/// A `CallOutcome` is the result of one call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallOutcome {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: StatusCode,
-    /// The refusal's reason code, where it was refused.
+    /// The reason code of the refusal, if the request was refused.
     pub refusal: Option<String>,
-    /// Whether the answer is whole.
+    /// Whether the answer is successful and complete.
     pub complete: bool,
     /// The answer's text: an engine's output or a service's echo.
     pub text: String,
-    /// The run of the host that holds the request, `host~hex`.
+    /// The incarnation of the host that accepted the request, as `host~hex`.
     pub incarnation: String,
-    /// From sending to the whole answer.
+    /// The time from sending the request to receiving the complete response.
     pub elapsed: Duration,
 }
 
 impl DemoCall {
-    /// Try to send the call under a caller's key and read its answer.
+    /// Try to send the call with an idempotency key and read the response.
     ///
     /// # Errors
     ///
-    /// Returns [`CommandError::Answer`] where there is no HTTP answer at all.
+    /// Returns [`CommandError::Answer`] if no HTTP response is received.
     pub async fn send(&self, host: SocketAddr, key: &str) -> Result<CallOutcome, CommandError> {
         self.send_with(host, key, &[]).await
     }
 
-    /// Try to send the call with further fields.
+    /// Try to send the call with additional header fields.
     ///
     /// # Errors
     ///
-    /// Returns [`CommandError::Answer`] where there is no HTTP answer at all.
+    /// Returns [`CommandError::Answer`] if no HTTP response is received.
     pub async fn send_with(
         &self,
         host: SocketAddr,
@@ -100,7 +100,7 @@
         let text = String::from_utf8_lossy(&answer.body);
         let incarnation = answer.fields.get("bergamot-incarnation");
         let incarnation = incarnation.and_then(|incarnation| incarnation.to_str().ok());
-        // A refusal that came before the stream began is one JSON object.
+        // A refusal before the start of the stream is a single JSON object.
         let (refusal, complete, text) = match self.streaming && answer.status.is_success() {
             true => read_stream(&text),
             false => read_json(&text),
@@ -116,7 +116,7 @@
     }
 }
 
-/// Read a whole JSON answer: refusal, wholeness, text.
+/// Parse a JSON response into refusal code, completeness and text.
 fn read_json(text: &str) -> (Option<String>, bool, String) {
     let value: Value = serde_json::from_str(text).unwrap_or_default();
     let refusal = value["error"]["code"].as_str().map(str::to_owned);
@@ -126,8 +126,8 @@
     (refusal, complete, content.unwrap_or_default().to_owned())
 }
 
-/// Read a stream of events: refusal, wholeness, text. Only `[DONE]` makes a
-/// stream whole.
+/// Parse an event stream into refusal code, completeness and text. A stream is
+/// complete only if it contains `[DONE]`.
 fn read_stream(text: &str) -> (Option<String>, bool, String) {
     let mut refusal = None;
     let mut complete = false;
@@ -147,11 +147,13 @@
     (refusal, complete, output)
 }
 
-/// Try to ask a host which host to use, as a caller does.
+/// Try to query a host's `/v1/address` endpoint for the host that a caller
+/// should use.
 ///
 /// # Errors
 ///
-/// Returns [`CommandError::Answer`] where it names none.
+/// Returns [`CommandError::Answer`] if the query fails or the response lists no
+/// host.
 pub async fn resolve_host(entry_host: SocketAddr, key: &str) -> Result<SocketAddr, CommandError> {
     let mut fields = HeaderMap::new();
     let bearer = HeaderValue::from_str(&format!("Bearer {key}"));
@@ -163,6 +165,7 @@
         CommandError::Answer(format!("{entry_host}/v1/address: {error}: {body}"))
     })?;
     let host = address.hosts.first();
-    let host = host.ok_or_else(|| CommandError::Answer(format!("{entry_host} names no host")))?;
+    let host =
+        host.ok_or_else(|| CommandError::Answer(format!("{entry_host}/v1/address lists no host")))?;
     Ok(host.address)
 }
--- a/bergamotswitch/src/command/demo/fleet.rs
+++ b/bergamotswitch/src/command/demo/fleet.rs
@@ -1,4 +1,4 @@
-//! Provides the demo's fleet: a platform of stand-ins and the hosts, in one
+//! Provides the demo's fleet: a simulated platform and the hosts, in one
 //! process.
 
 use std::net::SocketAddr;
@@ -20,18 +20,17 @@
 use crate::command::error::CommandError;
 use crate::command::{client, files};
 
-/// The seed of what the stand-ins draw.
+/// The seed of the random numbers that the simulated platform draws.
 const STANDIN_SEED: u64 = 1;
 
-/// How long the demo's callers may keep an address. A planned stop honours
-/// the addresses handed out; with the usual 10 s the demo would mostly wait.
+/// The lifetime of the host addresses given to callers. It is short because a
+/// planned stop waits until the addresses have expired.
 const ADDRESS_LIFETIME_MS: u64 = 1_000;
 
-/// How long the hosts have to stop and to take a publication. Both take
-/// little more than a second; a slow machine is no fault of the demo.
+/// The timeout for hosts to stop or to adopt a published value.
 const FLEET_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How long to wait between two looks at a host's view.
+/// The interval at which a host's status is polled.
 const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A `DemoHost` is one entry host of the demo.
@@ -41,7 +40,7 @@
     task: JoinHandle<()>,
 }
 
-/// A `DemoFleet` is one deployment that runs on loopback.
+/// A `DemoFleet` is a deployment that runs on loopback.
 pub(super) struct DemoFleet {
     stage: StagedDeployment,
     platform: PlatformStandin,
@@ -49,7 +48,8 @@
 }
 
 impl DemoFleet {
-    /// Try to start the platform and the hosts, and wait until all serve.
+    /// Try to start the platform and the hosts, and wait until all hosts are
+    /// ready.
     pub async fn try_start(directory: &Path) -> Result<Self, CommandError> {
         let stage = StagedDeployment::try_new(directory)
             .map_err(|error| CommandError::Read(directory.to_owned(), error))?;
@@ -69,22 +69,23 @@
         })
     }
 
-    /// Get the hosts' addresses for callers.
+    /// Get the addresses on which the hosts accept callers.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.hosts.iter().map(|host| host.caller_address).collect()
     }
 
-    /// Get the number of targets.
+    /// Get the number of simulated targets.
     pub fn target_count(&self) -> usize {
         self.platform.target_count()
     }
 
-    /// Try to read a published value as it was at the start.
+    /// Try to read a published value from the deployment's files, as it was at
+    /// the start.
     pub fn value(&self, name: &str) -> Result<Value, CommandError> {
         read_json(&self.stage.directory().join(format!("{name}.json")))
     }
 
-    /// Try to make the named targets misbehave, or behave again.
+    /// Try to set the fault switches of the named targets.
     pub async fn set(&self, targets: &[String], switches: &Value) -> Result<(), CommandError> {
         for target in targets {
             let command = json!({ "target": target, "set": switches });
@@ -93,7 +94,7 @@
         Ok(())
     }
 
-    /// Try to publish a value and wait until every host acts by it.
+    /// Try to publish a value and wait until it is in force on every host.
     pub async fn publish(&self, name: &str, body: &Value) -> Result<u64, CommandError> {
         let command = json!({ "publish": { "name": name, "body": body } });
         let answer = self.control(&command).await?;
@@ -103,7 +104,9 @@
             let waited = tokio::time::timeout(FLEET_TIMEOUT, waited).await;
             waited.map_err(|_| {
                 let host = host.caller_address;
-                CommandError::Answer(format!("{host} does not act by {name} {revision}"))
+                CommandError::Answer(format!(
+                    "{host} did not adopt revision {revision} of {name} within {FLEET_TIMEOUT:?}"
+                ))
             })?;
         }
         Ok(revision)
@@ -121,16 +124,17 @@
         }
     }
 
-    /// Try to stop every host as planned, and wait until all have ended.
+    /// Try to start a planned stop of every host and wait until all have
+    /// stopped.
     pub async fn stop(self) -> Result<(), CommandError> {
         for host in &self.hosts {
-            // A host that has ended by itself needs no signal.
+            // Sending fails only if the host has already stopped.
             let _ = host.sender.send(NodeInput::Stop);
         }
         for host in self.hosts {
             let ended = tokio::time::timeout(FLEET_TIMEOUT, host.task).await;
             let ended = ended.map_err(|_| {
-                CommandError::Answer(format!("{} does not stop", host.caller_address))
+                CommandError::Answer(format!("{} did not stop in time", host.caller_address))
             })?;
             ended.map_err(|error| CommandError::Answer(error.to_string()))?;
         }
@@ -143,7 +147,7 @@
     value.map_err(|error| CommandError::Answer(format!("{}: {error}", path.display())))
 }
 
-/// Publish a shorter address lifetime in the stage's copy.
+/// Set a shorter address lifetime in the staged copy of the limits.
 fn shorten_address_lifetime(stage: &Path) -> Result<(), CommandError> {
     let path = stage.join(format!("{LIMITS_VALUE}.json"));
     let mut limits = read_json(&path)?;
@@ -161,16 +165,17 @@
     Ok(all)
 }
 
-/// Get a platform that listens where the hosts' settings look for it.
+/// Get options for a platform that listens on the addresses in the hosts'
+/// settings.
 fn platform_options(
     stage: &StagedDeployment,
     settings: &[HostSettings],
 ) -> Result<PlatformOptions, CommandError> {
     let first = |addresses: fn(&HostSettings) -> &[SocketAddr]| {
         let address = settings.first().and_then(|host| addresses(host).first());
-        address
-            .copied()
-            .ok_or_else(|| CommandError::Answer("no settings name the platform".into()))
+        address.copied().ok_or_else(|| {
+            CommandError::Answer("the hosts' settings contain no platform address".into())
+        })
     };
     Ok(PlatformOptions {
         deployment: stage.directory().to_owned(),
--- a/bergamotswitch/src/command/demo/mod.rs
+++ b/bergamotswitch/src/command/demo/mod.rs
@@ -1,7 +1,8 @@
-//! Provides `demo`: both deployments on loopback, in one process.
+//! Provides the `demo` command, which runs both example deployments on loopback
+//! in one process.
 //!
-//! Stand-ins take the platform's and the targets' places; three entry hosts
-//! run as they do under `serve`. Every request is real HTTP.
+//! The platform and the targets are simulated. Three entry hosts run as they do
+//! under `serve`, and every request is a real HTTP request.
 
 pub mod calls;
 mod counters;
@@ -24,11 +25,10 @@
 use super::error::CommandError;
 use super::{client, serve};
 
-/// How long the hosts have to become ready. They need well under a second;
-/// a slow machine is no fault of the demo.
+/// The timeout for a host to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How long to wait between two looks at a host's health.
+/// The interval at which a host's readiness is polled.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Run the demo for both deployments.
@@ -52,7 +52,7 @@
     let fleet = DemoFleet::try_start(&deployment_directory(deployment.name)).await?;
     let hosts = fleet.addresses();
     println!(
-        "\n{}: {} hosts, {} targets, serving after {} ms",
+        "\n{}: {} hosts, {} targets, ready after {} ms",
         deployment.name,
         hosts.len(),
         fleet.target_count(),
@@ -61,13 +61,13 @@
     let before = FleetCounters::read(&hosts).await?;
     let report = send_all(&hosts, deployment.calls).await?;
     let change = FleetCounters::read(&hosts).await? - before;
-    println!("\n  each kind of work, all calls at once");
+    println!("\n  all kinds of work, all calls sent concurrently");
     print!("{report}");
-    println!("  retried meanwhile: {}", change.retried);
+    println!("  retried attempts: {}", change.retried);
     let scenario_report = scenarios::run_all(&fleet, deployment).await?;
-    println!("\n  provoked on purpose");
+    println!("\n  failure scenarios");
     print!("{scenario_report}");
-    println!("\n  what the hosts counted (GET /metrics; series of value 0 are left out)");
+    println!("\n  host counters (GET /metrics; series with value 0 are omitted)");
     for host in hosts {
         let metrics = client::get(host, "/metrics").await?;
         report::print_counters(&String::from_utf8_lossy(&metrics.body), host);
@@ -81,11 +81,11 @@
     Ok(())
 }
 
-/// Wait until a host serves.
+/// Wait until a host is ready to serve.
 ///
 /// # Errors
 ///
-/// Returns [`CommandError::Answer`] where it does not within
+/// Returns [`CommandError::Answer`] if the host is not ready within
 /// [`READY_TIMEOUT`].
 pub async fn wait_ready(address: SocketAddr) -> Result<(), CommandError> {
     let ready = async {
@@ -100,10 +100,14 @@
         }
     };
     let waited = tokio::time::timeout(READY_TIMEOUT, ready).await;
-    waited.map_err(|_| CommandError::Answer(format!("{address} did not become ready")))
+    waited.map_err(|_| {
+        CommandError::Answer(format!(
+            "{address} did not become ready within {READY_TIMEOUT:?}"
+        ))
+    })
 }
 
-/// Send every call, all at once, each to the host that the system names.
+/// Send all calls concurrently, each to the host that `/v1/address` returns.
 async fn send_all(hosts: &[SocketAddr], calls: &[DemoCall]) -> Result<DemoReport, CommandError> {
     let mut sent = JoinSet::new();
     let mut report = DemoReport::default();
--- a/bergamotswitch/src/command/demo/report.rs
+++ b/bergamotswitch/src/command/demo/report.rs
@@ -1,4 +1,4 @@
-//! Provides what the demo prints.
+//! Provides the reports that the demo prints.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,21 +9,20 @@
 use super::counters::FleetCounters;
 use crate::command::table::TextTable;
 
-/// The blanks before each line of a table.
+/// The number of spaces before each line of a table.
 const INDENT: usize = 2;
 
-/// The counters of a host that the demo shows, by the beginning of their
-/// names: a line of value 0 is left out.
+/// The prefixes of the metrics that the demo prints for each host.
 const SHOWN_METRICS: [&str; 5] = [
     "bergamot_refusals",
     "bergamot_retries",
     "bergamot_wasted",
     "bergamot_goodput",
-    // Of the numbered events those about requests.
+    // The incidents about requests have the numbers 2xx.
     "bergamot_incidents_total{number=\"2",
 ];
 
-/// A `WorkReport` is what became of one kind of work.
+/// A `WorkReport` is the outcomes of the calls of one kind of work.
 #[derive(Debug, Default)]
 struct WorkReport {
     sent: usize,
@@ -32,14 +31,14 @@
     slowest: Duration,
 }
 
-/// A `WorkRow` orders the report by tier, then kind of work.
+/// A `WorkRow` is the key of a report row, ordered by tier, then kind of work.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct WorkRow {
     tier: u8,
     work: &'static str,
 }
 
-/// A `DemoReport` is what became of the demo's calls.
+/// A `DemoReport` is the outcomes of the demo's regular calls.
 #[derive(Debug, Default)]
 pub(super) struct DemoReport {
     rows: BTreeMap<WorkRow, WorkReport>,
@@ -81,7 +80,7 @@
     }
 }
 
-/// A `ScenarioReport` is what became of the calls that provoke something.
+/// A `ScenarioReport` is the outcomes of the failure scenarios.
 #[derive(Debug)]
 pub(super) struct ScenarioReport {
     table: TextTable,
@@ -99,7 +98,8 @@
 }
 
 impl ScenarioReport {
-    /// Add the outcomes of one case, and what the hosts counted meanwhile.
+    /// Add the outcomes of one scenario and the change of the hosts' counters
+    /// during it.
     pub(super) fn add(
         &mut self,
         title: &str,
@@ -131,7 +131,7 @@
     }
 }
 
-/// Get why a call was not answered: status and reason code.
+/// Format the status and the reason code of a call that was not answered.
 fn reason(outcome: &CallOutcome) -> String {
     let status = outcome.status.as_u16();
     match &outcome.refusal {
@@ -148,7 +148,7 @@
     reasons.join(", ")
 }
 
-/// Print a host's counters of refusals, retries, waste and goodput.
+/// Print a host's nonzero metrics that match [`SHOWN_METRICS`].
 pub(super) fn print_counters(page: &str, host: SocketAddr) {
     println!("  counters of {host}");
     for line in page.lines() {
--- a/bergamotswitch/src/command/demo/scenarios.rs
+++ b/bergamotswitch/src/command/demo/scenarios.rs
@@ -1,5 +1,5 @@
-//! Provides what the demo provokes on purpose: refusals, a retry, a silent
-//! connection and a resubmission.
+//! Provides the demo's failure scenarios: refusals, retries, overload,
+//! unresponsive connections and a resubmission.
 
 use std::time::Duration;
 
@@ -14,30 +14,33 @@
 use super::report::ScenarioReport;
 use crate::command::error::CommandError;
 
-/// The pause after which a stream of [`LONG_OUTPUT_TOKENS`] is well under way.
+/// The delay after which a stream of [`LONG_OUTPUT_TOKENS`] tokens has started
+/// but not ended.
 const STREAM_START_DELAY: Duration = Duration::from_millis(150);
 
-/// Output tokens that take an engine more than half a second.
+/// A number of output tokens that takes an engine more than half a second.
 const LONG_OUTPUT_TOKENS: u32 = 240;
 
-/// How many calls meet the refusing services: enough for each to be the best
-/// choice for some call.
+/// The number of calls sent while targets refuse, enough for every target to be
+/// selected at least once.
 const REFUSAL_CALL_COUNT: usize = 6;
 
-/// More calls than the services of a deployment hold at once, 3 by 64.
+/// The number of calls in a burst, more than the concurrency limit of a
+/// deployment's services (3 * 64).
 const BURST_CALL_COUNT: usize = 240;
 
-/// The tier of the rule that matches whatever no other one does.
+/// The tier of the catch-all rule.
 const CATCH_ALL_TIER: u8 = 6;
 
-/// A `FailureScenario` is calls of one kind and what they are to show.
+/// A `FailureScenario` is a call, the title under which it is reported and the
+/// tier that it is assigned, if any.
 struct FailureScenario {
     title: &'static str,
     tier: Option<u8>,
     call: DemoCall,
 }
 
-/// Provoke everything, one after the other, and report what came of it.
+/// Run all scenarios one after the other and report their results.
 pub(super) async fn run_all(
     fleet: &DemoFleet,
     deployment: &DemoDeployment,
@@ -54,7 +57,7 @@
     Ok(report)
 }
 
-/// Get the cases that need nothing but a call.
+/// Get the scenarios in which an invalid call is refused.
 fn refused_scenarios(deployment: &DemoDeployment) -> [FailureScenario; 3] {
     let call = DemoCall {
         streaming: false,
@@ -90,8 +93,8 @@
     ]
 }
 
-/// Publish rules without the last one, which matches anything, and ask for
-/// work that no other rule knows; then publish the former rules again.
+/// Publish the rules without the last one, the catch-all, and send a call that
+/// no other rule matches; then restore the rules and send it again.
 async fn run_without_catch_all(
     fleet: &DemoFleet,
     deployment: &DemoDeployment,
@@ -116,8 +119,8 @@
     run_scenario(fleet, &matched, 1, report).await
 }
 
-/// Let all targets but one refuse. Their contract says that a refusal means
-/// not run, so the calls are tried again elsewhere.
+/// Make all targets but one refuse requests. Their contract states that a
+/// refused request has not run, so the calls are retried on another target.
 async fn run_with_refusing_targets(
     fleet: &DemoFleet,
     deployment: &DemoDeployment,
@@ -136,8 +139,8 @@
     fleet.set(&refusing, &json!({ "refuse": null })).await
 }
 
-/// Send more calls at once than slow services hold, with a deadline that
-/// passes while the last ones wait.
+/// Send more concurrent calls than slow services accept, with a deadline that
+/// expires while some of them are queued.
 async fn run_burst(
     fleet: &DemoFleet,
     deployment: &DemoDeployment,
@@ -158,8 +161,8 @@
     fleet.set(&targets, &json!({ "delay_ms": 2 })).await
 }
 
-/// Let every connection that is open to an engine go silent while a stream is
-/// under way. New connections work.
+/// Make all open connections to the engines unresponsive during a stream. New
+/// connections work.
 async fn run_with_unresponsive_connections(
     fleet: &DemoFleet,
     deployment: &DemoDeployment,
@@ -180,12 +183,12 @@
     let outcome = outcome.map_err(|error| CommandError::Answer(error.to_string()))??;
     fleet.set(&targets, &json!({ "silent": "off" })).await?;
     let change = FleetCounters::read(&hosts).await? - before;
-    let title = "connections go silent in a stream";
+    let title = "connections unresponsive during a stream";
     report.add(title, Some(call.tier), &[outcome], change);
     Ok(())
 }
 
-/// Send a call that must not be dispatched twice again, at another host.
+/// Resubmit a call that must not be dispatched twice to another host.
 async fn run_resubmission(
     fleet: &DemoFleet,
     deployment: &DemoDeployment,
@@ -205,15 +208,15 @@
     let second = second.await?;
     let change = FleetCounters::read(&hosts).await? - before;
     let title = match second.complete && first.text == second.text {
-        true => "sent again at another host: same answer",
-        false => "sent again at another host: OTHER ANSWER",
+        true => "resubmitted to another host: same answer",
+        false => "resubmitted to another host: DIFFERENT ANSWER",
     };
     report.add(title, Some(call.tier), &[first, second], change);
     Ok(())
 }
 
-/// Send a case's calls at once, spread over the hosts, and report them with
-/// what the hosts counted meanwhile.
+/// Send `count` calls of a scenario concurrently, spread over the hosts, and
+/// report the outcomes with the change of the hosts' counters.
 async fn run_scenario(
     fleet: &DemoFleet,
     scenario: &FailureScenario,
--- a/bergamotswitch/src/command/logs/line.rs
+++ b/bergamotswitch/src/command/logs/line.rs
@@ -1,30 +1,31 @@
-//! Provides one line of a host's structured log.
+//! Provides the parser for a line of a host's structured log.
 
 use std::collections::BTreeMap;
 
 use serde_json::Value;
 
-/// The length of a time stamp up to its second.
+/// The length of a timestamp truncated to seconds.
 const SECOND_LENGTH: usize = "2026-01-31 23:59:59".len();
 
-/// A `LogLine` is an event that a host logged.
+/// A `LogLine` is a log event of a host.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct LogLine {
-    /// The host, as far as the line or its file tells.
+    /// The host's name: from the event, else from the line's prefix, else from
+    /// the file name.
     pub(super) host: String,
-    /// The time, in a form whose order as text is the order in time.
+    /// The timestamp, in a form that sorts chronologically as text.
     pub(super) timestamp: String,
-    /// The event's number.
+    /// The number of the event.
     pub(super) event: u64,
-    /// The event's text.
+    /// The text of the event.
     pub(super) text: String,
-    /// What the event is about.
+    /// The key-value fields of the event.
     pub(super) fields: BTreeMap<String, String>,
 }
 
 impl LogLine {
-    /// Try to read a line; `None` where it is no event. What collects logs may
-    /// put the host's name before the line: the last word there counts.
+    /// Try to parse a line; `None` if it is not an event. A log collector may
+    /// prefix the line; the last word of the prefix is taken as the host's name.
     pub(super) fn parse(bytes: &[u8], file_host: &str) -> Option<Self> {
         let text = std::str::from_utf8(bytes).ok()?;
         let (prefix, body) = text.split_at(text.find('{')?);
@@ -46,17 +47,17 @@
         })
     }
 
-    /// Get a field's text, empty where it is absent.
+    /// Get the text of a field, empty if the field is absent.
     pub(super) fn field(&self, name: &str) -> &str {
         self.fields.get(name).map_or("", String::as_str)
     }
 
-    /// Get a field's number.
+    /// Get a field as a number; `None` if it is absent or not a number.
     pub(super) fn number(&self, name: &str) -> Option<u64> {
         self.field(name).parse().ok()
     }
 
-    /// Get the second in which it was written.
+    /// Get the timestamp truncated to seconds.
     pub(super) fn second(&self) -> &str {
         self.timestamp
             .get(..SECOND_LENGTH)
--- a/bergamotswitch/src/command/logs/mod.rs
+++ b/bergamotswitch/src/command/logs/mod.rs
@@ -1,8 +1,8 @@
-//! Provides `logs`: what the hosts' structured logs tell of many requests, or
-//! of one.
+//! Provides the `logs` command, which summarizes the requests in the hosts'
+//! structured logs or traces a single request.
 //!
-//! Logs are read line by line and may be larger than the memory. A line that is
-//! no event is counted and passed over.
+//! Logs are processed line by line and may be larger than memory. Lines that
+//! cannot be parsed as events are counted and skipped.
 
 mod line;
 mod outcome;
@@ -16,10 +16,10 @@
 use super::error::CommandError;
 use super::output::write_out;
 
-/// A `LogsArgs` is what `logs` is asked for.
+/// A `LogsArgs` is the parsed arguments of the `logs` command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogsArgs {
-    /// The question.
+    /// The query to run.
     pub query: LogsQuery,
     /// The hosts' log files.
     pub files: Vec<PathBuf>,
@@ -27,16 +27,16 @@
     pub json: bool,
 }
 
-/// A `LogsQuery` is what the logs are to tell.
+/// A `LogsQuery` is a query that `logs` runs on log files.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogsQuery {
-    /// What became of all requests.
+    /// Summarize the outcomes of all requests.
     Summary,
-    /// All lines about the request with this caller's id.
+    /// Show all lines about the request with this caller-supplied id.
     Trace(String),
 }
 
-/// Print what the logs tell. Exit 1 where they have nothing of it.
+/// Run the query and print its result. Exits with 1 if nothing was found.
 pub(super) fn logs(args: &LogsArgs) -> Result<ExitCode, CommandError> {
     let (text, found) = match &args.query {
         LogsQuery::Summary => summary::summary(&args.files, args.json)?,
--- a/bergamotswitch/src/command/logs/outcome.rs
+++ b/bergamotswitch/src/command/logs/outcome.rs
@@ -1,4 +1,4 @@
-//! Provides what became of requests, counted under keys.
+//! Provides tables that count request outcomes by key, such as target or second.
 
 use std::collections::BTreeMap;
 
@@ -7,23 +7,23 @@
 use super::line::LogLine;
 use crate::command::table::TextTable;
 
-/// The most keys of one table, such as seconds or targets; what comes beyond is
-/// counted under one key more. A day has 86,400 seconds.
+/// The maximum number of keys in a table, enough for each second of a day.
+/// Further keys are counted under [`OTHER_KEYS`].
 const MAX_KEYS: usize = 100_000;
 const OTHER_KEYS: &str = "others";
 
-/// A `RequestOutcome` is what became of a request.
+/// A `RequestOutcome` is the class of a request's result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum RequestOutcome {
-    /// Answered within its aim, or where none is told.
+    /// The answer started within the latency goal, or the request has none.
     InTime,
-    /// Answered after its aim.
+    /// The answer started after the latency goal.
     Late,
-    /// Its target answered with an error.
+    /// The target returned an error.
     TargetError,
-    /// Ended without a whole answer after it had reached a target.
+    /// The request was dispatched to a target but not answered completely.
     Broken,
-    /// Ended without having reached a target.
+    /// The request ended without being dispatched to a target.
     Untried,
 }
 
@@ -36,7 +36,7 @@
         RequestOutcome::Untried,
     ];
 
-    /// Get the fate of a request by the line about its end.
+    /// Get the outcome of a request from its `request ended` event.
     pub(super) fn of(line: &LogLine) -> Self {
         let dispatched = !line.field("targets").is_empty();
         match line.field("outcome") {
@@ -61,11 +61,11 @@
     }
 }
 
-/// A `OutcomeCount` is requests by fate, and what they cost.
+/// An `OutcomeCount` is the number of requests and their slot time, by outcome.
 #[derive(Clone, Copy, Debug, Default)]
 struct OutcomeCount {
     counts: [u64; RequestOutcome::ALL.len()],
-    /// The milliseconds of targets' places by fate.
+    /// The milliseconds that the requests occupied a slot on a target.
     slot_ms: [u64; RequestOutcome::ALL.len()],
 }
 
@@ -96,12 +96,13 @@
     format!("{:.1}", millis as f64 / 1_000.0)
 }
 
-/// A `OutcomeTable` is requests by fate under some keys.
+/// An `OutcomeTable` is the outcome counts of requests, by key.
 #[derive(Debug, Default)]
 pub(super) struct OutcomeTable(BTreeMap<String, OutcomeCount>);
 
 impl OutcomeTable {
-    /// Count a request under a key, and the milliseconds that it held a place.
+    /// Count a request under a key, with the milliseconds that it occupied a
+    /// slot on a target.
     pub(super) fn add(&mut self, key: &str, outcome: RequestOutcome, slot_ms: u64) {
         let known = self.0.len() < MAX_KEYS || self.0.contains_key(key);
         let key = if known { key } else { OTHER_KEYS };
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Get the table as text, its keys under a head.
+    /// Format the table as text, with `name` as the header of the key column.
     pub(super) fn text(&self, name: &str) -> String {
         let mut head = vec![name];
         head.extend(RequestOutcome::ALL.iter().map(|outcome| outcome.as_str()));
@@ -129,12 +130,12 @@
         table.to_string()
     }
 
-    /// Get whether nothing was counted.
+    /// Get whether no request was counted.
     pub(super) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Get the table as JSON.
+    /// Convert the table to JSON.
     pub(super) fn json(&self) -> Value {
         let pairs = self
             .0
--- a/bergamotswitch/src/command/logs/reader.rs
+++ b/bergamotswitch/src/command/logs/reader.rs
@@ -1,4 +1,4 @@
-//! Provides the reading of log files line by line.
+//! Provides a line-by-line reader for log files.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader};
@@ -7,24 +7,24 @@
 use super::line::LogLine;
 use crate::command::error::CommandError;
 
-/// The longest line that is read. Lines have some hundred bytes; what is longer
-/// is passed over, so that no file can fill the memory.
+/// The maximum length of a line in bytes. Longer lines are skipped, so that
+/// memory use is bounded for any input.
 const MAX_LINE_BYTES: usize = 64 << 10;
 
-/// A `ReadCount` is how many lines were read.
+/// A `ReadCount` is the number of lines read, by whether they were parsed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct ReadCount {
-    /// Lines that are an event.
+    /// Lines parsed as events.
     pub(super) events: u64,
-    /// Lines that are none.
+    /// Nonblank lines that could not be parsed.
     pub(super) unreadable: u64,
 }
 
-/// Call `handle` with each event of the files, in the order of the files.
+/// Call `handle` for each event, in the order of the files and their lines.
 ///
 /// # Errors
 ///
-/// Returns [`CommandError::Read`] where a file cannot be read.
+/// Returns [`CommandError::Read`] if a file cannot be read.
 pub(super) fn read_lines(
     files: &[PathBuf],
     mut handle: impl FnMut(LogLine),
@@ -54,13 +54,14 @@
     Ok(count)
 }
 
+/// A `LineLength` is whether a line exceeds [`MAX_LINE_BYTES`].
 enum LineLength {
     WithinLimit,
     TooLong,
 }
 
-/// Read the next line; `None` at the end of the file. Of one that is too long
-/// the beginning is kept.
+/// Read the next line into `line`; returns `None` at the end of the file. A line
+/// that is too long is truncated to [`MAX_LINE_BYTES`].
 fn next_line(reader: &mut impl BufRead, line: &mut Vec<u8>) -> std::io::Result<Option<LineLength>> {
     line.clear();
     let mut length = LineLength::WithinLimit;
@@ -85,7 +86,7 @@
     }
 }
 
-/// Get the host whose log a file is by its name.
+/// Get a host's name from the name of its log file.
 fn host_from_file_name(path: &Path) -> String {
     let stem = path.file_stem().unwrap_or_default();
     stem.to_string_lossy().into_owned()
--- a/bergamotswitch/src/command/logs/summary.rs
+++ b/bergamotswitch/src/command/logs/summary.rs
@@ -1,5 +1,5 @@
-//! Provides what logs tell of all requests: outcomes by reason, rank, target
-//! and second, and the time that targets spent on them.
+//! Provides `logs summary`: request outcomes by reason, tier, target and other
+//! keys, with the time that targets spent on them.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -12,10 +12,10 @@
 use crate::command::error::CommandError;
 use crate::command::table::TextTable;
 
-/// The number of the event that a request has ended.
+/// The number of the `request ended` event.
 const REQUEST_ENDED: u64 = 206;
 
-/// A `LogSummary` is the tables of many requests.
+/// A `LogSummary` is the outcome tables of all requests in the logs.
 #[derive(Debug, Default)]
 struct LogSummary {
     all: OutcomeTable,
@@ -25,13 +25,14 @@
     accounts: OutcomeTable,
     targets: OutcomeTable,
     seconds: OutcomeTable,
-    /// Refusals by reason and how long they had waited.
+    /// The waiting times of requests that were never dispatched, by reason.
     waits: BTreeMap<String, WaitCount>,
-    /// How often each event was logged.
+    /// The number of lines of each event, by event number and text.
     events: BTreeMap<(u64, String), u64>,
 }
 
-/// A `WaitCount` is refusals without a target by the time that they waited.
+/// A `WaitCount` is the number of requests that ended without being dispatched,
+/// by whether they had waited.
 #[derive(Clone, Copy, Debug, Default)]
 struct WaitCount {
     immediate: u64,
@@ -39,8 +40,8 @@
     waited_ms: u64,
 }
 
-/// A refusal below this many milliseconds was made on arrival: the answer of
-/// another host takes a few.
+/// The milliseconds within which a refusal counts as immediate. The limit allows
+/// for a round trip to another host.
 const IMMEDIATE_MS: u64 = 20;
 
 impl LogSummary {
@@ -67,7 +68,8 @@
         self.routes.add(line.field("route"), outcome, slot_ms);
         self.accounts.add(line.field("account"), outcome, slot_ms);
         self.seconds.add(line.second(), outcome, slot_ms);
-        // The last one held the place; those before it gave it back.
+        // The slot time is attributed to the last target; earlier attempts have
+        // released their slots.
         if let Some(target) = line.field("targets").rsplit(',').next()
             && !target.is_empty()
         {
@@ -156,11 +158,11 @@
     }
 }
 
-/// Get the tables of all requests, and whether there were any.
+/// Get the summary of all requests, and whether there were any.
 ///
 /// # Errors
 ///
-/// Returns [`CommandError::Read`] where a file cannot be read.
+/// Returns [`CommandError::Read`] if a file cannot be read.
 pub(super) fn summary(files: &[PathBuf], json: bool) -> Result<(String, bool), CommandError> {
     let mut summary = LogSummary::default();
     let count = read_lines(files, |line| summary.add(&line))?;
--- a/bergamotswitch/src/command/logs/trace.rs
+++ b/bergamotswitch/src/command/logs/trace.rs
@@ -1,4 +1,4 @@
-//! Provides what logs tell of one request, over all hosts.
+//! Provides `logs trace`: all log lines about one request, from all hosts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
@@ -9,21 +9,24 @@
 use super::reader::read_lines;
 use crate::command::error::CommandError;
 
+/// The number of the `host started` event.
 const HOST_STARTED: u64 = 100;
+/// The number of the `request ended` event.
 const REQUEST_ENDED: u64 = 206;
 
-/// The most lines of one request that are kept. One has a handful; an id that
-/// callers use again and again may have many.
+/// The maximum number of lines kept, since callers may reuse an id for many
+/// requests.
 const MAX_LINES: usize = 10_000;
 
-/// A `InternalId` is what hosts call a request among themselves: the run of
-/// the host that accepted it, and a number.
+/// An `InternalId` is the id under which hosts know a request: the incarnation
+/// of the host that accepted it, and a sequence number.
 type InternalId = String;
 
-/// A `IdSearch` finds the names of the requests with a caller's id.
+/// An `IdSearch` collects the internal ids of all requests with a given
+/// caller-supplied id.
 #[derive(Debug, Default)]
 struct IdSearch {
-    /// Each host's run at this point of the logs.
+    /// The current incarnation of each host at this point of the logs.
     incarnations: BTreeMap<String, String>,
     ids: BTreeSet<InternalId>,
 }
@@ -49,14 +52,15 @@
     }
 }
 
-/// Get whether a line is about one of the named requests, or has the caller's
-/// id itself.
+/// Get whether a line contains one of the internal ids, or has the
+/// caller-supplied id as a field.
 fn concerns_request(line: &LogLine, id: &str, ids: &BTreeSet<InternalId>) -> bool {
     let mut texts = line.fields.values();
     texts.any(|text| text == id || ids.iter().any(|internal_id| contains_id(text, internal_id)))
 }
 
-/// Get whether a text holds a name that is not the beginning of a longer one.
+/// Get whether a text contains an internal id that is not a prefix of a longer
+/// one.
 fn contains_id(text: &str, internal_id: &str) -> bool {
     let mut found = text.match_indices(internal_id);
     found.any(|(at, _)| {
@@ -65,18 +69,19 @@
     })
 }
 
-/// Get the lines about a request in the order of their times, and whether there
-/// are any.
+/// Get the lines about a request in chronological order, and whether there are
+/// any.
 ///
 /// # Errors
 ///
-/// Returns [`CommandError::Read`] where a file cannot be read.
+/// Returns [`CommandError::Read`] if a file cannot be read.
 pub(super) fn trace(
     id: &str,
     files: &[PathBuf],
     json: bool,
 ) -> Result<(String, bool), CommandError> {
-    // The line that ties the id to the hosts' name for it comes last.
+    // The line that maps the caller's id to the internal id is the last line
+    // about a request, so the logs are read twice.
     let mut search = IdSearch::default();
     read_lines(files, |line| search.add(id, &line))?;
     let mut lines = Vec::new();
@@ -114,7 +119,7 @@
     text += &format!("{} lines, {unreadable} unreadable lines", lines.len());
     match omitted {
         0 => text + "\n",
-        _ => text + &format!(", {omitted} more left out\n"),
+        _ => text + &format!(", {omitted} more lines omitted\n"),
     }
 }
 
