--- a/bergamotswitch/tests/command_line.rs
+++ b/bergamotswitch/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! Tests the program's commands as an operator types them.
+//! Tests the program's commands through its command line.
 
 mod fleet;
 mod program;
@@ -7,7 +7,7 @@
 
 use bergamotswitch::command::demo::deployment_directory;
 use fleet::Fleet;
-use program::{Scratch, run};
+use program::{ScratchDirectory, run};
 
 const DEPLOYMENTS: [&str; 2] = ["red-austral", "naapuriseina"];
 
@@ -17,8 +17,8 @@
 }
 
 #[test]
-fn five_findings() {
-    let scratch = Scratch::new("five");
+fn all_findings_reported() {
+    let scratch = ScratchDirectory::new("five");
     let file = scratch.write(
         "rules.json",
         r#"{"rules": [
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn good_deployments() {
+fn valid_deployments() {
     for name in DEPLOYMENTS {
         let run = run(&["check", &directory(name)]);
         assert_eq!(run.code, 0, "{}", run.output);
@@ -94,9 +94,8 @@
     assert_eq!((version.code, version.output), (0, expected));
 }
 
-// Symptom: a script that pipes a command into `head` sees it fail.
-// Sequence: the reader leaves before the output is written.
-// Cause: `println!` panics where a pipe is broken.
+// Guards against a panic when the reader of a pipe, such as `head`, closes it
+// before the output is written.
 #[test]
 fn closed_pipe() {
     let (reader, writer) = std::io::pipe().expect("a pipe");
@@ -136,7 +135,7 @@
 
 #[test]
 fn no_rule() {
-    let scratch = Scratch::new("no-rule");
+    let scratch = ScratchDirectory::new("no-rule");
     let values = ["accounts.json", "pools.json", "domains.json"];
     scratch.copy(&deployment_directory("red-austral"), &values);
     scratch.copy(
@@ -165,12 +164,16 @@
     let fleet = Fleet::start("red-austral").await;
     let mut shards = 0;
     for host in &fleet.hosts {
-        // A host may serve before its first heartbeats are answered.
-        let heard = fleet::wait_view(host.address(), |view| {
+        // A host may be ready before its first heartbeats are answered.
+        let reachable = fleet::wait_view(host.address(), |view| {
             let peers = view["peers"].as_array();
             peers.is_some_and(|peers| peers.iter().any(|peer| peer["reachable"] == true))
         });
-        assert!(heard.await.is_some(), "{} hears no peer", host.name());
+        assert!(
+            reachable.await.is_some(),
+            "{}: no peer became reachable",
+            host.name()
+        );
         let address = host.address().to_string();
         let run = run(&["status", "--host", &address]);
         assert_eq!(run.code, 0, "{}{}", run.output, run.errors);
@@ -189,7 +192,7 @@
         shards += owned.count();
         assert!(lines.iter().any(|line| line.contains(" reachable ")));
     }
-    assert!(shards >= 2, "each pool has an owner");
+    assert!(shards >= 2, "expected an owner for each pool");
     let run = run(&["status", "--host", "127.0.0.1:1"]);
     assert_eq!(run.code, 2);
     assert!(run.errors.contains("127.0.0.1:1/status"), "{}", run.errors);
--- a/bergamotswitch/tests/log_questions.rs
+++ b/bergamotswitch/tests/log_questions.rs
@@ -1,8 +1,8 @@
-//! What `logs` tells an engineer from hosts' logs alone.
+//! Tests the `logs` command on log files of several hosts.
 
 mod program;
 
-use program::{Run, Scratch, run};
+use program::{Run, ScratchDirectory, run};
 use serde_json::{Value, json};
 
 fn read_json(args: &[&str]) -> Value {
@@ -16,7 +16,7 @@
     json!({"level": "INFO", "timestamp": at, "kv": fields, "text": text}).to_string()
 }
 
-struct Ended {
+struct RequestEnd {
     request: &'static str,
     number: &'static str,
     outcome: &'static str,
@@ -27,7 +27,7 @@
     took_ms: u64,
 }
 
-fn ended(second: u32, end: &Ended) -> String {
+fn request_ended(second: u32, end: &RequestEnd) -> String {
     let fields = json!({
         "event": 206, "request": end.request, "number": end.number, "route": "report",
         "account": "crew", "tier": "0", "aim_ms": "400", "outcome": end.outcome,
@@ -37,7 +37,7 @@
     line(second, "request ended", fields)
 }
 
-fn started(host: &str, run: &str) -> String {
+fn host_started(host: &str, run: &str) -> String {
     let about = format!("{host}~{run}");
     line(
         0,
@@ -46,13 +46,13 @@
     )
 }
 
-fn write_logs(folder: &Scratch) -> [String; 2] {
+fn write_logs(directory: &ScratchDirectory) -> [String; 2] {
     let first = [
-        started("front-1", "aa11"),
+        host_started("front-1", "aa11"),
         "ready callers=127.0.0.1:7101".to_owned(),
-        ended(
+        request_ended(
             1,
-            &Ended {
+            &RequestEnd {
                 request: "r-1",
                 number: "1",
                 outcome: "answered",
@@ -63,9 +63,9 @@
                 took_ms: 1_010,
             },
         ),
-        ended(
+        request_ended(
             2,
-            &Ended {
+            &RequestEnd {
                 request: "r-2",
                 number: "2",
                 outcome: "answered",
@@ -76,9 +76,9 @@
                 took_ms: 2_500,
             },
         ),
-        ended(
+        request_ended(
             2,
-            &Ended {
+            &RequestEnd {
                 request: "r-3",
                 number: "",
                 outcome: "refused",
@@ -89,9 +89,9 @@
                 took_ms: 3,
             },
         ),
-        ended(
+        request_ended(
             3,
-            &Ended {
+            &RequestEnd {
                 request: "r-4",
                 number: "13",
                 outcome: "refused",
@@ -103,24 +103,26 @@
             },
         ),
     ];
-    let silent = json!({"event": 700, "attempt": "aa11-13-0", "cause": "no answer", "to": "i-1"});
-    let other = json!({"event": 700, "attempt": "aa11-1-0", "cause": "no answer", "to": "i-1"});
+    let own_event =
+        json!({"event": 700, "attempt": "aa11-13-0", "cause": "no answer", "to": "i-1"});
+    let prefix_event =
+        json!({"event": 700, "attempt": "aa11-1-0", "cause": "no answer", "to": "i-1"});
     let second = [
-        started("front-2", "bb22"),
-        line(2, "connection silent, given up", silent),
-        line(2, "connection silent, given up", other),
+        host_started("front-2", "bb22"),
+        line(2, "connection silent, given up", own_event),
+        line(2, "connection silent, given up", prefix_event),
         "{\"cut".to_owned(),
     ];
     [
-        folder.write("front-1.log", &(first.join("\n") + "\n")),
-        folder.write("front-2.log", &(second.join("\n") + "\n")),
+        directory.write("front-1.log", &(first.join("\n") + "\n")),
+        directory.write("front-2.log", &(second.join("\n") + "\n")),
     ]
 }
 
 #[test]
 fn outcome_tables() {
-    let folder = Scratch::new("logs-summary");
-    let [first, second] = write_logs(&folder);
+    let directory = ScratchDirectory::new("logs-summary");
+    let [first, second] = write_logs(&directory);
     let found = read_json(&["logs", "summary", "--json", &first, &second]);
     let all = &found["requests"]["all"];
     assert_eq!(all["in time"], json!({"requests": 1, "place_ms": 1_000}));
@@ -145,8 +147,8 @@
 
 #[test]
 fn one_request() {
-    let folder = Scratch::new("logs-trace");
-    let [first, second] = write_logs(&folder);
+    let directory = ScratchDirectory::new("logs-trace");
+    let [first, second] = write_logs(&directory);
     let Run {
         code, output: text, ..
     } = run(&["logs", "trace", "r-4", &second, &first]);
@@ -155,7 +157,7 @@
     assert_eq!(lines.len(), 3, "{text}");
     assert!(lines[0].contains("attempt=aa11-13-0"), "{text}");
     assert!(lines[1].contains("reason=target-failed"), "{text}");
-    // The name of request 1 is the beginning of that of request 13.
+    // The internal id of request 1 is a prefix of that of request 13.
     let found = read_json(&["logs", "trace", "r-1", "--json", &first, &second]);
     let lines = found["lines"].as_array().expect("lines");
     let attempts = lines.iter().map(|line| &line["fields"]["attempt"]);
@@ -164,13 +166,12 @@
     assert_eq!(run(&["logs", "trace", "unknown", &first, &second]).code, 1);
 }
 
-// Symptom: the command ends with all memory used, or stops at a bad line.
-// Sequence: a log holds bytes that are no text, and a line without an end.
-// Cause: a line was read whole, and a bad one was an error.
+// Guards against unbounded memory use on an endless line, and against an abort
+// on a line that is not valid text.
 #[test]
-fn bad_lines() {
-    let folder = Scratch::new("logs-bad");
-    let [first, _] = write_logs(&folder);
+fn malformed_lines() {
+    let directory = ScratchDirectory::new("logs-bad");
+    let [first, _] = write_logs(&directory);
     let mut bytes = std::fs::read(&first).expect("log");
     bytes.extend_from_slice(b"\xff\xfe{\x00\n\n");
     bytes.extend(std::iter::repeat_n(b'{', 1 << 20));
--- a/bergamotswitch/tests/metrics_move.rs
+++ b/bergamotswitch/tests/metrics_move.rs
@@ -1,4 +1,4 @@
-//! Every metric that the pages name is counted by a running fleet.
+//! Tests that a running fleet updates every documented metric.
 
 mod fleet;
 
@@ -10,19 +10,20 @@
 use fleet::{ALL_HOSTS, ENGINES, Fleet, PATIENCE};
 use serde_json::json;
 
-/// What three hosts never do, all of them candidates: tests of the core show
-/// the first; the others need an audit and a queue of several tiers.
-const UNREACHED: [&str; 3] = [
+/// Metrics that a fleet of three hosts, all candidates for ownership, does not
+/// update. Tests of the core cover the first; the others need an audit and a
+/// queue with several tiers.
+const UNTRIGGERED_METRICS: [&str; 3] = [
     "bergamot_degraded_admissions_total",
     "bergamot_reclaimed_permits_total",
     "bergamot_preemptions_total",
 ];
 
-/// What is counted only after an owner's end.
-const EXPOSURE: &str = "bergamot_unmarked_resubmission_exposure_total";
+/// A metric that is counted only after an owner has failed.
+const EXPOSURE_METRIC: &str = "bergamot_unmarked_resubmission_exposure_total";
 
-/// Get the names in the metrics table of `docs/API.md`.
-fn named_metrics() -> BTreeSet<String> {
+/// Get the metric names in the table of `docs/API.md`.
+fn documented_metrics() -> BTreeSet<String> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/API.md");
     let page = std::fs::read_to_string(path).expect("page");
     let rows = page.lines().filter(|line| line.starts_with("| `bergamot_"));
@@ -33,8 +34,8 @@
         .collect()
 }
 
-/// Get whether a series of the metric is above zero.
-fn has_moved(page: &str, name: &str) -> bool {
+/// Get whether any series of the metric is above zero.
+fn is_above_zero(page: &str, name: &str) -> bool {
     let mut lines = page.lines().filter(|line| line.starts_with(name));
     lines.any(|line| {
         let value = line.rsplit(' ').next().and_then(|text| text.parse().ok());
@@ -42,27 +43,26 @@
     })
 }
 
-// Symptom: an alarm on a metric never fires.
-// Sequence: what it counts happens.
-// Cause: it is registered and documented, but nobody counts it.
+// Guards against a metric that is registered and documented but never updated.
 #[tokio::test]
-async fn all_named() {
+async fn all_documented_metrics() {
     let mut fleet = Fleet::start("red-austral").await;
     let owner = fleet.wait_owner(ENGINES, &ALL_HOSTS).await;
     let user = fleet.hosts[fleet.others(owner)[0]].address();
     let other = fleet.hosts[fleet.others(owner)[1]].address();
-    let mut missing = named_metrics();
+    let mut missing = documented_metrics();
     assert!(missing.len() > 20, "{missing:?}");
-    for name in UNREACHED {
-        assert!(missing.remove(name), "{name} is not on the page");
+    for name in UNTRIGGERED_METRICS {
+        assert!(missing.remove(name), "{name} is not documented");
     }
 
-    // A resubmission at another host is forwarded to the holder.
+    // A resubmission to another host is forwarded to the host that accepted the
+    // request.
     let report = Call::report("fall", 50);
     let run = report.send(user).await.incarnation();
     let again = report.again().with_incarnation(&run).send(other).await;
     assert!(again.is_whole(), "{again:?}");
-    // Some engines fail: requests are retried elsewhere.
+    // Some engines fail, so requests are retried on other targets.
     for number in 1..=6 {
         let engine = format!("{ENGINES}-{number:02}");
         fleet.set(&engine, json!({ "error": true })).await;
@@ -70,8 +70,8 @@
     let dawns = (0..12).map(|n| (Call::dawn(&format!("dawn-{n}"), 20), user));
     send_all(dawns.collect()).await;
     fleet.set_engines(json!({ "error": false })).await;
-    // An answer that is cut wastes its prompt. More than the targets take at
-    // once waits, and is shed beyond a bound.
+    // A truncated answer wastes its prompt tokens. Requests above the targets'
+    // capacity are queued, and shed above the queue limit.
     fleet.publish_small_targets(600).await;
     let revision = fleet
         .publish("limits", |limits| {
@@ -86,27 +86,28 @@
     assert!(!endless.is_whole());
     let logs = (0..80).map(|n| (Call::sky_log(&format!("log-{n}"), 300), user));
     let _sent = tokio::spawn(send_all(logs.collect()));
-    // Once the owner is gone, its successor may not know every key.
-    let begun = Instant::now();
+    // After the owner has failed, its successor may not know every idempotency
+    // key.
+    let started_at = Instant::now();
     let mut killed = false;
-    while !missing.is_empty() && begun.elapsed() < PATIENCE {
+    while !missing.is_empty() && started_at.elapsed() < PATIENCE {
         for number in ALL_HOSTS {
             if killed && number == owner {
                 continue;
             }
             let page = fleet::metrics(fleet.hosts[number].address()).await;
-            missing.retain(|name| !has_moved(&page, name));
+            missing.retain(|name| !is_above_zero(&page, name));
         }
-        let left = missing.iter().all(|name| name == EXPOSURE);
+        let left = missing.iter().all(|name| name == EXPOSURE_METRIC);
         if left && !killed && !missing.is_empty() {
             killed = true;
             fleet.hosts[owner].kill();
         }
         if killed {
-            let report = Call::report(&format!("new-{}", begun.elapsed().as_nanos()), 5);
+            let report = Call::report(&format!("new-{}", started_at.elapsed().as_nanos()), 5);
             tokio::spawn(async move { report.send(user).await });
         }
         pause().await;
     }
-    assert!(missing.is_empty(), "never moved: {missing:?}");
+    assert!(missing.is_empty(), "metrics never updated: {missing:?}");
 }
--- a/bergamotswitch/tests/program/mod.rs
+++ b/bergamotswitch/tests/program/mod.rs
@@ -1,12 +1,12 @@
-//! The program as an operator runs it, and a directory for its files.
+//! Provides helpers that run the program and create temporary files for it.
 
-// Each test file uses its own part of this module.
+// Not every test file uses all of this module.
 #![allow(dead_code)]
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// What one run of the program left.
+/// A `Run` is the exit code and the output of one run of the program.
 pub struct Run {
     pub code: i32,
     pub output: String,
@@ -24,15 +24,15 @@
     }
 }
 
-/// A directory that goes with the test.
-pub struct Scratch(pub PathBuf);
+/// A `ScratchDirectory` is a temporary directory that is removed after the test.
+pub struct ScratchDirectory(pub PathBuf);
 
-impl Scratch {
+impl ScratchDirectory {
     pub fn new(name: &str) -> Self {
         let name = format!("bergamotswitch-{name}-{}", std::process::id());
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&path).expect("a directory");
-        Scratch(path)
+        ScratchDirectory(path)
     }
 
     pub fn write(&self, name: &str, text: &str) -> String {
@@ -48,9 +48,9 @@
     }
 }
 
-impl Drop for Scratch {
+impl Drop for ScratchDirectory {
     fn drop(&mut self) {
-        // A folder that stays behind is no failure of the test.
+        // A directory that cannot be removed does not fail the test.
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
--- a/bergamotswitch/tests/separate_processes.rs
+++ b/bergamotswitch/tests/separate_processes.rs
@@ -1,5 +1,5 @@
-//! The whole path over separate processes: three hosts, one platform of
-//! stand-ins, one request of each kind of work.
+//! Tests one request of each kind of work, end to end, against three host
+//! processes and one simulated platform process.
 
 mod fleet;
 
@@ -19,7 +19,7 @@
         assert!(outcome.complete, "{}: {outcome:?}", call.work);
         assert!(
             texts.insert(outcome.text),
-            "{}: another's answer",
+            "{}: answer of another call",
             call.work
         );
     }
