--- a/bergamotswitch/src/command/args.rs
+++ b/bergamotswitch/src/command/args.rs
@@ -253,11 +253,7 @@
             let id = values.next().and_then(|id| id.into_string().ok());
             LogsQuery::Trace(required(id, "ID of logs trace")?)
         }
-        _ => {
-            return Err(usage(format!(
-                "unknown logs command {name:?}; {LOGS_ALLOWED}"
-            )));
-        }
+        _ => return Err(usage(format!("query {name:?}; {LOGS_ALLOWED}"))),
     };
     let files: Vec<PathBuf> = values.map(PathBuf::from).collect();
     match files.is_empty() {
--- a/bergamotswitch/src/command/logs/outcome.rs
+++ b/bergamotswitch/src/command/logs/outcome.rs
@@ -41,7 +41,7 @@
         let dispatched = !line.field("targets").is_empty();
         match line.field("outcome") {
             "answered" => match (line.number("first_ms"), line.number("aim_ms")) {
-                (Some(first), Some(aim)) if first > aim => RequestOutcome::Late,
+                (Some(first), Some(goal)) if first > goal => RequestOutcome::Late,
                 _ => RequestOutcome::InTime,
             },
             "target-error" => RequestOutcome::TargetError,
