--- a/bergamotswitch/src/command/demo/mod.rs
+++ b/bergamotswitch/src/command/demo/mod.rs
@@ -86,7 +86,7 @@
 /// # Errors
 ///
 /// Returns [`CommandError::Answer`] if the host is not ready within
-/// [`READY_TIMEOUT`].
+/// `READY_TIMEOUT`.
 pub async fn wait_ready(address: SocketAddr) -> Result<(), CommandError> {
     let ready = async {
         loop {
--- a/bergamotswitch/src/lib.rs
+++ b/bergamotswitch/src/lib.rs
@@ -1,6 +1,6 @@
 //! Provides the public interface of bergamotswitch: the scheduling logic
-//! ([`crate::core`]), the network layer ([`crate::net`]) and the operator's commands
-//! ([`crate::command`]).
+//! ([`crate::core`]), the network layer ([`crate::net`]) and the operator's
+//! commands ([`crate::command`]).
 //!
 //! A program that embeds a host needs only this crate:
 //! [`net::node::NodeSetup`] binds the listening sockets and
