--- a/bergamotswitch/src/command/demo/mod.rs
+++ b/bergamotswitch/src/command/demo/mod.rs
@@ -1,14 +1,15 @@
-//! Provides `demo`: both deployments on loopback, in one process.
+//! Provides the `demo` command, which runs both example deployments on loopback
+//! in one process.
 //!
-//! Stand-ins take the platform's and the targets' places; three entry hosts
-//! run as they do under `serve`. Every request is real HTTP.
+//! The platform and the targets are simulated. Three entry hosts run as they do
+//! under `serve`, and every request is a real HTTP request.
 
 pub mod calls;
 mod counters;
 mod exchange;
 mod fleet;
-mod provoked;
 mod report;
+mod scenarios;
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -24,12 +25,11 @@
 use super::error::CommandError;
 use super::{client, serve};
 
-/// How long the hosts have to become ready. They need well under a second;
-/// a slow machine is no fault of the demo.
+/// The timeout for a host to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How long to wait between two looks at a host's health.
-const READY_POLL: Duration = Duration::from_millis(50);
+/// The interval at which a host's readiness is polled.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Run the demo for both deployments.
 pub(super) fn demo() -> Result<ExitCode, CommandError> {
@@ -48,45 +48,45 @@
 }
 
 async fn run_deployment(deployment: &DemoDeployment) -> Result<(), CommandError> {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let fleet = DemoFleet::try_start(&deployment_directory(deployment.name)).await?;
     let hosts = fleet.addresses();
     println!(
-        "\n{}: {} hosts, {} targets, serving after {} ms",
+        "\n{}: {} hosts, {} targets, ready after {} ms",
         deployment.name,
         hosts.len(),
         fleet.target_count(),
-        begun.elapsed().as_millis()
+        started_at.elapsed().as_millis()
     );
     let before = FleetCounters::read(&hosts).await?;
     let report = send_all(&hosts, deployment.calls).await?;
     let change = FleetCounters::read(&hosts).await? - before;
-    println!("\n  each kind of work, all calls at once");
+    println!("\n  all kinds of work, all calls sent concurrently");
     print!("{report}");
-    println!("  retried meanwhile: {}", change.retried);
-    let provoked = provoked::provoke(&fleet, deployment).await?;
-    println!("\n  provoked on purpose");
-    print!("{provoked}");
-    println!("\n  what the hosts counted (GET /metrics; series of value 0 are left out)");
+    println!("  retried attempts: {}", change.retried);
+    let scenario_report = scenarios::run_all(&fleet, deployment).await?;
+    println!("\n  failure scenarios");
+    print!("{scenario_report}");
+    println!("\n  host counters (GET /metrics; series with value 0 are omitted)");
     for host in hosts {
         let metrics = client::get(host, "/metrics").await?;
         report::print_counters(&String::from_utf8_lossy(&metrics.body), host);
     }
-    let stopping = Instant::now();
+    let stop_started_at = Instant::now();
     fleet.stop().await?;
     println!(
         "\n  planned stop of all hosts: {} ms",
-        stopping.elapsed().as_millis()
+        stop_started_at.elapsed().as_millis()
     );
     Ok(())
 }
 
-/// Wait until a host serves.
+/// Wait until a host is ready to serve.
 ///
 /// # Errors
 ///
-/// Returns [`CommandError::Answer`] where it does not within
-/// [`READY_TIMEOUT`].
+/// Returns [`CommandError::Answer`] if the host is not ready within
+/// `READY_TIMEOUT`.
 pub async fn wait_ready(address: SocketAddr) -> Result<(), CommandError> {
     let ready = async {
         loop {
@@ -96,14 +96,18 @@
             {
                 return;
             }
-            tokio::time::sleep(READY_POLL).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
     };
     let waited = tokio::time::timeout(READY_TIMEOUT, ready).await;
-    waited.map_err(|_| CommandError::Answer(format!("{address} did not become ready")))
+    waited.map_err(|_| {
+        CommandError::Answer(format!(
+            "{address} did not become ready within {READY_TIMEOUT:?}"
+        ))
+    })
 }
 
-/// Send every call, all at once, each to the host that the system names.
+/// Send all calls concurrently, each to the host that `/v1/address` returns.
 async fn send_all(hosts: &[SocketAddr], calls: &[DemoCall]) -> Result<DemoReport, CommandError> {
     let mut sent = JoinSet::new();
     let mut report = DemoReport::default();
@@ -112,7 +116,7 @@
             let first = hosts[number % hosts.len()];
             let (call, key) = (*call, format!("{}-{number}", call.work));
             sent.spawn_local(async move {
-                let host = calls::ask_address(first, call.key).await?;
+                let host = calls::resolve_host(first, call.key).await?;
                 let outcome = call.send(host, &key).await?;
                 Ok::<(DemoCall, CallOutcome), CommandError>((call, outcome))
             });
--- a/bergamotswitch/src/command/demo/report.rs
+++ b/bergamotswitch/src/command/demo/report.rs
@@ -1,4 +1,4 @@
-//! Provides what the demo prints.
+//! Provides the reports that the demo prints.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,21 +9,20 @@
 use super::counters::FleetCounters;
 use crate::command::table::TextTable;
 
-/// The blanks before each line of a table.
+/// The number of spaces before each line of a table.
 const INDENT: usize = 2;
 
-/// The counters of a host that the demo shows, by the beginning of their
-/// names: a line of value 0 is left out.
-const SHOWN_COUNTERS: [&str; 5] = [
+/// The prefixes of the metrics that the demo prints for each host.
+const SHOWN_METRICS: [&str; 5] = [
     "bergamot_refusals",
     "bergamot_retries",
     "bergamot_wasted",
     "bergamot_goodput",
-    // Of the numbered events those about requests.
+    // The incidents about requests have the numbers 2xx.
     "bergamot_incidents_total{number=\"2",
 ];
 
-/// A `WorkReport` is what became of one kind of work.
+/// A `WorkReport` is the outcomes of the calls of one kind of work.
 #[derive(Debug, Default)]
 struct WorkReport {
     sent: usize,
@@ -32,14 +31,14 @@
     slowest: Duration,
 }
 
-/// A `WorkRow` orders the report by tier, then kind of work.
+/// A `WorkRow` is the key of a report row, ordered by tier, then kind of work.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct WorkRow {
     tier: u8,
     work: &'static str,
 }
 
-/// A `DemoReport` is what became of the demo's calls.
+/// A `DemoReport` is the outcomes of the demo's regular calls.
 #[derive(Debug, Default)]
 pub(super) struct DemoReport {
     rows: BTreeMap<WorkRow, WorkReport>,
@@ -54,7 +53,7 @@
         let report = self.rows.entry(row).or_default();
         report.sent += 1;
         report.slowest = report.slowest.max(outcome.elapsed);
-        if outcome.whole {
+        if outcome.complete {
             report.answered += 1;
             return;
         }
@@ -74,32 +73,33 @@
                 report.sent.to_string(),
                 report.answered.to_string(),
                 report.slowest.as_millis().to_string(),
-                counted(&report.refused),
+                format_counts(&report.refused),
             ]);
         }
         write!(f, "{table}")
     }
 }
 
-/// A `ProvokedReport` is what became of the calls that provoke something.
+/// A `ScenarioReport` is the outcomes of the failure scenarios.
 #[derive(Debug)]
-pub(super) struct ProvokedReport {
+pub(super) struct ScenarioReport {
     table: TextTable,
 }
 
-impl Default for ProvokedReport {
+impl Default for ScenarioReport {
     fn default() -> Self {
         let head = [
             "tier", "provoked", "sent", "answered", "retried", "resumed", "attached", "refused",
         ];
-        ProvokedReport {
+        ScenarioReport {
             table: TextTable::new(&head).with_indent(INDENT),
         }
     }
 }
 
-impl ProvokedReport {
-    /// Add the outcomes of one case, and what the hosts counted meanwhile.
+impl ScenarioReport {
+    /// Add the outcomes of one scenario and the change of the hosts' counters
+    /// during it.
     pub(super) fn add(
         &mut self,
         title: &str,
@@ -107,9 +107,9 @@
         outcomes: &[CallOutcome],
         change: FleetCounters,
     ) {
-        let answered = outcomes.iter().filter(|outcome| outcome.whole).count();
+        let answered = outcomes.iter().filter(|outcome| outcome.complete).count();
         let mut refused = BTreeMap::new();
-        for outcome in outcomes.iter().filter(|outcome| !outcome.whole) {
+        for outcome in outcomes.iter().filter(|outcome| !outcome.complete) {
             *refused.entry(reason(outcome)).or_default() += 1;
         }
         self.table.add(vec![
@@ -120,18 +120,18 @@
             change.retried.to_string(),
             change.resumed.to_string(),
             change.attached.to_string(),
-            counted(&refused),
+            format_counts(&refused),
         ]);
     }
 }
 
-impl fmt::Display for ProvokedReport {
+impl fmt::Display for ScenarioReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.table)
     }
 }
 
-/// Get why a call was not answered: status and reason code.
+/// Format the status and the reason code of a call that was not answered.
 fn reason(outcome: &CallOutcome) -> String {
     let status = outcome.status.as_u16();
     match &outcome.refusal {
@@ -140,7 +140,7 @@
     }
 }
 
-fn counted(reasons: &BTreeMap<String, usize>) -> String {
+fn format_counts(reasons: &BTreeMap<String, usize>) -> String {
     let reasons: Vec<String> = reasons
         .iter()
         .map(|(reason, count)| format!("{reason} x{count}"))
@@ -148,11 +148,11 @@
     reasons.join(", ")
 }
 
-/// Print a host's counters of refusals, retries, waste and goodput.
+/// Print a host's nonzero metrics that match [`SHOWN_METRICS`].
 pub(super) fn print_counters(page: &str, host: SocketAddr) {
     println!("  counters of {host}");
     for line in page.lines() {
-        let shown = SHOWN_COUNTERS.iter().any(|name| line.starts_with(name));
+        let shown = SHOWN_METRICS.iter().any(|name| line.starts_with(name));
         if shown && !line.ends_with(" 0") {
             println!("    {line}");
         }
--- a/bergamotswitch/src/command/explain.rs
+++ b/bergamotswitch/src/command/explain.rs
@@ -1,4 +1,5 @@
-//! Provides `explain`: what the rules say of a described request.
+//! Provides the `explain` command, which shows how the rules apply to a
+//! described request.
 
 use std::process::ExitCode;
 
@@ -15,18 +16,19 @@
 use super::files;
 use super::output::write_out;
 
-/// The path that a request is taken to have where none is given.
+/// The request path if none is given.
 const DEFAULT_PATH: &str = "/v1/chat/completions";
 
-/// Print which rule matches, why earlier ones do not, and where the request
-/// may run. Exit 1 where no rule matches.
+/// Print which rule matches, why earlier rules do not, and which targets may
+/// run the request. Exits with 1 if no rule matches.
 pub(super) fn explain(args: &ExplainArgs) -> Result<ExitCode, CommandError> {
     let publication = files::read_deployment(&args.deployment)?;
-    let pool = PoolName::try_from(args.pool.as_str()).map_err(|error| named("--pool", error))?;
-    let account =
-        AccountName::try_from(args.account.as_str()).map_err(|error| named("--account", error))?;
+    let pool =
+        PoolName::try_from(args.pool.as_str()).map_err(|error| invalid_name("--pool", error))?;
+    let account = AccountName::try_from(args.account.as_str())
+        .map_err(|error| invalid_name("--account", error))?;
     let work = args.work.as_deref().map(WorkKind::try_from).transpose();
-    let work = work.map_err(|error| named("--work", error))?;
+    let work = work.map_err(|error| invalid_name("--work", error))?;
     let domain = domain(args, &publication)?;
     let facts = RequestFacts {
         pool: &pool,
@@ -45,15 +47,15 @@
     }
 }
 
-fn named(option: &str, error: NameError) -> CommandError {
+fn invalid_name(option: &str, error: NameError) -> CommandError {
     CommandError::Usage(format!("option {option}: {error}"))
 }
 
 fn domain(args: &ExplainArgs, publication: &Publication) -> Result<DomainName, CommandError> {
     if let Some(name) = args.domain.as_deref() {
-        return DomainName::try_from(name).map_err(|error| named("--domain", error));
+        return DomainName::try_from(name).map_err(|error| invalid_name("--domain", error));
     }
     let first = publication.domains.domains().first();
     let domain = first.map(|domain| domain.name.clone());
-    domain.ok_or_else(|| CommandError::Usage("the deployment has no failure domain".into()))
+    domain.ok_or_else(|| CommandError::Usage("the deployment defines no failure domain".into()))
 }
--- a/bergamotswitch/src/command/logs/mod.rs
+++ b/bergamotswitch/src/command/logs/mod.rs
@@ -1,11 +1,11 @@
-//! Provides `logs`: what the hosts' structured logs tell of many requests, or
-//! of one.
+//! Provides the `logs` command, which summarizes the requests in the hosts'
+//! structured logs or traces a single request.
 //!
-//! Logs are read line by line and may be larger than the memory. A line that is
-//! no event is counted and passed over.
+//! Logs are processed line by line and may be larger than memory. Lines that
+//! cannot be parsed as events are counted and skipped.
 
-mod fate;
 mod line;
+mod outcome;
 mod reader;
 mod summary;
 mod trace;
@@ -16,31 +16,31 @@
 use super::error::CommandError;
 use super::output::write_out;
 
-/// A `LogsArgs` is what `logs` is asked for.
+/// A `LogsArgs` is the parsed arguments of the `logs` command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogsArgs {
-    /// The question.
-    pub question: LogsQuestion,
+    /// The query to run.
+    pub query: LogsQuery,
     /// The hosts' log files.
     pub files: Vec<PathBuf>,
     /// Whether to print JSON.
     pub json: bool,
 }
 
-/// A `LogsQuestion` is what the logs are to tell.
+/// A `LogsQuery` is a query that `logs` runs on log files.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum LogsQuestion {
-    /// What became of all requests.
+pub enum LogsQuery {
+    /// Summarize the outcomes of all requests.
     Summary,
-    /// All lines about the request with this caller's id.
+    /// Show all lines about the request with this caller-supplied id.
     Trace(String),
 }
 
-/// Print what the logs tell. Exit 1 where they have nothing of it.
+/// Run the query and print its result. Exits with 1 if nothing was found.
 pub(super) fn logs(args: &LogsArgs) -> Result<ExitCode, CommandError> {
-    let (text, found) = match &args.question {
-        LogsQuestion::Summary => summary::summary(&args.files, args.json)?,
-        LogsQuestion::Trace(id) => trace::trace(id, &args.files, args.json)?,
+    let (text, found) = match &args.query {
+        LogsQuery::Summary => summary::summary(&args.files, args.json)?,
+        LogsQuery::Trace(id) => trace::trace(id, &args.files, args.json)?,
     };
     write_out(&text)?;
     match found {
--- a/bergamotswitch/src/command/serve.rs
+++ b/bergamotswitch/src/command/serve.rs
@@ -1,4 +1,4 @@
-//! Provides `serve`: one entry host as a process.
+//! Provides the `serve` command, which runs one entry host as a daemon.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -15,19 +15,19 @@
 use super::error::CommandError;
 use super::files;
 
-/// How often the settings file is looked at without a signal.
-const SETTINGS_INTERVAL: Duration = Duration::from_secs(2);
+/// How often the settings file is checked for changes without a signal.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Run one entry host until a planned stop is complete.
 pub(super) fn serve(path: &Path) -> Result<ExitCode, CommandError> {
     let text = files::read(path)?;
     let settings = HostSettings::try_from_json(&text)
-        .map_err(|findings| CommandError::Faulty(path.to_owned(), findings))?;
+        .map_err(|findings| CommandError::Invalid(path.to_owned(), findings))?;
     let _journal = event_log::start(&settings.log).map_err(CommandError::Journal)?;
     runtime()?.block_on(run(settings, path))
 }
 
-/// Get the runtime: one loop on one thread.
+/// Try to create a single-threaded async runtime.
 pub(super) fn runtime() -> Result<tokio::runtime::Runtime, CommandError> {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -45,27 +45,27 @@
     let node = HostNode::try_new(setup).map_err(CommandError::Start)?;
     println!("ready callers={callers} links={peers}");
     tokio::spawn(forward_signals(node.sender()));
-    tokio::spawn(follow_settings(path.to_owned(), node.sender()));
+    tokio::spawn(watch_settings(path.to_owned(), node.sender()));
     node.run().await;
     Ok(ExitCode::SUCCESS)
 }
 
-/// Tell the loop of changed settings. The file may change with a signal or
-/// without one, so it is read on a signal and now and then.
-async fn follow_settings(path: PathBuf, node: NodeSender) {
+/// Send changed settings to the host's event loop. The file is read on SIGHUP
+/// and periodically, because it may change without a signal.
+async fn watch_settings(path: PathBuf, node: NodeSender) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
         return;
     };
-    let mut known = files::read(&path).unwrap_or_default();
+    let mut current = files::read(&path).unwrap_or_default();
     loop {
         tokio::select! {
             _ = hangup.recv() => {}
-            () = sleep(SETTINGS_INTERVAL) => {}
+            () = sleep(SETTINGS_POLL_INTERVAL) => {}
         }
         let Ok(text) = files::read(&path) else {
             continue;
         };
-        if text == known {
+        if text == current {
             continue;
         }
         match HostSettings::try_from_json(&text) {
@@ -79,12 +79,12 @@
                 event_log::write(Incident::SettingsRefused, &[("findings", &text)]);
             }
         }
-        known = text;
+        current = text;
     }
 }
 
-/// Turn SIGTERM and SIGINT into a planned stop. Every signal is passed on:
-/// the loop logs the further ones, which change nothing.
+/// Translate SIGTERM and SIGINT into a planned stop. Repeated signals are
+/// forwarded too: the event loop logs and ignores them.
 async fn forward_signals(node: NodeSender) {
     let terminate = signal(SignalKind::terminate());
     let interrupt = signal(SignalKind::interrupt());
@@ -92,11 +92,11 @@
         return;
     };
     loop {
-        let heard = tokio::select! {
-            heard = terminate.recv() => heard,
-            heard = interrupt.recv() => heard,
+        let received = tokio::select! {
+            received = terminate.recv() => received,
+            received = interrupt.recv() => received,
         };
-        if heard.is_none() || node.send(NodeInput::Stop).is_err() {
+        if received.is_none() || node.send(NodeInput::Stop).is_err() {
             return;
         }
     }
