--- a/bergamotswitch-net/src/caller/desk.rs
+++ b/bergamotswitch-net/src/caller/desk.rs
@@ -22,7 +22,7 @@
 
 /// How long a caller's body may pause. A connection that went silent for
 /// good would otherwise hold its part of the body for ever.
-const BODY_PAUSE: Duration = Duration::from_secs(60);
+const BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A `CallerOptions` is what may be chosen about the callers' interface.
 #[derive(Clone, Debug)]
@@ -32,7 +32,7 @@
     /// How long a connection to a request's holder may take.
     pub connect_timeout: Duration,
     /// How long a caller's body may pause.
-    pub body_pause: Duration,
+    pub body_idle_timeout: Duration,
 }
 
 impl Default for CallerOptions {
@@ -40,7 +40,7 @@
         CallerOptions {
             operator_routes: true,
             connect_timeout: CONNECT_TIMEOUT,
-            body_pause: BODY_PAUSE,
+            body_idle_timeout: BODY_IDLE_TIMEOUT,
         }
     }
 }
@@ -59,30 +59,30 @@
     }
 
     /// Set how long a caller's body may pause.
-    pub fn with_body_pause(mut self, span: Duration) -> Self {
-        self.body_pause = span;
+    pub fn with_body_idle_timeout(mut self, span: Duration) -> Self {
+        self.body_idle_timeout = span;
         self
     }
 }
 
-/// A `CallerDesk` is what every handler of callers' requests needs.
+/// A `CallerContext` is what every handler of callers' requests needs.
 #[derive(Clone, Debug)]
-pub struct CallerDesk {
+pub struct CallerContext {
     /// The loop's inbox.
     pub node: NodeSender,
     /// What is in force.
     pub publication: watch::Receiver<Arc<Publication>>,
     /// This process.
-    pub me: HostSelf,
+    pub this_host: HostSelf,
     /// The host's metrics.
     pub metrics: Arc<NodeMetrics>,
     /// What was chosen.
     pub opts: CallerOptions,
 }
 
-impl CallerDesk {
+impl CallerContext {
     /// Get what is in force now.
-    pub(crate) fn in_force(&self) -> Arc<Publication> {
+    pub(crate) fn current_publication(&self) -> Arc<Publication> {
         Arc::clone(&self.publication.borrow())
     }
 
--- a/bergamotswitch-net/src/caller/early_answer.rs
+++ b/bergamotswitch-net/src/caller/early_answer.rs
@@ -11,7 +11,7 @@
 use hyper::body::Incoming;
 use tokio::task::yield_now;
 
-use super::desk::{CallerDesk, answer_dropped};
+use super::desk::{CallerContext, answer_dropped};
 use super::event_stream::{
     EventBytes, answer_events, comment, error_event, error_events, refusal_events,
 };
@@ -35,11 +35,11 @@
 /// Get the events of a request whose caller is told this run first. Nothing
 /// is handed to the loop before the first event has been written.
 pub(super) fn early_events(
-    desk: Arc<CallerDesk>,
+    desk: Arc<CallerContext>,
     checked: CheckedCall,
     usage: bool,
 ) -> BoxStream<'static, EventBytes> {
-    let told = comment(&format!("{INCARNATION_FIELD} {}", desk.me.run));
+    let told = comment(&format!("{INCARNATION_FIELD} {}", desk.this_host.run));
     let opening = stream::iter([Ok(told)]);
     let rest = stream::once(async move {
         // The connection asks for more before it writes what it has. Giving
@@ -51,7 +51,7 @@
 }
 
 async fn received_events(
-    desk: Arc<CallerDesk>,
+    desk: Arc<CallerContext>,
     checked: CheckedCall,
     usage: bool,
 ) -> BoxStream<'static, EventBytes> {
@@ -72,7 +72,7 @@
 }
 
 async fn followed_events(
-    desk: Arc<CallerDesk>,
+    desk: Arc<CallerContext>,
     mut follower: AnswerFollower,
     original: OriginalCall,
     usage: bool,
@@ -95,7 +95,7 @@
 /// be answered `outcome-unknown` although the answer is kept. So the caller is
 /// told the holder's run before the events.
 async fn holder_events(
-    desk: &CallerDesk,
+    desk: &CallerContext,
     original: &OriginalCall,
     holder: &HostIncarnation,
 ) -> BoxStream<'static, EventBytes> {
--- a/bergamotswitch-net/src/caller/engine_call.rs
+++ b/bergamotswitch-net/src/caller/engine_call.rs
@@ -4,7 +4,7 @@
 
 use salvo::{Depot, FlowCtrl, Handler, Request, Response, async_trait};
 
-use super::desk::CallerDesk;
+use super::desk::CallerContext;
 use super::early_answer::{early_events, needs_early_head};
 use super::engine_body::CompletionForm;
 use super::engine_check::{AnswerWish, check_engine_call};
@@ -20,13 +20,13 @@
 /// An `EngineCall` handles one form of requests to engines.
 #[derive(Debug)]
 pub(super) struct EngineCall {
-    desk: Arc<CallerDesk>,
+    desk: Arc<CallerContext>,
     form: CompletionForm,
 }
 
 impl EngineCall {
     /// Get the handler of one form.
-    pub(super) fn new(desk: &Arc<CallerDesk>, form: CompletionForm) -> Self {
+    pub(super) fn new(desk: &Arc<CallerContext>, form: CompletionForm) -> Self {
         EngineCall {
             desk: Arc::clone(desk),
             form,
--- a/bergamotswitch-net/src/caller/engine_check.rs
+++ b/bergamotswitch-net/src/caller/engine_check.rs
@@ -12,7 +12,7 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use super::body::read_body;
-use super::desk::CallerDesk;
+use super::desk::CallerContext;
 use super::engine_body::{CompletionForm, EngineBody};
 use super::fields::{CallerDeadline, CallerFields};
 use super::forward::OriginalCall;
@@ -36,11 +36,11 @@
 /// Returns the refusal of a request that no rule lets run, or that has
 /// faults: all of them, with their places.
 pub(super) async fn check_engine_call(
-    desk: &CallerDesk,
+    desk: &CallerContext,
     form: CompletionForm,
     req: &mut Request,
 ) -> Result<(CheckedCall, AnswerWish), RefusalPage> {
-    let publication = desk.in_force();
+    let publication = desk.current_publication();
     let account = desk.authenticate(&publication, req.headers())?;
     let text = read_body(req, publication.limits.max_body_bytes).await?;
     let (fields, body) = read_request(form, req, &text)?;
@@ -51,7 +51,7 @@
         account: &account,
         work: fields.work.as_ref(),
         path: form.path(),
-        domain: &desk.me.domain,
+        domain: &desk.this_host.domain,
         prompt_tokens: body.cost.prefill,
         streaming: body.stream,
     };
--- a/bergamotswitch-net/src/caller/forward.rs
+++ b/bergamotswitch-net/src/caller/forward.rs
@@ -18,7 +18,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use super::desk::CallerDesk;
+use super::desk::CallerContext;
 use super::fields::{
     DEADLINE_FIELD, FORWARDED_FIELD, IDEMPOTENT_FIELD, INCARNATION_FIELD, KEY_FIELD, ONCE_FIELD,
     REQUEST_FIELD, RESUBMISSION_FIELD, SHOULD_RETRY_FIELD, WORK_FIELD,
@@ -115,7 +115,7 @@
 /// where it was forwarded before (two hosts could send it to and fro for
 /// ever), where the host is unknown, this one, or not to be reached.
 pub(super) async fn forward(
-    desk: &CallerDesk,
+    desk: &CallerContext,
     original: &OriginalCall,
     holder: &HostIncarnation,
 ) -> Result<http::Response<Incoming>, RefusalPage> {
@@ -151,14 +151,14 @@
 }
 
 async fn try_forward(
-    desk: &CallerDesk,
+    desk: &CallerContext,
     original: &OriginalCall,
     holder: &HostIncarnation,
 ) -> Result<http::Response<Incoming>, ForwardFailure> {
     if original.forwarded {
         return Err(ForwardFailure::ForwardedBefore);
     }
-    if holder.host == desk.me.run.host {
+    if holder.host == desk.this_host.run.host {
         return Err(ForwardFailure::HolderIsHere);
     }
     let address = holder_address(desk, holder).ok_or(ForwardFailure::HolderUnknown)?;
@@ -177,8 +177,8 @@
         .map_err(|_| ForwardFailure::BrokeOff)
 }
 
-fn holder_address(desk: &CallerDesk, holder: &HostIncarnation) -> Option<SocketAddr> {
-    let publication = desk.in_force();
+fn holder_address(desk: &CallerContext, holder: &HostIncarnation) -> Option<SocketAddr> {
+    let publication = desk.current_publication();
     let hosts = &publication.hosts.hosts;
     let found = hosts.iter().find(|host| host.name == holder.host)?;
     Some(found.caller_address)
@@ -222,7 +222,7 @@
 /// Send a request on to the host that holds it, and write that host's answer,
 /// or the refusal where it was not reached.
 pub(super) async fn forward_back(
-    desk: &CallerDesk,
+    desk: &CallerContext,
     original: &OriginalCall,
     holder: &HostIncarnation,
     res: &mut Response,
--- a/bergamotswitch-net/src/caller/lookup.rs
+++ b/bergamotswitch-net/src/caller/lookup.rs
@@ -17,7 +17,7 @@
 use serde_json::{Value, json};
 use tokio::sync::oneshot;
 
-use super::desk::{CallerDesk, loop_gone};
+use super::desk::{CallerContext, loop_gone};
 use super::fields::CallerFields;
 use super::forward::{OriginalCall, forward_back};
 use super::refusal_page::RefusalPage;
@@ -28,25 +28,25 @@
 /// An `AddressCall` handles questions which host to use.
 #[derive(Debug)]
 pub(super) struct AddressCall {
-    desk: Arc<CallerDesk>,
+    desk: Arc<CallerContext>,
 }
 
 /// An `OutcomeCall` handles questions what became of a request.
 #[derive(Debug)]
 pub(super) struct OutcomeCall {
-    desk: Arc<CallerDesk>,
+    desk: Arc<CallerContext>,
 }
 
 impl AddressCall {
     /// Get the handler.
-    pub(super) fn new(desk: &Arc<CallerDesk>) -> Self {
+    pub(super) fn new(desk: &Arc<CallerContext>) -> Self {
         AddressCall {
             desk: Arc::clone(desk),
         }
     }
 
     async fn answer(&self, req: &Request) -> Result<Value, RefusalPage> {
-        let publication = self.desk.in_force();
+        let publication = self.desk.current_publication();
         let account = self.desk.authenticate(&publication, req.headers())?;
         let domain = match req.query::<String>("domain") {
             None => None,
@@ -81,14 +81,14 @@
 
 impl OutcomeCall {
     /// Get the handler.
-    pub(super) fn new(desk: &Arc<CallerDesk>) -> Self {
+    pub(super) fn new(desk: &Arc<CallerContext>) -> Self {
         OutcomeCall {
             desk: Arc::clone(desk),
         }
     }
 
     async fn answer(&self, req: &Request, res: &mut Response) -> Result<(), RefusalPage> {
-        let publication = self.desk.in_force();
+        let publication = self.desk.current_publication();
         let account = self.desk.authenticate(&publication, req.headers())?;
         let mut findings = Findings::new();
         let fields = CallerFields::read(req.headers(), &mut findings);
@@ -98,7 +98,7 @@
         // The run that holds the key answers for it, where the caller names
         // another host's run.
         if let Some(holder) = fields.holder
-            && holder.host != self.desk.me.run.host
+            && holder.host != self.desk.this_host.run.host
         {
             let original = OriginalCall::new(req, Bytes::new(), fields.forwarded);
             forward_back(&self.desk, &original, &holder, res).await;
@@ -113,7 +113,7 @@
 
 /// Try to ask the loop.
 async fn ask<T>(
-    desk: &CallerDesk,
+    desk: &CallerContext,
     input: impl FnOnce(oneshot::Sender<T>) -> NodeInput,
 ) -> Result<T, RefusalPage> {
     let (reply, answer) = oneshot::channel();
--- a/bergamotswitch-net/src/caller/mod.rs
+++ b/bergamotswitch-net/src/caller/mod.rs
@@ -20,7 +20,7 @@
 mod service_call;
 mod whole_answer;
 
-pub use desk::{CallerDesk, CallerOptions};
+pub use desk::{CallerContext, CallerOptions};
 pub use server::{HttpServer, serve, serve_router};
 
 use std::sync::Arc;
@@ -36,10 +36,10 @@
 
 /// Get the routes of the callers' interface and, where the options say so,
 /// of the operators' interface.
-pub fn router(desk: CallerDesk) -> Router {
+pub fn router(desk: CallerContext) -> Router {
     let desk = Arc::new(desk);
     let mut router = Router::new()
-        .hoop(IncarnationStamp::new(&desk.me.run))
+        .hoop(IncarnationStamp::new(&desk.this_host.run))
         .push(engine_route(&desk, CompletionForm::Chat))
         .push(engine_route(&desk, CompletionForm::Text))
         .push(service_route(&desk))
@@ -52,13 +52,13 @@
     router
 }
 
-fn engine_route(desk: &Arc<CallerDesk>, form: CompletionForm) -> Router {
+fn engine_route(desk: &Arc<CallerContext>, form: CompletionForm) -> Router {
     Router::with_path(form.path().trim_start_matches('/')).post(EngineCall::new(desk, form))
 }
 
 /// The methods are matched one by one by no filter: a service's path takes
 /// every method.
-fn service_route(desk: &Arc<CallerDesk>) -> Router {
+fn service_route(desk: &Arc<CallerContext>) -> Router {
     Router::with_path("v1/services/{pool}")
         .goal(ServiceCall::new(desk))
         .push(Router::with_path("{**rest}").goal(ServiceCall::new(desk)))
--- a/bergamotswitch-net/src/caller/reception.rs
+++ b/bergamotswitch-net/src/caller/reception.rs
@@ -5,7 +5,7 @@
 use bergamotswitch_core::entry::Submission;
 use bergamotswitch_core::host::HostIncarnation;
 
-use super::desk::{CallerDesk, answer_dropped, loop_gone};
+use super::desk::{CallerContext, answer_dropped, loop_gone};
 use super::forward::OriginalCall;
 use super::refusal_page::RefusalPage;
 use crate::follower::AnswerFollower;
@@ -37,7 +37,7 @@
 
 /// Hand a request to the loop and wait for its reception.
 pub(super) async fn hand_over(
-    desk: &Arc<CallerDesk>,
+    desk: &Arc<CallerContext>,
     submission: Submission,
     call: OutgoingCall,
 ) -> HandedOver {
--- a/bergamotswitch-net/src/caller/server.rs
+++ b/bergamotswitch-net/src/caller/server.rs
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-use super::desk::{CallerDesk, CallerOptions};
+use super::desk::{CallerContext, CallerOptions};
 use super::forward::keepalive;
 
 /// An `HttpServer` is a running server. Dropping it leaves the server run.
@@ -56,7 +56,7 @@
 /// # Errors
 ///
 /// Returns an error where the listener cannot be used.
-pub fn serve(listener: TcpListener, desk: CallerDesk) -> io::Result<HttpServer> {
+pub fn serve(listener: TcpListener, desk: CallerContext) -> io::Result<HttpServer> {
     let opts = desk.opts.clone();
     serve_router(listener, super::router(desk), &opts)
 }
@@ -89,7 +89,7 @@
         server: Arc::clone(&handle),
     };
     // The bounds are on what callers send; none is on answers.
-    let fuse = FuseConfig::default().with_request_body_timeout(opts.body_pause);
+    let fuse = FuseConfig::default().with_request_body_timeout(opts.body_idle_timeout);
     let server = Server::new(acceptor).fuse_config(fuse);
     handle.get_or_init(|| server.handle());
     let task = tokio::spawn(server.try_serve(router));
--- a/bergamotswitch-net/src/caller/service_call.rs
+++ b/bergamotswitch-net/src/caller/service_call.rs
@@ -12,7 +12,7 @@
 use salvo::{Depot, FlowCtrl, Handler, Request, Response, async_trait};
 
 use super::body::read_body;
-use super::desk::CallerDesk;
+use super::desk::CallerContext;
 use super::engine_check::{check_deadline, check_pool, fingerprint};
 use super::fields::{CallerFields, REQUEST_FIELD};
 use super::forward::{OriginalCall, forward_back};
@@ -38,7 +38,7 @@
 /// on whole: so a broken one can never pass for a whole one.
 #[derive(Debug)]
 pub(super) struct ServiceCall {
-    desk: Arc<CallerDesk>,
+    desk: Arc<CallerContext>,
 }
 
 /// A `ServicePath` is a call's path, taken apart.
@@ -73,14 +73,14 @@
 
 impl ServiceCall {
     /// Get the handler.
-    pub(super) fn new(desk: &Arc<CallerDesk>) -> Self {
+    pub(super) fn new(desk: &Arc<CallerContext>) -> Self {
         ServiceCall {
             desk: Arc::clone(desk),
         }
     }
 
     async fn check(&self, req: &mut Request) -> Result<CheckedCall, RefusalPage> {
-        let publication = self.desk.in_force();
+        let publication = self.desk.current_publication();
         let account = self.desk.authenticate(&publication, req.headers())?;
         let body = read_body(req, publication.limits.max_body_bytes).await?;
         let mut findings = Findings::new();
@@ -102,7 +102,7 @@
             account: &account,
             work: fields.work.as_ref(),
             path: req.uri().path(),
-            domain: &self.desk.me.domain,
+            domain: &self.desk.this_host.domain,
             prompt_tokens: CALL_COST.prefill,
             streaming: false,
         };
--- a/bergamotswitch-net/src/gateway/mod.rs
+++ b/bergamotswitch-net/src/gateway/mod.rs
@@ -108,14 +108,14 @@
 
     /// Begin a graceful stop: every further answer closes its connection, and
     /// callers that still come are served.
-    pub fn stop(&self) {
+    pub fn begin_drain(&self) {
         self.phase.send_replace(GatewayPhase::Lapsing);
     }
 
     /// Close the door: no connection of a caller is taken, and each open one
     /// ends with the answer that it waits for. Operators are answered for as long
     /// as work goes on: what a stop turns away could not be seen otherwise.
-    pub fn shut(&mut self) {
+    pub fn close_call_listeners(&mut self) {
         self.phase.send_replace(GatewayPhase::Closing);
         self.doors.clear();
     }
@@ -128,7 +128,7 @@
     /// see streams closed in their middle at the moment at which their runs
     /// end.
     pub async fn close(mut self) {
-        self.shut();
+        self.close_call_listeners();
         let GatewayServer {
             mut connections,
             metrics,
--- a/bergamotswitch-net/src/node/drive.rs
+++ b/bergamotswitch-net/src/node/drive.rs
@@ -28,7 +28,7 @@
 use super::{NodeError, NodeSetup};
 use crate::answer::AnswerPart;
 use crate::boot_clock::BootClock;
-use crate::caller::{CallerDesk, CallerOptions};
+use crate::caller::{CallerContext, CallerOptions};
 use crate::gossip::GossipSocket;
 use crate::input::{HostSelf, NodeInput, NodeSender, OutgoingCall, PlatformEvent, Received};
 use crate::journal;
@@ -80,10 +80,10 @@
         )
         .map_err(NodeError::Link)?;
         let metrics = Arc::clone(&setup.metrics);
-        let desk = CallerDesk {
+        let desk = CallerContext {
             node: sender.clone(),
             publication: published,
-            me: me.clone(),
+            this_host: me.clone(),
             metrics,
             opts: CallerOptions::default(),
         };
--- a/bergamotswitch-net/src/node/host_parts.rs
+++ b/bergamotswitch-net/src/node/host_parts.rs
@@ -8,7 +8,7 @@
 use super::gateway_setup;
 use super::seams::{CallerDoor, ValueSource};
 use super::{NodeDoors, NodeError};
-use crate::caller::{self, CallerDesk};
+use crate::caller::{self, CallerContext};
 use crate::gateway::GatewayServer;
 use crate::gossip::GossipSocket;
 use crate::platform::{PlatformClient, PlatformOptions};
@@ -32,7 +32,7 @@
     pub(super) fn try_new(
         doors: NodeDoors,
         settings: &HostSettings,
-        desk: CallerDesk,
+        desk: CallerContext,
     ) -> Result<Self, NodeError> {
         let node = desk.node.clone();
         let (sockets, gateway) = match (doors, &settings.gateway) {
--- a/bergamotswitch-net/src/node/seams.rs
+++ b/bergamotswitch-net/src/node/seams.rs
@@ -27,7 +27,7 @@
         match self {
             // Its connections are closed when the last address has lapsed.
             CallerDoor::Api(_) => {}
-            CallerDoor::Gateway(server) => server.stop(),
+            CallerDoor::Gateway(server) => server.begin_drain(),
         }
     }
 
@@ -36,7 +36,7 @@
         match self {
             // Its connections are closed once the host is idle.
             CallerDoor::Api(_) => {}
-            CallerDoor::Gateway(server) => server.shut(),
+            CallerDoor::Gateway(server) => server.close_call_listeners(),
         }
     }
 
--- a/bergamotswitch-net/src/operator.rs
+++ b/bergamotswitch-net/src/operator.rs
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-use crate::caller::CallerDesk;
+use crate::caller::CallerContext;
 use crate::input::NodeInput;
 
 /// The content type of the metrics page.
@@ -21,7 +21,7 @@
 const LOOP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Get the operators' routes.
-pub fn router(desk: &Arc<CallerDesk>) -> Router {
+pub fn router(desk: &Arc<CallerContext>) -> Router {
     Router::new()
         .push(Router::with_path("metrics").get(MetricsCall(Arc::clone(desk))))
         .push(Router::with_path("status").get(StatusCall(Arc::clone(desk))))
@@ -30,15 +30,15 @@
 
 /// A `MetricsCall` handles scrapes.
 #[derive(Debug)]
-struct MetricsCall(Arc<CallerDesk>);
+struct MetricsCall(Arc<CallerContext>);
 
 /// A `StatusCall` handles questions for the host's view.
 #[derive(Debug)]
-struct StatusCall(Arc<CallerDesk>);
+struct StatusCall(Arc<CallerContext>);
 
 /// A `HealthCall` handles health checks.
 #[derive(Debug)]
-struct HealthCall(Arc<CallerDesk>);
+struct HealthCall(Arc<CallerContext>);
 
 #[async_trait]
 impl Handler for MetricsCall {
@@ -83,7 +83,7 @@
         if loop_status(&self.0).await.is_none() {
             return unhealthy(res, json!({ "healthy": false, "loop": "no answer" }));
         }
-        let missing = self.0.in_force().missing();
+        let missing = self.0.current_publication().missing();
         if !missing.is_empty() {
             return unhealthy(res, json!({ "healthy": false, "missing": missing }));
         }
@@ -92,7 +92,7 @@
 }
 
 /// Get the loop's status; none where the loop is gone or hangs.
-async fn loop_status(desk: &CallerDesk) -> Option<Value> {
+async fn loop_status(desk: &CallerContext) -> Option<Value> {
     let (reply, status) = oneshot::channel();
     desk.node.send(NodeInput::Status(reply)).ok()?;
     timeout(LOOP_TIMEOUT, status).await.ok()?.ok()
--- a/bergamotswitch-net/tests/caller_requests/checks.rs
+++ b/bergamotswitch-net/tests/caller_requests/checks.rs
@@ -172,7 +172,7 @@
     // Symptom: half-read bodies of callers long gone fill a host's memory.
     // Sequence: a connection goes silent for good inside a body.
     // Cause: a read without a bound.
-    let opts = CallerOptions::default().with_body_pause(Duration::from_millis(50));
+    let opts = CallerOptions::default().with_body_idle_timeout(Duration::from_millis(50));
     let mut host = FakeHost::start_with("sanjuan-1", opts);
     host.publish(&[]);
     let mut stream = TcpStream::connect(host.server.address())
--- a/bergamotswitch-net/tests/caller_requests/fake_loop.rs
+++ b/bergamotswitch-net/tests/caller_requests/fake_loop.rs
@@ -12,7 +12,7 @@
 use bergamotswitch_core::request::RequestId;
 use bergamotswitch_core::revision::{PublishedValue, Revision, ValueName};
 use bergamotswitch_net::answer::{AnswerPart, AnswerWriter};
-use bergamotswitch_net::caller::{CallerDesk, CallerOptions, HttpServer, serve};
+use bergamotswitch_net::caller::{CallerContext, CallerOptions, HttpServer, serve};
 use bergamotswitch_net::input::{HostSelf, NodeInput, OutgoingCall, Received};
 use bergamotswitch_net::metrics::NodeMetrics;
 use bytes::Bytes;
@@ -69,10 +69,10 @@
             incarnation: Incarnation(0xabc),
         };
         let metrics = Arc::new(NodeMetrics::new());
-        let desk = CallerDesk {
+        let desk = CallerContext {
             node,
             publication: in_force,
-            me: HostSelf {
+            this_host: HostSelf {
                 run: run.clone(),
                 domain: DomainName::try_from("sanjuan").expect("a name"),
             },
