--- a/bergamotswitch-net/src/caller/assembly.rs
+++ b/bergamotswitch-net/src/caller/assembly.rs
@@ -20,19 +20,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AssemblyError {
     /// A chunk is no JSON object.
-    NoObject,
+    NotAnObject,
     /// The engine ended its stream with an error.
     EngineError,
     /// No chunk came with a choice.
-    NoChoice,
+    NoChoices,
 }
 
 impl fmt::Display for AssemblyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            AssemblyError::NoObject => write!(f, "the engine sent a chunk that is no JSON object"),
+            AssemblyError::NotAnObject => {
+                write!(f, "the engine sent a chunk that is no JSON object")
+            }
             AssemblyError::EngineError => write!(f, "the engine ended its stream with an error"),
-            AssemblyError::NoChoice => write!(f, "the engine sent no choice"),
+            AssemblyError::NoChoices => write!(f, "the engine sent no choice"),
         }
     }
 }
@@ -67,7 +69,7 @@
             return Ok(());
         }
         let Ok(Value::Object(members)) = serde_json::from_slice(chunk) else {
-            return Err(AssemblyError::NoObject);
+            return Err(AssemblyError::NotAnObject);
         };
         if members.get("error").is_some_and(|error| !error.is_null()) {
             return Err(AssemblyError::EngineError);
@@ -91,14 +93,14 @@
                 continue;
             };
             let index = members.get("index").and_then(Value::as_u64).unwrap_or(0);
-            let whole = self.choices.entry(index).or_default();
+            let merged = self.choices.entry(index).or_default();
             for (name, value) in members {
                 // What a stream calls a delta is a message when it is whole.
                 let name = match name.as_str() {
                     "delta" => "message".to_owned(),
                     _ => name,
                 };
-                merge_member(whole, name, value);
+                merge_member(merged, name, value);
             }
         }
     }
@@ -110,7 +112,7 @@
     /// Returns an error where no chunk had a choice.
     pub(super) fn finish(mut self) -> Result<Value, AssemblyError> {
         if self.choices.is_empty() {
-            return Err(AssemblyError::NoChoice);
+            return Err(AssemblyError::NoChoices);
         }
         let choices = self.choices.into_iter().map(|(index, mut choice)| {
             choice.insert("index".to_owned(), Value::from(index));
@@ -146,58 +148,58 @@
     }
 }
 
-fn merge_member(whole: &mut Map<String, Value>, name: String, piece: Value) {
+fn merge_member(merged: &mut Map<String, Value>, name: String, piece: Value) {
     if piece.is_null() {
         return;
     }
     let set_once = SET_ONCE.contains(&name.as_str());
-    match whole.get_mut(&name) {
+    match merged.get_mut(&name) {
         None => {
-            let mut begun = Value::Null;
-            merge_value(&mut begun, piece);
-            whole.insert(name, begun);
+            let mut partial = Value::Null;
+            merge_value(&mut partial, piece);
+            merged.insert(name, partial);
         }
         Some(_) if set_once => {}
-        Some(begun) => merge_value(begun, piece),
+        Some(partial) => merge_value(partial, piece),
     }
 }
 
-fn merge_value(whole: &mut Value, piece: Value) {
-    match (whole, piece) {
-        (Value::String(whole), Value::String(piece)) => whole.push_str(&piece),
-        (Value::Object(whole), Value::Object(piece)) => {
+fn merge_value(merged: &mut Value, piece: Value) {
+    match (merged, piece) {
+        (Value::String(merged), Value::String(piece)) => merged.push_str(&piece),
+        (Value::Object(merged), Value::Object(piece)) => {
             for (name, value) in piece {
-                merge_member(whole, name, value);
+                merge_member(merged, name, value);
             }
         }
-        (Value::Array(whole), Value::Array(pieces)) => {
+        (Value::Array(merged), Value::Array(pieces)) => {
             for piece in pieces {
-                merge_element(whole, piece);
+                merge_element(merged, piece);
             }
         }
-        (whole @ Value::Null, Value::Array(pieces)) => {
-            let mut begun = Vec::new();
+        (merged @ Value::Null, Value::Array(pieces)) => {
+            let mut partial = Vec::new();
             for piece in pieces {
-                merge_element(&mut begun, piece);
+                merge_element(&mut partial, piece);
             }
-            *whole = Value::Array(begun);
+            *merged = Value::Array(partial);
         }
-        (whole, piece) => *whole = piece,
+        (merged, piece) => *merged = piece,
     }
 }
 
 /// Put an element of an array to the begun one with the same `index`; an
 /// element without an index is one more.
-fn merge_element(whole: &mut Vec<Value>, piece: Value) {
+fn merge_element(merged: &mut Vec<Value>, piece: Value) {
     let index = piece.get("index").and_then(Value::as_u64);
-    let begun = match index {
-        Some(index) => whole
+    let partial = match index {
+        Some(index) => merged
             .iter_mut()
-            .find(|begun| begun.get("index").and_then(Value::as_u64) == Some(index)),
+            .find(|partial| partial.get("index").and_then(Value::as_u64) == Some(index)),
         None => None,
     };
-    match begun {
-        Some(begun) => merge_value(begun, piece),
-        None => whole.push(piece),
+    match partial {
+        Some(partial) => merge_value(partial, piece),
+        None => merged.push(piece),
     }
 }
--- a/bergamotswitch-net/src/caller/body.rs
+++ b/bergamotswitch-net/src/caller/body.rs
@@ -23,19 +23,19 @@
     if announced > limit {
         return Err(too_large(limit));
     }
-    let mut kept = BytesMut::new();
+    let mut buffer = BytesMut::new();
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|error| broken_off(&error))?;
+        let frame = frame.map_err(|error| read_failure(&error))?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        let read = kept.len().saturating_add(data.len());
+        let read = buffer.len().saturating_add(data.len());
         if u64::try_from(read).is_ok_and(|read| read > limit) {
             return Err(too_large(limit));
         }
-        kept.extend_from_slice(&data);
+        buffer.extend_from_slice(&data);
     }
-    Ok(kept.freeze())
+    Ok(buffer.freeze())
 }
 
 fn too_large(limit: u64) -> RefusalPage {
@@ -43,7 +43,7 @@
         .with_detail(format!("at most {limit} bytes"))
 }
 
-fn broken_off(error: &std::io::Error) -> RefusalPage {
+fn read_failure(error: &std::io::Error) -> RefusalPage {
     let mut findings = Findings::new();
     findings.add("body:", error.to_string(), "a whole body");
     let page = RefusalPage::malformed(findings);
--- a/bergamotswitch-net/src/caller/whole_answer.rs
+++ b/bergamotswitch-net/src/caller/buffered_answer.rs
@@ -11,22 +11,22 @@
 use super::refusal_page::{JSON_TYPE, RefusalPage};
 use crate::answer::AnswerPart;
 
-/// A `WholeAnswer` is a target's whole answer.
+/// A `BufferedAnswer` is a target's whole answer.
 #[derive(Debug)]
-pub(super) struct WholeAnswer {
+pub(super) struct BufferedAnswer {
     status: StatusCode,
     content_type: String,
     pieces: Vec<Bytes>,
 }
 
-impl WholeAnswer {
+impl BufferedAnswer {
     /// Try to get the answer out of all its parts.
     ///
     /// # Errors
     ///
     /// Returns the refusal with which the parts end.
     pub(super) fn from_parts(parts: Vec<AnswerPart>) -> Result<Self, RefusalPage> {
-        let mut answer = WholeAnswer {
+        let mut answer = BufferedAnswer {
             status: StatusCode::OK,
             content_type: EVENT_STREAM_TYPE.to_owned(),
             pieces: Vec::new(),
@@ -48,7 +48,7 @@
             }
         }
         // Without its end an answer is not whole, whatever came of it.
-        Err(not_whole("it has no end"))
+        Err(incomplete_answer("it has no end"))
     }
 
     /// Get whether this is a stream of an engine that is well.
@@ -94,7 +94,7 @@
             return Ok(());
         }
         let completion =
-            assemble(form, &self.pieces).map_err(|error| not_whole(&error.to_string()))?;
+            assemble(form, &self.pieces).map_err(|error| incomplete_answer(&error.to_string()))?;
         let content_type = HeaderValue::from_static(JSON_TYPE);
         res.headers_mut().insert(header::CONTENT_TYPE, content_type);
         res.status_code(StatusCode::OK);
@@ -130,7 +130,7 @@
     Ok(completion.to_string())
 }
 
-fn not_whole(detail: &str) -> RefusalPage {
+fn incomplete_answer(detail: &str) -> RefusalPage {
     let refusal = Refusal::may_have_run(RefusalReason::TargetFailed);
     RefusalPage::new(refusal).with_detail(detail)
 }
--- a/bergamotswitch-net/src/caller/desk.rs
+++ b/bergamotswitch-net/src/caller/context.rs
@@ -109,21 +109,21 @@
 
     /// Write a refusal that was made before the loop knew of the call, and have
     /// it counted there.
-    pub(super) fn turn_away(&self, page: &RefusalPage, res: &mut Response) {
-        self.count_turned(page);
+    pub(super) fn reject(&self, page: &RefusalPage, res: &mut Response) {
+        self.count_rejection(page);
         page.write(res);
     }
 
     /// Have a refusal counted that was made before the loop knew of the call.
-    pub(super) fn count_turned(&self, page: &RefusalPage) {
-        let turned = NodeInput::Turned(page.reason(), None);
+    pub(super) fn count_rejection(&self, page: &RefusalPage) {
+        let rejection = NodeInput::Turned(page.reason(), None);
         // Without a loop nobody reads the counters either.
-        let _ = self.node.send(turned);
+        let _ = self.node.send(rejection);
     }
 }
 
 /// Get the refusal where the loop is gone before it heard of a request.
-pub(super) fn loop_gone() -> RefusalPage {
+pub(super) fn loop_stopped() -> RefusalPage {
     let refusal = Refusal::before_acceptance(RefusalReason::Stopping);
     RefusalPage::new(refusal.with_retry_after(STOPPING_RETRY_AFTER))
 }
--- a/bergamotswitch-net/src/caller/early_answer.rs
+++ b/bergamotswitch-net/src/caller/early_answer.rs
@@ -11,14 +11,14 @@
 use hyper::body::Incoming;
 use tokio::task::yield_now;
 
-use super::desk::{CallerContext, answer_dropped};
+use super::buffered_answer::{BufferedAnswer, begins_stream, is_engine_stream};
+use super::context::{CallerContext, answer_dropped};
 use super::event_stream::{
     EventBytes, answer_events, comment, error_event, error_events, refusal_events,
 };
-use super::fields::{INCARNATION_FIELD, REQUEST_FIELD};
+use super::fields::{INCARNATION_FIELD, REQUEST_ID_FIELD};
 use super::forward::{OriginalCall, forward};
-use super::reception::{CheckedCall, HandedOver, hand_over};
-use super::whole_answer::{WholeAnswer, begins_stream, is_engine_stream};
+use super::submit::{CheckedCall, SubmitResult, submit};
 use crate::answer::AnswerPart;
 use crate::follower::{AnswerFollower, has_output};
 
@@ -35,23 +35,23 @@
 /// Get the events of a request whose caller is told this run first. Nothing
 /// is handed to the loop before the first event has been written.
 pub(super) fn early_events(
-    desk: Arc<CallerContext>,
+    context: Arc<CallerContext>,
     checked: CheckedCall,
     usage: bool,
 ) -> BoxStream<'static, EventBytes> {
-    let told = comment(&format!("{INCARNATION_FIELD} {}", desk.this_host.run));
-    let opening = stream::iter([Ok(told)]);
+    let incarnation = comment(&format!("{INCARNATION_FIELD} {}", context.this_host.run));
+    let opening = stream::iter([Ok(incarnation)]);
     let rest = stream::once(async move {
         // The connection asks for more before it writes what it has. Giving
         // way once lets it write; only then may a dispatch follow.
         yield_now().await;
-        received_events(desk, checked, usage).await
+        submitted_events(context, checked, usage).await
     });
     opening.chain(rest.flatten()).boxed()
 }
 
-async fn received_events(
-    desk: Arc<CallerContext>,
+async fn submitted_events(
+    context: Arc<CallerContext>,
     checked: CheckedCall,
     usage: bool,
 ) -> BoxStream<'static, EventBytes> {
@@ -60,19 +60,21 @@
         call,
         original,
     } = checked;
-    let follower = match hand_over(&desk, submission, call).await {
-        HandedOver::Here(follower) => *follower,
-        HandedOver::Refused(page) => return refusal_events(&page),
-        HandedOver::Elsewhere(holder) => return holder_events(&desk, &original, &holder).await,
+    let follower = match submit(&context, submission, call).await {
+        SubmitResult::HeldHere(follower) => *follower,
+        SubmitResult::Refused(page) => return refusal_events(&page),
+        SubmitResult::HeldElsewhere(holder) => {
+            return holder_events(&context, &original, &holder).await;
+        }
     };
-    let id = comment(&format!("{REQUEST_FIELD} {}", follower.id()));
+    let id = comment(&format!("{REQUEST_ID_FIELD} {}", follower.id()));
     let opening = stream::iter([Ok(id)]);
-    let rest = stream::once(followed_events(desk, follower, original, usage));
+    let rest = stream::once(follower_events(context, follower, original, usage));
     opening.chain(rest.flatten()).boxed()
 }
 
-async fn followed_events(
-    desk: Arc<CallerContext>,
+async fn follower_events(
+    context: Arc<CallerContext>,
     mut follower: AnswerFollower,
     original: OriginalCall,
     usage: bool,
@@ -82,9 +84,9 @@
     }
     let mut parts = follower.whole().await;
     if let Some(AnswerPart::Forward(holder)) = parts.pop_if(|part| part.is_forward()) {
-        return holder_events(&desk, &original.seen_before(), &holder).await;
+        return holder_events(&context, &original.into_resubmission(), &holder).await;
     }
-    match WholeAnswer::from_parts(parts) {
+    match BufferedAnswer::from_parts(parts) {
         Ok(answer) => error_events(&answer.text()),
         Err(page) => refusal_events(&page),
     }
@@ -95,15 +97,15 @@
 /// be answered `outcome-unknown` although the answer is kept. So the caller is
 /// told the holder's run before the events.
 async fn holder_events(
-    desk: &CallerContext,
+    context: &CallerContext,
     original: &OriginalCall,
     holder: &HostIncarnation,
 ) -> BoxStream<'static, EventBytes> {
-    match forward(desk, original, holder).await {
+    match forward(context, original, holder).await {
         Ok(answer) => {
-            let told = comment(&format!("{INCARNATION_FIELD} {holder}"));
-            let opening = stream::iter([Ok(told)]);
-            opening.chain(passed_events(answer).await).boxed()
+            let incarnation = comment(&format!("{INCARNATION_FIELD} {holder}"));
+            let opening = stream::iter([Ok(incarnation)]);
+            opening.chain(forwarded_events(answer).await).boxed()
         }
         Err(page) => refusal_events(&page),
     }
@@ -111,14 +113,14 @@
 
 /// Get another host's answer as events: its stream as it comes, its refusal
 /// as an error event.
-async fn passed_events(answer: http::Response<Incoming>) -> BoxStream<'static, EventBytes> {
+async fn forwarded_events(answer: http::Response<Incoming>) -> BoxStream<'static, EventBytes> {
     let content_type = answer
         .headers()
         .get(header::CONTENT_TYPE)
         .and_then(|value| value.to_str().ok())
         .unwrap_or_default();
     if is_engine_stream(answer.status().as_u16(), content_type) {
-        return passed_stream(answer.into_body());
+        return forwarded_stream(answer.into_body());
     }
     match answer.into_body().collect().await {
         Ok(body) => error_events(&String::from_utf8_lossy(&body.to_bytes())),
@@ -128,7 +130,7 @@
 
 /// Get the frames of a forwarded stream. Where it breaks off, an error event
 /// says so: a caller must not take what came for the whole.
-fn passed_stream(body: Incoming) -> BoxStream<'static, EventBytes> {
+fn forwarded_stream(body: Incoming) -> BoxStream<'static, EventBytes> {
     let frames = BodyStream::new(body).map(|frame| match frame {
         Ok(frame) => Ok(frame.into_data().unwrap_or_default()),
         Err(_) => Ok(error_event(&answer_dropped().json_text())),
--- a/bergamotswitch-net/src/caller/engine_check.rs
+++ b/bergamotswitch-net/src/caller/engine_check.rs
@@ -12,17 +12,17 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use super::body::read_body;
-use super::desk::CallerContext;
+use super::context::CallerContext;
 use super::engine_body::{CompletionForm, EngineBody};
 use super::fields::{CallerDeadline, CallerFields};
 use super::forward::OriginalCall;
-use super::reception::CheckedCall;
 use super::refusal_page::{JSON_TYPE, RefusalPage};
+use super::submit::CheckedCall;
 use crate::input::OutgoingCall;
 
-/// An `AnswerWish` is in what form the caller wants the answer.
+/// An `AnswerFormat` is in what form the caller wants the answer.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct AnswerWish {
+pub(super) struct AnswerFormat {
     /// As a stream.
     pub(super) stream: bool,
     /// With the usage at the stream's end.
@@ -36,12 +36,12 @@
 /// Returns the refusal of a request that no rule lets run, or that has
 /// faults: all of them, with their places.
 pub(super) async fn check_engine_call(
-    desk: &CallerContext,
+    context: &CallerContext,
     form: CompletionForm,
     req: &mut Request,
-) -> Result<(CheckedCall, AnswerWish), RefusalPage> {
-    let publication = desk.current_publication();
-    let account = desk.authenticate(&publication, req.headers())?;
+) -> Result<(CheckedCall, AnswerFormat), RefusalPage> {
+    let publication = context.current_publication();
+    let account = context.authenticate(&publication, req.headers())?;
     let text = read_body(req, publication.limits.max_body_bytes).await?;
     let (fields, body) = read_request(form, req, &text)?;
     check_deadline(&fields)?;
@@ -51,7 +51,7 @@
         account: &account,
         work: fields.work.as_ref(),
         path: form.path(),
-        domain: &desk.this_host.domain,
+        domain: &context.this_host.domain,
         prompt_tokens: body.cost.prefill,
         streaming: body.stream,
     };
@@ -81,7 +81,7 @@
         body: body.outgoing,
         routed: None,
     };
-    let wish = AnswerWish {
+    let format = AnswerFormat {
         stream: body.stream,
         usage: body.include_usage,
     };
@@ -91,7 +91,7 @@
         call,
         original,
     };
-    Ok((checked, wish))
+    Ok((checked, format))
 }
 
 /// Try to read fields and body; the faults of both are told together.
--- a/bergamotswitch-net/src/caller/fields.rs
+++ b/bergamotswitch-net/src/caller/fields.rs
@@ -9,11 +9,11 @@
 use http::{HeaderMap, HeaderName, header};
 
 /// The caller's own name of its request.
-pub(super) const KEY_FIELD: HeaderName = HeaderName::from_static("idempotency-key");
+pub(super) const IDEMPOTENCY_KEY_FIELD: HeaderName = HeaderName::from_static("idempotency-key");
 /// The run of the host that holds the request.
 pub(super) const INCARNATION_FIELD: HeaderName = HeaderName::from_static("bergamot-incarnation");
 /// The request's id, in answers.
-pub(super) const REQUEST_FIELD: HeaderName = HeaderName::from_static("bergamot-request");
+pub(super) const REQUEST_ID_FIELD: HeaderName = HeaderName::from_static("bergamot-request");
 /// Whether the caller sent the request before.
 pub(super) const RESUBMISSION_FIELD: HeaderName = HeaderName::from_static("bergamot-resubmission");
 /// The milliseconds until the answer is of no use.
@@ -23,7 +23,8 @@
 /// `false` forbids a second run.
 pub(super) const IDEMPOTENT_FIELD: HeaderName = HeaderName::from_static("bergamot-idempotent");
 /// `true` forbids a second dispatch.
-pub(super) const ONCE_FIELD: HeaderName = HeaderName::from_static("bergamot-dispatch-once");
+pub(super) const DISPATCH_ONCE_FIELD: HeaderName =
+    HeaderName::from_static("bergamot-dispatch-once");
 /// Set by a host that forwards a request to its holder.
 pub(super) const FORWARDED_FIELD: HeaderName = HeaderName::from_static("bergamot-forwarded");
 /// Tells common client libraries not to send a request again by themselves.
@@ -70,13 +71,15 @@
     pub(super) fn read(headers: &HeaderMap, findings: &mut Findings) -> Self {
         let mut reader = FieldReader { headers, findings };
         CallerFields {
-            key: reader.checked(&KEY_FIELD, |text| CallerKey::try_from(text.to_owned())),
+            key: reader.checked(&IDEMPOTENCY_KEY_FIELD, |text| {
+                CallerKey::try_from(text.to_owned())
+            }),
             holder: reader.checked(&INCARNATION_FIELD, HostIncarnation::try_from),
             resubmission: reader.flag(&RESUBMISSION_FIELD).unwrap_or(false),
             deadline: reader.deadline(),
             work: reader.checked(&WORK_FIELD, WorkKind::try_from),
             forbids_rerun: reader.flag(&IDEMPOTENT_FIELD) == Some(false),
-            dispatch_once: reader.flag(&ONCE_FIELD).unwrap_or(false),
+            dispatch_once: reader.flag(&DISPATCH_ONCE_FIELD).unwrap_or(false),
             forwarded: headers.contains_key(FORWARDED_FIELD),
         }
     }
--- a/bergamotswitch-net/src/caller/forward.rs
+++ b/bergamotswitch-net/src/caller/forward.rs
@@ -18,34 +18,34 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use super::desk::CallerContext;
+use super::context::CallerContext;
 use super::fields::{
-    DEADLINE_FIELD, FORWARDED_FIELD, IDEMPOTENT_FIELD, INCARNATION_FIELD, KEY_FIELD, ONCE_FIELD,
-    REQUEST_FIELD, RESUBMISSION_FIELD, SHOULD_RETRY_FIELD, WORK_FIELD,
+    DEADLINE_FIELD, DISPATCH_ONCE_FIELD, FORWARDED_FIELD, IDEMPOTENCY_KEY_FIELD, IDEMPOTENT_FIELD,
+    INCARNATION_FIELD, REQUEST_ID_FIELD, RESUBMISSION_FIELD, SHOULD_RETRY_FIELD, WORK_FIELD,
 };
-use super::refusal_page::{RefusalPage, text_value};
+use super::refusal_page::{RefusalPage, header_value};
 
 /// The fields of a request that its holder needs.
-const PASSED_ON: [HeaderName; 9] = [
+const FORWARDED_REQUEST_FIELDS: [HeaderName; 9] = [
     header::AUTHORIZATION,
     header::CONTENT_TYPE,
     header::ACCEPT,
-    KEY_FIELD,
+    IDEMPOTENCY_KEY_FIELD,
     RESUBMISSION_FIELD,
     DEADLINE_FIELD,
     WORK_FIELD,
     IDEMPOTENT_FIELD,
-    ONCE_FIELD,
+    DISPATCH_ONCE_FIELD,
 ];
 
 /// The fields of an answer that its caller needs.
-const PASSED_BACK: [HeaderName; 7] = [
+const FORWARDED_ANSWER_FIELDS: [HeaderName; 7] = [
     header::CONTENT_TYPE,
     header::CACHE_CONTROL,
     header::RETRY_AFTER,
     header::WWW_AUTHENTICATE,
     INCARNATION_FIELD,
-    REQUEST_FIELD,
+    REQUEST_ID_FIELD,
     SHOULD_RETRY_FIELD,
 ];
 
@@ -53,9 +53,9 @@
 /// often, and how many probes may stay unanswered. A connection that went
 /// silent for good would otherwise hold its caller for ever, and a planned
 /// stop with it; one that is only quiet answers the probes and stays.
-pub(super) const PROBE_AFTER: Duration = Duration::from_secs(15);
-pub(super) const PROBE_EVERY: Duration = Duration::from_secs(5);
-pub(super) const PROBE_COUNT: u32 = 3;
+pub(super) const KEEPALIVE_IDLE: Duration = Duration::from_secs(15);
+pub(super) const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
+pub(super) const KEEPALIVE_PROBES: u32 = 3;
 
 /// An `OriginalCall` is a request as its caller sent it.
 #[derive(Clone, Debug)]
@@ -92,7 +92,7 @@
     /// Get the request as it goes to the holder that a shard's owner named:
     /// the owner has seen its key before. A holder that has forgotten the key
     /// would take an unmarked one for new and run it a second time.
-    pub(super) fn seen_before(mut self) -> Self {
+    pub(super) fn into_resubmission(mut self) -> Self {
         let marked = HeaderValue::from_static("true");
         self.headers.insert(RESUBMISSION_FIELD, marked);
         self
@@ -102,9 +102,9 @@
 /// Get the settings by which the system proves an idle connection alive.
 pub(super) fn keepalive() -> TcpKeepalive {
     TcpKeepalive::new()
-        .with_time(PROBE_AFTER)
-        .with_interval(PROBE_EVERY)
-        .with_retries(PROBE_COUNT)
+        .with_time(KEEPALIVE_IDLE)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES)
 }
 
 /// Try to send a request on to the host that holds it.
@@ -115,54 +115,54 @@
 /// where it was forwarded before (two hosts could send it to and fro for
 /// ever), where the host is unknown, this one, or not to be reached.
 pub(super) async fn forward(
-    desk: &CallerContext,
+    context: &CallerContext,
     original: &OriginalCall,
     holder: &HostIncarnation,
 ) -> Result<http::Response<Incoming>, RefusalPage> {
-    let answer = try_forward(desk, original, holder).await;
-    desk.metrics.forwarded(answer.is_ok());
+    let answer = try_forward(context, original, holder).await;
+    context.metrics.forwarded(answer.is_ok());
     answer.map_err(|failure| {
         let refusal = Refusal::may_have_run(RefusalReason::Lost);
         let page = RefusalPage::new(refusal).with_detail(failure.as_str());
-        desk.count_turned(&page);
+        context.count_rejection(&page);
         page
     })
 }
 
 #[derive(Clone, Copy, Debug)]
 enum ForwardFailure {
-    ForwardedBefore,
-    HolderIsHere,
+    AlreadyForwarded,
+    HolderIsThisHost,
     HolderUnknown,
     NotConnected,
-    BrokeOff,
+    ConnectionLost,
 }
 
 impl ForwardFailure {
     fn as_str(self) -> &'static str {
         match self {
-            ForwardFailure::ForwardedBefore => "it was forwarded before",
-            ForwardFailure::HolderIsHere => "its holder was an earlier run of this host",
+            ForwardFailure::AlreadyForwarded => "it was forwarded before",
+            ForwardFailure::HolderIsThisHost => "its holder was an earlier run of this host",
             ForwardFailure::HolderUnknown => "the host list does not have its holder",
             ForwardFailure::NotConnected => "its holder cannot be reached",
-            ForwardFailure::BrokeOff => "the connection to its holder broke",
+            ForwardFailure::ConnectionLost => "the connection to its holder broke",
         }
     }
 }
 
 async fn try_forward(
-    desk: &CallerContext,
+    context: &CallerContext,
     original: &OriginalCall,
     holder: &HostIncarnation,
 ) -> Result<http::Response<Incoming>, ForwardFailure> {
     if original.forwarded {
-        return Err(ForwardFailure::ForwardedBefore);
+        return Err(ForwardFailure::AlreadyForwarded);
     }
-    if holder.host == desk.this_host.run.host {
-        return Err(ForwardFailure::HolderIsHere);
+    if holder.host == context.this_host.run.host {
+        return Err(ForwardFailure::HolderIsThisHost);
     }
-    let address = holder_address(desk, holder).ok_or(ForwardFailure::HolderUnknown)?;
-    let stream = connect(address, desk.opts.connect_timeout).await?;
+    let address = holder_address(context, holder).ok_or(ForwardFailure::HolderUnknown)?;
+    let stream = connect(address, context.opts.connect_timeout).await?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
         .map_err(|_| ForwardFailure::NotConnected)?;
@@ -174,11 +174,11 @@
     sender
         .send_request(forwarded_request(original, holder, address))
         .await
-        .map_err(|_| ForwardFailure::BrokeOff)
+        .map_err(|_| ForwardFailure::ConnectionLost)
 }
 
-fn holder_address(desk: &CallerContext, holder: &HostIncarnation) -> Option<SocketAddr> {
-    let publication = desk.current_publication();
+fn holder_address(context: &CallerContext, holder: &HostIncarnation) -> Option<SocketAddr> {
+    let publication = context.current_publication();
     let hosts = &publication.hosts.hosts;
     let found = hosts.iter().find(|host| host.name == holder.host)?;
     Some(found.caller_address)
@@ -189,9 +189,9 @@
         Ok(Ok(stream)) => stream,
         Ok(Err(_)) | Err(_) => return Err(ForwardFailure::NotConnected),
     };
-    let probed = SockRef::from(&stream).set_tcp_keepalive(&keepalive());
-    let undelayed = stream.set_nodelay(true);
-    match (probed, undelayed) {
+    let keepalive_set = SockRef::from(&stream).set_tcp_keepalive(&keepalive());
+    let nodelay_set = stream.set_nodelay(true);
+    match (keepalive_set, nodelay_set) {
         (Ok(()), Ok(())) => Ok(stream),
         _ => Err(ForwardFailure::NotConnected),
     }
@@ -208,35 +208,35 @@
         *request.uri_mut() = uri;
     }
     let headers = request.headers_mut();
-    for name in &PASSED_ON {
+    for name in &FORWARDED_REQUEST_FIELDS {
         for value in original.headers.get_all(name) {
             headers.append(name, value.clone());
         }
     }
-    headers.insert(header::HOST, text_value(address));
-    headers.insert(INCARNATION_FIELD, text_value(holder));
+    headers.insert(header::HOST, header_value(address));
+    headers.insert(INCARNATION_FIELD, header_value(holder));
     headers.insert(FORWARDED_FIELD, HeaderValue::from_static("1"));
     request
 }
 
 /// Send a request on to the host that holds it, and write that host's answer,
 /// or the refusal where it was not reached.
-pub(super) async fn forward_back(
-    desk: &CallerContext,
+pub(super) async fn forward_and_write(
+    context: &CallerContext,
     original: &OriginalCall,
     holder: &HostIncarnation,
     res: &mut Response,
 ) {
-    match forward(desk, original, holder).await {
-        Ok(answer) => pass_back(answer, res),
+    match forward(context, original, holder).await {
+        Ok(answer) => write_forwarded(answer, res),
         Err(page) => page.write(res),
     }
 }
 
-fn pass_back(answer: http::Response<Incoming>, res: &mut Response) {
+fn write_forwarded(answer: http::Response<Incoming>, res: &mut Response) {
     let (parts, body) = answer.into_parts();
     res.status_code(parts.status);
-    for name in &PASSED_BACK {
+    for name in &FORWARDED_ANSWER_FIELDS {
         if let Some(value) = parts.headers.get(name) {
             res.headers_mut().insert(name, value.clone());
         }
--- a/bergamotswitch-net/src/caller/lookup.rs
+++ b/bergamotswitch-net/src/caller/lookup.rs
@@ -17,37 +17,37 @@
 use serde_json::{Value, json};
 use tokio::sync::oneshot;
 
-use super::desk::{CallerContext, loop_gone};
+use super::context::{CallerContext, loop_stopped};
 use super::fields::CallerFields;
-use super::forward::{OriginalCall, forward_back};
+use super::forward::{OriginalCall, forward_and_write};
 use super::refusal_page::RefusalPage;
 use crate::input::NodeInput;
 
 const INCARNATION_DIGITS: usize = 32;
 
-/// An `AddressCall` handles questions which host to use.
+/// An `AddressHandler` handles questions which host to use.
 #[derive(Debug)]
-pub(super) struct AddressCall {
-    desk: Arc<CallerContext>,
+pub(super) struct AddressHandler {
+    context: Arc<CallerContext>,
 }
 
-/// An `OutcomeCall` handles questions what became of a request.
+/// An `OutcomeHandler` handles questions what became of a request.
 #[derive(Debug)]
-pub(super) struct OutcomeCall {
-    desk: Arc<CallerContext>,
+pub(super) struct OutcomeHandler {
+    context: Arc<CallerContext>,
 }
 
-impl AddressCall {
+impl AddressHandler {
     /// Get the handler.
-    pub(super) fn new(desk: &Arc<CallerContext>) -> Self {
-        AddressCall {
-            desk: Arc::clone(desk),
+    pub(super) fn new(context: &Arc<CallerContext>) -> Self {
+        AddressHandler {
+            context: Arc::clone(context),
         }
     }
 
     async fn answer(&self, req: &Request) -> Result<Value, RefusalPage> {
-        let publication = self.desk.current_publication();
-        let account = self.desk.authenticate(&publication, req.headers())?;
+        let publication = self.context.current_publication();
+        let account = self.context.authenticate(&publication, req.headers())?;
         let domain = match req.query::<String>("domain") {
             None => None,
             Some(text) => Some(DomainName::try_from(text.as_str()).map_err(|error| {
@@ -57,19 +57,19 @@
         };
         let query = AddressQuery {
             account,
-            caller: caller_mark(req),
+            caller: caller_hash(req),
             domain,
         };
-        let answer = ask(&self.desk, |reply| NodeInput::Address(query, reply)).await?;
+        let answer = query_loop(&self.context, |reply| NodeInput::Address(query, reply)).await?;
         Ok(json!(answer))
     }
 }
 
 /// Get what tells this caller from others: its own word, or else the network
 /// address that it comes from. Callers behind one address need the word.
-fn caller_mark(req: &Request) -> CallerHash {
-    if let Some(word) = req.query::<String>("caller") {
-        return CallerHash::of(&word);
+fn caller_hash(req: &Request) -> CallerHash {
+    if let Some(name) = req.query::<String>("caller") {
+        return CallerHash::of(&name);
     }
     let address = req.remote_addr();
     let ip = address
@@ -79,17 +79,17 @@
     CallerHash::of(&ip.unwrap_or_default())
 }
 
-impl OutcomeCall {
+impl OutcomeHandler {
     /// Get the handler.
-    pub(super) fn new(desk: &Arc<CallerContext>) -> Self {
-        OutcomeCall {
-            desk: Arc::clone(desk),
+    pub(super) fn new(context: &Arc<CallerContext>) -> Self {
+        OutcomeHandler {
+            context: Arc::clone(context),
         }
     }
 
     async fn answer(&self, req: &Request, res: &mut Response) -> Result<(), RefusalPage> {
-        let publication = self.desk.current_publication();
-        let account = self.desk.authenticate(&publication, req.headers())?;
+        let publication = self.context.current_publication();
+        let account = self.context.authenticate(&publication, req.headers())?;
         let mut findings = Findings::new();
         let fields = CallerFields::read(req.headers(), &mut findings);
         if !findings.is_empty() {
@@ -98,27 +98,30 @@
         // The run that holds the key answers for it, where the caller names
         // another host's run.
         if let Some(holder) = fields.holder
-            && holder.host != self.desk.this_host.run.host
+            && holder.host != self.context.this_host.run.host
         {
             let original = OriginalCall::new(req, Bytes::new(), fields.forwarded);
-            forward_back(&self.desk, &original, &holder, res).await;
+            forward_and_write(&self.context, &original, &holder, res).await;
             return Ok(());
         }
         let query = outcome_query(req, account)?;
-        let view = ask(&self.desk, |reply| NodeInput::Outcome(query, reply)).await?;
+        let view = query_loop(&self.context, |reply| NodeInput::Outcome(query, reply)).await?;
         res.render(Json(view_json(&view)));
         Ok(())
     }
 }
 
 /// Try to ask the loop.
-async fn ask<T>(
-    desk: &CallerContext,
+async fn query_loop<T>(
+    context: &CallerContext,
     input: impl FnOnce(oneshot::Sender<T>) -> NodeInput,
 ) -> Result<T, RefusalPage> {
     let (reply, answer) = oneshot::channel();
-    desk.node.send(input(reply)).map_err(|_| loop_gone())?;
-    answer.await.map_err(|_| loop_gone())
+    context
+        .node
+        .send(input(reply))
+        .map_err(|_| loop_stopped())?;
+    answer.await.map_err(|_| loop_stopped())
 }
 
 fn malformed(place: &str, found: &str, allowed: &str) -> RefusalPage {
@@ -184,7 +187,7 @@
 }
 
 #[async_trait]
-impl Handler for AddressCall {
+impl Handler for AddressHandler {
     async fn handle(
         &self,
         req: &mut Request,
@@ -194,13 +197,13 @@
     ) {
         match self.answer(req).await {
             Ok(answer) => res.render(Json(answer)),
-            Err(page) => self.desk.turn_away(&page, res),
+            Err(page) => self.context.reject(&page, res),
         }
     }
 }
 
 #[async_trait]
-impl Handler for OutcomeCall {
+impl Handler for OutcomeHandler {
     async fn handle(
         &self,
         req: &mut Request,
@@ -209,7 +212,7 @@
         _ctrl: &mut FlowCtrl,
     ) {
         if let Err(page) = self.answer(req, res).await {
-            self.desk.turn_away(&page, res);
+            self.context.reject(&page, res);
         }
     }
 }
--- a/bergamotswitch-net/src/caller/mod.rs
+++ b/bergamotswitch-net/src/caller/mod.rs
@@ -4,23 +4,23 @@
 
 mod assembly;
 mod body;
-mod desk;
+mod buffered_answer;
+mod context;
 mod early_answer;
 mod engine_body;
-mod engine_call;
 mod engine_check;
+mod engine_handler;
 mod engine_members;
 mod event_stream;
 mod fields;
 mod forward;
 mod lookup;
-mod reception;
 mod refusal_page;
 mod server;
-mod service_call;
-mod whole_answer;
+mod service_handler;
+mod submit;
 
-pub use desk::{CallerContext, CallerOptions};
+pub use context::{CallerContext, CallerOptions};
 pub use server::{HttpServer, serve, serve_router};
 
 use std::sync::Arc;
@@ -29,37 +29,37 @@
 
 use crate::operator;
 use engine_body::CompletionForm;
-use engine_call::EngineCall;
-use lookup::{AddressCall, OutcomeCall};
-use refusal_page::IncarnationStamp;
-use service_call::ServiceCall;
+use engine_handler::EngineHandler;
+use lookup::{AddressHandler, OutcomeHandler};
+use refusal_page::IncarnationHeader;
+use service_handler::ServiceHandler;
 
 /// Get the routes of the callers' interface and, where the options say so,
 /// of the operators' interface.
-pub fn router(desk: CallerContext) -> Router {
-    let desk = Arc::new(desk);
+pub fn router(context: CallerContext) -> Router {
+    let context = Arc::new(context);
     let mut router = Router::new()
-        .hoop(IncarnationStamp::new(&desk.this_host.run))
-        .push(engine_route(&desk, CompletionForm::Chat))
-        .push(engine_route(&desk, CompletionForm::Text))
-        .push(service_route(&desk))
-        .push(Router::with_path("v1/address").get(AddressCall::new(&desk)))
-        .push(Router::with_path("v1/requests").get(OutcomeCall::new(&desk)))
-        .push(Router::with_path("v1/requests/{id}").get(OutcomeCall::new(&desk)));
-    if desk.opts.operator_routes {
-        router = router.push(operator::router(&desk));
+        .hoop(IncarnationHeader::new(&context.this_host.run))
+        .push(engine_route(&context, CompletionForm::Chat))
+        .push(engine_route(&context, CompletionForm::Text))
+        .push(service_route(&context))
+        .push(Router::with_path("v1/address").get(AddressHandler::new(&context)))
+        .push(Router::with_path("v1/requests").get(OutcomeHandler::new(&context)))
+        .push(Router::with_path("v1/requests/{id}").get(OutcomeHandler::new(&context)));
+    if context.opts.operator_routes {
+        router = router.push(operator::router(&context));
     }
     router
 }
 
-fn engine_route(desk: &Arc<CallerContext>, form: CompletionForm) -> Router {
-    Router::with_path(form.path().trim_start_matches('/')).post(EngineCall::new(desk, form))
+fn engine_route(context: &Arc<CallerContext>, form: CompletionForm) -> Router {
+    Router::with_path(form.path().trim_start_matches('/')).post(EngineHandler::new(context, form))
 }
 
 /// The methods are matched one by one by no filter: a service's path takes
 /// every method.
-fn service_route(desk: &Arc<CallerContext>) -> Router {
+fn service_route(context: &Arc<CallerContext>) -> Router {
     Router::with_path("v1/services/{pool}")
-        .goal(ServiceCall::new(desk))
-        .push(Router::with_path("{**rest}").goal(ServiceCall::new(desk)))
+        .goal(ServiceHandler::new(context))
+        .push(Router::with_path("{**rest}").goal(ServiceHandler::new(context)))
 }
--- a/bergamotswitch-net/src/caller/refusal_page.rs
+++ b/bergamotswitch-net/src/caller/refusal_page.rs
@@ -171,20 +171,20 @@
     }
 }
 
-/// An `IncarnationStamp` marks each answer with this run of the host, but for
+/// An `IncarnationHeader` marks each answer with this run of the host, but for
 /// answers that already carry the run of another one.
 #[derive(Debug)]
-pub(super) struct IncarnationStamp(HeaderValue);
+pub(super) struct IncarnationHeader(HeaderValue);
 
-impl IncarnationStamp {
+impl IncarnationHeader {
     /// Get the stamp of a run.
     pub(super) fn new(run: &HostIncarnation) -> Self {
-        IncarnationStamp(text_value(run))
+        IncarnationHeader(header_value(run))
     }
 }
 
 #[async_trait]
-impl Handler for IncarnationStamp {
+impl Handler for IncarnationHeader {
     async fn handle(
         &self,
         req: &mut Request,
@@ -200,6 +200,6 @@
 }
 
 /// Get a field's value from something whose text is visible ASCII.
-pub(super) fn text_value(shown: impl std::fmt::Display) -> HeaderValue {
-    HeaderValue::try_from(shown.to_string()).unwrap_or(HeaderValue::from_static(""))
+pub(super) fn header_value(value: impl std::fmt::Display) -> HeaderValue {
+    HeaderValue::try_from(value.to_string()).unwrap_or(HeaderValue::from_static(""))
 }
--- a/bergamotswitch-net/src/caller/server.rs
+++ b/bergamotswitch-net/src/caller/server.rs
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-use super::desk::{CallerContext, CallerOptions};
+use super::context::{CallerContext, CallerOptions};
 use super::forward::keepalive;
 
 /// An `HttpServer` is a running server. Dropping it leaves the server run.
@@ -56,9 +56,9 @@
 /// # Errors
 ///
 /// Returns an error where the listener cannot be used.
-pub fn serve(listener: TcpListener, desk: CallerContext) -> io::Result<HttpServer> {
-    let opts = desk.opts.clone();
-    serve_router(listener, super::router(desk), &opts)
+pub fn serve(listener: TcpListener, context: CallerContext) -> io::Result<HttpServer> {
+    let opts = context.opts.clone();
+    serve_router(listener, super::router(context), &opts)
 }
 
 /// Try to serve a router of this system. Must be called inside a tokio
--- a/bergamotswitch-net/src/caller/service_call.rs
+++ b/bergamotswitch-net/src/caller/service_handler.rs
@@ -12,13 +12,13 @@
 use salvo::{Depot, FlowCtrl, Handler, Request, Response, async_trait};
 
 use super::body::read_body;
-use super::desk::CallerContext;
+use super::buffered_answer::BufferedAnswer;
+use super::context::CallerContext;
 use super::engine_check::{check_deadline, check_pool, fingerprint};
-use super::fields::{CallerFields, REQUEST_FIELD};
-use super::forward::{OriginalCall, forward_back};
-use super::reception::{CheckedCall, HandedOver, hand_over};
-use super::refusal_page::{RefusalPage, text_value};
-use super::whole_answer::WholeAnswer;
+use super::fields::{CallerFields, REQUEST_ID_FIELD};
+use super::forward::{OriginalCall, forward_and_write};
+use super::refusal_page::{RefusalPage, header_value};
+use super::submit::{CheckedCall, SubmitResult, submit};
 use crate::answer::AnswerPart;
 use crate::input::OutgoingCall;
 
@@ -34,11 +34,11 @@
 /// The content type of a call that names none.
 const DEFAULT_TYPE: &str = "application/octet-stream";
 
-/// A `ServiceCall` handles calls to plain services. Their answers are passed
+/// A `ServiceHandler` handles calls to plain services. Their answers are passed
 /// on whole: so a broken one can never pass for a whole one.
 #[derive(Debug)]
-pub(super) struct ServiceCall {
-    desk: Arc<CallerContext>,
+pub(super) struct ServiceHandler {
+    context: Arc<CallerContext>,
 }
 
 /// A `ServicePath` is a call's path, taken apart.
@@ -71,17 +71,17 @@
     }
 }
 
-impl ServiceCall {
+impl ServiceHandler {
     /// Get the handler.
-    pub(super) fn new(desk: &Arc<CallerContext>) -> Self {
-        ServiceCall {
-            desk: Arc::clone(desk),
+    pub(super) fn new(context: &Arc<CallerContext>) -> Self {
+        ServiceHandler {
+            context: Arc::clone(context),
         }
     }
 
     async fn check(&self, req: &mut Request) -> Result<CheckedCall, RefusalPage> {
-        let publication = self.desk.current_publication();
-        let account = self.desk.authenticate(&publication, req.headers())?;
+        let publication = self.context.current_publication();
+        let account = self.context.authenticate(&publication, req.headers())?;
         let body = read_body(req, publication.limits.max_body_bytes).await?;
         let mut findings = Findings::new();
         let fields = CallerFields::read(req.headers(), &mut findings);
@@ -102,7 +102,7 @@
             account: &account,
             work: fields.work.as_ref(),
             path: req.uri().path(),
-            domain: &self.desk.this_host.domain,
+            domain: &self.context.this_host.domain,
             prompt_tokens: CALL_COST.prefill,
             streaming: false,
         };
@@ -146,20 +146,21 @@
             call,
             original,
         } = checked;
-        let follower = match hand_over(&self.desk, submission, call).await {
-            HandedOver::Here(follower) => follower,
-            HandedOver::Refused(page) => return page.write(res),
-            HandedOver::Elsewhere(holder) => {
-                return forward_back(&self.desk, &original, &holder, res).await;
+        let follower = match submit(&self.context, submission, call).await {
+            SubmitResult::HeldHere(follower) => follower,
+            SubmitResult::Refused(page) => return page.write(res),
+            SubmitResult::HeldElsewhere(holder) => {
+                return forward_and_write(&self.context, &original, &holder, res).await;
             }
         };
-        let id = text_value(follower.id());
-        res.headers_mut().insert(REQUEST_FIELD, id);
+        let id = header_value(follower.id());
+        res.headers_mut().insert(REQUEST_ID_FIELD, id);
         let mut parts = follower.whole().await;
         if let Some(AnswerPart::Forward(holder)) = parts.pop_if(|part| part.is_forward()) {
-            return forward_back(&self.desk, &original.seen_before(), &holder, res).await;
+            return forward_and_write(&self.context, &original.into_resubmission(), &holder, res)
+                .await;
         }
-        match WholeAnswer::from_parts(parts) {
+        match BufferedAnswer::from_parts(parts) {
             Ok(answer) => answer.write_plain(res),
             Err(page) => page.write(res),
         }
@@ -173,7 +174,7 @@
 }
 
 #[async_trait]
-impl Handler for ServiceCall {
+impl Handler for ServiceHandler {
     async fn handle(
         &self,
         req: &mut Request,
@@ -183,7 +184,7 @@
     ) {
         match self.check(req).await {
             Ok(checked) => self.answer(checked, res).await,
-            Err(page) => self.desk.turn_away(&page, res),
+            Err(page) => self.context.reject(&page, res),
         }
     }
 }
--- a/bergamotswitch-net/src/caller/reception.rs
+++ b/bergamotswitch-net/src/caller/submit.rs
@@ -5,7 +5,7 @@
 use bergamotswitch_core::entry::Submission;
 use bergamotswitch_core::host::HostIncarnation;
 
-use super::desk::{CallerContext, answer_dropped, loop_gone};
+use super::context::{CallerContext, answer_dropped, loop_stopped};
 use super::forward::OriginalCall;
 use super::refusal_page::RefusalPage;
 use crate::follower::AnswerFollower;
@@ -24,28 +24,28 @@
     pub(super) original: OriginalCall,
 }
 
-/// A `HandedOver` is what became of a request that was handed to the loop.
+/// A `SubmitResult` is what became of a request that was handed to the loop.
 #[derive(Debug)]
-pub(super) enum HandedOver {
+pub(super) enum SubmitResult {
     /// It is here.
-    Here(Box<AnswerFollower>),
+    HeldHere(Box<AnswerFollower>),
     /// Another run of a host holds it.
-    Elsewhere(HostIncarnation),
+    HeldElsewhere(HostIncarnation),
     /// It is refused.
     Refused(RefusalPage),
 }
 
 /// Hand a request to the loop and wait for its reception.
-pub(super) async fn hand_over(
-    desk: &Arc<CallerContext>,
+pub(super) async fn submit(
+    context: &Arc<CallerContext>,
     submission: Submission,
     call: OutgoingCall,
-) -> HandedOver {
-    match handover::hand_over(&desk.node, submission, call).await {
-        handover::HandedOver::Here(follower) => HandedOver::Here(follower),
-        handover::HandedOver::Elsewhere(holder) => HandedOver::Elsewhere(holder),
-        handover::HandedOver::Refused(refusal) => HandedOver::Refused(RefusalPage::new(refusal)),
-        handover::HandedOver::LoopGone => HandedOver::Refused(loop_gone()),
-        handover::HandedOver::AnswerDropped => HandedOver::Refused(answer_dropped()),
+) -> SubmitResult {
+    match handover::hand_over(&context.node, submission, call).await {
+        handover::HandedOver::Here(follower) => SubmitResult::HeldHere(follower),
+        handover::HandedOver::Elsewhere(holder) => SubmitResult::HeldElsewhere(holder),
+        handover::HandedOver::Refused(refusal) => SubmitResult::Refused(RefusalPage::new(refusal)),
+        handover::HandedOver::LoopGone => SubmitResult::Refused(loop_stopped()),
+        handover::HandedOver::AnswerDropped => SubmitResult::Refused(answer_dropped()),
     }
 }
--- a/bergamotswitch-net/src/gateway/answer_body.rs
+++ b/bergamotswitch-net/src/gateway/answer_body.rs
@@ -14,38 +14,38 @@
 use crate::answer::AnswerPart;
 use crate::follower::AnswerFollower;
 
-/// A `BrokenAnswer` ends a body that is not whole. The connection is cut, so
+/// A `TruncatedAnswer` ends a body that is not whole. The connection is cut, so
 /// that what came cannot be taken for all of it.
 #[derive(Debug)]
-pub(crate) struct BrokenAnswer;
+pub(crate) struct TruncatedAnswer;
 
-impl fmt::Display for BrokenAnswer {
+impl fmt::Display for TruncatedAnswer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "the answer broke off")
     }
 }
 
-impl std::error::Error for BrokenAnswer {}
+impl std::error::Error for TruncatedAnswer {}
 
-type Pieces = Pin<Box<dyn Stream<Item = Result<Bytes, BrokenAnswer>> + Send>>;
+type ChunkStream = Pin<Box<dyn Stream<Item = Result<Bytes, TruncatedAnswer>> + Send>>;
 
 /// An `AnswerBody` is the body of an answer to a caller.
 pub(crate) enum AnswerBody {
     /// All of it.
-    Whole(Option<Bytes>),
+    Buffered(Option<Bytes>),
     /// Pieces as they come.
-    Pieces(Pieces),
+    Streamed(ChunkStream),
 }
 
 impl AnswerBody {
     /// Get the body that is these bytes.
-    pub(crate) fn whole(bytes: Bytes) -> Self {
-        AnswerBody::Whole(Some(bytes).filter(|bytes| !bytes.is_empty()))
+    pub(crate) fn buffered(bytes: Bytes) -> Self {
+        AnswerBody::Buffered(Some(bytes).filter(|bytes| !bytes.is_empty()))
     }
 
     /// Get the body that follows an answer.
     pub(crate) fn follow(follower: AnswerFollower) -> Self {
-        let pieces = stream::unfold(Some(follower), |follower| async move {
+        let chunks = stream::unfold(Some(follower), |follower| async move {
             let mut follower = follower?;
             loop {
                 return match follower.next().await {
@@ -58,44 +58,44 @@
                         // caller whose answer breaks off right behind them would
                         // see none of it. A pause has them written first.
                         yield_now().await;
-                        Some((Err(BrokenAnswer), None))
+                        Some((Err(TruncatedAnswer), None))
                     }
                 };
             }
         });
-        AnswerBody::Pieces(Box::pin(pieces))
+        AnswerBody::Streamed(Box::pin(chunks))
     }
 }
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = BrokenAnswer;
+    type Error = TruncatedAnswer;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenAnswer>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedAnswer>>> {
         match self.get_mut() {
-            AnswerBody::Whole(bytes) => {
+            AnswerBody::Buffered(bytes) => {
                 Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes))))
             }
-            AnswerBody::Pieces(pieces) => pieces
+            AnswerBody::Streamed(chunks) => chunks
                 .as_mut()
                 .poll_next(cx)
-                .map(|piece| piece.map(|piece| piece.map(Frame::data))),
+                .map(|chunk| chunk.map(|chunk| chunk.map(Frame::data))),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, AnswerBody::Whole(None))
+        matches!(self, AnswerBody::Buffered(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            AnswerBody::Whole(bytes) => {
+            AnswerBody::Buffered(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64)
             }
-            AnswerBody::Pieces(_) => SizeHint::default(),
+            AnswerBody::Streamed(_) => SizeHint::default(),
         }
     }
 }
--- a/bergamotswitch-net/src/gateway/call.rs
+++ b/bergamotswitch-net/src/gateway/call.rs
@@ -23,9 +23,9 @@
 use tokio::time::timeout;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::GatewayDesk;
+use super::GatewayContext;
 use super::answer_body::{AnswerBody, target_answer};
-use super::lookup::ask;
+use super::lookup::query_loop;
 use crate::answer::AnswerPart;
 use crate::follower::AnswerFollower;
 use crate::handover::{HandedOver, hand_over};
@@ -34,95 +34,101 @@
 
 /// How much longer than on time an answer that may come from another target
 /// may take to begin before its target counts as silent.
-const SILENT_FACTOR: u32 = 4;
+const START_TIMEOUT_FACTOR: u32 = 4;
 
 /// The part of the time left within which a silent target must be given up
 /// for a second one to be of use.
-const SILENT_PARTS: u32 = 3;
+const START_TIMEOUT_DIVISOR: u32 = 3;
 
 /// The pause of a stream after which its target counts as silent. Events come
 /// every 50 ms, at slow targets every 300 ms; callers give up after 2 s.
-const STREAM_GAP: Duration = Duration::from_millis(1_000);
+const STREAM_GAP_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// When a caller should come back for which there was no room to take its
 /// body in: bodies are held for fractions of a second.
-const BODY_RETRY: Duration = Duration::from_millis(300);
+const BODY_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// When a caller should come back to a host that does not know the routes
 /// yet.
-const NOT_READY_RETRY: Duration = Duration::from_millis(500);
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// The client account of calls that need no key.
 const PUBLIC_ACCOUNT: &str = "public";
 
-/// A `CallStop` ends a call before it reaches the loop.
+/// A `CallFailure` ends a call before it reaches the loop.
 #[derive(Debug)]
-enum CallStop {
+enum CallFailure {
     /// It is refused.
     Refused(Refusal),
     /// Its caller went away.
-    Gone,
+    CallerLeft,
 }
 
-impl CallStop {
+impl CallFailure {
     fn new(reason: RefusalReason) -> Self {
-        CallStop::Refused(Refusal::before_acceptance(reason))
+        CallFailure::Refused(Refusal::before_acceptance(reason))
     }
 
-    fn later(reason: RefusalReason, span: Duration) -> Self {
-        CallStop::Refused(Refusal::before_acceptance(reason).with_retry_after(span))
+    fn retry_later(reason: RefusalReason, span: Duration) -> Self {
+        CallFailure::Refused(Refusal::before_acceptance(reason).with_retry_after(span))
     }
 }
 
 /// Answer a call.
 pub(super) async fn answer(
-    desk: Arc<GatewayDesk>,
+    context: Arc<GatewayContext>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
-    match serve(&desk, request).await {
+    match serve(&context, request).await {
         Ok(response) => response,
-        Err(CallStop::Refused(refusal)) => {
+        Err(CallFailure::Refused(refusal)) => {
             let turned = NodeInput::Turned(refusal.reason(), None);
             // The loop is gone only while the process ends.
-            let _ = desk.node.send(turned);
-            refused(&refusal)
+            let _ = context.node.send(turned);
+            refusal_response(&refusal)
         }
         // Nobody reads this answer.
-        Err(CallStop::Gone) => refused(&Refusal::before_acceptance(RefusalReason::CallerLeft)),
+        Err(CallFailure::CallerLeft) => {
+            refusal_response(&Refusal::before_acceptance(RefusalReason::CallerLeft))
+        }
     }
 }
 
-fn refused(refused: &Refusal) -> Response<AnswerBody> {
-    refusal::page(refused).map(AnswerBody::whole)
+fn refusal_response(refusal: &Refusal) -> Response<AnswerBody> {
+    refusal::page(refusal).map(AnswerBody::buffered)
 }
 
 async fn serve(
-    desk: &Arc<GatewayDesk>,
+    context: &Arc<GatewayContext>,
     request: Request<Incoming>,
-) -> Result<Response<AnswerBody>, CallStop> {
+) -> Result<Response<AnswerBody>, CallFailure> {
     let received_at = Instant::now();
     let (parts, body) = request.into_parts();
     let call =
-        CallerCall::try_from(&parts).map_err(|_| CallStop::new(RefusalReason::BadRequest))?;
-    let publication = desk.publication.borrow().clone();
+        CallerCall::try_from(&parts).map_err(|_| CallFailure::new(RefusalReason::BadRequest))?;
+    let publication = context.publication.borrow().clone();
     if publication.routes.config().routes.is_empty() {
-        return Err(CallStop::later(RefusalReason::NotReady, NOT_READY_RETRY));
+        return Err(CallFailure::retry_later(
+            RefusalReason::NotReady,
+            NOT_READY_RETRY_AFTER,
+        ));
     }
-    let entry = match Admission::try_new(&publication, &call) {
-        Ok(entry) => entry,
-        Err(reason) => return Err(doubted(desk, reason).await),
+    let admission = match Admission::try_new(&publication, &call) {
+        Ok(admission) => admission,
+        Err(reason) => return Err(unknown_route_or_key(context, reason).await),
     };
-    let (bytes, _room) = read_body(desk, &publication, &parts, body, entry.time_left).await?;
-    let submission = entry.submission(&call);
-    let is_stream = entry.route.work.is_stream();
-    let call = entry.outgoing(&parts, call, bytes, received_at);
-    match hand_over(&desk.node, submission, call).await {
+    let (bytes, _permit) =
+        read_body(context, &publication, &parts, body, admission.time_left).await?;
+    let submission = admission.submission(&call);
+    let is_stream = admission.route.work.is_stream();
+    let call = admission.outgoing(&parts, call, bytes, received_at);
+    match hand_over(&context.node, submission, call).await {
         HandedOver::Here(follower) => Ok(follow(*follower, is_stream).await),
-        HandedOver::Refused(refusal) => Ok(refused(&refusal)),
-        HandedOver::Elsewhere(_) | HandedOver::AnswerDropped => {
-            Ok(refused(&Refusal::may_have_run(RefusalReason::Lost)))
-        }
-        HandedOver::LoopGone => Err(CallStop::later(
+        HandedOver::Refused(refusal) => Ok(refusal_response(&refusal)),
+        HandedOver::Elsewhere(_) | HandedOver::AnswerDropped => Ok(refusal_response(
+            &Refusal::may_have_run(RefusalReason::Lost),
+        )),
+        HandedOver::LoopGone => Err(CallFailure::retry_later(
             RefusalReason::Stopping,
             STOPPING_RETRY_AFTER,
         )),
@@ -132,10 +138,10 @@
 /// Get the refusal of a call whose route or key is not known here. Where what
 /// is known here may be old, the route or key may well be there by now: then
 /// nothing is said against it.
-async fn doubted(desk: &GatewayDesk, reason: RefusalReason) -> CallStop {
-    match ask(desk, NodeInput::KeysTrusted).await {
-        Some(true) => CallStop::new(reason),
-        _ => CallStop::later(RefusalReason::KeyUnconfirmed, NOT_READY_RETRY),
+async fn unknown_route_or_key(context: &GatewayContext, reason: RefusalReason) -> CallFailure {
+    match query_loop(context, NodeInput::KeysTrusted).await {
+        Some(true) => CallFailure::new(reason),
+        _ => CallFailure::retry_later(RefusalReason::KeyUnconfirmed, NOT_READY_RETRY_AFTER),
     }
 }
 
@@ -162,8 +168,8 @@
                 Some(account.ok_or(RefusalReason::UnknownAccount)?)
             }
         };
-        let number = xxh3_64(call.request_id.as_bytes());
-        let pool = route.pool_for(number).ok_or(RefusalReason::NoTarget)?;
+        let hash = xxh3_64(call.request_id.as_bytes());
+        let pool = route.pool_for(hash).ok_or(RefusalReason::NoTarget)?;
         let facts = routes.pool(pool);
         let kind = match facts.and_then(|facts| facts.engine) {
             Some(_) => PoolKind::Engine,
@@ -180,7 +186,7 @@
     }
 
     fn submission(&self, call: &CallerCall) -> Submission {
-        let work = self.route.work;
+        let semantics = self.route.work;
         let first_answer = Duration::from_millis(self.route.first_answer_ms);
         let tokens = call.tokens.map(quota_tokens);
         let account = self.account.map(|account| account.name.clone());
@@ -196,8 +202,8 @@
                 ),
                 share: 1,
                 domains: Vec::new(),
-                dispatch_once: !work.may_rerun(),
-                idempotent: work.may_rerun(),
+                dispatch_once: !semantics.may_rerun(),
+                idempotent: semantics.may_rerun(),
                 preemptible: false,
                 deadline: self.time_left,
             },
@@ -208,15 +214,15 @@
             cost: cost(call.tokens),
             prefixes: Vec::new(),
             deadline_in: self.time_left,
-            streaming: work.is_stream(),
+            streaming: semantics.is_stream(),
             options: CallOptions {
                 max_runs: Some(self.route.max_runs),
                 // Beyond, its answer would be late, and every place in the
                 // queue that it holds makes the next one late as well.
                 first_answer_goal: Some(first_answer),
-                resumable: work == CallSemantics::ResumableStream,
+                resumable: semantics == CallSemantics::ResumableStream,
                 ends_at_deadline: true,
-                ends_with_caller: work != CallSemantics::NonIdempotent,
+                ends_with_caller: semantics != CallSemantics::NonIdempotent,
                 max_output_tokens: call.tokens.map(|tokens| tokens.most_output),
                 quota_units: self
                     .account
@@ -234,10 +240,11 @@
         received_at: Instant,
     ) -> OutgoingCall {
         let path = parts.uri.path_and_query();
-        let work = self.route.work;
+        let semantics = self.route.work;
         let first_answer = Duration::from_millis(self.route.first_answer_ms);
-        let silent_after = (first_answer * SILENT_FACTOR).min(self.time_left / SILENT_PARTS);
-        let may_rerun = work.may_rerun() && self.route.max_runs > 1;
+        let start_timeout =
+            (first_answer * START_TIMEOUT_FACTOR).min(self.time_left / START_TIMEOUT_DIVISOR);
+        let may_rerun = semantics.may_rerun() && self.route.max_runs > 1;
         OutgoingCall {
             method: parts.method.clone(),
             path: path.map_or("/", |path| path.as_str()).to_owned(),
@@ -248,9 +255,9 @@
                 fields: Arc::new(outgoing::passed_fields(&parts.headers)),
                 account: self.account.map(|account| account.name.clone()),
                 deadline: received_at + self.time_left,
-                is_stream: work.is_stream(),
-                start_timeout: may_rerun.then_some(silent_after),
-                gap_timeout: may_rerun.then_some(STREAM_GAP),
+                is_stream: semantics.is_stream(),
+                start_timeout: may_rerun.then_some(start_timeout),
+                gap_timeout: may_rerun.then_some(STREAM_GAP_TIMEOUT),
             }),
         }
     }
@@ -280,43 +287,46 @@
 
 /// Take a call's body in, within the callers' limits and the host's memory.
 async fn read_body(
-    desk: &GatewayDesk,
+    context: &GatewayContext,
     publication: &Publication,
     parts: &Parts,
     body: Incoming,
     time_left: Duration,
-) -> Result<(Bytes, Option<OwnedSemaphorePermit>), CallStop> {
-    let most = publication.routes.config().limits.max_body_bytes;
+) -> Result<(Bytes, Option<OwnedSemaphorePermit>), CallFailure> {
+    let max_bytes = publication.routes.config().limits.max_body_bytes;
     let length = body_length(&parts.headers);
-    if length.is_some_and(|length| length > most) {
-        return Err(CallStop::new(RefusalReason::TooLarge));
+    if length.is_some_and(|length| length > max_bytes) {
+        return Err(CallFailure::new(RefusalReason::TooLarge));
     }
-    let room = match length {
+    let permit = match length {
         None | Some(0) => None,
-        Some(length) => Some(take_room(desk, length)?),
+        Some(length) => Some(reserve_body_memory(context, length)?),
     };
-    let most = usize::try_from(most).unwrap_or(usize::MAX);
-    let reading = timeout(time_left, Limited::new(body, most).collect());
+    let max_bytes = usize::try_from(max_bytes).unwrap_or(usize::MAX);
+    let reading = timeout(time_left, Limited::new(body, max_bytes).collect());
     let Ok(read) = reading.await else {
-        return Err(CallStop::new(RefusalReason::DeadlinePassed));
+        return Err(CallFailure::new(RefusalReason::DeadlinePassed));
     };
     match read {
-        Ok(collected) => Ok((collected.to_bytes(), room)),
+        Ok(collected) => Ok((collected.to_bytes(), permit)),
         Err(error) if error.is::<http_body_util::LengthLimitError>() => {
-            Err(CallStop::new(RefusalReason::TooLarge))
+            Err(CallFailure::new(RefusalReason::TooLarge))
         }
-        Err(_) => Err(CallStop::Gone),
+        Err(_) => Err(CallFailure::CallerLeft),
     }
 }
 
 /// Take room for a body. Without the bound, a burst of long bodies would take
 /// a small host over its memory, and its process would be killed with every
 /// request in it.
-fn take_room(desk: &GatewayDesk, length: u64) -> Result<OwnedSemaphorePermit, CallStop> {
-    let room = Arc::clone(&desk.body_room);
+fn reserve_body_memory(
+    context: &GatewayContext,
+    length: u64,
+) -> Result<OwnedSemaphorePermit, CallFailure> {
+    let body_memory = Arc::clone(&context.body_memory);
     let length = u32::try_from(length).unwrap_or(u32::MAX);
-    let taken = room.try_acquire_many_owned(length);
-    taken.map_err(|_| CallStop::later(RefusalReason::Overloaded, BODY_RETRY))
+    let permit = body_memory.try_acquire_many_owned(length);
+    permit.map_err(|_| CallFailure::retry_later(RefusalReason::Overloaded, BODY_RETRY_AFTER))
 }
 
 /// Follow an accepted call's answer.
@@ -327,7 +337,7 @@
 /// left: the caller has no answer at all. Only a stream's own head begins one.
 async fn follow(mut follower: AnswerFollower, is_stream: bool) -> Response<AnswerBody> {
     if !is_stream {
-        return whole_answer(follower.whole().await);
+        return buffered_answer(follower.whole().await);
     }
     match follower.begun(has_event).await {
         AnswerPart::Head {
@@ -337,7 +347,7 @@
         } if is_success(status) => {
             target_answer(status, &content_type, fields, AnswerBody::follow(follower))
         }
-        _ => whole_answer(follower.whole().await),
+        _ => buffered_answer(follower.whole().await),
     }
 }
 
@@ -356,7 +366,7 @@
     (200..300).contains(&status)
 }
 
-fn whole_answer(parts: Vec<AnswerPart>) -> Response<AnswerBody> {
+fn buffered_answer(parts: Vec<AnswerPart>) -> Response<AnswerBody> {
     let mut head = None;
     let mut pieces = Vec::new();
     for part in parts {
@@ -368,22 +378,22 @@
             } => head = Some((status, content_type, fields)),
             AnswerPart::Data(bytes) => pieces.push(bytes),
             AnswerPart::End => {}
-            AnswerPart::Refused(refusal) => return refused(&refusal),
+            AnswerPart::Refused(refusal) => return refusal_response(&refusal),
             AnswerPart::Forward(_) => {
-                return refused(&Refusal::may_have_run(RefusalReason::Lost));
+                return refusal_response(&Refusal::may_have_run(RefusalReason::Lost));
             }
         }
     }
     match head {
         Some((status, content_type, fields)) => {
-            let body = AnswerBody::whole(joined(pieces));
+            let body = AnswerBody::buffered(concat(pieces));
             target_answer(status, &content_type, fields, body)
         }
-        None => refused(&Refusal::may_have_run(RefusalReason::TargetFailed)),
+        None => refusal_response(&Refusal::may_have_run(RefusalReason::TargetFailed)),
     }
 }
 
-fn joined(mut pieces: Vec<Bytes>) -> Bytes {
+fn concat(mut pieces: Vec<Bytes>) -> Bytes {
     match pieces.len() {
         1 => pieces.remove(0),
         _ => pieces.concat().into(),
--- a/bergamotswitch-net/src/gateway/listener.rs
+++ b/bergamotswitch-net/src/gateway/listener.rs
@@ -15,52 +15,57 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use super::answer_body::AnswerBody;
-use super::{GatewayDesk, GatewayPhase};
+use super::{GatewayContext, GatewayPhase};
 use crate::task_guard::TaskGuard;
 
 /// The least buffer for a head that the library takes.
-const MIN_BUFFER: usize = 8_192;
+const MIN_HEAD_BUFFER: usize = 8_192;
 
 /// The idle time after which the kernel probes a caller's connection, and how
 /// often it does: callers whose machine lost power are noticed within some
 /// ten seconds, and what runs for them ends.
-const KEEPALIVE: Duration = Duration::from_secs(4);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(4);
 const KEEPALIVE_PROBES: u32 = 3;
 
 /// The pause after an accept that failed for want of descriptors: at once it
 /// would fail again, and the loop would spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Try to answer what comes on a listener by `handler`, until the guard is
-/// dropped. Its connections end in the phase `until`.
+/// dropped. Its connections end in the phase `closing_phase`.
 pub(super) fn serve<Handler, Answer>(
     listener: std::net::TcpListener,
-    desk: &Arc<GatewayDesk>,
-    until: GatewayPhase,
+    context: &Arc<GatewayContext>,
+    closing_phase: GatewayPhase,
     handler: Handler,
 ) -> io::Result<TaskGuard>
 where
-    Handler: Fn(Arc<GatewayDesk>, Request<Incoming>) -> Answer + Copy + Send + Sync + 'static,
+    Handler: Fn(Arc<GatewayContext>, Request<Incoming>) -> Answer + Copy + Send + Sync + 'static,
     Answer: Future<Output = Response<AnswerBody>> + Send + 'static,
 {
     listener.set_nonblocking(true)?;
     let socket = SockRef::from(&listener);
     let keepalive = TcpKeepalive::new()
-        .with_time(KEEPALIVE)
-        .with_interval(KEEPALIVE)
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&keepalive)?;
     socket.set_tcp_nodelay(true)?;
     let listener = TcpListener::from_std(listener)?;
-    let desk = Arc::clone(desk);
+    let context = Arc::clone(context);
     let task = TaskGuard::spawn(async move {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    let desk = Arc::clone(&desk);
-                    drop(tokio::spawn(connection(desk, stream, until, handler)))
+                    let context = Arc::clone(&context);
+                    drop(tokio::spawn(connection(
+                        context,
+                        stream,
+                        closing_phase,
+                        handler,
+                    )))
                 }
-                Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+                Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
     });
@@ -68,23 +73,23 @@
 }
 
 async fn connection<Handler, Answer>(
-    desk: Arc<GatewayDesk>,
+    context: Arc<GatewayContext>,
     stream: TcpStream,
-    until: GatewayPhase,
+    closing_phase: GatewayPhase,
     handler: Handler,
 ) where
-    Handler: Fn(Arc<GatewayDesk>, Request<Incoming>) -> Answer + Copy + Send + Sync + 'static,
+    Handler: Fn(Arc<GatewayContext>, Request<Incoming>) -> Answer + Copy + Send + Sync + 'static,
     Answer: Future<Output = Response<AnswerBody>> + Send + 'static,
 {
-    let limits = desk.publication.borrow().routes.config().limits;
-    let _alive = desk.alive.clone();
-    let mut phase = desk.phase.clone();
+    let limits = context.publication.borrow().routes.config().limits;
+    let _guard = context.connection_guard.clone();
+    let mut phase = context.phase.clone();
     let service = service_fn(|request| {
-        let desk = Arc::clone(&desk);
+        let context = Arc::clone(&context);
         async move {
             let chunked = bergamotswitch_platform::call::is_chunked(request.headers());
-            let phase = desk.phase.clone();
-            let mut response = handler(desk, request).await;
+            let phase = context.phase.clone();
+            let mut response = handler(context, request).await;
             // Looked at after the call: a stop that begins while it waits makes
             // its caller go elsewhere as well.
             let stopping = *phase.borrow() != GatewayPhase::Serving;
@@ -104,12 +109,12 @@
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(Duration::from_millis(limits.idle_timeout_ms))
-        .max_buf_size(MIN_BUFFER.max(limits.max_header_bytes as usize))
+        .max_buf_size(MIN_HEAD_BUFFER.max(limits.max_header_bytes as usize))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let closing = async {
         // The guard of the value seen must not be held over an await.
-        drop(phase.wait_for(|phase| *phase >= until).await);
+        drop(phase.wait_for(|phase| *phase >= closing_phase).await);
     };
     let ended = tokio::select! {
         served = connection.as_mut() => Some(served),
--- a/bergamotswitch-net/src/gateway/lookup.rs
+++ b/bergamotswitch-net/src/gateway/lookup.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use tokio::sync::oneshot;
 
-use super::GatewayDesk;
+use super::GatewayContext;
 use super::answer_body::AnswerBody;
 use crate::input::NodeInput;
 
@@ -21,38 +21,42 @@
 
 /// Answer a question.
 pub(super) async fn answer(
-    desk: Arc<GatewayDesk>,
+    context: Arc<GatewayContext>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
     let page = match LookupCall::read(request.method(), request.uri()) {
         Some(LookupCall::Addresses { domain }) => {
-            let hosts = ask(&desk, NodeInput::ReadyHosts).await.unwrap_or_default();
+            let hosts = query_loop(&context, NodeInput::ReadyHosts)
+                .await
+                .unwrap_or_default();
             let addresses = near_first(&hosts, domain.as_ref(), MAX_ADDRESSES);
             lookup::address_page(addresses, ADDRESS_LIFETIME)
         }
         Some(LookupCall::Ready) => {
-            let ready = ask(&desk, NodeInput::IsReady).await.unwrap_or(false);
+            let ready = query_loop(&context, NodeInput::IsReady)
+                .await
+                .unwrap_or(false);
             lookup::ready_page(ready)
         }
         None => lookup::status_page(StatusCode::NOT_FOUND),
     };
-    page.map(AnswerBody::whole)
+    page.map(AnswerBody::buffered)
 }
 
 /// Show the metrics, whatever the path.
 pub(super) async fn metrics(
-    desk: Arc<GatewayDesk>,
+    context: Arc<GatewayContext>,
     _request: Request<Incoming>,
 ) -> Response<AnswerBody> {
-    Response::new(AnswerBody::whole(Bytes::from(desk.metrics.render())))
+    Response::new(AnswerBody::buffered(Bytes::from(context.metrics.render())))
 }
 
 /// Ask the loop; `None` where it is gone.
-pub(super) async fn ask<T>(
-    desk: &GatewayDesk,
+pub(super) async fn query_loop<T>(
+    context: &GatewayContext,
     question: impl FnOnce(oneshot::Sender<T>) -> NodeInput,
 ) -> Option<T> {
     let (reply, answer) = oneshot::channel();
-    desk.node.send(question(reply)).ok()?;
+    context.node.send(question(reply)).ok()?;
     answer.await.ok()
 }
--- a/bergamotswitch-net/src/gateway/mod.rs
+++ b/bergamotswitch-net/src/gateway/mod.rs
@@ -36,24 +36,24 @@
     /// No stop.
     Serving,
     /// Callers still come, and every answer closes its connection.
-    Lapsing,
+    Draining,
     /// Callers' connections end with the answer that they carry.
-    Closing,
+    ClosingCalls,
     /// So do operators'.
-    Ending,
+    ClosingMetrics,
 }
 
-/// A `GatewayDesk` is what every handler needs.
+/// A `GatewayContext` is what every handler needs.
 #[derive(Clone, Debug)]
-pub(crate) struct GatewayDesk {
+pub(crate) struct GatewayContext {
     pub(crate) node: NodeSender,
     pub(crate) publication: watch::Receiver<Arc<Publication>>,
     pub(crate) metrics: Arc<NodeMetrics>,
     pub(crate) phase: watch::Receiver<GatewayPhase>,
     /// Held by each connection, so that a stop can wait for all of them.
-    pub(crate) alive: mpsc::Sender<()>,
+    pub(crate) connection_guard: mpsc::Sender<()>,
     /// Bytes of bodies that may still be taken in.
-    pub(crate) body_room: Arc<tokio::sync::Semaphore>,
+    pub(crate) body_memory: Arc<tokio::sync::Semaphore>,
 }
 
 /// A `GatewayServer` is a running gateway. Its drop closes all listeners.
@@ -62,7 +62,7 @@
     phase: watch::Sender<GatewayPhase>,
     connections: mpsc::Receiver<()>,
     /// Where callers and the platform ask.
-    doors: Vec<TaskGuard>,
+    call_listeners: Vec<TaskGuard>,
     /// Where operators ask.
     metrics: TaskGuard,
 }
@@ -80,28 +80,28 @@
         metrics: Arc<NodeMetrics>,
         body_bytes: usize,
     ) -> io::Result<Self> {
-        let (phase, phase_seen) = watch::channel(GatewayPhase::Serving);
-        let (alive, connections) = mpsc::channel(1);
-        let desk = Arc::new(GatewayDesk {
+        let (phase, phase_receiver) = watch::channel(GatewayPhase::Serving);
+        let (connection_guard, connections) = mpsc::channel(1);
+        let context = Arc::new(GatewayContext {
             node,
             publication,
             metrics,
-            phase: phase_seen,
-            alive,
-            body_room: Arc::new(tokio::sync::Semaphore::new(body_bytes)),
+            phase: phase_receiver,
+            connection_guard,
+            body_memory: Arc::new(tokio::sync::Semaphore::new(body_bytes)),
         });
-        let until = GatewayPhase::Closing;
-        let doors = vec![
-            serve(sockets.callers, &desk, until, call::answer)?,
-            serve(sockets.readiness, &desk, until, lookup::answer)?,
-            serve(sockets.directory, &desk, until, lookup::answer)?,
+        let closing_phase = GatewayPhase::ClosingCalls;
+        let call_listeners = vec![
+            serve(sockets.callers, &context, closing_phase, call::answer)?,
+            serve(sockets.readiness, &context, closing_phase, lookup::answer)?,
+            serve(sockets.directory, &context, closing_phase, lookup::answer)?,
         ];
-        let until = GatewayPhase::Ending;
-        let metrics = serve(sockets.metrics, &desk, until, lookup::metrics)?;
+        let closing_phase = GatewayPhase::ClosingMetrics;
+        let metrics = serve(sockets.metrics, &context, closing_phase, lookup::metrics)?;
         Ok(GatewayServer {
             phase,
             connections,
-            doors,
+            call_listeners,
             metrics,
         })
     }
@@ -109,15 +109,15 @@
     /// Begin a graceful stop: every further answer closes its connection, and
     /// callers that still come are served.
     pub fn begin_drain(&self) {
-        self.phase.send_replace(GatewayPhase::Lapsing);
+        self.phase.send_replace(GatewayPhase::Draining);
     }
 
     /// Close the door: no connection of a caller is taken, and each open one
     /// ends with the answer that it waits for. Operators are answered for as long
     /// as work goes on: what a stop turns away could not be seen otherwise.
     pub fn close_call_listeners(&mut self) {
-        self.phase.send_replace(GatewayPhase::Closing);
-        self.doors.clear();
+        self.phase.send_replace(GatewayPhase::ClosingCalls);
+        self.call_listeners.clear();
     }
 
     /// Take no further callers, and wait until the open answers have left,
@@ -136,7 +136,7 @@
             ..
         } = self;
         drop(metrics);
-        phase.send_replace(GatewayPhase::Ending);
+        phase.send_replace(GatewayPhase::ClosingMetrics);
         // Nothing is ever sent: the end of the last sender is waited for.
         let _ = connections.recv().await;
     }
--- a/bergamotswitch-net/tests/caller_requests/answers.rs
+++ b/bergamotswitch-net/tests/caller_requests/answers.rs
@@ -13,8 +13,8 @@
 use serde_json::json;
 
 use crate::fake_loop::{
-    FakeHost, KEY, chat, chunk, data, get, head, next_piece, read, send, send_h2, soon, spawn_call,
-    stream_head,
+    FakeHost, KEY, chat, chunk, data, get, head, next_piece, read, send, send_h2, spawn_call,
+    stream_head, within_timeout,
 };
 
 fn usage_chunk() -> AnswerPart {
@@ -22,7 +22,7 @@
 }
 
 #[tokio::test]
-async fn passed_stream() {
+async fn streamed_answer() {
     let mut host = FakeHost::ready("sanjuan-1", &[]);
     let call = spawn_call(host.server.address(), chat(true, &[]));
     let writer = host.accept_next().await;
@@ -90,20 +90,20 @@
 }
 
 #[tokio::test]
-async fn told_first() {
+async fn incarnation_sent_first() {
     // Symptom: two trajectory reports for one key.
     // Sequence: a request without incarnation is dispatched; its connection
     // breaks; the caller retries at another host, which knows nothing of it.
     // Cause: the caller learnt the holding run only with the answer.
     let mut host = FakeHost::ready("sanjuan-1", &[]);
     let fields = [("idempotency-key", "fall-7"), ("bergamot-work", "report")];
-    let response = soon(send(host.server.address(), chat(true, &fields))).await;
+    let response = within_timeout(send(host.server.address(), chat(true, &fields))).await;
     // The loop has not answered yet, and the caller has head and run.
     let run = host.run.to_string();
     assert_eq!(response.headers()["bergamot-incarnation"], run.as_str());
     let mut body = response.into_body();
-    let told = next_piece(&mut body).await;
-    assert_eq!(told, format!(": bergamot-incarnation {run}\n\n"));
+    let incarnation = next_piece(&mut body).await;
+    assert_eq!(incarnation, format!(": bergamot-incarnation {run}\n\n"));
 
     let writer = host.accept_next().await;
     let id = next_piece(&mut body).await;
@@ -116,7 +116,7 @@
 }
 
 #[tokio::test]
-async fn told_before_submission() {
+async fn incarnation_before_submission() {
     // As above, at the moment that counts: when the loop first hears of the
     // request, the run must have left this process already.
     let mut host = FakeHost::ready("sanjuan-1", &[]);
@@ -138,7 +138,7 @@
 }
 
 #[tokio::test]
-async fn refused_late() {
+async fn refused_after_head() {
     // A refusal after the head is an error event; the stream has no [DONE].
     let mut host = FakeHost::ready("sanjuan-1", &[]);
     let call = spawn_call(host.server.address(), chat(true, &[]));
@@ -155,7 +155,7 @@
 }
 
 #[tokio::test]
-async fn refused_at_once() {
+async fn refused_before_head() {
     let mut host = FakeHost::ready("sanjuan-1", &[]);
     let call = spawn_call(host.server.address(), chat(true, &[]));
     let refusal = Refusal::before_acceptance(RefusalReason::Overloaded)
@@ -224,7 +224,7 @@
 }
 
 #[tokio::test]
-async fn begun_anew() {
+async fn attempt_replaced_after_output() {
     // Symptom: one stream with the outputs of two runs.
     // Sequence: output was passed on; before the loop heard of it, it had the
     // attempt replaced.
@@ -311,5 +311,7 @@
     writer.push(AnswerPart::End);
     let rest = read(response).await.text;
     assert!(rest.contains("dawn") && rest.ends_with("data: [DONE]\n\n"));
-    soon(host.server.stopped()).await.expect("a clean end");
+    within_timeout(host.server.stopped())
+        .await
+        .expect("a clean end");
 }
--- a/bergamotswitch-net/tests/caller_requests/checks.rs
+++ b/bergamotswitch-net/tests/caller_requests/checks.rs
@@ -10,9 +10,11 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::fake_loop::{FakeHost, KEY, ReadAnswer, chat, post, read, send, soon, spawn_call};
+use crate::fake_loop::{
+    FakeHost, KEY, ReadAnswer, chat, post, read, send, spawn_call, within_timeout,
+};
 
-async fn turned(host: &mut FakeHost) -> RefusalReason {
+async fn rejection_reason(host: &mut FakeHost) -> RefusalReason {
     match host.input().await {
         NodeInput::Turned(reason, None) => reason,
         other => panic!("not turned: {other:?}"),
@@ -23,8 +25,8 @@
     host: &mut FakeHost,
     request: http::Request<http_body_util::Full<bytes::Bytes>>,
 ) -> (ReadAnswer, RefusalReason) {
-    let answer = read(soon(send(host.server.address(), request)).await).await;
-    let reason = turned(host).await;
+    let answer = read(within_timeout(send(host.server.address(), request)).await).await;
+    let reason = rejection_reason(host).await;
     assert_eq!(answer.json()["error"]["code"], reason.as_str());
     assert_eq!(answer.json()["error"]["ran"], "no");
     assert_eq!(answer.field("bergamot-incarnation"), host.run.to_string());
@@ -143,7 +145,7 @@
         stream.write_all(piece.as_bytes()).await.expect("written");
     }
     // The body has no end yet; the refusal does not wait for one.
-    assert_eq!(turned(&mut host).await, RefusalReason::TooLarge);
+    assert_eq!(rejection_reason(&mut host).await, RefusalReason::TooLarge);
 }
 
 #[tokio::test]
@@ -168,7 +170,7 @@
 }
 
 #[tokio::test]
-async fn paused_body() {
+async fn stalled_body() {
     // Symptom: half-read bodies of callers long gone fill a host's memory.
     // Sequence: a connection goes silent for good inside a body.
     // Cause: a read without a bound.
@@ -183,9 +185,9 @@
          content-length: 100\r\n\r\n{{",
     );
     stream.write_all(half.as_bytes()).await.expect("written");
-    assert_eq!(turned(&mut host).await, RefusalReason::BadRequest);
+    assert_eq!(rejection_reason(&mut host).await, RefusalReason::BadRequest);
     let mut answer = [0; 12];
-    soon(stream.read_exact(&mut answer))
+    within_timeout(stream.read_exact(&mut answer))
         .await
         .expect("an answer");
     assert_eq!(&answer, b"HTTP/1.1 408");
@@ -228,7 +230,7 @@
 }
 
 #[tokio::test]
-async fn stricter_marks() {
+async fn stricter_fields() {
     let mut host = FakeHost::ready("sanjuan-1", &[]);
     // A caller makes the rule's marks stricter.
     let strict = [
--- a/bergamotswitch-net/tests/caller_requests/leaving.rs
+++ b/bergamotswitch-net/tests/caller_requests/disconnects.rs
@@ -5,10 +5,10 @@
 use bergamotswitch_net::input::{NodeInput, Received};
 
 use crate::fake_loop::{
-    FakeHost, chat, chunk, next_piece, send, send_h2, soon, spawn_call, stream_head,
+    FakeHost, chat, chunk, next_piece, send, send_h2, spawn_call, stream_head, within_timeout,
 };
 
-async fn left(host: &mut FakeHost) {
+async fn expect_caller_left(host: &mut FakeHost) {
     match host.input().await {
         NodeInput::CallerLeft(id) => assert_eq!(id, host.id(1)),
         other => panic!("no leave: {other:?}"),
@@ -25,7 +25,7 @@
         let call = spawn_call(host.server.address(), chat(stream, &[]));
         let _writer = host.accept_next().await;
         call.abort();
-        left(&mut host).await;
+        expect_caller_left(&mut host).await;
     }
 }
 
@@ -46,7 +46,7 @@
         answer: Some(AnswerWriter::new().reader()),
     };
     reply.send(received).expect("a task that waits");
-    left(&mut host).await;
+    expect_caller_left(&mut host).await;
 }
 
 #[tokio::test]
@@ -59,7 +59,7 @@
     let mut response = response.await.expect("an answer");
     next_piece(response.body_mut()).await;
     drop(response);
-    left(&mut host).await;
+    expect_caller_left(&mut host).await;
 }
 
 #[tokio::test]
@@ -70,7 +70,7 @@
     let waiting = tokio::spawn(send_h2(address, chat(false, &[])));
     let _writer = host.accept_next().await;
     waiting.abort();
-    left(&mut host).await;
+    expect_caller_left(&mut host).await;
 
     let response = tokio::spawn(send_h2(address, chat(true, &[])));
     let writer = host.accept_next().await;
@@ -79,11 +79,11 @@
     let mut response = response.await.expect("an answer");
     next_piece(response.body_mut()).await;
     drop(response);
-    left(&mut host).await;
+    expect_caller_left(&mut host).await;
 }
 
 #[tokio::test]
-async fn after_whole() {
+async fn after_complete_answer() {
     // Who has the whole answer has not left.
     let mut host = FakeHost::ready("sanjuan-1", &[]);
     for stream in [false, true] {
@@ -95,6 +95,8 @@
         assert_eq!(call.await.expect("an answer").status, 200);
     }
     host.server.stop();
-    soon(host.server.stopped()).await.expect("a clean end");
+    within_timeout(host.server.stopped())
+        .await
+        .expect("a clean end");
     assert!(host.inbox.try_recv().is_err(), "nothing more was told");
 }
--- a/bergamotswitch-net/tests/caller_requests/fake_loop.rs
+++ b/bergamotswitch-net/tests/caller_requests/fake_loop.rs
@@ -30,11 +30,11 @@
 pub const KEY: &str = "volunteer-key";
 
 /// A bound on each wait; a test that reaches it has failed.
-const PATIENCE: Duration = Duration::from_secs(10);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Wait for something under the common bound.
-pub async fn soon<T>(wait: impl Future<Output = T>) -> T {
-    timeout(PATIENCE, wait).await.expect("in time")
+pub async fn within_timeout<T>(wait: impl Future<Output = T>) -> T {
+    timeout(WAIT_TIMEOUT, wait).await.expect("in time")
 }
 
 /// A host whose loop is played by the test.
@@ -63,7 +63,7 @@
     pub fn start_with(name: &str, opts: CallerOptions) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let (node, inbox) = mpsc::unbounded_channel();
-        let (publication, in_force) = watch::channel(Arc::default());
+        let (publication, publication_receiver) = watch::channel(Arc::default());
         let run = HostIncarnation {
             host: HostName::try_from(name).expect("a name"),
             incarnation: Incarnation(0xabc),
@@ -71,7 +71,7 @@
         let metrics = Arc::new(NodeMetrics::new());
         let desk = CallerContext {
             node,
-            publication: in_force,
+            publication: publication_receiver,
             this_host: HostSelf {
                 run: run.clone(),
                 domain: DomainName::try_from("sanjuan").expect("a name"),
@@ -112,7 +112,7 @@
     }
 
     pub async fn input(&mut self) -> NodeInput {
-        soon(self.inbox.recv()).await.expect("an input")
+        within_timeout(self.inbox.recv()).await.expect("an input")
     }
 
     pub async fn submitted(&mut self) -> Submitted {
@@ -283,7 +283,7 @@
 /// Read an answer to its end.
 pub async fn read(response: Response<Incoming>) -> ReadAnswer {
     let (parts, body) = response.into_parts();
-    let body = soon(body.collect()).await.expect("a whole body");
+    let body = within_timeout(body.collect()).await.expect("a whole body");
     ReadAnswer {
         status: parts.status.as_u16(),
         headers: parts.headers,
@@ -301,7 +301,7 @@
 
 /// Read the next piece of a body.
 pub async fn next_piece(body: &mut Incoming) -> String {
-    let frame = soon(body.frame()).await.expect("a piece");
+    let frame = within_timeout(body.frame()).await.expect("a piece");
     let data = frame.expect("a whole piece").into_data();
     String::from_utf8(data.expect("data").to_vec()).expect("a text")
 }
--- a/bergamotswitch-net/tests/caller_requests/forwarding.rs
+++ b/bergamotswitch-net/tests/caller_requests/forwarding.rs
@@ -8,10 +8,10 @@
 use tokio::net::TcpListener;
 
 use crate::fake_loop::{
-    FakeHost, chat, chunk, data, next_piece, send, soon, spawn_call, stream_head,
+    FakeHost, chat, chunk, data, next_piece, send, spawn_call, stream_head, within_timeout,
 };
 
-async fn point_to(host: &mut FakeHost, holder: &HostIncarnation) {
+async fn reply_forward(host: &mut FakeHost, holder: &HostIncarnation) {
     let received = Received {
         reception: SubmitOutcome::Forward(holder.clone()),
         answer: None,
@@ -20,7 +20,7 @@
     reply.send(received).expect("a caller that waits");
 }
 
-fn run_of(name: &str) -> HostIncarnation {
+fn incarnation_of(name: &str) -> HostIncarnation {
     let text = format!("{name}~{:032x}", 5);
     HostIncarnation::try_from(text.as_str()).expect("a run")
 }
@@ -37,7 +37,7 @@
         ("bergamot-work", "report"),
     ];
     let response = tokio::spawn(send(host.server.address(), chat(true, &fields)));
-    point_to(&mut host, &holder.run).await;
+    reply_forward(&mut host, &holder.run).await;
     // The holder gets the same request and decides.
     let submitted = holder.submitted().await;
     assert_eq!(submitted.submission.holder, Some(holder.run.clone()));
@@ -49,7 +49,7 @@
     writer.push(stream_head());
     writer.push(chunk("At "));
     // The answer comes back as it comes, under the holder's run.
-    let mut response = soon(response).await.expect("an answer");
+    let mut response = within_timeout(response).await.expect("an answer");
     assert_eq!(response.headers()["bergamot-incarnation"], run.as_str());
     assert!(next_piece(response.body_mut()).await.contains("At "));
     writer.push(AnswerPart::End);
@@ -57,7 +57,7 @@
 }
 
 #[tokio::test]
-async fn known_late() {
+async fn holder_named_late() {
     // An owner may know the key only after the caller was told this run. A
     // holder that forgot it must not take it for new and run it again.
     let mut holder = FakeHost::ready("mza-norte-1", &[]);
@@ -82,8 +82,8 @@
         assert!(answer.text.contains("dawn"));
         assert_eq!(answer.text.ends_with("data: [DONE]\n\n"), stream);
         // A retry has to name the holder, not the run that was told first.
-        let told = format!(": bergamot-incarnation {}\n", holder.run);
-        assert_eq!(answer.text.contains(&told), stream);
+        let incarnation = format!(": bergamot-incarnation {}\n", holder.run);
+        assert_eq!(answer.text.contains(&incarnation), stream);
     }
 }
 
@@ -94,9 +94,9 @@
     // request was forwarded once already.
     // Cause: "I can't ask" taken for "it did not run".
     let closed = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let gone = closed.local_addr().expect("an address");
+    let closed_address = closed.local_addr().expect("an address");
     drop(closed);
-    let mut host = FakeHost::ready("sanjuan-1", &[("mza-norte-1", gone)]);
+    let mut host = FakeHost::ready("sanjuan-1", &[("mza-norte-1", closed_address)]);
     let cases = [
         ("mza-norte-1", chat(false, &[])),
         ("unknown-1", chat(false, &[])),
@@ -105,7 +105,7 @@
     ];
     for (name, request) in cases {
         let call = spawn_call(host.server.address(), request);
-        point_to(&mut host, &run_of(name)).await;
+        reply_forward(&mut host, &incarnation_of(name)).await;
         let answer = call.await.expect("an answer");
         assert_eq!(answer.status, 502, "{name}");
         assert_eq!(answer.json()["error"]["code"], "lost");
@@ -118,7 +118,7 @@
 }
 
 #[tokio::test]
-async fn holder_breaks_off() {
+async fn holder_connection_lost() {
     // Symptom: a caller takes a broken stream for a whole one.
     // Sequence: the holder's stream is passed on behind a head that was sent
     // early; the holder dies in the middle.
@@ -139,7 +139,7 @@
     let mut host = FakeHost::ready("sanjuan-1", &[("mza-norte-1", address)]);
     let fields = [("idempotency-key", "fall-7"), ("bergamot-work", "report")];
     let call = spawn_call(host.server.address(), chat(true, &fields));
-    point_to(&mut host, &run_of("mza-norte-1")).await;
+    reply_forward(&mut host, &incarnation_of("mza-norte-1")).await;
     let text = call.await.expect("an answer").text;
     assert!(text.contains("data: {}\n\nevent: error\ndata: {"), "{text}");
     assert!(text.contains("\"lost\"") && text.contains("\"unknown\""));
@@ -153,7 +153,7 @@
     let hosts = [("mza-norte-1", holder.server.address())];
     let mut host = FakeHost::ready("sanjuan-1", &hosts);
     let call = spawn_call(host.server.address(), chat(false, &[]));
-    point_to(&mut host, &holder.run).await;
+    reply_forward(&mut host, &holder.run).await;
     let _writer = holder.accept_next().await;
     call.abort();
     match holder.input().await {
--- a/bergamotswitch-net/tests/caller_requests/lookups.rs
+++ b/bergamotswitch-net/tests/caller_requests/lookups.rs
@@ -66,8 +66,8 @@
     let hosts = [("mza-norte-1", holder.server.address())];
     let host = FakeHost::ready("sanjuan-1", &hosts);
     let run = holder.run.to_string();
-    let question = get("/v1/requests?key=fall-7", &[("bergamot-incarnation", &run)]);
-    let call = spawn_call(host.server.address(), question);
+    let request = get("/v1/requests?key=fall-7", &[("bergamot-incarnation", &run)]);
+    let call = spawn_call(host.server.address(), request);
     let NodeInput::Outcome(OutcomeQuery::Key(_, key), reply) = holder.input().await else {
         panic!("no question for a key");
     };
--- a/bergamotswitch-net/tests/caller_requests/main.rs
+++ b/bergamotswitch-net/tests/caller_requests/main.rs
@@ -2,7 +2,7 @@
 
 mod answers;
 mod checks;
+mod disconnects;
 mod fake_loop;
 mod forwarding;
-mod leaving;
 mod lookups;
