--- a/bergamotswitch-net/src/caller/early_answer.rs
+++ b/bergamotswitch-net/src/caller/early_answer.rs
@@ -61,11 +61,9 @@
         original,
     } = checked;
     let follower = match submit(&context, submission, call).await {
-        SubmitResult::HeldHere(follower) => *follower,
+        SubmitResult::Local(follower) => *follower,
         SubmitResult::Refused(page) => return refusal_events(&page),
-        SubmitResult::HeldElsewhere(holder) => {
-            return holder_events(&context, &original, &holder).await;
-        }
+        SubmitResult::Remote(holder) => return holder_events(&context, &original, &holder).await,
     };
     let id = comment(&format!("{REQUEST_ID_FIELD} {}", follower.id()));
     let opening = stream::iter([Ok(id)]);
--- a/bergamotswitch-net/src/caller/engine_handler.rs
+++ b/bergamotswitch-net/src/caller/engine_handler.rs
@@ -46,10 +46,10 @@
         } = checked;
         match submit(&self.context, submission, call).await {
             SubmitResult::Refused(page) => page.write(res),
-            SubmitResult::HeldElsewhere(holder) => {
+            SubmitResult::Remote(holder) => {
                 forward_and_write(&self.context, &original, &holder, res).await;
             }
-            SubmitResult::HeldHere(follower) => self.follow(*follower, original, format, res).await,
+            SubmitResult::Local(follower) => self.follow(*follower, original, format, res).await,
         }
     }
 
--- a/bergamotswitch-net/src/caller/service_handler.rs
+++ b/bergamotswitch-net/src/caller/service_handler.rs
@@ -147,9 +147,9 @@
             original,
         } = checked;
         let follower = match submit(&self.context, submission, call).await {
-            SubmitResult::HeldHere(follower) => follower,
+            SubmitResult::Local(follower) => follower,
             SubmitResult::Refused(page) => return page.write(res),
-            SubmitResult::HeldElsewhere(holder) => {
+            SubmitResult::Remote(holder) => {
                 return forward_and_write(&self.context, &original, &holder, res).await;
             }
         };
--- a/bergamotswitch-net/src/caller/submit.rs
+++ b/bergamotswitch-net/src/caller/submit.rs
@@ -28,9 +28,9 @@
 #[derive(Debug)]
 pub(super) enum SubmitResult {
     /// It is here.
-    HeldHere(Box<AnswerFollower>),
+    Local(Box<AnswerFollower>),
     /// Another run of a host holds it.
-    HeldElsewhere(HostIncarnation),
+    Remote(HostIncarnation),
     /// It is refused.
     Refused(RefusalPage),
 }
@@ -42,8 +42,8 @@
     call: OutgoingCall,
 ) -> SubmitResult {
     match handover::hand_over(&context.node, submission, call).await {
-        handover::HandedOver::Here(follower) => SubmitResult::HeldHere(follower),
-        handover::HandedOver::Elsewhere(holder) => SubmitResult::HeldElsewhere(holder),
+        handover::HandedOver::Here(follower) => SubmitResult::Local(follower),
+        handover::HandedOver::Elsewhere(holder) => SubmitResult::Remote(holder),
         handover::HandedOver::Refused(refusal) => SubmitResult::Refused(RefusalPage::new(refusal)),
         handover::HandedOver::LoopGone => SubmitResult::Refused(loop_stopped()),
         handover::HandedOver::AnswerDropped => SubmitResult::Refused(answer_dropped()),
