--- a/bergamotswitch-net/src/caller/assembly.rs
+++ b/bergamotswitch-net/src/caller/assembly.rs
@@ -1,5 +1,5 @@
-//! Provides the assembly of an engine's stream into one completion, for
-//! callers that want no stream.
+//! Provides the assembly of an engine's stream into one completion, for callers
+//! that did not request a stream.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,21 +9,23 @@
 
 use super::engine_body::CompletionForm;
 
-/// What ends the stream of some engines; it is no chunk.
+/// The data of the event with which some engines end a stream. It is not a
+/// chunk.
 pub(super) const DONE_MARK: &[u8] = b"[DONE]";
 
-/// Members that say what something is. They come with the first piece, or
-/// unchanged with each: they are set, never put together.
+/// Members that identify or label something. Engines send them in the first
+/// chunk only, or repeat them unchanged, so their values are never
+/// concatenated.
 const SET_ONCE: [&str; 5] = ["id", "index", "role", "type", "name"];
 
-/// An `AssemblyError` is why chunks make no completion.
+/// An `AssemblyError` is returned for chunks that do not form a completion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AssemblyError {
-    /// A chunk is no JSON object.
+    /// A chunk is not a JSON object.
     NotAnObject,
     /// The engine ended its stream with an error.
     EngineError,
-    /// No chunk came with a choice.
+    /// No chunk had a choice.
     NoChoices,
 }
 
@@ -41,7 +43,7 @@
 
 impl std::error::Error for AssemblyError {}
 
-/// A `CompletionAssembly` puts a stream's chunks together.
+/// A `CompletionAssembly` merges the chunks of a stream into one completion.
 #[derive(Debug)]
 pub(super) struct CompletionAssembly {
     form: CompletionForm,
@@ -63,7 +65,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error where the chunk is no part of a completion.
+    /// Returns an error if the chunk is not part of a completion.
     pub(super) fn add(&mut self, chunk: &Bytes) -> Result<(), AssemblyError> {
         if chunk.trim_ascii() == DONE_MARK {
             return Ok(());
@@ -77,7 +79,8 @@
         for (name, value) in members {
             match (name.as_str(), value) {
                 ("choices", Value::Array(choices)) => self.add_choices(choices),
-                // The chunks' kind is not the whole answer's.
+                // The `object` of a chunk differs from that of a completion,
+                // which `finish` sets.
                 ("object", _) => {}
                 (_, Value::Null) => {}
                 ("usage", value) => drop(self.members.insert(name, value)),
@@ -95,7 +98,7 @@
             let index = members.get("index").and_then(Value::as_u64).unwrap_or(0);
             let merged = self.choices.entry(index).or_default();
             for (name, value) in members {
-                // What a stream calls a delta is a message when it is whole.
+                // The `delta` of a stream is the `message` of a completion.
                 let name = match name.as_str() {
                     "delta" => "message".to_owned(),
                     _ => name,
@@ -109,7 +112,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error where no chunk had a choice.
+    /// Returns an error if no chunk had a choice.
     pub(super) fn finish(mut self) -> Result<Value, AssemblyError> {
         if self.choices.is_empty() {
             return Err(AssemblyError::NoChoices);
@@ -130,7 +133,8 @@
     }
 }
 
-/// Add what callers expect of a message though the stream left it out.
+/// Add the members that callers expect in a message and that the stream
+/// omitted.
 fn complete_message(choice: &mut Map<String, Value>) {
     let message = choice
         .entry("message")
@@ -140,7 +144,7 @@
     };
     message.entry("role").or_insert(Value::from("assistant"));
     message.entry("content").or_insert(Value::Null);
-    // The place of a tool call matters only while its pieces come.
+    // The `index` of a tool call serves only to merge its chunks.
     if let Some(Value::Array(calls)) = message.get_mut("tool_calls") {
         for call in calls.iter_mut().filter_map(Value::as_object_mut) {
             call.remove("index");
@@ -188,8 +192,8 @@
     }
 }
 
-/// Put an element of an array to the begun one with the same `index`; an
-/// element without an index is one more.
+/// Merge an array element into the one with the same `index`, or append it if
+/// there is none or it has no index.
 fn merge_element(merged: &mut Vec<Value>, piece: Value) {
     let index = piece.get("index").and_then(Value::as_u64);
     let partial = match index {
--- a/bergamotswitch-net/src/caller/body.rs
+++ b/bergamotswitch-net/src/caller/body.rs
@@ -1,4 +1,4 @@
-//! Provides the reading of callers' bodies under a limit.
+//! Provides the reading of request bodies up to a size limit.
 
 use bergamotswitch_core::error::Findings;
 use bergamotswitch_core::refusal::RefusalReason;
@@ -10,13 +10,13 @@
 
 use super::refusal_page::RefusalPage;
 
-/// Try to read the whole body of a request. At no time more than `limit`
-/// bytes of it are kept. Other callers don't wait meanwhile.
+/// Try to read the complete body of a request. At most `limit` bytes of it are
+/// buffered, and other requests are not blocked meanwhile.
 ///
 /// # Errors
 ///
-/// Returns a refusal where the body is longer than `limit`, known from its
-/// announced length or while it is read, and where it broke off.
+/// Returns a refusal if the body is longer than `limit`, by its declared length
+/// or by the bytes read, or if it could not be read to its end.
 pub(super) async fn read_body(req: &mut Request, limit: u64) -> Result<Bytes, RefusalPage> {
     let mut body = req.take_body();
     let announced = body.size_hint().lower();
--- a/bergamotswitch-net/src/caller/buffered_answer.rs
+++ b/bergamotswitch-net/src/caller/buffered_answer.rs
@@ -1,4 +1,4 @@
-//! Provides answers as one body, for callers that want no stream.
+//! Provides answers with one body, for callers that did not request a stream.
 
 use bergamotswitch_core::refusal::{Refusal, RefusalReason};
 use bytes::{Bytes, BytesMut};
@@ -11,7 +11,7 @@
 use super::refusal_page::{JSON_TYPE, RefusalPage};
 use crate::answer::AnswerPart;
 
-/// A `BufferedAnswer` is a target's whole answer.
+/// A `BufferedAnswer` is the complete answer of a target.
 #[derive(Debug)]
 pub(super) struct BufferedAnswer {
     status: StatusCode,
@@ -20,11 +20,12 @@
 }
 
 impl BufferedAnswer {
-    /// Try to get the answer out of all its parts.
+    /// Try to build the answer from all of its parts.
     ///
     /// # Errors
     ///
-    /// Returns the refusal with which the parts end.
+    /// Returns the refusal that ends the parts, or one for an incomplete
+    /// answer.
     pub(super) fn from_parts(parts: Vec<AnswerPart>) -> Result<Self, RefusalPage> {
         let mut answer = BufferedAnswer {
             status: StatusCode::OK,
@@ -47,11 +48,11 @@
                 AnswerPart::Forward(_) => break,
             }
         }
-        // Without its end an answer is not whole, whatever came of it.
+        // An answer without an end part is incomplete, whatever parts it has.
         Err(incomplete_answer("it has no end"))
     }
 
-    /// Get whether this is a stream of an engine that is well.
+    /// Get whether this is a successful stream of an engine.
     fn is_stream(&self) -> bool {
         is_engine_stream(self.status.as_u16(), &self.content_type)
     }
@@ -69,7 +70,7 @@
         String::from_utf8_lossy(&self.body()).into_owned()
     }
 
-    /// Write the answer as the target gave it.
+    /// Write the answer as the target sent it.
     pub(super) fn write_plain(self, res: &mut Response) {
         res.body(self.body());
         res.status_code(self.status);
@@ -78,12 +79,12 @@
         }
     }
 
-    /// Try to write the answer as one completion; an engine's error as the
-    /// engine gave it.
+    /// Try to write the answer as one completion. An engine's error response is
+    /// written unchanged.
     ///
     /// # Errors
     ///
-    /// Returns a refusal where the engine's chunks make no completion.
+    /// Returns a refusal if the engine's chunks do not form a completion.
     pub(super) fn write_completion(
         self,
         form: CompletionForm,
@@ -103,7 +104,7 @@
     }
 }
 
-/// Get whether an answer's first part begins an engine's stream.
+/// Get whether the first part of an answer belongs to an engine's stream.
 pub(super) fn begins_stream(first: &AnswerPart) -> bool {
     match first {
         AnswerPart::Head {
@@ -116,7 +117,8 @@
     }
 }
 
-/// Get whether a head is that of an engine's stream, not of its error.
+/// Get whether the status and content type are those of an engine's stream, and
+/// not of its error response.
 pub(super) fn is_engine_stream(status: u16, content_type: &str) -> bool {
     status == StatusCode::OK.as_u16() && content_type.starts_with(EVENT_STREAM_TYPE)
 }
--- a/bergamotswitch-net/src/caller/context.rs
+++ b/bergamotswitch-net/src/caller/context.rs
@@ -1,4 +1,4 @@
-//! Provides what the handlers of callers' requests share.
+//! Provides the state shared by the handlers of callers' requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,22 +16,21 @@
 use crate::input::{HostSelf, NodeInput, NodeSender};
 use crate::metrics::NodeMetrics;
 
-/// How long a connection to a request's holder may take: it is one round
-/// trip, and a caller waits meanwhile.
+/// The default timeout of a connection to the host that holds a request.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a caller's body may pause. A connection that went silent for
-/// good would otherwise hold its part of the body for ever.
+/// The default idle timeout of a request body. Without it a dead connection
+/// would hold its partial body in memory forever.
 const BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A `CallerOptions` is what may be chosen about the callers' interface.
+/// A `CallerOptions` is the options of the callers' HTTP interface.
 #[derive(Clone, Debug)]
 pub struct CallerOptions {
-    /// Whether the operators' routes stand beside the callers'.
+    /// Whether the operators' routes are served as well.
     pub operator_routes: bool,
-    /// How long a connection to a request's holder may take.
+    /// The timeout of a connection to the host that holds a request.
     pub connect_timeout: Duration,
-    /// How long a caller's body may pause.
+    /// The longest time without data while a request body is read.
     pub body_idle_timeout: Duration,
 }
 
@@ -46,51 +45,51 @@
 }
 
 impl CallerOptions {
-    /// Set whether the operators' routes stand beside the callers'.
+    /// Set whether the operators' routes are served as well.
     pub fn with_operator_routes(mut self, present: bool) -> Self {
         self.operator_routes = present;
         self
     }
 
-    /// Set how long a connection to a request's holder may take.
+    /// Set the timeout of a connection to the host that holds a request.
     pub fn with_connect_timeout(mut self, span: Duration) -> Self {
         self.connect_timeout = span;
         self
     }
 
-    /// Set how long a caller's body may pause.
+    /// Set the longest time without data while a request body is read.
     pub fn with_body_idle_timeout(mut self, span: Duration) -> Self {
         self.body_idle_timeout = span;
         self
     }
 }
 
-/// A `CallerContext` is what every handler of callers' requests needs.
+/// A `CallerContext` is the state shared by the handlers of callers' requests.
 #[derive(Clone, Debug)]
 pub struct CallerContext {
-    /// The loop's inbox.
+    /// The sender to the event loop.
     pub node: NodeSender,
-    /// What is in force.
+    /// The configuration in force.
     pub publication: watch::Receiver<Arc<Publication>>,
-    /// This process.
+    /// The incarnation and the failure domain of this host.
     pub this_host: HostSelf,
     /// The host's metrics.
     pub metrics: Arc<NodeMetrics>,
-    /// What was chosen.
+    /// The options of the interface.
     pub opts: CallerOptions,
 }
 
 impl CallerContext {
-    /// Get what is in force now.
+    /// Get the configuration that is in force now.
     pub(crate) fn current_publication(&self) -> Arc<Publication> {
         Arc::clone(&self.publication.borrow())
     }
 
-    /// Try to get the client account whose bearer key the fields carry.
+    /// Try to get the client account whose bearer key the header fields have.
     ///
     /// # Errors
     ///
-    /// Returns a refusal where this host has no configuration yet, or where
+    /// Returns a refusal if this host has no complete configuration yet, or if
     /// no account has the key.
     pub(super) fn authenticate(
         &self,
@@ -107,28 +106,32 @@
         account.ok_or_else(|| RefusalPage::before_acceptance(RefusalReason::UnknownAccount))
     }
 
-    /// Write a refusal that was made before the loop knew of the call, and have
-    /// it counted there.
+    /// Write a refusal made before the request was submitted to the event loop,
+    /// and report it to the event loop's counters.
     pub(super) fn reject(&self, page: &RefusalPage, res: &mut Response) {
         self.count_rejection(page);
         page.write(res);
     }
 
-    /// Have a refusal counted that was made before the loop knew of the call.
+    /// Report a refusal made before the request was submitted to the event
+    /// loop, so that it is counted.
     pub(super) fn count_rejection(&self, page: &RefusalPage) {
         let rejection = NodeInput::Turned(page.reason(), None);
-        // Without a loop nobody reads the counters either.
+        // A send fails only after the event loop has ended, when nothing
+        // counts.
         let _ = self.node.send(rejection);
     }
 }
 
-/// Get the refusal where the loop is gone before it heard of a request.
+/// Get the refusal of a request that the event loop could not receive because
+/// it has ended.
 pub(super) fn loop_stopped() -> RefusalPage {
     let refusal = Refusal::before_acceptance(RefusalReason::Stopping);
     RefusalPage::new(refusal.with_retry_after(STOPPING_RETRY_AFTER))
 }
 
-/// Get the refusal where the loop dropped a request that it had.
+/// Get the refusal of a request that the event loop received and dropped
+/// without an answer.
 pub(super) fn answer_dropped() -> RefusalPage {
     RefusalPage::new(Refusal::may_have_run(RefusalReason::Lost))
 }
--- a/bergamotswitch-net/src/caller/early_answer.rs
+++ b/bergamotswitch-net/src/caller/early_answer.rs
@@ -1,5 +1,6 @@
-//! Provides streams whose head is sent before the request is handed to the
-//! loop, so that their callers know this run of the host before a dispatch.
+//! Provides streams whose head is sent before the request is submitted to the
+//! event loop, so that the caller knows this host's incarnation before any
+//! dispatch.
 
 use std::sync::Arc;
 
@@ -22,18 +23,20 @@
 use crate::answer::AnswerPart;
 use crate::follower::{AnswerFollower, has_output};
 
-/// Get whether the caller must be told this run before the request can be
-/// dispatched. Its connection may break at any moment; without the run a
-/// retry at another host would look like a new request and run a second time,
-/// seen only as two answers to one key.
+/// Get whether the caller must receive this host's incarnation before the
+/// request can be dispatched.
+///
+/// This holds for requests that must not run twice. If the connection broke
+/// before the caller knew the incarnation, its retry at another host would look
+/// like a new request and run a second time.
 pub(super) fn needs_early_head(submission: &Submission) -> bool {
     let verdict = &submission.verdict;
     let once = verdict.dispatch_once || !verdict.idempotent;
     once && submission.key.is_some() && submission.holder.is_none()
 }
 
-/// Get the events of a request whose caller is told this run first. Nothing
-/// is handed to the loop before the first event has been written.
+/// Get the events of a request whose caller receives this host's incarnation
+/// first. The request is submitted only after the first event has been written.
 pub(super) fn early_events(
     context: Arc<CallerContext>,
     checked: CheckedCall,
@@ -42,8 +45,9 @@
     let incarnation = comment(&format!("{INCARNATION_FIELD} {}", context.this_host.run));
     let opening = stream::iter([Ok(incarnation)]);
     let rest = stream::once(async move {
-        // The connection asks for more before it writes what it has. Giving
-        // way once lets it write; only then may a dispatch follow.
+        // The connection polls for further events before it writes the first
+        // one. Yielding once lets it write before the request can be
+        // dispatched.
         yield_now().await;
         submitted_events(context, checked, usage).await
     });
@@ -90,10 +94,12 @@
     }
 }
 
-/// Get the events of the host that holds the request. The caller was told this
-/// run, which does not know the request any more: a retry that names it would
-/// be answered `outcome-unknown` although the answer is kept. So the caller is
-/// told the holder's run before the events.
+/// Get the events of a request that another host holds.
+///
+/// The caller has received the incarnation of this host, which does not hold
+/// the request: a retry that named it would be answered with `outcome-unknown`
+/// although the holder still has the answer. So the incarnation of the holder
+/// is sent before its events.
 async fn holder_events(
     context: &CallerContext,
     original: &OriginalCall,
@@ -109,8 +115,8 @@
     }
 }
 
-/// Get another host's answer as events: its stream as it comes, its refusal
-/// as an error event.
+/// Get another host's answer as events: a stream as it arrives, a refusal as an
+/// error event.
 async fn forwarded_events(answer: http::Response<Incoming>) -> BoxStream<'static, EventBytes> {
     let content_type = answer
         .headers()
@@ -126,8 +132,8 @@
     }
 }
 
-/// Get the frames of a forwarded stream. Where it breaks off, an error event
-/// says so: a caller must not take what came for the whole.
+/// Get the frames of a forwarded stream. If the connection fails, the last
+/// event is an error, so that the caller does not take the answer for complete.
 fn forwarded_stream(body: Incoming) -> BoxStream<'static, EventBytes> {
     let frames = BodyStream::new(body).map(|frame| match frame {
         Ok(frame) => Ok(frame.into_data().unwrap_or_default()),
--- a/bergamotswitch-net/src/caller/engine_body.rs
+++ b/bergamotswitch-net/src/caller/engine_body.rs
@@ -1,5 +1,5 @@
-//! Provides the bodies of requests to engines: the OpenAI form of chat and
-//! text completions, checked, and rewritten for the engine.
+//! Provides the bodies of requests to engines: OpenAI chat and text
+//! completions, validated and rewritten for the engine.
 
 use std::collections::BTreeMap;
 
@@ -12,20 +12,20 @@
 
 use super::engine_members::{BODY_PLACE, BodyMembers, MemberReader, parse_raw, saturate};
 
-/// The bytes of text that one token spans, as assumed for the cost.
+/// The number of bytes of text per token, assumed for the cost estimate.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// A `CompletionForm` is one of the two forms of engine requests.
+/// A `CompletionForm` is one of the two kinds of requests to engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CompletionForm {
-    /// Chat completions: messages.
+    /// Chat completions, which have messages.
     Chat,
-    /// Text completions: a prompt.
+    /// Text completions, which have a prompt.
     Text,
 }
 
 impl CompletionForm {
-    /// Get the path, the same at hosts and at engines.
+    /// Get the path of the endpoint, which is the same at hosts and at engines.
     pub(super) fn path(self) -> &'static str {
         match self {
             CompletionForm::Chat => "/v1/chat/completions",
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Get the `object` of a whole answer.
+    /// Get the `object` of a complete answer.
     pub(super) fn object(self) -> &'static str {
         match self {
             CompletionForm::Chat => "chat.completion",
@@ -42,32 +42,31 @@
     }
 }
 
-/// An `EngineBody` is a checked body.
+/// An `EngineBody` is the validated body of a request to an engine.
 #[derive(Debug)]
 pub(super) struct EngineBody {
-    /// The model, which is the pool's name.
+    /// The name of the model, which is also the name of the pool.
     pub(super) model: PoolName,
-    /// Whether the caller wants a stream.
+    /// Whether the caller requests a stream.
     pub(super) stream: bool,
-    /// Whether the caller wants the usage at the stream's end.
+    /// Whether the caller requests a usage chunk at the end of the stream.
     pub(super) include_usage: bool,
     /// The estimated cost.
     pub(super) cost: TokenCost,
-    /// The hashes of the prompt's beginnings.
+    /// The hashes of the prompt's prefixes, the shortest first.
     pub(super) prefixes: Vec<PrefixHash>,
-    /// The body for the engine: the caller's, but always a stream.
+    /// The body sent to the engine: the caller's, changed to request a stream.
     pub(super) outgoing: Bytes,
 }
 
 impl EngineBody {
-    /// Try to get the body out of JSON text.
+    /// Try to parse the JSON text of a body.
     ///
     /// # Errors
     ///
     /// Returns all faults with their places (JSON pointers).
     pub(super) fn parse(form: CompletionForm, text: &[u8]) -> Result<Self, Findings> {
         let mut findings = Findings::new();
-        // First the text must be one JSON object.
         let members: BodyMembers = match serde_json::from_slice(text) {
             Ok(members) => members,
             Err(error) => {
@@ -75,8 +74,8 @@
                 return Err(findings);
             }
         };
-        // Then each member that matters here is checked by itself, so that
-        // all faults are told together.
+        // Each member is checked by itself, so that all faults are reported
+        // together.
         let mut reader = MemberReader::new(&members, &mut findings);
         let model = reader.model();
         let stream = reader.flag("stream").unwrap_or(false);
@@ -86,7 +85,6 @@
             CompletionForm::Text => reader.prompt_text(),
         };
         let decode = reader.decode_tokens();
-        // Only a body without faults is rewritten.
         let outgoing = outgoing_body(&members);
         match (model, findings.is_empty()) {
             (Some(model), true) => Ok(EngineBody {
@@ -105,8 +103,8 @@
     }
 }
 
-/// Get the hashes of the prompt's first block, first two blocks and so on.
-/// A block that is not full has none.
+/// Get the hashes of the prompt's first block, of its first two blocks and so
+/// on. A partial block at the end is not hashed.
 fn prefix_hashes(prompt: &[u8]) -> Vec<PrefixHash> {
     let blocks = (prompt.len() / PREFIX_BLOCK_BYTES).min(MAX_PREFIX_HASHES);
     (1..=blocks)
@@ -114,8 +112,9 @@
         .collect()
 }
 
-/// Get the body for the engine. Only a stream can be proven alive and
-/// resumed, so it always asks for one; the usage corrects the estimated cost.
+/// Get the body sent to the engine. It always requests a stream, because only a
+/// stream can be monitored for progress and resumed, and the usage, which
+/// corrects the estimated cost.
 fn outgoing_body(members: &BodyMembers) -> Bytes {
     let mut outgoing: BTreeMap<&str, Value> = BTreeMap::new();
     let mut options = match members.get("stream_options").map(|raw| parse_raw(raw)) {
--- a/bergamotswitch-net/src/caller/engine_check.rs
+++ b/bergamotswitch-net/src/caller/engine_check.rs
@@ -1,4 +1,4 @@
-//! Provides the checks of requests to engines.
+//! Provides the validation of requests to engines.
 
 use bergamotswitch_core::entry::{CallOptions, Submission};
 use bergamotswitch_core::error::Findings;
@@ -20,21 +20,21 @@
 use super::submit::CheckedCall;
 use crate::input::OutgoingCall;
 
-/// An `AnswerFormat` is in what form the caller wants the answer.
+/// An `AnswerFormat` is the format in which the caller requests the answer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AnswerFormat {
-    /// As a stream.
+    /// Whether the answer is a stream.
     pub(super) stream: bool,
-    /// With the usage at the stream's end.
+    /// Whether a usage chunk ends the stream.
     pub(super) usage: bool,
 }
 
-/// Try to get a checked call out of a request to an engine.
+/// Try to validate a request to an engine.
 ///
 /// # Errors
 ///
-/// Returns the refusal of a request that no rule lets run, or that has
-/// faults: all of them, with their places.
+/// Returns a refusal if the request is malformed, with all faults and their
+/// places, or if its account, pool, deadline or rule does not allow it to run.
 pub(super) async fn check_engine_call(
     context: &CallerContext,
     form: CompletionForm,
@@ -94,7 +94,8 @@
     Ok((checked, format))
 }
 
-/// Try to read fields and body; the faults of both are told together.
+/// Try to parse the header fields and the body; the faults of both are reported
+/// together.
 fn read_request(
     form: CompletionForm,
     req: &Request,
@@ -112,11 +113,11 @@
     }
 }
 
-/// Try to find a deadline that has not passed yet.
+/// Try to confirm that the caller's deadline has not passed.
 ///
 /// # Errors
 ///
-/// Returns a refusal where the caller's deadline has passed.
+/// Returns a refusal if it has passed.
 pub(super) fn check_deadline(fields: &CallerFields) -> Result<(), RefusalPage> {
     match fields.deadline {
         CallerDeadline::Absent | CallerDeadline::Within(_) => Ok(()),
@@ -127,11 +128,11 @@
     }
 }
 
-/// Try to find a published pool of the right kind.
+/// Try to confirm that a pool of the given kind is published.
 ///
 /// # Errors
 ///
-/// Returns a refusal that names the place of the pool's name.
+/// Returns a refusal with the place of the pool's name in the request.
 pub(super) fn check_pool(
     publication: &Publication,
     name: &PoolName,
@@ -146,8 +147,9 @@
     Err(page.with_detail(format!("{place}: {name}")))
 }
 
-/// Get the hash of what a key must not be used for twice. The separators keep
-/// two different calls from being the same text.
+/// Get the hash by which a second request with the same idempotency key is
+/// compared with the first. The separators keep the parts of the hashed text
+/// distinct.
 pub(super) fn fingerprint(method: &Method, path: &str, body: &Bytes) -> u128 {
     let mut hash = Xxh3::new();
     hash.update(method.as_str().as_bytes());
--- a/bergamotswitch-net/src/caller/engine_handler.rs
+++ b/bergamotswitch-net/src/caller/engine_handler.rs
@@ -1,4 +1,4 @@
-//! Provides the handling of requests to engines.
+//! Provides the handler of requests to engines.
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
 use crate::answer::AnswerPart;
 use crate::follower::{AnswerFollower, has_output};
 
-/// An `EngineHandler` handles one form of requests to engines.
+/// An `EngineHandler` handles requests of one completion form to engines.
 #[derive(Debug)]
 pub(super) struct EngineHandler {
     context: Arc<CallerContext>,
@@ -25,7 +25,7 @@
 }
 
 impl EngineHandler {
-    /// Get the handler of one form.
+    /// Get the handler of a completion form.
     pub(super) fn new(context: &Arc<CallerContext>, form: CompletionForm) -> Self {
         EngineHandler {
             context: Arc::clone(context),
--- a/bergamotswitch-net/src/caller/engine_members.rs
+++ b/bergamotswitch-net/src/caller/engine_members.rs
@@ -1,4 +1,5 @@
-//! Provides the checks of single members of requests to engines.
+//! Provides the validation of single members in the bodies of requests to
+//! engines.
 
 use std::collections::BTreeMap;
 
@@ -7,21 +8,22 @@
 use serde_json::Value;
 use serde_json::value::RawValue;
 
-/// The output tokens assumed where the caller sets no bound.
+/// The number of output tokens assumed if the caller sets no limit.
 const DEFAULT_MAX_TOKENS: u64 = 256;
 
-/// The most answers (`n`) to one prompt.
+/// The largest number of choices (`n`) per prompt.
 const MAX_CHOICES: u64 = 128;
 
-/// The name under which findings give places in the body.
+/// The prefix of places in the body, as findings report them.
 pub(super) const BODY_PLACE: &str = "body:";
 
-/// The members of the body, each with its text as the caller wrote it: what
-/// is not rewritten reaches the engine unchanged, numbers to the last digit.
+/// The members of a body, each with its text as the caller sent it, so that
+/// members that are not rewritten reach the engine unchanged, including the
+/// precision of numbers.
 pub(super) type BodyMembers = BTreeMap<String, Box<RawValue>>;
 
-/// A `MemberReader` reads the members of a body that matter here. Faults are
-/// collected with their places.
+/// A `MemberReader` reads the members of a body that affect routing and cost,
+/// and collects their faults with their places.
 #[derive(Debug)]
 pub(super) struct MemberReader<'a> {
     members: &'a BodyMembers,
@@ -29,7 +31,7 @@
 }
 
 impl<'a> MemberReader<'a> {
-    /// Get a reader of a body's members.
+    /// Get a reader of a body's members that adds faults to `findings`.
     pub(super) fn new(members: &'a BodyMembers, findings: &'a mut Findings) -> Self {
         MemberReader { members, findings }
     }
@@ -43,7 +45,7 @@
             .add(format!("{BODY_PLACE}{pointer}"), found, allowed);
     }
 
-    /// Get the model's name.
+    /// Get the name of the model.
     pub(super) fn model(&mut self) -> Option<PoolName> {
         match self.value("model") {
             Some(Value::String(text)) => match PoolName::try_from(text.as_str()) {
@@ -64,7 +66,7 @@
         }
     }
 
-    /// Get a member that is true or false.
+    /// Get a boolean member.
     pub(super) fn flag(&mut self, name: &str) -> Option<bool> {
         match self.value(name)? {
             Value::Bool(flag) => Some(flag),
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Get whether the caller wants the usage at the stream's end.
+    /// Get whether the caller requests a usage chunk at the end of the stream.
     pub(super) fn include_usage(&mut self) -> bool {
         match self.value("stream_options") {
             None | Some(Value::Null) => false,
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Get the most output tokens of all answers.
+    /// Get the largest number of output tokens of all choices together.
     pub(super) fn decode_tokens(&mut self) -> u32 {
         let most = u64::from(u32::MAX);
         let bound = self.count("max_tokens", most);
@@ -121,7 +123,7 @@
         saturate(tokens.saturating_mul(choices))
     }
 
-    /// Get the text of all messages, one behind the other.
+    /// Get the concatenated text of all messages.
     pub(super) fn chat_text(&mut self) -> String {
         let mut text = String::new();
         match self.value("messages") {
@@ -149,7 +151,7 @@
         }
         let place = format!("{place}/content");
         match members.get("content") {
-            // An assistant's message that only calls tools has no content.
+            // Messages of an assistant that only call tools have no content.
             None | Some(Value::Null) => {}
             Some(Value::String(content)) => text.push_str(content),
             Some(Value::Array(parts)) => {
@@ -163,7 +165,8 @@
 
     fn part_text(&mut self, place: &str, part: &Value, text: &mut String) {
         match part {
-            // Parts without text (pictures, sound) are the engine's affair.
+            // Parts without text, such as images and audio, are passed on
+            // unchecked.
             Value::Object(members) => match members.get("text") {
                 None => {}
                 Some(Value::String(content)) => text.push_str(content),
@@ -173,7 +176,7 @@
         }
     }
 
-    /// Get the text of the prompt, or of all prompts.
+    /// Get the text of the prompt, or the concatenated text of all prompts.
     pub(super) fn prompt_text(&mut self) -> String {
         let allowed = "a string or an array of strings";
         let mut text = String::new();
@@ -197,18 +200,18 @@
     }
 }
 
-/// Get the value of a member. Its text was found to be JSON already; what is
-/// too deep for a value counts as null and so as a fault.
+/// Get the value of a member. Its text is valid JSON; one nested too deeply for
+/// a value is read as null, which the checks reject.
 pub(super) fn parse_raw(raw: &RawValue) -> Value {
     serde_json::from_str(raw.get()).unwrap_or(Value::Null)
 }
 
-/// Get a count that fits.
+/// Get a count as 32 bits, limited to the largest value.
 pub(super) fn saturate(count: u64) -> u32 {
     u32::try_from(count).unwrap_or(u32::MAX)
 }
 
-/// Get the name of a value's type, as findings tell it.
+/// Get the name of a value's type, as findings report it.
 fn type_of(value: &Value) -> &'static str {
     match value {
         Value::Null => "null",
--- a/bergamotswitch-net/src/caller/event_stream.rs
+++ b/bergamotswitch-net/src/caller/event_stream.rs
@@ -1,4 +1,4 @@
-//! Provides answers as server-sent events, for callers that want a stream.
+//! Provides answers as server-sent events, for callers that request a stream.
 
 use std::convert::Infallible;
 
@@ -14,26 +14,25 @@
 use crate::answer::AnswerPart;
 use crate::follower::AnswerFollower;
 
-/// The content type of streams.
 pub(super) const EVENT_STREAM_TYPE: &str = "text/event-stream";
 
-/// A piece of a stream's body.
+/// A chunk of bytes in the body of an event stream.
 pub(super) type EventBytes = Result<Bytes, Infallible>;
 
-/// Write a stream into a response.
+/// Write an event stream into a response.
 pub(super) fn write_stream(events: BoxStream<'static, EventBytes>, res: &mut Response) {
     let headers = res.headers_mut();
     let content_type = HeaderValue::from_static(EVENT_STREAM_TYPE);
     headers.insert(header::CONTENT_TYPE, content_type);
-    // A cache between the two ends would hold back or repeat another
-    // request's answer.
+    // A cache between host and caller could delay the answer or serve it for
+    // another request.
     let no_store = HeaderValue::from_static("no-store");
     headers.insert(header::CACHE_CONTROL, no_store);
     res.replace_body(ResBody::stream(events));
 }
 
-/// Get an answer as events. `usage` says whether the caller wants the usage
-/// at the end.
+/// Get an answer as events. `usage` is whether the caller requested the usage
+/// chunk.
 pub(super) fn answer_events(
     follower: AnswerFollower,
     usage: bool,
@@ -42,7 +41,7 @@
         let mut follower = follower?;
         loop {
             match follower.next().await {
-                // The head was sent already.
+                // The head has been sent before the events.
                 AnswerPart::Head { .. } => {}
                 AnswerPart::Data(data) if is_hidden(&data, usage) => {}
                 AnswerPart::Data(data) => return Some((Ok(data_event(&data)), Some(follower))),
@@ -51,7 +50,8 @@
                     let page = RefusalPage::new(refusal);
                     return Some((Ok(error_event(&page.json_text())), None));
                 }
-                // Only a first part can say so, and that was seen before.
+                // An answer is forwarded only as a whole, which is checked
+                // before its events are sent.
                 AnswerPart::Forward(_) => return None,
             }
         }
@@ -59,30 +59,31 @@
     events.boxed()
 }
 
-/// Get a stream of one event that tells a refusal.
+/// Get a stream with one event that reports a refusal.
 pub(super) fn refusal_events(page: &RefusalPage) -> BoxStream<'static, EventBytes> {
     error_events(&page.json_text())
 }
 
-/// Get a stream of one event that tells an error.
+/// Get a stream with one event that reports an error.
 pub(super) fn error_events(text: &str) -> BoxStream<'static, EventBytes> {
     stream::iter([Ok(error_event(text))]).boxed()
 }
 
-/// Get a comment: it reaches the caller, and event parsers pass over it.
+/// Get a comment of an event stream, which event parsers ignore.
 pub(super) fn comment(text: &str) -> Bytes {
     Bytes::from(format!(": {text}\n\n"))
 }
 
-/// Get an event that says why there is no whole answer.
+/// Get an event that reports why the answer is incomplete.
 pub(super) fn error_event(text: &str) -> Bytes {
-    // A line break would end the data early; in JSON it is only a blank.
+    // A line break would end the event's data; in JSON text it can be replaced
+    // by a space.
     let line = text.replace(['\r', '\n'], " ");
     Bytes::from(format!("event: error\ndata: {line}\n\n"))
 }
 
-/// Get an event with data. Data with line breaks takes several lines; a line
-/// without its field's name would be lost to the caller.
+/// Get an event with the given data. Each line of the data needs the field
+/// name, or parsers would ignore it.
 fn data_event(data: &[u8]) -> Bytes {
     let mut event = Vec::with_capacity(data.len() + 8);
     for line in data.split(|byte| *byte == b'\n') {
@@ -94,9 +95,9 @@
     Bytes::from(event)
 }
 
-/// Get whether the caller is not shown a chunk: the engine's own end mark,
-/// and the usage that the host asked for but the caller did not. Many client
-/// libraries fail on a chunk without choices that they did not ask for.
+/// Get whether a chunk is withheld from the caller: the engine's own end mark,
+/// and a usage chunk that the caller did not request. Some client libraries
+/// fail on chunks without choices.
 fn is_hidden(data: &[u8], usage: bool) -> bool {
     if data.trim_ascii() == DONE_MARK {
         return true;
--- a/bergamotswitch-net/src/caller/fields.rs
+++ b/bergamotswitch-net/src/caller/fields.rs
@@ -1,4 +1,4 @@
-//! Provides the header fields of callers' requests.
+//! Provides the header fields of callers' requests and their validation.
 
 use std::time::Duration;
 
@@ -8,55 +8,56 @@
 use bergamotswitch_core::rules::{Verdict, WorkKind};
 use http::{HeaderMap, HeaderName, header};
 
-/// The caller's own name of its request.
+/// The idempotency key that the caller gave its request.
 pub(super) const IDEMPOTENCY_KEY_FIELD: HeaderName = HeaderName::from_static("idempotency-key");
-/// The run of the host that holds the request.
+/// The incarnation of the host that holds the request.
 pub(super) const INCARNATION_FIELD: HeaderName = HeaderName::from_static("bergamot-incarnation");
-/// The request's id, in answers.
+/// The id of the request, in answers.
 pub(super) const REQUEST_ID_FIELD: HeaderName = HeaderName::from_static("bergamot-request");
-/// Whether the caller sent the request before.
+/// Whether the caller has sent the request before.
 pub(super) const RESUBMISSION_FIELD: HeaderName = HeaderName::from_static("bergamot-resubmission");
-/// The milliseconds until the answer is of no use.
+/// The time after which the answer is of no use to the caller, in milliseconds
+/// from now.
 pub(super) const DEADLINE_FIELD: HeaderName = HeaderName::from_static("bergamot-deadline-ms");
-/// The caller's word for what the request is for.
+/// The kind of work that the caller declares.
 pub(super) const WORK_FIELD: HeaderName = HeaderName::from_static("bergamot-work");
 /// `false` forbids a second run.
 pub(super) const IDEMPOTENT_FIELD: HeaderName = HeaderName::from_static("bergamot-idempotent");
 /// `true` forbids a second dispatch.
 pub(super) const DISPATCH_ONCE_FIELD: HeaderName =
     HeaderName::from_static("bergamot-dispatch-once");
-/// Set by a host that forwards a request to its holder.
+/// The mark of a request that another host forwarded.
 pub(super) const FORWARDED_FIELD: HeaderName = HeaderName::from_static("bergamot-forwarded");
-/// Tells common client libraries not to send a request again by themselves.
+/// `false` keeps common client libraries from retrying automatically.
 pub(super) const SHOULD_RETRY_FIELD: HeaderName = HeaderName::from_static("x-should-retry");
 
 const BEARER_SCHEME: &str = "bearer";
 
-/// A `CallerDeadline` is what the caller says about its deadline.
+/// A `CallerDeadline` is the deadline that the caller sets.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum CallerDeadline {
-    /// Nothing: the rule's deadline holds.
+    /// No deadline of its own: that of the rule applies.
     #[default]
     Absent,
-    /// The answer is of use for this long.
+    /// The deadline is this far ahead.
     Within(Duration),
-    /// It has passed already.
+    /// The deadline has passed.
     Passed,
 }
 
-/// A `CallerFields` is the checked fields of a request, but for its bearer
-/// key.
+/// A `CallerFields` is the validated header fields of a request, without its
+/// bearer key.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CallerFields {
-    /// The caller's key.
+    /// The idempotency key.
     pub(super) key: Option<CallerKey>,
-    /// The run that the caller was told to hold its request.
+    /// The host incarnation that the caller names as the holder of its request.
     pub(super) holder: Option<HostIncarnation>,
-    /// Whether the caller marked it as a resubmission.
+    /// Whether the caller marked the request as a resubmission.
     pub(super) resubmission: bool,
-    /// The caller's deadline.
+    /// The deadline.
     pub(super) deadline: CallerDeadline,
-    /// The caller's word for what the request is for.
+    /// The kind of work that the caller declares.
     pub(super) work: Option<WorkKind>,
     /// Whether the caller forbids a second run.
     pub(super) forbids_rerun: bool,
@@ -67,7 +68,7 @@
 }
 
 impl CallerFields {
-    /// Get the fields out of `headers`; what is wrong goes to `findings`.
+    /// Read the fields of `headers`, and add their faults to `findings`.
     pub(super) fn read(headers: &HeaderMap, findings: &mut Findings) -> Self {
         let mut reader = FieldReader { headers, findings };
         CallerFields {
@@ -84,8 +85,8 @@
         }
     }
 
-    /// Get the verdict made stricter by the caller's marks. A caller cannot
-    /// loosen what the operators' rule says.
+    /// Get the verdict restricted by the caller's fields. A caller cannot relax
+    /// the operators' rule.
     pub(super) fn tighten(&self, mut verdict: Verdict) -> Verdict {
         verdict.idempotent &= !self.forbids_rerun;
         verdict.dispatch_once |= self.dispatch_once;
@@ -112,8 +113,8 @@
 }
 
 impl<'a> FieldReader<'a> {
-    /// Get a field's text. A field that stands twice is refused: two hosts
-    /// could each believe another one of the two keys.
+    /// Get the text of a field. A repeated field is refused, because two hosts
+    /// could each use a different one of its values.
     fn text(&mut self, name: &HeaderName) -> Option<&'a str> {
         let mut values = self.headers.get_all(name).iter();
         let value = values.next()?;
--- a/bergamotswitch-net/src/caller/forward.rs
+++ b/bergamotswitch-net/src/caller/forward.rs
@@ -1,5 +1,5 @@
-//! Provides forwarding: a request that another host holds is sent on to that
-//! host's caller address, and its answer is passed back as it comes.
+//! Provides the forwarding of a request to the caller address of the host that
+//! holds it, and of that host's answer to the caller.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -25,7 +25,7 @@
 };
 use super::refusal_page::{RefusalPage, header_value};
 
-/// The fields of a request that its holder needs.
+/// The header fields of a request that are forwarded to its holder.
 const FORWARDED_REQUEST_FIELDS: [HeaderName; 9] = [
     header::AUTHORIZATION,
     header::CONTENT_TYPE,
@@ -38,7 +38,7 @@
     DISPATCH_ONCE_FIELD,
 ];
 
-/// The fields of an answer that its caller needs.
+/// The header fields of an answer that are forwarded to the caller.
 const FORWARDED_ANSWER_FIELDS: [HeaderName; 7] = [
     header::CONTENT_TYPE,
     header::CACHE_CONTROL,
@@ -49,10 +49,10 @@
     SHOULD_RETRY_FIELD,
 ];
 
-/// When the system begins to probe a connection on which nothing moves, how
-/// often, and how many probes may stay unanswered. A connection that went
-/// silent for good would otherwise hold its caller for ever, and a planned
-/// stop with it; one that is only quiet answers the probes and stays.
+/// The TCP keepalive settings: idle time before the first probe, interval of
+/// the probes, and unanswered probes before the connection is closed. Without
+/// them a dead connection would block its caller, and a graceful stop, forever.
+/// A connection that is merely idle answers the probes and stays open.
 pub(super) const KEEPALIVE_IDLE: Duration = Duration::from_secs(15);
 pub(super) const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
 pub(super) const KEEPALIVE_PROBES: u32 = 3;
@@ -60,20 +60,16 @@
 /// An `OriginalCall` is a request as its caller sent it.
 #[derive(Clone, Debug)]
 pub(super) struct OriginalCall {
-    /// The method.
     pub(super) method: Method,
-    /// Path and query.
     pub(super) path_and_query: String,
-    /// The fields.
     pub(super) headers: HeaderMap,
-    /// The body.
     pub(super) body: Bytes,
-    /// Whether another host forwarded it here.
+    /// Whether another host forwarded the request to this one.
     pub(super) forwarded: bool,
 }
 
 impl OriginalCall {
-    /// Get a request whose body was read.
+    /// Get the original of a request whose body has been read.
     pub(super) fn new(req: &Request, body: Bytes, forwarded: bool) -> Self {
         let uri = req.uri();
         let path_and_query = match uri.path_and_query() {
@@ -89,9 +85,9 @@
         }
     }
 
-    /// Get the request as it goes to the holder that a shard's owner named:
-    /// the owner has seen its key before. A holder that has forgotten the key
-    /// would take an unmarked one for new and run it a second time.
+    /// Get the request marked as a resubmission, for a holder named by the
+    /// owner of the key's shard. A holder that no longer has the key would
+    /// otherwise accept the request as new and run it a second time.
     pub(super) fn into_resubmission(mut self) -> Self {
         let marked = HeaderValue::from_static("true");
         self.headers.insert(RESUBMISSION_FIELD, marked);
@@ -99,7 +95,8 @@
     }
 }
 
-/// Get the settings by which the system proves an idle connection alive.
+/// Get the TCP keepalive settings of callers' connections and of connections to
+/// other hosts.
 pub(super) fn keepalive() -> TcpKeepalive {
     TcpKeepalive::new()
         .with_time(KEEPALIVE_IDLE)
@@ -107,13 +104,14 @@
         .with_retries(KEEPALIVE_PROBES)
 }
 
-/// Try to send a request on to the host that holds it.
+/// Try to forward a request to the host that holds it.
 ///
 /// # Errors
 ///
-/// Returns the refusal `lost`, which leaves open whether the request ran,
-/// where it was forwarded before (two hosts could send it to and fro for
-/// ever), where the host is unknown, this one, or not to be reached.
+/// Returns the refusal `lost`, which leaves open whether the request ran, if
+/// the request was forwarded before (two hosts could forward it to each other
+/// without end), or if the holder is unknown, is this host or cannot be
+/// reached.
 pub(super) async fn forward(
     context: &CallerContext,
     original: &OriginalCall,
@@ -166,8 +164,8 @@
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
         .map_err(|_| ForwardFailure::NotConnected)?;
-    // The task ends with the connection, which ends when the answer's body is
-    // dropped: so the holder learns that the caller left.
+    // The connection ends when the body of the answer is dropped, by which the
+    // holder detects that the caller has left. The task ends with it.
     tokio::spawn(async move {
         let _ = connection.await;
     });
@@ -219,8 +217,8 @@
     request
 }
 
-/// Send a request on to the host that holds it, and write that host's answer,
-/// or the refusal where it was not reached.
+/// Forward a request to the host that holds it, and write that host's answer,
+/// or a refusal if it could not be reached.
 pub(super) async fn forward_and_write(
     context: &CallerContext,
     original: &OriginalCall,
--- a/bergamotswitch-net/src/caller/lookup.rs
+++ b/bergamotswitch-net/src/caller/lookup.rs
@@ -1,4 +1,4 @@
-//! Provides the callers' questions: which host to use, and what became of a
+//! Provides the callers' lookups: the hosts to use, and the outcome of a
 //! request.
 
 use std::sync::Arc;
@@ -25,13 +25,13 @@
 
 const INCARNATION_DIGITS: usize = 32;
 
-/// An `AddressHandler` handles questions which host to use.
+/// An `AddressHandler` handles lookups of the hosts to use.
 #[derive(Debug)]
 pub(super) struct AddressHandler {
     context: Arc<CallerContext>,
 }
 
-/// An `OutcomeHandler` handles questions what became of a request.
+/// An `OutcomeHandler` handles lookups of the outcome of a request.
 #[derive(Debug)]
 pub(super) struct OutcomeHandler {
     context: Arc<CallerContext>,
@@ -65,8 +65,9 @@
     }
 }
 
-/// Get what tells this caller from others: its own word, or else the network
-/// address that it comes from. Callers behind one address need the word.
+/// Get the hash that distinguishes this caller from others: of the name that it
+/// gives, or else of its IP address. Callers behind one IP address need a name
+/// to be distinguished.
 fn caller_hash(req: &Request) -> CallerHash {
     if let Some(name) = req.query::<String>("caller") {
         return CallerHash::of(&name);
@@ -95,8 +96,8 @@
         if !findings.is_empty() {
             return Err(RefusalPage::malformed(findings));
         }
-        // The run that holds the key answers for it, where the caller names
-        // another host's run.
+        // If the caller names the incarnation of another host, that host
+        // answers, as it holds the key.
         if let Some(holder) = fields.holder
             && holder.host != self.context.this_host.run.host
         {
@@ -111,7 +112,11 @@
     }
 }
 
-/// Try to ask the loop.
+/// Try to query the event loop.
+///
+/// # Errors
+///
+/// Returns a refusal if the event loop has ended.
 async fn query_loop<T>(
     context: &CallerContext,
     input: impl FnOnce(oneshot::Sender<T>) -> NodeInput,
@@ -150,7 +155,8 @@
     }
 }
 
-/// Get a request's id out of its text: 32 hex digits, a dash, a number.
+/// Get the request id of its text form: 32 hex digits, a dash and a decimal
+/// number.
 fn request_id(text: &str) -> Option<RequestId> {
     let (digits, number) = text.split_once('-')?;
     let hex_only = digits.bytes().all(|byte| byte.is_ascii_hexdigit());
--- a/bergamotswitch-net/src/caller/mod.rs
+++ b/bergamotswitch-net/src/caller/mod.rs
@@ -1,5 +1,5 @@
-//! Provides the callers' HTTP interface of a host: requests to engines and
-//! plain services, questions for addresses and outcomes. It is described in
+//! Provides the HTTP interface of a host for callers: requests to engines and
+//! plain services, and lookups of addresses and outcomes. It is described in
 //! `docs/API.md`.
 
 mod assembly;
@@ -34,8 +34,8 @@
 use refusal_page::IncarnationHeader;
 use service_handler::ServiceHandler;
 
-/// Get the routes of the callers' interface and, where the options say so,
-/// of the operators' interface.
+/// Get the routes of the callers' interface and, if the options say so, of the
+/// operators' interface.
 pub fn router(context: CallerContext) -> Router {
     let context = Arc::new(context);
     let mut router = Router::new()
@@ -56,8 +56,8 @@
     Router::with_path(form.path().trim_start_matches('/')).post(EngineHandler::new(context, form))
 }
 
-/// The methods are matched one by one by no filter: a service's path takes
-/// every method.
+/// Get the routes of plain services. They have no method filter, because a
+/// service may use every method.
 fn service_route(context: &Arc<CallerContext>) -> Router {
     Router::with_path("v1/services/{pool}")
         .goal(ServiceHandler::new(context))
--- a/bergamotswitch-net/src/caller/refusal_page.rs
+++ b/bergamotswitch-net/src/caller/refusal_page.rs
@@ -1,4 +1,5 @@
-//! Provides refusals as callers see them: a status, fields and JSON.
+//! Provides refusals as HTTP responses to callers: a status, header fields and
+//! JSON.
 
 use bergamotswitch_core::error::Findings;
 use bergamotswitch_core::host::HostIncarnation;
@@ -13,7 +14,8 @@
 /// The content type of refusals.
 pub(super) const JSON_TYPE: &str = "application/json";
 
-/// A `RefusalPage` is a refusal with what is said about it.
+/// A `RefusalPage` is a refusal as an HTTP response, with the findings and the
+/// detail that it reports.
 #[derive(Clone, Debug)]
 pub(super) struct RefusalPage {
     refusal: Refusal,
@@ -23,7 +25,7 @@
 }
 
 impl RefusalPage {
-    /// Get the page of a refusal.
+    /// Get the response to a refusal.
     pub(super) fn new(refusal: Refusal) -> Self {
         RefusalPage {
             status: status_of(refusal.reason()),
@@ -33,25 +35,25 @@
         }
     }
 
-    /// Get the page of a refusal made before the request was accepted.
+    /// Get the response to a request refused before it was accepted.
     pub(super) fn before_acceptance(reason: RefusalReason) -> Self {
         RefusalPage::new(Refusal::before_acceptance(reason))
     }
 
-    /// Get the page of a malformed request.
+    /// Get the response to a malformed request.
     pub(super) fn malformed(findings: Findings) -> Self {
         let mut page = RefusalPage::before_acceptance(RefusalReason::BadRequest);
         page.findings = findings;
         page
     }
 
-    /// Set another status.
+    /// Set another status than that of the reason.
     pub(super) fn with_status(mut self, status: StatusCode) -> Self {
         self.status = status;
         self
     }
 
-    /// Set what is said beyond the reason.
+    /// Set a detail that is added to the message of the reason.
     pub(super) fn with_detail(mut self, detail: impl Into<String>) -> Self {
         self.detail = Some(detail.into());
         self
@@ -94,21 +96,21 @@
         Value::Array(findings.collect())
     }
 
-    /// Write status, fields and JSON into a response.
+    /// Write status, header fields and JSON into a response.
     pub(super) fn write(&self, res: &mut Response) {
         res.status_code(self.status);
         let headers = res.headers_mut();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static(JSON_TYPE));
         if let Some(span) = self.refusal.retry_after() {
-            // The field has whole seconds; rounded down, callers would come
-            // back too early and be refused again.
+            // The field has whole seconds. Rounded down, it would make callers
+            // retry too early.
             let seconds = span.as_millis().div_ceil(1000);
             let seconds = u64::try_from(seconds).unwrap_or(u64::MAX);
             headers.insert(header::RETRY_AFTER, HeaderValue::from(seconds));
         }
-        // Common client libraries send a failed request again by themselves,
-        // by its status alone. Of a request that may have run this would be a
-        // second run, seen only at the engines; this field keeps them from it.
+        // Common client libraries retry a failed request by its status alone.
+        // For a request that may have run, the retry could be a second run;
+        // this field prevents it.
         if self.refusal.claim() == RunClaim::Unknown {
             headers.insert(SHOULD_RETRY_FIELD, HeaderValue::from_static("false"));
         }
@@ -171,13 +173,13 @@
     }
 }
 
-/// An `IncarnationHeader` marks each answer with this run of the host, but for
-/// answers that already carry the run of another one.
+/// An `IncarnationHeader` adds the incarnation of this host to each answer that
+/// does not already have that of another host.
 #[derive(Debug)]
 pub(super) struct IncarnationHeader(HeaderValue);
 
 impl IncarnationHeader {
-    /// Get the stamp of a run.
+    /// Get the header of an incarnation.
     pub(super) fn new(run: &HostIncarnation) -> Self {
         IncarnationHeader(header_value(run))
     }
@@ -199,7 +201,7 @@
     }
 }
 
-/// Get a field's value from something whose text is visible ASCII.
+/// Get the header value of something whose text is visible ASCII.
 pub(super) fn header_value(value: impl std::fmt::Display) -> HeaderValue {
     HeaderValue::try_from(value.to_string()).unwrap_or(HeaderValue::from_static(""))
 }
--- a/bergamotswitch-net/src/caller/server.rs
+++ b/bergamotswitch-net/src/caller/server.rs
@@ -1,4 +1,4 @@
-//! Provides the server of a host's HTTP interfaces, and its graceful stop.
+//! Provides the server of a host's HTTP interfaces and its graceful stop.
 
 use std::future::pending;
 use std::io;
@@ -17,7 +17,8 @@
 use super::context::{CallerContext, CallerOptions};
 use super::forward::keepalive;
 
-/// An `HttpServer` is a running server. Dropping it leaves the server run.
+/// An `HttpServer` is a running server, which continues to run if this handle
+/// is dropped.
 #[derive(Debug)]
 pub struct HttpServer {
     address: SocketAddr,
@@ -26,14 +27,14 @@
 }
 
 impl HttpServer {
-    /// Get where the server listens.
+    /// Get the address on which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Begin a graceful stop: connections are refused from now on, open ones
-    /// take no further request (`GOAWAY`, `connection: close`), and open
-    /// answers go on to their ends. No timer cuts an answer.
+    /// Begin a graceful stop: new connections are refused, open ones accept no
+    /// further requests (`GOAWAY`, `connection: close`), and answers in
+    /// progress are completed without a time limit.
     pub fn stop(&self) {
         self.stop.send_replace(true);
     }
@@ -51,31 +52,30 @@
     }
 }
 
-/// Try to serve callers. Must be called inside a tokio runtime.
+/// Try to serve the callers' interface. Must be called inside a tokio runtime.
 ///
 /// # Errors
 ///
-/// Returns an error where the listener cannot be used.
+/// Returns an error if the listener cannot be used.
 pub fn serve(listener: TcpListener, context: CallerContext) -> io::Result<HttpServer> {
     let opts = context.opts.clone();
     serve_router(listener, super::router(context), &opts)
 }
 
-/// Try to serve a router of this system. Must be called inside a tokio
-/// runtime.
+/// Try to serve a router. Must be called inside a tokio runtime.
 ///
 /// # Errors
 ///
-/// Returns an error where the listener cannot be used.
+/// Returns an error if the listener cannot be used.
 pub fn serve_router(
     listener: TcpListener,
     router: Router,
     opts: &CallerOptions,
 ) -> io::Result<HttpServer> {
     listener.set_nonblocking(true)?;
-    // Accepted connections inherit both settings. One that went silent for
-    // good is noticed and closed, a slow reader's is not; and tokens are sent
-    // as they come, not held back until the caller acknowledges earlier ones.
+    // Accepted connections inherit both settings. Keepalive closes dead
+    // connections but not those of slow readers; without delay, tokens are sent
+    // as they arrive and do not wait for acknowledgements of earlier ones.
     let socket = SockRef::from(&listener);
     socket.set_tcp_keepalive(&keepalive())?;
     socket.set_tcp_nodelay(true)?;
@@ -88,7 +88,7 @@
         stop: stop_signal,
         server: Arc::clone(&handle),
     };
-    // The bounds are on what callers send; none is on answers.
+    // The limits apply to requests only, not to answers.
     let fuse = FuseConfig::default().with_request_body_timeout(opts.body_idle_timeout);
     let server = Server::new(acceptor).fuse_config(fuse);
     handle.get_or_init(|| server.handle());
@@ -102,10 +102,10 @@
 
 /// A `ClosingAcceptor` closes its listener when a stop begins.
 ///
-/// The library's server only ceases to accept, and keeps the listener open
-/// until the last answer has ended. Callers that connect meanwhile would be
-/// taken by the kernel and wait, for as long as that answer lasts, at a host
-/// that never serves them; refused, they go to another host at once.
+/// The server of the HTTP library only ceases to accept, and keeps the listener
+/// open until the last answer has ended. Meanwhile the kernel would complete
+/// connections that are never served. With a closed listener they are refused,
+/// and callers try another host at once.
 struct ClosingAcceptor {
     inner: Option<TcpAcceptor>,
     stop: watch::Receiver<bool>,
@@ -130,9 +130,9 @@
         if let Some(inner) = &mut self.inner {
             tokio::select! {
                 biased;
-                // What the kernel has taken already is served.
+                // Connections that the kernel has completed are still served.
                 accepted = inner.accept(fuse_policy) => return accepted,
-                // Where nobody can say stop any more, this never matches.
+                // If the sender has been dropped, this branch never matches.
                 Ok(_) = self.stop.wait_for(|begun| *begun) => {}
             }
         }
@@ -140,7 +140,7 @@
         if let Some(server) = self.server.get() {
             server.stop_graceful(None);
         }
-        // The server takes up the stop and asks for no further connection.
+        // The server handles the stop signal and accepts no further connection.
         pending().await
     }
 }
--- a/bergamotswitch-net/src/caller/service_handler.rs
+++ b/bergamotswitch-net/src/caller/service_handler.rs
@@ -1,4 +1,4 @@
-//! Provides the handling of calls to plain services.
+//! Provides the handler of calls to plain services.
 
 use std::sync::Arc;
 
@@ -22,7 +22,7 @@
 use crate::answer::AnswerPart;
 use crate::input::OutgoingCall;
 
-/// What stands before the pool's name in the path of a call.
+/// The prefix of a call's path, which the name of the pool follows.
 const SERVICE_PREFIX: &str = "/v1/services/";
 
 /// The cost of a plain call, which has no tokens.
@@ -31,30 +31,31 @@
     decode: 1,
 };
 
-/// The content type of a call that names none.
+/// The content type of a call that has none.
 const DEFAULT_TYPE: &str = "application/octet-stream";
 
-/// A `ServiceHandler` handles calls to plain services. Their answers are passed
-/// on whole: so a broken one can never pass for a whole one.
+/// A `ServiceHandler` handles calls to plain services. Their answers are
+/// buffered, so that a truncated one is never passed on as complete.
 #[derive(Debug)]
 pub(super) struct ServiceHandler {
     context: Arc<CallerContext>,
 }
 
-/// A `ServicePath` is a call's path, taken apart.
+/// A `ServicePath` is the parsed path of a call.
 #[derive(Debug)]
 struct ServicePath {
     pool: PoolName,
-    /// Path and query at the target, as the caller wrote them.
+    /// Path and query at the target, as the caller sent them.
     target: String,
 }
 
 impl ServicePath {
-    /// Try to take a path apart. The router's own parts are decoded; what
-    /// goes to the target must stay as the caller wrote it.
+    /// Try to parse a path. It is taken from the original text, because the
+    /// router's parameters are decoded and the target must receive the path
+    /// unchanged.
     fn parse(original: &str) -> Result<Self, Findings> {
         let rest = original.strip_prefix(SERVICE_PREFIX).unwrap_or_default();
-        // The pool's name ends at the next slash, or at the query.
+        // The name of the pool ends at the next slash or at the query.
         let end = rest.find(['/', '?']).unwrap_or(rest.len());
         let (name, target) = rest.split_at(end);
         let pool = PoolName::try_from(name).map_err(|error| {
@@ -62,7 +63,7 @@
             findings.add("path:", format!("{name:?}"), error.to_string());
             findings
         })?;
-        // At the target the path begins with a slash in any case.
+        // The path at the target always begins with a slash.
         let target = match target.starts_with('/') {
             true => target.to_owned(),
             false => format!("/{target}"),
--- a/bergamotswitch-net/src/caller/submit.rs
+++ b/bergamotswitch-net/src/caller/submit.rs
@@ -1,4 +1,4 @@
-//! Provides the handing of a checked request to the loop.
+//! Provides the submission of a validated request to the event loop.
 
 use std::sync::Arc;
 
@@ -12,30 +12,30 @@
 use crate::handover;
 use crate::input::OutgoingCall;
 
-/// A `CheckedCall` is a caller's request that passed all checks made before
-/// the loop.
+/// A `CheckedCall` is a caller's request that has passed all checks made before
+/// submission.
 #[derive(Debug)]
 pub(super) struct CheckedCall {
-    /// What the decisions need.
+    /// The facts on which admission and scheduling depend.
     pub(super) submission: Submission,
-    /// What is sent to a target.
+    /// The call sent to a target.
     pub(super) call: OutgoingCall,
-    /// What the caller sent, in case another host holds the request.
+    /// The request as the caller sent it, for forwarding to another host.
     pub(super) original: OriginalCall,
 }
 
-/// A `SubmitResult` is what became of a request that was handed to the loop.
+/// A `SubmitResult` is the result of a submission to the event loop.
 #[derive(Debug)]
 pub(super) enum SubmitResult {
-    /// It is here.
+    /// This host holds the request.
     Local(Box<AnswerFollower>),
-    /// Another run of a host holds it.
+    /// Another host incarnation holds the request.
     Remote(HostIncarnation),
-    /// It is refused.
+    /// The request is refused.
     Refused(RefusalPage),
 }
 
-/// Hand a request to the loop and wait for its reception.
+/// Submit a request to the event loop and wait for the result.
 pub(super) async fn submit(
     context: &Arc<CallerContext>,
     submission: Submission,
