--- a/bergamotswitch-net/src/caller/event_stream.rs
+++ b/bergamotswitch-net/src/caller/event_stream.rs
@@ -50,8 +50,8 @@
                     let page = RefusalPage::new(refusal);
                     return Some((Ok(error_event(&page.json_text())), None));
                 }
-                // An answer is forwarded only as a whole, which is checked
-                // before its events are sent.
+                // `Forward` can only be the first part, and is handled before the events
+                // are sent.
                 AnswerPart::Forward(_) => return None,
             }
         }
--- a/bergamotswitch-net/src/gateway/answer_body.rs
+++ b/bergamotswitch-net/src/gateway/answer_body.rs
@@ -1,4 +1,4 @@
-//! Provides the bodies of answers to callers.
+//! Provides the bodies of answers to callers of the gateway.
 
 use std::fmt;
 use std::pin::Pin;
@@ -14,14 +14,15 @@
 use crate::answer::AnswerPart;
 use crate::follower::AnswerFollower;
 
-/// A `TruncatedAnswer` ends a body that is not whole. The connection is cut, so
-/// that what came cannot be taken for all of it.
+/// A `TruncatedAnswer` is the error that ends an incomplete body. The
+/// connection is closed, so that the caller does not take the body for
+/// complete.
 #[derive(Debug)]
 pub(crate) struct TruncatedAnswer;
 
 impl fmt::Display for TruncatedAnswer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the answer broke off")
+        write!(f, "the answer is truncated")
     }
 }
 
@@ -31,19 +32,19 @@
 
 /// An `AnswerBody` is the body of an answer to a caller.
 pub(crate) enum AnswerBody {
-    /// All of it.
+    /// A complete body; none once it has been sent.
     Buffered(Option<Bytes>),
-    /// Pieces as they come.
+    /// A body sent in chunks as they arrive.
     Streamed(ChunkStream),
 }
 
 impl AnswerBody {
-    /// Get the body that is these bytes.
+    /// Get a body of the given bytes.
     pub(crate) fn buffered(bytes: Bytes) -> Self {
         AnswerBody::Buffered(Some(bytes).filter(|bytes| !bytes.is_empty()))
     }
 
-    /// Get the body that follows an answer.
+    /// Get the body that streams the data of a followed answer.
     pub(crate) fn follow(follower: AnswerFollower) -> Self {
         let chunks = stream::unfold(Some(follower), |follower| async move {
             let mut follower = follower?;
@@ -53,10 +54,9 @@
                     AnswerPart::Data(bytes) => Some((Ok(bytes), Some(follower))),
                     AnswerPart::End => None,
                     AnswerPart::Refused(_) | AnswerPart::Forward(_) => {
-                        // The connection is cut at once by an error, with the
-                        // head and the pieces that are still in its buffer: a
-                        // caller whose answer breaks off right behind them would
-                        // see none of it. A pause has them written first.
+                        // The error closes the connection at once, and a head and
+                        // chunks still in its write buffer would be lost. Yielding
+                        // first lets them be written.
                         yield_now().await;
                         Some((Err(TruncatedAnswer), None))
                     }
@@ -100,7 +100,7 @@
     }
 }
 
-/// Get the answer with a target's status and fields.
+/// Get the answer with a target's status and header fields.
 pub(crate) fn target_answer(
     status: u16,
     content_type: &str,
--- a/bergamotswitch-net/src/gateway/call.rs
+++ b/bergamotswitch-net/src/gateway/call.rs
@@ -1,5 +1,5 @@
-//! Provides the way of a call through the gateway: what it asks for, whether
-//! it may, its body, the loop, and the answer.
+//! Provides the handling of a call to the gateway: routing, authentication,
+//! reading of the body, submission to the event loop, and the answer.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -32,35 +32,36 @@
 use crate::input::{NodeInput, OutgoingCall};
 use crate::target_client::routed_call::RoutedCall;
 
-/// How much longer than on time an answer that may come from another target
-/// may take to begin before its target counts as silent.
+/// The start timeout of an attempt that may be retried, as a multiple of the
+/// route's goal for the first answer. An attempt without an answer until then
+/// counts as failed.
 const START_TIMEOUT_FACTOR: u32 = 4;
 
-/// The part of the time left within which a silent target must be given up
-/// for a second one to be of use.
+/// The part of the remaining time to which the start timeout is limited (one in
+/// this many), so that enough is left for a retry.
 const START_TIMEOUT_DIVISOR: u32 = 3;
 
-/// The pause of a stream after which its target counts as silent. Events come
-/// every 50 ms, at slow targets every 300 ms; callers give up after 2 s.
+/// The longest gap between events of a stream that may be retried; after it the
+/// attempt counts as failed. It exceeds the gaps of slow targets and is below
+/// the callers' own timeout.
 const STREAM_GAP_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// When a caller should come back for which there was no room to take its
-/// body in: bodies are held for fractions of a second.
+/// The retry delay of callers refused because there was no memory for their
+/// body.
 const BODY_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// When a caller should come back to a host that does not know the routes
-/// yet.
+/// The retry delay of callers refused by a host that has not loaded the routes.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// The client account of calls that need no key.
+/// The client account of calls without an authenticated key.
 const PUBLIC_ACCOUNT: &str = "public";
 
-/// A `CallFailure` ends a call before it reaches the loop.
+/// A `CallFailure` ends a call before it is submitted to the event loop.
 #[derive(Debug)]
 enum CallFailure {
-    /// It is refused.
+    /// The call is refused.
     Refused(Refusal),
-    /// Its caller went away.
+    /// The caller closed its connection.
     CallerLeft,
 }
 
@@ -74,7 +75,7 @@
     }
 }
 
-/// Answer a call.
+/// Handle a call and get the answer to it.
 pub(super) async fn answer(
     context: Arc<GatewayContext>,
     request: Request<Incoming>,
@@ -83,11 +84,11 @@
         Ok(response) => response,
         Err(CallFailure::Refused(refusal)) => {
             let turned = NodeInput::Turned(refusal.reason(), None);
-            // The loop is gone only while the process ends.
+            // The event loop has ended only while the process exits.
             let _ = context.node.send(turned);
             refusal_response(&refusal)
         }
-        // Nobody reads this answer.
+        // This answer is not delivered to anyone.
         Err(CallFailure::CallerLeft) => {
             refusal_response(&Refusal::before_acceptance(RefusalReason::CallerLeft))
         }
@@ -135,9 +136,9 @@
     }
 }
 
-/// Get the refusal of a call whose route or key is not known here. Where what
-/// is known here may be old, the route or key may well be there by now: then
-/// nothing is said against it.
+/// Get the refusal of a call whose route or key is unknown. If this host's
+/// configuration may be stale, the route or key may exist, and the caller is
+/// asked to retry.
 async fn unknown_route_or_key(context: &GatewayContext, reason: RefusalReason) -> CallFailure {
     match query_loop(context, NodeInput::KeysTrusted).await {
         Some(true) => CallFailure::new(reason),
@@ -145,7 +146,7 @@
     }
 }
 
-/// An `Admission` is a call with the route and account that it may use.
+/// An `Admission` is the route, account and pool that a call uses.
 struct Admission<'a> {
     route: &'a Route,
     account: Option<&'a KeyedAccount>,
@@ -155,7 +156,7 @@
 }
 
 impl<'a> Admission<'a> {
-    /// Try to find the route and account of a call.
+    /// Try to find the route, account and pool of a call.
     fn try_new(publication: &'a Publication, call: &CallerCall) -> Result<Self, RefusalReason> {
         let routes = &publication.routes;
         let route = routes.route(&call.host, &call.path);
@@ -217,8 +218,8 @@
             streaming: semantics.is_stream(),
             options: CallOptions {
                 max_runs: Some(self.route.max_runs),
-                // Beyond, its answer would be late, and every place in the
-                // queue that it holds makes the next one late as well.
+                // A request queued for longer than this would be answered late,
+                // and would delay those behind it.
                 first_answer_goal: Some(first_answer),
                 resumable: semantics == CallSemantics::ResumableStream,
                 ends_at_deadline: true,
@@ -264,14 +265,14 @@
 }
 
 fn public_account() -> AccountName {
-    AccountName::try_from(PUBLIC_ACCOUNT).expect("the constant is a name")
+    AccountName::try_from(PUBLIC_ACCOUNT).expect("the constant is a valid account name")
 }
 
 fn quota_tokens(tokens: CallTokens) -> u64 {
     u64::from(tokens.prompt) + u64::from(tokens.most_output)
 }
 
-/// Get what a call costs a target, as far as it says.
+/// Get the estimated cost of a call, from the token counts that it declares.
 fn cost(tokens: Option<CallTokens>) -> TokenCost {
     match tokens {
         Some(tokens) => TokenCost {
@@ -285,7 +286,7 @@
     }
 }
 
-/// Take a call's body in, within the callers' limits and the host's memory.
+/// Read the body of a call, within the size limit and the memory for bodies.
 async fn read_body(
     context: &GatewayContext,
     publication: &Publication,
@@ -316,9 +317,9 @@
     }
 }
 
-/// Take room for a body. Without the bound, a burst of long bodies would take
-/// a small host over its memory, and its process would be killed with every
-/// request in it.
+/// Reserve memory for a body. Without this limit, a burst of large bodies could
+/// exhaust the host's memory, and its process would be killed with all requests
+/// that it holds.
 fn reserve_body_memory(
     context: &GatewayContext,
     length: u64,
@@ -329,12 +330,13 @@
     permit.map_err(|_| CallFailure::retry_later(RefusalReason::Overloaded, BODY_RETRY_AFTER))
 }
 
-/// Follow an accepted call's answer.
+/// Get the response to an accepted call.
 ///
-/// An answer that is over may begin with the error of a target that another one
-/// was to follow, and end with a refusal. Passed on as it comes, its body would
-/// break off at once, and the caller's connection close before the error's head has
-/// left: the caller has no answer at all. Only a stream's own head begins one.
+/// Only a stream whose target answered with success is passed on as it arrives.
+/// Other answers are buffered: one that consists of a target's error, awaiting
+/// a retry, and then a refusal would otherwise begin with the error's head and
+/// close the connection before that head was written, so that the caller
+/// received no answer.
 async fn follow(mut follower: AnswerFollower, is_stream: bool) -> Response<AnswerBody> {
     if !is_stream {
         return buffered_answer(follower.whole().await);
@@ -351,8 +353,8 @@
     }
 }
 
-/// Get whether an event of a stream came. An error's body is none: another
-/// target may still be tried.
+/// Get whether a successful stream has its first data. Data of an error
+/// response does not count, because the call may be retried at another target.
 fn has_event(parts: &[AnswerPart]) -> bool {
     let mut parts = parts.iter();
     let begun = match parts.next() {
--- a/bergamotswitch-net/src/gateway/listener.rs
+++ b/bergamotswitch-net/src/gateway/listener.rs
@@ -1,4 +1,4 @@
-//! Provides the listening and the connections of the gateway.
+//! Provides the listeners and connections of the gateway.
 
 use std::convert::Infallible;
 use std::io;
@@ -18,21 +18,26 @@
 use super::{GatewayContext, GatewayPhase};
 use crate::task_guard::TaskGuard;
 
-/// The least buffer for a head that the library takes.
+/// The smallest buffer for request heads that the HTTP library allows.
 const MIN_HEAD_BUFFER: usize = 8_192;
 
-/// The idle time after which the kernel probes a caller's connection, and how
-/// often it does: callers whose machine lost power are noticed within some
-/// ten seconds, and what runs for them ends.
+/// The idle time before the first TCP keepalive probe, the interval of the
+/// probes, and the number of unanswered probes after which a connection is
+/// closed. Callers whose machine lost power are detected by them, and their
+/// requests are cancelled.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(4);
 const KEEPALIVE_PROBES: u32 = 3;
 
-/// The pause after an accept that failed for want of descriptors: at once it
-/// would fail again, and the loop would spin.
+/// The delay after a failed accept. Without it the task would spin while the
+/// process has no free file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Try to answer what comes on a listener by `handler`, until the guard is
-/// dropped. Its connections end in the phase `closing_phase`.
+/// Try to serve the connections of a listener with `handler`, until the guard
+/// is dropped. Connections close once the phase `closing_phase` is reached.
+///
+/// # Errors
+///
+/// Returns an error if the listener cannot be used.
 pub(super) fn serve<Handler, Answer>(
     listener: std::net::TcpListener,
     context: &Arc<GatewayContext>,
@@ -90,13 +95,14 @@
             let chunked = bergamotswitch_platform::call::is_chunked(request.headers());
             let phase = context.phase.clone();
             let mut response = handler(context, request).await;
-            // Looked at after the call: a stop that begins while it waits makes
-            // its caller go elsewhere as well.
+            // The phase is read after the call, so that a stop that begins
+            // during the call closes the connection, too.
             let stopping = *phase.borrow() != GatewayPhase::Serving;
-            // Where a body came in chunks, a length that stood beside them is
-            // not seen here: what follows on the connection might be the rest
-            // of a body in the eyes of whoever stands before the caller, and
-            // would run as a request that nobody sent.
+            // A `content-length` beside a chunked body is not visible here. A
+            // proxy that delimits the body by it would see the rest of the
+            // connection as part of that body, and its content would run as a
+            // request that no caller sent (request smuggling). So the
+            // connection is closed.
             if chunked || stopping {
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(CONNECTION, close);
@@ -104,8 +110,8 @@
             Ok::<_, Infallible>(response)
         }
     });
-    // The library's bound on the time for a head counts from the end of the
-    // call before, so it bounds the idle time.
+    // The HTTP library measures this timeout from the end of the previous
+    // request, so it also limits the idle time.
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(Duration::from_millis(limits.idle_timeout_ms))
@@ -113,7 +119,7 @@
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let closing = async {
-        // The guard of the value seen must not be held over an await.
+        // The guard of the watched value must not be held across an await.
         drop(phase.wait_for(|phase| *phase >= closing_phase).await);
     };
     let ended = tokio::select! {
@@ -128,6 +134,6 @@
         }
     };
     if let Err(error) = served {
-        log::debug!("caller's connection ended: {error}");
+        log::debug!("caller connection failed: {error}");
     }
 }
--- a/bergamotswitch-net/src/gateway/lookup.rs
+++ b/bergamotswitch-net/src/gateway/lookup.rs
@@ -1,4 +1,5 @@
-//! Provides the answers to what is asked of a host beside calls.
+//! Provides the readiness checks, host address lookups and metrics of the
+//! gateway.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,12 +15,11 @@
 use super::answer_body::AnswerBody;
 use crate::input::NodeInput;
 
-/// How long callers may keep an answer. Some keep it three times as long, and
-/// a stopping host has to serve them until then: with one second it is done
-/// well within eight.
+/// How long callers may cache the addresses of hosts. Some cache them for three
+/// times as long, and a stopping host serves calls until then.
 pub(crate) const ADDRESS_LIFETIME: Duration = Duration::from_millis(1_000);
 
-/// Answer a question.
+/// Handle a readiness check or a lookup of host addresses.
 pub(super) async fn answer(
     context: Arc<GatewayContext>,
     request: Request<Incoming>,
@@ -43,7 +43,7 @@
     page.map(AnswerBody::buffered)
 }
 
-/// Show the metrics, whatever the path.
+/// Get the metrics, for any path.
 pub(super) async fn metrics(
     context: Arc<GatewayContext>,
     _request: Request<Incoming>,
@@ -51,7 +51,7 @@
     Response::new(AnswerBody::buffered(Bytes::from(context.metrics.render())))
 }
 
-/// Ask the loop; `None` where it is gone.
+/// Query the event loop. Returns `None` if it has ended.
 pub(super) async fn query_loop<T>(
     context: &GatewayContext,
     question: impl FnOnce(oneshot::Sender<T>) -> NodeInput,
--- a/bergamotswitch-net/src/gateway/mod.rs
+++ b/bergamotswitch-net/src/gateway/mod.rs
@@ -1,5 +1,6 @@
-//! Provides the gateway: the callers' interface of the users' platform, which
-//! routes by host name and path, and the questions that a host answers itself.
+//! Provides the gateway: the HTTP interface for callers on the users' platform,
+//! which routes calls by host name and path, and the readiness, address and
+//! metrics endpoints of a host.
 
 mod answer_body;
 mod call;
@@ -17,62 +18,63 @@
 use crate::task_guard::TaskGuard;
 use listener::serve;
 
-/// A `GatewaySockets` is where a gateway listens.
+/// A `GatewaySockets` is the listening sockets of a gateway.
 #[derive(Debug)]
 pub struct GatewaySockets {
     /// For calls.
     pub callers: std::net::TcpListener,
-    /// For questions whether this host is ready.
+    /// For readiness checks.
     pub readiness: std::net::TcpListener,
-    /// For questions where to connect.
+    /// For lookups of host addresses.
     pub directory: std::net::TcpListener,
-    /// For readers of the metrics.
+    /// For metrics scrapes.
     pub metrics: std::net::TcpListener,
 }
 
-/// A `GatewayPhase` is how far the gateway's stop is.
+/// A `GatewayPhase` is a phase of the gateway's graceful stop, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum GatewayPhase {
-    /// No stop.
+    /// No stop has begun.
     Serving,
-    /// Callers still come, and every answer closes its connection.
+    /// Connections are still accepted, and each answer closes its connection.
     Draining,
-    /// Callers' connections end with the answer that they carry.
+    /// Callers' connections close after the answer in progress.
     ClosingCalls,
-    /// So do operators'.
+    /// Connections of metrics scrapes close as well.
     ClosingMetrics,
 }
 
-/// A `GatewayContext` is what every handler needs.
+/// A `GatewayContext` is the state shared by all handlers of the gateway.
 #[derive(Clone, Debug)]
 pub(crate) struct GatewayContext {
     pub(crate) node: NodeSender,
     pub(crate) publication: watch::Receiver<Arc<Publication>>,
     pub(crate) metrics: Arc<NodeMetrics>,
     pub(crate) phase: watch::Receiver<GatewayPhase>,
-    /// Held by each connection, so that a stop can wait for all of them.
+    /// Held by each connection, so that a stop can wait for the end of all.
     pub(crate) connection_guard: mpsc::Sender<()>,
-    /// Bytes of bodies that may still be taken in.
+    /// The bytes of memory available for request bodies.
     pub(crate) body_memory: Arc<tokio::sync::Semaphore>,
 }
 
-/// A `GatewayServer` is a running gateway. Its drop closes all listeners.
+/// A `GatewayServer` is a running gateway. All listeners close when it is
+/// dropped.
 #[derive(Debug)]
 pub struct GatewayServer {
     phase: watch::Sender<GatewayPhase>,
     connections: mpsc::Receiver<()>,
-    /// Where callers and the platform ask.
+    /// The listeners for calls, readiness checks and address lookups.
     call_listeners: Vec<TaskGuard>,
-    /// Where operators ask.
+    /// The listener for metrics scrapes.
     metrics: TaskGuard,
 }
 
 impl GatewayServer {
-    /// Try to serve; must be called inside a tokio runtime.
+    /// Try to serve. Must be called inside a tokio runtime.
     ///
     /// # Errors
     ///
-    /// Returns an error where a listener cannot be used.
+    /// Returns an error if a listener cannot be used.
     pub fn try_new(
         sockets: GatewaySockets,
         node: NodeSender,
@@ -106,27 +108,26 @@
         })
     }
 
-    /// Begin a graceful stop: every further answer closes its connection, and
-    /// callers that still come are served.
+    /// Begin to drain: connections are still accepted, and each answer closes
+    /// its connection.
     pub fn begin_drain(&self) {
         self.phase.send_replace(GatewayPhase::Draining);
     }
 
-    /// Close the door: no connection of a caller is taken, and each open one
-    /// ends with the answer that it waits for. Operators are answered for as long
-    /// as work goes on: what a stop turns away could not be seen otherwise.
+    /// Close the listeners for calls, readiness checks and address lookups.
+    /// Each of their open connections closes after the answer in progress.
+    /// Metrics are still served, so that refusals during the stop are visible.
     pub fn close_call_listeners(&mut self) {
         self.phase.send_replace(GatewayPhase::ClosingCalls);
         self.call_listeners.clear();
     }
 
-    /// Take no further callers, and wait until the open answers have left,
-    /// however long their callers take to read them.
+    /// Close all listeners, and wait until the answers in progress have been
+    /// written, however slowly their callers read.
     ///
-    /// A run that ends frees the loop before the last bytes of its answer were
-    /// written. A process that ended then would cut the answer off; one would
-    /// see streams closed in their middle at the moment at which their runs
-    /// end.
+    /// The event loop ends a request before the last bytes of its answer have
+    /// been written; without this wait, the exit of the process would truncate
+    /// such answers.
     pub async fn close(mut self) {
         self.close_call_listeners();
         let GatewayServer {
@@ -137,7 +138,7 @@
         } = self;
         drop(metrics);
         phase.send_replace(GatewayPhase::ClosingMetrics);
-        // Nothing is ever sent: the end of the last sender is waited for.
+        // Nothing is ever sent: this waits until all senders have been dropped.
         let _ = connections.recv().await;
     }
 }
--- a/bergamotswitch-net/tests/caller_requests/answers.rs
+++ b/bergamotswitch-net/tests/caller_requests/answers.rs
@@ -1,4 +1,4 @@
-//! How answers reach callers, as streams and whole.
+//! Tests of streamed and buffered answers to callers.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -40,7 +40,7 @@
     assert_eq!(answer.field("content-type"), "text/event-stream");
     assert_eq!(answer.field("bergamot-request"), host.id(1).to_string());
     let events: Vec<&str> = answer.text.split_terminator("\n\n").collect();
-    // The caller did not ask for the usage, so it sees none.
+    // The caller did not request the usage chunk, so it is withheld.
     assert_eq!(events.len(), 3);
     assert!(events[0].starts_with("data: {") && events[0].contains("At "));
     assert_eq!(events[2], "data: [DONE]");
@@ -91,14 +91,14 @@
 
 #[tokio::test]
 async fn incarnation_sent_first() {
-    // Symptom: two trajectory reports for one key.
-    // Sequence: a request without incarnation is dispatched; its connection
-    // breaks; the caller retries at another host, which knows nothing of it.
-    // Cause: the caller learnt the holding run only with the answer.
+    // Guards against a second run of a request that must run once: if the
+    // connection breaks before the caller knows the incarnation of the holder,
+    // its retry at another host looks like a new request.
     let mut host = FakeHost::ready("sanjuan-1", &[]);
     let fields = [("idempotency-key", "fall-7"), ("bergamot-work", "report")];
     let response = within_timeout(send(host.server.address(), chat(true, &fields))).await;
-    // The loop has not answered yet, and the caller has head and run.
+    // The event loop has not answered yet, and the caller has the head and the
+    // incarnation.
     let run = host.run.to_string();
     assert_eq!(response.headers()["bergamot-incarnation"], run.as_str());
     let mut body = response.into_body();
@@ -117,8 +117,8 @@
 
 #[tokio::test]
 async fn incarnation_before_submission() {
-    // As above, at the moment that counts: when the loop first hears of the
-    // request, the run must have left this process already.
+    // As above: the incarnation must have been written when the event loop
+    // receives the request.
     let mut host = FakeHost::ready("sanjuan-1", &[]);
     let body = r#"{"model":"bolido-llm","stream":true,"messages":[{"role":"user","content":"a"}]}"#;
     let request = format!(
@@ -130,7 +130,7 @@
     stream.write_all(request.as_bytes()).expect("written");
     stream.set_nonblocking(true).expect("a setting");
     host.submitted().await;
-    // Without a wait: what is not there now was not sent before.
+    // The read does not wait: only what was sent before is available.
     let mut sent = [0; 4096];
     let len = stream.read(&mut sent).expect("head and run");
     let sent = String::from_utf8_lossy(&sent[..len]);
@@ -139,7 +139,7 @@
 
 #[tokio::test]
 async fn refused_after_head() {
-    // A refusal after the head is an error event; the stream has no [DONE].
+    // A refusal after the head is an error event, and the stream has no [DONE].
     let mut host = FakeHost::ready("sanjuan-1", &[]);
     let call = spawn_call(host.server.address(), chat(true, &[]));
     let writer = host.accept_next().await;
@@ -175,9 +175,8 @@
 
 #[tokio::test]
 async fn dropped_answer() {
-    // Symptom: a caller takes a broken answer for a whole one.
-    // Sequence: data came, then the loop dropped the answer without its end.
-    // Cause: the end of the parts taken for the end of the answer.
+    // Guards against a truncated answer that looks complete: the event loop
+    // drops the answer after its first data, without an end part.
     let mut host = FakeHost::ready("sanjuan-1", &[]);
     for (stream, status, code) in [(false, 502, "lost"), (true, 200, "answer-truncated")] {
         let call = spawn_call(host.server.address(), chat(stream, &[]));
@@ -195,11 +194,9 @@
 
 #[tokio::test]
 async fn attempt_replaced() {
-    // Symptom: a stream with [DONE] and no text, or with an engine's error
-    // text inside; or JSON where a stream was asked for.
-    // Sequence: an attempt's head, its first chunk without output, or its
-    // error came; the attempt was dropped and the next one ended otherwise.
-    // Cause: something was passed on while another attempt could follow.
+    // Guards against parts of a replaced attempt in the answer: its head, a
+    // chunk without output or its error must not be passed on while another
+    // attempt may follow.
     let mut host = FakeHost::ready("sanjuan-1", &[]);
     let role = data(&json!({"id": "chat-1", "choices": [{"delta": {"role": "assistant"}}]}));
     let error = AnswerPart::Data(Bytes::from_static(b"{\"error\":1}"));
@@ -225,10 +222,8 @@
 
 #[tokio::test]
 async fn attempt_replaced_after_output() {
-    // Symptom: one stream with the outputs of two runs.
-    // Sequence: output was passed on; before the loop heard of it, it had the
-    // attempt replaced.
-    // Cause: the reader went on by its place in the parts.
+    // Guards against a stream with the output of two runs: the attempt is
+    // replaced after some of its output has been passed on.
     let mut host = FakeHost::ready("sanjuan-1", &[]);
     let response = tokio::spawn(send(host.server.address(), chat(true, &[])));
     let writer = host.accept_next().await;
@@ -243,7 +238,7 @@
     let rest = read(response).await.text;
     assert!(rest.starts_with("event: error\n") && rest.contains("\"answer-truncated\""));
     assert!(!rest.contains("bolide") && !rest.contains("[DONE]"));
-    // The loop learns that this caller follows no more.
+    // The event loop is notified that this caller no longer follows the answer.
     assert!(matches!(host.input().await, NodeInput::CallerLeft(_)));
 }
 
@@ -271,7 +266,7 @@
     assert_eq!((answer.status, answer.text.as_str()), (201, "crew sent"));
     assert_eq!(answer.field("content-type"), "text/plain");
 
-    // Without a path the call goes to the service's root.
+    // A call without a path goes to the root of the service.
     let call = spawn_call(
         host.server.address(),
         get("/v1/services/red-app?day=2", &[]),
@@ -282,10 +277,8 @@
 
 #[tokio::test]
 async fn graceful_stop() {
-    // Symptom: a planned stop cuts an answer off.
-    // Sequence: an answer is half sent; the server is told to stop; the rest
-    // of the answer comes.
-    // Cause: a stop that closes open connections, at once or by a timer.
+    // Guards against a graceful stop that truncates answers in progress, at
+    // once or after a timeout.
     for h2 in [false, true] {
         stop_with_answer(h2).await;
     }
--- a/bergamotswitch-net/tests/caller_requests/checks.rs
+++ b/bergamotswitch-net/tests/caller_requests/checks.rs
@@ -1,4 +1,5 @@
-//! What is refused before the loop, and what reaches it.
+//! Tests of the checks made before a request is submitted to the event loop,
+//! and of what is submitted.
 
 use std::time::Duration;
 
@@ -17,7 +18,7 @@
 async fn rejection_reason(host: &mut FakeHost) -> RefusalReason {
     match host.input().await {
         NodeInput::Turned(reason, None) => reason,
-        other => panic!("not turned: {other:?}"),
+        other => panic!("not a counted refusal: {other:?}"),
     }
 }
 
@@ -127,9 +128,8 @@
 
 #[tokio::test]
 async fn long_body() {
-    // Symptom: one caller makes a host's memory grow without bound.
-    // Sequence: a body comes in chunks, with no announced length, and goes on.
-    // Cause: a limit that is checked only against the announced length.
+    // Guards against unbounded memory use by a chunked body without a declared
+    // length.
     let mut host = FakeHost::ready("sanjuan-1", &[]);
     let mut stream = TcpStream::connect(host.server.address())
         .await
@@ -144,15 +144,13 @@
         let piece = format!("1000\r\n{}\r\n", "x".repeat(4096));
         stream.write_all(piece.as_bytes()).await.expect("written");
     }
-    // The body has no end yet; the refusal does not wait for one.
+    // The body has not ended; the refusal does not wait for its end.
     assert_eq!(rejection_reason(&mut host).await, RefusalReason::TooLarge);
 }
 
 #[tokio::test]
 async fn slow_caller() {
-    // Symptom: all callers wait although only one of them is slow.
-    // Sequence: a caller sends half of its body and pauses; another comes.
-    // Cause: a body read on the loop, or under something shared.
+    // Guards against a slow body that blocks the requests of other callers.
     let mut host = FakeHost::ready("sanjuan-1", &[]);
     let mut slow = TcpStream::connect(host.server.address())
         .await
@@ -171,9 +169,7 @@
 
 #[tokio::test]
 async fn stalled_body() {
-    // Symptom: half-read bodies of callers long gone fill a host's memory.
-    // Sequence: a connection goes silent for good inside a body.
-    // Cause: a read without a bound.
+    // Guards against partial bodies of dead connections that stay in memory.
     let opts = CallerOptions::default().with_body_idle_timeout(Duration::from_millis(50));
     let mut host = FakeHost::start_with("sanjuan-1", opts);
     host.publish(&[]);
@@ -232,7 +228,7 @@
 #[tokio::test]
 async fn stricter_fields() {
     let mut host = FakeHost::ready("sanjuan-1", &[]);
-    // A caller makes the rule's marks stricter.
+    // A caller may restrict the verdict of the rule.
     let strict = [
         ("bergamot-idempotent", "false"),
         ("bergamot-dispatch-once", "true"),
@@ -241,7 +237,7 @@
     let verdict = host.submitted().await.submission.verdict;
     call.abort();
     assert!(!verdict.idempotent && verdict.dispatch_once);
-    // It cannot loosen them, nor come later than the rule's deadline.
+    // It cannot relax the verdict, nor extend the deadline of the rule.
     let loose = [
         ("bergamot-work", "report"),
         ("bergamot-idempotent", "true"),
--- a/bergamotswitch-net/tests/caller_requests/disconnects.rs
+++ b/bergamotswitch-net/tests/caller_requests/disconnects.rs
@@ -1,4 +1,4 @@
-//! Callers that go away.
+//! Tests of callers that disconnect before their answer is complete.
 
 use bergamotswitch_core::entry::SubmitOutcome;
 use bergamotswitch_net::answer::{AnswerPart, AnswerWriter};
@@ -11,15 +11,14 @@
 async fn expect_caller_left(host: &mut FakeHost) {
     match host.input().await {
         NodeInput::CallerLeft(id) => assert_eq!(id, host.id(1)),
-        other => panic!("no leave: {other:?}"),
+        other => panic!("not a caller's disconnect: {other:?}"),
     }
 }
 
 #[tokio::test]
 async fn while_waiting() {
-    // Symptom: engines work for callers that are long gone.
-    // Sequence: a caller's request waits for its permit; its connection closes.
-    // Cause: nobody tells the loop.
+    // Guards against runs for callers that disconnected while their request was
+    // queued.
     let mut host = FakeHost::ready("sanjuan-1", &[]);
     for stream in [false, true] {
         let call = spawn_call(host.server.address(), chat(stream, &[]));
@@ -31,15 +30,14 @@
 
 #[tokio::test]
 async fn before_reception() {
-    // Symptom: as above, but now and then only.
-    // Sequence: the caller leaves after the submission and before the loop
-    // says under which id it took the request.
-    // Cause: the leave was bound to an id that was not known yet.
+    // Guards against a disconnect that is not reported because it happens after
+    // the submission and before the event loop has returned the id of the
+    // request.
     let mut host = FakeHost::ready("sanjuan-1", &[]);
     let call = spawn_call(host.server.address(), chat(false, &[]));
     let reply = host.submitted_reply().await;
     call.abort();
-    // The server must have seen the end of the connection.
+    // The server must have detected the end of the connection.
     tokio::time::sleep(std::time::Duration::from_millis(50)).await;
     let received = Received {
         reception: SubmitOutcome::Accepted(host.id(1)),
@@ -64,7 +62,8 @@
 
 #[tokio::test]
 async fn stream_reset() {
-    // Over HTTP/2 a caller leaves one request, not its connection.
+    // Over HTTP/2 a caller resets the stream of one request and keeps its
+    // connection.
     let mut host = FakeHost::ready("sanjuan-1", &[]);
     let address = host.server.address();
     let waiting = tokio::spawn(send_h2(address, chat(false, &[])));
@@ -84,7 +83,8 @@
 
 #[tokio::test]
 async fn after_complete_answer() {
-    // Who has the whole answer has not left.
+    // A caller that has received the complete answer is not reported as
+    // disconnected.
     let mut host = FakeHost::ready("sanjuan-1", &[]);
     for stream in [false, true] {
         let call = spawn_call(host.server.address(), chat(stream, &[]));
@@ -98,5 +98,8 @@
     within_timeout(host.server.stopped())
         .await
         .expect("a clean end");
-    assert!(host.inbox.try_recv().is_err(), "nothing more was told");
+    assert!(
+        host.inbox.try_recv().is_err(),
+        "unexpected input to the event loop"
+    );
 }
--- a/bergamotswitch-net/tests/caller_requests/fake_loop.rs
+++ b/bergamotswitch-net/tests/caller_requests/fake_loop.rs
@@ -1,4 +1,4 @@
-//! A host whose loop is played by the test, and a plain HTTP client.
+//! A host whose event loop is simulated by the test, and an HTTP client.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -29,15 +29,17 @@
 /// The demo account's bearer key.
 pub const KEY: &str = "volunteer-key";
 
-/// A bound on each wait; a test that reaches it has failed.
+/// The timeout of each wait of a test.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Wait for something under the common bound.
+/// Wait for a future, and panic if the timeout passes.
 pub async fn within_timeout<T>(wait: impl Future<Output = T>) -> T {
-    timeout(WAIT_TIMEOUT, wait).await.expect("in time")
+    timeout(WAIT_TIMEOUT, wait)
+        .await
+        .expect("completed before the timeout")
 }
 
-/// A host whose loop is played by the test.
+/// A host whose event loop is simulated by the test.
 pub struct FakeHost {
     pub server: HttpServer,
     pub run: HostIncarnation,
@@ -46,7 +48,7 @@
     publication: watch::Sender<Arc<Publication>>,
 }
 
-/// A request as the loop got it.
+/// A request as it was submitted to the event loop.
 pub struct Submitted {
     pub submission: Submission,
     pub call: OutgoingCall,
@@ -54,12 +56,12 @@
 }
 
 impl FakeHost {
-    /// Start a host of this name that has every value but hosts.
+    /// Start a host without published values.
     pub fn start(name: &str) -> Self {
         FakeHost::start_with(name, CallerOptions::default())
     }
 
-    /// Start a host with these options.
+    /// Start a host with the given options and without published values.
     pub fn start_with(name: &str, opts: CallerOptions) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let (node, inbox) = mpsc::unbounded_channel();
@@ -88,14 +90,15 @@
         }
     }
 
-    /// Start a host that has every value and knows the hosts at `addresses`.
+    /// Start a host that has every published value, with `hosts` in its host
+    /// list.
     pub fn ready(name: &str, hosts: &[(&str, SocketAddr)]) -> Self {
         let host = FakeHost::start(name);
         host.publish(hosts);
         host
     }
 
-    /// Put all values in force.
+    /// Publish all values, with this host and `hosts` in the host list.
     pub fn publish(&self, hosts: &[(&str, SocketAddr)]) {
         let mut listed = vec![(self.run.host.as_str(), self.server.address())];
         listed.extend_from_slice(hosts);
@@ -126,7 +129,7 @@
                 call: *call,
                 reply,
             },
-            other => panic!("no submission: {other:?}"),
+            other => panic!("not a submission: {other:?}"),
         }
     }
 
@@ -134,7 +137,7 @@
         self.submitted().await.reply
     }
 
-    /// Get the id of this host's request of this number.
+    /// Get the id of this host's request with the given sequence number.
     pub fn id(&self, sequence: u64) -> RequestId {
         RequestId {
             incarnation: self.run.incarnation,
@@ -172,7 +175,7 @@
             })
         })
         .collect();
-    // Nothing ever connects to targets and links.
+    // Nothing connects to the addresses of targets and links.
     let target = |name: &str, port: u16| {
         let address = format!("127.0.0.1:{port}");
         json!([{"name": name, "domain": "sanjuan", "address": address}])
@@ -207,7 +210,7 @@
     ]
 }
 
-/// Get a chat request with these further fields.
+/// Get a chat request with additional header fields.
 pub fn chat(stream: bool, fields: &[(&str, &str)]) -> Request<Full<Bytes>> {
     let body = json!({
         "model": "bolido-llm", "stream": stream, "max_tokens": 40, "seed": 7,
@@ -216,12 +219,12 @@
     post("/v1/chat/completions", &body.to_string(), fields)
 }
 
-/// Get a request with the demo account's key.
+/// Get a POST request with the demo account's key.
 pub fn post(path: &str, body: &str, fields: &[(&str, &str)]) -> Request<Full<Bytes>> {
     with_fields(Request::post(path), body, fields)
 }
 
-/// Get a question with the demo account's key.
+/// Get a GET request with the demo account's key.
 pub fn get(path: &str, fields: &[(&str, &str)]) -> Request<Full<Bytes>> {
     with_fields(Request::get(path), "", fields)
 }
@@ -242,8 +245,8 @@
     builder.body(body).expect("a request")
 }
 
-/// Send a request over a connection of its own. Dropping the answer, or the
-/// wait for it, closes the connection.
+/// Send a request over a new connection. Dropping the answer, or the future,
+/// closes the connection.
 pub async fn send(address: SocketAddr, request: Request<Full<Bytes>>) -> Response<Incoming> {
     let stream = TcpStream::connect(address).await.expect("a connection");
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
@@ -253,7 +256,7 @@
     sender.send_request(request).await.expect("an answer")
 }
 
-/// Send a request over an HTTP/2 connection of its own.
+/// Send a request over a new HTTP/2 connection.
 pub async fn send_h2(address: SocketAddr, request: Request<Full<Bytes>>) -> Response<Incoming> {
     let stream = TcpStream::connect(address).await.expect("a connection");
     let (mut sender, connection) = http2::handshake(TokioExecutor::new(), TokioIo::new(stream))
@@ -263,7 +266,7 @@
     sender.send_request(request).await.expect("an answer")
 }
 
-/// A read answer.
+/// An answer that was read to its end.
 pub struct ReadAnswer {
     pub status: u16,
     pub headers: HeaderMap,
@@ -291,7 +294,7 @@
     }
 }
 
-/// Send a request and read its answer in a task of its own.
+/// Send a request and read its answer in a separate task.
 pub fn spawn_call(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
@@ -299,7 +302,7 @@
     tokio::spawn(async move { read(send(address, request).await).await })
 }
 
-/// Read the next piece of a body.
+/// Read the next chunk of a body.
 pub async fn next_piece(body: &mut Incoming) -> String {
     let frame = within_timeout(body.frame()).await.expect("a piece");
     let data = frame.expect("a whole piece").into_data();
@@ -322,7 +325,7 @@
     AnswerPart::Data(Bytes::from(value.to_string()))
 }
 
-/// Get a chat chunk with this text.
+/// Get a chat completion chunk with the given text.
 pub fn chunk(text: &str) -> AnswerPart {
     data(&json!({
         "id": "chat-1", "object": "chat.completion.chunk", "model": "bolido-llm",
--- a/bergamotswitch-net/tests/caller_requests/forwarding.rs
+++ b/bergamotswitch-net/tests/caller_requests/forwarding.rs
@@ -1,4 +1,4 @@
-//! Requests that another host holds.
+//! Tests of requests that another host holds.
 
 use bergamotswitch_core::entry::SubmitOutcome;
 use bergamotswitch_core::host::HostIncarnation;
@@ -38,7 +38,7 @@
     ];
     let response = tokio::spawn(send(host.server.address(), chat(true, &fields)));
     reply_forward(&mut host, &holder.run).await;
-    // The holder gets the same request and decides.
+    // The holder receives the same request and accepts it.
     let submitted = holder.submitted().await;
     assert_eq!(submitted.submission.holder, Some(holder.run.clone()));
     assert_eq!(
@@ -48,7 +48,7 @@
     let writer = holder.accept(submitted.reply);
     writer.push(stream_head());
     writer.push(chunk("At "));
-    // The answer comes back as it comes, under the holder's run.
+    // The answer is streamed back with the holder's incarnation.
     let mut response = within_timeout(response).await.expect("an answer");
     assert_eq!(response.headers()["bergamot-incarnation"], run.as_str());
     assert!(next_piece(response.body_mut()).await.contains("At "));
@@ -58,8 +58,9 @@
 
 #[tokio::test]
 async fn holder_named_late() {
-    // An owner may know the key only after the caller was told this run. A
-    // holder that forgot it must not take it for new and run it again.
+    // Guards against a second run: the shard's owner may find the key only
+    // after this host has sent the caller its own incarnation, and the holder
+    // must not accept the request as new if it no longer has the key.
     let mut holder = FakeHost::ready("mza-norte-1", &[]);
     let hosts = [("mza-norte-1", holder.server.address())];
     let mut host = FakeHost::ready("sanjuan-1", &hosts);
@@ -81,7 +82,8 @@
         assert_eq!(answer.status, 200);
         assert!(answer.text.contains("dawn"));
         assert_eq!(answer.text.ends_with("data: [DONE]\n\n"), stream);
-        // A retry has to name the holder, not the run that was told first.
+        // A retry has to name the holder, and not the incarnation that was sent
+        // first.
         let incarnation = format!(": bergamot-incarnation {}\n", holder.run);
         assert_eq!(answer.text.contains(&incarnation), stream);
     }
@@ -89,10 +91,8 @@
 
 #[tokio::test]
 async fn holder_unreachable() {
-    // Symptom: a lost request is told as "not run" and sent again.
-    // Sequence: the holding host is gone, unknown or restarted, or the
-    // request was forwarded once already.
-    // Cause: "I can't ask" taken for "it did not run".
+    // Guards against a lost request that is reported as not run: the holder is
+    // unreachable, unknown or restarted, or the request was forwarded before.
     let closed = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let closed_address = closed.local_addr().expect("an address");
     drop(closed);
@@ -119,15 +119,14 @@
 
 #[tokio::test]
 async fn holder_connection_lost() {
-    // Symptom: a caller takes a broken stream for a whole one.
-    // Sequence: the holder's stream is passed on behind a head that was sent
-    // early; the holder dies in the middle.
-    // Cause: the end of the connection taken for the end of the answer.
+    // Guards against a truncated stream that looks complete: the holder fails
+    // in the middle of a stream that is forwarded behind an early head.
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.expect("a connection");
-        // A connection closed with unread bytes could lose what was written.
+        // Closing a connection with unread bytes could discard what was
+        // written.
         let mut request = Vec::new();
         while !request.ends_with(b"}") {
             stream.read_buf(&mut request).await.expect("a request");
@@ -148,7 +147,8 @@
 
 #[tokio::test]
 async fn forwarded_caller_leaves() {
-    // The holder learns it, though the caller never spoke to it.
+    // The holder detects that the caller left, although the caller is connected
+    // to another host.
     let mut holder = FakeHost::ready("mza-norte-1", &[]);
     let hosts = [("mza-norte-1", holder.server.address())];
     let mut host = FakeHost::ready("sanjuan-1", &hosts);
@@ -158,6 +158,6 @@
     call.abort();
     match holder.input().await {
         NodeInput::CallerLeft(id) => assert_eq!(id, holder.id(1)),
-        other => panic!("no leave: {other:?}"),
+        other => panic!("not a caller's disconnect: {other:?}"),
     }
 }
--- a/bergamotswitch-net/tests/caller_requests/lookups.rs
+++ b/bergamotswitch-net/tests/caller_requests/lookups.rs
@@ -1,4 +1,4 @@
-//! Questions for addresses and outcomes, and the operators' pages.
+//! Tests of lookups of addresses and outcomes, and of the operators' endpoints.
 
 use bergamotswitch_core::address::AddressAnswer;
 use bergamotswitch_core::entry::{OutcomeQuery, OutcomeView};
@@ -16,7 +16,7 @@
         get("/v1/address?domain=mza-sur", &[]),
     );
     let NodeInput::Address(query, reply) = host.input().await else {
-        panic!("no address question");
+        panic!("not an address lookup");
     };
     assert_eq!(query.account.as_str(), "volunteers");
     assert_eq!(query.domain.expect("a domain").as_str(), "mza-sur");
@@ -36,7 +36,7 @@
     let path = format!("/v1/requests/{id}");
     let call = spawn_call(host.server.address(), get(&path, &[]));
     let NodeInput::Outcome(OutcomeQuery::Id(asked), reply) = host.input().await else {
-        panic!("no question for an id");
+        panic!("not a lookup by id");
     };
     assert_eq!(asked, id);
     let refusal = Refusal::may_have_run(RefusalReason::TargetFailed);
@@ -50,7 +50,7 @@
 
     let call = spawn_call(host.server.address(), get("/v1/requests?key=fall-7", &[]));
     let NodeInput::Outcome(OutcomeQuery::Key(account, key), reply) = host.input().await else {
-        panic!("no question for a key");
+        panic!("not a lookup by key");
     };
     assert_eq!((account.as_str(), key.as_str()), ("volunteers", "fall-7"));
     reply
@@ -69,7 +69,7 @@
     let request = get("/v1/requests?key=fall-7", &[("bergamot-incarnation", &run)]);
     let call = spawn_call(host.server.address(), request);
     let NodeInput::Outcome(OutcomeQuery::Key(_, key), reply) = holder.input().await else {
-        panic!("no question for a key");
+        panic!("not a lookup by key");
     };
     assert_eq!(key.as_str(), "fall-7");
     reply
@@ -84,19 +84,19 @@
     let address = host.server.address();
     let call = spawn_call(address, get("/metrics", &[]));
     assert!(call.await.expect("a page").text.ends_with("# EOF\n"));
-    // A host without its values is not healthy, and says what it misses.
+    // A host without published values is unhealthy and lists the missing ones.
     for (ready, status) in [(false, 503), (true, 200)] {
         if ready {
             host.publish(&[]);
         }
         let call = spawn_call(address, get("/healthz", &[]));
         let NodeInput::Status(reply) = host.input().await else {
-            panic!("no question for the status");
+            panic!("not a status query");
         };
         reply.send(json!({})).expect("a caller that waits");
         assert_eq!(call.await.expect("an answer").status, status);
     }
-    // A host whose loop is gone is not healthy whatever it has.
+    // A host whose event loop has ended is unhealthy, whatever values it has.
     drop(host.inbox);
     let call = spawn_call(address, get("/healthz", &[]));
     assert_eq!(call.await.expect("an answer").status, 503);
--- a/bergamotswitch-net/tests/caller_requests/main.rs
+++ b/bergamotswitch-net/tests/caller_requests/main.rs
@@ -1,4 +1,5 @@
-//! The callers' interface, against a loop played by the test.
+//! Tests of the callers' HTTP interface, with an event loop simulated by the
+//! test.
 
 mod answers;
 mod checks;
