--- a/bergamotswitch-net/src/gateway/call.rs
+++ b/bergamotswitch-net/src/gateway/call.rs
@@ -83,9 +83,9 @@
     match serve(&context, request).await {
         Ok(response) => response,
         Err(CallFailure::Refused(refusal)) => {
-            let turned = NodeInput::Turned(refusal.reason(), None);
+            let rejection = NodeInput::Turned(refusal.reason(), None);
             // The event loop has ended only while the process exits.
-            let _ = context.node.send(turned);
+            let _ = context.node.send(rejection);
             refusal_response(&refusal)
         }
         // This answer is not delivered to anyone.
--- a/bergamotswitch-net/tests/caller_requests/fake_loop.rs
+++ b/bergamotswitch-net/tests/caller_requests/fake_loop.rs
@@ -71,7 +71,7 @@
             incarnation: Incarnation(0xabc),
         };
         let metrics = Arc::new(NodeMetrics::new());
-        let desk = CallerContext {
+        let context = CallerContext {
             node,
             publication: publication_receiver,
             this_host: HostSelf {
@@ -82,7 +82,7 @@
             opts,
         };
         FakeHost {
-            server: serve(listener, desk).expect("a server"),
+            server: serve(listener, context).expect("a server"),
             run,
             inbox,
             metrics,
--- a/bergamotswitch-net/tests/caller_requests/lookups.rs
+++ b/bergamotswitch-net/tests/caller_requests/lookups.rs
@@ -35,10 +35,10 @@
     let id = host.id(4);
     let path = format!("/v1/requests/{id}");
     let call = spawn_call(host.server.address(), get(&path, &[]));
-    let NodeInput::Outcome(OutcomeQuery::Id(asked), reply) = host.input().await else {
+    let NodeInput::Outcome(OutcomeQuery::Id(queried_id), reply) = host.input().await else {
         panic!("not a lookup by id");
     };
-    assert_eq!(asked, id);
+    assert_eq!(queried_id, id);
     let refusal = Refusal::may_have_run(RefusalReason::TargetFailed);
     reply
         .send(OutcomeView::Refused(id, refusal))
