--- a/bergamotswitch-net/src/caller/assembly.rs
+++ b/bergamotswitch-net/src/caller/assembly.rs
@@ -152,50 +152,50 @@
     }
 }
 
-fn merge_member(merged: &mut Map<String, Value>, name: String, piece: Value) {
-    if piece.is_null() {
+fn merge_member(merged: &mut Map<String, Value>, name: String, delta: Value) {
+    if delta.is_null() {
         return;
     }
     let set_once = SET_ONCE.contains(&name.as_str());
     match merged.get_mut(&name) {
         None => {
             let mut partial = Value::Null;
-            merge_value(&mut partial, piece);
+            merge_value(&mut partial, delta);
             merged.insert(name, partial);
         }
         Some(_) if set_once => {}
-        Some(partial) => merge_value(partial, piece),
+        Some(partial) => merge_value(partial, delta),
     }
 }
 
-fn merge_value(merged: &mut Value, piece: Value) {
-    match (merged, piece) {
-        (Value::String(merged), Value::String(piece)) => merged.push_str(&piece),
-        (Value::Object(merged), Value::Object(piece)) => {
-            for (name, value) in piece {
+fn merge_value(merged: &mut Value, delta: Value) {
+    match (merged, delta) {
+        (Value::String(merged), Value::String(delta)) => merged.push_str(&delta),
+        (Value::Object(merged), Value::Object(delta)) => {
+            for (name, value) in delta {
                 merge_member(merged, name, value);
             }
         }
-        (Value::Array(merged), Value::Array(pieces)) => {
-            for piece in pieces {
-                merge_element(merged, piece);
+        (Value::Array(merged), Value::Array(deltas)) => {
+            for delta in deltas {
+                merge_element(merged, delta);
             }
         }
-        (merged @ Value::Null, Value::Array(pieces)) => {
+        (merged @ Value::Null, Value::Array(deltas)) => {
             let mut partial = Vec::new();
-            for piece in pieces {
-                merge_element(&mut partial, piece);
+            for delta in deltas {
+                merge_element(&mut partial, delta);
             }
             *merged = Value::Array(partial);
         }
-        (merged, piece) => *merged = piece,
+        (merged, delta) => *merged = delta,
     }
 }
 
 /// Merge an array element into the one with the same `index`, or append it if
 /// there is none or it has no index.
-fn merge_element(merged: &mut Vec<Value>, piece: Value) {
-    let index = piece.get("index").and_then(Value::as_u64);
+fn merge_element(merged: &mut Vec<Value>, delta: Value) {
+    let index = delta.get("index").and_then(Value::as_u64);
     let partial = match index {
         Some(index) => merged
             .iter_mut()
@@ -203,7 +203,7 @@
         None => None,
     };
     match partial {
-        Some(partial) => merge_value(partial, piece),
-        None => merged.push(piece),
+        Some(partial) => merge_value(partial, delta),
+        None => merged.push(delta),
     }
 }
--- a/bergamotswitch-net/src/caller/body.rs
+++ b/bergamotswitch-net/src/caller/body.rs
@@ -19,8 +19,8 @@
 /// or by the bytes read, or if it could not be read to its end.
 pub(super) async fn read_body(req: &mut Request, limit: u64) -> Result<Bytes, RefusalPage> {
     let mut body = req.take_body();
-    let announced = body.size_hint().lower();
-    if announced > limit {
+    let declared = body.size_hint().lower();
+    if declared > limit {
         return Err(too_large(limit));
     }
     let mut buffer = BytesMut::new();
--- a/bergamotswitch-net/src/caller/buffered_answer.rs
+++ b/bergamotswitch-net/src/caller/buffered_answer.rs
@@ -16,7 +16,7 @@
 pub(super) struct BufferedAnswer {
     status: StatusCode,
     content_type: String,
-    pieces: Vec<Bytes>,
+    chunks: Vec<Bytes>,
 }
 
 impl BufferedAnswer {
@@ -30,7 +30,7 @@
         let mut answer = BufferedAnswer {
             status: StatusCode::OK,
             content_type: EVENT_STREAM_TYPE.to_owned(),
-            pieces: Vec::new(),
+            chunks: Vec::new(),
         };
         for part in parts {
             match part {
@@ -42,7 +42,7 @@
                     answer.status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
                     answer.content_type = content_type;
                 }
-                AnswerPart::Data(data) => answer.pieces.push(data),
+                AnswerPart::Data(data) => answer.chunks.push(data),
                 AnswerPart::End => return Ok(answer),
                 AnswerPart::Refused(refusal) => return Err(RefusalPage::new(refusal)),
                 AnswerPart::Forward(_) => break,
@@ -59,8 +59,8 @@
 
     fn body(&self) -> Bytes {
         let mut body = BytesMut::new();
-        for piece in &self.pieces {
-            body.extend_from_slice(piece);
+        for chunk in &self.chunks {
+            body.extend_from_slice(chunk);
         }
         body.freeze()
     }
@@ -95,7 +95,7 @@
             return Ok(());
         }
         let completion =
-            assemble(form, &self.pieces).map_err(|error| incomplete_answer(&error.to_string()))?;
+            assemble(form, &self.chunks).map_err(|error| incomplete_answer(&error.to_string()))?;
         let content_type = HeaderValue::from_static(JSON_TYPE);
         res.headers_mut().insert(header::CONTENT_TYPE, content_type);
         res.status_code(StatusCode::OK);
@@ -123,10 +123,10 @@
     status == StatusCode::OK.as_u16() && content_type.starts_with(EVENT_STREAM_TYPE)
 }
 
-fn assemble(form: CompletionForm, pieces: &[Bytes]) -> Result<String, AssemblyError> {
+fn assemble(form: CompletionForm, chunks: &[Bytes]) -> Result<String, AssemblyError> {
     let mut assembly = CompletionAssembly::new(form);
-    for piece in pieces {
-        assembly.add(piece)?;
+    for chunk in chunks {
+        assembly.add(chunk)?;
     }
     let completion = assembly.finish()?;
     Ok(completion.to_string())
--- a/bergamotswitch-net/src/caller/early_answer.rs
+++ b/bergamotswitch-net/src/caller/early_answer.rs
@@ -43,7 +43,7 @@
     usage: bool,
 ) -> BoxStream<'static, EventBytes> {
     let incarnation = comment(&format!("{INCARNATION_FIELD} {}", context.this_host.run));
-    let opening = stream::iter([Ok(incarnation)]);
+    let first_event = stream::iter([Ok(incarnation)]);
     let rest = stream::once(async move {
         // The connection polls for further events before it writes the first
         // one. Yielding once lets it write before the request can be
@@ -51,7 +51,7 @@
         yield_now().await;
         submitted_events(context, checked, usage).await
     });
-    opening.chain(rest.flatten()).boxed()
+    first_event.chain(rest.flatten()).boxed()
 }
 
 async fn submitted_events(
@@ -70,9 +70,9 @@
         SubmitResult::Remote(holder) => return holder_events(&context, &original, &holder).await,
     };
     let id = comment(&format!("{REQUEST_ID_FIELD} {}", follower.id()));
-    let opening = stream::iter([Ok(id)]);
+    let first_event = stream::iter([Ok(id)]);
     let rest = stream::once(follower_events(context, follower, original, usage));
-    opening.chain(rest.flatten()).boxed()
+    first_event.chain(rest.flatten()).boxed()
 }
 
 async fn follower_events(
@@ -108,8 +108,8 @@
     match forward(context, original, holder).await {
         Ok(answer) => {
             let incarnation = comment(&format!("{INCARNATION_FIELD} {holder}"));
-            let opening = stream::iter([Ok(incarnation)]);
-            opening.chain(forwarded_events(answer).await).boxed()
+            let first_event = stream::iter([Ok(incarnation)]);
+            first_event.chain(forwarded_events(answer).await).boxed()
         }
         Err(page) => refusal_events(&page),
     }
--- a/bergamotswitch-net/src/caller/engine_members.rs
+++ b/bergamotswitch-net/src/caller/engine_members.rs
@@ -98,15 +98,15 @@
         }
     }
 
-    fn count(&mut self, name: &str, most: u64) -> Option<u64> {
+    fn count(&mut self, name: &str, max: u64) -> Option<u64> {
         let value = self.value(name)?;
         if value.is_null() {
             return None;
         }
         match value.as_u64() {
-            Some(count) if (1..=most).contains(&count) => Some(count),
+            Some(count) if (1..=max).contains(&count) => Some(count),
             _ => {
-                let allowed = format!("a whole number from 1 to {most}");
+                let allowed = format!("a whole number from 1 to {max}");
                 self.add(&format!("/{name}"), &value.to_string(), &allowed);
                 None
             }
@@ -115,10 +115,12 @@
 
     /// Get the largest number of output tokens of all choices together.
     pub(super) fn decode_tokens(&mut self) -> u32 {
-        let most = u64::from(u32::MAX);
-        let bound = self.count("max_tokens", most);
-        let newer_bound = self.count("max_completion_tokens", most);
-        let tokens = newer_bound.or(bound).unwrap_or(DEFAULT_MAX_TOKENS);
+        let max = u64::from(u32::MAX);
+        let max_tokens = self.count("max_tokens", max);
+        let max_completion_tokens = self.count("max_completion_tokens", max);
+        let tokens = max_completion_tokens
+            .or(max_tokens)
+            .unwrap_or(DEFAULT_MAX_TOKENS);
         let choices = self.count("n", MAX_CHOICES).unwrap_or(1);
         saturate(tokens.saturating_mul(choices))
     }
--- a/bergamotswitch-net/src/caller/event_stream.rs
+++ b/bergamotswitch-net/src/caller/event_stream.rs
@@ -116,6 +116,6 @@
     has_usage && no_choices
 }
 
-fn contains(data: &[u8], wanted: &[u8]) -> bool {
-    data.windows(wanted.len()).any(|window| window == wanted)
+fn contains(data: &[u8], needle: &[u8]) -> bool {
+    data.windows(needle.len()).any(|window| window == needle)
 }
--- a/bergamotswitch-net/src/caller/fields.rs
+++ b/bergamotswitch-net/src/caller/fields.rs
@@ -72,13 +72,13 @@
     pub(super) fn read(headers: &HeaderMap, findings: &mut Findings) -> Self {
         let mut reader = FieldReader { headers, findings };
         CallerFields {
-            key: reader.checked(&IDEMPOTENCY_KEY_FIELD, |text| {
+            key: reader.parsed(&IDEMPOTENCY_KEY_FIELD, |text| {
                 CallerKey::try_from(text.to_owned())
             }),
-            holder: reader.checked(&INCARNATION_FIELD, HostIncarnation::try_from),
+            holder: reader.parsed(&INCARNATION_FIELD, HostIncarnation::try_from),
             resubmission: reader.flag(&RESUBMISSION_FIELD).unwrap_or(false),
             deadline: reader.deadline(),
-            work: reader.checked(&WORK_FIELD, WorkKind::try_from),
+            work: reader.parsed(&WORK_FIELD, WorkKind::try_from),
             forbids_rerun: reader.flag(&IDEMPOTENT_FIELD) == Some(false),
             dispatch_once: reader.flag(&DISPATCH_ONCE_FIELD).unwrap_or(false),
             forwarded: headers.contains_key(FORWARDED_FIELD),
@@ -131,16 +131,16 @@
         }
     }
 
-    fn checked<T, E>(
+    fn parsed<T, E>(
         &mut self,
         name: &HeaderName,
-        check: impl Fn(&'a str) -> Result<T, E>,
+        parse: impl Fn(&'a str) -> Result<T, E>,
     ) -> Option<T>
     where
         E: std::fmt::Display,
     {
         let text = self.text(name)?;
-        match check(text) {
+        match parse(text) {
             Ok(value) => Some(value),
             Err(error) => {
                 self.add(name, &format!("{text:?}"), &error.to_string());
--- a/bergamotswitch-net/src/caller/server.rs
+++ b/bergamotswitch-net/src/caller/server.rs
@@ -133,7 +133,7 @@
                 // Connections that the kernel has completed are still served.
                 accepted = inner.accept(fuse_policy) => return accepted,
                 // If the sender has been dropped, this branch never matches.
-                Ok(_) = self.stop.wait_for(|begun| *begun) => {}
+                Ok(_) = self.stop.wait_for(|stopping| *stopping) => {}
             }
         }
         self.inner = None;
--- a/bergamotswitch-net/src/caller/service_handler.rs
+++ b/bergamotswitch-net/src/caller/service_handler.rs
@@ -169,8 +169,8 @@
 }
 
 fn content_type(req: &Request) -> String {
-    let named = req.headers().get(header::CONTENT_TYPE);
-    let text = named.and_then(|value| value.to_str().ok());
+    let field = req.headers().get(header::CONTENT_TYPE);
+    let text = field.and_then(|value| value.to_str().ok());
     text.unwrap_or(DEFAULT_TYPE).to_owned()
 }
 
--- a/bergamotswitch-net/src/gateway/call.rs
+++ b/bergamotswitch-net/src/gateway/call.rs
@@ -370,7 +370,7 @@
 
 fn buffered_answer(parts: Vec<AnswerPart>) -> Response<AnswerBody> {
     let mut head = None;
-    let mut pieces = Vec::new();
+    let mut chunks = Vec::new();
     for part in parts {
         match part {
             AnswerPart::Head {
@@ -378,7 +378,7 @@
                 content_type,
                 fields,
             } => head = Some((status, content_type, fields)),
-            AnswerPart::Data(bytes) => pieces.push(bytes),
+            AnswerPart::Data(bytes) => chunks.push(bytes),
             AnswerPart::End => {}
             AnswerPart::Refused(refusal) => return refusal_response(&refusal),
             AnswerPart::Forward(_) => {
@@ -388,16 +388,16 @@
     }
     match head {
         Some((status, content_type, fields)) => {
-            let body = AnswerBody::buffered(concat(pieces));
+            let body = AnswerBody::buffered(concat(chunks));
             target_answer(status, &content_type, fields, body)
         }
         None => refusal_response(&Refusal::may_have_run(RefusalReason::TargetFailed)),
     }
 }
 
-fn concat(mut pieces: Vec<Bytes>) -> Bytes {
-    match pieces.len() {
-        1 => pieces.remove(0),
-        _ => pieces.concat().into(),
+fn concat(mut chunks: Vec<Bytes>) -> Bytes {
+    match chunks.len() {
+        1 => chunks.remove(0),
+        _ => chunks.concat().into(),
     }
 }
--- a/bergamotswitch-net/src/gateway/lookup.rs
+++ b/bergamotswitch-net/src/gateway/lookup.rs
@@ -54,9 +54,9 @@
 /// Query the event loop. Returns `None` if it has ended.
 pub(super) async fn query_loop<T>(
     context: &GatewayContext,
-    question: impl FnOnce(oneshot::Sender<T>) -> NodeInput,
+    input: impl FnOnce(oneshot::Sender<T>) -> NodeInput,
 ) -> Option<T> {
     let (reply, answer) = oneshot::channel();
-    context.node.send(question(reply)).ok()?;
+    context.node.send(input(reply)).ok()?;
     answer.await.ok()
 }
--- a/bergamotswitch-net/tests/caller_requests/answers.rs
+++ b/bergamotswitch-net/tests/caller_requests/answers.rs
@@ -13,7 +13,7 @@
 use serde_json::json;
 
 use crate::fake_loop::{
-    FakeHost, KEY, chat, chunk, data, get, head, next_piece, read, send, send_h2, spawn_call,
+    FakeHost, KEY, chat, chunk, data, get, head, next_chunk, read, send, send_h2, spawn_call,
     stream_head, within_timeout,
 };
 
@@ -102,17 +102,17 @@
     let run = host.run.to_string();
     assert_eq!(response.headers()["bergamot-incarnation"], run.as_str());
     let mut body = response.into_body();
-    let incarnation = next_piece(&mut body).await;
+    let incarnation = next_chunk(&mut body).await;
     assert_eq!(incarnation, format!(": bergamot-incarnation {run}\n\n"));
 
     let writer = host.accept_next().await;
-    let id = next_piece(&mut body).await;
+    let id = next_chunk(&mut body).await;
     assert_eq!(id, format!(": bergamot-request {}\n\n", host.id(1)));
     writer.push(stream_head());
     writer.push(chunk("dawn"));
     writer.push(AnswerPart::End);
-    assert!(next_piece(&mut body).await.contains("dawn"));
-    assert_eq!(next_piece(&mut body).await, "data: [DONE]\n\n");
+    assert!(next_chunk(&mut body).await.contains("dawn"));
+    assert_eq!(next_chunk(&mut body).await, "data: [DONE]\n\n");
 }
 
 #[tokio::test]
@@ -230,7 +230,7 @@
     writer.push(stream_head());
     writer.push(chunk("At "));
     let mut response = response.await.expect("an answer");
-    assert!(next_piece(response.body_mut()).await.contains("At "));
+    assert!(next_chunk(response.body_mut()).await.contains("At "));
     writer.clear();
     for part in [stream_head(), chunk("A"), chunk(" bolide"), AnswerPart::End] {
         writer.push(part);
@@ -295,7 +295,7 @@
     writer.push(stream_head());
     writer.push(chunk("At "));
     let mut response = response.await.expect("an answer");
-    assert!(next_piece(response.body_mut()).await.contains("At "));
+    assert!(next_chunk(response.body_mut()).await.contains("At "));
     host.server.stop();
     tokio::time::sleep(Duration::from_millis(50)).await;
     let refused = tokio::net::TcpStream::connect(address).await;
--- a/bergamotswitch-net/tests/caller_requests/checks.rs
+++ b/bergamotswitch-net/tests/caller_requests/checks.rs
@@ -141,8 +141,8 @@
     );
     stream.write_all(head.as_bytes()).await.expect("written");
     for _ in 0..5 {
-        let piece = format!("1000\r\n{}\r\n", "x".repeat(4096));
-        stream.write_all(piece.as_bytes()).await.expect("written");
+        let chunk = format!("1000\r\n{}\r\n", "x".repeat(4096));
+        stream.write_all(chunk.as_bytes()).await.expect("written");
     }
     // The body has not ended; the refusal does not wait for its end.
     assert_eq!(rejection_reason(&mut host).await, RefusalReason::TooLarge);
--- a/bergamotswitch-net/tests/caller_requests/disconnects.rs
+++ b/bergamotswitch-net/tests/caller_requests/disconnects.rs
@@ -5,7 +5,7 @@
 use bergamotswitch_net::input::{NodeInput, Received};
 
 use crate::fake_loop::{
-    FakeHost, chat, chunk, next_piece, send, send_h2, spawn_call, stream_head, within_timeout,
+    FakeHost, chat, chunk, next_chunk, send, send_h2, spawn_call, stream_head, within_timeout,
 };
 
 async fn expect_caller_left(host: &mut FakeHost) {
@@ -55,7 +55,7 @@
     writer.push(stream_head());
     writer.push(chunk("At "));
     let mut response = response.await.expect("an answer");
-    next_piece(response.body_mut()).await;
+    next_chunk(response.body_mut()).await;
     drop(response);
     expect_caller_left(&mut host).await;
 }
@@ -76,7 +76,7 @@
     writer.push(stream_head());
     writer.push(chunk("At "));
     let mut response = response.await.expect("an answer");
-    next_piece(response.body_mut()).await;
+    next_chunk(response.body_mut()).await;
     drop(response);
     expect_caller_left(&mut host).await;
 }
--- a/bergamotswitch-net/tests/caller_requests/fake_loop.rs
+++ b/bergamotswitch-net/tests/caller_requests/fake_loop.rs
@@ -303,9 +303,9 @@
 }
 
 /// Read the next chunk of a body.
-pub async fn next_piece(body: &mut Incoming) -> String {
-    let frame = within_timeout(body.frame()).await.expect("a piece");
-    let data = frame.expect("a whole piece").into_data();
+pub async fn next_chunk(body: &mut Incoming) -> String {
+    let frame = within_timeout(body.frame()).await.expect("a chunk");
+    let data = frame.expect("a complete chunk").into_data();
     String::from_utf8(data.expect("data").to_vec()).expect("a text")
 }
 
--- a/bergamotswitch-net/tests/caller_requests/forwarding.rs
+++ b/bergamotswitch-net/tests/caller_requests/forwarding.rs
@@ -8,7 +8,7 @@
 use tokio::net::TcpListener;
 
 use crate::fake_loop::{
-    FakeHost, chat, chunk, data, next_piece, send, spawn_call, stream_head, within_timeout,
+    FakeHost, chat, chunk, data, next_chunk, send, spawn_call, stream_head, within_timeout,
 };
 
 async fn reply_forward(host: &mut FakeHost, holder: &HostIncarnation) {
@@ -51,9 +51,9 @@
     // The answer is streamed back with the holder's incarnation.
     let mut response = within_timeout(response).await.expect("an answer");
     assert_eq!(response.headers()["bergamot-incarnation"], run.as_str());
-    assert!(next_piece(response.body_mut()).await.contains("At "));
+    assert!(next_chunk(response.body_mut()).await.contains("At "));
     writer.push(AnswerPart::End);
-    assert_eq!(next_piece(response.body_mut()).await, "data: [DONE]\n\n");
+    assert_eq!(next_chunk(response.body_mut()).await, "data: [DONE]\n\n");
 }
 
 #[tokio::test]
