--- a/bergamotswitch-net/src/caller/early_answer.rs
+++ b/bergamotswitch-net/src/caller/early_answer.rs
@@ -27,8 +27,8 @@
 /// request can be dispatched.
 ///
 /// This holds for requests that must not run twice. If the connection broke
-/// before the caller knew the incarnation, its retry at another host would look
-/// like a new request and run a second time.
+/// before the caller knew the incarnation, the caller's retry at another host
+/// would look like a new request and run a second time.
 pub(super) fn needs_early_head(submission: &Submission) -> bool {
     let verdict = &submission.verdict;
     let once = verdict.dispatch_once || !verdict.idempotent;
--- a/bergamotswitch-net/tests/caller_requests/fake_loop.rs
+++ b/bergamotswitch-net/tests/caller_requests/fake_loop.rs
@@ -286,7 +286,9 @@
 /// Read an answer to its end.
 pub async fn read(response: Response<Incoming>) -> ReadAnswer {
     let (parts, body) = response.into_parts();
-    let body = within_timeout(body.collect()).await.expect("a whole body");
+    let body = within_timeout(body.collect())
+        .await
+        .expect("a complete body");
     ReadAnswer {
         status: parts.status.as_u16(),
         headers: parts.headers,
