--- a/bergamotswitch-net/src/caller/assembly.rs
+++ b/bergamotswitch-net/src/caller/assembly.rs
@@ -1,5 +1,5 @@
-//! Provides the assembly of an engine's stream into one completion, for
-//! callers that want no stream.
+//! Provides the assembly of an engine's stream into one completion, for callers
+//! that did not request a stream.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,37 +9,41 @@
 
 use super::engine_body::CompletionForm;
 
-/// What ends the stream of some engines; it is no chunk.
+/// The data of the event with which some engines end a stream. It is not a
+/// chunk.
 pub(super) const DONE_MARK: &[u8] = b"[DONE]";
 
-/// Members that say what something is. They come with the first piece, or
-/// unchanged with each: they are set, never put together.
+/// Members that identify or label something. Engines send them in the first
+/// chunk only, or repeat them unchanged, so their values are never
+/// concatenated.
 const SET_ONCE: [&str; 5] = ["id", "index", "role", "type", "name"];
 
-/// An `AssemblyError` is why chunks make no completion.
+/// An `AssemblyError` is returned for chunks that do not form a completion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AssemblyError {
-    /// A chunk is no JSON object.
-    NoObject,
+    /// A chunk is not a JSON object.
+    NotAnObject,
     /// The engine ended its stream with an error.
     EngineError,
-    /// No chunk came with a choice.
-    NoChoice,
+    /// No chunk had a choice.
+    NoChoices,
 }
 
 impl fmt::Display for AssemblyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            AssemblyError::NoObject => write!(f, "the engine sent a chunk that is no JSON object"),
+            AssemblyError::NotAnObject => {
+                write!(f, "the engine sent a chunk that is no JSON object")
+            }
             AssemblyError::EngineError => write!(f, "the engine ended its stream with an error"),
-            AssemblyError::NoChoice => write!(f, "the engine sent no choice"),
+            AssemblyError::NoChoices => write!(f, "the engine sent no choice"),
         }
     }
 }
 
 impl std::error::Error for AssemblyError {}
 
-/// A `CompletionAssembly` puts a stream's chunks together.
+/// A `CompletionAssembly` merges the chunks of a stream into one completion.
 #[derive(Debug)]
 pub(super) struct CompletionAssembly {
     form: CompletionForm,
@@ -61,13 +65,13 @@
     ///
     /// # Errors
     ///
-    /// Returns an error where the chunk is no part of a completion.
+    /// Returns an error if the chunk is not part of a completion.
     pub(super) fn add(&mut self, chunk: &Bytes) -> Result<(), AssemblyError> {
         if chunk.trim_ascii() == DONE_MARK {
             return Ok(());
         }
         let Ok(Value::Object(members)) = serde_json::from_slice(chunk) else {
-            return Err(AssemblyError::NoObject);
+            return Err(AssemblyError::NotAnObject);
         };
         if members.get("error").is_some_and(|error| !error.is_null()) {
             return Err(AssemblyError::EngineError);
@@ -75,7 +79,8 @@
         for (name, value) in members {
             match (name.as_str(), value) {
                 ("choices", Value::Array(choices)) => self.add_choices(choices),
-                // The chunks' kind is not the whole answer's.
+                // The `object` of a chunk differs from that of a completion,
+                // which `finish` sets.
                 ("object", _) => {}
                 (_, Value::Null) => {}
                 ("usage", value) => drop(self.members.insert(name, value)),
@@ -91,14 +96,14 @@
                 continue;
             };
             let index = members.get("index").and_then(Value::as_u64).unwrap_or(0);
-            let whole = self.choices.entry(index).or_default();
+            let merged = self.choices.entry(index).or_default();
             for (name, value) in members {
-                // What a stream calls a delta is a message when it is whole.
+                // The `delta` of a stream is the `message` of a completion.
                 let name = match name.as_str() {
                     "delta" => "message".to_owned(),
                     _ => name,
                 };
-                merge_member(whole, name, value);
+                merge_member(merged, name, value);
             }
         }
     }
@@ -107,10 +112,10 @@
     ///
     /// # Errors
     ///
-    /// Returns an error where no chunk had a choice.
+    /// Returns an error if no chunk had a choice.
     pub(super) fn finish(mut self) -> Result<Value, AssemblyError> {
         if self.choices.is_empty() {
-            return Err(AssemblyError::NoChoice);
+            return Err(AssemblyError::NoChoices);
         }
         let choices = self.choices.into_iter().map(|(index, mut choice)| {
             choice.insert("index".to_owned(), Value::from(index));
@@ -128,7 +133,8 @@
     }
 }
 
-/// Add what callers expect of a message though the stream left it out.
+/// Add the members that callers expect in a message and that the stream
+/// omitted.
 fn complete_message(choice: &mut Map<String, Value>) {
     let message = choice
         .entry("message")
@@ -138,7 +144,7 @@
     };
     message.entry("role").or_insert(Value::from("assistant"));
     message.entry("content").or_insert(Value::Null);
-    // The place of a tool call matters only while its pieces come.
+    // The `index` of a tool call serves only to merge its chunks.
     if let Some(Value::Array(calls)) = message.get_mut("tool_calls") {
         for call in calls.iter_mut().filter_map(Value::as_object_mut) {
             call.remove("index");
@@ -146,58 +152,58 @@
     }
 }
 
-fn merge_member(whole: &mut Map<String, Value>, name: String, piece: Value) {
-    if piece.is_null() {
+fn merge_member(merged: &mut Map<String, Value>, name: String, delta: Value) {
+    if delta.is_null() {
         return;
     }
     let set_once = SET_ONCE.contains(&name.as_str());
-    match whole.get_mut(&name) {
+    match merged.get_mut(&name) {
         None => {
-            let mut begun = Value::Null;
-            merge_value(&mut begun, piece);
-            whole.insert(name, begun);
+            let mut partial = Value::Null;
+            merge_value(&mut partial, delta);
+            merged.insert(name, partial);
         }
         Some(_) if set_once => {}
-        Some(begun) => merge_value(begun, piece),
+        Some(partial) => merge_value(partial, delta),
     }
 }
 
-fn merge_value(whole: &mut Value, piece: Value) {
-    match (whole, piece) {
-        (Value::String(whole), Value::String(piece)) => whole.push_str(&piece),
-        (Value::Object(whole), Value::Object(piece)) => {
-            for (name, value) in piece {
-                merge_member(whole, name, value);
+fn merge_value(merged: &mut Value, delta: Value) {
+    match (merged, delta) {
+        (Value::String(merged), Value::String(delta)) => merged.push_str(&delta),
+        (Value::Object(merged), Value::Object(delta)) => {
+            for (name, value) in delta {
+                merge_member(merged, name, value);
             }
         }
-        (Value::Array(whole), Value::Array(pieces)) => {
-            for piece in pieces {
-                merge_element(whole, piece);
+        (Value::Array(merged), Value::Array(deltas)) => {
+            for delta in deltas {
+                merge_element(merged, delta);
             }
         }
-        (whole @ Value::Null, Value::Array(pieces)) => {
-            let mut begun = Vec::new();
-            for piece in pieces {
-                merge_element(&mut begun, piece);
+        (merged @ Value::Null, Value::Array(deltas)) => {
+            let mut partial = Vec::new();
+            for delta in deltas {
+                merge_element(&mut partial, delta);
             }
-            *whole = Value::Array(begun);
+            *merged = Value::Array(partial);
         }
-        (whole, piece) => *whole = piece,
+        (merged, delta) => *merged = delta,
     }
 }
 
-/// Put an element of an array to the begun one with the same `index`; an
-/// element without an index is one more.
-fn merge_element(whole: &mut Vec<Value>, piece: Value) {
-    let index = piece.get("index").and_then(Value::as_u64);
-    let begun = match index {
-        Some(index) => whole
+/// Merge an array element into the one with the same `index`, or append it if
+/// there is none or it has no index.
+fn merge_element(merged: &mut Vec<Value>, delta: Value) {
+    let index = delta.get("index").and_then(Value::as_u64);
+    let partial = match index {
+        Some(index) => merged
             .iter_mut()
-            .find(|begun| begun.get("index").and_then(Value::as_u64) == Some(index)),
+            .find(|partial| partial.get("index").and_then(Value::as_u64) == Some(index)),
         None => None,
     };
-    match begun {
-        Some(begun) => merge_value(begun, piece),
-        None => whole.push(piece),
+    match partial {
+        Some(partial) => merge_value(partial, delta),
+        None => merged.push(delta),
     }
 }
--- a/bergamotswitch-net/src/caller/body.rs
+++ b/bergamotswitch-net/src/caller/body.rs
@@ -1,4 +1,4 @@
-//! Provides the reading of callers' bodies under a limit.
+//! Provides the reading of request bodies up to a size limit.
 
 use bergamotswitch_core::error::Findings;
 use bergamotswitch_core::refusal::RefusalReason;
@@ -10,32 +10,32 @@
 
 use super::refusal_page::RefusalPage;
 
-/// Try to read the whole body of a request. At no time more than `limit`
-/// bytes of it are kept. Other callers don't wait meanwhile.
+/// Try to read the complete body of a request. At most `limit` bytes of it are
+/// buffered, and other requests are not blocked meanwhile.
 ///
 /// # Errors
 ///
-/// Returns a refusal where the body is longer than `limit`, known from its
-/// announced length or while it is read, and where it broke off.
+/// Returns a refusal if the body is longer than `limit`, by its declared length
+/// or by the bytes read, or if it could not be read to its end.
 pub(super) async fn read_body(req: &mut Request, limit: u64) -> Result<Bytes, RefusalPage> {
     let mut body = req.take_body();
-    let announced = body.size_hint().lower();
-    if announced > limit {
+    let declared = body.size_hint().lower();
+    if declared > limit {
         return Err(too_large(limit));
     }
-    let mut kept = BytesMut::new();
+    let mut buffer = BytesMut::new();
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|error| broken_off(&error))?;
+        let frame = frame.map_err(|error| read_failure(&error))?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        let read = kept.len().saturating_add(data.len());
+        let read = buffer.len().saturating_add(data.len());
         if u64::try_from(read).is_ok_and(|read| read > limit) {
             return Err(too_large(limit));
         }
-        kept.extend_from_slice(&data);
+        buffer.extend_from_slice(&data);
     }
-    Ok(kept.freeze())
+    Ok(buffer.freeze())
 }
 
 fn too_large(limit: u64) -> RefusalPage {
@@ -43,7 +43,7 @@
         .with_detail(format!("at most {limit} bytes"))
 }
 
-fn broken_off(error: &std::io::Error) -> RefusalPage {
+fn read_failure(error: &std::io::Error) -> RefusalPage {
     let mut findings = Findings::new();
     findings.add("body:", error.to_string(), "a whole body");
     let page = RefusalPage::malformed(findings);
--- a/bergamotswitch-net/src/caller/whole_answer.rs
+++ b/bergamotswitch-net/src/caller/buffered_answer.rs
@@ -1,4 +1,4 @@
-//! Provides answers as one body, for callers that want no stream.
+//! Provides answers with one body, for callers that did not request a stream.
 
 use bergamotswitch_core::refusal::{Refusal, RefusalReason};
 use bytes::{Bytes, BytesMut};
@@ -11,25 +11,26 @@
 use super::refusal_page::{JSON_TYPE, RefusalPage};
 use crate::answer::AnswerPart;
 
-/// A `WholeAnswer` is a target's whole answer.
+/// A `BufferedAnswer` is the complete answer of a target.
 #[derive(Debug)]
-pub(super) struct WholeAnswer {
+pub(super) struct BufferedAnswer {
     status: StatusCode,
     content_type: String,
-    pieces: Vec<Bytes>,
+    chunks: Vec<Bytes>,
 }
 
-impl WholeAnswer {
-    /// Try to get the answer out of all its parts.
+impl BufferedAnswer {
+    /// Try to build the answer from all of its parts.
     ///
     /// # Errors
     ///
-    /// Returns the refusal with which the parts end.
+    /// Returns the refusal that ends the parts, or one for an incomplete
+    /// answer.
     pub(super) fn from_parts(parts: Vec<AnswerPart>) -> Result<Self, RefusalPage> {
-        let mut answer = WholeAnswer {
+        let mut answer = BufferedAnswer {
             status: StatusCode::OK,
             content_type: EVENT_STREAM_TYPE.to_owned(),
-            pieces: Vec::new(),
+            chunks: Vec::new(),
         };
         for part in parts {
             match part {
@@ -41,25 +42,25 @@
                     answer.status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
                     answer.content_type = content_type;
                 }
-                AnswerPart::Data(data) => answer.pieces.push(data),
+                AnswerPart::Data(data) => answer.chunks.push(data),
                 AnswerPart::End => return Ok(answer),
                 AnswerPart::Refused(refusal) => return Err(RefusalPage::new(refusal)),
                 AnswerPart::Forward(_) => break,
             }
         }
-        // Without its end an answer is not whole, whatever came of it.
-        Err(not_whole("it has no end"))
+        // An answer without an end part is incomplete, whatever parts it has.
+        Err(incomplete_answer("it has no end"))
     }
 
-    /// Get whether this is a stream of an engine that is well.
+    /// Get whether this is a successful stream of an engine.
     fn is_stream(&self) -> bool {
         is_engine_stream(self.status.as_u16(), &self.content_type)
     }
 
     fn body(&self) -> Bytes {
         let mut body = BytesMut::new();
-        for piece in &self.pieces {
-            body.extend_from_slice(piece);
+        for chunk in &self.chunks {
+            body.extend_from_slice(chunk);
         }
         body.freeze()
     }
@@ -69,7 +70,7 @@
         String::from_utf8_lossy(&self.body()).into_owned()
     }
 
-    /// Write the answer as the target gave it.
+    /// Write the answer as the target sent it.
     pub(super) fn write_plain(self, res: &mut Response) {
         res.body(self.body());
         res.status_code(self.status);
@@ -78,12 +79,12 @@
         }
     }
 
-    /// Try to write the answer as one completion; an engine's error as the
-    /// engine gave it.
+    /// Try to write the answer as one completion. An engine's error response is
+    /// written unchanged.
     ///
     /// # Errors
     ///
-    /// Returns a refusal where the engine's chunks make no completion.
+    /// Returns a refusal if the engine's chunks do not form a completion.
     pub(super) fn write_completion(
         self,
         form: CompletionForm,
@@ -94,7 +95,7 @@
             return Ok(());
         }
         let completion =
-            assemble(form, &self.pieces).map_err(|error| not_whole(&error.to_string()))?;
+            assemble(form, &self.chunks).map_err(|error| incomplete_answer(&error.to_string()))?;
         let content_type = HeaderValue::from_static(JSON_TYPE);
         res.headers_mut().insert(header::CONTENT_TYPE, content_type);
         res.status_code(StatusCode::OK);
@@ -103,7 +104,7 @@
     }
 }
 
-/// Get whether an answer's first part begins an engine's stream.
+/// Get whether the first part of an answer belongs to an engine's stream.
 pub(super) fn begins_stream(first: &AnswerPart) -> bool {
     match first {
         AnswerPart::Head {
@@ -116,21 +117,22 @@
     }
 }
 
-/// Get whether a head is that of an engine's stream, not of its error.
+/// Get whether the status and content type are those of an engine's stream, and
+/// not of its error response.
 pub(super) fn is_engine_stream(status: u16, content_type: &str) -> bool {
     status == StatusCode::OK.as_u16() && content_type.starts_with(EVENT_STREAM_TYPE)
 }
 
-fn assemble(form: CompletionForm, pieces: &[Bytes]) -> Result<String, AssemblyError> {
+fn assemble(form: CompletionForm, chunks: &[Bytes]) -> Result<String, AssemblyError> {
     let mut assembly = CompletionAssembly::new(form);
-    for piece in pieces {
-        assembly.add(piece)?;
+    for chunk in chunks {
+        assembly.add(chunk)?;
     }
     let completion = assembly.finish()?;
     Ok(completion.to_string())
 }
 
-fn not_whole(detail: &str) -> RefusalPage {
+fn incomplete_answer(detail: &str) -> RefusalPage {
     let refusal = Refusal::may_have_run(RefusalReason::TargetFailed);
     RefusalPage::new(refusal).with_detail(detail)
 }
--- a/bergamotswitch-net/src/caller/service_call.rs
+++ b/bergamotswitch-net/src/caller/service_handler.rs
@@ -1,4 +1,4 @@
-//! Provides the handling of calls to plain services.
+//! Provides the handler of calls to plain services.
 
 use std::sync::Arc;
 
@@ -12,17 +12,17 @@
 use salvo::{Depot, FlowCtrl, Handler, Request, Response, async_trait};
 
 use super::body::read_body;
-use super::desk::CallerDesk;
+use super::buffered_answer::BufferedAnswer;
+use super::context::CallerContext;
 use super::engine_check::{check_deadline, check_pool, fingerprint};
-use super::fields::{CallerFields, REQUEST_FIELD};
-use super::forward::{OriginalCall, forward_back};
-use super::reception::{CheckedCall, HandedOver, hand_over};
-use super::refusal_page::{RefusalPage, text_value};
-use super::whole_answer::WholeAnswer;
+use super::fields::{CallerFields, REQUEST_ID_FIELD};
+use super::forward::{OriginalCall, forward_and_write};
+use super::refusal_page::{RefusalPage, header_value};
+use super::submit::{CheckedCall, SubmitResult, submit};
 use crate::answer::AnswerPart;
 use crate::input::OutgoingCall;
 
-/// What stands before the pool's name in the path of a call.
+/// The prefix of a call's path, which the name of the pool follows.
 const SERVICE_PREFIX: &str = "/v1/services/";
 
 /// The cost of a plain call, which has no tokens.
@@ -31,30 +31,31 @@
     decode: 1,
 };
 
-/// The content type of a call that names none.
+/// The content type of a call that has none.
 const DEFAULT_TYPE: &str = "application/octet-stream";
 
-/// A `ServiceCall` handles calls to plain services. Their answers are passed
-/// on whole: so a broken one can never pass for a whole one.
+/// A `ServiceHandler` handles calls to plain services. Their answers are
+/// buffered, so that a truncated one is never passed on as complete.
 #[derive(Debug)]
-pub(super) struct ServiceCall {
-    desk: Arc<CallerDesk>,
+pub(super) struct ServiceHandler {
+    context: Arc<CallerContext>,
 }
 
-/// A `ServicePath` is a call's path, taken apart.
+/// A `ServicePath` is the parsed path of a call.
 #[derive(Debug)]
 struct ServicePath {
     pool: PoolName,
-    /// Path and query at the target, as the caller wrote them.
+    /// Path and query at the target, as the caller sent them.
     target: String,
 }
 
 impl ServicePath {
-    /// Try to take a path apart. The router's own parts are decoded; what
-    /// goes to the target must stay as the caller wrote it.
+    /// Try to parse a path. It is taken from the original text, because the
+    /// router's parameters are decoded and the target must receive the path
+    /// unchanged.
     fn parse(original: &str) -> Result<Self, Findings> {
         let rest = original.strip_prefix(SERVICE_PREFIX).unwrap_or_default();
-        // The pool's name ends at the next slash, or at the query.
+        // The name of the pool ends at the next slash or at the query.
         let end = rest.find(['/', '?']).unwrap_or(rest.len());
         let (name, target) = rest.split_at(end);
         let pool = PoolName::try_from(name).map_err(|error| {
@@ -62,7 +63,7 @@
             findings.add("path:", format!("{name:?}"), error.to_string());
             findings
         })?;
-        // At the target the path begins with a slash in any case.
+        // The path at the target always begins with a slash.
         let target = match target.starts_with('/') {
             true => target.to_owned(),
             false => format!("/{target}"),
@@ -71,17 +72,17 @@
     }
 }
 
-impl ServiceCall {
+impl ServiceHandler {
     /// Get the handler.
-    pub(super) fn new(desk: &Arc<CallerDesk>) -> Self {
-        ServiceCall {
-            desk: Arc::clone(desk),
+    pub(super) fn new(context: &Arc<CallerContext>) -> Self {
+        ServiceHandler {
+            context: Arc::clone(context),
         }
     }
 
     async fn check(&self, req: &mut Request) -> Result<CheckedCall, RefusalPage> {
-        let publication = self.desk.in_force();
-        let account = self.desk.authenticate(&publication, req.headers())?;
+        let publication = self.context.current_publication();
+        let account = self.context.authenticate(&publication, req.headers())?;
         let body = read_body(req, publication.limits.max_body_bytes).await?;
         let mut findings = Findings::new();
         let fields = CallerFields::read(req.headers(), &mut findings);
@@ -102,7 +103,7 @@
             account: &account,
             work: fields.work.as_ref(),
             path: req.uri().path(),
-            domain: &self.desk.me.domain,
+            domain: &self.context.this_host.domain,
             prompt_tokens: CALL_COST.prefill,
             streaming: false,
         };
@@ -146,20 +147,21 @@
             call,
             original,
         } = checked;
-        let follower = match hand_over(&self.desk, submission, call).await {
-            HandedOver::Here(follower) => follower,
-            HandedOver::Refused(page) => return page.write(res),
-            HandedOver::Elsewhere(holder) => {
-                return forward_back(&self.desk, &original, &holder, res).await;
+        let follower = match submit(&self.context, submission, call).await {
+            SubmitResult::Local(follower) => follower,
+            SubmitResult::Refused(page) => return page.write(res),
+            SubmitResult::Remote(holder) => {
+                return forward_and_write(&self.context, &original, &holder, res).await;
             }
         };
-        let id = text_value(follower.id());
-        res.headers_mut().insert(REQUEST_FIELD, id);
+        let id = header_value(follower.id());
+        res.headers_mut().insert(REQUEST_ID_FIELD, id);
         let mut parts = follower.collect_parts().await;
         if let Some(AnswerPart::Forward(holder)) = parts.pop_if(|part| part.is_forward()) {
-            return forward_back(&self.desk, &original.seen_before(), &holder, res).await;
+            return forward_and_write(&self.context, &original.into_resubmission(), &holder, res)
+                .await;
         }
-        match WholeAnswer::from_parts(parts) {
+        match BufferedAnswer::from_parts(parts) {
             Ok(answer) => answer.write_plain(res),
             Err(page) => page.write(res),
         }
@@ -167,13 +169,13 @@
 }
 
 fn content_type(req: &Request) -> String {
-    let named = req.headers().get(header::CONTENT_TYPE);
-    let text = named.and_then(|value| value.to_str().ok());
+    let field = req.headers().get(header::CONTENT_TYPE);
+    let text = field.and_then(|value| value.to_str().ok());
     text.unwrap_or(DEFAULT_TYPE).to_owned()
 }
 
 #[async_trait]
-impl Handler for ServiceCall {
+impl Handler for ServiceHandler {
     async fn handle(
         &self,
         req: &mut Request,
@@ -183,7 +185,7 @@
     ) {
         match self.check(req).await {
             Ok(checked) => self.answer(checked, res).await,
-            Err(page) => self.desk.turn_away(&page, res),
+            Err(page) => self.context.reject(&page, res),
         }
     }
 }
--- a/bergamotswitch-net/src/gateway/lookup.rs
+++ b/bergamotswitch-net/src/gateway/lookup.rs
@@ -1,4 +1,5 @@
-//! Provides the answers to what is asked of a host beside calls.
+//! Provides the readiness checks, host address lookups and metrics of the
+//! gateway.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,49 +11,52 @@
 use hyper::body::Incoming;
 use tokio::sync::oneshot;
 
-use super::GatewayDesk;
+use super::GatewayContext;
 use super::answer_body::AnswerBody;
 use crate::input::NodeInput;
 
-/// How long callers may keep an answer. Some keep it three times as long, and
-/// a stopping host has to serve them until then: with one second it is done
-/// well within eight.
+/// How long callers may cache the addresses of hosts. Some cache them for three
+/// times as long, and a stopping host serves calls until then.
 pub(crate) const ADDRESS_LIFETIME: Duration = Duration::from_millis(1_000);
 
-/// Answer a question.
+/// Handle a readiness check or a lookup of host addresses.
 pub(super) async fn answer(
-    desk: Arc<GatewayDesk>,
+    context: Arc<GatewayContext>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
     let page = match LookupCall::read(request.method(), request.uri()) {
         Some(LookupCall::Addresses { domain }) => {
-            let hosts = ask(&desk, NodeInput::ReadyHosts).await.unwrap_or_default();
+            let hosts = query_loop(&context, NodeInput::ReadyHosts)
+                .await
+                .unwrap_or_default();
             let addresses = near_first(&hosts, domain.as_ref(), MAX_ADDRESSES);
             lookup::address_page(addresses, ADDRESS_LIFETIME)
         }
         Some(LookupCall::Ready) => {
-            let ready = ask(&desk, NodeInput::IsReady).await.unwrap_or(false);
+            let ready = query_loop(&context, NodeInput::IsReady)
+                .await
+                .unwrap_or(false);
             lookup::ready_page(ready)
         }
         None => lookup::status_page(StatusCode::NOT_FOUND),
     };
-    page.map(AnswerBody::whole)
+    page.map(AnswerBody::buffered)
 }
 
-/// Show the metrics, whatever the path.
+/// Get the metrics, for any path.
 pub(super) async fn metrics(
-    desk: Arc<GatewayDesk>,
+    context: Arc<GatewayContext>,
     _request: Request<Incoming>,
 ) -> Response<AnswerBody> {
-    Response::new(AnswerBody::whole(Bytes::from(desk.metrics.render())))
+    Response::new(AnswerBody::buffered(Bytes::from(context.metrics.render())))
 }
 
-/// Ask the loop; `None` where it is gone.
-pub(super) async fn ask<T>(
-    desk: &GatewayDesk,
-    question: impl FnOnce(oneshot::Sender<T>) -> NodeInput,
+/// Query the event loop. Returns `None` if it has ended.
+pub(super) async fn query_loop<T>(
+    context: &GatewayContext,
+    input: impl FnOnce(oneshot::Sender<T>) -> NodeInput,
 ) -> Option<T> {
     let (reply, answer) = oneshot::channel();
-    desk.node.send(question(reply)).ok()?;
+    context.node.send(input(reply)).ok()?;
     answer.await.ok()
 }
--- a/bergamotswitch-net/src/operator.rs
+++ b/bergamotswitch-net/src/operator.rs
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-use crate::caller::CallerDesk;
+use crate::caller::CallerContext;
 use crate::input::NodeInput;
 
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
@@ -20,7 +20,7 @@
 const LOOP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Get the routes of the operator interface.
-pub fn router(desk: &Arc<CallerDesk>) -> Router {
+pub fn router(desk: &Arc<CallerContext>) -> Router {
     Router::new()
         .push(Router::with_path("metrics").get(MetricsCall(Arc::clone(desk))))
         .push(Router::with_path("status").get(StatusCall(Arc::clone(desk))))
@@ -29,15 +29,15 @@
 
 /// A `MetricsCall` handles metrics scrapes.
 #[derive(Debug)]
-struct MetricsCall(Arc<CallerDesk>);
+struct MetricsCall(Arc<CallerContext>);
 
 /// A `StatusCall` handles queries for the host's status.
 #[derive(Debug)]
-struct StatusCall(Arc<CallerDesk>);
+struct StatusCall(Arc<CallerContext>);
 
 /// A `HealthCall` handles health checks.
 #[derive(Debug)]
-struct HealthCall(Arc<CallerDesk>);
+struct HealthCall(Arc<CallerContext>);
 
 #[async_trait]
 impl Handler for MetricsCall {
@@ -82,7 +82,7 @@
         if loop_status(&self.0).await.is_none() {
             return unhealthy(res, json!({ "healthy": false, "loop": "no answer" }));
         }
-        let missing = self.0.in_force().missing();
+        let missing = self.0.current_publication().missing();
         if !missing.is_empty() {
             return unhealthy(res, json!({ "healthy": false, "missing": missing }));
         }
@@ -91,7 +91,7 @@
 }
 
 /// Get the loop's status, `None` if the loop has terminated or hangs.
-async fn loop_status(desk: &CallerDesk) -> Option<Value> {
+async fn loop_status(desk: &CallerContext) -> Option<Value> {
     let (reply, status) = oneshot::channel();
     desk.node.send(NodeInput::Status(reply)).ok()?;
     timeout(LOOP_TIMEOUT, status).await.ok()?.ok()
--- a/bergamotswitch-net/tests/caller_requests/checks.rs
+++ b/bergamotswitch-net/tests/caller_requests/checks.rs
@@ -1,4 +1,5 @@
-//! What is refused before the loop, and what reaches it.
+//! Tests of the checks made before a request is submitted to the event loop,
+//! and of what is submitted.
 
 use std::time::Duration;
 
@@ -10,12 +11,14 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::fake_loop::{FakeHost, KEY, ReadAnswer, chat, post, read, send, soon, spawn_call};
+use crate::fake_loop::{
+    FakeHost, KEY, ReadAnswer, chat, post, read, send, spawn_call, within_timeout,
+};
 
-async fn turned(host: &mut FakeHost) -> RefusalReason {
+async fn rejection_reason(host: &mut FakeHost) -> RefusalReason {
     match host.input().await {
         NodeInput::EarlyRefusal(reason, None) => reason,
-        other => panic!("not turned: {other:?}"),
+        other => panic!("not a counted refusal: {other:?}"),
     }
 }
 
@@ -23,8 +26,8 @@
     host: &mut FakeHost,
     request: http::Request<http_body_util::Full<bytes::Bytes>>,
 ) -> (ReadAnswer, RefusalReason) {
-    let answer = read(soon(send(host.server.address(), request)).await).await;
-    let reason = turned(host).await;
+    let answer = read(within_timeout(send(host.server.address(), request)).await).await;
+    let reason = rejection_reason(host).await;
     assert_eq!(answer.json()["error"]["code"], reason.as_str());
     assert_eq!(answer.json()["error"]["ran"], "no");
     assert_eq!(answer.field("bergamot-incarnation"), host.run.to_string());
@@ -125,9 +128,8 @@
 
 #[tokio::test]
 async fn long_body() {
-    // Symptom: one caller makes a host's memory grow without bound.
-    // Sequence: a body comes in chunks, with no announced length, and goes on.
-    // Cause: a limit that is checked only against the announced length.
+    // Guards against unbounded memory use by a chunked body without a declared
+    // length.
     let mut host = FakeHost::ready("sanjuan-1", &[]);
     let mut stream = TcpStream::connect(host.server.address())
         .await
@@ -139,18 +141,16 @@
     );
     stream.write_all(head.as_bytes()).await.expect("written");
     for _ in 0..5 {
-        let piece = format!("1000\r\n{}\r\n", "x".repeat(4096));
-        stream.write_all(piece.as_bytes()).await.expect("written");
+        let chunk = format!("1000\r\n{}\r\n", "x".repeat(4096));
+        stream.write_all(chunk.as_bytes()).await.expect("written");
     }
-    // The body has no end yet; the refusal does not wait for one.
-    assert_eq!(turned(&mut host).await, RefusalReason::TooLarge);
+    // The body has not ended; the refusal does not wait for its end.
+    assert_eq!(rejection_reason(&mut host).await, RefusalReason::TooLarge);
 }
 
 #[tokio::test]
 async fn slow_caller() {
-    // Symptom: all callers wait although only one of them is slow.
-    // Sequence: a caller sends half of its body and pauses; another comes.
-    // Cause: a body read on the loop, or under something shared.
+    // Guards against a slow body that blocks the requests of other callers.
     let mut host = FakeHost::ready("sanjuan-1", &[]);
     let mut slow = TcpStream::connect(host.server.address())
         .await
@@ -168,11 +168,9 @@
 }
 
 #[tokio::test]
-async fn paused_body() {
-    // Symptom: half-read bodies of callers long gone fill a host's memory.
-    // Sequence: a connection goes silent for good inside a body.
-    // Cause: a read without a bound.
-    let opts = CallerOptions::default().with_body_pause(Duration::from_millis(50));
+async fn stalled_body() {
+    // Guards against partial bodies of dead connections that stay in memory.
+    let opts = CallerOptions::default().with_body_idle_timeout(Duration::from_millis(50));
     let mut host = FakeHost::start_with("sanjuan-1", opts);
     host.publish(&[]);
     let mut stream = TcpStream::connect(host.server.address())
@@ -183,9 +181,9 @@
          content-length: 100\r\n\r\n{{",
     );
     stream.write_all(half.as_bytes()).await.expect("written");
-    assert_eq!(turned(&mut host).await, RefusalReason::BadRequest);
+    assert_eq!(rejection_reason(&mut host).await, RefusalReason::BadRequest);
     let mut answer = [0; 12];
-    soon(stream.read_exact(&mut answer))
+    within_timeout(stream.read_exact(&mut answer))
         .await
         .expect("an answer");
     assert_eq!(&answer, b"HTTP/1.1 408");
@@ -228,9 +226,9 @@
 }
 
 #[tokio::test]
-async fn stricter_marks() {
+async fn stricter_fields() {
     let mut host = FakeHost::ready("sanjuan-1", &[]);
-    // A caller makes the rule's marks stricter.
+    // A caller may restrict the verdict of the rule.
     let strict = [
         ("bergamot-idempotent", "false"),
         ("bergamot-dispatch-once", "true"),
@@ -239,7 +237,7 @@
     let verdict = host.submitted().await.submission.verdict;
     call.abort();
     assert!(!verdict.idempotent && verdict.dispatch_once);
-    // It cannot loosen them, nor come later than the rule's deadline.
+    // It cannot relax the verdict, nor extend the deadline of the rule.
     let loose = [
         ("bergamot-work", "report"),
         ("bergamot-idempotent", "true"),
--- a/bergamotswitch-net/tests/caller_requests/forwarding.rs
+++ b/bergamotswitch-net/tests/caller_requests/forwarding.rs
@@ -1,4 +1,4 @@
-//! Requests that another host holds.
+//! Tests of requests that another host holds.
 
 use bergamotswitch_core::entry::SubmitOutcome;
 use bergamotswitch_core::host::HostIncarnation;
@@ -8,10 +8,10 @@
 use tokio::net::TcpListener;
 
 use crate::fake_loop::{
-    FakeHost, chat, chunk, data, next_piece, send, soon, spawn_call, stream_head,
+    FakeHost, chat, chunk, data, next_chunk, send, spawn_call, stream_head, within_timeout,
 };
 
-async fn point_to(host: &mut FakeHost, holder: &HostIncarnation) {
+async fn reply_forward(host: &mut FakeHost, holder: &HostIncarnation) {
     let received = SubmissionReply {
         reception: SubmitOutcome::Forward(holder.clone()),
         answer: None,
@@ -20,7 +20,7 @@
     reply.send(received).expect("a caller that waits");
 }
 
-fn run_of(name: &str) -> HostIncarnation {
+fn incarnation_of(name: &str) -> HostIncarnation {
     let text = format!("{name}~{:032x}", 5);
     HostIncarnation::try_from(text.as_str()).expect("a run")
 }
@@ -37,8 +37,8 @@
         ("bergamot-work", "report"),
     ];
     let response = tokio::spawn(send(host.server.address(), chat(true, &fields)));
-    point_to(&mut host, &holder.run).await;
-    // The holder gets the same request and decides.
+    reply_forward(&mut host, &holder.run).await;
+    // The holder receives the same request and accepts it.
     let submitted = holder.submitted().await;
     assert_eq!(submitted.submission.holder, Some(holder.run.clone()));
     assert_eq!(
@@ -48,18 +48,19 @@
     let writer = holder.accept(submitted.reply);
     writer.push(stream_head());
     writer.push(chunk("At "));
-    // The answer comes back as it comes, under the holder's run.
-    let mut response = soon(response).await.expect("an answer");
+    // The answer is streamed back with the holder's incarnation.
+    let mut response = within_timeout(response).await.expect("an answer");
     assert_eq!(response.headers()["bergamot-incarnation"], run.as_str());
-    assert!(next_piece(response.body_mut()).await.contains("At "));
+    assert!(next_chunk(response.body_mut()).await.contains("At "));
     writer.push(AnswerPart::End);
-    assert_eq!(next_piece(response.body_mut()).await, "data: [DONE]\n\n");
+    assert_eq!(next_chunk(response.body_mut()).await, "data: [DONE]\n\n");
 }
 
 #[tokio::test]
-async fn known_late() {
-    // An owner may know the key only after the caller was told this run. A
-    // holder that forgot it must not take it for new and run it again.
+async fn holder_named_late() {
+    // Guards against a second run: the shard's owner may find the key only
+    // after this host has sent the caller its own incarnation, and the holder
+    // must not accept the request as new if it no longer has the key.
     let mut holder = FakeHost::ready("mza-norte-1", &[]);
     let hosts = [("mza-norte-1", holder.server.address())];
     let mut host = FakeHost::ready("sanjuan-1", &hosts);
@@ -81,22 +82,21 @@
         assert_eq!(answer.status, 200);
         assert!(answer.text.contains("dawn"));
         assert_eq!(answer.text.ends_with("data: [DONE]\n\n"), stream);
-        // A retry has to name the holder, not the run that was told first.
-        let told = format!(": bergamot-incarnation {}\n", holder.run);
-        assert_eq!(answer.text.contains(&told), stream);
+        // A retry has to name the holder, and not the incarnation that was sent
+        // first.
+        let incarnation = format!(": bergamot-incarnation {}\n", holder.run);
+        assert_eq!(answer.text.contains(&incarnation), stream);
     }
 }
 
 #[tokio::test]
 async fn holder_unreachable() {
-    // Symptom: a lost request is told as "not run" and sent again.
-    // Sequence: the holding host is gone, unknown or restarted, or the
-    // request was forwarded once already.
-    // Cause: "I can't ask" taken for "it did not run".
+    // Guards against a lost request that is reported as not run: the holder is
+    // unreachable, unknown or restarted, or the request was forwarded before.
     let closed = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let gone = closed.local_addr().expect("an address");
+    let closed_address = closed.local_addr().expect("an address");
     drop(closed);
-    let mut host = FakeHost::ready("sanjuan-1", &[("mza-norte-1", gone)]);
+    let mut host = FakeHost::ready("sanjuan-1", &[("mza-norte-1", closed_address)]);
     let cases = [
         ("mza-norte-1", chat(false, &[])),
         ("unknown-1", chat(false, &[])),
@@ -105,7 +105,7 @@
     ];
     for (name, request) in cases {
         let call = spawn_call(host.server.address(), request);
-        point_to(&mut host, &run_of(name)).await;
+        reply_forward(&mut host, &incarnation_of(name)).await;
         let answer = call.await.expect("an answer");
         assert_eq!(answer.status, 502, "{name}");
         assert_eq!(answer.json()["error"]["code"], "lost");
@@ -118,16 +118,15 @@
 }
 
 #[tokio::test]
-async fn holder_breaks_off() {
-    // Symptom: a caller takes a broken stream for a whole one.
-    // Sequence: the holder's stream is passed on behind a head that was sent
-    // early; the holder dies in the middle.
-    // Cause: the end of the connection taken for the end of the answer.
+async fn holder_connection_lost() {
+    // Guards against a truncated stream that looks complete: the holder fails
+    // in the middle of a stream that is forwarded behind an early head.
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.expect("a connection");
-        // A connection closed with unread bytes could lose what was written.
+        // Closing a connection with unread bytes could discard what was
+        // written.
         let mut request = Vec::new();
         while !request.ends_with(b"}") {
             stream.read_buf(&mut request).await.expect("a request");
@@ -139,7 +138,7 @@
     let mut host = FakeHost::ready("sanjuan-1", &[("mza-norte-1", address)]);
     let fields = [("idempotency-key", "fall-7"), ("bergamot-work", "report")];
     let call = spawn_call(host.server.address(), chat(true, &fields));
-    point_to(&mut host, &run_of("mza-norte-1")).await;
+    reply_forward(&mut host, &incarnation_of("mza-norte-1")).await;
     let text = call.await.expect("an answer").text;
     assert!(text.contains("data: {}\n\nevent: error\ndata: {"), "{text}");
     assert!(text.contains("\"lost\"") && text.contains("\"unknown\""));
@@ -148,16 +147,17 @@
 
 #[tokio::test]
 async fn forwarded_caller_leaves() {
-    // The holder learns it, though the caller never spoke to it.
+    // The holder detects that the caller left, although the caller is connected
+    // to another host.
     let mut holder = FakeHost::ready("mza-norte-1", &[]);
     let hosts = [("mza-norte-1", holder.server.address())];
     let mut host = FakeHost::ready("sanjuan-1", &hosts);
     let call = spawn_call(host.server.address(), chat(false, &[]));
-    point_to(&mut host, &holder.run).await;
+    reply_forward(&mut host, &holder.run).await;
     let _writer = holder.accept_next().await;
     call.abort();
     match holder.input().await {
         NodeInput::CallerLeft(id) => assert_eq!(id, holder.id(1)),
-        other => panic!("no leave: {other:?}"),
+        other => panic!("not a caller's disconnect: {other:?}"),
     }
 }
--- a/bergamotswitch-net/tests/caller_requests/main.rs
+++ b/bergamotswitch-net/tests/caller_requests/main.rs
@@ -1,8 +1,9 @@
-//! The callers' interface, against a loop played by the test.
+//! Tests of the callers' HTTP interface, with an event loop simulated by the
+//! test.
 
 mod answers;
 mod checks;
+mod disconnects;
 mod fake_loop;
 mod forwarding;
-mod leaving;
 mod lookups;
