--- a/bergamotswitch-net/src/metrics/labels.rs
+++ b/bergamotswitch-net/src/metrics/labels.rs
@@ -1,53 +1,53 @@
-//! Provides the labels that tell a metric's children apart.
+//! Provides the label sets of the metric families.
 
 use bergamotswitch_core::rules::Tier;
 use prometheus_client::encoding::EncodeLabelSet;
 
-/// A `RefusalLabels` tells refusals apart.
+/// A `RefusalLabels` is the label set of refused requests.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(super) struct RefusalLabels {
     pub(super) reason: &'static str,
     pub(super) tier: String,
 }
 
-/// A `ReasonLabels` tells retries apart.
+/// A `ReasonLabels` is the label set of retries and of an owner's refusals.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(super) struct ReasonLabels {
     pub(super) reason: &'static str,
 }
 
-/// A `WasteLabels` tells wasted tokens apart.
+/// A `WasteLabels` is the label set of wasted prompt tokens.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(super) struct WasteLabels {
     pub(super) tier: u32,
     pub(super) cause: &'static str,
 }
 
-/// A `TierLabels` tells tiers apart.
+/// A `TierLabels` is the label set of metrics that are split by tier only.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(super) struct TierLabels {
     pub(super) tier: u32,
 }
 
-/// An `IncidentLabels` tells numbered events apart.
+/// An `IncidentLabels` is the label set of log events, by event number.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(super) struct IncidentLabels {
     pub(super) number: u32,
 }
 
-/// A `ValueLabels` tells published values apart.
+/// A `ValueLabels` is the label set of published values.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(super) struct ValueLabels {
     pub(super) value: String,
 }
 
-/// A `ForwardLabels` tells forwarded requests apart.
+/// A `ForwardLabels` is the label set of requests forwarded to another host.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(super) struct ForwardLabels {
     pub(super) reached: &'static str,
 }
 
-/// A `ShardLabels` tells the queues of owned shards apart.
+/// A `ShardLabels` is the label set of the queues of owned shards.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(super) struct ShardLabels {
     pub(super) pool: String,
@@ -55,14 +55,14 @@
     pub(super) tier: u32,
 }
 
-/// A `MessageLabels` tells messages between hosts apart.
+/// A `MessageLabels` is the label set of messages between hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(super) struct MessageLabels {
     pub(super) kind: &'static str,
     pub(super) way: &'static str,
 }
 
-/// Get the labels of a tier.
+/// Get the label set of a tier.
 pub(super) fn tier_labels(tier: Tier) -> TierLabels {
     TierLabels {
         tier: u32::from(tier.0),
--- a/bergamotswitch-net/src/metrics/mod.rs
+++ b/bergamotswitch-net/src/metrics/mod.rs
@@ -30,12 +30,14 @@
 /// The prefix of all metric names.
 pub const METRIC_PREFIX: &str = "bergamot";
 
-/// The label `tier` of a refusal that came before any rule gave a tier.
+/// The value of the label `tier` for a refusal that precedes the assignment of
+/// a tier.
 pub const NO_TIER: &str = "none";
 
-/// The bounds of the time histograms in seconds. 0.75 is the target's bound
-/// for the first token, so that the share within it can be read exactly; the
-/// long end is for summaries that wait minutes for their deadline.
+/// The bucket bounds of the time histograms, in seconds. 0.75 is the
+/// service-level objective for the first token, so the fraction of requests that
+/// meet it can be read exactly. The highest bounds cover batch requests with a
+/// deadline of minutes.
 const TIME_BUCKETS: [f64; 15] = [
     0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 0.75, 1.0, 1.5, 2.5, 5.0, 10.0, 30.0, 60.0, 300.0,
 ];
@@ -50,8 +52,9 @@
     Family::new_with_constructor(time_histogram)
 }
 
-/// A `NodeMetrics` is all metrics of one host. It is shared behind an `Arc`:
-/// the loop writes, the operator's page reads.
+/// A `NodeMetrics` is the set of all metrics of one host. It is shared behind an
+/// `Arc` between the event loop, which updates it, and the metrics endpoint,
+/// which reads it.
 #[derive(Debug)]
 pub struct NodeMetrics {
     registry: Registry,
@@ -83,9 +86,9 @@
 }
 
 impl NodeMetrics {
-    /// Get metrics that start at zero. Each refusal reason, retry reason and
-    /// incident has its counter from the start: a counter that appears only
-    /// with its first event hides that event from a rate.
+    /// Create metrics that start at zero. The counters of all refusal reasons,
+    /// retry reasons and incidents exist from the start, because a counter that
+    /// appears with its first event hides that event from a rate query.
     pub fn new() -> Self {
         let mut metrics = NodeMetrics {
             registry: Registry::with_prefix(METRIC_PREFIX),
@@ -141,7 +144,7 @@
         }
     }
 
-    /// Count a refusal; without a tier where no rule had given one yet.
+    /// Count a refused request; `tier` is `None` if none has been assigned yet.
     pub fn refused(&self, reason: RefusalReason, tier: Option<Tier>) {
         let tier = match tier {
             Some(tier) => tier.0.to_string(),
@@ -162,7 +165,7 @@
         self.retries.get_or_create(&labels).inc();
     }
 
-    /// Count prompt tokens that were processed for nothing.
+    /// Count prompt tokens that were processed in vain.
     pub fn wasted(&self, tier: Tier, cause: WasteCause, tokens: u32) {
         let labels = WasteLabels {
             tier: u32::from(tier.0),
@@ -171,8 +174,9 @@
         self.wasted.get_or_create(&labels).inc_by(u64::from(tokens));
     }
 
-    /// Count an ended request: `good` says whether its answer was whole and
-    /// in time, `first_token` is the time from acceptance to the first token.
+    /// Count a finished request. `good` states whether its answer was complete
+    /// and within the deadline, `first_token` is the time from acceptance to the
+    /// first token.
     pub fn ended(&self, tier: Tier, good: bool, first_token: Option<Duration>) {
         let labels = tier_labels(tier);
         self.ended.get_or_create(&labels).inc();
@@ -187,14 +191,14 @@
         }
     }
 
-    /// Count the time that a request waited for its permit.
+    /// Record how long a request waited for its permit.
     pub fn queue_wait(&self, tier: Tier, span: Duration) {
         self.queue_wait
             .get_or_create(&tier_labels(tier))
             .observe(span.as_secs_f64());
     }
 
-    /// Count a numbered event.
+    /// Count a log event.
     pub fn incident(&self, incident: Incident) {
         let labels = IncidentLabels {
             number: u32::from(incident.number()),
@@ -202,7 +206,8 @@
         self.incidents.get_or_create(&labels).inc();
     }
 
-    /// Count a request forwarded to its holder, and whether that was reached.
+    /// Count a request forwarded to the host that holds it; `reached` states
+    /// whether that host answered.
     pub fn forwarded(&self, reached: bool) {
         let reached = match reached {
             true => "yes",
@@ -213,19 +218,19 @@
             .inc();
     }
 
-    /// Set the number of requests of `tier` that wait.
+    /// Set the number of requests of `tier` that wait for a permit.
     pub fn set_queued(&self, tier: Tier, count: usize) {
         self.queued
             .get_or_create(&tier_labels(tier))
             .set(gauge_value(count));
     }
 
-    /// Set the number of requests that run.
+    /// Set the number of running requests.
     pub fn set_running(&self, count: usize) {
         self.running.set(gauge_value(count));
     }
 
-    /// Set the revision of a value that is in force.
+    /// Set the revision that is in force of a published value.
     pub fn set_revision(&self, value: &ValueName, revision: Revision) {
         let labels = ValueLabels {
             value: value.as_str().to_owned(),
@@ -233,7 +238,7 @@
         self.revisions.get_or_create(&labels).set(revision.0);
     }
 
-    /// Set the number of peers heard.
+    /// Set the number of reachable peers.
     pub fn set_peers(&self, count: usize) {
         self.peers.set(gauge_value(count));
     }
@@ -243,18 +248,18 @@
         self.owned_shards.set(gauge_value(count));
     }
 
-    /// Set the total of calls to the configuration service.
+    /// Set the total number of calls to the configuration service.
     pub fn set_service_reads(&self, total: u64) {
         set_total(&self.service_reads, total);
     }
 
-    /// Set the totals of bytes sent to and received from peers.
+    /// Set the total number of bytes sent to and received from peers.
     pub fn set_link_bytes(&self, sent: u64, received: u64) {
         set_total(&self.link_sent, sent);
         set_total(&self.link_received, received);
     }
 
-    /// Set the totals of messages sent to and received from peers, by kind.
+    /// Set the total number of messages sent to and received from peers, by kind.
     pub fn set_link_messages(&self, sent: &KindCounts, received: &KindCounts) {
         for kind in MessageKind::ALL {
             self.set_messages(*kind, "sent", sent);
@@ -272,29 +277,28 @@
         set_total(&counter, counts.of(kind).messages);
     }
 
-    /// Set how busy the host is, in thousandths of what it can carry.
+    /// Set the load of the host, in thousandths of its capacity.
     pub fn set_load(&self, permille: u16) {
         self.load.set(i64::from(permille));
     }
 
-    /// Set the total of admissions without an owner.
+    /// Set the total number of requests admitted without a shard owner.
     pub fn set_degraded_admissions(&self, total: u64) {
         set_total(&self.degraded_admissions, total);
     }
 
-    /// Set the total of keyed requests accepted while an unmarked
-    /// resubmission could not have been recognized.
+    /// Set the total number of requests with an idempotency key that were accepted
+    /// while a resubmission not marked as one could not have been recognized.
     pub fn set_unmarked_exposure(&self, total: u64) {
         set_total(&self.unmarked_exposure, total);
     }
 
-    /// Get the page in the OpenMetrics text format.
+    /// Get the metrics in the OpenMetrics text format.
     pub fn render(&self) -> String {
         let mut page = String::new();
         match encode(&mut page, &self.registry) {
             Ok(()) => page,
-            // Writing into a `String` cannot fail; an empty page tells the
-            // scraper that there is nothing to read.
+            // Writing to a `String` does not fail.
             Err(_) => String::new(),
         }
     }
@@ -310,8 +314,8 @@
     i64::try_from(count).unwrap_or(i64::MAX)
 }
 
-/// Set a counter whose total is kept elsewhere. A total that went down would
-/// read as a restart, so the higher one stays.
+/// Set a counter whose total is maintained elsewhere. The counter never
+/// decreases, because a lower total would look like a restart of the process.
 fn set_total(counter: &Counter, total: u64) {
     counter.inner().fetch_max(total, Ordering::Relaxed);
 }
--- a/bergamotswitch-net/src/metrics/owner_totals.rs
+++ b/bergamotswitch-net/src/metrics/owner_totals.rs
@@ -1,4 +1,4 @@
-//! Provides the metrics of the shards that a host owns.
+//! Provides the counters of the shards that a host owns.
 
 use std::collections::BTreeMap;
 
@@ -9,10 +9,10 @@
 use super::labels::{ReasonLabels, ShardLabels};
 use super::{NodeMetrics, gauge_value};
 
-/// The label `domain` of a shard that is not one failure domain's.
+/// The value of the label `domain` for a shard that spans all failure domains.
 const ALL_DOMAINS: &str = "all";
 
-/// A `ShardTotals` is what a shard's owner had counted at the last look.
+/// A `ShardTotals` holds the counts of a shard's owner at the last refresh.
 #[derive(Clone, Debug, Default)]
 struct ShardTotals {
     preempted: u64,
@@ -20,16 +20,16 @@
     refusals: BTreeMap<RefusalReason, u64>,
 }
 
-/// An `OwnerTotals` adds up what owners count, who begin at zero with each
-/// takeover. What a host counted between the last look and the end of an
-/// ownership is not in them.
+/// An `OwnerTotals` accumulates the counts of shard owners, which restart from
+/// zero with each takeover. Events between the last refresh and the end of an
+/// ownership are not counted.
 #[derive(Debug, Default)]
 pub struct OwnerTotals {
     shards: BTreeMap<PoolShard, ShardTotals>,
 }
 
 impl OwnerTotals {
-    /// Bring the metrics of owned shards up to date.
+    /// Update the metrics of owned shards.
     pub fn refresh(&mut self, metrics: &NodeMetrics, views: &[ShardView]) {
         metrics.shard_queue.clear();
         let mut earlier = std::mem::take(&mut self.shards);
@@ -52,7 +52,8 @@
     }
 }
 
-/// Get what was counted since; a lower count is that of a new owner.
+/// Get the increase between two counts. A lower count belongs to a new owner,
+/// which started from zero.
 fn growth(before: u64, after: u64) -> u64 {
     match after.checked_sub(before) {
         Some(grown) => grown,
--- a/bergamotswitch-net/src/metrics/registration.rs
+++ b/bergamotswitch-net/src/metrics/registration.rs
@@ -3,7 +3,7 @@
 use super::NodeMetrics;
 
 impl NodeMetrics {
-    /// Register what became of requests.
+    /// Register the metrics of request outcomes.
     pub(super) fn register_outcomes(&mut self) {
         let registry = &mut self.registry;
         registry.register(
@@ -53,7 +53,7 @@
         );
     }
 
-    /// Register the host's present state.
+    /// Register the gauges of the host's current state.
     pub(super) fn register_state(&mut self) {
         let registry = &mut self.registry;
         registry.register(
@@ -89,7 +89,7 @@
         );
     }
 
-    /// Register totals that other parts of the host keep.
+    /// Register the counters whose totals are maintained elsewhere in the host.
     pub(super) fn register_totals(&mut self) {
         let registry = &mut self.registry;
         registry.register(
--- a/bergamotswitch-net/src/node/drive.rs
+++ b/bergamotswitch-net/src/node/drive.rs
@@ -1,4 +1,4 @@
-//! Provides the loop itself.
+//! Provides the event loop of a host.
 
 mod reports;
 mod stopping;
@@ -36,8 +36,8 @@
 use crate::metrics::{NodeMetrics, OwnerTotals};
 use crate::target_client::{TargetClient, TargetClientOptions};
 
-/// A `HostNode` is one entry host's process: it owns every machine and every
-/// client, and one loop on one thread drives them.
+/// A `HostNode` is the event loop of one entry host. It owns the state machines
+/// and all clients of the process and drives them on one thread.
 pub struct HostNode {
     me: HostSelf,
     core: NodeCore,
@@ -62,11 +62,12 @@
 }
 
 impl HostNode {
-    /// Try to start a host inside the current `tokio` runtime.
+    /// Try to start a host in the current `tokio` runtime.
     ///
     /// # Errors
     ///
-    /// Returns a [`NodeError`] where links or caller interface cannot start.
+    /// Returns a [`NodeError`] if the links or the caller interface cannot be
+    /// started.
     pub fn try_new(setup: NodeSetup) -> Result<Self, NodeError> {
         let (sender, inbox) = mpsc::unbounded_channel();
         let me = setup.me;
@@ -112,12 +113,12 @@
         })
     }
 
-    /// Get the way to tell the loop something, a stop above all.
+    /// Get the sender of inputs to the event loop, such as a stop signal.
     pub fn sender(&self) -> NodeSender {
         self.sender.clone()
     }
 
-    /// Get this run.
+    /// Get the identity of this host process.
     pub fn me(&self) -> &HostSelf {
         &self.me
     }
@@ -142,8 +143,8 @@
         self.close().await;
     }
 
-    /// Close the door and let the answers that are still being read end, as
-    /// far as the grace allows.
+    /// Stop the caller interface and let open answers be read to their end, within
+    /// the grace period.
     async fn close(self) {
         let now = self.now();
         let times = self.stop.times();
@@ -189,8 +190,8 @@
                 let (reception, actions) = self.core.submit(self.now(), *submission);
                 let received = self.receive(reception, *call, label);
                 self.carry_out(actions);
-                // A caller that is gone by now dropped its end; its guard
-                // tells the loop so by `CallerLeft`.
+                // The caller may have disconnected; its guard then sends
+                // `CallerLeft`.
                 let _ = reply.send(received);
             }
             NodeInput::CallerLeft(id) => {
@@ -246,7 +247,7 @@
                 self.handle(NodeEvent::Attempt(id, event));
             }
             NodeInput::Overlong(id) => {
-                // An answer that began anew meanwhile is another run's.
+                // The answer may have been restarted by another attempt.
                 let overlong = |request: &OpenRequest| request.answer.is_overlong();
                 if self.open.get(id).is_some_and(overlong) {
                     self.handle(NodeEvent::AnswerTooLong(id));
@@ -295,7 +296,8 @@
     fn act(&mut self, action: NodeAction) {
         match action {
             NodeAction::Send(host, message) => {
-                // Where no link is up the machines repeat what matters.
+                // Without a link the message is lost; the state machines resend
+                // those that matter.
                 self.links.send(&host, &message);
             }
             NodeAction::Gossip(action) => {
@@ -308,8 +310,8 @@
             NodeAction::Read(name) => self.platform.read(&name),
             NodeAction::Watch(name, after) => self.platform.watch(&name, after),
             NodeAction::Published(name) => self.publish(&name),
-            // The users' targets tell their load with their answers; asked
-            // for it, they count each question as a probe.
+            // Targets of the gateway report their load in each answer, and count a
+            // load query as a probe.
             NodeAction::WatchTargets(_) if self.settings.gateway.is_some() => {}
             NodeAction::WatchTargets(targets) => self.targets.watch_targets(&targets),
             NodeAction::Start {
@@ -336,7 +338,7 @@
                 good,
                 first_token,
             } => self.metrics.ended(tier, good, first_token),
-            // The loop asks the core itself whether it is idle.
+            // The event loop checks itself whether the core is idle.
             NodeAction::Stopped => {}
         }
     }
@@ -350,8 +352,8 @@
         let Some(call) = &request.call else {
             return;
         };
-        // What an earlier attempt delivered was seen by nobody, but for events
-        // of a stream that this one carries on after the last of them.
+        // No caller has read data of an earlier attempt, except for events of a
+        // stream that this attempt resumes.
         if request.answer.last_event_id().is_none() {
             request.answer.clear();
         }
@@ -383,7 +385,7 @@
             self.targets
                 .set_options(TargetClientOptions::default().with_limits(limits));
         }
-        // The host list changes often, and says nothing of targets.
+        // The host list changes often and does not contain targets.
         if name.as_str() != HOSTS_VALUE {
             self.targets.record_target_starts(&publication.pools);
         }
@@ -399,7 +401,7 @@
         }
     }
 
-    /// Put changed settings in force, as far as that needs no new start.
+    /// Apply the changed settings that do not require a restart.
     fn reload(&mut self, settings: HostSettings) {
         if let Some(gateway) = &settings.gateway {
             self.handle(NodeEvent::Seeds(gateway.seeds.clone()));
--- a/bergamotswitch-net/src/node/drive/reports.rs
+++ b/bergamotswitch-net/src/node/drive/reports.rs
@@ -1,4 +1,4 @@
-//! Provides what the loop reports of itself: log events, gauges and status.
+//! Provides the log events, gauges and status of the event loop.
 
 use std::fmt::Display;
 use std::time::Duration;
@@ -13,11 +13,11 @@
 use crate::node::gauges;
 use crate::node::stop::StopTimes;
 
-/// How often gauges are brought up to date.
+/// The interval at which gauges are updated.
 const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
 
 impl HostNode {
-    /// Note a change of whether the store answers.
+    /// Log a change of whether the store is reachable.
     pub(super) fn note_store(&mut self, answered: bool) {
         let failing = !answered;
         if failing == self.store_failing || self.settings.gateway.is_none() {
@@ -31,7 +31,7 @@
         self.note(incident, "store");
     }
 
-    /// Note a change of whether keys are relied on.
+    /// Log a change of whether API keys are trusted.
     fn note_keys(&mut self) {
         let trusted = self.core.trusts_keys(self.now());
         if trusted == self.keys_trusted || self.settings.gateway.is_none() {
@@ -50,7 +50,7 @@
         journal::write(incident, &[("host", &self.me.run.host), ("about", &text)]);
     }
 
-    /// Note how far a planned stop is and what is open.
+    /// Log the progress of a planned stop and the number of open requests.
     pub(super) fn note_stop(&self, incident: Incident, times: &StopTimes) {
         self.metrics.incident(incident);
         let now = self.now();
@@ -74,10 +74,10 @@
         journal::write(incident, &pairs);
     }
 
-    /// Note each request that is still open although the grace is nearly over.
+    /// Log each request that is still open although the grace period is nearly over.
     ///
-    /// A process that is killed tells nothing of what it held: without these
-    /// lines a request that is lost with it has none in any log.
+    /// Without these lines, a request that is lost when the process is killed
+    /// appears in no log.
     pub(super) fn note_open(&self, times: &StopTimes) {
         if self.core.is_idle() {
             return;
@@ -93,7 +93,7 @@
 
     pub(super) fn status(&self) -> serde_json::Value {
         let view = serde_json::to_value(self.core.view(self.now()));
-        // A view that cannot be written would otherwise look like an empty one.
+        // A view that cannot be serialized must not look like an empty one.
         let mut status = view.unwrap_or_else(|error| json!({ "error": error.to_string() }));
         if let Some(fields) = status.as_object_mut() {
             let reads = self.platform.calls();
--- a/bergamotswitch-net/src/node/drive/stopping.rs
+++ b/bergamotswitch-net/src/node/drive/stopping.rs
@@ -1,4 +1,4 @@
-//! Provides the loop's part of a planned stop.
+//! Provides the steps of the event loop in a planned stop.
 
 use std::fmt::Display;
 use std::time::Duration;
@@ -16,8 +16,8 @@
 use crate::node::seams::CallerDoor;
 use crate::node::stop::{StopPhase, StopTimes};
 
-/// How many times as long as they were told some callers of the gateway keep
-/// an address, and a little more for those on their way.
+/// The factor by which callers of the gateway may exceed the lifetime of an
+/// address, including an allowance for connections that are being established.
 const GATEWAY_LIFETIMES: u32 = 4;
 
 impl HostNode {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Go on with a planned stop, as far as time alone takes it.
+    /// Advance a planned stop to the phase that is due.
     pub(super) fn advance_stop(&mut self) {
         let Some(phase) = self.stop.advance(self.now()) else {
             return;
@@ -45,9 +45,8 @@
             StopPhase::Serving | StopPhase::Lapsing(_) => {}
             StopPhase::Ending(times) => {
                 self.callers.shut();
-                // The project's own interface goes on to answer questions; were
-                // requests taken there until the host is idle, it would never
-                // be idle under load.
+                // The native API still answers queries, but must not admit
+                // requests: under load the host would never become idle.
                 if let CallerDoor::Api(_) = self.callers {
                     self.handle(NodeEvent::AdmissionClosed);
                 }
@@ -56,16 +55,16 @@
             StopPhase::Over(times) => {
                 self.take_waiting();
                 self.note_open(&times);
-                // A host that is late is killed while it ends its requests; what
-                // it held is in the log by then.
+                // The lines must be written now: the host may be killed before
+                // it has ended its requests.
                 journal::hasten();
                 self.handle(NodeEvent::GraceExpired);
             }
         }
     }
 
-    /// Take in what has come already. Answers whose end waits here are whole, and
-    /// would be told as cut off.
+    /// Process all inputs that have already arrived. Otherwise an answer whose end
+    /// is still in the inbox would be reported as truncated.
     pub(super) fn take_waiting(&mut self) {
         for _ in 0..self.inbox.len() {
             let Ok(input) = self.inbox.try_recv() else {
@@ -75,8 +74,8 @@
         }
     }
 
-    /// Get how long a stopping host still takes callers. At the gateway some
-    /// callers keep an address three times as long as they were told.
+    /// Get how long a stopping host still accepts callers. Some callers of the
+    /// gateway use an address for three times its lifetime.
     fn stop_lifetime(&self) -> Duration {
         let lifetime = self.core.publication().limits.address_lifetime_ms;
         let lifetime = Duration::from_millis(lifetime);
@@ -87,7 +86,7 @@
     }
 }
 
-/// Note that the grace is over before callers have read their answers.
+/// Log that the grace period has ended before callers have read their answers.
 pub(super) fn note_unread(me: &HostSelf, metrics: &NodeMetrics) {
     metrics.incident(Incident::GraceEnding);
     let about = "answers that are still being read";
@@ -95,8 +94,9 @@
     journal::write(Incident::GraceEnding, &pairs);
 }
 
-/// Turn away what comes when the loop has ended, such as a request whose body
-/// was still being read. A dropped reply would leave open whether it ran.
+/// Refuse a request that arrives after the event loop has ended, such as one whose
+/// body was still being read. A dropped reply would not state that the request
+/// did not run.
 pub(super) fn turn_away(
     input: Option<NodeInput>,
     now: Moment,
@@ -115,7 +115,7 @@
     let label = RequestLabel::of(now, &submission, &call).with_stop(stop_at);
     metrics.refused(refusal.reason(), Some(label.tier));
     label.note_end(now, None, &Conclusion::Refused(refusal.clone()), 0);
-    // A caller that is gone needs no answer.
+    // The caller may have disconnected.
     let _ = reply.send(Received {
         reception: SubmitOutcome::Refused(refusal),
         answer: None,
--- a/bergamotswitch-net/src/node/gateway_setup.rs
+++ b/bergamotswitch-net/src/node/gateway_setup.rs
@@ -1,4 +1,4 @@
-//! Provides what a host starts from that serves the users' platform.
+//! Provides the options of a host that runs the gateway.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -15,79 +15,84 @@
 
 use crate::target_client::TargetClientOptions;
 
-/// The time between heartbeats to an owner, and the silence after which it
-/// counts as gone. An answer is late after 100 to 1,200 ms, so a dead owner
-/// must be noticed well within one second.
+/// The heartbeat interval and the suspicion timeout for peers. Answers are due
+/// within 100 to 1,200 ms, so a failed owner must be detected well within one
+/// second.
 const HEARTBEAT_MS: u64 = 200;
 const SUSPECT_AFTER_MS: u64 = 700;
 
-/// How long an earlier owner has to answer before work goes back to it, and
-/// how long a host that all lost sight of has to be silent before its slots
-/// are given away: targets end what they do for a host within about a second
-/// of its end.
+/// How long an earlier owner has to be reachable before ownership fails back to
+/// it.
 const YIELD_AFTER: Duration = Duration::from_secs(2);
+/// How long a host has to be unreachable before it counts as terminated and its
+/// slots are reassigned. Targets abort the work of a terminated host within about
+/// a second.
 const GONE_AFTER: Duration = Duration::from_millis(1_500);
 
-/// How long a stopping owner goes on beside its successor.
+/// How long a stopping owner keeps acting while its successor takes over.
 const HANDOVER: Duration = Duration::from_millis(400);
 
-/// How often relays are asked since when their routes are the newest. With a
-/// watch of one second at the readers, a host two steps from them knows the
-/// age to within 2.4 s; keys are relied on up to five.
+/// The interval at which relays are queried for how long ago their routes were
+/// known to be the newest. It has to be short enough that a host two hops from a
+/// reader can confirm its routes before keys are no longer trusted.
 const CONFIRM_INTERVAL: Duration = Duration::from_millis(600);
 
-/// How long a host that starts waits for peers before it reads for itself.
+/// How long a starting host waits for peers before it reads the store itself.
 const READ_FALLBACK: Duration = Duration::from_millis(250);
 
-/// The calls to the store: one in each interval, and so many at once. In a
-/// storm of changes a watch ends every 80 ms; a slower pace left all hosts with
-/// routes 2.5 s old. The store bears 2,000 a second of all hosts together.
+/// The interval and the burst of the read budget for the store. While values
+/// change continuously, every watch ends early; a smaller budget would leave the
+/// routes stale.
 const READ_PACE: (Duration, u32) = (Duration::from_millis(50), 40);
 
-/// The pauses after failed reads. A change has to be in force within two
-/// seconds, also right after an outage.
+/// The shortest and the longest backoff after a failed read. A change has to be in
+/// force within two seconds, also right after an outage.
 const READ_BACKOFF: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(1));
 
-/// How often relays are asked for changes, and the silence after which a
-/// relay does not count.
+/// The interval at which relays are polled for changes, and the time without an
+/// answer after which a relay is considered silent.
 const RELAY_KEEPALIVE: Duration = Duration::from_millis(500);
 const RELAY_SILENT_AFTER: Duration = Duration::from_millis(1_600);
 
-/// The share of a pool's retry allowance that the hosts use: each counts for
-/// itself, and the windows over which others count differ from theirs.
+/// The fraction of a pool's retry budget that the hosts use. The rest is a margin,
+/// because each host counts separately and over its own windows.
 const RETRY_SHARE: f64 = 0.7;
 
-/// The share of a quota's tolerance that is used for bursts. The rest is for
-/// plain calls, which another owner counts: four in a hundred of all units.
+/// The fraction of a quota's tolerance that is available for bursts. The rest
+/// covers plain calls, which another owner counts.
 const QUOTA_SHARE: f64 = 0.75;
 
-/// The most dispatches of one call, those included that targets refused.
+/// The maximum number of dispatches of one call, including refused ones.
 const MAX_DISPATCHES: u64 = 4;
 
-/// How much less than the bound on revoked keys is used, for timers that fire
-/// late.
+/// The margin by which key trust ends before the bound on revoked keys, for
+/// timers that fire late.
 const KEY_MARGIN: Duration = Duration::from_millis(300);
 
-/// How long after an ask without an answer it is sent again.
+/// The timeout after which an unanswered permit request is sent again.
 const RE_ASK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The pauses between probes of a target that failed.
+/// The shortest and the longest interval between probes of a failed target.
 const PROBE_INTERVAL: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(2));
 
-/// How often a shard's owner asks after permits that it gave long ago.
+/// The age of a permit at which the shard's owner audits it.
 const AUDIT_AFTER: Duration = Duration::from_secs(4);
 
-/// How long an idle connection to a target is used again, and how soon one
-/// that went silent is noticed.
+/// How long after its last use an idle connection to a target may be reused.
 const IDLE_REUSE: Duration = Duration::from_secs(8);
+
+/// The idle time of a connection after which TCP keepalive probes are sent, and how
+/// long sent data may stay unacknowledged before the connection is closed.
 const SILENT_PROBE: Duration = Duration::from_secs(1);
 const UNACKED_LIMIT: Duration = Duration::from_millis(1_500);
+
+/// The maximum number of idle connections to one target.
 const KEPT_PER_TARGET: usize = 16;
 
-/// The part of a host's memory that bodies of calls may take.
+/// The divisor of a host's memory that gives the limit for request bodies.
 const BODY_PARTS: usize = 5;
 
-/// Get the limits that hold where none are published.
+/// Get the fleet limits that apply while none are published.
 pub(super) fn limits(gateway: &GatewaySettings) -> FleetLimits {
     let retry_permille = gateway.retry_ratio * RETRY_SHARE * 1_000.0;
     FleetLimits {
@@ -103,7 +108,7 @@
     }
 }
 
-/// Get the options of the decisions.
+/// Get the options of the node's state machines.
 pub(super) fn options(settings: &HostSettings, gateway: &GatewaySettings) -> NodeOptions {
     let limits = limits(gateway);
     let base = NodeOptions::default().with_limits(&limits);
@@ -156,7 +161,7 @@
         .with_handover(HANDOVER)
 }
 
-/// Get the options of calls to targets.
+/// Get the options of the target client.
 pub(super) fn target_options() -> TargetClientOptions {
     TargetClientOptions::default()
         .with_connect_timeout(Duration::from_millis(1_000))
@@ -166,7 +171,7 @@
         .with_user_timeout(UNACKED_LIMIT)
 }
 
-/// Get the bytes of bodies that the host holds at most.
+/// Get the maximum number of bytes of request bodies that the host buffers.
 pub(super) fn body_bytes(gateway: &GatewaySettings) -> usize {
     let memory = usize::try_from(gateway.memory_mb).unwrap_or(usize::MAX);
     memory.saturating_mul(1 << 20) / BODY_PARTS
@@ -183,8 +188,8 @@
     }
 }
 
-/// Get the time of day; zero where it lies before 1970, from which on other
-/// hosts tell this one to count on.
+/// Get the Unix time in milliseconds, or zero if the clock is set before 1970.
+/// The host then continues from the stamp that other hosts hold.
 fn time_of_day_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| u64::try_from(since.as_millis()).unwrap_or(0))
--- a/bergamotswitch-net/src/node/gauges.rs
+++ b/bergamotswitch-net/src/node/gauges.rs
@@ -1,11 +1,11 @@
-//! Provides the gauges that follow a host's view.
+//! Provides the update of the gauges from a host's view.
 
 use bergamotswitch_core::node::NodeView;
 use bergamotswitch_core::rules::Tier;
 
 use crate::metrics::NodeMetrics;
 
-/// Bring the gauges up to date.
+/// Update the gauges from the view.
 pub(super) fn refresh(metrics: &NodeMetrics, view: &NodeView) {
     for (tier, waiting) in view.desk.waiting.iter().enumerate() {
         metrics.set_queued(Tier(tier as u8), *waiting as usize);
--- a/bergamotswitch-net/src/node/host_parts.rs
+++ b/bergamotswitch-net/src/node/host_parts.rs
@@ -1,5 +1,5 @@
-//! Provides the parts of a host that differ between the project's own
-//! interface and the users' platform.
+//! Provides the startup of the components that differ between a host with the
+//! native API and one with the gateway.
 
 use std::io;
 
@@ -15,7 +15,7 @@
 use crate::store_source::StoreSource;
 use crate::target_client::{TargetClient, TargetClientOptions};
 
-/// A `HostParts` is the started parts.
+/// A `HostParts` is the set of started components.
 pub(super) struct HostParts {
     pub(super) callers: CallerDoor,
     pub(super) platform: ValueSource,
@@ -24,11 +24,11 @@
 }
 
 impl HostParts {
-    /// Try to start them.
+    /// Try to start the components.
     ///
     /// # Errors
     ///
-    /// Returns [`NodeError::Serve`] where one of them cannot be started.
+    /// Returns [`NodeError::Serve`] if one of them cannot be started.
     pub(super) fn try_new(
         doors: NodeDoors,
         settings: &HostSettings,
--- a/bergamotswitch-net/src/node/load_gauge.rs
+++ b/bergamotswitch-net/src/node/load_gauge.rs
@@ -1,4 +1,4 @@
-//! Provides the load of this host, by which callers are steered.
+//! Provides the load measurement of a host, by which callers are distributed.
 
 use std::time::Duration;
 
@@ -6,17 +6,17 @@
 use bergamotswitch_core::entry::EntryView;
 use tokio::runtime::Handle;
 
-/// A host with nothing to spare, in thousandths.
+/// The load of a saturated host, in thousandths.
 const FULL: u64 = 1_000;
 
-/// The waiting requests at which a host counts as full. With bodies of 64 KB
-/// they hold a quarter of its 256 MB.
+/// The number of waiting requests at which a host is saturated. With bodies of
+/// 64 KB they take a quarter of a memory limit of 256 MB.
 const WAITING_AT_FULL: u64 = 1_000;
 
-/// The only worker of a current-thread runtime.
+/// The index of the only worker of a current-thread runtime.
 const WORKER: usize = 0;
 
-/// A `LoadGauge` measures how busy the host's one thread is.
+/// A `LoadGauge` measures the utilization of the host's thread.
 #[derive(Debug, Default)]
 pub(super) struct LoadGauge {
     seen_at: Moment,
@@ -24,10 +24,10 @@
 }
 
 impl LoadGauge {
-    /// Get the load since the last look, in thousandths of what the host can
-    /// carry: the thread's busy share, or the room that waiting requests
-    /// take, whichever is more. The whole thread counts, not the loop alone:
-    /// connections are served beside it.
+    /// Measure the load since the last measurement, in thousandths of the capacity.
+    /// It is the higher of the thread's busy fraction and the occupancy of the
+    /// queue. The thread also serves connections, so its total busy time counts,
+    /// not only that of the event loop.
     pub fn measure(&mut self, now: Moment, desk: &EntryView) -> u16 {
         let busy = Handle::current()
             .metrics()
--- a/bergamotswitch-net/src/node/mod.rs
+++ b/bergamotswitch-net/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! Provides a host's process: the one loop that turns inputs into decisions
-//! and decisions into I/O.
+//! Provides the process of a host: the event loop that passes inputs to the state
+//! machines and executes their actions.
 
 mod drive;
 mod gateway_setup;
@@ -26,12 +26,12 @@
 
 pub use self::drive::HostNode;
 
-/// A `NodeError` is the reason why a host cannot start.
+/// A `NodeError` is the reason why a host could not be started.
 #[derive(Debug)]
 pub enum NodeError {
-    /// An address of the settings cannot be listened on.
+    /// A listener cannot be bound to an address of the settings.
     Listen(SocketAddr, std::io::Error),
-    /// The links cannot be started.
+    /// The links to peers cannot be started.
     Link(LinkError),
     /// The caller interface cannot be started.
     Serve(std::io::Error),
@@ -49,21 +49,21 @@
 
 impl std::error::Error for NodeError {}
 
-/// A `NodeDoors` is the sockets on which a host listens for callers.
+/// A `NodeDoors` is the set of sockets on which a host listens for callers.
 #[derive(Debug)]
 pub enum NodeDoors {
-    /// For the project's own interface.
+    /// The listener of the native API.
     Api(TcpListener),
-    /// For the users' platform.
+    /// The listeners of the gateway.
     Gateway(GatewaySockets),
 }
 
 impl NodeDoors {
-    /// Get where callers connect.
+    /// Get the address to which callers connect.
     ///
     /// # Errors
     ///
-    /// Returns the error of the system's answer.
+    /// Returns an error if the operating system cannot provide the address.
     pub fn caller_address(&self) -> std::io::Result<SocketAddr> {
         match self {
             NodeDoors::Api(listener) => listener.local_addr(),
@@ -72,31 +72,30 @@
     }
 }
 
-/// A `NodeSetup` is what a host's process starts from: checked settings and
-/// the sockets that it listens on.
+/// A `NodeSetup` holds what is needed to start a host: checked settings, bound
+/// listeners and options.
 #[derive(Debug)]
 pub struct NodeSetup {
-    /// The settings.
+    /// The host's settings.
     pub settings: HostSettings,
-    /// This run.
+    /// The identity of this host process.
     pub me: HostSelf,
-    /// Where callers connect.
+    /// The listeners for callers.
     pub doors: NodeDoors,
-    /// Where peers connect.
+    /// The listener for links from peers.
     pub peers: TcpListener,
-    /// The options of the decisions.
+    /// The options of the state machines.
     pub opts: NodeOptions,
-    /// The metrics.
+    /// The host's metrics.
     pub metrics: Arc<NodeMetrics>,
 }
 
 impl NodeSetup {
-    /// Try to listen on the addresses of the settings, under a new random
-    /// incarnation.
+    /// Try to bind the listeners of the settings and draw a random incarnation.
     ///
     /// # Errors
     ///
-    /// Returns [`NodeError::Listen`] where an address is taken.
+    /// Returns [`NodeError::Listen`] if a listener cannot be bound.
     pub fn try_new(settings: HostSettings) -> Result<Self, NodeError> {
         let doors = match &settings.gateway {
             None => NodeDoors::Api(listen(settings.caller_address)?),
@@ -130,7 +129,7 @@
         })
     }
 
-    /// Set the options of the decisions.
+    /// Set the options of the state machines.
     pub fn with_opts(mut self, opts: NodeOptions) -> Self {
         self.opts = opts;
         self
--- a/bergamotswitch-net/src/node/open_request.rs
+++ b/bergamotswitch-net/src/node/open_request.rs
@@ -1,4 +1,4 @@
-//! Provides the requests whose answers this host holds.
+//! Provides the requests whose answers are buffered by this host.
 
 use std::collections::HashMap;
 
@@ -8,18 +8,19 @@
 use crate::answer::{AnswerBound, AnswerReader, AnswerWriter};
 use crate::input::{NodeSender, OutgoingCall};
 
-/// An `OpenRequest` is what the loop keeps of a request besides its decision
-/// state: what to send, what came back and how many callers follow it.
+/// An `OpenRequest` holds the data of a request that the state machines do not
+/// need: the call to send, its answer and the number of callers that follow it.
 pub(super) struct OpenRequest {
-    /// What is sent; dropped when the request ends.
+    /// The call to a target; dropped when the request ends.
     pub call: Option<OutgoingCall>,
     pub answer: AnswerWriter,
-    /// What log lines say of it.
+    /// The data for the log lines about the request.
     pub label: RequestLabel,
     followers: usize,
 }
 
-/// An `OpenRequests` is all requests whose answers this host holds.
+/// An `OpenRequests` is the set of requests whose answers are buffered by this
+/// host.
 pub(super) struct OpenRequests {
     requests: HashMap<RequestId, OpenRequest>,
     max_answer_bytes: usize,
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Bound the answers of the requests that come from now on.
+    /// Set the size limit for the answers of future requests.
     pub fn set_max_answer_bytes(&mut self, bytes: u64) {
         self.max_answer_bytes = bytes as usize;
     }
@@ -57,14 +58,14 @@
         reader
     }
 
-    /// Follow a request from its answer's beginning.
+    /// Add a caller that reads the answer from its beginning.
     pub fn attach(&mut self, id: RequestId) -> Option<AnswerReader> {
         let request = self.requests.get_mut(&id)?;
         request.followers += 1;
         Some(request.answer.reader())
     }
 
-    /// Note that a caller left and get whether it was the last one.
+    /// Remove a caller and get whether it was the last one.
     pub fn leave(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get_mut(&id) else {
             return false;
@@ -81,14 +82,14 @@
         self.requests.get(&id)
     }
 
-    /// Get the requests that have not ended, in no order.
+    /// Get the requests that have not ended, in arbitrary order.
     pub fn live(&self) -> impl Iterator<Item = (RequestId, &OpenRequest)> {
         let requests = self.requests.iter();
         let live = requests.filter(|(_, request)| request.call.is_some());
         live.map(|(id, request)| (*id, request))
     }
 
-    /// Drop what would be sent: the request is over.
+    /// Drop the call of a request that has ended; its answer is kept.
     pub fn end(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.call = None;
--- a/bergamotswitch-net/src/node/request_label.rs
+++ b/bergamotswitch-net/src/node/request_label.rs
@@ -1,4 +1,4 @@
-//! Provides what log lines say of a gateway's request.
+//! Provides the log lines about requests of the gateway.
 
 use std::fmt::Display;
 use std::time::Duration;
@@ -15,32 +15,31 @@
 use crate::input::OutgoingCall;
 use crate::journal;
 
-/// A `RequestLabel` is what the line about a request's end says of it.
+/// A `RequestLabel` collects what the log lines about a request report.
 #[derive(Debug)]
 pub(super) struct RequestLabel {
-    /// The caller's id; none for the project's own interface, whose callers
-    /// are told the internal one.
+    /// The request id from the caller. Requests of the native API have none; their
+    /// callers receive the internal id.
     caller_id: Option<String>,
     rule: RuleName,
     account: AccountName,
-    /// How long its answer may take to begin, where its route says so.
+    /// The time within which the answer should begin, if the route sets one.
     aim: Option<Duration>,
-    /// The tier.
     pub(super) tier: Tier,
     prompt: u32,
     output: u32,
-    /// The most output tokens that the call names.
+    /// The maximum number of output tokens, if the call states it.
     most_output: Option<u32>,
     received_at: Moment,
     started_at: Option<Moment>,
     first_at: Option<Moment>,
     targets: Vec<TargetName>,
-    /// When the planned stop began under which it was received.
+    /// When the planned stop began during which the request was received.
     stop_at: Option<Moment>,
 }
 
 impl RequestLabel {
-    /// Get the label of a request that was received now.
+    /// Create the label of a request that has just been received.
     pub(super) fn of(now: Moment, submission: &Submission, call: &OutgoingCall) -> Self {
         let routed = call.routed.as_ref();
         RequestLabel {
@@ -60,24 +59,24 @@
         }
     }
 
-    /// Set when the planned stop began under which it was received.
+    /// Set when the planned stop began during which the request was received.
     pub(super) fn with_stop(mut self, stop_at: Option<Moment>) -> Self {
         self.stop_at = stop_at;
         self
     }
 
-    /// Note a target to which it is sent.
+    /// Record a dispatch to a target.
     pub(super) fn note_target(&mut self, now: Moment, target: &TargetName) {
         self.started_at.get_or_insert(now);
         self.targets.push(target.clone());
     }
 
-    /// Note that its answer begins.
+    /// Record the arrival of the first token.
     pub(super) fn note_first(&mut self, now: Moment) {
         self.first_at.get_or_insert(now);
     }
 
-    /// Write the line about its end.
+    /// Write the log line about the end of the request.
     pub(super) fn note_end(
         &self,
         now: Moment,
@@ -139,8 +138,8 @@
         journal::write(Incident::RequestEnded, &pairs);
     }
 
-    /// Write the line about a request that is open although the grace is
-    /// nearly over.
+    /// Write the log line about a request that is still open although the grace
+    /// period is nearly over.
     pub(super) fn note_open(&self, now: Moment, id: RequestId, stop: &StopTimes, pieces: usize) {
         let number = id.sequence;
         let caller_id = self.caller_id.as_deref().unwrap_or_default();
@@ -151,7 +150,7 @@
         let age = now.since(self.received_at).as_millis();
         let ran = self.started_at.map_or(Duration::ZERO, |at| now.since(at));
         let ran = ran.as_millis();
-        // Negative for a request from before the signal.
+        // Negative for a request that was received before the stop signal.
         let stopping = match self.received_at < stop.begun_at {
             true => format!("-{}", stop.begun_at.since(self.received_at).as_millis()),
             false => self
--- a/bergamotswitch-net/src/node/seams.rs
+++ b/bergamotswitch-net/src/node/seams.rs
@@ -1,5 +1,5 @@
-//! Provides the seams of a host: the parts that differ between the project's
-//! own interface and the users' platform.
+//! Provides the adapters that hide whether a host runs the native API or the
+//! gateway.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,39 +12,39 @@
 use crate::platform::{PlatformClient, PlatformOptions};
 use crate::store_source::StoreSource;
 
-/// A `CallerDoor` is where callers come in.
+/// A `CallerDoor` is the server that accepts callers.
 #[derive(Debug)]
 pub(super) enum CallerDoor {
-    /// The project's own interface.
+    /// The native API.
     Api(HttpServer),
-    /// The users' platform's.
+    /// The gateway.
     Gateway(GatewayServer),
 }
 
 impl CallerDoor {
-    /// Begin a graceful stop while addresses still lapse.
+    /// Begin a graceful stop; callers are still accepted.
     pub(super) fn lapse(&self) {
         match self {
-            // Its connections are closed when the last address has lapsed.
+            // Its connections are closed after the last address has expired.
             CallerDoor::Api(_) => {}
             CallerDoor::Gateway(server) => server.stop(),
         }
     }
 
-    /// Close the door to new callers; open answers go on.
+    /// Stop accepting callers; open answers continue.
     pub(super) fn shut(&mut self) {
         match self {
-            // Its connections are closed once the host is idle.
+            // Its connections are closed when the host is idle.
             CallerDoor::Api(_) => {}
             CallerDoor::Gateway(server) => server.shut(),
         }
     }
 
-    /// Take no further callers, and wait until the open answers have ended.
+    /// Stop accepting callers and wait until open answers have been delivered.
     ///
     /// # Errors
     ///
-    /// Returns the error with which a server ended.
+    /// Returns the error with which the server terminated.
     pub(super) async fn close(self) -> io::Result<()> {
         match self {
             CallerDoor::Api(server) => {
@@ -59,12 +59,12 @@
     }
 }
 
-/// A `ValueSource` is where published values are read.
+/// A `ValueSource` is the client that reads published values.
 #[derive(Debug)]
 pub(super) enum ValueSource {
-    /// The project's own configuration services and host lists.
+    /// The configuration services and host lists of the native API.
     Services(PlatformClient),
-    /// The users' platform's store.
+    /// The store of the gateway's platform.
     Store(StoreSource),
 }
 
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Watch a value beyond a revision. The store's source goes on from where
-    /// its own last call ended.
+    /// Watch a value for revisions higher than `beyond`. The store's client
+    /// continues from its own last call instead.
     pub(super) fn watch(&mut self, name: &ValueName, beyond: Revision) {
         match self {
             ValueSource::Services(client) => client.watch(name, beyond),
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Put other limits in force.
+    /// Apply changed fleet limits.
     pub(super) fn set_limits(&mut self, limits: &FleetLimits) {
         match self {
             ValueSource::Services(client) => {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Get the number of calls made.
+    /// Get the total number of calls.
     pub(super) fn calls(&self) -> u64 {
         match self {
             ValueSource::Services(client) => client.calls(),
@@ -105,11 +105,11 @@
     }
 }
 
-/// Try to listen for TCP connections.
+/// Try to bind a non-blocking TCP listener.
 ///
 /// # Errors
 ///
-/// Returns an error where the address is taken.
+/// Returns an error if the address cannot be bound.
 pub(super) fn listen(address: SocketAddr) -> io::Result<std::net::TcpListener> {
     let listener = std::net::TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
--- a/bergamotswitch-net/src/node/stop.rs
+++ b/bergamotswitch-net/src/node/stop.rs
@@ -1,44 +1,41 @@
-//! Provides the planned stop: when a stopping host may end its process.
+//! Provides the schedule and phases of a planned stop.
 
 use std::time::Duration;
 
 use bergamotswitch_core::clock::Moment;
 
-/// How long before the end of the grace answers have to be whole: their last
-/// bytes still have to leave, and a busy host is some tenths of a second late.
+/// How long before the end of the grace period answers have to be complete. Their
+/// last bytes still have to be sent, and a busy host runs late.
 const WHOLE_MARGIN: Duration = Duration::from_millis(400);
 
-/// How long before the end of the grace a host ends what is still open: long
-/// enough for the last answers and log lines to leave, since a killed process
-/// tells nothing of what it held.
+/// How long before the end of the grace period open requests are terminated. The
+/// last answers and log lines have to be written before the process is killed.
 const CUT_MARGIN: Duration = Duration::from_millis(200);
 
-/// How long before the end of the grace the process ends at the latest.
+/// How long before the end of the grace period the process exits at the latest.
 const EXIT_MARGIN: Duration = Duration::from_millis(80);
 
-/// The least time that the last answers get to leave.
+/// The minimum time for sending the last answers.
 const LAST_BYTES: Duration = Duration::from_millis(50);
 
-/// The grace from which on the margins are as long as they should be. Of a
-/// shorter one they take the same parts: four tenths of one second would leave
-/// too little for work.
+/// The shortest grace period with full margins. The margins shrink in proportion
+/// to a shorter one, so that most of it remains for open requests.
 const LONG_GRACE: Duration = Duration::from_millis(3_200);
 
-/// A `StopTimes` is by when a planned stop gets how far.
+/// A `StopTimes` is the schedule of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct StopTimes {
-    /// When the signal came.
+    /// When the stop signal arrived.
     pub begun_at: Moment,
-    /// How long callers keep addresses that were handed out. They are honoured
-    /// as long: a caller that connects to a closed port would see a failure
-    /// that no fault caused.
+    /// How long callers use addresses that were handed out. Callers are accepted
+    /// until then, so that none connects to a closed port.
     lifetime: Duration,
-    /// After which time the process is killed; absent where nothing kills it.
+    /// The time after which the process is killed, or `None` if it is not killed.
     grace: Option<Duration>,
 }
 
 impl StopTimes {
-    /// Get the times of a stop that begins now.
+    /// Create the schedule of a stop that begins now.
     pub fn new(now: Moment, lifetime: Duration, grace: Option<Duration>) -> Self {
         StopTimes {
             begun_at: now,
@@ -47,8 +44,8 @@
         }
     }
 
-    /// Get the times under another grace. Which one counts for a stop that is
-    /// under way is up to whoever kills the process: the shorter one is safe.
+    /// Change the grace period. Either the old or the new one may apply to a stop
+    /// in progress, so the shorter one is used.
     pub fn with_grace(self, grace: Option<Duration>) -> Self {
         StopTimes {
             grace: match (self.grace, grace) {
@@ -59,34 +56,34 @@
         }
     }
 
-    /// Get how long callers are taken.
+    /// Get the time until which callers are accepted.
     pub fn door_until(&self) -> Moment {
         self.begun_at.plus(self.lifetime).min(self.whole_by())
     }
 
-    /// Get when answers have to be whole; never where nothing kills the
-    /// process.
+    /// Get the time by which answers have to be complete, or [`Moment::NEVER`] if
+    /// the process is not killed.
     pub fn whole_by(&self) -> Moment {
         self.before_end(WHOLE_MARGIN)
     }
 
-    /// Get when what is still open ends.
+    /// Get the time at which open requests are terminated.
     pub fn cut_at(&self) -> Moment {
         self.before_end(CUT_MARGIN)
     }
 
-    /// Get when the process ends at the latest.
+    /// Get the time by which the process exits.
     fn exit_at(&self) -> Moment {
         self.before_end(EXIT_MARGIN)
     }
 
-    /// Get how long the last answers may take to leave, from now on. One that
-    /// comes to its end late still has a moment for them.
+    /// Get the remaining time for sending the last answers, which is never shorter
+    /// than a minimum.
     pub fn last_span(&self, now: Moment) -> Duration {
         self.exit_at().since(now).max(LAST_BYTES)
     }
 
-    /// Get when the process is killed.
+    /// Get the time at which the process is killed.
     pub fn killed_at(&self) -> Moment {
         self.before_end(Duration::ZERO)
     }
@@ -101,23 +98,23 @@
     }
 }
 
-/// A `StopPhase` is how far a planned stop is.
+/// A `StopPhase` is the progress of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StopPhase {
-    /// No stop.
+    /// No stop is in progress.
     Serving,
-    /// Callers are still taken.
+    /// Callers are accepted until the addresses that were handed out have expired.
     Lapsing(StopTimes),
-    /// The door is closed to new callers; what waits or runs here goes on. A
-    /// host that took callers until it was idle would never be idle under
-    /// load: it would be killed at the end of its grace with answers open.
+    /// No new callers are accepted; waiting and running requests continue. A host
+    /// that accepted callers until it was idle would be killed under load with
+    /// open answers.
     Ending(StopTimes),
-    /// The grace is nearly over, and what was still open has been ended.
+    /// The grace period is nearly over and open requests have been terminated.
     Over(StopTimes),
 }
 
 impl StopPhase {
-    /// Get the phase after a stop signal. A further signal changes nothing.
+    /// Get the phase after a stop signal. Further signals have no effect.
     pub fn begin(self, times: StopTimes) -> Self {
         match self {
             StopPhase::Serving => StopPhase::Lapsing(times),
@@ -125,7 +122,7 @@
         }
     }
 
-    /// Get the phase under another grace.
+    /// Change the grace period.
     pub fn with_grace(self, grace: Option<Duration>) -> Self {
         match self {
             StopPhase::Serving => StopPhase::Serving,
@@ -135,7 +132,7 @@
         }
     }
 
-    /// Get the phase that has come by time alone, where one has.
+    /// Get the next phase if its time has come.
     pub fn advance(self, now: Moment) -> Option<Self> {
         match self {
             StopPhase::Lapsing(times) if now >= times.door_until() => {
@@ -146,7 +143,7 @@
         }
     }
 
-    /// Get the times of the stop that is under way.
+    /// Get the schedule of the stop in progress.
     pub fn times(self) -> Option<StopTimes> {
         match self {
             StopPhase::Serving => None,
@@ -156,8 +153,8 @@
         }
     }
 
-    /// Get whether the host may end: its door is closed and nothing waits or
-    /// runs. No timer cuts an answer, but for the one before the kill.
+    /// Get whether the event loop may end: no callers are accepted and the host is
+    /// idle, or open requests have been terminated.
     pub fn may_close(self, idle: bool) -> bool {
         match self {
             StopPhase::Serving | StopPhase::Lapsing(_) => false,
@@ -166,7 +163,7 @@
         }
     }
 
-    /// Get when [`StopPhase::advance`] changes by time alone.
+    /// Get the time at which [`StopPhase::advance`] returns the next phase.
     pub fn next_wake(self) -> Moment {
         match self {
             StopPhase::Lapsing(times) => times.door_until(),
--- a/bergamotswitch-net/tests/limits_in_force.rs
+++ b/bergamotswitch-net/tests/limits_in_force.rs
@@ -1,4 +1,4 @@
-//! Published limits bind what has sockets without a restart.
+//! Tests that published limits apply to clients and answers without a restart.
 
 mod target_support;
 
@@ -46,9 +46,8 @@
     );
 }
 
-// Symptom: a load poll that is published as faster stays slow on every host.
-// Sequence: an engine is watched; then the limits change.
-// Cause: a watch keeps the options with which it was started.
+// Guards against a load watch that keeps the options with which it was started, so
+// that a shorter published interval has no effect.
 #[tokio::test]
 async fn faster_load_poll() {
     let engine = start_engine(true).await;
@@ -67,11 +66,8 @@
     }
 }
 
-// Symptom: with few reads a minute a change is in force only half a minute
-// later, although it was watched for.
-// Sequence: six watches of four seconds each use up twelve reads in eight
-// seconds; until the next minute nothing is watched.
-// Cause: the wait of a watch did not follow the reads.
+// Guards against watches so short that they exhaust the read budget: no value would
+// be watched for the rest of the minute.
 #[test]
 fn watches_within_reads() {
     let values = RevisionOptions::default().value_count() as u64;
@@ -82,15 +78,15 @@
         };
         let wait = PlatformOptions::default().with_limits(&limits).watch_wait();
         let calls = values * 60_000 / wait.as_millis() as u64;
-        assert!(calls < reads, "{calls} calls at rest under {reads}");
+        assert!(
+            calls < reads,
+            "{calls} calls a minute without changes, budget {reads}"
+        );
         assert!(reads < 60 || wait <= Duration::from_secs(8), "{wait:?}");
     }
 }
 
-// Symptom: a host's memory grows without end, and its process dies with all
-// requests in it.
-// Sequence: an engine goes on sending tokens.
-// Cause: the answer in flight had no bound.
+// Guards against unbounded memory use by an engine that never stops sending tokens.
 #[test]
 fn bounded_answer() {
     let (node, mut inbox) = mpsc::unbounded_channel();
@@ -109,9 +105,9 @@
     }
     assert!(answer.bytes() > bytes / 2 && answer.bytes() <= bytes);
     assert!(answer.is_overlong());
-    let told = inbox.try_recv().expect("the loop is told");
+    let told = inbox.try_recv().expect("an input to the loop");
     assert!(matches!(told, NodeInput::Overlong(id) if id == request));
-    assert!(inbox.try_recv().is_err(), "told once");
+    assert!(inbox.try_recv().is_err(), "more than one input");
     answer.clear();
     assert!(!answer.is_overlong());
 }
--- a/bergamotswitch-net/tests/metrics_page.rs
+++ b/bergamotswitch-net/tests/metrics_page.rs
@@ -1,4 +1,4 @@
-//! The metrics page shows what was counted.
+//! Tests of the metrics in the OpenMetrics text format.
 
 use std::time::Duration;
 
@@ -64,7 +64,7 @@
     let page = metrics.render();
     assert_line(&page, "bergamot_requests_ended_total{tier=\"0\"} 2");
     assert_line(&page, "bergamot_goodput_total{tier=\"0\"} 1");
-    // A tier whose work all failed shows its zero.
+    // A tier without any success still has the counter.
     assert_line(&page, "bergamot_goodput_total{tier=\"1\"} 0");
     assert_line(
         &page,
@@ -81,7 +81,7 @@
     metrics.set_queued(Tier(3), 5);
     metrics.set_running(7);
     metrics.set_link_bytes(100, 200);
-    // A total never goes down: that would read as a restart.
+    // A counter that decreases would look like a restart of the process.
     metrics.set_link_bytes(90, 250);
     metrics.queue_wait(Tier(3), Duration::from_secs(2));
     let page = metrics.render();
