--- a/bergamotswitch-net/src/metrics/mod.rs
+++ b/bergamotswitch-net/src/metrics/mod.rs
@@ -121,11 +121,11 @@
         metrics.register_outcomes();
         metrics.register_state();
         metrics.register_totals();
-        metrics.begin_children();
+        metrics.create_children();
         metrics
     }
 
-    fn begin_children(&self) {
+    fn create_children(&self) {
         for reason in RefusalReason::ALL {
             drop(self.refusals.get_or_create(&RefusalLabels {
                 reason: reason.as_str(),
--- a/bergamotswitch-net/src/metrics/owner_totals.rs
+++ b/bergamotswitch-net/src/metrics/owner_totals.rs
@@ -36,7 +36,7 @@
         for view in views {
             let before = earlier.remove(&view.shard).unwrap_or_default();
             let after = totals_of(view);
-            add(metrics, &before, &after);
+            add_increase(metrics, &before, &after);
             set_queue(metrics, view);
             self.shards.insert(view.shard.clone(), after);
         }
@@ -54,17 +54,17 @@
 
 /// Get the increase between two counts. A lower count belongs to a new owner,
 /// which started from zero.
-fn growth(before: u64, after: u64) -> u64 {
+fn increase(before: u64, after: u64) -> u64 {
     match after.checked_sub(before) {
-        Some(grown) => grown,
+        Some(difference) => difference,
         None => after,
     }
 }
 
-fn add(metrics: &NodeMetrics, before: &ShardTotals, after: &ShardTotals) {
-    let preempted = growth(before.preempted, after.preempted);
+fn add_increase(metrics: &NodeMetrics, before: &ShardTotals, after: &ShardTotals) {
+    let preempted = increase(before.preempted, after.preempted);
     metrics.preemptions.inc_by(preempted);
-    let reclaimed = growth(before.reclaimed, after.reclaimed);
+    let reclaimed = increase(before.reclaimed, after.reclaimed);
     metrics.reclaimed_permits.inc_by(reclaimed);
     for (reason, count) in &after.refusals {
         let counted = before.refusals.get(reason).copied().unwrap_or_default();
@@ -72,7 +72,7 @@
             reason: reason.as_str(),
         };
         let counter = metrics.owner_refusals.get_or_create(&labels);
-        counter.inc_by(growth(counted, *count));
+        counter.inc_by(increase(counted, *count));
     }
 }
 
--- a/bergamotswitch-net/src/node/seams.rs
+++ b/bergamotswitch-net/src/node/adapters.rs
@@ -12,31 +12,31 @@
 use crate::platform::{PlatformClient, PlatformOptions};
 use crate::store_source::StoreSource;
 
-/// A `CallerDoor` is the server that accepts callers.
+/// A `CallerServer` is the server that accepts callers.
 #[derive(Debug)]
-pub(super) enum CallerDoor {
+pub(super) enum CallerServer {
     /// The native API.
     Api(HttpServer),
     /// The gateway.
     Gateway(GatewayServer),
 }
 
-impl CallerDoor {
+impl CallerServer {
     /// Begin a graceful stop; callers are still accepted.
-    pub(super) fn lapse(&self) {
+    pub(super) fn begin_stop(&self) {
         match self {
             // Its connections are closed after the last address has expired.
-            CallerDoor::Api(_) => {}
-            CallerDoor::Gateway(server) => server.stop(),
+            CallerServer::Api(_) => {}
+            CallerServer::Gateway(server) => server.stop(),
         }
     }
 
     /// Stop accepting callers; open answers continue.
-    pub(super) fn shut(&mut self) {
+    pub(super) fn stop_accepting(&mut self) {
         match self {
             // Its connections are closed when the host is idle.
-            CallerDoor::Api(_) => {}
-            CallerDoor::Gateway(server) => server.shut(),
+            CallerServer::Api(_) => {}
+            CallerServer::Gateway(server) => server.shut(),
         }
     }
 
@@ -47,11 +47,11 @@
     /// Returns the error with which the server terminated.
     pub(super) async fn close(self) -> io::Result<()> {
         match self {
-            CallerDoor::Api(server) => {
+            CallerServer::Api(server) => {
                 server.stop();
                 server.stopped().await
             }
-            CallerDoor::Gateway(server) => {
+            CallerServer::Gateway(server) => {
                 server.close().await;
                 Ok(())
             }
--- a/bergamotswitch-net/src/node/drive.rs
+++ b/bergamotswitch-net/src/node/event_loop.rs
@@ -18,12 +18,12 @@
 use bergamotswitch_core::target::PoolTarget;
 use tokio::sync::{mpsc, watch};
 
-use self::stopping::{note_unread, turn_away};
+use self::stopping::{log_unread_answers, refuse_late_request};
+use super::adapters::{CallerServer, ValueSource};
 use super::host_parts::HostParts;
 use super::load_gauge::LoadGauge;
 use super::open_request::{OpenRequest, OpenRequests};
-use super::request_label::RequestLabel;
-use super::seams::{CallerDoor, ValueSource};
+use super::request_log::RequestLog;
 use super::stop::StopPhase;
 use super::{NodeError, NodeSetup};
 use crate::answer::AnswerPart;
@@ -49,7 +49,7 @@
     settings: HostSettings,
     metrics: Arc<NodeMetrics>,
     publication: watch::Sender<Arc<Publication>>,
-    callers: CallerDoor,
+    callers: CallerServer,
     inbox: mpsc::UnboundedReceiver<NodeInput>,
     sender: NodeSender,
     stop: StopPhase,
@@ -125,17 +125,17 @@
 
     /// Run until a planned stop is complete.
     pub async fn run(mut self) {
-        self.note(Incident::HostStarted, &self.me.run.to_string());
+        self.log_incident(Incident::HostStarted, &self.me.run.to_string());
         self.handle(NodeEvent::Tick);
         while !self.stop.may_close(self.core.is_idle()) {
             let wake = self.core.next_wake().min(self.stop.next_wake());
-            let pause = wake.since(self.now());
+            let delay = wake.since(self.now());
             tokio::select! {
                 input = self.inbox.recv() => match input {
                     Some(input) => self.on_input(input),
                     None => break,
                 },
-                () = tokio::time::sleep(pause) => self.handle(NodeEvent::Tick),
+                () = tokio::time::sleep(delay) => self.handle(NodeEvent::Tick),
             }
             self.refresh_gauges();
             self.advance_stop();
@@ -147,8 +147,8 @@
     /// the grace period.
     async fn close(self) {
         let now = self.now();
-        let times = self.stop.times();
-        let left = times.map_or(Duration::MAX, |times| times.last_span(now));
+        let schedule = self.stop.schedule();
+        let left = schedule.map_or(Duration::MAX, |schedule| schedule.flush_time(now));
         let HostNode {
             me,
             callers,
@@ -157,17 +157,17 @@
             metrics,
             ..
         } = self;
-        let stop_at = times.map(|times| times.begun_at);
-        let mut over = Box::pin(tokio::time::sleep(left));
+        let stop_at = schedule.map(|schedule| schedule.begun_at);
+        let mut timeout = Box::pin(tokio::time::sleep(left));
         let mut closing = Box::pin(callers.close());
         loop {
             tokio::select! {
                 _ = &mut closing => break,
-                () = &mut over => {
-                    note_unread(&me, &metrics);
+                () = &mut timeout => {
+                    log_unread_answers(&me, &metrics);
                     break;
                 }
-                input = inbox.recv() => turn_away(input, clock.now(), stop_at, &metrics),
+                input = inbox.recv() => refuse_late_request(input, clock.now(), stop_at, &metrics),
             }
         }
         journal::write(Incident::HostStopped, &[("run", &me.run)]);
@@ -184,18 +184,18 @@
                 call,
                 reply,
             } => {
-                let times = self.stop.times();
-                let label = RequestLabel::of(self.now(), &submission, &call)
-                    .with_stop(times.map(|times| times.begun_at));
+                let schedule = self.stop.schedule();
+                let log = RequestLog::of(self.now(), &submission, &call)
+                    .with_stop(schedule.map(|schedule| schedule.begun_at));
                 let (reception, actions) = self.core.submit(self.now(), *submission);
-                let received = self.receive(reception, *call, label);
-                self.carry_out(actions);
+                let received = self.receive(reception, *call, log);
+                self.execute_all(actions);
                 // The caller may have disconnected; its guard then sends
                 // `CallerLeft`.
                 let _ = reply.send(received);
             }
             NodeInput::CallerLeft(id) => {
-                if self.open.leave(id) {
+                if self.open.detach(id) {
                     self.handle(NodeEvent::CallerDisconnected(id));
                 }
             }
@@ -215,9 +215,9 @@
             NodeInput::KeysTrusted(reply) => {
                 let _ = reply.send(self.core.trusts_keys(self.now()));
             }
-            NodeInput::Targets(news) => {
-                self.note_store(true);
-                self.handle(NodeEvent::Targets(news));
+            NodeInput::Targets(update) => {
+                self.log_store_state(true);
+                self.handle(NodeEvent::Targets(update));
             }
             NodeInput::Gossip(message) => self.handle(NodeEvent::Gossip(message)),
             NodeInput::Settings(settings) => self.reload(*settings),
@@ -226,15 +226,15 @@
             }
             NodeInput::Link(event) => self.handle(NodeEvent::Link(event)),
             NodeInput::Platform(PlatformEvent::Read(value)) => {
-                self.note_store(true);
+                self.log_store_state(true);
                 self.handle(NodeEvent::Read(value));
             }
             NodeInput::Platform(PlatformEvent::Unchanged(name)) => {
-                self.note_store(true);
+                self.log_store_state(true);
                 self.handle(NodeEvent::Unchanged(name));
             }
             NodeInput::Platform(PlatformEvent::Failed(name)) => {
-                self.note_store(false);
+                self.log_store_state(false);
                 self.handle(NodeEvent::ReadFailed(name));
             }
             NodeInput::Attempt(id, event) => {
@@ -242,7 +242,7 @@
                 if event == AttemptEvent::FirstToken
                     && let Some(request) = self.open.get_mut(id.request)
                 {
-                    request.label.note_first(now);
+                    request.log.record_first_token(now);
                 }
                 self.handle(NodeEvent::Attempt(id, event));
             }
@@ -266,16 +266,16 @@
         &mut self,
         reception: SubmitOutcome,
         call: OutgoingCall,
-        label: RequestLabel,
+        log: RequestLog,
     ) -> Received {
         let answer = match &reception {
-            SubmitOutcome::Accepted(id) => Some(self.open.open(*id, call, label)),
+            SubmitOutcome::Accepted(id) => Some(self.open.open(*id, call, log)),
             SubmitOutcome::Attached(id) => self.open.attach(*id),
             SubmitOutcome::Forward(_) => None,
             SubmitOutcome::Refused(refusal) => {
-                self.metrics.refused(refusal.reason(), Some(label.tier));
+                self.metrics.refused(refusal.reason(), Some(log.tier));
                 let conclusion = Conclusion::Refused(refusal.clone());
-                label.note_end(self.clock.now(), None, &conclusion, 0);
+                log.write_end(self.clock.now(), None, &conclusion, 0);
                 None
             }
         };
@@ -284,16 +284,16 @@
 
     fn handle(&mut self, event: NodeEvent) {
         let actions = self.core.handle(self.now(), event);
-        self.carry_out(actions);
+        self.execute_all(actions);
     }
 
-    fn carry_out(&mut self, actions: Vec<NodeAction>) {
+    fn execute_all(&mut self, actions: Vec<NodeAction>) {
         for action in actions {
-            self.act(action);
+            self.execute(action);
         }
     }
 
-    fn act(&mut self, action: NodeAction) {
+    fn execute(&mut self, action: NodeAction) {
         match action {
             NodeAction::Send(host, message) => {
                 // Without a link the message is lost; the state machines resend
@@ -321,14 +321,14 @@
             } => self.start(attempt, &target, kind),
             NodeAction::Abort { attempt, cancel } => self.targets.abort(attempt, cancel),
             NodeAction::Conclude(id, conclusion) => self.conclude(id, conclusion),
-            NodeAction::DropAnswer(id) => self.open.forget(id),
+            NodeAction::DropAnswer(id) => self.open.remove(id),
             NodeAction::Forward(id, holder) => {
                 if let Some(request) = self.open.get(id) {
                     request.answer.push(AnswerPart::Forward(holder));
                 }
                 self.open.end(id);
             }
-            NodeAction::LogIncident(incident, text) => self.note(incident, &text),
+            NodeAction::LogIncident(incident, text) => self.log_incident(incident, &text),
             NodeAction::CountRefusal(tier, reason) => self.metrics.refused(reason, Some(tier)),
             NodeAction::CountWait(tier, span) => self.metrics.queue_wait(tier, span),
             NodeAction::CountRetry(reason) => self.metrics.retried(reason),
@@ -348,7 +348,7 @@
         let Some(request) = self.open.get_mut(attempt.request) else {
             return;
         };
-        request.label.note_target(now, &target.name);
+        request.log.record_dispatch(now, &target.name);
         let Some(call) = &request.call else {
             return;
         };
@@ -366,8 +366,10 @@
         let Some(request) = self.open.get(id) else {
             return;
         };
-        let pieces = request.answer.data_part_count();
-        request.label.note_end(now, Some(id), &conclusion, pieces);
+        let data_parts = request.answer.data_part_count();
+        request
+            .log
+            .write_end(now, Some(id), &conclusion, data_parts);
         let part = match conclusion {
             Conclusion::Answered | Conclusion::TargetError => AnswerPart::End,
             Conclusion::Refused(refusal) => AnswerPart::Refused(refusal),
@@ -397,7 +399,7 @@
         if publication.uses_routes && name.as_str() == HOSTS_VALUE {
             let hosts = &publication.hosts.hosts;
             let names: Vec<&str> = hosts.iter().map(|host| host.name.as_str()).collect();
-            self.note(Incident::HostsChanged, &names.join(","));
+            self.log_incident(Incident::HostsChanged, &names.join(","));
         }
     }
 
@@ -407,10 +409,10 @@
             self.handle(NodeEvent::Seeds(gateway.seeds.clone()));
         }
         self.stop = self.stop.with_grace(settings.grace());
-        if let Some(times) = self.stop.times() {
-            self.handle(NodeEvent::AnswerDeadline(times.whole_by()));
+        if let Some(schedule) = self.stop.schedule() {
+            self.handle(NodeEvent::AnswerDeadline(schedule.answer_deadline()));
         }
         self.settings = settings;
-        self.note(Incident::SettingsReloaded, "seeds, grace");
+        self.log_incident(Incident::SettingsReloaded, "seeds, grace");
     }
 }
--- a/bergamotswitch-net/src/node/drive/reports.rs
+++ b/bergamotswitch-net/src/node/event_loop/reports.rs
@@ -11,14 +11,14 @@
 use super::HostNode;
 use crate::journal;
 use crate::node::gauges;
-use crate::node::stop::StopTimes;
+use crate::node::stop::StopSchedule;
 
 /// The interval at which gauges are updated.
 const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
 
 impl HostNode {
     /// Log a change of whether the store is reachable.
-    pub(super) fn note_store(&mut self, answered: bool) {
+    pub(super) fn log_store_state(&mut self, answered: bool) {
         let failing = !answered;
         if failing == self.store_failing || self.settings.gateway.is_none() {
             return;
@@ -28,11 +28,11 @@
             true => Incident::ServiceUnreachable,
             false => Incident::ServiceReachable,
         };
-        self.note(incident, "store");
+        self.log_incident(incident, "store");
     }
 
     /// Log a change of whether API keys are trusted.
-    fn note_keys(&mut self) {
+    fn log_key_trust(&mut self) {
         let trusted = self.core.trusts_keys(self.now());
         if trusted == self.keys_trusted || self.settings.gateway.is_none() {
             return;
@@ -42,31 +42,31 @@
             true => Incident::KeysConfirmed,
             false => Incident::KeysUnconfirmed,
         };
-        self.note(incident, "");
+        self.log_incident(incident, "");
     }
 
-    pub(super) fn note(&self, incident: Incident, text: &str) {
+    pub(super) fn log_incident(&self, incident: Incident, text: &str) {
         self.metrics.incident(incident);
         journal::write(incident, &[("host", &self.me.run.host), ("about", &text)]);
     }
 
     /// Log the progress of a planned stop and the number of open requests.
-    pub(super) fn note_stop(&self, incident: Incident, times: &StopTimes) {
+    pub(super) fn log_stop_progress(&self, incident: Incident, schedule: &StopSchedule) {
         self.metrics.incident(incident);
         let now = self.now();
         let desk = self.core.view(now).desk;
         let waiting: u32 = desk.waiting.iter().sum();
         let running: u32 = desk.running.iter().sum();
-        let stopped = now.since(times.begun_at).as_millis();
-        let door = times.door_until().since(now).as_millis();
-        let grace = match times.killed_at() {
+        let stopped = now.since(schedule.begun_at).as_millis();
+        let accepting = schedule.accept_until().since(now).as_millis();
+        let grace = match schedule.killed_at() {
             Moment::NEVER => String::new(),
             at => at.since(now).as_millis().to_string(),
         };
         let pairs: [(&str, &dyn Display); 6] = [
             ("host", &self.me.run.host),
             ("stopping_ms", &stopped),
-            ("door_ms", &door),
+            ("door_ms", &accepting),
             ("grace_ms", &grace),
             ("waiting", &waiting),
             ("running", &running),
@@ -78,16 +78,16 @@
     ///
     /// Without these lines, a request that is lost when the process is killed
     /// appears in no log.
-    pub(super) fn note_open(&self, times: &StopTimes) {
+    pub(super) fn log_open_requests(&self, schedule: &StopSchedule) {
         if self.core.is_idle() {
             return;
         }
-        self.note_stop(Incident::GraceEnding, times);
+        self.log_stop_progress(Incident::GraceEnding, schedule);
         let now = self.now();
         for (id, request) in self.open.live() {
             self.metrics.incident(Incident::RequestOpen);
-            let pieces = request.answer.data_part_count();
-            request.label.note_open(now, id, times, pieces);
+            let data_parts = request.answer.data_part_count();
+            request.log.write_open(now, id, schedule, data_parts);
         }
     }
 
@@ -108,7 +108,7 @@
             return;
         }
         self.gauges_due = now.plus(GAUGE_INTERVAL);
-        self.note_keys();
+        self.log_key_trust();
         let view = self.core.view(now);
         let load = self.load.measure(now, &view.desk);
         gauges::refresh(&self.metrics, &view);
--- a/bergamotswitch-net/src/node/drive/stopping.rs
+++ b/bergamotswitch-net/src/node/event_loop/stopping.rs
@@ -12,26 +12,26 @@
 use crate::input::{HostSelf, NodeInput, Received};
 use crate::journal;
 use crate::metrics::NodeMetrics;
-use crate::node::request_label::RequestLabel;
-use crate::node::seams::CallerDoor;
-use crate::node::stop::{StopPhase, StopTimes};
+use crate::node::adapters::CallerServer;
+use crate::node::request_log::RequestLog;
+use crate::node::stop::{StopPhase, StopSchedule};
 
 /// The factor by which callers of the gateway may exceed the lifetime of an
 /// address, including an allowance for connections that are being established.
-const GATEWAY_LIFETIMES: u32 = 4;
+const GATEWAY_LIFETIME_FACTOR: u32 = 4;
 
 impl HostNode {
     pub(super) fn on_stop(&mut self) {
         if self.stop == StopPhase::Serving {
             let grace = self.settings.grace();
-            let times = StopTimes::new(self.now(), self.stop_lifetime(), grace);
-            self.stop = self.stop.begin(times);
-            self.note_stop(Incident::StopBegun, &times);
+            let schedule = StopSchedule::new(self.now(), self.accept_duration(), grace);
+            self.stop = self.stop.begin(schedule);
+            self.log_stop_progress(Incident::StopBegun, &schedule);
         }
-        self.callers.lapse();
+        self.callers.begin_stop();
         self.handle(NodeEvent::Stop);
-        if let Some(times) = self.stop.times() {
-            self.handle(NodeEvent::AnswerDeadline(times.whole_by()));
+        if let Some(schedule) = self.stop.schedule() {
+            self.handle(NodeEvent::AnswerDeadline(schedule.answer_deadline()));
         }
     }
 
@@ -42,19 +42,19 @@
         };
         self.stop = phase;
         match phase {
-            StopPhase::Serving | StopPhase::Lapsing(_) => {}
-            StopPhase::Ending(times) => {
-                self.callers.shut();
+            StopPhase::Serving | StopPhase::AwaitingExpiry(_) => {}
+            StopPhase::Draining(schedule) => {
+                self.callers.stop_accepting();
                 // The native API still answers queries, but must not admit
                 // requests: under load the host would never become idle.
-                if let CallerDoor::Api(_) = self.callers {
+                if let CallerServer::Api(_) = self.callers {
                     self.handle(NodeEvent::AdmissionClosed);
                 }
-                self.note_stop(Incident::AdmissionClosed, &times);
+                self.log_stop_progress(Incident::AdmissionClosed, &schedule);
             }
-            StopPhase::Over(times) => {
-                self.take_waiting();
-                self.note_open(&times);
+            StopPhase::GraceEnding(schedule) => {
+                self.process_inbox();
+                self.log_open_requests(&schedule);
                 // The lines must be written now: the host may be killed before
                 // it has ended its requests.
                 journal::hasten();
@@ -65,7 +65,7 @@
 
     /// Process all inputs that have already arrived. Otherwise an answer whose end
     /// is still in the inbox would be reported as truncated.
-    pub(super) fn take_waiting(&mut self) {
+    pub(super) fn process_inbox(&mut self) {
         for _ in 0..self.inbox.len() {
             let Ok(input) = self.inbox.try_recv() else {
                 return;
@@ -76,18 +76,18 @@
 
     /// Get how long a stopping host still accepts callers. Some callers of the
     /// gateway use an address for three times its lifetime.
-    fn stop_lifetime(&self) -> Duration {
+    fn accept_duration(&self) -> Duration {
         let lifetime = self.core.publication().limits.address_lifetime_ms;
         let lifetime = Duration::from_millis(lifetime);
         match self.callers {
-            CallerDoor::Api(_) => lifetime,
-            CallerDoor::Gateway(_) => lifetime * GATEWAY_LIFETIMES,
+            CallerServer::Api(_) => lifetime,
+            CallerServer::Gateway(_) => lifetime * GATEWAY_LIFETIME_FACTOR,
         }
     }
 }
 
 /// Log that the grace period has ended before callers have read their answers.
-pub(super) fn note_unread(me: &HostSelf, metrics: &NodeMetrics) {
+pub(super) fn log_unread_answers(me: &HostSelf, metrics: &NodeMetrics) {
     metrics.incident(Incident::GraceEnding);
     let about = "answers that are still being read";
     let pairs: [(&str, &dyn Display); 2] = [("host", &me.run.host), ("about", &about)];
@@ -97,7 +97,7 @@
 /// Refuse a request that arrives after the event loop has ended, such as one whose
 /// body was still being read. A dropped reply would not state that the request
 /// did not run.
-pub(super) fn turn_away(
+pub(super) fn refuse_late_request(
     input: Option<NodeInput>,
     now: Moment,
     stop_at: Option<Moment>,
@@ -112,9 +112,9 @@
         return;
     };
     let refusal = submission.stopping_refusal();
-    let label = RequestLabel::of(now, &submission, &call).with_stop(stop_at);
-    metrics.refused(refusal.reason(), Some(label.tier));
-    label.note_end(now, None, &Conclusion::Refused(refusal.clone()), 0);
+    let log = RequestLog::of(now, &submission, &call).with_stop(stop_at);
+    metrics.refused(refusal.reason(), Some(log.tier));
+    log.write_end(now, None, &Conclusion::Refused(refusal.clone()), 0);
     // The caller may have disconnected.
     let _ = reply.send(Received {
         reception: SubmitOutcome::Refused(refusal),
--- a/bergamotswitch-net/src/node/gateway_setup.rs
+++ b/bergamotswitch-net/src/node/gateway_setup.rs
@@ -23,11 +23,11 @@
 
 /// How long an earlier owner has to be reachable before ownership fails back to
 /// it.
-const YIELD_AFTER: Duration = Duration::from_secs(2);
+const FAILBACK_AFTER: Duration = Duration::from_secs(2);
 /// How long a host has to be unreachable before it counts as terminated and its
 /// slots are reassigned. Targets abort the work of a terminated host within about
 /// a second.
-const GONE_AFTER: Duration = Duration::from_millis(1_500);
+const TERMINATION_AFTER: Duration = Duration::from_millis(1_500);
 
 /// How long a stopping owner keeps acting while its successor takes over.
 const HANDOVER: Duration = Duration::from_millis(400);
@@ -43,7 +43,7 @@
 /// The interval and the burst of the read budget for the store. While values
 /// change continuously, every watch ends early; a smaller budget would leave the
 /// routes stale.
-const READ_PACE: (Duration, u32) = (Duration::from_millis(50), 40);
+const READ_BUDGET: (Duration, u32) = (Duration::from_millis(50), 40);
 
 /// The shortest and the longest backoff after a failed read. A change has to be in
 /// force within two seconds, also right after an outage.
@@ -56,21 +56,21 @@
 
 /// The fraction of a pool's retry budget that the hosts use. The rest is a margin,
 /// because each host counts separately and over its own windows.
-const RETRY_SHARE: f64 = 0.7;
+const RETRY_FRACTION: f64 = 0.7;
 
 /// The fraction of a quota's tolerance that is available for bursts. The rest
 /// covers plain calls, which another owner counts.
-const QUOTA_SHARE: f64 = 0.75;
+const QUOTA_FRACTION: f64 = 0.75;
 
 /// The maximum number of dispatches of one call, including refused ones.
 const MAX_DISPATCHES: u64 = 4;
 
 /// The margin by which key trust ends before the bound on revoked keys, for
 /// timers that fire late.
-const KEY_MARGIN: Duration = Duration::from_millis(300);
+const KEY_TRUST_MARGIN: Duration = Duration::from_millis(300);
 
 /// The timeout after which an unanswered permit request is sent again.
-const RE_ASK_INTERVAL: Duration = Duration::from_millis(500);
+const PERMIT_RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The shortest and the longest interval between probes of a failed target.
 const PROBE_INTERVAL: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(2));
@@ -83,18 +83,18 @@
 
 /// The idle time of a connection after which TCP keepalive probes are sent, and how
 /// long sent data may stay unacknowledged before the connection is closed.
-const SILENT_PROBE: Duration = Duration::from_secs(1);
-const UNACKED_LIMIT: Duration = Duration::from_millis(1_500);
+const KEEPALIVE: Duration = Duration::from_secs(1);
+const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// The maximum number of idle connections to one target.
-const KEPT_PER_TARGET: usize = 16;
+const MAX_IDLE_PER_TARGET: usize = 16;
 
 /// The divisor of a host's memory that gives the limit for request bodies.
-const BODY_PARTS: usize = 5;
+const BODY_MEMORY_DIVISOR: usize = 5;
 
 /// Get the fleet limits that apply while none are published.
 pub(super) fn limits(gateway: &GatewaySettings) -> FleetLimits {
-    let retry_permille = gateway.retry_ratio * RETRY_SHARE * 1_000.0;
+    let retry_permille = gateway.retry_ratio * RETRY_FRACTION * 1_000.0;
     FleetLimits {
         link_key: gateway.link_key.clone(),
         heartbeat_ms: HEARTBEAT_MS,
@@ -121,26 +121,26 @@
     let values = names.map(value_name).to_vec();
     NodeOptions {
         entry: EntryOptions::default()
-            .with_permit_resend_interval(RE_ASK_INTERVAL)
+            .with_permit_resend_interval(PERMIT_RESEND_INTERVAL)
             .with_retry_rate(rate),
         owner: OwnerOptions::default()
             .with_probe_interval(PROBE_INTERVAL.0, PROBE_INTERVAL.1)
             .with_quota_tolerance(QuotaTolerance {
                 window: Duration::from_secs_f64(gateway.quota_window_s),
-                fraction: gateway.quota_overage * QUOTA_SHARE,
+                fraction: gateway.quota_overage * QUOTA_FRACTION,
             })
             .with_audit_after(AUDIT_AFTER),
         membership: base.membership,
         revision: RevisionOptions::default()
             .with_values(values)
-            .with_read_budget(READ_PACE.0, READ_PACE.1)
+            .with_read_budget(READ_BUDGET.0, READ_BUDGET.1)
             .with_read_fallback(READ_FALLBACK)
             .with_backoff(READ_BACKOFF.0, READ_BACKOFF.1)
             .with_keepalive(RELAY_KEEPALIVE, RELAY_SILENT_AFTER)
             .with_confirm_interval(CONFIRM_INTERVAL),
         key_trust: gateway
             .revoke_ms
-            .map(|bound| Duration::from_millis(bound).saturating_sub(KEY_MARGIN)),
+            .map(|bound| Duration::from_millis(bound).saturating_sub(KEY_TRUST_MARGIN)),
         roster: Some(RosterSetup {
             host: own_entry(settings, gateway),
             seeds: gateway.seeds.clone(),
@@ -156,8 +156,8 @@
     MembershipOptions::default()
         .with_heartbeat(Duration::from_millis(HEARTBEAT_MS))
         .with_suspect_after(Duration::from_millis(SUSPECT_AFTER_MS))
-        .with_failback_after(YIELD_AFTER)
-        .with_termination_after(GONE_AFTER)
+        .with_failback_after(FAILBACK_AFTER)
+        .with_termination_after(TERMINATION_AFTER)
         .with_handover(HANDOVER)
 }
 
@@ -166,15 +166,15 @@
     TargetClientOptions::default()
         .with_connect_timeout(Duration::from_millis(1_000))
         .with_idle_reuse(IDLE_REUSE)
-        .with_max_idle_per_target(KEPT_PER_TARGET)
-        .with_keepalive(SILENT_PROBE)
-        .with_user_timeout(UNACKED_LIMIT)
+        .with_max_idle_per_target(MAX_IDLE_PER_TARGET)
+        .with_keepalive(KEEPALIVE)
+        .with_user_timeout(USER_TIMEOUT)
 }
 
 /// Get the maximum number of bytes of request bodies that the host buffers.
 pub(super) fn body_bytes(gateway: &GatewaySettings) -> usize {
     let memory = usize::try_from(gateway.memory_mb).unwrap_or(usize::MAX);
-    memory.saturating_mul(1 << 20) / BODY_PARTS
+    memory.saturating_mul(1 << 20) / BODY_MEMORY_DIVISOR
 }
 
 fn own_entry(settings: &HostSettings, gateway: &GatewaySettings) -> EntryHost {
--- a/bergamotswitch-net/src/node/host_parts.rs
+++ b/bergamotswitch-net/src/node/host_parts.rs
@@ -5,8 +5,8 @@
 
 use bergamotswitch_core::settings::HostSettings;
 
+use super::adapters::{CallerServer, ValueSource};
 use super::gateway_setup;
-use super::seams::{CallerDoor, ValueSource};
 use super::{NodeDoors, NodeError};
 use crate::caller::{self, CallerDesk};
 use crate::gateway::GatewayServer;
@@ -17,7 +17,7 @@
 
 /// A `HostParts` is the set of started components.
 pub(super) struct HostParts {
-    pub(super) callers: CallerDoor,
+    pub(super) callers: CallerServer,
     pub(super) platform: ValueSource,
     pub(super) targets: TargetClient,
     pub(super) gossip: Option<GossipSocket>,
@@ -47,7 +47,7 @@
                 let client = PlatformClient::new(services, host_lists, opts, node.clone());
                 let server = caller::serve(listener, desk).map_err(NodeError::Serve)?;
                 return Ok(HostParts {
-                    callers: CallerDoor::Api(server),
+                    callers: CallerServer::Api(server),
                     platform: ValueSource::Services(client),
                     targets: TargetClient::new(TargetClientOptions::default(), node),
                     gossip: None,
@@ -63,7 +63,7 @@
         );
         let gossip = GossipSocket::try_new(settings.link_address, node.clone());
         Ok(HostParts {
-            callers: CallerDoor::Gateway(server.map_err(NodeError::Serve)?),
+            callers: CallerServer::Gateway(server.map_err(NodeError::Serve)?),
             platform: ValueSource::Store(StoreSource::new(gateway.store_address, node.clone())),
             targets: TargetClient::new(gateway_setup::target_options(), node),
             gossip: Some(gossip.map_err(NodeError::Serve)?),
--- a/bergamotswitch-net/src/node/mod.rs
+++ b/bergamotswitch-net/src/node/mod.rs
@@ -1,14 +1,14 @@
 //! Provides the process of a host: the event loop that passes inputs to the state
 //! machines and executes their actions.
 
-mod drive;
+mod adapters;
+mod event_loop;
 mod gateway_setup;
 mod gauges;
 mod host_parts;
 mod load_gauge;
 mod open_request;
-mod request_label;
-mod seams;
+mod request_log;
 mod stop;
 
 use std::fmt;
@@ -24,7 +24,7 @@
 use crate::link::LinkError;
 use crate::metrics::NodeMetrics;
 
-pub use self::drive::HostNode;
+pub use self::event_loop::HostNode;
 
 /// A `NodeError` is the reason why a host could not be started.
 #[derive(Debug)]
@@ -137,5 +137,5 @@
 }
 
 fn listen(address: SocketAddr) -> Result<TcpListener, NodeError> {
-    seams::listen(address).map_err(|error| NodeError::Listen(address, error))
+    adapters::listen(address).map_err(|error| NodeError::Listen(address, error))
 }
--- a/bergamotswitch-net/src/node/open_request.rs
+++ b/bergamotswitch-net/src/node/open_request.rs
@@ -4,7 +4,7 @@
 
 use bergamotswitch_core::request::RequestId;
 
-use super::request_label::RequestLabel;
+use super::request_log::RequestLog;
 use crate::answer::{AnswerBound, AnswerReader, AnswerWriter};
 use crate::input::{NodeSender, OutgoingCall};
 
@@ -15,7 +15,7 @@
     pub call: Option<OutgoingCall>,
     pub answer: AnswerWriter,
     /// The data for the log lines about the request.
-    pub label: RequestLabel,
+    pub log: RequestLog,
     followers: usize,
 }
 
@@ -41,7 +41,7 @@
         self.max_answer_bytes = bytes as usize;
     }
 
-    pub fn open(&mut self, id: RequestId, call: OutgoingCall, label: RequestLabel) -> AnswerReader {
+    pub fn open(&mut self, id: RequestId, call: OutgoingCall, log: RequestLog) -> AnswerReader {
         let answer = AnswerWriter::bounded(AnswerBound {
             bytes: self.max_answer_bytes,
             request: id,
@@ -51,7 +51,7 @@
         let request = OpenRequest {
             call: Some(call),
             answer,
-            label,
+            log,
             followers: 1,
         };
         self.requests.insert(id, request);
@@ -66,7 +66,7 @@
     }
 
     /// Remove a caller and get whether it was the last one.
-    pub fn leave(&mut self, id: RequestId) -> bool {
+    pub fn detach(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get_mut(&id) else {
             return false;
         };
@@ -96,7 +96,7 @@
         }
     }
 
-    pub fn forget(&mut self, id: RequestId) {
+    pub fn remove(&mut self, id: RequestId) {
         self.requests.remove(&id);
     }
 }
--- a/bergamotswitch-net/src/node/request_label.rs
+++ b/bergamotswitch-net/src/node/request_log.rs
@@ -11,49 +11,49 @@
 use bergamotswitch_core::rules::{RuleName, Tier};
 use bergamotswitch_core::target::TargetName;
 
-use super::stop::StopTimes;
+use super::stop::StopSchedule;
 use crate::input::OutgoingCall;
 use crate::journal;
 
-/// A `RequestLabel` collects what the log lines about a request report.
+/// A `RequestLog` is the data for the log lines about a request.
 #[derive(Debug)]
-pub(super) struct RequestLabel {
+pub(super) struct RequestLog {
     /// The request id from the caller. Requests of the native API have none; their
     /// callers receive the internal id.
     caller_id: Option<String>,
     rule: RuleName,
     account: AccountName,
     /// The time within which the answer should begin, if the route sets one.
-    aim: Option<Duration>,
+    first_answer_goal: Option<Duration>,
     pub(super) tier: Tier,
-    prompt: u32,
-    output: u32,
+    prompt_tokens: u32,
+    output_tokens: u32,
     /// The maximum number of output tokens, if the call states it.
-    most_output: Option<u32>,
+    max_output_tokens: Option<u32>,
     received_at: Moment,
     started_at: Option<Moment>,
-    first_at: Option<Moment>,
+    first_token_at: Option<Moment>,
     targets: Vec<TargetName>,
     /// When the planned stop began during which the request was received.
     stop_at: Option<Moment>,
 }
 
-impl RequestLabel {
-    /// Create the label of a request that has just been received.
+impl RequestLog {
+    /// Create the log of a request that has just been received.
     pub(super) fn of(now: Moment, submission: &Submission, call: &OutgoingCall) -> Self {
         let routed = call.routed.as_ref();
-        RequestLabel {
+        RequestLog {
             caller_id: routed.map(|routed| routed.request_id.clone()),
             rule: submission.verdict.rule.clone(),
             account: submission.account.clone(),
-            aim: submission.options.first_answer_goal,
+            first_answer_goal: submission.options.first_answer_goal,
             tier: submission.verdict.tier,
-            prompt: submission.cost.prefill,
-            output: submission.cost.decode,
-            most_output: submission.options.max_output_tokens,
+            prompt_tokens: submission.cost.prefill,
+            output_tokens: submission.cost.decode,
+            max_output_tokens: submission.options.max_output_tokens,
             received_at: now,
             started_at: None,
-            first_at: None,
+            first_token_at: None,
             targets: Vec::new(),
             stop_at: None,
         }
@@ -66,23 +66,23 @@
     }
 
     /// Record a dispatch to a target.
-    pub(super) fn note_target(&mut self, now: Moment, target: &TargetName) {
+    pub(super) fn record_dispatch(&mut self, now: Moment, target: &TargetName) {
         self.started_at.get_or_insert(now);
         self.targets.push(target.clone());
     }
 
     /// Record the arrival of the first token.
-    pub(super) fn note_first(&mut self, now: Moment) {
-        self.first_at.get_or_insert(now);
+    pub(super) fn record_first_token(&mut self, now: Moment) {
+        self.first_token_at.get_or_insert(now);
     }
 
     /// Write the log line about the end of the request.
-    pub(super) fn note_end(
+    pub(super) fn write_end(
         &self,
         now: Moment,
         id: Option<RequestId>,
         conclusion: &Conclusion,
-        pieces: usize,
+        data_parts: usize,
     ) {
         let Some(caller_id) = &self.caller_id else {
             return;
@@ -105,23 +105,23 @@
             .as_millis();
         let took = now.since(self.received_at).as_millis();
         let first = self
-            .first_at
+            .first_token_at
             .map(|at| at.since(self.received_at).as_millis());
         let first = first.map_or(String::new(), |millis| millis.to_string());
-        let aim = self.aim.map(|aim| aim.as_millis());
-        let aim = aim.map_or(String::new(), |millis| millis.to_string());
+        let goal = self.first_answer_goal.map(|goal| goal.as_millis());
+        let goal = goal.map_or(String::new(), |millis| millis.to_string());
         let stopping = self
             .stop_at
             .map(|at| self.received_at.since(at).as_millis());
         let stopping = stopping.map_or(String::new(), |millis| millis.to_string());
-        let most = self.most_text();
+        let max_output = self.max_output_text();
         let pairs: [(&str, &dyn Display); 18] = [
             ("request", caller_id),
             ("number", &id),
             ("route", &self.rule),
             ("account", &self.account),
             ("tier", &self.tier.0),
-            ("aim_ms", &aim),
+            ("aim_ms", &goal),
             ("outcome", &outcome),
             ("reason", &reason),
             ("ran", &ran),
@@ -129,10 +129,10 @@
             ("first_ms", &first),
             ("took_ms", &took),
             ("targets", &targets),
-            ("prompt", &self.prompt),
-            ("output", &self.output),
-            ("most_output", &most),
-            ("pieces", &pieces),
+            ("prompt", &self.prompt_tokens),
+            ("output", &self.output_tokens),
+            ("most_output", &max_output),
+            ("pieces", &data_parts),
             ("stopping_ms", &stopping),
         ];
         journal::write(Incident::RequestEnded, &pairs);
@@ -140,7 +140,13 @@
 
     /// Write the log line about a request that is still open although the grace
     /// period is nearly over.
-    pub(super) fn note_open(&self, now: Moment, id: RequestId, stop: &StopTimes, pieces: usize) {
+    pub(super) fn write_open(
+        &self,
+        now: Moment,
+        id: RequestId,
+        stop: &StopSchedule,
+        data_parts: usize,
+    ) {
         let number = id.sequence;
         let caller_id = self.caller_id.as_deref().unwrap_or_default();
         let stage = match self.started_at {
@@ -160,7 +166,7 @@
                 .to_string(),
         };
         let targets = self.target_names();
-        let most = self.most_text();
+        let max_output = self.max_output_text();
         let pairs: [(&str, &dyn Display); 14] = [
             ("request", &caller_id),
             ("number", &number),
@@ -171,17 +177,17 @@
             ("age_ms", &age),
             ("ran_ms", &ran),
             ("targets", &targets),
-            ("prompt", &self.prompt),
-            ("output", &self.output),
-            ("most_output", &most),
-            ("pieces", &pieces),
+            ("prompt", &self.prompt_tokens),
+            ("output", &self.output_tokens),
+            ("most_output", &max_output),
+            ("pieces", &data_parts),
             ("stopping_ms", &stopping),
         ];
         journal::write(Incident::RequestOpen, &pairs);
     }
 
-    fn most_text(&self) -> String {
-        self.most_output
+    fn max_output_text(&self) -> String {
+        self.max_output_tokens
             .map_or(String::new(), |tokens| tokens.to_string())
     }
 
--- a/bergamotswitch-net/tests/limits_in_force.rs
+++ b/bergamotswitch-net/tests/limits_in_force.rs
@@ -17,7 +17,7 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-fn changed(change: impl Fn(&mut FleetLimits)) -> TargetClientOptions {
+fn options_with(change: impl Fn(&mut FleetLimits)) -> TargetClientOptions {
     let mut limits = FleetLimits::default();
     change(&mut limits);
     TargetClientOptions::default().with_limits(&limits)
@@ -27,21 +27,21 @@
 fn target_limits() {
     let plain = TargetClientOptions::default();
     let span = Duration::from_millis(750);
-    assert_eq!(changed(|_| ()), plain);
+    assert_eq!(options_with(|_| ()), plain);
     assert_eq!(
-        changed(|limits| limits.idle_probe_ms = 750),
+        options_with(|limits| limits.idle_probe_ms = 750),
         plain.clone().with_idle_probe(span)
     );
     assert_eq!(
-        changed(|limits| limits.probe_timeout_ms = 750),
+        options_with(|limits| limits.probe_timeout_ms = 750),
         plain.clone().with_probe_timeout(span)
     );
     assert_eq!(
-        changed(|limits| limits.connect_timeout_ms = 750),
+        options_with(|limits| limits.connect_timeout_ms = 750),
         plain.clone().with_connect_timeout(span)
     );
     assert_eq!(
-        changed(|limits| limits.load_poll_ms = 750),
+        options_with(|limits| limits.load_poll_ms = 750),
         plain.with_load_period(span)
     );
 }
@@ -52,14 +52,16 @@
 async fn faster_load_poll() {
     let engine = start_engine(true).await;
     let slow = TargetClientOptions::default().with_load_period(Duration::from_secs(3_600));
-    let mut rig = CallHarness::new(slow.clone());
-    rig.client
+    let mut harness = CallHarness::new(slow.clone());
+    harness
+        .client
         .watch_targets(&[target_at(engine.address(), true)]);
-    rig.client
+    harness
+        .client
         .set_options(slow.with_load_period(Duration::from_millis(10)));
     let mut reports = 0;
     while reports < 5 {
-        let input = timeout(TEST_TIMEOUT, rig.inbox.recv()).await;
+        let input = timeout(TEST_TIMEOUT, harness.inbox.recv()).await;
         if let Some(NodeInput::Load(..)) = input.expect("a load report in time") {
             reports += 1;
         }
@@ -105,8 +107,8 @@
     }
     assert!(answer.bytes() > bytes / 2 && answer.bytes() <= bytes);
     assert!(answer.is_overlong());
-    let told = inbox.try_recv().expect("an input to the loop");
-    assert!(matches!(told, NodeInput::Overlong(id) if id == request));
+    let input = inbox.try_recv().expect("an input to the loop");
+    assert!(matches!(input, NodeInput::Overlong(id) if id == request));
     assert!(inbox.try_recv().is_err(), "more than one input");
     answer.clear();
     assert!(!answer.is_overlong());
