--- a/bergamotswitch-net/src/node/event_loop.rs
+++ b/bergamotswitch-net/src/node/event_loop.rs
@@ -88,7 +88,7 @@
             metrics,
             opts: CallerOptions::default(),
         };
-        let parts = HostParts::try_new(setup.doors, &setup.settings, desk)?;
+        let parts = HostParts::try_new(setup.listeners, &setup.settings, desk)?;
         Ok(HostNode {
             me,
             core,
--- a/bergamotswitch-net/src/node/host_parts.rs
+++ b/bergamotswitch-net/src/node/host_parts.rs
@@ -7,7 +7,7 @@
 
 use super::adapters::{CallerServer, ValueSource};
 use super::gateway_setup;
-use super::{NodeDoors, NodeError};
+use super::{CallerListeners, NodeError};
 use crate::caller::{self, CallerDesk};
 use crate::gateway::GatewayServer;
 use crate::gossip::GossipSocket;
@@ -30,17 +30,17 @@
     ///
     /// Returns [`NodeError::Serve`] if one of them cannot be started.
     pub(super) fn try_new(
-        doors: NodeDoors,
+        listeners: CallerListeners,
         settings: &HostSettings,
         desk: CallerDesk,
     ) -> Result<Self, NodeError> {
         let node = desk.node.clone();
-        let (sockets, gateway) = match (doors, &settings.gateway) {
-            (NodeDoors::Gateway(sockets), Some(gateway)) => (sockets, gateway),
-            (NodeDoors::Gateway(_), None) => {
+        let (sockets, gateway) = match (listeners, &settings.gateway) {
+            (CallerListeners::Gateway(sockets), Some(gateway)) => (sockets, gateway),
+            (CallerListeners::Gateway(_), None) => {
                 return Err(NodeError::Serve(io::ErrorKind::InvalidInput.into()));
             }
-            (NodeDoors::Api(listener), _) => {
+            (CallerListeners::Api(listener), _) => {
                 let services = settings.configuration_services.clone();
                 let host_lists = settings.host_lists.clone();
                 let opts = PlatformOptions::default();
--- a/bergamotswitch-net/src/node/mod.rs
+++ b/bergamotswitch-net/src/node/mod.rs
@@ -49,16 +49,16 @@
 
 impl std::error::Error for NodeError {}
 
-/// A `NodeDoors` is the set of sockets on which a host listens for callers.
+/// A `CallerListeners` is the set of sockets on which a host listens for callers.
 #[derive(Debug)]
-pub enum NodeDoors {
+pub enum CallerListeners {
     /// The listener of the native API.
     Api(TcpListener),
     /// The listeners of the gateway.
     Gateway(GatewaySockets),
 }
 
-impl NodeDoors {
+impl CallerListeners {
     /// Get the address to which callers connect.
     ///
     /// # Errors
@@ -66,8 +66,8 @@
     /// Returns an error if the operating system cannot provide the address.
     pub fn caller_address(&self) -> std::io::Result<SocketAddr> {
         match self {
-            NodeDoors::Api(listener) => listener.local_addr(),
-            NodeDoors::Gateway(sockets) => sockets.callers.local_addr(),
+            CallerListeners::Api(listener) => listener.local_addr(),
+            CallerListeners::Gateway(sockets) => sockets.callers.local_addr(),
         }
     }
 }
@@ -81,7 +81,7 @@
     /// The identity of this host process.
     pub me: HostSelf,
     /// The listeners for callers.
-    pub doors: NodeDoors,
+    pub listeners: CallerListeners,
     /// The listener for links from peers.
     pub peers: TcpListener,
     /// The options of the state machines.
@@ -97,9 +97,9 @@
     ///
     /// Returns [`NodeError::Listen`] if a listener cannot be bound.
     pub fn try_new(settings: HostSettings) -> Result<Self, NodeError> {
-        let doors = match &settings.gateway {
-            None => NodeDoors::Api(listen(settings.caller_address)?),
-            Some(gateway) => NodeDoors::Gateway(GatewaySockets {
+        let listeners = match &settings.gateway {
+            None => CallerListeners::Api(listen(settings.caller_address)?),
+            Some(gateway) => CallerListeners::Gateway(GatewaySockets {
                 callers: listen(settings.caller_address)?,
                 readiness: listen(gateway.readiness_address)?,
                 directory: listen(gateway.directory_address)?,
@@ -122,7 +122,7 @@
         Ok(NodeSetup {
             settings,
             me,
-            doors,
+            listeners,
             peers,
             opts,
             metrics: Arc::new(NodeMetrics::new()),
--- a/bergamotswitch/src/command/serve.rs
+++ b/bergamotswitch/src/command/serve.rs
@@ -38,7 +38,7 @@
 async fn run(settings: HostSettings, path: &Path) -> Result<ExitCode, CommandError> {
     let setup = NodeSetup::try_new(settings).map_err(CommandError::Start)?;
     let callers = setup
-        .doors
+        .listeners
         .caller_address()
         .map_err(CommandError::Runtime)?;
     let peers = setup.peers.local_addr().map_err(CommandError::Runtime)?;
