--- a/bergamotswitch-net/src/caller/forward.rs
+++ b/bergamotswitch-net/src/caller/forward.rs
@@ -120,7 +120,7 @@
     holder: &HostIncarnation,
 ) -> Result<http::Response<Incoming>, RefusalPage> {
     let answer = try_forward(desk, original, holder).await;
-    desk.metrics.forwarded(answer.is_ok());
+    desk.metrics.count_forward(answer.is_ok());
     answer.map_err(|failure| {
         let refusal = Refusal::may_have_run(RefusalReason::Lost);
         let page = RefusalPage::new(refusal).with_detail(failure.as_str());
--- a/bergamotswitch-net/src/metrics/mod.rs
+++ b/bergamotswitch-net/src/metrics/mod.rs
@@ -145,7 +145,7 @@
     }
 
     /// Count a refused request; `tier` is `None` if none has been assigned yet.
-    pub fn refused(&self, reason: RefusalReason, tier: Option<Tier>) {
+    pub fn count_refusal(&self, reason: RefusalReason, tier: Option<Tier>) {
         let tier = match tier {
             Some(tier) => tier.0.to_string(),
             None => NO_TIER.to_owned(),
@@ -158,7 +158,7 @@
     }
 
     /// Count a retry.
-    pub fn retried(&self, reason: RetryReason) {
+    pub fn count_retry(&self, reason: RetryReason) {
         let labels = ReasonLabels {
             reason: reason.as_str(),
         };
@@ -166,7 +166,7 @@
     }
 
     /// Count prompt tokens that were processed in vain.
-    pub fn wasted(&self, tier: Tier, cause: WasteCause, tokens: u32) {
+    pub fn count_wasted_tokens(&self, tier: Tier, cause: WasteCause, tokens: u32) {
         let labels = WasteLabels {
             tier: u32::from(tier.0),
             cause: cause.as_str(),
@@ -177,7 +177,7 @@
     /// Count a finished request. `good` states whether its answer was complete
     /// and within the deadline, `first_token` is the time from acceptance to the
     /// first token.
-    pub fn ended(&self, tier: Tier, good: bool, first_token: Option<Duration>) {
+    pub fn count_end(&self, tier: Tier, good: bool, first_token: Option<Duration>) {
         let labels = tier_labels(tier);
         self.ended.get_or_create(&labels).inc();
         let goodput = self.goodput.get_or_create(&labels);
@@ -192,14 +192,14 @@
     }
 
     /// Record how long a request waited for its permit.
-    pub fn queue_wait(&self, tier: Tier, span: Duration) {
+    pub fn observe_queue_wait(&self, tier: Tier, span: Duration) {
         self.queue_wait
             .get_or_create(&tier_labels(tier))
             .observe(span.as_secs_f64());
     }
 
     /// Count a log event.
-    pub fn incident(&self, incident: Incident) {
+    pub fn count_incident(&self, incident: Incident) {
         let labels = IncidentLabels {
             number: u32::from(incident.number()),
         };
@@ -208,7 +208,7 @@
 
     /// Count a request forwarded to the host that holds it; `reached` states
     /// whether that host answered.
-    pub fn forwarded(&self, reached: bool) {
+    pub fn count_forward(&self, reached: bool) {
         let reached = match reached {
             true => "yes",
             false => "no",
--- a/bergamotswitch-net/src/node/event_loop.rs
+++ b/bergamotswitch-net/src/node/event_loop.rs
@@ -257,7 +257,7 @@
             NodeInput::Prefix(name, prefix, held) => {
                 self.handle(NodeEvent::Prefix(name, prefix, held));
             }
-            NodeInput::Turned(reason, tier) => self.metrics.refused(reason, tier),
+            NodeInput::Turned(reason, tier) => self.metrics.count_refusal(reason, tier),
             NodeInput::Stop => self.on_stop(),
         }
     }
@@ -273,7 +273,7 @@
             SubmitOutcome::Attached(id) => self.open.attach(*id),
             SubmitOutcome::Forward(_) => None,
             SubmitOutcome::Refused(refusal) => {
-                self.metrics.refused(refusal.reason(), Some(log.tier));
+                self.metrics.count_refusal(refusal.reason(), Some(log.tier));
                 let conclusion = Conclusion::Refused(refusal.clone());
                 log.write_end(self.clock.now(), None, &conclusion, 0);
                 None
@@ -329,15 +329,19 @@
                 self.open.end(id);
             }
             NodeAction::LogIncident(incident, text) => self.log_incident(incident, &text),
-            NodeAction::CountRefusal(tier, reason) => self.metrics.refused(reason, Some(tier)),
-            NodeAction::CountWait(tier, span) => self.metrics.queue_wait(tier, span),
-            NodeAction::CountRetry(reason) => self.metrics.retried(reason),
-            NodeAction::CountWaste(tier, cause, tokens) => self.metrics.wasted(tier, cause, tokens),
+            NodeAction::CountRefusal(tier, reason) => {
+                self.metrics.count_refusal(reason, Some(tier))
+            }
+            NodeAction::CountWait(tier, span) => self.metrics.observe_queue_wait(tier, span),
+            NodeAction::CountRetry(reason) => self.metrics.count_retry(reason),
+            NodeAction::CountWaste(tier, cause, tokens) => {
+                self.metrics.count_wasted_tokens(tier, cause, tokens)
+            }
             NodeAction::CountEnd {
                 tier,
                 good,
                 first_token,
-            } => self.metrics.ended(tier, good, first_token),
+            } => self.metrics.count_end(tier, good, first_token),
             // The event loop checks itself whether the core is idle.
             NodeAction::Stopped => {}
         }
--- a/bergamotswitch-net/src/node/event_loop/reports.rs
+++ b/bergamotswitch-net/src/node/event_loop/reports.rs
@@ -46,13 +46,13 @@
     }
 
     pub(super) fn log_incident(&self, incident: Incident, text: &str) {
-        self.metrics.incident(incident);
+        self.metrics.count_incident(incident);
         journal::write(incident, &[("host", &self.me.run.host), ("about", &text)]);
     }
 
     /// Log the progress of a planned stop and the number of open requests.
     pub(super) fn log_stop_progress(&self, incident: Incident, schedule: &StopSchedule) {
-        self.metrics.incident(incident);
+        self.metrics.count_incident(incident);
         let now = self.now();
         let desk = self.core.view(now).desk;
         let waiting: u32 = desk.waiting.iter().sum();
@@ -85,7 +85,7 @@
         self.log_stop_progress(Incident::GraceEnding, schedule);
         let now = self.now();
         for (id, request) in self.open.live() {
-            self.metrics.incident(Incident::RequestOpen);
+            self.metrics.count_incident(Incident::RequestOpen);
             let data_parts = request.answer.data_part_count();
             request.log.write_open(now, id, schedule, data_parts);
         }
--- a/bergamotswitch-net/src/node/event_loop/stopping.rs
+++ b/bergamotswitch-net/src/node/event_loop/stopping.rs
@@ -88,7 +88,7 @@
 
 /// Log that the grace period has ended before callers have read their answers.
 pub(super) fn log_unread_answers(me: &HostSelf, metrics: &NodeMetrics) {
-    metrics.incident(Incident::GraceEnding);
+    metrics.count_incident(Incident::GraceEnding);
     let about = "answers that are still being read";
     let pairs: [(&str, &dyn Display); 2] = [("host", &me.run.host), ("about", &about)];
     journal::write(Incident::GraceEnding, &pairs);
@@ -113,7 +113,7 @@
     };
     let refusal = submission.stopping_refusal();
     let log = RequestLog::of(now, &submission, &call).with_stop(stop_at);
-    metrics.refused(refusal.reason(), Some(log.tier));
+    metrics.count_refusal(refusal.reason(), Some(log.tier));
     log.write_end(now, None, &Conclusion::Refused(refusal.clone()), 0);
     // The caller may have disconnected.
     let _ = reply.send(Received {
--- a/bergamotswitch-net/tests/metrics_page.rs
+++ b/bergamotswitch-net/tests/metrics_page.rs
@@ -33,11 +33,11 @@
 #[test]
 fn counted_reasons() {
     let metrics = NodeMetrics::new();
-    metrics.refused(RefusalReason::Overloaded, Some(Tier(2)));
-    metrics.refused(RefusalReason::TooLarge, None);
-    metrics.retried(RetryReason::PermitVoid);
-    metrics.wasted(Tier(1), WasteCause::Preemption, 700);
-    metrics.incident(Incident::RequestLost);
+    metrics.count_refusal(RefusalReason::Overloaded, Some(Tier(2)));
+    metrics.count_refusal(RefusalReason::TooLarge, None);
+    metrics.count_retry(RetryReason::PermitVoid);
+    metrics.count_wasted_tokens(Tier(1), WasteCause::Preemption, 700);
+    metrics.count_incident(Incident::RequestLost);
     let page = metrics.render();
     assert_line(
         &page,
@@ -58,9 +58,9 @@
 #[test]
 fn goodput_by_tier() {
     let metrics = NodeMetrics::new();
-    metrics.ended(Tier(0), true, Some(Duration::from_millis(700)));
-    metrics.ended(Tier(0), false, Some(Duration::from_millis(800)));
-    metrics.ended(Tier(1), false, None);
+    metrics.count_end(Tier(0), true, Some(Duration::from_millis(700)));
+    metrics.count_end(Tier(0), false, Some(Duration::from_millis(800)));
+    metrics.count_end(Tier(1), false, None);
     let page = metrics.render();
     assert_line(&page, "bergamot_requests_ended_total{tier=\"0\"} 2");
     assert_line(&page, "bergamot_goodput_total{tier=\"0\"} 1");
@@ -83,7 +83,7 @@
     metrics.set_link_bytes(100, 200);
     // A counter that decreases would look like a restart of the process.
     metrics.set_link_bytes(90, 250);
-    metrics.queue_wait(Tier(3), Duration::from_secs(2));
+    metrics.observe_queue_wait(Tier(3), Duration::from_secs(2));
     let page = metrics.render();
     assert_line(&page, "bergamot_revision_in_force{value=\"rules\"} 41");
     assert_line(&page, "bergamot_queued_requests{tier=\"3\"} 5");
