--- a/bergamotswitch-net/src/gateway/call.rs
+++ b/bergamotswitch-net/src/gateway/call.rs
@@ -93,7 +93,7 @@
 }
 
 fn refused(refused: &Refusal) -> Response<AnswerBody> {
-    refusal::page(refused).map(AnswerBody::whole)
+    refusal::response(refused).map(AnswerBody::whole)
 }
 
 async fn serve(
--- a/bergamotswitch-net/src/gateway/lookup.rs
+++ b/bergamotswitch-net/src/gateway/lookup.rs
@@ -28,13 +28,13 @@
         Some(LookupCall::Addresses { domain }) => {
             let hosts = ask(&desk, NodeInput::ReadyHosts).await.unwrap_or_default();
             let addresses = near_first(&hosts, domain.as_ref(), MAX_ADDRESSES);
-            lookup::address_page(addresses, ADDRESS_LIFETIME)
+            lookup::address_response(addresses, ADDRESS_LIFETIME)
         }
         Some(LookupCall::Ready) => {
             let ready = ask(&desk, NodeInput::IsReady).await.unwrap_or(false);
-            lookup::ready_page(ready)
+            lookup::ready_response(ready)
         }
-        None => lookup::status_page(StatusCode::NOT_FOUND),
+        None => lookup::status_response(StatusCode::NOT_FOUND),
     };
     page.map(AnswerBody::whole)
 }
