--- a/bergamotswitch-net/src/gateway/call.rs
+++ b/bergamotswitch-net/src/gateway/call.rs
@@ -217,7 +217,7 @@
                 resumable: work == CallSemantics::ResumableStream,
                 ends_at_deadline: true,
                 ends_with_caller: work != CallSemantics::NonIdempotent,
-                max_output_tokens: call.tokens.map(|tokens| tokens.most_output),
+                max_output_tokens: call.tokens.map(|tokens| tokens.max_output),
                 quota_units: self
                     .account
                     .map_or(0, |account| account.quota.units(tokens)),
@@ -261,7 +261,7 @@
 }
 
 fn quota_tokens(tokens: CallTokens) -> u64 {
-    u64::from(tokens.prompt) + u64::from(tokens.most_output)
+    u64::from(tokens.prompt) + u64::from(tokens.max_output)
 }
 
 /// Get what a call costs a target, as far as it says.
@@ -269,7 +269,7 @@
     match tokens {
         Some(tokens) => TokenCost {
             prefill: tokens.prompt,
-            decode: tokens.likely_output.unwrap_or(tokens.most_output),
+            decode: tokens.expected_output.unwrap_or(tokens.max_output),
         },
         None => TokenCost {
             prefill: 1,
--- a/bergamotswitch-net/src/target_client/routed_call.rs
+++ b/bergamotswitch-net/src/target_client/routed_call.rs
@@ -139,8 +139,8 @@
     }
     // An answer that has another request's id, or lacks the target's signature,
     // comes from another call or from an intermediary.
-    if !found.is_own || !found.is_sealed {
-        let cause = match found.is_own {
+    if !found.matches_request || !found.is_signed {
+        let cause = match found.matches_request {
             true => "answer without the target's signature",
             false => "answer to another request",
         };
