--- a/bergamotswitch-net/src/store_source/connection.rs
+++ b/bergamotswitch-net/src/store_source/connection.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use bergamotswitch_platform::store::StoreFault;
+use bergamotswitch_platform::store::StoreParseError;
 use bytes::Bytes;
 use http::{Request, StatusCode, header};
 use http_body_util::{BodyExt, Empty, Limited};
@@ -34,7 +34,7 @@
     /// The store returned an error status.
     Status(StatusCode),
     /// The answer is malformed.
-    Fault(StoreFault),
+    Fault(StoreParseError),
     /// The read exceeded the maximum number of pages.
     TooMany,
 }
