--- a/bergamotswitch-net/src/metrics/mod.rs
+++ b/bergamotswitch-net/src/metrics/mod.rs
@@ -230,7 +230,7 @@
         self.running.set(gauge_value(count));
     }
 
-    /// Set the revision that is in force of a published value.
+    /// Set the revision in force of a published value.
     pub fn set_revision(&self, value: &ValueName, revision: Revision) {
         let labels = ValueLabels {
             value: value.as_str().to_owned(),
