--- a/bergamotswitch-net/src/node/event_loop.rs
+++ b/bergamotswitch-net/src/node/event_loop.rs
@@ -41,7 +41,7 @@
 pub struct HostNode {
     me: HostSelf,
     core: NodeCore,
-    open: OpenRequests,
+    requests: OpenRequests,
     targets: TargetClient,
     links: LinkHub,
     platform: ValueSource,
@@ -92,7 +92,7 @@
         Ok(HostNode {
             me,
             core,
-            open: OpenRequests::new(FleetLimits::default().max_answer_bytes, sender.clone()),
+            requests: OpenRequests::new(FleetLimits::default().max_answer_bytes, sender.clone()),
             targets: parts.targets,
             links,
             platform: parts.platform,
@@ -195,7 +195,7 @@
                 let _ = reply.send(received);
             }
             NodeInput::CallerLeft(id) => {
-                if self.open.detach(id) {
+                if self.requests.detach(id) {
                     self.handle(NodeEvent::CallerDisconnected(id));
                 }
             }
@@ -240,7 +240,7 @@
             NodeInput::Attempt(id, event) => {
                 let now = self.now();
                 if event == AttemptEvent::FirstToken
-                    && let Some(request) = self.open.get_mut(id.request)
+                    && let Some(request) = self.requests.get_mut(id.request)
                 {
                     request.log.record_first_token(now);
                 }
@@ -249,7 +249,7 @@
             NodeInput::Overlong(id) => {
                 // The answer may have been restarted by another attempt.
                 let overlong = |request: &OpenRequest| request.answer.is_overlong();
-                if self.open.get(id).is_some_and(overlong) {
+                if self.requests.get(id).is_some_and(overlong) {
                     self.handle(NodeEvent::AnswerTooLong(id));
                 }
             }
@@ -269,8 +269,8 @@
         log: RequestLog,
     ) -> Received {
         let answer = match &reception {
-            SubmitOutcome::Accepted(id) => Some(self.open.open(*id, call, log)),
-            SubmitOutcome::Attached(id) => self.open.attach(*id),
+            SubmitOutcome::Accepted(id) => Some(self.requests.open(*id, call, log)),
+            SubmitOutcome::Attached(id) => self.requests.attach(*id),
             SubmitOutcome::Forward(_) => None,
             SubmitOutcome::Refused(refusal) => {
                 self.metrics.count_refusal(refusal.reason(), Some(log.tier));
@@ -321,12 +321,12 @@
             } => self.start(attempt, &target, kind),
             NodeAction::Abort { attempt, cancel } => self.targets.abort(attempt, cancel),
             NodeAction::Conclude(id, conclusion) => self.conclude(id, conclusion),
-            NodeAction::DropAnswer(id) => self.open.remove(id),
+            NodeAction::DropAnswer(id) => self.requests.remove(id),
             NodeAction::Forward(id, holder) => {
-                if let Some(request) = self.open.get(id) {
+                if let Some(request) = self.requests.get(id) {
                     request.answer.push(AnswerPart::Forward(holder));
                 }
-                self.open.end(id);
+                self.requests.end(id);
             }
             NodeAction::LogIncident(incident, text) => self.log_incident(incident, &text),
             NodeAction::CountRefusal(tier, reason) => {
@@ -349,7 +349,7 @@
 
     fn start(&mut self, attempt: AttemptId, target: &PoolTarget, kind: PoolKind) {
         let now = self.now();
-        let Some(request) = self.open.get_mut(attempt.request) else {
+        let Some(request) = self.requests.get_mut(attempt.request) else {
             return;
         };
         request.log.record_dispatch(now, &target.name);
@@ -367,7 +367,7 @@
 
     fn conclude(&mut self, id: RequestId, conclusion: Conclusion) {
         let now = self.now();
-        let Some(request) = self.open.get(id) else {
+        let Some(request) = self.requests.get(id) else {
             return;
         };
         let data_parts = request.answer.data_part_count();
@@ -380,7 +380,7 @@
         };
         request.answer.push(part);
         let bytes = request.answer.bytes() as u64;
-        self.open.end(id);
+        self.requests.end(id);
         self.handle(NodeEvent::AnswerSize(id, bytes));
     }
 
@@ -396,7 +396,7 @@
             self.targets.record_target_starts(&publication.pools);
         }
         self.platform.set_limits(limits);
-        self.open.set_max_answer_bytes(limits.max_answer_bytes);
+        self.requests.set_max_answer_bytes(limits.max_answer_bytes);
         self.links
             .set_roster(&publication.hosts, &publication.limits.link_key);
         self.publication.send_replace(Arc::new(publication.clone()));
--- a/bergamotswitch-net/src/node/event_loop/reports.rs
+++ b/bergamotswitch-net/src/node/event_loop/reports.rs
@@ -84,7 +84,7 @@
         }
         self.log_stop_progress(Incident::GraceEnding, schedule);
         let now = self.now();
-        for (id, request) in self.open.live() {
+        for (id, request) in self.requests.live() {
             self.metrics.count_incident(Incident::RequestOpen);
             let data_parts = request.answer.data_part_count();
             request.log.write_open(now, id, schedule, data_parts);
