--- a/bergamotswitch-net/src/node/adapters.rs
+++ b/bergamotswitch-net/src/node/adapters.rs
@@ -1,5 +1,5 @@
-//! Provides the adapters that hide whether a host runs the native API or the
-//! gateway.
+//! Provides the caller server and the source of published values behind one
+//! interface, for hosts with the native API (`/v1`) and hosts in gateway mode.
 
 use std::io;
 use std::net::SocketAddr;
--- a/bergamotswitch-net/src/node/gateway_setup.rs
+++ b/bergamotswitch-net/src/node/gateway_setup.rs
@@ -1,4 +1,4 @@
-//! Provides the options of a host that runs the gateway.
+//! Provides the options of a host in gateway mode.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
--- a/bergamotswitch-net/src/node/host_parts.rs
+++ b/bergamotswitch-net/src/node/host_parts.rs
@@ -1,5 +1,5 @@
 //! Provides the startup of the components that differ between a host with the
-//! native API and one with the gateway.
+//! native API (`/v1`) and a host in gateway mode.
 
 use std::io;
 
--- a/bergamotswitch-net/src/node/mod.rs
+++ b/bergamotswitch-net/src/node/mod.rs
@@ -52,7 +52,7 @@
 /// A `CallerListeners` is the set of sockets on which a host listens for callers.
 #[derive(Debug)]
 pub enum CallerListeners {
-    /// The listener of the native API.
+    /// The listener of the native API (`/v1`).
     Api(TcpListener),
     /// The listeners of the gateway.
     Gateway(GatewaySockets),
