--- a/bergamotswitch-net/src/caller/forward.rs
+++ b/bergamotswitch-net/src/caller/forward.rs
@@ -118,7 +118,7 @@
     holder: &HostIncarnation,
 ) -> Result<http::Response<Incoming>, RefusalPage> {
     let answer = try_forward(context, original, holder).await;
-    context.metrics.forwarded(answer.is_ok());
+    context.metrics.count_forward(answer.is_ok());
     answer.map_err(|failure| {
         let refusal = Refusal::may_have_run(RefusalReason::Lost);
         let page = RefusalPage::new(refusal).with_detail(failure.as_str());
--- a/bergamotswitch-net/src/gateway/call.rs
+++ b/bergamotswitch-net/src/gateway/call.rs
@@ -96,7 +96,7 @@
 }
 
 fn refusal_response(refusal: &Refusal) -> Response<AnswerBody> {
-    refusal::page(refusal).map(AnswerBody::buffered)
+    refusal::response(refusal).map(AnswerBody::buffered)
 }
 
 async fn serve(
@@ -224,7 +224,7 @@
                 resumable: semantics == CallSemantics::ResumableStream,
                 ends_at_deadline: true,
                 ends_with_caller: semantics != CallSemantics::NonIdempotent,
-                max_output_tokens: call.tokens.map(|tokens| tokens.most_output),
+                max_output_tokens: call.tokens.map(|tokens| tokens.max_output),
                 quota_units: self
                     .account
                     .map_or(0, |account| account.quota.units(tokens)),
@@ -269,7 +269,7 @@
 }
 
 fn quota_tokens(tokens: CallTokens) -> u64 {
-    u64::from(tokens.prompt) + u64::from(tokens.most_output)
+    u64::from(tokens.prompt) + u64::from(tokens.max_output)
 }
 
 /// Get the estimated cost of a call, from the token counts that it declares.
@@ -277,7 +277,7 @@
     match tokens {
         Some(tokens) => TokenCost {
             prefill: tokens.prompt,
-            decode: tokens.likely_output.unwrap_or(tokens.most_output),
+            decode: tokens.expected_output.unwrap_or(tokens.max_output),
         },
         None => TokenCost {
             prefill: 1,
--- a/bergamotswitch-net/src/metrics/owner_totals.rs
+++ b/bergamotswitch-net/src/metrics/owner_totals.rs
@@ -1,4 +1,4 @@
-//! Provides the metrics of the shards that a host owns.
+//! Provides the counters of the shards that a host owns.
 
 use std::collections::BTreeMap;
 
@@ -9,10 +9,10 @@
 use super::labels::{ReasonLabels, ShardLabels};
 use super::{NodeMetrics, gauge_value};
 
-/// The label `domain` of a shard that is not one failure domain's.
+/// The value of the label `domain` for a shard that spans all failure domains.
 const ALL_DOMAINS: &str = "all";
 
-/// A `ShardTotals` is what a shard's owner had counted at the last look.
+/// A `ShardTotals` holds the counts of a shard's owner at the last refresh.
 #[derive(Clone, Debug, Default)]
 struct ShardTotals {
     preempted: u64,
@@ -20,23 +20,23 @@
     refusals: BTreeMap<RefusalReason, u64>,
 }
 
-/// An `OwnerTotals` adds up what owners count, who begin at zero with each
-/// takeover. What a host counted between the last look and the end of an
-/// ownership is not in them.
+/// An `OwnerTotals` accumulates the counts of shard owners, which restart from
+/// zero with each takeover. Events between the last refresh and the end of an
+/// ownership are not counted.
 #[derive(Debug, Default)]
 pub struct OwnerTotals {
     shards: BTreeMap<PoolShard, ShardTotals>,
 }
 
 impl OwnerTotals {
-    /// Bring the metrics of owned shards up to date.
+    /// Update the metrics of owned shards.
     pub fn refresh(&mut self, metrics: &NodeMetrics, views: &[ShardView]) {
         metrics.shard_queue.clear();
         let mut earlier = std::mem::take(&mut self.shards);
         for view in views {
             let before = earlier.remove(&view.shard).unwrap_or_default();
             let after = totals_of(view);
-            add(metrics, &before, &after);
+            add_increase(metrics, &before, &after);
             set_queue(metrics, view);
             self.shards.insert(view.shard.clone(), after);
         }
@@ -52,18 +52,19 @@
     }
 }
 
-/// Get what was counted since; a lower count is that of a new owner.
-fn growth(before: u64, after: u64) -> u64 {
+/// Get the increase between two counts. A lower count belongs to a new owner,
+/// which started from zero.
+fn increase(before: u64, after: u64) -> u64 {
     match after.checked_sub(before) {
-        Some(grown) => grown,
+        Some(difference) => difference,
         None => after,
     }
 }
 
-fn add(metrics: &NodeMetrics, before: &ShardTotals, after: &ShardTotals) {
-    let preempted = growth(before.preempted, after.preempted);
+fn add_increase(metrics: &NodeMetrics, before: &ShardTotals, after: &ShardTotals) {
+    let preempted = increase(before.preempted, after.preempted);
     metrics.preemptions.inc_by(preempted);
-    let reclaimed = growth(before.reclaimed, after.reclaimed);
+    let reclaimed = increase(before.reclaimed, after.reclaimed);
     metrics.reclaimed_permits.inc_by(reclaimed);
     for (reason, count) in &after.refusals {
         let counted = before.refusals.get(reason).copied().unwrap_or_default();
@@ -71,7 +72,7 @@
             reason: reason.as_str(),
         };
         let counter = metrics.owner_refusals.get_or_create(&labels);
-        counter.inc_by(growth(counted, *count));
+        counter.inc_by(increase(counted, *count));
     }
 }
 
--- a/bergamotswitch-net/src/node/drive.rs
+++ b/bergamotswitch-net/src/node/event_loop.rs
@@ -1,4 +1,4 @@
-//! Provides the loop itself.
+//! Provides the event loop of a host.
 
 mod reports;
 mod stopping;
@@ -18,12 +18,12 @@
 use bergamotswitch_core::target::PoolTarget;
 use tokio::sync::{mpsc, watch};
 
-use self::stopping::{note_unread, turn_away};
+use self::stopping::{log_unread_answers, refuse_late_request};
+use super::adapters::{CallerServer, ValueSource};
 use super::host_parts::HostParts;
 use super::load_gauge::LoadGauge;
 use super::open_request::{OpenRequest, OpenRequests};
-use super::request_label::RequestLabel;
-use super::seams::{CallerDoor, ValueSource};
+use super::request_log::RequestLog;
 use super::stop::StopPhase;
 use super::{NodeError, NodeSetup};
 use crate::answer::AnswerPart;
@@ -38,12 +38,12 @@
 use crate::metrics::{NodeMetrics, OwnerTotals};
 use crate::target_client::{TargetClient, TargetClientOptions};
 
-/// A `HostNode` is one entry host's process: it owns every machine and every
-/// client, and one loop on one thread drives them.
+/// A `HostNode` is the event loop of one entry host. It owns the state machines
+/// and all clients of the process and drives them on one thread.
 pub struct HostNode {
     me: HostIdentity,
     core: NodeCore,
-    open: OpenRequests,
+    requests: OpenRequests,
     targets: TargetClient,
     links: LinkHub,
     platform: ValueSource,
@@ -51,7 +51,7 @@
     settings: HostSettings,
     metrics: Arc<NodeMetrics>,
     publication: watch::Sender<Arc<Publication>>,
-    callers: CallerDoor,
+    callers: CallerServer,
     inbox: mpsc::UnboundedReceiver<NodeInput>,
     sender: NodeSender,
     stop: StopPhase,
@@ -64,11 +64,12 @@
 }
 
 impl HostNode {
-    /// Try to start a host inside the current `tokio` runtime.
+    /// Try to start a host in the current `tokio` runtime.
     ///
     /// # Errors
     ///
-    /// Returns a [`NodeError`] where links or caller interface cannot start.
+    /// Returns a [`NodeError`] if the links or the caller interface cannot be
+    /// started.
     pub fn try_new(setup: NodeSetup) -> Result<Self, NodeError> {
         let (sender, inbox) = mpsc::unbounded_channel();
         let me = setup.me;
@@ -94,11 +95,11 @@
             metrics,
             opts: CallerOptions::default(),
         };
-        let parts = HostParts::try_new(setup.doors, &setup.settings, desk)?;
+        let parts = HostParts::try_new(setup.listeners, &setup.settings, desk)?;
         Ok(HostNode {
             me,
             core,
-            open: OpenRequests::new(FleetLimits::default().max_answer_bytes, sender.clone()),
+            requests: OpenRequests::new(FleetLimits::default().max_answer_bytes, sender.clone()),
             targets: parts.targets,
             links,
             platform: parts.platform,
@@ -119,29 +120,29 @@
         })
     }
 
-    /// Get the way to tell the loop something, a stop above all.
+    /// Get the sender of inputs to the event loop, such as a stop signal.
     pub fn sender(&self) -> NodeSender {
         self.sender.clone()
     }
 
-    /// Get this run.
+    /// Get the identity of this host process.
     pub fn me(&self) -> &HostIdentity {
         &self.me
     }
 
     /// Run until a planned stop is complete.
     pub async fn run(mut self) {
-        self.note(Incident::HostStarted, &self.me.incarnation.to_string());
+        self.log_incident(Incident::HostStarted, &self.me.incarnation.to_string());
         self.handle(NodeEvent::Tick);
         while !self.stop.may_close(self.core.is_idle()) {
             let wake = self.core.next_wake().min(self.stop.next_wake());
-            let pause = wake.since(self.now());
+            let delay = wake.since(self.now());
             tokio::select! {
                 input = self.inbox.recv() => match input {
                     Some(input) => self.on_input(input),
                     None => break,
                 },
-                () = tokio::time::sleep(pause) => self.handle(NodeEvent::Tick),
+                () = tokio::time::sleep(delay) => self.handle(NodeEvent::Tick),
             }
             self.refresh_gauges();
             self.advance_stop();
@@ -149,12 +150,12 @@
         self.close().await;
     }
 
-    /// Close the door and let the answers that are still being read end, as
-    /// far as the grace allows.
+    /// Stop the caller interface and let open answers be read to their end, within
+    /// the grace period.
     async fn close(self) {
         let now = self.now();
-        let times = self.stop.times();
-        let left = times.map_or(Duration::MAX, |times| times.last_span(now));
+        let schedule = self.stop.schedule();
+        let left = schedule.map_or(Duration::MAX, |schedule| schedule.flush_time(now));
         let HostNode {
             me,
             callers,
@@ -163,17 +164,17 @@
             metrics,
             ..
         } = self;
-        let stop_at = times.map(|times| times.begun_at);
-        let mut over = Box::pin(tokio::time::sleep(left));
+        let stop_at = schedule.map(|schedule| schedule.begun_at);
+        let mut timeout = Box::pin(tokio::time::sleep(left));
         let mut closing = Box::pin(callers.close());
         loop {
             tokio::select! {
                 _ = &mut closing => break,
-                () = &mut over => {
-                    note_unread(&me, &metrics);
+                () = &mut timeout => {
+                    log_unread_answers(&me, &metrics);
                     break;
                 }
-                input = inbox.recv() => turn_away(input, clock.now(), stop_at, &metrics),
+                input = inbox.recv() => refuse_late_request(input, clock.now(), stop_at, &metrics),
             }
         }
         event_log::write(Incident::HostStopped, &[("run", &me.incarnation)]);
@@ -190,18 +191,18 @@
                 call,
                 reply,
             } => {
-                let times = self.stop.times();
-                let label = RequestLabel::of(self.now(), &submission, &call)
-                    .with_stop(times.map(|times| times.begun_at));
+                let schedule = self.stop.schedule();
+                let log = RequestLog::of(self.now(), &submission, &call)
+                    .with_stop(schedule.map(|schedule| schedule.begun_at));
                 let (reception, actions) = self.core.submit(self.now(), *submission);
-                let received = self.receive(reception, *call, label);
-                self.carry_out(actions);
-                // A caller that is gone by now dropped its end; its guard
-                // tells the loop so by `CallerLeft`.
+                let received = self.receive(reception, *call, log);
+                self.execute_all(actions);
+                // The caller may have disconnected; its guard then sends
+                // `CallerLeft`.
                 let _ = reply.send(received);
             }
             NodeInput::CallerLeft(id) => {
-                if self.open.leave(id) {
+                if self.requests.detach(id) {
                     self.handle(NodeEvent::CallerDisconnected(id));
                 }
             }
@@ -221,9 +222,9 @@
             NodeInput::KeysTrusted(reply) => {
                 let _ = reply.send(self.core.trusts_keys(self.now()));
             }
-            NodeInput::Targets(news) => {
-                self.note_store(true);
-                self.handle(NodeEvent::Targets(news));
+            NodeInput::Targets(update) => {
+                self.log_store_state(true);
+                self.handle(NodeEvent::Targets(update));
             }
             NodeInput::Gossip(message) => self.handle(NodeEvent::Gossip(message)),
             NodeInput::Settings(settings) => self.reload(*settings),
@@ -232,30 +233,30 @@
             }
             NodeInput::Link(event) => self.handle(NodeEvent::Link(event)),
             NodeInput::Platform(PlatformEvent::Read(value)) => {
-                self.note_store(true);
+                self.log_store_state(true);
                 self.handle(NodeEvent::Read(value));
             }
             NodeInput::Platform(PlatformEvent::Unchanged(name)) => {
-                self.note_store(true);
+                self.log_store_state(true);
                 self.handle(NodeEvent::Unchanged(name));
             }
             NodeInput::Platform(PlatformEvent::Failed(name)) => {
-                self.note_store(false);
+                self.log_store_state(false);
                 self.handle(NodeEvent::ReadFailed(name));
             }
             NodeInput::Attempt(id, event) => {
                 let now = self.now();
                 if event == AttemptEvent::FirstToken
-                    && let Some(request) = self.open.get_mut(id.request)
+                    && let Some(request) = self.requests.get_mut(id.request)
                 {
-                    request.label.note_first(now);
+                    request.log.record_first_token(now);
                 }
                 self.handle(NodeEvent::Attempt(id, event));
             }
             NodeInput::AnswerTooLong(id) => {
-                // An answer that began anew meanwhile is another run's.
+                // The answer may have been restarted by another attempt.
                 let overlong = |request: &OpenRequest| request.answer.is_overlong();
-                if self.open.get(id).is_some_and(overlong) {
+                if self.requests.get(id).is_some_and(overlong) {
                     self.handle(NodeEvent::AnswerTooLong(id));
                 }
             }
@@ -263,7 +264,7 @@
             NodeInput::Prefix(name, prefix, held) => {
                 self.handle(NodeEvent::Prefix(name, prefix, held));
             }
-            NodeInput::EarlyRefusal(reason, tier) => self.metrics.refused(reason, tier),
+            NodeInput::EarlyRefusal(reason, tier) => self.metrics.count_refusal(reason, tier),
             NodeInput::Stop => self.on_stop(),
         }
     }
@@ -272,16 +273,16 @@
         &mut self,
         reception: SubmitOutcome,
         call: OutgoingCall,
-        label: RequestLabel,
+        log: RequestLog,
     ) -> SubmissionReply {
         let answer = match &reception {
-            SubmitOutcome::Accepted(id) => Some(self.open.open(*id, call, label)),
-            SubmitOutcome::Attached(id) => self.open.attach(*id),
+            SubmitOutcome::Accepted(id) => Some(self.requests.open(*id, call, log)),
+            SubmitOutcome::Attached(id) => self.requests.attach(*id),
             SubmitOutcome::Forward(_) => None,
             SubmitOutcome::Refused(refusal) => {
-                self.metrics.refused(refusal.reason(), Some(label.tier));
+                self.metrics.count_refusal(refusal.reason(), Some(log.tier));
                 let conclusion = Conclusion::Refused(refusal.clone());
-                label.note_end(self.clock.now(), None, &conclusion, 0);
+                log.write_end(self.clock.now(), None, &conclusion, 0);
                 None
             }
         };
@@ -290,19 +291,20 @@
 
     fn handle(&mut self, event: NodeEvent) {
         let actions = self.core.handle(self.now(), event);
-        self.carry_out(actions);
+        self.execute_all(actions);
     }
 
-    fn carry_out(&mut self, actions: Vec<NodeAction>) {
+    fn execute_all(&mut self, actions: Vec<NodeAction>) {
         for action in actions {
-            self.act(action);
+            self.execute(action);
         }
     }
 
-    fn act(&mut self, action: NodeAction) {
+    fn execute(&mut self, action: NodeAction) {
         match action {
             NodeAction::Send(host, message) => {
-                // Where no link is up the machines repeat what matters.
+                // Without a link the message is lost; the state machines resend
+                // those that matter.
                 self.links.send(&host, &message);
             }
             NodeAction::Gossip(action) => {
@@ -315,8 +317,8 @@
             NodeAction::Read(name) => self.platform.read(&name),
             NodeAction::Watch(name, after) => self.platform.watch(&name, after),
             NodeAction::Published(name) => self.publish(&name),
-            // The users' targets tell their load with their answers; asked
-            // for it, they count each question as a probe.
+            // Targets of the gateway report their load in each answer, and count a
+            // load query as a probe.
             NodeAction::WatchTargets(_) if self.settings.gateway.is_some() => {}
             NodeAction::WatchTargets(targets) => self.targets.watch_targets(&targets),
             NodeAction::Start {
@@ -326,39 +328,43 @@
             } => self.start(attempt, &target, kind),
             NodeAction::Abort { attempt, cancel } => self.targets.abort(attempt, cancel),
             NodeAction::Conclude(id, conclusion) => self.conclude(id, conclusion),
-            NodeAction::DropAnswer(id) => self.open.forget(id),
+            NodeAction::DropAnswer(id) => self.requests.remove(id),
             NodeAction::Forward(id, holder) => {
-                if let Some(request) = self.open.get(id) {
+                if let Some(request) = self.requests.get(id) {
                     request.answer.push(AnswerPart::Forward(holder));
                 }
-                self.open.end(id);
+                self.requests.end(id);
+            }
+            NodeAction::LogIncident(incident, text) => self.log_incident(incident, &text),
+            NodeAction::CountRefusal(tier, reason) => {
+                self.metrics.count_refusal(reason, Some(tier))
+            }
+            NodeAction::CountWait(tier, span) => self.metrics.observe_queue_wait(tier, span),
+            NodeAction::CountRetry(reason) => self.metrics.count_retry(reason),
+            NodeAction::CountWaste(tier, cause, tokens) => {
+                self.metrics.count_wasted_tokens(tier, cause, tokens)
             }
-            NodeAction::LogIncident(incident, text) => self.note(incident, &text),
-            NodeAction::CountRefusal(tier, reason) => self.metrics.refused(reason, Some(tier)),
-            NodeAction::CountWait(tier, span) => self.metrics.queue_wait(tier, span),
-            NodeAction::CountRetry(reason) => self.metrics.retried(reason),
-            NodeAction::CountWaste(tier, cause, tokens) => self.metrics.wasted(tier, cause, tokens),
             NodeAction::CountEnd {
                 tier,
                 good,
                 first_token,
-            } => self.metrics.ended(tier, good, first_token),
-            // The loop asks the core itself whether it is idle.
+            } => self.metrics.count_end(tier, good, first_token),
+            // The event loop checks itself whether the core is idle.
             NodeAction::Stopped => {}
         }
     }
 
     fn start(&mut self, attempt: AttemptId, target: &PoolTarget, kind: PoolKind) {
         let now = self.now();
-        let Some(request) = self.open.get_mut(attempt.request) else {
+        let Some(request) = self.requests.get_mut(attempt.request) else {
             return;
         };
-        request.label.note_target(now, &target.name);
+        request.log.record_dispatch(now, &target.name);
         let Some(call) = &request.call else {
             return;
         };
-        // What an earlier attempt delivered was seen by nobody, but for events
-        // of a stream that this one carries on after the last of them.
+        // No caller has read data of an earlier attempt, except for events of a
+        // stream that this attempt resumes.
         if request.answer.last_event_id().is_none() {
             request.answer.clear();
         }
@@ -368,18 +374,20 @@
 
     fn conclude(&mut self, id: RequestId, conclusion: Conclusion) {
         let now = self.now();
-        let Some(request) = self.open.get(id) else {
+        let Some(request) = self.requests.get(id) else {
             return;
         };
-        let pieces = request.answer.data_part_count();
-        request.label.note_end(now, Some(id), &conclusion, pieces);
+        let data_parts = request.answer.data_part_count();
+        request
+            .log
+            .write_end(now, Some(id), &conclusion, data_parts);
         let part = match conclusion {
             Conclusion::Answered | Conclusion::TargetError => AnswerPart::End,
             Conclusion::Refused(refusal) => AnswerPart::Refused(refusal),
         };
         request.answer.push(part);
         let bytes = request.answer.bytes() as u64;
-        self.open.end(id);
+        self.requests.end(id);
         self.handle(NodeEvent::AnswerSize(id, bytes));
     }
 
@@ -390,32 +398,32 @@
             self.targets
                 .set_options(TargetClientOptions::default().with_limits(limits));
         }
-        // The host list changes often, and says nothing of targets.
+        // The host list changes often and does not contain targets.
         if name.as_str() != HOSTS_VALUE {
             self.targets.record_target_starts(&publication.pools);
         }
         self.platform.set_limits(limits);
-        self.open.set_max_answer_bytes(limits.max_answer_bytes);
+        self.requests.set_max_answer_bytes(limits.max_answer_bytes);
         self.links
             .set_host_list(&publication.hosts, &publication.limits.link_key);
         self.publication.send_replace(Arc::new(publication.clone()));
         if publication.uses_routes && name.as_str() == HOSTS_VALUE {
             let hosts = &publication.hosts.hosts;
             let names: Vec<&str> = hosts.iter().map(|host| host.name.as_str()).collect();
-            self.note(Incident::HostsChanged, &names.join(","));
+            self.log_incident(Incident::HostsChanged, &names.join(","));
         }
     }
 
-    /// Put changed settings in force, as far as that needs no new start.
+    /// Apply the changed settings that do not require a restart.
     fn reload(&mut self, settings: HostSettings) {
         if let Some(gateway) = &settings.gateway {
             self.handle(NodeEvent::Seeds(gateway.seeds.clone()));
         }
         self.stop = self.stop.with_grace(settings.grace());
-        if let Some(times) = self.stop.times() {
-            self.handle(NodeEvent::AnswerDeadline(times.whole_by()));
+        if let Some(schedule) = self.stop.schedule() {
+            self.handle(NodeEvent::AnswerDeadline(schedule.answer_deadline()));
         }
         self.settings = settings;
-        self.note(Incident::SettingsReloaded, "seeds, grace");
+        self.log_incident(Incident::SettingsReloaded, "seeds, grace");
     }
 }
--- a/bergamotswitch-net/src/node/drive/reports.rs
+++ b/bergamotswitch-net/src/node/event_loop/reports.rs
@@ -1,4 +1,4 @@
-//! Provides what the loop reports of itself: log events, gauges and status.
+//! Provides the log events, gauges and status of the event loop.
 
 use std::fmt::Display;
 use std::time::Duration;
@@ -11,14 +11,14 @@
 use super::HostNode;
 use crate::event_log;
 use crate::node::gauges;
-use crate::node::stop::StopTimes;
+use crate::node::stop::StopSchedule;
 
-/// How often gauges are brought up to date.
+/// The interval at which gauges are updated.
 const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
 
 impl HostNode {
-    /// Note a change of whether the store answers.
-    pub(super) fn note_store(&mut self, answered: bool) {
+    /// Log a change of whether the store is reachable.
+    pub(super) fn log_store_state(&mut self, answered: bool) {
         let failing = !answered;
         if failing == self.store_failing || self.settings.gateway.is_none() {
             return;
@@ -28,11 +28,11 @@
             true => Incident::ServiceUnreachable,
             false => Incident::ServiceReachable,
         };
-        self.note(incident, "store");
+        self.log_incident(incident, "store");
     }
 
-    /// Note a change of whether keys are relied on.
-    fn note_keys(&mut self) {
+    /// Log a change of whether API keys are trusted.
+    fn log_key_trust(&mut self) {
         let trusted = self.core.trusts_keys(self.now());
         if trusted == self.keys_trusted || self.settings.gateway.is_none() {
             return;
@@ -42,34 +42,34 @@
             true => Incident::KeysConfirmed,
             false => Incident::KeysUnconfirmed,
         };
-        self.note(incident, "");
+        self.log_incident(incident, "");
     }
 
-    pub(super) fn note(&self, incident: Incident, text: &str) {
-        self.metrics.incident(incident);
+    pub(super) fn log_incident(&self, incident: Incident, text: &str) {
+        self.metrics.count_incident(incident);
         event_log::write(
             incident,
             &[("host", &self.me.incarnation.host), ("about", &text)],
         );
     }
 
-    /// Note how far a planned stop is and what is open.
-    pub(super) fn note_stop(&self, incident: Incident, times: &StopTimes) {
-        self.metrics.incident(incident);
+    /// Log the progress of a planned stop and the number of open requests.
+    pub(super) fn log_stop_progress(&self, incident: Incident, schedule: &StopSchedule) {
+        self.metrics.count_incident(incident);
         let now = self.now();
         let desk = self.core.view(now).desk;
         let waiting: u32 = desk.waiting.iter().sum();
         let running: u32 = desk.running.iter().sum();
-        let stopped = now.since(times.begun_at).as_millis();
-        let door = times.door_until().since(now).as_millis();
-        let grace = match times.killed_at() {
+        let stopped = now.since(schedule.begun_at).as_millis();
+        let accepting = schedule.accept_until().since(now).as_millis();
+        let grace = match schedule.killed_at() {
             Moment::NEVER => String::new(),
             at => at.since(now).as_millis().to_string(),
         };
         let pairs: [(&str, &dyn Display); 6] = [
             ("host", &self.me.incarnation.host),
             ("stopping_ms", &stopped),
-            ("door_ms", &door),
+            ("door_ms", &accepting),
             ("grace_ms", &grace),
             ("waiting", &waiting),
             ("running", &running),
@@ -77,26 +77,26 @@
         event_log::write(incident, &pairs);
     }
 
-    /// Note each request that is still open although the grace is nearly over.
+    /// Log each request that is still open although the grace period is nearly over.
     ///
-    /// A process that is killed tells nothing of what it held: without these
-    /// lines a request that is lost with it has none in any log.
-    pub(super) fn note_open(&self, times: &StopTimes) {
+    /// Without these lines, a request that is lost when the process is killed
+    /// appears in no log.
+    pub(super) fn log_open_requests(&self, schedule: &StopSchedule) {
         if self.core.is_idle() {
             return;
         }
-        self.note_stop(Incident::GraceEnding, times);
+        self.log_stop_progress(Incident::GraceEnding, schedule);
         let now = self.now();
-        for (id, request) in self.open.live() {
-            self.metrics.incident(Incident::RequestOpen);
-            let pieces = request.answer.data_part_count();
-            request.label.note_open(now, id, times, pieces);
+        for (id, request) in self.requests.live() {
+            self.metrics.count_incident(Incident::RequestOpen);
+            let data_parts = request.answer.data_part_count();
+            request.log.write_open(now, id, schedule, data_parts);
         }
     }
 
     pub(super) fn status(&self) -> serde_json::Value {
         let view = serde_json::to_value(self.core.view(self.now()));
-        // A view that cannot be written would otherwise look like an empty one.
+        // A view that cannot be serialized must not look like an empty one.
         let mut status = view.unwrap_or_else(|error| json!({ "error": error.to_string() }));
         if let Some(fields) = status.as_object_mut() {
             let reads = self.platform.calls();
@@ -111,7 +111,7 @@
             return;
         }
         self.gauges_due = now.plus(GAUGE_INTERVAL);
-        self.note_keys();
+        self.log_key_trust();
         let view = self.core.view(now);
         let load = self.load.measure(now, &view.desk);
         gauges::refresh(&self.metrics, &view);
--- a/bergamotswitch-net/src/node/host_parts.rs
+++ b/bergamotswitch-net/src/node/host_parts.rs
@@ -1,13 +1,13 @@
-//! Provides the parts of a host that differ between the project's own
-//! interface and the users' platform.
+//! Provides the startup of the components that differ between a host with the
+//! native API (`/v1`) and a host in gateway mode.
 
 use std::io;
 
 use bergamotswitch_core::settings::HostSettings;
 
+use super::adapters::{CallerServer, ValueSource};
 use super::gateway_setup;
-use super::seams::{CallerDoor, ValueSource};
-use super::{NodeDoors, NodeError};
+use super::{CallerListeners, NodeError};
 use crate::caller::{self, CallerContext};
 use crate::gateway::GatewayServer;
 use crate::gossip::GossipSocket;
@@ -15,39 +15,39 @@
 use crate::store_source::StoreSource;
 use crate::target_client::{TargetClient, TargetClientOptions};
 
-/// A `HostParts` is the started parts.
+/// A `HostParts` is the set of started components.
 pub(super) struct HostParts {
-    pub(super) callers: CallerDoor,
+    pub(super) callers: CallerServer,
     pub(super) platform: ValueSource,
     pub(super) targets: TargetClient,
     pub(super) gossip: Option<GossipSocket>,
 }
 
 impl HostParts {
-    /// Try to start them.
+    /// Try to start the components.
     ///
     /// # Errors
     ///
-    /// Returns [`NodeError::Serve`] where one of them cannot be started.
+    /// Returns [`NodeError::Serve`] if one of them cannot be started.
     pub(super) fn try_new(
-        doors: NodeDoors,
+        listeners: CallerListeners,
         settings: &HostSettings,
         desk: CallerContext,
     ) -> Result<Self, NodeError> {
         let node = desk.node.clone();
-        let (sockets, gateway) = match (doors, &settings.gateway) {
-            (NodeDoors::Gateway(sockets), Some(gateway)) => (sockets, gateway),
-            (NodeDoors::Gateway(_), None) => {
+        let (sockets, gateway) = match (listeners, &settings.gateway) {
+            (CallerListeners::Gateway(sockets), Some(gateway)) => (sockets, gateway),
+            (CallerListeners::Gateway(_), None) => {
                 return Err(NodeError::Serve(io::ErrorKind::InvalidInput.into()));
             }
-            (NodeDoors::Api(listener), _) => {
+            (CallerListeners::Api(listener), _) => {
                 let services = settings.configuration_services.clone();
                 let host_lists = settings.host_lists.clone();
                 let opts = PlatformOptions::default();
                 let client = PlatformClient::new(services, host_lists, opts, node.clone());
                 let server = caller::serve(listener, desk).map_err(NodeError::Serve)?;
                 return Ok(HostParts {
-                    callers: CallerDoor::Api(server),
+                    callers: CallerServer::Api(server),
                     platform: ValueSource::Services(client),
                     targets: TargetClient::new(TargetClientOptions::default(), node),
                     gossip: None,
@@ -63,7 +63,7 @@
         );
         let gossip = GossipSocket::try_new(settings.link_address, node.clone());
         Ok(HostParts {
-            callers: CallerDoor::Gateway(server.map_err(NodeError::Serve)?),
+            callers: CallerServer::Gateway(server.map_err(NodeError::Serve)?),
             platform: ValueSource::Store(StoreSource::new(gateway.store_address, node.clone())),
             targets: TargetClient::new(gateway_setup::target_options(), node),
             gossip: Some(gossip.map_err(NodeError::Serve)?),
--- a/bergamotswitch-net/src/node/mod.rs
+++ b/bergamotswitch-net/src/node/mod.rs
@@ -1,14 +1,15 @@
-//! Provides a host's process: the one loop that turns inputs into decisions
-//! and decisions into I/O.
+//! Provides the process of a host: the event loop that passes inputs to the state
+//! machines and executes their actions.
 
-mod drive;
+mod adapters;
+
+mod event_loop;
 mod gateway_setup;
 mod gauges;
 mod host_parts;
 mod load_gauge;
 mod open_request;
-mod request_label;
-mod seams;
+mod request_log;
 mod stop;
 
 use std::fmt;
@@ -24,14 +25,14 @@
 use crate::link::LinkError;
 use crate::metrics::NodeMetrics;
 
-pub use self::drive::HostNode;
+pub use self::event_loop::HostNode;
 
-/// A `NodeError` is the reason why a host cannot start.
+/// A `NodeError` is the reason why a host could not be started.
 #[derive(Debug)]
 pub enum NodeError {
-    /// An address of the settings cannot be listened on.
+    /// A listener cannot be bound to an address of the settings.
     Listen(SocketAddr, std::io::Error),
-    /// The links cannot be started.
+    /// The links to peers cannot be started.
     Link(LinkError),
     /// The caller interface cannot be started.
     Serve(std::io::Error),
@@ -49,58 +50,57 @@
 
 impl std::error::Error for NodeError {}
 
-/// A `NodeDoors` is the sockets on which a host listens for callers.
+/// A `CallerListeners` is the set of sockets on which a host listens for callers.
 #[derive(Debug)]
-pub enum NodeDoors {
-    /// For the project's own interface.
+pub enum CallerListeners {
+    /// The listener of the native API (`/v1`).
     Api(TcpListener),
-    /// For the users' platform.
+    /// The listeners of the gateway.
     Gateway(GatewaySockets),
 }
 
-impl NodeDoors {
-    /// Get where callers connect.
+impl CallerListeners {
+    /// Get the address to which callers connect.
     ///
     /// # Errors
     ///
-    /// Returns the error of the system's answer.
+    /// Returns an error if the operating system cannot provide the address.
     pub fn caller_address(&self) -> std::io::Result<SocketAddr> {
         match self {
-            NodeDoors::Api(listener) => listener.local_addr(),
-            NodeDoors::Gateway(sockets) => sockets.callers.local_addr(),
+            CallerListeners::Api(listener) => listener.local_addr(),
+            CallerListeners::Gateway(sockets) => sockets.callers.local_addr(),
         }
     }
 }
 
-/// A `NodeSetup` is what a host's process starts from: checked settings and
-/// the sockets that it listens on.
+/// A `NodeSetup` holds what is needed to start a host: checked settings, bound
+/// listeners and options.
 #[derive(Debug)]
 pub struct NodeSetup {
-    /// The settings.
+    /// The host's settings.
     pub settings: HostSettings,
-    /// This run.
+    /// The identity of this host process.
     pub me: HostIdentity,
-    /// Where callers connect.
-    pub doors: NodeDoors,
-    /// Where peers connect.
+    /// The listeners for callers.
+    pub listeners: CallerListeners,
+    /// The listener for links from peers.
     pub peers: TcpListener,
-    /// The options of the decisions.
+    /// The options of the state machines.
     pub opts: NodeOptions,
-    /// The metrics.
+    /// The host's metrics.
     pub metrics: Arc<NodeMetrics>,
 }
 
 impl NodeSetup {
-    /// Try to listen on the addresses of the settings, under a new random
-    /// incarnation.
+    /// Try to bind the listeners of the settings and draw a random incarnation.
     ///
     /// # Errors
     ///
-    /// Returns [`NodeError::Listen`] where an address is taken.
+    /// Returns [`NodeError::Listen`] if a listener cannot be bound.
     pub fn try_new(settings: HostSettings) -> Result<Self, NodeError> {
-        let doors = match &settings.gateway {
-            None => NodeDoors::Api(listen(settings.caller_address)?),
-            Some(gateway) => NodeDoors::Gateway(GatewaySockets {
+        let listeners = match &settings.gateway {
+            None => CallerListeners::Api(listen(settings.caller_address)?),
+            Some(gateway) => CallerListeners::Gateway(GatewaySockets {
                 callers: listen(settings.caller_address)?,
                 readiness: listen(gateway.readiness_address)?,
                 directory: listen(gateway.directory_address)?,
@@ -123,14 +123,14 @@
         Ok(NodeSetup {
             settings,
             me,
-            doors,
+            listeners,
             peers,
             opts,
             metrics: Arc::new(NodeMetrics::new()),
         })
     }
 
-    /// Set the options of the decisions.
+    /// Set the options of the state machines.
     pub fn with_opts(mut self, opts: NodeOptions) -> Self {
         self.opts = opts;
         self
@@ -138,5 +138,5 @@
 }
 
 fn listen(address: SocketAddr) -> Result<TcpListener, NodeError> {
-    seams::listen(address).map_err(|error| NodeError::Listen(address, error))
+    adapters::listen(address).map_err(|error| NodeError::Listen(address, error))
 }
--- a/bergamotswitch-net/src/node/open_request.rs
+++ b/bergamotswitch-net/src/node/open_request.rs
@@ -1,25 +1,26 @@
-//! Provides the requests whose answers this host holds.
+//! Provides the requests whose answers are buffered by this host.
 
 use std::collections::HashMap;
 
 use bergamotswitch_core::request::RequestId;
 
-use super::request_label::RequestLabel;
+use super::request_log::RequestLog;
 use crate::answer::{AnswerBound, AnswerReader, AnswerWriter};
 use crate::input::{NodeSender, OutgoingCall};
 
-/// An `OpenRequest` is what the loop keeps of a request besides its decision
-/// state: what to send, what came back and how many callers follow it.
+/// An `OpenRequest` holds the data of a request that the state machines do not
+/// need: the call to send, its answer and the number of callers that follow it.
 pub(super) struct OpenRequest {
-    /// What is sent; dropped when the request ends.
+    /// The call to a target; dropped when the request ends.
     pub call: Option<OutgoingCall>,
     pub answer: AnswerWriter,
-    /// What log lines say of it.
-    pub label: RequestLabel,
+    /// The data for the log lines about the request.
+    pub log: RequestLog,
     followers: usize,
 }
 
-/// An `OpenRequests` is all requests whose answers this host holds.
+/// An `OpenRequests` is the set of requests whose answers are buffered by this
+/// host.
 pub(super) struct OpenRequests {
     requests: HashMap<RequestId, OpenRequest>,
     max_answer_bytes: usize,
@@ -35,12 +36,12 @@
         }
     }
 
-    /// Bound the answers of the requests that come from now on.
+    /// Set the size limit for the answers of future requests.
     pub fn set_max_answer_bytes(&mut self, bytes: u64) {
         self.max_answer_bytes = bytes as usize;
     }
 
-    pub fn open(&mut self, id: RequestId, call: OutgoingCall, label: RequestLabel) -> AnswerReader {
+    pub fn open(&mut self, id: RequestId, call: OutgoingCall, log: RequestLog) -> AnswerReader {
         let answer = AnswerWriter::bounded(AnswerBound {
             bytes: self.max_answer_bytes,
             request: id,
@@ -50,22 +51,22 @@
         let request = OpenRequest {
             call: Some(call),
             answer,
-            label,
+            log,
             followers: 1,
         };
         self.requests.insert(id, request);
         reader
     }
 
-    /// Follow a request from its answer's beginning.
+    /// Add a caller that reads the answer from its beginning.
     pub fn attach(&mut self, id: RequestId) -> Option<AnswerReader> {
         let request = self.requests.get_mut(&id)?;
         request.followers += 1;
         Some(request.answer.reader())
     }
 
-    /// Note that a caller left and get whether it was the last one.
-    pub fn leave(&mut self, id: RequestId) -> bool {
+    /// Remove a caller and get whether it was the last one.
+    pub fn detach(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get_mut(&id) else {
             return false;
         };
@@ -81,21 +82,21 @@
         self.requests.get(&id)
     }
 
-    /// Get the requests that have not ended, in no order.
+    /// Get the requests that have not ended, in arbitrary order.
     pub fn live(&self) -> impl Iterator<Item = (RequestId, &OpenRequest)> {
         let requests = self.requests.iter();
         let live = requests.filter(|(_, request)| request.call.is_some());
         live.map(|(id, request)| (*id, request))
     }
 
-    /// Drop what would be sent: the request is over.
+    /// Drop the call of a request that has ended; its answer is kept.
     pub fn end(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.call = None;
         }
     }
 
-    pub fn forget(&mut self, id: RequestId) {
+    pub fn remove(&mut self, id: RequestId) {
         self.requests.remove(&id);
     }
 }
--- a/bergamotswitch-net/tests/limits_in_force.rs
+++ b/bergamotswitch-net/tests/limits_in_force.rs
@@ -1,4 +1,4 @@
-//! Published limits bind what has sockets without a restart.
+//! Tests that published limits apply to clients and answers without a restart.
 
 mod target_support;
 
@@ -17,7 +17,7 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-fn changed(change: impl Fn(&mut FleetLimits)) -> TargetClientOptions {
+fn options_with(change: impl Fn(&mut FleetLimits)) -> TargetClientOptions {
     let mut limits = FleetLimits::default();
     change(&mut limits);
     TargetClientOptions::default().with_limits(&limits)
@@ -27,51 +27,49 @@
 fn target_limits() {
     let plain = TargetClientOptions::default();
     let span = Duration::from_millis(750);
-    assert_eq!(changed(|_| ()), plain);
+    assert_eq!(options_with(|_| ()), plain);
     assert_eq!(
-        changed(|limits| limits.idle_probe_ms = 750),
+        options_with(|limits| limits.idle_probe_ms = 750),
         plain.clone().with_idle_probe(span)
     );
     assert_eq!(
-        changed(|limits| limits.probe_timeout_ms = 750),
+        options_with(|limits| limits.probe_timeout_ms = 750),
         plain.clone().with_probe_timeout(span)
     );
     assert_eq!(
-        changed(|limits| limits.connect_timeout_ms = 750),
+        options_with(|limits| limits.connect_timeout_ms = 750),
         plain.clone().with_connect_timeout(span)
     );
     assert_eq!(
-        changed(|limits| limits.load_poll_ms = 750),
+        options_with(|limits| limits.load_poll_ms = 750),
         plain.with_load_period(span)
     );
 }
 
-// Symptom: a load poll that is published as faster stays slow on every host.
-// Sequence: an engine is watched; then the limits change.
-// Cause: a watch keeps the options with which it was started.
+// Guards against a load watch that keeps the options with which it was started, so
+// that a shorter published interval has no effect.
 #[tokio::test]
 async fn faster_load_poll() {
     let engine = start_engine(true).await;
     let slow = TargetClientOptions::default().with_load_period(Duration::from_secs(3_600));
-    let mut rig = CallHarness::new(slow.clone());
-    rig.client
+    let mut harness = CallHarness::new(slow.clone());
+    harness
+        .client
         .watch_targets(&[target_at(engine.address(), true)]);
-    rig.client
+    harness
+        .client
         .set_options(slow.with_load_period(Duration::from_millis(10)));
     let mut reports = 0;
     while reports < 5 {
-        let input = timeout(TEST_TIMEOUT, rig.inbox.recv()).await;
+        let input = timeout(TEST_TIMEOUT, harness.inbox.recv()).await;
         if let Some(NodeInput::Load(..)) = input.expect("a load report in time") {
             reports += 1;
         }
     }
 }
 
-// Symptom: with few reads a minute a change is in force only half a minute
-// later, although it was watched for.
-// Sequence: six watches of four seconds each use up twelve reads in eight
-// seconds; until the next minute nothing is watched.
-// Cause: the wait of a watch did not follow the reads.
+// Guards against watches so short that they exhaust the read budget: no value would
+// be watched for the rest of the minute.
 #[test]
 fn watches_within_reads() {
     let values = RevisionOptions::default().value_count() as u64;
@@ -82,15 +80,15 @@
         };
         let wait = PlatformOptions::default().with_limits(&limits).watch_wait();
         let calls = values * 60_000 / wait.as_millis() as u64;
-        assert!(calls < reads, "{calls} calls at rest under {reads}");
+        assert!(
+            calls < reads,
+            "{calls} calls a minute without changes, budget {reads}"
+        );
         assert!(reads < 60 || wait <= Duration::from_secs(8), "{wait:?}");
     }
 }
 
-// Symptom: a host's memory grows without end, and its process dies with all
-// requests in it.
-// Sequence: an engine goes on sending tokens.
-// Cause: the answer in flight had no bound.
+// Guards against unbounded memory use by an engine that never stops sending tokens.
 #[test]
 fn bounded_answer() {
     let (node, mut inbox) = mpsc::unbounded_channel();
@@ -109,9 +107,9 @@
     }
     assert!(answer.bytes() > bytes / 2 && answer.bytes() <= bytes);
     assert!(answer.is_overlong());
-    let told = inbox.try_recv().expect("the loop is told");
-    assert!(matches!(told, NodeInput::AnswerTooLong(id) if id == request));
-    assert!(inbox.try_recv().is_err(), "told once");
+    let input = inbox.try_recv().expect("an input to the loop");
+    assert!(matches!(input, NodeInput::AnswerTooLong(id) if id == request));
+    assert!(inbox.try_recv().is_err(), "more than one input");
     answer.clear();
     assert!(!answer.is_overlong());
 }
