--- a/bergamotswitch-net/tests/silent_connections.rs
+++ b/bergamotswitch-net/tests/silent_connections.rs
@@ -82,7 +82,7 @@
             matches!(events.last(), Some(AttemptEvent::Finished(usage)) if usage.decode == 200)
         );
         assert_eq!(text_of(answer).await, text_of(reference).await);
-        assert_eq!(engine.board().run_count(&attempt.to_string()), 1);
+        assert_eq!(engine.control().run_count(&attempt.to_string()), 1);
     }
 }
 
@@ -113,7 +113,7 @@
     assert_eq!(events[0], AttemptEvent::Resumed);
     assert!(matches!(events.last(), Some(AttemptEvent::Finished(_))));
     assert_eq!(parts_of(answer).await.len(), 21);
-    assert_eq!(engine.board().run_count(&attempt.to_string()), 1);
+    assert_eq!(engine.control().run_count(&attempt.to_string()), 1);
 }
 
 #[tokio::test]
@@ -125,7 +125,7 @@
     let mut harness = CallHarness::new(TargetClientOptions::default());
     let (attempt, _) = harness.start(&target, PoolKind::Engine, &engine_call("log", 50_000));
     let id = attempt.to_string();
-    while engine.board().run_count(&id) == 0 {
+    while engine.control().run_count(&id) == 0 {
         sleep(Duration::from_millis(1)).await;
     }
     harness.client.abort(attempt, true);
@@ -141,8 +141,8 @@
     for ends in [false, true] {
         let engine = start_engine(true).await;
         let target = target_at(engine.address(), true);
-        let board = engine.board();
-        board.set(|switches| switches.silent = SilenceMode::All);
+        let control = engine.control();
+        control.set(|switches| switches.silent = SilenceMode::All);
         let options = quick_options().with_unknown_request_grace(Duration::from_millis(300));
         let mut harness = CallHarness::new(options);
         harness.start(&target, PoolKind::Engine, &engine_call("draft", 5));
@@ -150,9 +150,9 @@
         // unresponsive.
         sleep(Duration::from_millis(50)).await;
         if ends {
-            board.cut_connections();
+            control.close_connections();
         }
-        board.set(|switches| switches.silent = SilenceMode::Open);
+        control.set(|switches| switches.silent = SilenceMode::Open);
         let events = harness.events().await;
         assert!(matches!(events.as_slice(), [AttemptEvent::Broken(_)]));
     }
@@ -171,7 +171,7 @@
     harness.start(&target, PoolKind::Engine, &engine_call("draft", 2_000));
     harness.first_token().await;
     engine
-        .board()
+        .control()
         .set(|switches| switches.silent = SilenceMode::All);
     let events = harness.events().await;
     assert!(matches!(events.last(), Some(AttemptEvent::Broken(_))));
@@ -186,16 +186,16 @@
     let contract = deployment::TargetContract::default();
     let started = PlainStandin::try_start(EPHEMERAL_ADDRESS, "case-desk", contract).await;
     let service = started.expect("a plain service");
-    service.board().set(|switches| switches.delay_ms = 50);
+    service.control().set(|switches| switches.delay_ms = 50);
     let target = target_at(service.address(), false);
     let mut harness = CallHarness::new(quick_options());
     let (attempt, answer) = harness.start(&target, PoolKind::Plain, &engine_call("receipt", 1));
     let id = attempt.to_string();
-    while service.board().run_count(&id) == 0 {
+    while service.control().run_count(&id) == 0 {
         sleep(Duration::from_millis(1)).await;
     }
     service
-        .board()
+        .control()
         .set(|switches| switches.silent = SilenceMode::Open);
     sleep(Duration::from_secs(1)).await;
     assert!(harness.inbox.try_recv().is_err());
@@ -203,7 +203,7 @@
     sleep(Duration::from_millis(50)).await;
     assert!(harness.inbox.try_recv().is_err());
     assert_eq!(parts_of(answer).await, []);
-    let ledger = service.board().ledger();
+    let ledger = service.control().ledger();
     let runs = ledger.runs_of(&id);
     assert_eq!(runs.len(), 1);
     assert_eq!(runs[0].outcome, RunOutcome::Finished);
@@ -226,9 +226,9 @@
 
 /// Make the open connections unresponsive; the switch acts when it changes.
 fn silence_open(engine: &EngineStandin) {
-    let board = engine.board();
-    board.set(|switches| switches.silent = SilenceMode::All);
-    board.set(|switches| switches.silent = SilenceMode::Open);
+    let control = engine.control();
+    control.set(|switches| switches.silent = SilenceMode::All);
+    control.set(|switches| switches.silent = SilenceMode::Open);
 }
 
 /// Get how many of [`CALLS`] answers were complete, while the engine's
@@ -260,7 +260,7 @@
         }
     }
     for attempt in attempts {
-        assert!(engine.board().run_count(&attempt.to_string()) <= 1);
+        assert!(engine.control().run_count(&attempt.to_string()) <= 1);
     }
     complete
 }
--- a/bergamotswitch-net/tests/target_calls.rs
+++ b/bergamotswitch-net/tests/target_calls.rs
@@ -39,8 +39,8 @@
     change: impl Fn(&mut TargetSwitches),
 ) -> Vec<(Vec<AttemptEvent>, Vec<AnswerPart>)> {
     let (engine, service) = (start_engine(false).await, start_plain().await);
-    engine.board().set(&change);
-    service.board().set(&change);
+    engine.control().set(&change);
+    service.control().set(&change);
     let mut harness = CallHarness::new(TargetClientOptions::default());
     let mut results = Vec::new();
     for (address, kind) in [
@@ -77,7 +77,7 @@
     assert!(usage.prefill > 0 && usage.elapsed_ms >= usage.first_token_ms);
     let parts = parts_of(answer).await;
     assert_eq!((head_status(&parts), parts.len()), (Some(200), 151));
-    assert_eq!(engine.board().run_count(&attempt.to_string()), 1);
+    assert_eq!(engine.control().run_count(&attempt.to_string()), 1);
 }
 
 #[tokio::test]
@@ -98,7 +98,7 @@
     let body: serde_json::Value = serde_json::from_slice(data).expect("JSON");
     assert_eq!(body["echo"], "consent");
     assert_eq!(body["path"], "/receipts?case=12");
-    assert_eq!(service.board().run_count(&attempt.to_string()), 1);
+    assert_eq!(service.control().run_count(&attempt.to_string()), 1);
 }
 
 #[tokio::test]
@@ -147,7 +147,7 @@
     let call = engine_call("draft", 5);
     harness.start(&target, PoolKind::Engine, &call);
     harness.events().await;
-    engine.board().set(|switches| switches.reject = true);
+    engine.control().set(|switches| switches.reject = true);
     harness.start(&target, PoolKind::Engine, &call);
     let events = harness.events().await;
     assert!(matches!(events.last(), Some(AttemptEvent::Finished(_))));
@@ -199,18 +199,18 @@
     let engine = start_engine(true).await;
     let target = target_at(engine.address(), true);
     let mut harness = CallHarness::new(TargetClientOptions::default());
-    engine.board().set(|switches| switches.crossed = true);
+    engine.control().set(|switches| switches.crossed = true);
     let (attempt, answer) = harness.start(&target, PoolKind::Engine, &engine_call("draft", 20));
     let id = attempt.to_string();
-    while engine.board().run_count(&id) == 0 {
+    while engine.control().run_count(&id) == 0 {
         sleep(Duration::from_millis(1)).await;
     }
-    engine.board().set(|switches| switches.crossed = false);
+    engine.control().set(|switches| switches.crossed = false);
     let events = harness.events().await;
     assert_eq!(events[0], AttemptEvent::Resumed);
     assert!(matches!(events.last(), Some(AttemptEvent::Finished(_))));
     assert_eq!(parts_of(answer).await.len(), 21);
-    assert_eq!(engine.board().run_count(&id), 1);
+    assert_eq!(engine.control().run_count(&id), 1);
 }
 
 #[tokio::test]
@@ -223,16 +223,16 @@
     let call = engine_call("draft", 60);
     let (_, reference) = harness.start(&target, PoolKind::Engine, &call);
     harness.events().await;
-    engine.board().set(|switches| switches.truncate = true);
+    engine.control().set(|switches| switches.truncate = true);
     let (attempt, answer) = harness.start(&target, PoolKind::Engine, &call);
     // The first resumed stream is truncated as well, at the same event.
     harness.first_token().await;
     while harness.next_event().await.1 != AttemptEvent::Resumed {}
-    engine.board().set(|switches| switches.truncate = false);
+    engine.control().set(|switches| switches.truncate = false);
     let events = harness.events().await;
     assert!(matches!(events.last(), Some(AttemptEvent::Finished(_))));
     assert_eq!(text_of(answer).await, text_of(reference).await);
-    assert_eq!(engine.board().run_count(&attempt.to_string()), 1);
+    assert_eq!(engine.control().run_count(&attempt.to_string()), 1);
 }
 
 #[tokio::test]
@@ -242,7 +242,7 @@
     let engine = start_engine(true).await;
     let target = target_at(engine.address(), true);
     let mut harness = CallHarness::new(TargetClientOptions::default());
-    engine.board().set(|switches| switches.drop = Some(25));
+    engine.control().set(|switches| switches.drop = Some(25));
     let (attempt, answer) = harness.start(&target, PoolKind::Engine, &engine_call("draft", 90));
     let events = harness.events().await;
     assert!(matches!(events.last(), Some(AttemptEvent::Finished(_))));
@@ -251,7 +251,7 @@
         .filter(|event| **event == AttemptEvent::Resumed);
     assert_eq!(resumed.count(), 3);
     assert_eq!(parts_of(answer).await.len(), 91);
-    assert_eq!(engine.board().run_count(&attempt.to_string()), 1);
+    assert_eq!(engine.control().run_count(&attempt.to_string()), 1);
 }
 
 #[tokio::test]
@@ -279,7 +279,7 @@
     // nine times the gap after which its status is queried.
     for resumes in [true, false] {
         let engine = start_engine(resumes).await;
-        engine.board().set(|switches| switches.slow = 300.0);
+        engine.control().set(|switches| switches.slow = 300.0);
         let target = target_at(engine.address(), resumes);
         let mut harness = CallHarness::new(quick_options().with_probe_misses(2));
         harness.start(&target, PoolKind::Engine, &engine_call("clause", 2));
--- a/bergamotswitch-net/tests/target_support/mod.rs
+++ b/bergamotswitch-net/tests/target_support/mod.rs
@@ -187,7 +187,7 @@
 pub async fn wait_for_cancel(engine: &EngineStandin, request_id: &str) {
     let cancelled = async {
         loop {
-            let ledger = engine.board().ledger();
+            let ledger = engine.control().ledger();
             let runs = ledger.runs_of(request_id);
             if runs.iter().any(|run| run.outcome == RunOutcome::Cancelled) {
                 return;
--- a/bergamotswitch-standin/src/engine.rs
+++ b/bergamotswitch-standin/src/engine.rs
@@ -15,13 +15,13 @@
     refusal_answer, request_id, set_header,
 };
 use crate::batch::EngineRun;
-use crate::board::TargetBoard;
 use crate::deployment::TargetContract;
 use crate::engine_core::EngineCore;
 use crate::engine_stream::{cache_event_answer, stream_answer, whole_answer};
 use crate::ledger::RunOutcome;
 use crate::listener::{ListenerControl, ListenerHandle, listen};
 use crate::prompt::PromptShape;
+use crate::target_control::TargetControl;
 
 /// An `EngineOptions` says how an engine stand-in behaves.
 #[derive(Clone, Debug)]
@@ -98,7 +98,7 @@
     /// Returns the error of binding the address.
     pub async fn try_start(address: SocketAddr, options: EngineOptions) -> io::Result<Self> {
         let control = ListenerControl::new();
-        let core = EngineCore::new(options, TargetBoard::new(Arc::clone(&control)));
+        let core = EngineCore::new(options, TargetControl::new(Arc::clone(&control)));
         let shared = Arc::clone(&core);
         let listener = listen(address, control, move |request| {
             handle(Arc::clone(&shared), request)
@@ -118,8 +118,8 @@
     }
 
     /// Get the switches and the ledger.
-    pub fn board(&self) -> &TargetBoard {
-        &self.core.board
+    pub fn control(&self) -> &TargetControl {
+        &self.core.control
     }
 
     /// Forget all streams and cut all connections, as a restarted process
@@ -163,7 +163,7 @@
         Ok(shape) => shape,
         Err(error) => return error_answer(StatusCode::BAD_REQUEST, &error.to_string()),
     };
-    let switches = core.board.switches();
+    let switches = core.control.switches();
     if let Some(status) = switches.refuse {
         if !core.options.contract.refusal_means_not_run {
             let run = core.submit(request_id, shape);
--- a/bergamotswitch-standin/src/engine_core.rs
+++ b/bergamotswitch-standin/src/engine_core.rs
@@ -10,11 +10,11 @@
 use tokio::time::{Instant, sleep_until};
 
 use crate::batch::{EngineBatch, EngineRun, LoadSample, RunProgress};
-use crate::board::{TargetBoard, lock};
 use crate::engine::EngineOptions;
 use crate::ledger::RunOutcome;
 use crate::prefix::PrefixEvent;
 use crate::prompt::PromptShape;
+use crate::target_control::{TargetControl, lock};
 
 /// The streams kept for resuming; the oldest ended ones go first.
 const MAX_STREAMS: usize = 4096;
@@ -36,13 +36,13 @@
 #[derive(Debug)]
 pub(crate) struct EngineCore {
     pub(crate) options: EngineOptions,
-    pub(crate) board: Arc<TargetBoard>,
+    pub(crate) control: Arc<TargetControl>,
     state: Mutex<EngineState>,
     work: Notify,
 }
 
 impl EngineCore {
-    pub(crate) fn new(options: EngineOptions, board: Arc<TargetBoard>) -> Arc<Self> {
+    pub(crate) fn new(options: EngineOptions, control: Arc<TargetControl>) -> Arc<Self> {
         let state = EngineState {
             batch: EngineBatch::new(&options),
             streams: HashMap::new(),
@@ -53,7 +53,7 @@
         };
         Arc::new(EngineCore {
             options,
-            board,
+            control,
             state: Mutex::new(state),
             work: Notify::new(),
         })
@@ -67,7 +67,7 @@
                 self.work.notified().await;
                 next = Instant::now();
             }
-            let step = self.board.switches().slowed(self.options.step);
+            let step = self.control.switches().slowed(self.options.step);
             let earliest = Instant::now().checked_sub(step * MAX_CATCH_UP);
             next = earliest.map_or(next, |earliest| next.max(earliest)) + step;
             sleep_until(next).await;
@@ -78,7 +78,7 @@
     fn step(&self) {
         let mut state = lock(&self.state);
         for run in state.batch.step() {
-            self.board
+            self.control
                 .ledger_mut()
                 .end(run.number, RunOutcome::Finished);
         }
@@ -91,7 +91,7 @@
         let stream_id = format!("{:016x}", state.rng.random::<u64>());
         let request_id = request_id.unwrap_or_else(|| format!("anonymous-{stream_id}"));
         let run = Arc::new(EngineRun {
-            number: self.board.ledger_mut().start(&request_id, shape.digest),
+            number: self.control.ledger_mut().start(&request_id, shape.digest),
             progress: watch::Sender::new(RunProgress {
                 emitted: 0,
                 cached_tokens: 0,
@@ -132,7 +132,7 @@
         state.batch.cache.clear();
         self.sample_load(&mut state);
         drop(state);
-        self.board.cut_connections();
+        self.control.close_connections();
     }
 
     fn break_runs(&self, state: &mut EngineState) {
@@ -145,7 +145,7 @@
     }
 
     fn end(&self, run: &EngineRun, outcome: RunOutcome) {
-        self.board.ledger_mut().end(run.number, outcome);
+        self.control.ledger_mut().end(run.number, outcome);
         run.progress
             .send_modify(|progress| progress.outcome = outcome);
     }
@@ -163,7 +163,7 @@
     /// Get the identity and the digest with which a run is answered: its own,
     /// or those of the latest other request where answers are crossed.
     pub(crate) fn answered_as(&self, run: &EngineRun) -> (String, u64) {
-        if !self.board.switches().crossed {
+        if !self.control.switches().crossed {
             return (run.request_id.clone(), run.shape.digest);
         }
         let state = lock(&self.state);
@@ -178,7 +178,7 @@
     /// Get the load as it was a lag ago, and the lag in milliseconds.
     pub(crate) fn load(&self) -> (LoadSample, u64) {
         let mut state = lock(&self.state);
-        let lag = self.board.switches().load_lag_ms;
+        let lag = self.control.switches().load_lag_ms;
         state.forget_loads(lag);
         let known = state.loads.front().map(|(_, sample)| *sample);
         (known.unwrap_or_default(), lag)
@@ -192,7 +192,7 @@
         }
         let sample = state.batch.load();
         state.loads.push_back((Instant::now(), sample));
-        state.forget_loads(self.board.switches().load_lag_ms);
+        state.forget_loads(self.control.switches().load_lag_ms);
     }
 
     /// Get whether a prefix is held.
@@ -212,7 +212,7 @@
 
     /// Draw whether a cache event is lost.
     pub(crate) fn draw_gap(&self) -> bool {
-        let gaps = self.board.switches().cache_event_gaps;
+        let gaps = self.control.switches().cache_event_gaps;
         lock(&self.state).rng.random_range(0..100) < gaps
     }
 }
--- a/bergamotswitch-standin/src/engine_stream.rs
+++ b/bergamotswitch-standin/src/engine_stream.rs
@@ -35,7 +35,7 @@
     async fn next_event(&mut self) -> Option<Result<Bytes, CutError>> {
         let tokens = self.caller.run.shape.output_tokens;
         loop {
-            let switches = self.caller.core.board.switches();
+            let switches = self.caller.core.control.switches();
             if switches.drop.is_some_and(|limit| self.sent >= limit) {
                 // What was sent so far is flushed before the connection is
                 // cut, so that the cut comes in the middle of the answer.
@@ -201,7 +201,7 @@
         if core.draw_gap() {
             continue;
         }
-        let lag = core.board.switches().cache_event_lag_ms;
+        let lag = core.control.switches().cache_event_lag_ms;
         tokio::time::sleep_until(event.at + std::time::Duration::from_millis(lag)).await;
         return Some(event);
     }
--- a/bergamotswitch-standin/src/lib.rs
+++ b/bergamotswitch-standin/src/lib.rs
@@ -9,7 +9,6 @@
 
 mod answer;
 mod batch;
-pub mod board;
 pub mod deployment;
 pub mod engine;
 mod engine_core;
@@ -23,6 +22,7 @@
 mod prompt;
 pub mod stage;
 pub mod switches;
+pub mod target_control;
 mod users_listener;
 pub mod users_store;
 pub mod users_target;
--- a/bergamotswitch-standin/src/listener.rs
+++ b/bergamotswitch-standin/src/listener.rs
@@ -19,8 +19,8 @@
 use tokio::task::JoinHandle;
 
 use crate::answer::{AnswerBody, REQUEST_ID};
-use crate::board::lock;
 use crate::switches::SilenceMode;
+use crate::target_control::lock;
 
 /// The pause before another try to bind or accept.
 const RETRY_PAUSE: Duration = Duration::from_millis(10);
--- a/bergamotswitch-standin/src/plain.rs
+++ b/bergamotswitch-standin/src/plain.rs
@@ -18,10 +18,10 @@
     AnswerBody, CutError, REQUEST_ID, error_answer, json_answer, read_body, refusal_answer,
     request_id, set_header,
 };
-use crate::board::TargetBoard;
 use crate::deployment::TargetContract;
 use crate::ledger::RunOutcome;
 use crate::listener::{ListenerControl, ListenerHandle, listen};
+use crate::target_control::TargetControl;
 
 /// The identity and text with which a crossed call is answered.
 const CROSSED: &str = "crossed";
@@ -31,7 +31,7 @@
 struct PlainCore {
     name: String,
     contract: TargetContract,
-    board: Arc<TargetBoard>,
+    control: Arc<TargetControl>,
 }
 
 /// A `PlainStandin` is a running plain service; dropping it stops it.
@@ -56,7 +56,7 @@
         let core = Arc::new(PlainCore {
             name: name.to_owned(),
             contract,
-            board: TargetBoard::new(Arc::clone(&control)),
+            control: TargetControl::new(Arc::clone(&control)),
         });
         let shared = Arc::clone(&core);
         let listener = listen(address, control, move |request| {
@@ -72,13 +72,13 @@
     }
 
     /// Get the switches and the ledger.
-    pub fn board(&self) -> &TargetBoard {
-        &self.core.board
+    pub fn control(&self) -> &TargetControl {
+        &self.core.control
     }
 
     /// Cut all connections, as a restarted process does.
     pub fn restart(&self) {
-        self.core.board.cut_connections();
+        self.core.control.close_connections();
     }
 }
 
@@ -88,14 +88,14 @@
     let Some(body) = read_body(request).await else {
         return error_answer(StatusCode::BAD_REQUEST, "the body is too long or broke off");
     };
-    let switches = core.board.switches();
+    let switches = core.control.switches();
     let refused = switches.refuse;
     if let Some(status) = refused.filter(|_| core.contract.refusal_means_not_run) {
         return refusal_answer(status);
     }
-    let number = core.board.ledger_mut().start(&id, xxh3_64(&body));
+    let number = core.control.ledger_mut().start(&id, xxh3_64(&body));
     let run = RunGuard {
-        board: &core.board,
+        control: &core.control,
         number,
         outcome: RunOutcome::Broken,
     };
@@ -115,7 +115,7 @@
     };
     let answer = json!({"service": core.name, "path": path, "echo": echo, "request_id": id});
     // The switches may have changed during the delay.
-    let switches = core.board.switches();
+    let switches = core.control.switches();
     let mut response = match switches.truncate || switches.drop.is_some() {
         true => half_answer(&answer.to_string()),
         false => json_answer(StatusCode::OK, &answer),
@@ -150,7 +150,7 @@
 /// A `RunGuard` records a run as broken unless it finished: the handler is
 /// dropped where the caller's connection closes first.
 struct RunGuard<'a> {
-    board: &'a TargetBoard,
+    control: &'a TargetControl,
     number: crate::ledger::RunNumber,
     outcome: RunOutcome,
 }
@@ -163,6 +163,6 @@
 
 impl Drop for RunGuard<'_> {
     fn drop(&mut self) {
-        self.board.ledger_mut().end(self.number, self.outcome);
+        self.control.ledger_mut().end(self.number, self.outcome);
     }
 }
--- a/bergamotswitch-standin/src/platform.rs
+++ b/bergamotswitch-standin/src/platform.rs
@@ -14,11 +14,11 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::answer::{AnswerBody, error_answer, json_answer, read_json};
-use crate::board::TargetBoard;
 use crate::deployment::{PoolKind, PoolTarget, PublishedPools, TargetPool};
 use crate::engine::{EngineOptions, EngineStandin};
 use crate::listener::{ListenerControl, ListenerHandle, listen};
 use crate::plain::PlainStandin;
+use crate::target_control::TargetControl;
 use crate::value::{HOSTS_VALUE, ValueCore, ValueSource, ValueStandin};
 
 /// The values of a deployment that the configuration service publishes.
@@ -78,10 +78,10 @@
 }
 
 impl PlatformTarget {
-    fn board(&self) -> &TargetBoard {
+    fn control(&self) -> &TargetControl {
         match self {
-            PlatformTarget::Engine(engine) => engine.board(),
-            PlatformTarget::Plain(service) => service.board(),
+            PlatformTarget::Engine(engine) => engine.control(),
+            PlatformTarget::Plain(service) => service.control(),
         }
     }
 
@@ -245,7 +245,7 @@
 impl PlatformCore {
     fn ledgers(&self) -> Value {
         let ledger = |(name, target): &(String, PlatformTarget)| {
-            let mut ledger = target.board().ledger().to_json();
+            let mut ledger = target.control().ledger().to_json();
             ledger["address"] = json!(target.address());
             (name.clone(), ledger)
         };
@@ -295,7 +295,7 @@
         let restart = changes
             .as_object_mut()
             .and_then(|set| set.remove("restart"));
-        let changed = target.board().set_json(&changes);
+        let changed = target.control().set_json(&changes);
         changed.map_err(|error| error.to_string())?;
         if restart == Some(Value::Bool(true)) {
             target.restart();
--- a/bergamotswitch-standin/src/board.rs
+++ b/bergamotswitch-standin/src/target_control.rs
@@ -12,20 +12,20 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A `TargetBoard` is the switches and the ledger of one target.
+/// A `TargetControl` is the switches and the ledger of one target.
 #[derive(Debug)]
-pub struct TargetBoard {
+pub struct TargetControl {
     switches: Mutex<TargetSwitches>,
     ledger: Mutex<RunLedger>,
-    control: Arc<ListenerControl>,
+    listener: Arc<ListenerControl>,
 }
 
-impl TargetBoard {
-    pub(crate) fn new(control: Arc<ListenerControl>) -> Arc<Self> {
-        Arc::new(TargetBoard {
+impl TargetControl {
+    pub(crate) fn new(listener: Arc<ListenerControl>) -> Arc<Self> {
+        Arc::new(TargetControl {
             switches: Mutex::default(),
             ledger: Mutex::new(RunLedger::new()),
-            control,
+            listener,
         })
     }
 
@@ -51,7 +51,7 @@
         self.apply(switches);
         if changes.get("silent").is_some() {
             // Said again, it means the connections that are open now.
-            self.control.set_silence(self.switches().silent);
+            self.listener.set_silence(self.switches().silent);
         }
         Ok(())
     }
@@ -59,19 +59,19 @@
     fn apply(&self, switches: TargetSwitches) {
         let before = std::mem::replace(&mut *lock(&self.switches), switches.clone());
         if before.silent != switches.silent {
-            self.control.set_silence(switches.silent);
+            self.listener.set_silence(switches.silent);
         }
         if before.reject != switches.reject {
-            self.control.set_listening(!switches.reject);
+            self.listener.set_listening(!switches.reject);
         }
         if before.drop != switches.drop && switches.drop == Some(0) {
-            self.control.cut_all();
+            self.listener.cut_all();
         }
     }
 
     /// Cut all open connections.
-    pub fn cut_connections(&self) {
-        self.control.cut_all();
+    pub fn close_connections(&self) {
+        self.listener.cut_all();
     }
 
     /// Get a copy of the ledger.
--- a/bergamotswitch-standin/src/users_listener.rs
+++ b/bergamotswitch-standin/src/users_listener.rs
@@ -13,7 +13,7 @@
 use tokio::net::TcpListener;
 use tokio::task::{AbortHandle, JoinHandle};
 
-use crate::board::lock;
+use crate::target_control::lock;
 
 /// A `UsersListener` is a running listener; its drop closes it.
 #[derive(Debug)]
--- a/bergamotswitch-standin/src/users_store.rs
+++ b/bergamotswitch-standin/src/users_store.rs
@@ -16,7 +16,7 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
 
-use crate::board::lock;
+use crate::target_control::lock;
 use crate::users_listener::UsersListener;
 
 /// A `StoreMood` is how the store answers.
--- a/bergamotswitch-standin/src/users_target.rs
+++ b/bergamotswitch-standin/src/users_target.rs
@@ -18,7 +18,7 @@
 use serde_json::{Value, json};
 use tokio::time::sleep;
 
-use crate::board::lock;
+use crate::target_control::lock;
 use crate::users_listener::UsersListener;
 
 /// A `TargetMood` is how a target answers one call.
--- a/bergamotswitch-standin/src/value.rs
+++ b/bergamotswitch-standin/src/value.rs
@@ -15,9 +15,9 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use crate::answer::{AnswerBody, error_answer, json_answer, query_number};
-use crate::board::lock;
 use crate::listener::{ListenerControl, ListenerHandle, listen};
 use crate::switches::{OutageMode, ValueSwitches, merge};
+use crate::target_control::lock;
 
 /// The name of the value that the host list answers with.
 pub const HOSTS_VALUE: &str = "hosts";
--- a/bergamotswitch-standin/tests/engine_protocol.rs
+++ b/bergamotswitch-standin/tests/engine_protocol.rs
@@ -63,7 +63,11 @@
     assert_eq!(chunks[4]["choices"][0]["finish_reason"], "stop");
     assert_eq!(chunks[4]["usage"]["completion_tokens"], 5);
     assert_eq!(
-        engine.board().ledger().runs_of_body(body.as_bytes()).len(),
+        engine
+            .control()
+            .ledger()
+            .runs_of_body(body.as_bytes())
+            .len(),
         1
     );
 }
@@ -78,13 +82,13 @@
     let whole = text(call(engine.address(), "POST", CHAT, "first", &body).await)
         .await
         .0;
-    engine.board().set(|switches| switches.drop = Some(2));
+    engine.control().set(|switches| switches.drop = Some(2));
     let response = call(engine.address(), "POST", CHAT, "second", &body).await;
     let stream_id = header(&response, "x-stream-id");
     let (beginning, is_whole) = text(response).await;
     assert!(!is_whole);
     assert_eq!(chunks(&beginning).len(), 2);
-    engine.board().set(|switches| switches.drop = None);
+    engine.control().set(|switches| switches.drop = None);
     let path = format!("/v1/streams/{stream_id}?offset=2");
     let (rest, is_whole) = text(call(engine.address(), "GET", &path, "", "").await).await;
     assert!(is_whole);
@@ -92,7 +96,7 @@
         format!("{beginning}{rest}"),
         whole.replace("first", "second")
     );
-    assert_eq!(engine.board().run_count("second"), 1);
+    assert_eq!(engine.control().run_count("second"), 1);
     let path = "/v1/requests/second/status";
     let (_, status) = get(engine.address(), path).await;
     assert_eq!(status["done"], true);
@@ -109,14 +113,14 @@
     let mut old = TestConnection::open(engine.address()).await;
     old.call("GET", "/v1/load", "", "").await.expect("answers");
     engine
-        .board()
+        .control()
         .set(|switches| switches.silent = SilenceMode::Open);
     let mut late = std::pin::pin!(old.call("GET", "/v1/load", "", ""));
     assert!(timeout(SHORT, &mut late).await.is_err());
     let (status, _) = get(engine.address(), "/v1/load").await;
     assert_eq!(status, StatusCode::OK);
     engine
-        .board()
+        .control()
         .set(|switches| switches.silent = SilenceMode::Off);
     let response = timeout(LONG, late).await.expect("goes on");
     assert_eq!(response.expect("answers").status(), StatusCode::OK);
@@ -129,12 +133,12 @@
 async fn false_answers() {
     let engine = start(EngineOptions::default()).await;
     let body = chat("x", 4);
-    engine.board().set(|switches| switches.crossed = true);
+    engine.control().set(|switches| switches.crossed = true);
     let crossed = text(call(engine.address(), "POST", CHAT, "r1", &body).await)
         .await
         .0;
     assert!(chunks(&crossed).iter().all(|chunk| chunk["id"] != "r1"));
-    engine.board().set(|switches| {
+    engine.control().set(|switches| {
         switches.crossed = false;
         switches.truncate = true;
     });
@@ -150,17 +154,17 @@
 #[tokio::test]
 async fn refusals_counted() {
     let mut engine = start(EngineOptions::default()).await;
-    engine.board().set(|switches| switches.refuse = Some(429));
+    engine.control().set(|switches| switches.refuse = Some(429));
     let response = call(engine.address(), "POST", CHAT, "r1", &chat("x", 4)).await;
     assert_eq!(response.status(), StatusCode::TOO_MANY_REQUESTS);
     assert_eq!(header(&response, "retry-after"), "1");
     assert_eq!(header(&response, "x-request-id"), "r1");
-    assert_eq!(engine.board().run_count("r1"), 0);
+    assert_eq!(engine.control().run_count("r1"), 0);
     let contract = TargetContract::default();
     engine = start(EngineOptions::default().with_contract(contract)).await;
-    engine.board().set(|switches| switches.refuse = Some(503));
+    engine.control().set(|switches| switches.refuse = Some(503));
     call(engine.address(), "POST", CHAT, "r2", &chat("x", 4)).await;
-    assert_eq!(engine.board().run_count("r2"), 1);
+    assert_eq!(engine.control().run_count("r2"), 1);
 }
 
 // Symptom: a resumed stream is unknown. Sequence: the engine restarts in the
@@ -175,7 +179,7 @@
     assert!(!text(response).await.1);
     let path = format!("/v1/streams/{stream_id}/status");
     assert_eq!(get(engine.address(), &path).await.0, StatusCode::NOT_FOUND);
-    let outcome = engine.board().ledger().runs_of("r1")[0].outcome;
+    let outcome = engine.control().ledger().runs_of("r1")[0].outcome;
     assert_eq!(outcome, RunOutcome::Broken);
     let response = call(engine.address(), "POST", CHAT, "r2", &chat("x", 2)).await;
     assert!(text(response).await.0.contains("[DONE]"));
@@ -189,7 +193,7 @@
     let path = format!("/v1/streams/{}", header(&response, "x-stream-id"));
     call(engine.address(), "DELETE", &path, "", "").await;
     assert!(!text(response).await.0.contains("[DONE]"));
-    let outcome = engine.board().ledger().runs_of("r1")[0].outcome;
+    let outcome = engine.control().ledger().runs_of("r1")[0].outcome;
     assert_eq!(outcome, RunOutcome::Cancelled);
 }
 
@@ -204,7 +208,7 @@
     let response = call(engine.address(), "POST", CHAT, "r1", &body).await;
     drop(response);
     let stopped = async {
-        while engine.board().ledger().runs_of("r1")[0].outcome != RunOutcome::Broken {
+        while engine.control().ledger().runs_of("r1")[0].outcome != RunOutcome::Broken {
             tokio::task::yield_now().await;
         }
     };
@@ -215,7 +219,7 @@
 async fn batch_order() {
     let options = EngineOptions::default().with_max_batch(2);
     let engine = start(options).await;
-    engine.board().set(|switches| switches.load_lag_ms = 0);
+    engine.control().set(|switches| switches.load_lag_ms = 0);
     let mut answers = Vec::new();
     for name in ["r1", "r2", "r3"] {
         answers.push(call(engine.address(), "POST", CHAT, name, &chat("x", 10_000)).await);
@@ -238,7 +242,9 @@
 #[tokio::test]
 async fn prefix_cached() {
     let engine = start(EngineOptions::default()).await;
-    engine.board().set(|switches| switches.cache_event_gaps = 0);
+    engine
+        .control()
+        .set(|switches| switches.cache_event_gaps = 0);
     let events = call(engine.address(), "GET", "/v1/cache-events", "", "").await;
     let log = "s".repeat(3000);
     let first = text(call(engine.address(), "POST", CHAT, "r1", &chat(&log, 1)).await)
@@ -265,7 +271,7 @@
 #[tokio::test]
 async fn connects_refused() {
     let engine = start(EngineOptions::default()).await;
-    engine.board().set(|switches| switches.reject = true);
+    engine.control().set(|switches| switches.reject = true);
     let refused = async {
         while tokio::net::TcpStream::connect(engine.address())
             .await
@@ -275,7 +281,7 @@
         }
     };
     timeout(LONG, refused).await.expect("refuses");
-    engine.board().set(|switches| switches.reject = false);
+    engine.control().set(|switches| switches.reject = false);
     let accepted = async {
         while tokio::net::TcpStream::connect(engine.address())
             .await
--- a/bergamotswitch-standin/tests/service_protocol.rs
+++ b/bergamotswitch-standin/tests/service_protocol.rs
@@ -35,7 +35,7 @@
     for id in ["r1", "r1", "r2"] {
         call(service.address(), "POST", "/alert", id, "alert crew 4").await;
     }
-    let ledger = service.board().ledger();
+    let ledger = service.control().ledger();
     assert_eq!(ledger.runs_of("r1").len(), 2);
     assert_eq!(ledger.runs_of_body(b"alert crew 4").len(), 3);
 }
@@ -46,11 +46,11 @@
 #[tokio::test]
 async fn body_cut() {
     let service = start().await;
-    service.board().set(|switches| switches.drop = Some(1));
+    service.control().set(|switches| switches.drop = Some(1));
     let response = call(service.address(), "POST", "/alert", "r1", "x").await;
     let (half, whole) = text(response).await;
     assert!(!whole);
     assert!(half.starts_with('{') && !half.ends_with('}'));
-    let outcome = service.board().ledger().runs_of("r1")[0].outcome;
+    let outcome = service.control().ledger().runs_of("r1")[0].outcome;
     assert_eq!(outcome, RunOutcome::Finished);
 }
