--- a/bergamotswitch-standin/src/users_target.rs
+++ b/bergamotswitch-standin/src/gateway_target.rs
@@ -18,54 +18,54 @@
 use serde_json::{Value, json};
 use tokio::time::sleep;
 
+use crate::loopback_listener::LoopbackListener;
 use crate::target_control::lock;
-use crate::users_listener::UsersListener;
 
-/// A `TargetMood` is how a target answers one call.
+/// A `ResponseMode` is how a target answers one call.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub enum TargetMood {
+pub enum ResponseMode {
     /// With its whole answer.
     #[default]
-    Well,
+    Normal,
     /// It says that it does not run the call.
     Full,
     /// With its own error.
-    Failing,
+    ServerError,
     /// Without its signature.
     Unsigned,
     /// With the id of another call.
-    Crossed,
+    WrongRequestId,
     /// It closes the connection without an answer.
-    Closing,
+    Close,
     /// It closes the connection after so long, without an answer.
     CloseAfter(Duration),
     /// It never answers.
-    Mute,
+    NoResponse,
     /// Its stream breaks off in the middle of the event after so many.
-    BreakAfter(u32),
+    TruncateAfter(u32),
     /// Its stream stands still for so long after so many events.
     PauseAfter(u32, Duration),
 }
 
-/// A `SeenCall` is one call as a target got it.
+/// A `RecordedCall` is one call as a target got it.
 #[derive(Clone, Debug)]
-pub struct SeenCall {
+pub struct RecordedCall {
     /// Method, path and query.
-    pub line: String,
+    pub request_line: String,
     /// The header fields.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
     /// When it came.
-    pub at: Instant,
+    pub received_at: Instant,
     /// Whether the target began to work on it.
     pub ran: bool,
     /// When its stream ended, whole or broken off; none while it goes on, or
     /// where the answer is no stream.
-    pub ended: Option<Instant>,
+    pub ended_at: Option<Instant>,
 }
 
-impl SeenCall {
+impl RecordedCall {
     /// Get a field's text, empty where it is absent.
     pub fn field(&self, name: &str) -> &str {
         let value = self.headers.get(name);
@@ -80,40 +80,40 @@
     name: String,
     events: u32,
     gap: Duration,
-    seen: Mutex<Vec<SeenCall>>,
-    moods: Mutex<VecDeque<TargetMood>>,
-    run: Mutex<TargetRun>,
+    calls: Mutex<Vec<RecordedCall>>,
+    modes: Mutex<VecDeque<ResponseMode>>,
+    instance: Mutex<TargetInstance>,
 }
 
 /// What a target tells of its run.
 #[derive(Debug)]
-struct TargetRun {
+struct TargetInstance {
     /// The Unix millisecond of its start.
-    born: u64,
+    started_ms: u64,
     /// How often it has registered.
     sequence: u64,
 }
 
-impl TargetRun {
+impl TargetInstance {
     /// Get a run that starts now, later than the one before.
-    fn after(earlier: u64) -> Self {
+    fn starting_after(earlier: u64) -> Self {
         let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
         let now = now.map_or(0, |span| span.as_millis() as u64);
-        TargetRun {
-            born: now.max(earlier + 1),
+        TargetInstance {
+            started_ms: now.max(earlier + 1),
             sequence: 0,
         }
     }
 }
 
-/// A `UsersTarget` is a running stand-in; its drop stops it.
+/// A `GatewayTargetStandin` is a running stand-in; its drop stops it.
 #[derive(Debug)]
-pub struct UsersTarget {
-    listener: UsersListener,
+pub struct GatewayTargetStandin {
+    listener: LoopbackListener,
     shared: Arc<TargetShared>,
 }
 
-impl UsersTarget {
+impl GatewayTargetStandin {
     /// Try to start a target on a free port of loopback, whose streams have so
     /// many events, each after a pause.
     ///
@@ -125,14 +125,14 @@
             name: name.to_owned(),
             events,
             gap,
-            seen: Mutex::default(),
-            moods: Mutex::default(),
-            run: Mutex::new(TargetRun::after(0)),
+            calls: Mutex::default(),
+            modes: Mutex::default(),
+            instance: Mutex::new(TargetInstance::starting_after(0)),
         });
         let served = Arc::clone(&shared);
-        let handler = move |request| answer(Arc::clone(&served), request);
-        let listener = UsersListener::start(handler).await?;
-        Ok(UsersTarget { listener, shared })
+        let handler = move |request| handle(Arc::clone(&served), request);
+        let listener = LoopbackListener::start(handler).await?;
+        Ok(GatewayTargetStandin { listener, shared })
     }
 
     /// Get where it listens.
@@ -148,106 +148,122 @@
     /// Start again under the same name: its connections end, with all that it
     /// worked on, and its counts start anew.
     pub fn restart(&self) {
-        self.listener.end_connections();
-        let mut run = lock(&self.shared.run);
-        *run = TargetRun::after(run.born);
+        self.listener.close_connections();
+        let mut instance = lock(&self.shared.instance);
+        *instance = TargetInstance::starting_after(instance.started_ms);
     }
 
     /// Get what it writes to the store of itself, at an address that may be that
     /// of a relay before it.
     pub fn registration(&self, service: &str, address: SocketAddr, state: &str) -> Value {
-        let mut run = lock(&self.shared.run);
-        run.sequence += 1;
+        let mut instance = lock(&self.shared.instance);
+        instance.sequence += 1;
         json!({
             "service": service, "address": address.to_string(), "zone": "hall-1",
             "version": "v1", "slots": 4, "state": state, "coldRemainingMs": 0,
-            "sequence": run.sequence, "born": run.born,
+            "sequence": instance.sequence, "born": instance.started_ms,
         })
     }
 
     /// Set how the next calls are answered, one after the other.
-    pub fn expect(&self, moods: &[TargetMood]) {
-        lock(&self.shared.moods).extend(moods.iter().cloned());
+    pub fn queue_responses(&self, modes: &[ResponseMode]) {
+        lock(&self.shared.modes).extend(modes.iter().cloned());
     }
 
     /// Set how the next calls are answered, in place of what was set before.
-    pub fn expect_only(&self, moods: &[TargetMood]) {
-        *lock(&self.shared.moods) = moods.iter().cloned().collect();
+    pub fn replace_responses(&self, modes: &[ResponseMode]) {
+        *lock(&self.shared.modes) = modes.iter().cloned().collect();
     }
 
     /// Get the calls that came.
-    pub fn seen(&self) -> Vec<SeenCall> {
-        lock(&self.shared.seen).clone()
+    pub fn calls(&self) -> Vec<RecordedCall> {
+        lock(&self.shared.calls).clone()
     }
 }
 
-type AnswerBytes = BoxBody<Bytes, io::Error>;
+type ResponseBody = BoxBody<Bytes, io::Error>;
 
-async fn answer(
+async fn handle(
     shared: Arc<TargetShared>,
     request: Request<Incoming>,
-) -> Result<Response<AnswerBytes>, io::Error> {
+) -> Result<Response<ResponseBody>, io::Error> {
     let (parts, body) = request.into_parts();
     let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
-    let mut call = SeenCall {
-        line: format!("{} {}", parts.method, parts.uri),
+    let mut call = RecordedCall {
+        request_line: format!("{} {}", parts.method, parts.uri),
         headers: parts.headers,
         body,
-        at: Instant::now(),
+        received_at: Instant::now(),
         ran: false,
-        ended: None,
+        ended_at: None,
     };
-    let mood = lock(&shared.moods).pop_front().unwrap_or_default();
+    let mode = lock(&shared.modes).pop_front().unwrap_or_default();
     let expected = call.field("target-instance");
-    let mistaken = !expected.is_empty() && expected != shared.name;
-    call.ran = !mistaken && mood != TargetMood::Full;
-    let place = {
-        let mut seen = lock(&shared.seen);
-        seen.push(call.clone());
-        seen.len() - 1
+    let misdirected = !expected.is_empty() && expected != shared.name;
+    call.ran = !misdirected && mode != ResponseMode::Full;
+    let index = {
+        let mut calls = lock(&shared.calls);
+        calls.push(call.clone());
+        calls.len() - 1
     };
-    if mistaken {
-        return Ok(plain(StatusCode::MISDIRECTED_REQUEST, &call, "", &[]));
+    if misdirected {
+        return Ok(plain_response(
+            StatusCode::MISDIRECTED_REQUEST,
+            &call,
+            "",
+            &[],
+        ));
     }
-    match mood {
-        TargetMood::Well => {}
-        TargetMood::Full => {
+    match mode {
+        ResponseMode::Normal => {}
+        ResponseMode::Full => {
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            return Ok(plain(status, &call, "full", &[("not-executed", "1")]));
+            return Ok(plain_response(
+                status,
+                &call,
+                "full",
+                &[("not-executed", "1")],
+            ));
         }
-        TargetMood::Failing => {
+        ResponseMode::ServerError => {
             let status = StatusCode::INTERNAL_SERVER_ERROR;
-            return Ok(signed(&shared, plain(status, &call, "failed", &[])));
+            return Ok(with_seal(
+                &shared,
+                plain_response(status, &call, "failed", &[]),
+            ));
         }
-        TargetMood::Unsigned => return Ok(plain(StatusCode::OK, &call, "forged", &[])),
-        TargetMood::Crossed => {
-            let mut response = signed(&shared, plain(StatusCode::OK, &call, "another's", &[]));
+        ResponseMode::Unsigned => return Ok(plain_response(StatusCode::OK, &call, "forged", &[])),
+        ResponseMode::WrongRequestId => {
+            let mut response = with_seal(
+                &shared,
+                plain_response(StatusCode::OK, &call, "another's", &[]),
+            );
             let other = hyper::header::HeaderValue::from_static("another");
             response.headers_mut().insert("request-id", other);
             return Ok(response);
         }
-        TargetMood::Closing => return Err(io::ErrorKind::ConnectionReset.into()),
-        TargetMood::CloseAfter(wait) => {
+        ResponseMode::Close => return Err(io::ErrorKind::ConnectionReset.into()),
+        ResponseMode::CloseAfter(wait) => {
             sleep(wait).await;
             return Err(io::ErrorKind::ConnectionReset.into());
         }
-        TargetMood::Mute => sleep(Duration::from_secs(3_600)).await,
-        TargetMood::BreakAfter(_) | TargetMood::PauseAfter(..) => {}
+        ResponseMode::NoResponse => sleep(Duration::from_secs(3_600)).await,
+        ResponseMode::TruncateAfter(_) | ResponseMode::PauseAfter(..) => {}
     }
     let is_stream = !call.field("token-count").is_empty();
     let response = match is_stream {
-        true => events(&shared, &call, &mood, place),
-        false => plain(StatusCode::OK, &call, &format!("from {}", shared.name), &[]),
+        true => event_response(&shared, &call, &mode, index),
+        false => plain_response(StatusCode::OK, &call, &format!("from {}", shared.name), &[]),
     };
-    Ok(signed(&shared, response))
+    Ok(with_seal(&shared, response))
 }
 
-fn plain(
+fn plain_response(
     status: StatusCode,
-    call: &SeenCall,
+    call: &RecordedCall,
     text: &str,
     fields: &[(&'static str, &'static str)],
-) -> Response<AnswerBytes> {
+) -> Response<ResponseBody> {
     let body = Full::new(Bytes::from(text.to_owned()));
     let body = body.map_err(|never: Infallible| match never {}).boxed();
     let mut response = Response::new(body);
@@ -262,7 +278,10 @@
     response
 }
 
-fn signed(shared: &TargetShared, mut response: Response<AnswerBytes>) -> Response<AnswerBytes> {
+fn with_seal(
+    shared: &TargetShared,
+    mut response: Response<ResponseBody>,
+) -> Response<ResponseBody> {
     let seal = format!("seal-of-{}", shared.name);
     if let Ok(value) = hyper::header::HeaderValue::from_str(&seal) {
         response.headers_mut().insert("response-seal", value);
@@ -270,68 +289,66 @@
     response
 }
 
-type Pieces = Pin<Box<dyn Stream<Item = Result<Frame<Bytes>, io::Error>> + Send + Sync>>;
+type EventFrames = Pin<Box<dyn Stream<Item = Result<Frame<Bytes>, io::Error>> + Send + Sync>>;
 
 /// Get the stream of a call, from behind the last event that it names.
-fn events(
+fn event_response(
     shared: &Arc<TargetShared>,
-    call: &SeenCall,
-    mood: &TargetMood,
-    place: usize,
-) -> Response<AnswerBytes> {
-    let run = RunGuard {
+    call: &RecordedCall,
+    mode: &ResponseMode,
+    index: usize,
+) -> Response<ResponseBody> {
+    let guard = StreamGuard {
         shared: Arc::clone(shared),
-        place,
+        index,
     };
     let first: u32 = call.field("last-event-id").parse().unwrap_or(0) + 1;
-    let last = asked(&call.line, "events").unwrap_or(shared.events);
-    let padding = asked(&call.line, "padding").unwrap_or(0) as usize;
+    let last = query_number(&call.request_line, "events").unwrap_or(shared.events);
+    let padding = query_number(&call.request_line, "padding").unwrap_or(0) as usize;
     let gap = shared.gap;
-    let broken_at = match mood {
-        TargetMood::BreakAfter(count) => Some(first + count),
+    let truncated_at = match mode {
+        ResponseMode::TruncateAfter(count) => Some(first + count),
         _ => None,
     };
-    let (paused_at, pause) = match *mood {
-        TargetMood::PauseAfter(count, pause) => (Some(first + count), pause),
+    let (paused_at, pause) = match *mode {
+        ResponseMode::PauseAfter(count, pause) => (Some(first + count), pause),
         _ => (None, Duration::ZERO),
     };
-    let pieces = stream::iter(first..=last).then(move |id| {
+    let frames = stream::iter(first..=last).then(move |id| {
         // The stream holds the run until it has ended or is dropped.
-        let _run = &run;
+        let _guard = &guard;
         async move {
             sleep(gap).await;
             if paused_at == Some(id) {
                 sleep(pause).await;
             }
-            match broken_at {
-                Some(broken) if id > broken => Err(io::ErrorKind::ConnectionReset.into()),
-                Some(broken) if id == broken => {
-                    Ok(Frame::data(Bytes::from(format!("id: {id}\nda"))))
-                }
+            match truncated_at {
+                Some(cut) if id > cut => Err(io::ErrorKind::ConnectionReset.into()),
+                Some(cut) if id == cut => Ok(Frame::data(Bytes::from(format!("id: {id}\nda")))),
                 _ => Ok(Frame::data(Bytes::from(padded_event(id, padding)))),
             }
         }
     });
-    let pieces: Pieces = Box::pin(pieces);
-    let mut response = plain(StatusCode::OK, call, "", &[]);
-    *response.body_mut() = BodyExt::boxed(StreamBody::new(pieces));
+    let frames: EventFrames = Box::pin(frames);
+    let mut response = plain_response(StatusCode::OK, call, "", &[]);
+    *response.body_mut() = BodyExt::boxed(StreamBody::new(frames));
     response
 }
 
-/// A `RunGuard` is a stream that goes on; its drop notes when it ended.
-struct RunGuard {
+/// A `StreamGuard` is a stream that goes on; its drop notes when it ended.
+struct StreamGuard {
     shared: Arc<TargetShared>,
-    place: usize,
+    index: usize,
 }
 
-impl Drop for RunGuard {
+impl Drop for StreamGuard {
     fn drop(&mut self) {
-        lock(&self.shared.seen)[self.place].ended = Some(Instant::now());
+        lock(&self.shared.calls)[self.index].ended_at = Some(Instant::now());
     }
 }
 
 /// Get a number that a call's query names, where it does.
-fn asked(line: &str, name: &str) -> Option<u32> {
+fn query_number(line: &str, name: &str) -> Option<u32> {
     let (_, query) = line.split_once('?')?;
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     let (_, number) = pairs.find(|(key, _)| *key == name)?;
--- a/bergamotswitch-standin/src/users_store.rs
+++ b/bergamotswitch-standin/src/kv_store.rs
@@ -16,19 +16,19 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
 
+use crate::loopback_listener::LoopbackListener;
 use crate::target_control::lock;
-use crate::users_listener::UsersListener;
 
-/// A `StoreMood` is how the store answers.
+/// A `StoreMode` is how the store answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum StoreMood {
+pub enum StoreMode {
     /// As it should.
     #[default]
-    Well,
+    Normal,
     /// With 503 to every call.
-    Busy,
+    Unavailable,
     /// Never.
-    Silent,
+    NoResponse,
 }
 
 #[derive(Clone, Debug)]
@@ -50,8 +50,8 @@
     history: Vec<StoredChange>,
     revision: u64,
     /// The revision up to which the history is gone.
-    dropped: u64,
-    mood: StoreMood,
+    compacted: u64,
+    mode: StoreMode,
     calls: u64,
 }
 
@@ -61,14 +61,14 @@
     changed: Notify,
 }
 
-/// A `UsersStore` is a running stand-in; its drop stops it.
+/// A `KvStoreStandin` is a running stand-in; its drop stops it.
 #[derive(Debug)]
-pub struct UsersStore {
-    listener: UsersListener,
+pub struct KvStoreStandin {
+    listener: LoopbackListener,
     shared: Arc<StoreShared>,
 }
 
-impl UsersStore {
+impl KvStoreStandin {
     /// Try to start a store on a free port of loopback.
     ///
     /// # Errors
@@ -77,9 +77,9 @@
     pub async fn start() -> io::Result<Self> {
         let shared = Arc::<StoreShared>::default();
         let served = Arc::clone(&shared);
-        let handler = move |request| answer(Arc::clone(&served), request);
-        let listener = UsersListener::start(handler).await?;
-        Ok(UsersStore { listener, shared })
+        let handler = move |request| handle(Arc::clone(&served), request);
+        let listener = LoopbackListener::start(handler).await?;
+        Ok(KvStoreStandin { listener, shared })
     }
 
     /// Get where it listens.
@@ -129,49 +129,51 @@
     /// Drop the history: watches from before are told so.
     pub fn compact(&self) {
         let mut state = lock(&self.shared.state);
-        state.dropped = state.revision;
+        state.compacted = state.revision;
         state.history.clear();
     }
 
     /// Set how the store answers from now on.
-    pub fn set_mood(&self, mood: StoreMood) {
-        lock(&self.shared.state).mood = mood;
+    pub fn set_mode(&self, mode: StoreMode) {
+        lock(&self.shared.state).mode = mode;
     }
 
     /// Get the calls since the start.
-    pub fn calls(&self) -> u64 {
+    pub fn call_count(&self) -> u64 {
         lock(&self.shared.state).calls
     }
 }
 
-async fn answer(
+async fn handle(
     shared: Arc<StoreShared>,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
-    let mood = {
+    let mode = {
         let mut state = lock(&shared.state);
         state.calls += 1;
-        state.mood
+        state.mode
     };
-    match mood {
-        StoreMood::Well => {}
-        StoreMood::Busy => return Ok(page(StatusCode::SERVICE_UNAVAILABLE, &json!({}))),
-        StoreMood::Silent => {
+    match mode {
+        StoreMode::Normal => {}
+        StoreMode::Unavailable => {
+            return Ok(json_response(StatusCode::SERVICE_UNAVAILABLE, &json!({})));
+        }
+        StoreMode::NoResponse => {
             sleep(Duration::from_secs(3_600)).await;
         }
     }
     let query = request.uri().query().unwrap_or_default();
     let prefix = parameter(query, "pathPrefix").unwrap_or_default();
-    let answer = match request.uri().path() {
+    let response = match request.uri().path() {
         "/kv-range" => range(&shared, &prefix),
         "/kv-watch" => watch(&shared, &prefix, query).await,
-        _ => page(StatusCode::NOT_FOUND, &json!({})),
+        _ => json_response(StatusCode::NOT_FOUND, &json!({})),
     };
     // A watch that waited when the store fell silent must not tell its news.
-    if lock(&shared.state).mood == StoreMood::Silent {
+    if lock(&shared.state).mode == StoreMode::NoResponse {
         sleep(Duration::from_secs(3_600)).await;
     }
-    Ok(answer)
+    Ok(response)
 }
 
 fn range(shared: &StoreShared, prefix: &str) -> Response<Full<Bytes>> {
@@ -188,16 +190,16 @@
         "truncated": false,
         "storeRevision": state.revision,
     });
-    page(StatusCode::OK, &body)
+    json_response(StatusCode::OK, &body)
 }
 
 async fn watch(shared: &StoreShared, prefix: &str, query: &str) -> Response<Full<Bytes>> {
-    let beyond = number(query, "after");
+    let after = number(query, "after");
     let wait = Duration::from_millis(number(query, "waitMs"));
     let waiting = async {
         loop {
             let changed = shared.changed.notified();
-            if let Some(found) = changes(shared, prefix, beyond) {
+            if let Some(found) = changes_after(shared, prefix, after) {
                 return found;
             }
             changed.await;
@@ -207,7 +209,7 @@
         Ok(found) => found,
         Err(_) => {
             let revision = lock(&shared.state).revision;
-            page(
+            json_response(
                 StatusCode::OK,
                 &json!({ "events": [], "storeRevision": revision }),
             )
@@ -215,13 +217,13 @@
     }
 }
 
-fn changes(shared: &StoreShared, prefix: &str, beyond: u64) -> Option<Response<Full<Bytes>>> {
+fn changes_after(shared: &StoreShared, prefix: &str, after: u64) -> Option<Response<Full<Bytes>>> {
     let state = lock(&shared.state);
-    if beyond < state.dropped {
-        return Some(page(StatusCode::GONE, &json!({})));
+    if after < state.compacted {
+        return Some(json_response(StatusCode::GONE, &json!({})));
     }
     let later = state.history.iter();
-    let later = later.filter(|change| change.revision > beyond && change.key.starts_with(prefix));
+    let later = later.filter(|change| change.revision > after && change.key.starts_with(prefix));
     let events: Vec<Value> = later
         .map(|change| item_json(&change.key, change.value.as_ref(), change.revision))
         .collect();
@@ -229,7 +231,7 @@
         return None;
     }
     let body = json!({ "events": events, "storeRevision": state.revision });
-    Some(page(StatusCode::OK, &body))
+    Some(json_response(StatusCode::OK, &body))
 }
 
 fn item_json(key: &str, value: Option<&Bytes>, revision: u64) -> Value {
@@ -250,7 +252,7 @@
     base64::engine::general_purpose::STANDARD.encode(bytes)
 }
 
-fn page(status: StatusCode, body: &Value) -> Response<Full<Bytes>> {
+fn json_response(status: StatusCode, body: &Value) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(body.to_string())));
     *response.status_mut() = status;
     response
--- a/bergamotswitch-standin/src/users_listener.rs
+++ b/bergamotswitch-standin/src/loopback_listener.rs
@@ -15,9 +15,9 @@
 
 use crate::target_control::lock;
 
-/// A `UsersListener` is a running listener; its drop closes it.
+/// A `LoopbackListener` is a running listener; its drop closes it.
 #[derive(Debug)]
-pub(crate) struct UsersListener {
+pub(crate) struct LoopbackListener {
     /// Where it listens.
     pub(crate) address: SocketAddr,
     task: JoinHandle<()>,
@@ -27,27 +27,30 @@
 /// The tasks of the connections that were accepted.
 type OpenConnections = Arc<Mutex<Vec<AbortHandle>>>;
 
-impl Drop for UsersListener {
+impl Drop for LoopbackListener {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-impl UsersListener {
+impl LoopbackListener {
     /// Try to serve HTTP/1.1 by `handler` on a free port of loopback. A
     /// handler's error closes its connection.
     ///
     /// # Errors
     ///
     /// Returns an error where there is none.
-    pub(crate) async fn start<Handler, Answer, Bytes, Failure>(handler: Handler) -> io::Result<Self>
+    pub(crate) async fn start<Handler, ResponseFuture, ResponseBody, HandlerError>(
+        handler: Handler,
+    ) -> io::Result<Self>
     where
-        Handler: Fn(Request<Incoming>) -> Answer + Clone + Send + 'static,
-        Answer: Future<Output = Result<Response<Bytes>, Failure>> + Send + 'static,
-        Bytes: Body + Send + 'static,
-        Bytes::Data: Send,
-        Bytes::Error: Into<Box<dyn Error + Send + Sync>>,
-        Failure: Into<Box<dyn Error + Send + Sync>> + 'static,
+        Handler: Fn(Request<Incoming>) -> ResponseFuture + Clone + Send + 'static,
+        ResponseFuture:
+            Future<Output = Result<Response<ResponseBody>, HandlerError>> + Send + 'static,
+        ResponseBody: Body + Send + 'static,
+        ResponseBody::Data: Send,
+        ResponseBody::Error: Into<Box<dyn Error + Send + Sync>>,
+        HandlerError: Into<Box<dyn Error + Send + Sync>> + 'static,
     {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let address = listener.local_addr()?;
@@ -56,8 +59,8 @@
         let task = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let service = service_fn(handler.clone());
-                let serving = server::conn::http1::Builder::new();
-                let connection = serving.serve_connection(TokioIo::new(stream), service);
+                let builder = server::conn::http1::Builder::new();
+                let connection = builder.serve_connection(TokioIo::new(stream), service);
                 let serving = tokio::spawn(async move {
                     // The caller sees the same error at its end.
                     let _ = connection.await;
@@ -67,7 +70,7 @@
                 open.push(serving.abort_handle());
             }
         });
-        Ok(UsersListener {
+        Ok(LoopbackListener {
             address,
             task,
             connections,
@@ -76,7 +79,7 @@
 
     /// End all connections and what is served on them, as a process does that
     /// ends.
-    pub(crate) fn end_connections(&self) {
+    pub(crate) fn close_connections(&self) {
         for connection in lock(&self.connections).drain(..) {
             connection.abort();
         }
--- a/bergamotswitch/tests/gateway_calls.rs
+++ b/bergamotswitch/tests/gateway_calls.rs
@@ -2,14 +2,14 @@
 
 mod users;
 
-use bergamotswitch_standin::users_target::{SeenCall, TargetMood};
+use bergamotswitch_standin::gateway_target::{RecordedCall, ResponseMode};
 use http::StatusCode;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use users::{Call, HOST, KEY, Site};
 
-fn seen(site: &Site) -> Vec<SeenCall> {
-    site.desks.iter().flat_map(|desk| desk.seen()).collect()
+fn seen(site: &Site) -> Vec<RecordedCall> {
+    site.desks.iter().flat_map(|desk| desk.calls()).collect()
 }
 
 #[tokio::test]
@@ -29,7 +29,7 @@
     let [call] = seen.as_slice() else {
         panic!("not one run: {seen:?}");
     };
-    assert_eq!(call.line, "POST /receipt/7?copy=1");
+    assert_eq!(call.request_line, "POST /receipt/7?copy=1");
     assert_eq!(call.body, "receipt");
     assert_eq!(call.field("tenant"), "company");
     assert_eq!(call.field("x-own"), "kept");
@@ -114,9 +114,9 @@
 async fn wrong_answers() {
     let site = Site::start(1).await;
     for (number, mood) in [
-        TargetMood::Unsigned,
-        TargetMood::Crossed,
-        TargetMood::Closing,
+        ResponseMode::Unsigned,
+        ResponseMode::WrongRequestId,
+        ResponseMode::Close,
     ]
     .into_iter()
     .enumerate()
@@ -124,7 +124,7 @@
         // A mood that the round before left at one desk would make both fail a
         // call in this one, and no third attempt is allowed.
         for desk in &site.desks {
-            desk.expect_only(std::slice::from_ref(&mood));
+            desk.replace_responses(std::slice::from_ref(&mood));
         }
         let before = seen(&site).len();
         let id = format!("unsafe-{number}");
@@ -153,8 +153,8 @@
 #[tokio::test]
 async fn full_target() {
     let site = Site::start(1).await;
-    site.desks[0].expect(&[TargetMood::Full]);
-    site.desks[1].expect(&[TargetMood::Full]);
+    site.desks[0].queue_responses(&[ResponseMode::Full]);
+    site.desks[1].queue_responses(&[ResponseMode::Full]);
     let mut statuses = Vec::new();
     for number in 0..3 {
         let id = format!("r-{number}");
@@ -174,7 +174,7 @@
 async fn target_error() {
     let site = Site::start(1).await;
     for desk in &site.desks {
-        desk.expect(&[TargetMood::Failing]);
+        desk.queue_responses(&[ResponseMode::ServerError]);
     }
     let answer = Call::new("GET", "/status/1", "r-1")
         .send(site.door())
@@ -192,7 +192,7 @@
 async fn mute_target() {
     let site = Site::start(1).await;
     for desk in &site.desks {
-        desk.expect(&[TargetMood::Mute, TargetMood::Mute]);
+        desk.queue_responses(&[ResponseMode::NoResponse, ResponseMode::NoResponse]);
     }
     let began = std::time::Instant::now();
     let answer = Call::new("POST", "/receipt/1", "r-1")
--- a/bergamotswitch/tests/gateway_news.rs
+++ b/bergamotswitch/tests/gateway_news.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use bergamotswitch_standin::users_store::StoreMood;
-use bergamotswitch_standin::users_target::{TargetMood, UsersTarget};
+use bergamotswitch_standin::gateway_target::{GatewayTargetStandin, ResponseMode};
+use bergamotswitch_standin::kv_store::StoreMode;
 use http::StatusCode;
 use relay::Relay;
 use users::{Call, KEY, REVOKE_MS, Site, until};
@@ -71,7 +71,7 @@
 #[tokio::test]
 async fn silent_store() {
     let site = Site::start(2).await;
-    site.store.set_mood(StoreMood::Silent);
+    site.store.set_mode(StoreMode::NoResponse);
     tokio::time::sleep(Duration::from_millis(REVOKE_MS + 100)).await;
     for path in ["/status/1", "/nowhere/1"] {
         let found = status(&site, path, "r-1", KEY).await;
@@ -80,7 +80,7 @@
     let public = Call::new("GET", "/open/1", "r-2").without("authorization");
     let answer = public.send(site.door()).await.expect("answer");
     assert_eq!(answer.status, StatusCode::OK);
-    site.store.set_mood(StoreMood::Well);
+    site.store.set_mode(StoreMode::Normal);
     until("keys are relied on again", async || {
         status(&site, "/status/1", "r-3", KEY).await == StatusCode::OK
     })
@@ -92,10 +92,10 @@
 #[tokio::test]
 async fn lost_history() {
     let mut site = Site::start(1).await;
-    site.store.set_mood(StoreMood::Busy);
+    site.store.set_mode(StoreMode::Unavailable);
     site.publish(&[KEY], &["/new/"]);
     site.store.compact();
-    site.store.set_mood(StoreMood::Well);
+    site.store.set_mode(StoreMode::Normal);
     until("the new route is in force", async || {
         status(&site, "/new/1", "r-1", KEY).await == StatusCode::OK
     })
@@ -109,12 +109,12 @@
     let site = Site::start(2).await;
     site.register("desk", &site.desks[0], "draining");
     tokio::time::sleep(Duration::from_millis(1_000)).await;
-    let before = site.desks[0].seen().len();
+    let before = site.desks[0].calls().len();
     for number in 0..10 {
         let id = format!("r-{number}");
         assert_eq!(status(&site, "/status/1", &id, KEY).await, StatusCode::OK);
     }
-    assert_eq!(site.desks[0].seen().len(), before);
+    assert_eq!(site.desks[0].calls().len(), before);
     site.store.remove("servers/desk-2");
     until("no target is left", async || {
         status(&site, "/status/1", "r-last", KEY).await == StatusCode::SERVICE_UNAVAILABLE
@@ -128,7 +128,7 @@
 #[tokio::test]
 async fn foreign_entries() {
     let site = Site::start(2).await;
-    let stray = UsersTarget::start("stray", 0, Duration::ZERO).await;
+    let stray = GatewayTargetStandin::start("stray", 0, Duration::ZERO).await;
     let stray = stray.expect("target");
     let mut warming = stray.registration("desk", stray.address(), "warming");
     site.store.put("servers/stray-1", &warming);
@@ -139,27 +139,27 @@
     site.store
         .put_bytes("servers/desk-1", "{\"state\":\"ready\"}".into());
     tokio::time::sleep(Duration::from_millis(1_000)).await;
-    let before = site.desks[0].seen().len();
+    let before = site.desks[0].calls().len();
     for number in 0..10 {
         let id = format!("r-{number}");
         assert_eq!(status(&site, "/status/1", &id, KEY).await, StatusCode::OK);
     }
-    assert!(stray.seen().is_empty());
-    assert_eq!(site.desks[0].seen().len(), before);
+    assert!(stray.calls().is_empty());
+    assert_eq!(site.desks[0].calls().len(), before);
     // Its own target writes again.
     site.register("desk", &site.desks[0], "ready");
     site.store.remove("servers/desk-2");
     until("the first target is back", async || {
         status(&site, "/status/1", "r-last", KEY).await == StatusCode::OK
-            && site.desks[0].seen().len() > before
+            && site.desks[0].calls().len() > before
     })
     .await;
 }
 
 /// Start a site whose one desk stands behind a relay.
-async fn site_behind_relay() -> (Site, UsersTarget, Relay, SocketAddr) {
+async fn site_behind_relay() -> (Site, GatewayTargetStandin, Relay, SocketAddr) {
     let site = Site::start(2).await;
-    let desk = UsersTarget::start("desk-3", 0, Duration::ZERO).await;
+    let desk = GatewayTargetStandin::start("desk-3", 0, Duration::ZERO).await;
     let desk = desk.expect("target");
     let (relay, address) = Relay::start_anywhere(desk.address());
     let entry = desk.registration("desk", address, "ready");
@@ -169,16 +169,16 @@
     }
     until("the one target is known", async || {
         status(&site, "/status/1", "r-known", KEY).await == StatusCode::OK
-            && !desk.seen().is_empty()
+            && !desk.calls().is_empty()
     })
     .await;
     (site, desk, relay, address)
 }
 
 /// Let the target die behind a cut and start again under its name.
-async fn start_again(site: &Site, desk: &UsersTarget, relay: &Relay, address: SocketAddr) {
+async fn start_again(site: &Site, desk: &GatewayTargetStandin, relay: &Relay, address: SocketAddr) {
     relay.silence_open();
-    desk.expect_only(&[]);
+    desk.replace_responses(&[]);
     desk.restart();
     let entry = desk.registration("desk", address, "ready");
     site.store.put("servers/desk-3", &entry);
@@ -201,7 +201,7 @@
 async fn born_again() {
     let (site, desk, relay, address) = site_behind_relay().await;
     // Calls that nobody answers fill its places.
-    desk.expect(&vec![TargetMood::Mute; 16]);
+    desk.queue_responses(&vec![ResponseMode::NoResponse; 16]);
     let door = site.door();
     let stuck: Vec<_> = (0..16)
         .map(|number| {
--- a/bergamotswitch/tests/gateway_streams.rs
+++ b/bergamotswitch/tests/gateway_streams.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use bergamotswitch_standin::users_target::{TargetMood, UsersTarget, event_text};
+use bergamotswitch_standin::gateway_target::{GatewayTargetStandin, ResponseMode, event_text};
 use http::StatusCode;
 use http_body_util::BodyExt;
 use users::{Call, KeptConnection, Site, SiteOptions, until};
@@ -56,7 +56,7 @@
 async fn carried_on() {
     let site = Site::start(1).await;
     for engine in &site.engines {
-        engine.expect(&[TargetMood::BreakAfter(3)]);
+        engine.queue_responses(&[ResponseMode::TruncateAfter(3)]);
     }
     // The first engine breaks off after three events, the second one after
     // three more; two runs are allowed, so the stream ends there.
@@ -74,9 +74,9 @@
         .expect("answer");
     assert!(answer.whole);
     assert_eq!(answer.text(), whole_stream());
-    site.engines[0].expect(&[TargetMood::BreakAfter(3)]);
-    site.engines[1].expect(&[TargetMood::BreakAfter(3)]);
-    let resumed = site.engines.iter().flat_map(|engine| engine.seen());
+    site.engines[0].queue_responses(&[ResponseMode::TruncateAfter(3)]);
+    site.engines[1].queue_responses(&[ResponseMode::TruncateAfter(3)]);
+    let resumed = site.engines.iter().flat_map(|engine| engine.calls());
     let resumed: Vec<String> = resumed
         .map(|call| call.field("last-event-id").to_owned())
         .filter(|id| !id.is_empty())
@@ -91,7 +91,7 @@
 async fn cut_short() {
     let site = Site::start(1).await;
     for engine in &site.engines {
-        engine.expect(&[TargetMood::BreakAfter(2)]);
+        engine.queue_responses(&[ResponseMode::TruncateAfter(2)]);
     }
     let answer = Call::stream("/once/1", "r-1")
         .send(site.door())
@@ -100,7 +100,7 @@
     assert!(!answer.whole);
     let two: String = (1..=2).map(event_text).collect();
     assert_eq!(answer.text(), two);
-    let runs: usize = site.engines.iter().map(|engine| engine.seen().len()).sum();
+    let runs: usize = site.engines.iter().map(|engine| engine.calls().len()).sum();
     assert_eq!(runs, 1);
 }
 
@@ -113,7 +113,7 @@
     let site = Site::start(1).await;
     let break_all = || {
         for engine in &site.engines {
-            engine.expect_only(&[TargetMood::BreakAfter(7)]);
+            engine.replace_responses(&[ResponseMode::TruncateAfter(7)]);
         }
     };
     break_all();
@@ -143,7 +143,7 @@
 async fn pause_in_stop() {
     let mut site = Site::start(1).await;
     for engine in &site.engines {
-        engine.expect(&[TargetMood::PauseAfter(3, LONG_PAUSE)]);
+        engine.queue_responses(&[ResponseMode::PauseAfter(3, LONG_PAUSE)]);
     }
     stop_midway(&mut site).await;
 }
@@ -155,7 +155,7 @@
 async fn pause_carried_on() {
     let site = Site::start(1).await;
     for engine in &site.engines {
-        engine.expect(&[TargetMood::PauseAfter(3, Duration::from_secs(3_600))]);
+        engine.queue_responses(&[ResponseMode::PauseAfter(3, Duration::from_secs(3_600))]);
     }
     let answer = Call::stream("/draft/1", "r-1").send(site.door()).await;
     let answer = answer.expect("answer");
@@ -229,7 +229,7 @@
         let answer = call.await.expect("task").expect("answer");
         assert_eq!(answer.text(), whole_stream(), "{answer:?}");
     }
-    let runs: usize = site.engines.iter().map(|engine| engine.seen().len()).sum();
+    let runs: usize = site.engines.iter().map(|engine| engine.calls().len()).sum();
     assert_eq!(runs, 9);
 }
 
@@ -255,14 +255,14 @@
     let door = site.door();
     let held = Call::stream("/draft/1", "held").with("deadline-ms", "15000");
     let held = tokio::spawn(async move { held.send(door).await });
-    let is_busy = |engine: &UsersTarget| engine.seen().iter().any(|call| call.ran);
+    let is_busy = |engine: &GatewayTargetStandin| engine.calls().iter().any(|call| call.ran);
     until("a target runs the stream", async || {
         site.engines.iter().any(is_busy)
     })
     .await;
     let free = site.engines.iter().find(|engine| !is_busy(engine));
     free.expect("one runs nothing")
-        .expect(&[TargetMood::Failing]);
+        .queue_responses(&[ResponseMode::ServerError]);
     let mut connection = KeptConnection::open(door).await.expect("connection");
     let call = Call::stream("/draft/1", "refused").with("deadline-ms", "2000");
     let answer = connection.send(call).await.expect("an answer");
@@ -286,7 +286,7 @@
     .await;
     for number in 0..CALLS {
         for engine in &site.engines {
-            engine.expect_only(&[TargetMood::BreakAfter(1)]);
+            engine.replace_responses(&[ResponseMode::TruncateAfter(1)]);
         }
         let call = Call::stream("/once/1", &format!("early-{number}"));
         let answer = call.send(site.door()).await.expect("head");
--- a/bergamotswitch/tests/host_late.rs
+++ b/bergamotswitch/tests/host_late.rs
@@ -45,7 +45,7 @@
 }
 
 fn runs_at(site: &Site) -> usize {
-    site.engines.iter().map(|engine| engine.seen().len()).sum()
+    site.engines.iter().map(|engine| engine.calls().len()).sum()
 }
 
 // Guards against 429 for an account within its quota after its host, or the owner
--- a/bergamotswitch/tests/soak_world/judge.rs
+++ b/bergamotswitch/tests/soak_world/judge.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use bergamotswitch_standin::users_target::{SeenCall, event_text};
+use bergamotswitch_standin::gateway_target::{RecordedCall, event_text};
 use http::StatusCode;
 
 use super::callers::{CallEnd, CallKind, CallRecord, SeenAnswer, body_of};
@@ -24,7 +24,7 @@
 /// A `SeenRun` is a call that a target began to work on.
 pub struct SeenRun {
     target: usize,
-    pub call: SeenCall,
+    pub call: RecordedCall,
 }
 
 /// Get whether a caller got what it asked for.
@@ -75,7 +75,7 @@
 fn seen_runs(world: &SoakWorld) -> HashMap<String, Vec<SeenRun>> {
     let mut runs: HashMap<String, Vec<SeenRun>> = HashMap::new();
     for (target, each) in world.targets.iter().enumerate() {
-        let ran = each.target.seen().into_iter().filter(|call| call.ran);
+        let ran = each.target.calls().into_iter().filter(|call| call.ran);
         for call in ran {
             let id = call.field("request-id").to_owned();
             runs.entry(id).or_default().push(SeenRun { target, call });
@@ -170,7 +170,7 @@
 fn changed(call: &CallRecord, run: &SeenRun) -> Option<String> {
     let seen = &run.call;
     let deadline: u128 = seen.field("deadline-ms").parse().unwrap_or(u128::MAX);
-    let right = seen.line == format!("POST {}", call.path)
+    let right = seen.request_line == format!("POST {}", call.path)
         && seen.body == body_of(&call.id).as_bytes()
         && seen.field("tenant") == "company"
         && seen.field("hold").is_empty()
@@ -198,14 +198,14 @@
     let revocations = world.revocations.borrow();
     let broken = revocations.iter().any(|revocation| {
         let until = revocation.until.unwrap_or(call.ended + CONTACT);
-        call.sent > revocation.from + bound && run.call.at < until
+        call.sent > revocation.from + bound && run.call.received_at < until
     });
     broken.then(|| format!("CONFIG: a revoked key works: {call:?}"))
 }
 
 /// Check that a target that leaves gets no new work.
 fn drained(world: &SoakWorld, call: &CallRecord, run: &SeenRun) -> Option<String> {
-    let at = run.call.at;
+    let at = run.call.received_at;
     let leavings = world.leavings.borrow();
     let leaving = leavings.iter().find(|leaving| {
         let until = leaving.until.unwrap_or(at);
--- a/bergamotswitch/tests/soak_world/mod.rs
+++ b/bergamotswitch/tests/soak_world/mod.rs
@@ -13,8 +13,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use bergamotswitch_standin::users_store::{StoreMood, UsersStore};
-use bergamotswitch_standin::users_target::UsersTarget;
+use bergamotswitch_standin::gateway_target::GatewayTargetStandin;
+use bergamotswitch_standin::kv_store::{KvStoreStandin, StoreMode};
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::sleep;
 
@@ -78,7 +78,7 @@
 }
 
 struct WorldTarget {
-    target: UsersTarget,
+    target: GatewayTargetStandin,
     service: &'static str,
     relay: Relay,
     address: SocketAddr,
@@ -95,7 +95,7 @@
     /// Whether callers ask for long work now.
     has_long_work: Cell<bool>,
     stops: RefCell<Vec<HostStop>>,
-    store: UsersStore,
+    store: KvStoreStandin,
     hosts: Vec<WorldHost>,
     doors: Vec<SocketAddr>,
     targets: Vec<WorldTarget>,
@@ -140,7 +140,7 @@
 
 impl SoakWorld {
     async fn start(seed: u64, count: usize, plan: &RunPlan) -> Rc<Self> {
-        let store = UsersStore::start().await.expect("store");
+        let store = KvStoreStandin::start().await.expect("store");
         let mut targets = Vec::new();
         for number in 0..TARGETS {
             let (service, events) = match number % 2 {
@@ -148,7 +148,7 @@
                 _ => ("desk", 0),
             };
             let name = format!("{service}-{number}");
-            let target = UsersTarget::start(&name, events, EVENT_GAP).await;
+            let target = GatewayTargetStandin::start(&name, events, EVENT_GAP).await;
             let target = target.expect("target");
             let (relay, address) = Relay::start_anywhere(target.address());
             targets.push(WorldTarget {
@@ -319,9 +319,9 @@
             SiteFault::Reload { host } => self.signal(host, "HUP"),
             SiteFault::Store { mood, span } => {
                 let _guard = DisturbanceGuard::new(&self.store_disturbed);
-                self.store.set_mood(mood);
+                self.store.set_mode(mood);
                 sleep(span).await;
-                self.store.set_mood(StoreMood::Well);
+                self.store.set_mode(StoreMode::Normal);
             }
             SiteFault::Compact => {
                 let _guard = DisturbanceGuard::new(&self.store_disturbed);
@@ -345,15 +345,17 @@
                 calls,
             } => {
                 let _guard = DisturbanceGuard::new(&self.targets[target].disturbed);
-                self.targets[target].target.expect(&vec![mood; calls]);
+                self.targets[target]
+                    .target
+                    .queue_responses(&vec![mood; calls]);
                 sleep(Duration::from_secs(1)).await;
             }
             SiteFault::Revoke { span } => self.revoke(span).await,
             SiteFault::RevokeUnseen { span } => {
                 let _guard = DisturbanceGuard::new(&self.store_disturbed);
-                self.store.set_mood(StoreMood::Silent);
+                self.store.set_mode(StoreMode::NoResponse);
                 self.revoke(span).await;
-                self.store.set_mood(StoreMood::Well);
+                self.store.set_mode(StoreMode::Normal);
             }
             SiteFault::Route => self.add_route(),
             SiteFault::Drain { target } => self.drain(target).await,
--- a/bergamotswitch/tests/soak_world/plan.rs
+++ b/bergamotswitch/tests/soak_world/plan.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use bergamotswitch_standin::users_store::StoreMood;
-use bergamotswitch_standin::users_target::TargetMood;
+use bergamotswitch_standin::gateway_target::ResponseMode;
+use bergamotswitch_standin::kv_store::StoreMode;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
@@ -58,7 +58,7 @@
     /// SIGHUP.
     Reload { host: usize },
     /// The store answers otherwise.
-    Store { mood: StoreMood, span: Duration },
+    Store { mood: StoreMode, span: Duration },
     /// The store drops its history.
     Compact,
     /// The way from one host to the store.
@@ -76,7 +76,7 @@
     /// A target answers its next calls otherwise.
     Target {
         target: usize,
-        mood: TargetMood,
+        mood: ResponseMode,
         calls: usize,
     },
     /// The second key is taken away, and given again later.
@@ -210,8 +210,8 @@
         3 => SiteFault::Reload { host },
         4 => SiteFault::Store {
             mood: match rng.random_bool(0.5) {
-                true => StoreMood::Busy,
-                false => StoreMood::Silent,
+                true => StoreMode::Unavailable,
+                false => StoreMode::NoResponse,
             },
             span,
         },
@@ -251,14 +251,14 @@
     flows[rng.random_range(0..flows.len())]
 }
 
-fn draw_mood(rng: &mut StdRng) -> TargetMood {
+fn draw_mood(rng: &mut StdRng) -> ResponseMode {
     match rng.random_range(0..7) {
-        0 => TargetMood::Full,
-        1 => TargetMood::Failing,
-        2 => TargetMood::Unsigned,
-        3 => TargetMood::Crossed,
-        4 => TargetMood::Closing,
-        5 => TargetMood::Mute,
-        _ => TargetMood::BreakAfter(rng.random_range(0..8)),
+        0 => ResponseMode::Full,
+        1 => ResponseMode::ServerError,
+        2 => ResponseMode::Unsigned,
+        3 => ResponseMode::WrongRequestId,
+        4 => ResponseMode::Close,
+        5 => ResponseMode::NoResponse,
+        _ => ResponseMode::TruncateAfter(rng.random_range(0..8)),
     }
 }
--- a/bergamotswitch/tests/soak_world/stops.rs
+++ b/bergamotswitch/tests/soak_world/stops.rs
@@ -39,7 +39,7 @@
     /// grace, and the call was cut no sooner.
     fn is_worked_on(&self, call: &CallRecord, runs: &[SeenRun]) -> bool {
         let last_sixth = self.from + self.grace * 5 / 6;
-        let works = |run: &SeenRun| run.call.ended.is_none_or(|ended| ended >= last_sixth);
+        let works = |run: &SeenRun| run.call.ended_at.is_none_or(|ended| ended >= last_sixth);
         let is_stream = call.kind.is_stream();
         is_stream && call.ended >= last_sixth && runs.iter().any(works)
     }
@@ -148,7 +148,10 @@
 
 fn summary(call: &CallRecord, runs: &[SeenRun]) -> String {
     let CallRecord { id, kind, host, .. } = call;
-    let dispatched: Vec<Duration> = runs.iter().map(|run| run.call.at - call.sent).collect();
+    let dispatched: Vec<Duration> = runs
+        .iter()
+        .map(|run| run.call.received_at - call.sent)
+        .collect();
     let length = call.work.length();
     let deadline = call.work.deadline;
     format!(
--- a/bergamotswitch/tests/stop_bodies.rs
+++ b/bergamotswitch/tests/stop_bodies.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use bergamotswitch_standin::users_target::padded_event;
+use bergamotswitch_standin::gateway_target::padded_event;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::time::{Instant, sleep, timeout};
@@ -45,7 +45,7 @@
     let mut answer = String::new();
     let read = timeout(PATIENCE, caller.read_to_string(&mut answer)).await;
     assert!(read.is_ok(), "no end of the answer");
-    assert!(site.desks.iter().all(|desk| desk.seen().is_empty()));
+    assert!(site.desks.iter().all(|desk| desk.calls().is_empty()));
     answer
 }
 
@@ -119,8 +119,8 @@
     );
     caller.write_all(head.as_bytes()).await.expect("sent");
     until("the target has given all", async || {
-        let mut seen = site.engines.iter().flat_map(|engine| engine.seen());
-        seen.any(|call| call.ended.is_some())
+        let mut seen = site.engines.iter().flat_map(|engine| engine.calls());
+        seen.any(|call| call.ended_at.is_some())
     })
     .await;
 
--- a/bergamotswitch/tests/stop_counters.rs
+++ b/bergamotswitch/tests/stop_counters.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use bergamotswitch_standin::users_target::TargetMood;
+use bergamotswitch_standin::gateway_target::ResponseMode;
 use http::StatusCode;
 use users::host_child::PlannedStop;
 use users::{Call, Site, SiteOptions, until};
@@ -44,13 +44,13 @@
     })
     .await;
     for desk in &site.desks {
-        desk.expect(&[TargetMood::Mute]);
+        desk.queue_responses(&[ResponseMode::NoResponse]);
     }
     let door = site.door();
     let held = Call::new("POST", "/receipt/1", "held").with("deadline-ms", "25000");
     let held = tokio::spawn(async move { drop(held.send(door).await) });
     until("the call runs", async || {
-        site.desks.iter().any(|desk| !desk.seen().is_empty())
+        site.desks.iter().any(|desk| !desk.calls().is_empty())
     })
     .await;
     let host = site.hosts.remove(0);
--- a/bergamotswitch/tests/stop_grace.rs
+++ b/bergamotswitch/tests/stop_grace.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use bergamotswitch_standin::users_target::TargetMood;
+use bergamotswitch_standin::gateway_target::ResponseMode;
 use stop_support::*;
 use tokio::task::JoinHandle;
 use users::host_child::PlannedStop;
@@ -120,11 +120,11 @@
     let mut site = Site::start_with(options).await;
     for held in ["held-1", "held-2"] {
         for desk in &site.desks {
-            desk.expect_only(&[TargetMood::Mute]);
+            desk.replace_responses(&[ResponseMode::NoResponse]);
         }
         let asked = ask_and_reach(&site, receipt_call(seconds(12.0)), held).await;
         for desk in &site.desks {
-            desk.expect_only(&[]);
+            desk.replace_responses(&[]);
         }
         let stop = PlannedStop::begin(site.hosts.remove(0).child, grace);
         ask_others(&site, held, &asked).await;
--- a/bergamotswitch/tests/stop_lines.rs
+++ b/bergamotswitch/tests/stop_lines.rs
@@ -8,7 +8,7 @@
 use std::process::Stdio;
 use std::time::Duration;
 
-use bergamotswitch_standin::users_target::TargetMood;
+use bergamotswitch_standin::gateway_target::ResponseMode;
 use serde_json::Value;
 use tokio::task::JoinHandle;
 use users::host_child::{HostChild, PlannedStop};
@@ -100,7 +100,7 @@
 async fn open_requests(site: &Site) -> Vec<JoinHandle<()>> {
     make_known(site).await;
     for desk in &site.desks {
-        desk.expect(&vec![TargetMood::Mute; OPEN]);
+        desk.queue_responses(&vec![ResponseMode::NoResponse; OPEN]);
     }
     let before = running(site);
     let door = site.door();
@@ -140,7 +140,7 @@
 /// Count the calls that targets ran.
 fn running(site: &Site) -> usize {
     let targets = site.engines.iter().chain(&site.desks);
-    let seen = targets.flat_map(|target| target.seen());
+    let seen = targets.flat_map(|target| target.calls());
     seen.filter(|call| call.ran).count()
 }
 
--- a/bergamotswitch/tests/stop_overdue.rs
+++ b/bergamotswitch/tests/stop_overdue.rs
@@ -3,7 +3,7 @@
 mod stop_support;
 mod users;
 
-use bergamotswitch_standin::users_target::TargetMood;
+use bergamotswitch_standin::gateway_target::ResponseMode;
 use http::StatusCode;
 use stop_support::*;
 use users::Call;
@@ -19,7 +19,10 @@
     let grace = seconds(3.0);
     let mut site = site_of(8, grace).await;
     for desk in &site.desks {
-        desk.expect(&[TargetMood::CloseAfter(seconds(2.0)), TargetMood::Mute]);
+        desk.queue_responses(&[
+            ResponseMode::CloseAfter(seconds(2.0)),
+            ResponseMode::NoResponse,
+        ]);
     }
     let call = Call::new("GET", "/status/1", "").with("deadline-ms", "12000");
     let asked = ask_and_reach(&site, call, "again").await;
@@ -40,7 +43,7 @@
     let mut site = site_of(events, grace).await;
     run_before(&site, "/draft/1", TELLING_RUNS).await;
     for engine in &site.engines {
-        engine.expect(&[TargetMood::BreakAfter(20)]);
+        engine.queue_responses(&[ResponseMode::TruncateAfter(20)]);
     }
     let call = stream_call("/draft/1", seconds(12.0));
     let asked = ask_and_reach(&site, call, "broken").await;
@@ -61,7 +64,7 @@
     let events = 60;
     let mut site = site_of(events, grace).await;
     for desk in &site.desks {
-        desk.expect(&[TargetMood::Mute]);
+        desk.queue_responses(&[ResponseMode::NoResponse]);
     }
     let stream = stream_call("/once/1", seconds(12.0));
     let stream = ask_and_reach(&site, stream, "stream").await;
--- a/bergamotswitch/tests/stop_paused.rs
+++ b/bergamotswitch/tests/stop_paused.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use bergamotswitch_standin::users_target::event_text;
+use bergamotswitch_standin::gateway_target::event_text;
 use http::StatusCode;
 use tokio::task::JoinHandle;
 use users::host_child::PlannedStop;
@@ -60,7 +60,7 @@
 /// Count the runs of a call at all targets.
 fn runs_of(site: &Site, id: &str) -> usize {
     let targets = site.engines.iter().chain(&site.desks);
-    let seen = targets.flat_map(|target| target.seen());
+    let seen = targets.flat_map(|target| target.calls());
     seen.filter(|call| call.ran && call.field("request-id") == id)
         .count()
 }
--- a/bergamotswitch/tests/users/mod.rs
+++ b/bergamotswitch/tests/users/mod.rs
@@ -14,8 +14,8 @@
 use std::process::ExitStatus;
 use std::time::{Duration, Instant};
 
-use bergamotswitch_standin::users_store::UsersStore;
-use bergamotswitch_standin::users_target::UsersTarget;
+use bergamotswitch_standin::gateway_target::GatewayTargetStandin;
+use bergamotswitch_standin::kv_store::KvStoreStandin;
 use bytes::Bytes;
 use http::{HeaderMap, Request, StatusCode};
 use http_body_util::{BodyExt, Full};
@@ -141,9 +141,9 @@
 
 /// A whole site.
 pub struct Site {
-    pub store: UsersStore,
-    pub engines: Vec<UsersTarget>,
-    pub desks: Vec<UsersTarget>,
+    pub store: KvStoreStandin,
+    pub engines: Vec<GatewayTargetStandin>,
+    pub desks: Vec<GatewayTargetStandin>,
     pub hosts: Vec<HostProcess>,
     options: SiteOptions,
     version: u64,
@@ -162,14 +162,15 @@
 
     /// Start a site made otherwise.
     pub async fn start_with(options: SiteOptions) -> Self {
-        let store = UsersStore::start().await.expect("store");
+        let store = KvStoreStandin::start().await.expect("store");
         let SiteOptions { events, gap, .. } = options;
         let mut engines = Vec::new();
         let mut desks = Vec::new();
         for number in 1..=2 {
-            let engine = UsersTarget::start(&format!("engine-{number}"), events, gap).await;
+            let engine =
+                GatewayTargetStandin::start(&format!("engine-{number}"), events, gap).await;
             engines.push(engine.expect("engine"));
-            let desk = UsersTarget::start(&format!("desk-{number}"), 0, gap).await;
+            let desk = GatewayTargetStandin::start(&format!("desk-{number}"), 0, gap).await;
             desks.push(desk.expect("desk"));
         }
         let mut site = Site {
@@ -199,7 +200,7 @@
     }
 
     /// Register a target as it does itself.
-    pub fn register(&self, service: &str, target: &UsersTarget, state: &str) {
+    pub fn register(&self, service: &str, target: &GatewayTargetStandin, state: &str) {
         let mut entry = target.registration(service, target.address(), state);
         entry["slots"] = self.options.slots.into();
         put_entry(&self.store, target, &entry);
@@ -265,13 +266,13 @@
 
 /// Publish a version of the routes with these keys, and further routes to the
 /// desk.
-pub fn publish(store: &UsersStore, version: u64, keys: &[&str], more: &[&str]) {
+pub fn publish(store: &KvStoreStandin, version: u64, keys: &[&str], more: &[&str]) {
     publish_with(store, version, keys, more, &SiteOptions::default());
 }
 
 /// Publish a version of the routes with the times of a site.
 pub fn publish_with(
-    store: &UsersStore,
+    store: &KvStoreStandin,
     version: u64,
     keys: &[&str],
     more: &[&str],
@@ -317,9 +318,9 @@
 
 /// Register a target at an address, which may be that of a relay before it.
 pub fn register(
-    store: &UsersStore,
+    store: &KvStoreStandin,
     service: &str,
-    target: &UsersTarget,
+    target: &GatewayTargetStandin,
     address: SocketAddr,
     state: &str,
 ) {
@@ -327,7 +328,7 @@
     put_entry(store, target, &entry);
 }
 
-fn put_entry(store: &UsersStore, target: &UsersTarget, entry: &Value) {
+fn put_entry(store: &KvStoreStandin, target: &GatewayTargetStandin, entry: &Value) {
     store.put(&format!("servers/{}", target.name()), entry);
 }
 
