--- a/bergamotswitch-standin/src/batch.rs
+++ b/bergamotswitch-standin/src/batch.rs
@@ -56,7 +56,7 @@
 }
 
 impl BatchSlot {
-    fn outstanding(&self) -> u64 {
+    fn outstanding_tokens(&self) -> u64 {
         let output_left = self.run.shape.output_tokens - self.run.progress().emitted;
         u64::from(self.prefill_left) + u64::from(output_left)
     }
@@ -113,7 +113,7 @@
     /// Get the load.
     pub(crate) fn load(&self) -> LoadSample {
         let waiting: u64 = self.waiting.iter().map(|run| run.tokens()).sum();
-        let running: u64 = self.running.iter().map(BatchSlot::outstanding).sum();
+        let running: u64 = self.running.iter().map(BatchSlot::outstanding_tokens).sum();
         LoadSample {
             running: self.running.len(),
             waiting: self.waiting.len(),
@@ -123,7 +123,7 @@
 
     /// Make one step, and get the runs that it finished.
     pub(crate) fn step(&mut self) -> Vec<Arc<EngineRun>> {
-        self.fill();
+        self.admit_waiting();
         let mut prefill_budget = self.prefill_per_step;
         let mut finished = Vec::new();
         for slot in &mut self.running {
@@ -152,7 +152,7 @@
 
     /// Move waiting runs into the batch while the first of them fits. A run
     /// above the token limit runs alone rather than never.
-    fn fill(&mut self) {
+    fn admit_waiting(&mut self) {
         while self.running.len() < self.max_batch {
             let Some(first) = self.waiting.front() else {
                 return;
@@ -164,7 +164,7 @@
             let Some(run) = self.waiting.pop_front() else {
                 return;
             };
-            let blocks = self.cache.held_blocks(&run.shape.blocks) as u32;
+            let blocks = self.cache.cached_blocks(&run.shape.blocks) as u32;
             let cached = (blocks * BLOCK_TOKENS).min(run.shape.tokens);
             run.progress
                 .send_modify(|progress| progress.cached_tokens = cached);
--- a/bergamotswitch-standin/src/engine.rs
+++ b/bergamotswitch-standin/src/engine.rs
@@ -10,17 +10,17 @@
 use serde_json::{Value, json};
 use tokio::task::JoinHandle;
 
-use crate::answer::{
-    AnswerBody, REQUEST_ID, error_answer, json_answer, query_number, read_body, read_json,
-    refusal_answer, request_id, set_header,
-};
 use crate::batch::EngineRun;
 use crate::deployment::TargetContract;
 use crate::engine_core::EngineCore;
-use crate::engine_stream::{cache_event_answer, stream_answer, whole_answer};
+use crate::engine_stream::{cache_event_response, complete_response, stream_response};
 use crate::ledger::RunOutcome;
 use crate::listener::{ListenerControl, ListenerHandle, listen};
 use crate::prompt::PromptShape;
+use crate::response::{
+    REQUEST_ID, ResponseBody, error_response, json_response, query_number, read_body, read_json,
+    refusal_response, request_id, set_header,
+};
 use crate::target_control::TargetControl;
 
 /// An `EngineOptions` says how an engine stand-in behaves.
@@ -87,7 +87,7 @@
 pub struct EngineStandin {
     core: Arc<EngineCore>,
     listener: ListenerHandle,
-    steps: JoinHandle<()>,
+    step_task: JoinHandle<()>,
 }
 
 impl EngineStandin {
@@ -104,11 +104,11 @@
             handle(Arc::clone(&shared), request)
         })
         .await?;
-        let steps = tokio::spawn(Arc::clone(&core).run());
+        let step_task = tokio::spawn(Arc::clone(&core).run());
         Ok(EngineStandin {
             core,
             listener,
-            steps,
+            step_task,
         })
     }
 
@@ -131,11 +131,11 @@
 
 impl Drop for EngineStandin {
     fn drop(&mut self) {
-        self.steps.abort();
+        self.step_task.abort();
     }
 }
 
-async fn handle(core: Arc<EngineCore>, request: Request<Incoming>) -> Response<AnswerBody> {
+async fn handle(core: Arc<EngineCore>, request: Request<Incoming>) -> Response<ResponseBody> {
     let path = request.uri().path().to_owned();
     let parts: Vec<&str> = path.split('/').skip(1).collect();
     match (request.method(), parts.as_slice()) {
@@ -143,25 +143,25 @@
             submit(&core, request).await
         }
         (&Method::GET, ["v1", "streams", id]) => resume(&core, id, &request),
-        (&Method::GET, ["v1", "streams", id, "status"]) => status_answer(core.stream(id)),
-        (&Method::GET, ["v1", "requests", id, "status"]) => status_answer(core.request(id)),
+        (&Method::GET, ["v1", "streams", id, "status"]) => status_response(core.stream(id)),
+        (&Method::GET, ["v1", "requests", id, "status"]) => status_response(core.request(id)),
         (&Method::DELETE, ["v1", "streams", id]) => cancel(&core, id),
-        (&Method::GET, ["v1", "load"]) => load_answer(&core),
-        (&Method::GET, ["v1", "cache-events"]) => cache_event_answer(&core),
+        (&Method::GET, ["v1", "load"]) => load_response(&core),
+        (&Method::GET, ["v1", "cache-events"]) => cache_event_response(&core),
         (&Method::POST, ["v1", "kv", "export"]) => export_cache(&core, request).await,
         (&Method::POST, ["v1", "kv", "import"]) => import_cache(&core, request).await,
-        _ => error_answer(StatusCode::NOT_FOUND, "unknown path"),
+        _ => error_response(StatusCode::NOT_FOUND, "unknown path"),
     }
 }
 
-async fn submit(core: &Arc<EngineCore>, request: Request<Incoming>) -> Response<AnswerBody> {
+async fn submit(core: &Arc<EngineCore>, request: Request<Incoming>) -> Response<ResponseBody> {
     let request_id = request_id(request.headers());
     let Some(body) = read_body(request).await else {
-        return error_answer(StatusCode::BAD_REQUEST, "the body is too long or broke off");
+        return error_response(StatusCode::BAD_REQUEST, "the body is too long or broke off");
     };
     let shape = match PromptShape::try_from(body.as_ref()) {
         Ok(shape) => shape,
-        Err(error) => return error_answer(StatusCode::BAD_REQUEST, &error.to_string()),
+        Err(error) => return error_response(StatusCode::BAD_REQUEST, &error.to_string()),
     };
     let switches = core.control.switches();
     if let Some(status) = switches.refuse {
@@ -169,46 +169,46 @@
             let run = core.submit(request_id, shape);
             core.stop(&run, RunOutcome::Broken);
         }
-        return refusal_answer(status);
+        return refusal_response(status);
     }
     let streaming = shape.stream;
     let run = core.submit(request_id, shape);
     if switches.error {
         core.stop(&run, RunOutcome::Broken);
-        return error_answer(StatusCode::INTERNAL_SERVER_ERROR, "the run broke");
+        return error_response(StatusCode::INTERNAL_SERVER_ERROR, "the run broke");
     }
     if streaming {
-        return stream_answer(core, &run, 0);
+        return stream_response(core, &run, 0);
     }
-    let Some((answer_id, answer)) = whole_answer(core, &run).await else {
-        return error_answer(StatusCode::INTERNAL_SERVER_ERROR, "the run ended early");
+    let Some((answer_id, answer)) = complete_response(core, &run).await else {
+        return error_response(StatusCode::INTERNAL_SERVER_ERROR, "the run ended early");
     };
-    let mut response = json_answer(StatusCode::OK, &answer);
+    let mut response = json_response(StatusCode::OK, &answer);
     set_header(&mut response, "x-stream-id", &run.stream_id);
     set_header(&mut response, REQUEST_ID, &answer_id);
     response
 }
 
-fn resume(core: &Arc<EngineCore>, id: &str, request: &Request<Incoming>) -> Response<AnswerBody> {
+fn resume(core: &Arc<EngineCore>, id: &str, request: &Request<Incoming>) -> Response<ResponseBody> {
     let offset = query_number(request, "offset").unwrap_or(0);
     match (core.options.contract.resumes, core.stream(id)) {
-        (false, _) => unsupported(),
-        (true, None) => unknown(),
-        (true, Some(run)) => stream_answer(core, &run, offset.min(u32::MAX.into()) as u32),
+        (false, _) => not_implemented(),
+        (true, None) => not_found(),
+        (true, Some(run)) => stream_response(core, &run, offset.min(u32::MAX.into()) as u32),
     }
 }
 
-fn unknown() -> Response<AnswerBody> {
-    error_answer(StatusCode::NOT_FOUND, "unknown stream or request")
+fn not_found() -> Response<ResponseBody> {
+    error_response(StatusCode::NOT_FOUND, "unknown stream or request")
 }
 
-fn unsupported() -> Response<AnswerBody> {
-    error_answer(StatusCode::NOT_IMPLEMENTED, "not in this engine's contract")
+fn not_implemented() -> Response<ResponseBody> {
+    error_response(StatusCode::NOT_IMPLEMENTED, "not in this engine's contract")
 }
 
-fn status_answer(run: Option<Arc<EngineRun>>) -> Response<AnswerBody> {
+fn status_response(run: Option<Arc<EngineRun>>) -> Response<ResponseBody> {
     let Some(run) = run else {
-        return unknown();
+        return not_found();
     };
     let progress = run.progress();
     let done = progress.outcome == RunOutcome::Finished;
@@ -220,21 +220,21 @@
         "done": done,
         "running": run.is_live(),
     });
-    json_answer(StatusCode::OK, &status)
+    json_response(StatusCode::OK, &status)
 }
 
-fn cancel(core: &EngineCore, stream_id: &str) -> Response<AnswerBody> {
+fn cancel(core: &EngineCore, stream_id: &str) -> Response<ResponseBody> {
     match (core.options.contract.cancels, core.stream(stream_id)) {
-        (false, _) => unsupported(),
-        (true, None) => unknown(),
+        (false, _) => not_implemented(),
+        (true, None) => not_found(),
         (true, Some(run)) => {
             core.stop(&run, RunOutcome::Cancelled);
-            status_answer(Some(run))
+            status_response(Some(run))
         }
     }
 }
 
-fn load_answer(core: &EngineCore) -> Response<AnswerBody> {
+fn load_response(core: &EngineCore) -> Response<ResponseBody> {
     let (load, age_ms) = core.load();
     let report = json!({
         "running": load.running,
@@ -242,35 +242,35 @@
         "outstanding_tokens": load.outstanding_tokens,
         "age_ms": age_ms,
     });
-    json_answer(StatusCode::OK, &report)
+    json_response(StatusCode::OK, &report)
 }
 
-async fn export_cache(core: &EngineCore, request: Request<Incoming>) -> Response<AnswerBody> {
-    let prefix = prefix(&read_json(request).await);
+async fn export_cache(core: &EngineCore, request: Request<Incoming>) -> Response<ResponseBody> {
+    let prefix = parse_prefix(&read_json(request).await);
     match (core.options.contract.moves_cache, prefix) {
-        (false, _) => unsupported(),
-        (true, Some(prefix)) if core.holds(prefix) => cache_answer(prefix),
-        (true, _) => error_answer(StatusCode::NOT_FOUND, "unknown prefix"),
+        (false, _) => not_implemented(),
+        (true, Some(prefix)) if core.holds_prefix(prefix) => prefix_response(prefix),
+        (true, _) => error_response(StatusCode::NOT_FOUND, "unknown prefix"),
     }
 }
 
-async fn import_cache(core: &EngineCore, request: Request<Incoming>) -> Response<AnswerBody> {
-    let prefix = prefix(&read_json(request).await);
+async fn import_cache(core: &EngineCore, request: Request<Incoming>) -> Response<ResponseBody> {
+    let prefix = parse_prefix(&read_json(request).await);
     match (core.options.contract.moves_cache, prefix) {
-        (false, _) => unsupported(),
+        (false, _) => not_implemented(),
         (true, Some(prefix)) => {
-            core.import(prefix);
-            cache_answer(prefix)
+            core.import_prefix(prefix);
+            prefix_response(prefix)
         }
-        (true, None) => error_answer(StatusCode::BAD_REQUEST, "an import needs a prefix"),
+        (true, None) => error_response(StatusCode::BAD_REQUEST, "an import needs a prefix"),
     }
 }
 
-fn cache_answer(prefix: u64) -> Response<AnswerBody> {
+fn prefix_response(prefix: u64) -> Response<ResponseBody> {
     let held = json!({"prefix": format!("{prefix:016x}"), "held": true});
-    json_answer(StatusCode::OK, &held)
+    json_response(StatusCode::OK, &held)
 }
 
-fn prefix(value: &Value) -> Option<u64> {
+fn parse_prefix(value: &Value) -> Option<u64> {
     u64::from_str_radix(value["prefix"].as_str()?, 16).ok()
 }
--- a/bergamotswitch-standin/src/engine_core.rs
+++ b/bergamotswitch-standin/src/engine_core.rs
@@ -28,7 +28,7 @@
     streams: HashMap<String, Arc<EngineRun>>,
     requests: HashMap<String, Arc<EngineRun>>,
     arrivals: VecDeque<Arc<EngineRun>>,
-    loads: VecDeque<(Instant, LoadSample)>,
+    load_samples: VecDeque<(Instant, LoadSample)>,
     rng: StdRng,
 }
 
@@ -48,7 +48,7 @@
             streams: HashMap::new(),
             requests: HashMap::new(),
             arrivals: VecDeque::new(),
-            loads: VecDeque::new(),
+            load_samples: VecDeque::new(),
             rng: StdRng::seed_from_u64(options.seed),
         };
         Arc::new(EngineCore {
@@ -67,7 +67,7 @@
                 self.work.notified().await;
                 next = Instant::now();
             }
-            let step = self.control.switches().slowed(self.options.step);
+            let step = self.control.switches().scaled(self.options.step);
             let earliest = Instant::now().checked_sub(step * MAX_CATCH_UP);
             next = earliest.map_or(next, |earliest| next.max(earliest)) + step;
             sleep_until(next).await;
@@ -104,7 +104,7 @@
         state.streams.insert(stream_id, Arc::clone(&run));
         state.requests.insert(request_id, Arc::clone(&run));
         state.arrivals.push_back(Arc::clone(&run));
-        state.forget_oldest();
+        state.evict_ended_runs();
         state.batch.submit(Arc::clone(&run));
         self.sample_load(&mut state);
         drop(state);
@@ -125,7 +125,7 @@
     /// Forget all streams, requests and prefixes; what ran is broken.
     pub(crate) fn restart(&self) {
         let mut state = lock(&self.state);
-        self.break_runs(&mut state);
+        self.fail_runs(&mut state);
         state.arrivals.clear();
         state.streams.clear();
         state.requests.clear();
@@ -135,7 +135,7 @@
         self.control.close_connections();
     }
 
-    fn break_runs(&self, state: &mut EngineState) {
+    fn fail_runs(&self, state: &mut EngineState) {
         for run in state.arrivals.clone() {
             if run.is_live() {
                 state.batch.remove(&run);
@@ -162,7 +162,7 @@
 
     /// Get the identity and the digest with which a run is answered: its own,
     /// or those of the latest other request where answers are crossed.
-    pub(crate) fn answered_as(&self, run: &EngineRun) -> (String, u64) {
+    pub(crate) fn response_identity(&self, run: &EngineRun) -> (String, u64) {
         if !self.control.switches().crossed {
             return (run.request_id.clone(), run.shape.digest);
         }
@@ -179,29 +179,29 @@
     pub(crate) fn load(&self) -> (LoadSample, u64) {
         let mut state = lock(&self.state);
         let lag = self.control.switches().load_lag_ms;
-        state.forget_loads(lag);
-        let known = state.loads.front().map(|(_, sample)| *sample);
+        state.evict_loads(lag);
+        let known = state.load_samples.front().map(|(_, sample)| *sample);
         (known.unwrap_or_default(), lag)
     }
 
     fn sample_load(&self, state: &mut EngineState) {
-        if state.loads.is_empty() {
+        if state.load_samples.is_empty() {
             // The load before the first change.
             let since = Instant::now();
-            state.loads.push_back((since, LoadSample::default()));
+            state.load_samples.push_back((since, LoadSample::default()));
         }
         let sample = state.batch.load();
-        state.loads.push_back((Instant::now(), sample));
-        state.forget_loads(self.control.switches().load_lag_ms);
+        state.load_samples.push_back((Instant::now(), sample));
+        state.evict_loads(self.control.switches().load_lag_ms);
     }
 
     /// Get whether a prefix is held.
-    pub(crate) fn holds(&self, prefix: u64) -> bool {
-        lock(&self.state).batch.cache.holds(prefix)
+    pub(crate) fn holds_prefix(&self, prefix: u64) -> bool {
+        lock(&self.state).batch.cache.contains(prefix)
     }
 
     /// Hold a prefix that was computed elsewhere.
-    pub(crate) fn import(&self, prefix: u64) {
+    pub(crate) fn import_prefix(&self, prefix: u64) {
         lock(&self.state).batch.cache.insert(&[prefix]);
     }
 
@@ -211,14 +211,14 @@
     }
 
     /// Draw whether a cache event is lost.
-    pub(crate) fn draw_gap(&self) -> bool {
+    pub(crate) fn drops_cache_event(&self) -> bool {
         let gaps = self.control.switches().cache_event_gaps;
         lock(&self.state).rng.random_range(0..100) < gaps
     }
 }
 
 impl EngineState {
-    fn forget_oldest(&mut self) {
+    fn evict_ended_runs(&mut self) {
         while self.arrivals.len() > MAX_STREAMS {
             let ended = self.arrivals.front().is_some_and(|run| !run.is_live());
             let Some(run) = self.arrivals.pop_front_if(|_| ended) else {
@@ -233,12 +233,12 @@
     }
 
     /// Forget the samples that were outdated a lag ago.
-    fn forget_loads(&mut self, lag_ms: u64) {
+    fn evict_loads(&mut self, lag_ms: u64) {
         let Some(then) = Instant::now().checked_sub(Duration::from_millis(lag_ms)) else {
             return;
         };
-        while self.loads.get(1).is_some_and(|(at, _)| *at <= then) {
-            self.loads.pop_front();
+        while self.load_samples.get(1).is_some_and(|(at, _)| *at <= then) {
+            self.load_samples.pop_front();
         }
     }
 }
--- a/bergamotswitch-standin/src/engine_stream.rs
+++ b/bergamotswitch-standin/src/engine_stream.rs
@@ -11,12 +11,12 @@
 use serde_json::{Value, json};
 use tokio::sync::{broadcast, watch};
 
-use crate::answer::{AnswerBody, CutError, REQUEST_ID, set_header};
 use crate::batch::{EngineRun, RunProgress};
 use crate::engine_core::EngineCore;
 use crate::ledger::RunOutcome;
 use crate::prefix::PrefixEvent;
 use crate::prompt::output_token;
+use crate::response::{CloseError, REQUEST_ID, ResponseBody, set_header};
 
 /// A `StreamCursor` is one connection's place in a run's events.
 struct StreamCursor {
@@ -32,7 +32,7 @@
 }
 
 impl StreamCursor {
-    async fn next_event(&mut self) -> Option<Result<Bytes, CutError>> {
+    async fn next_event(&mut self) -> Option<Result<Bytes, CloseError>> {
         let tokens = self.caller.run.shape.output_tokens;
         loop {
             let switches = self.caller.core.control.switches();
@@ -40,7 +40,7 @@
                 // What was sent so far is flushed before the connection is
                 // cut, so that the cut comes in the middle of the answer.
                 tokio::task::yield_now().await;
-                return Some(Err(CutError));
+                return Some(Err(CloseError));
             }
             if self.next > tokens + 1 || (switches.truncate && self.next > tokens / 2) {
                 return None;
@@ -52,7 +52,7 @@
             match progress.outcome {
                 RunOutcome::Finished => return Some(Ok(self.event("[DONE]"))),
                 RunOutcome::Cancelled => return None,
-                RunOutcome::Broken => return Some(Err(CutError)),
+                RunOutcome::Broken => return Some(Err(CloseError)),
                 RunOutcome::Running => self.progress.changed().await.ok()?,
             }
         }
@@ -120,15 +120,15 @@
 }
 
 /// Get the answer that streams a run's events after `offset`.
-pub(crate) fn stream_answer(
+pub(crate) fn stream_response(
     core: &Arc<EngineCore>,
     run: &Arc<EngineRun>,
     offset: u32,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let cursor = StreamCursor {
         caller: CallerGuard::new(core, run),
         progress: run.progress.subscribe(),
-        identity: core.answered_as(run),
+        identity: core.response_identity(run),
         next: offset.saturating_add(1),
         sent: 0,
     };
@@ -145,7 +145,7 @@
 
 /// Get a run's whole answer as one JSON value, waiting for its end; `None`
 /// where it ended otherwise.
-pub(crate) async fn whole_answer(
+pub(crate) async fn complete_response(
     core: &Arc<EngineCore>,
     run: &Arc<EngineRun>,
 ) -> Option<(String, Value)> {
@@ -156,7 +156,7 @@
     if progress.outcome != RunOutcome::Finished {
         return None;
     }
-    let (id, digest) = core.answered_as(run);
+    let (id, digest) = core.response_identity(run);
     let tokens = 1..=progress.emitted;
     let text: String = tokens.map(|number| output_token(digest, number)).collect();
     let answer = json!({
@@ -174,9 +174,9 @@
 }
 
 /// Get the answer that streams cache events, late and with gaps.
-pub(crate) fn cache_event_answer(core: &Arc<EngineCore>) -> Response<AnswerBody> {
-    let follower = (Arc::clone(core), core.cache_events());
-    let events = stream::unfold(follower, |(core, mut receiver)| async move {
+pub(crate) fn cache_event_response(core: &Arc<EngineCore>) -> Response<ResponseBody> {
+    let subscription = (Arc::clone(core), core.cache_events());
+    let events = stream::unfold(subscription, |(core, mut receiver)| async move {
         let event = next_cache_event(&core, &mut receiver).await?;
         let data = json!({
             "prefix": format!("{:016x}", event.prefix),
@@ -198,7 +198,7 @@
             Err(broadcast::error::RecvError::Lagged(_)) => continue,
             Err(broadcast::error::RecvError::Closed) => return None,
         };
-        if core.draw_gap() {
+        if core.drops_cache_event() {
             continue;
         }
         let lag = core.control.switches().cache_event_lag_ms;
@@ -207,7 +207,7 @@
     }
 }
 
-fn event_stream(body: AnswerBody) -> Response<AnswerBody> {
+fn event_stream(body: ResponseBody) -> Response<ResponseBody> {
     let mut response = Response::new(body);
     set_header(&mut response, CONTENT_TYPE.as_str(), "text/event-stream");
     response
--- a/bergamotswitch-standin/src/lib.rs
+++ b/bergamotswitch-standin/src/lib.rs
@@ -7,7 +7,6 @@
 
 #![forbid(unsafe_code)]
 
-mod answer;
 mod batch;
 pub mod deployment;
 pub mod engine;
@@ -23,6 +22,7 @@
 mod prefix;
 pub mod program;
 mod prompt;
+mod response;
 pub mod stage;
 pub mod switches;
 pub mod target_control;
--- a/bergamotswitch-standin/src/listener.rs
+++ b/bergamotswitch-standin/src/listener.rs
@@ -18,18 +18,18 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-use crate::answer::{AnswerBody, REQUEST_ID};
+use crate::response::{REQUEST_ID, ResponseBody};
 use crate::switches::SilenceMode;
 use crate::target_control::lock;
 
 /// The pause before another try to bind or accept.
-const RETRY_PAUSE: Duration = Duration::from_millis(10);
+const RETRY_DELAY: Duration = Duration::from_millis(10);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum GateMode {
-    Flowing,
+    Open,
     Silent,
-    Cut,
+    Closed,
 }
 
 #[derive(Debug)]
@@ -55,7 +55,7 @@
     fn set(&self, mode: GateMode) {
         let mut state = lock(&self.0);
         // A connection that was cut stays so.
-        if state.mode != GateMode::Cut {
+        if state.mode != GateMode::Closed {
             state.mode = mode;
         }
         let wakers = [state.reader.take(), state.writer.take()];
@@ -71,9 +71,9 @@
             false => state.reader = waker,
         }
         match state.mode {
-            GateMode::Flowing => Poll::Ready(Ok(())),
+            GateMode::Open => Poll::Ready(Ok(())),
             GateMode::Silent => Poll::Pending,
-            GateMode::Cut => Poll::Ready(Err(io::ErrorKind::ConnectionReset.into())),
+            GateMode::Closed => Poll::Ready(Err(io::ErrorKind::ConnectionReset.into())),
         }
     }
 }
@@ -136,7 +136,7 @@
 /// A `ListenerControl` switches a listener and its connections.
 #[derive(Debug)]
 pub(crate) struct ListenerControl {
-    set: Mutex<ConnectionSet>,
+    connections: Mutex<ConnectionSet>,
     listening: watch::Sender<bool>,
 }
 
@@ -144,16 +144,16 @@
     /// Get the control of a listener that is to listen.
     pub(crate) fn new() -> Arc<Self> {
         Arc::new(ListenerControl {
-            set: Mutex::default(),
+            connections: Mutex::default(),
             listening: watch::Sender::new(true),
         })
     }
 
     /// Silence connections, or let them go on.
     pub(crate) fn set_silence(&self, mode: SilenceMode) {
-        lock(&self.set).silence_new = mode == SilenceMode::All;
+        lock(&self.connections).silence_new = mode == SilenceMode::All;
         match mode {
-            SilenceMode::Off => self.set_gates(GateMode::Flowing),
+            SilenceMode::Off => self.set_gates(GateMode::Open),
             SilenceMode::Open | SilenceMode::All => self.set_gates(GateMode::Silent),
         }
     }
@@ -164,26 +164,26 @@
     }
 
     /// Cut all open connections.
-    pub(crate) fn cut_all(&self) {
-        self.set_gates(GateMode::Cut);
+    pub(crate) fn close_all(&self) {
+        self.set_gates(GateMode::Closed);
     }
 
     fn set_gates(&self, mode: GateMode) {
-        let gates = lock(&self.set).gates.clone();
+        let gates = lock(&self.connections).gates.clone();
         for gate in gates.iter().filter_map(Weak::upgrade) {
             gate.set(mode);
         }
     }
 
-    fn admit(&self) -> Arc<ConnectionGate> {
-        let mut set = lock(&self.set);
-        let mode = match set.silence_new {
+    fn register(&self) -> Arc<ConnectionGate> {
+        let mut connections = lock(&self.connections);
+        let mode = match connections.silence_new {
             true => GateMode::Silent,
-            false => GateMode::Flowing,
+            false => GateMode::Open,
         };
         let gate = Arc::new(ConnectionGate::new(mode));
-        set.gates.retain(|gate| gate.strong_count() > 0);
-        set.gates.push(Arc::downgrade(&gate));
+        connections.gates.retain(|gate| gate.strong_count() > 0);
+        connections.gates.push(Arc::downgrade(&gate));
         gate
     }
 }
@@ -201,7 +201,7 @@
 impl Drop for ListenerHandle {
     fn drop(&mut self) {
         self.task.abort();
-        self.control.cut_all();
+        self.control.close_all();
     }
 }
 
@@ -217,7 +217,7 @@
 ) -> io::Result<ListenerHandle>
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
-    F: Future<Output = Response<AnswerBody>> + Send + 'static,
+    F: Future<Output = Response<ResponseBody>> + Send + 'static,
 {
     let listener = TcpListener::bind(address).await?;
     let address = listener.local_addr()?;
@@ -241,7 +241,7 @@
     handler: H,
 ) where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
-    F: Future<Output = Response<AnswerBody>> + Send + 'static,
+    F: Future<Output = Response<ResponseBody>> + Send + 'static,
 {
     let mut listening = control.listening.subscribe();
     let mut bound = Some(listener);
@@ -252,7 +252,7 @@
             (true, None) => match TcpListener::bind(address).await {
                 Ok(listener) => listener,
                 Err(_) => {
-                    tokio::time::sleep(RETRY_PAUSE).await;
+                    tokio::time::sleep(RETRY_DELAY).await;
                     continue;
                 }
             },
@@ -268,7 +268,7 @@
             _ = listening.changed() => {}
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => serve(stream, &control, handler.clone()),
-                Err(_) => tokio::time::sleep(RETRY_PAUSE).await,
+                Err(_) => tokio::time::sleep(RETRY_DELAY).await,
             },
         }
         bound = Some(listener);
@@ -278,11 +278,11 @@
 fn serve<H, F>(stream: TcpStream, control: &ListenerControl, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Send + 'static,
-    F: Future<Output = Response<AnswerBody>> + Send + 'static,
+    F: Future<Output = Response<ResponseBody>> + Send + 'static,
 {
     // Tokens are small and must not wait for each other.
     let _ = stream.set_nodelay(true);
-    let gate = control.admit();
+    let gate = control.register();
     let io = TokioIo::new(GatedStream { stream, gate });
     let service = service_fn(move |request: Request<Incoming>| {
         let id = request.headers().get(REQUEST_ID).cloned();
--- a/bergamotswitch-standin/src/plain.rs
+++ b/bergamotswitch-standin/src/plain.rs
@@ -14,17 +14,17 @@
 use serde_json::json;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::answer::{
-    AnswerBody, CutError, REQUEST_ID, error_answer, json_answer, read_body, refusal_answer,
-    request_id, set_header,
-};
 use crate::deployment::TargetContract;
 use crate::ledger::RunOutcome;
 use crate::listener::{ListenerControl, ListenerHandle, listen};
+use crate::response::{
+    CloseError, REQUEST_ID, ResponseBody, error_response, json_response, read_body,
+    refusal_response, request_id, set_header,
+};
 use crate::target_control::TargetControl;
 
 /// The identity and text with which a crossed call is answered.
-const CROSSED: &str = "crossed";
+const CROSSED_TEXT: &str = "crossed";
 
 /// A `PlainCore` is what all connections of a plain service share.
 #[derive(Debug)]
@@ -82,16 +82,16 @@
     }
 }
 
-async fn handle(core: Arc<PlainCore>, request: Request<Incoming>) -> Response<AnswerBody> {
+async fn handle(core: Arc<PlainCore>, request: Request<Incoming>) -> Response<ResponseBody> {
     let id = request_id(request.headers()).unwrap_or_default();
     let path = request.uri().to_string();
     let Some(body) = read_body(request).await else {
-        return error_answer(StatusCode::BAD_REQUEST, "the body is too long or broke off");
+        return error_response(StatusCode::BAD_REQUEST, "the body is too long or broke off");
     };
     let switches = core.control.switches();
     let refused = switches.refuse;
     if let Some(status) = refused.filter(|_| core.contract.refusal_means_not_run) {
-        return refusal_answer(status);
+        return refusal_response(status);
     }
     let number = core.control.ledger_mut().start(&id, xxh3_64(&body));
     let run = RunGuard {
@@ -100,25 +100,25 @@
         outcome: RunOutcome::Broken,
     };
     if let Some(status) = refused {
-        return refusal_answer(status);
+        return refusal_response(status);
     }
     if switches.error {
-        return error_answer(StatusCode::INTERNAL_SERVER_ERROR, "the run broke");
+        return error_response(StatusCode::INTERNAL_SERVER_ERROR, "the run broke");
     }
     let delay = Duration::from_millis(switches.delay_ms);
-    tokio::time::sleep(switches.slowed(delay)).await;
+    tokio::time::sleep(switches.scaled(delay)).await;
     run.finish();
     let text = String::from_utf8_lossy(&body);
     let (id, echo) = match switches.crossed {
-        true => (CROSSED, CROSSED),
+        true => (CROSSED_TEXT, CROSSED_TEXT),
         false => (id.as_str(), text.as_ref()),
     };
     let answer = json!({"service": core.name, "path": path, "echo": echo, "request_id": id});
     // The switches may have changed during the delay.
     let switches = core.control.switches();
     let mut response = match switches.truncate || switches.drop.is_some() {
-        true => half_answer(&answer.to_string()),
-        false => json_answer(StatusCode::OK, &answer),
+        true => truncated_response(&answer.to_string()),
+        false => json_response(StatusCode::OK, &answer),
     };
     if switches.crossed {
         set_header(&mut response, REQUEST_ID, id);
@@ -127,7 +127,7 @@
 }
 
 /// Get an answer that promises its whole length and breaks off in the middle.
-fn half_answer(text: &str) -> Response<AnswerBody> {
+fn truncated_response(text: &str) -> Response<ResponseBody> {
     let half = Bytes::copy_from_slice(&text.as_bytes()[..text.len() / 2]);
     let pieces = stream::unfold(Some(half), |half| async move {
         if let Some(half) = half {
@@ -135,7 +135,7 @@
         }
         // The first half is flushed before the connection is cut.
         tokio::task::yield_now().await;
-        Some((Err(CutError), None))
+        Some((Err(CloseError), None))
     });
     let mut response = Response::new(StreamBody::new(pieces).boxed_unsync());
     set_header(&mut response, CONTENT_TYPE.as_str(), "application/json");
--- a/bergamotswitch-standin/src/platform.rs
+++ b/bergamotswitch-standin/src/platform.rs
@@ -13,11 +13,11 @@
 use serde_json::{Map, Value, json};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::answer::{AnswerBody, error_answer, json_answer, read_json};
 use crate::deployment::{PoolKind, PoolTarget, PublishedPools, TargetPool};
 use crate::engine::{EngineOptions, EngineStandin};
 use crate::listener::{ListenerControl, ListenerHandle, listen};
 use crate::plain::PlainStandin;
+use crate::response::{ResponseBody, error_response, json_response, read_json};
 use crate::target_control::TargetControl;
 use crate::value::{HOSTS_VALUE, ValueCore, ValueSource, ValueStandin};
 
@@ -31,7 +31,7 @@
 const HOST_LIST: &str = "host-list";
 /// The least time of an engine step. The unit of "about 3" was not given;
 /// milliseconds are what the stand-in takes it for.
-const LEAST_STEP: Duration = Duration::from_millis(3);
+const MIN_STEP: Duration = Duration::from_millis(3);
 
 /// A `PlatformError` says why a platform could not be started.
 #[derive(Debug)]
@@ -218,7 +218,7 @@
     // A full batch makes one token a request and step: its size follows from
     // the speed over all streams, and the step is fitted to the whole number.
     let speed = f64::from(target.expected_speed.max(1));
-    let max_batch = (speed * LEAST_STEP.as_secs_f64()).ceil();
+    let max_batch = (speed * MIN_STEP.as_secs_f64()).ceil();
     let options = EngineOptions {
         contract: target.contract,
         step: Duration::from_secs_f64(max_batch / speed),
@@ -231,12 +231,12 @@
     Ok(PlatformTarget::Engine(started.await?))
 }
 
-async fn handle(core: Arc<PlatformCore>, request: Request<Incoming>) -> Response<AnswerBody> {
+async fn handle(core: Arc<PlatformCore>, request: Request<Incoming>) -> Response<ResponseBody> {
     match (request.method(), request.uri().path()) {
-        (&Method::GET, "/ledger") => json_answer(StatusCode::OK, &core.ledgers()),
-        (&Method::POST, "/control") => match core.control(&read_json(request).await) {
-            Ok(answer) => json_answer(StatusCode::OK, &answer),
-            Err(message) => error_answer(StatusCode::BAD_REQUEST, &message),
+        (&Method::GET, "/ledger") => json_response(StatusCode::OK, &core.ledgers()),
+        (&Method::POST, "/control") => match core.apply_message(&read_json(request).await) {
+            Ok(answer) => json_response(StatusCode::OK, &answer),
+            Err(message) => error_response(StatusCode::BAD_REQUEST, &message),
         },
         _ => crate::value::handle(Arc::clone(&core.configuration), request).await,
     }
@@ -258,7 +258,7 @@
     }
 
     /// Obey a control message, or get what is wrong with it.
-    fn control(&self, message: &Value) -> Result<Value, String> {
+    fn apply_message(&self, message: &Value) -> Result<Value, String> {
         if let Some(publication) = message.get("publish") {
             return self.publish(publication);
         }
--- a/bergamotswitch-standin/src/prefix.rs
+++ b/bergamotswitch-standin/src/prefix.rs
@@ -39,13 +39,13 @@
     }
 
     /// Get how many of a prompt's blocks are held, from its beginning.
-    pub(crate) fn held_blocks(&self, blocks: &[u64]) -> usize {
-        let held = |block: &&u64| self.holds(**block);
+    pub(crate) fn cached_blocks(&self, blocks: &[u64]) -> usize {
+        let held = |block: &&u64| self.contains(**block);
         blocks.iter().take_while(held).count()
     }
 
     /// Get whether a block is held.
-    pub(crate) fn holds(&self, block: u64) -> bool {
+    pub(crate) fn contains(&self, block: u64) -> bool {
         self.blocks.contains(&block)
     }
 
@@ -57,13 +57,13 @@
             let known = self.blocks.iter().position(|held| held == block);
             match known {
                 Some(index) => drop(self.blocks.remove(index)),
-                None => self.announce(*block, true),
+                None => self.publish(*block, true),
             }
             self.blocks.push_back(*block);
         }
         while self.blocks.len() > self.capacity {
             if let Some(block) = self.blocks.pop_front() {
-                self.announce(block, false);
+                self.publish(block, false);
             }
         }
     }
@@ -78,7 +78,7 @@
         self.events.subscribe()
     }
 
-    fn announce(&self, prefix: u64, held: bool) {
+    fn publish(&self, prefix: u64, held: bool) {
         let at = Instant::now();
         // Without readers the announcement is lost, as it should be.
         let _ = self.events.send(PrefixEvent { prefix, held, at });
--- a/bergamotswitch-standin/src/prompt.rs
+++ b/bergamotswitch-standin/src/prompt.rs
@@ -39,13 +39,13 @@
     fn try_from(body: &[u8]) -> Result<Self, serde_json::Error> {
         let request: Value = serde_json::from_slice(body)?;
         let text = prompt_text(&request);
-        let wanted = request["max_tokens"].as_u64().unwrap_or(DEFAULT_TOKENS);
+        let max_tokens = request["max_tokens"].as_u64().unwrap_or(DEFAULT_TOKENS);
         Ok(PromptShape {
             model: request["model"].as_str().unwrap_or_default().to_owned(),
             stream: request["stream"].as_bool().unwrap_or(false),
             tokens: text.len().div_ceil(TOKEN_BYTES).max(1) as u32,
             blocks: block_hashes(text.as_bytes()),
-            output_tokens: wanted.clamp(1, MAX_TOKENS) as u32,
+            output_tokens: max_tokens.clamp(1, MAX_TOKENS) as u32,
             digest: xxh3_64(body),
         })
     }
@@ -59,20 +59,20 @@
 
 fn prompt_text(request: &Value) -> String {
     let mut text = String::new();
-    add_text(&request["prompt"], &mut text);
+    append_text(&request["prompt"], &mut text);
     let messages = request["messages"].as_array();
     for message in messages.into_iter().flatten() {
-        add_text(&message["content"], &mut text);
+        append_text(&message["content"], &mut text);
     }
     text
 }
 
 /// Add a content: a text, or a list of texts and parts with a `text`.
-fn add_text(content: &Value, text: &mut String) {
+fn append_text(content: &Value, text: &mut String) {
     match content {
         Value::String(part) => text.push_str(part),
-        Value::Array(parts) => parts.iter().for_each(|part| add_text(part, text)),
-        Value::Object(part) => add_text(part.get("text").unwrap_or(&Value::Null), text),
+        Value::Array(parts) => parts.iter().for_each(|part| append_text(part, text)),
+        Value::Object(part) => append_text(part.get("text").unwrap_or(&Value::Null), text),
         _ => {}
     }
 }
--- a/bergamotswitch-standin/src/answer.rs
+++ b/bergamotswitch-standin/src/response.rs
@@ -16,23 +16,23 @@
 /// The longest request body, in bytes; long sky logs stay far below it.
 const MAX_BODY: usize = 16 << 20;
 
-/// A `CutError` ends an answer's body by closing its connection.
+/// A `CloseError` ends an answer's body by closing its connection.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct CutError;
+pub(crate) struct CloseError;
 
-impl fmt::Display for CutError {
+impl fmt::Display for CloseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "the connection is cut on purpose")
     }
 }
 
-impl std::error::Error for CutError {}
+impl std::error::Error for CloseError {}
 
 /// The body of every answer.
-pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, CutError>;
+pub(crate) type ResponseBody = UnsyncBoxBody<Bytes, CloseError>;
 
 /// Get a JSON answer.
-pub(crate) fn json_answer(status: StatusCode, value: &Value) -> Response<AnswerBody> {
+pub(crate) fn json_response(status: StatusCode, value: &Value) -> Response<ResponseBody> {
     let bytes = Bytes::from(value.to_string());
     let body = Full::new(bytes).map_err(|never| match never {});
     let mut response = Response::new(body.boxed_unsync());
@@ -43,14 +43,14 @@
 }
 
 /// Get an error answer in the usual form.
-pub(crate) fn error_answer(status: StatusCode, message: &str) -> Response<AnswerBody> {
-    json_answer(status, &json!({"error": {"message": message}}))
+pub(crate) fn error_response(status: StatusCode, message: &str) -> Response<ResponseBody> {
+    json_response(status, &json!({"error": {"message": message}}))
 }
 
 /// Get a refusal, with the seconds after which to try again.
-pub(crate) fn refusal_answer(status: u16) -> Response<AnswerBody> {
+pub(crate) fn refusal_response(status: u16) -> Response<ResponseBody> {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
-    let mut response = error_answer(status, "refused");
+    let mut response = error_response(status, "refused");
     response.headers_mut().insert(RETRY_AFTER, 1.into());
     response
 }
@@ -62,7 +62,7 @@
 }
 
 /// Set a header whose value came from a header or is made of hex digits.
-pub(crate) fn set_header(response: &mut Response<AnswerBody>, name: &'static str, value: &str) {
+pub(crate) fn set_header(response: &mut Response<ResponseBody>, name: &'static str, value: &str) {
     if let Ok(value) = value.parse() {
         response.headers_mut().insert(name, value);
     }
--- a/bergamotswitch-standin/src/switches.rs
+++ b/bergamotswitch-standin/src/switches.rs
@@ -7,9 +7,9 @@
 use serde_json::Value;
 
 /// The least factor of `slow`; 0 would make an engine spin.
-const MIN_SLOW: f64 = 0.01;
+const MIN_SLOW_FACTOR: f64 = 0.01;
 /// The greatest factor of `slow`; a duration must not overflow.
-const MAX_SLOW: f64 = 1e6;
+const MAX_SLOW_FACTOR: f64 = 1e6;
 
 /// A `SilenceMode` says which connections are neither read nor written
 /// while they stay open.
@@ -79,8 +79,8 @@
 
 impl TargetSwitches {
     /// Get how long something takes that would take `duration`.
-    pub(crate) fn slowed(&self, duration: Duration) -> Duration {
-        duration.mul_f64(self.slow.clamp(MIN_SLOW, MAX_SLOW))
+    pub(crate) fn scaled(&self, duration: Duration) -> Duration {
+        duration.mul_f64(self.slow.clamp(MIN_SLOW_FACTOR, MAX_SLOW_FACTOR))
     }
 }
 
--- a/bergamotswitch-standin/src/target_control.rs
+++ b/bergamotswitch-standin/src/target_control.rs
@@ -65,13 +65,13 @@
             self.listener.set_listening(!switches.reject);
         }
         if before.drop != switches.drop && switches.drop == Some(0) {
-            self.listener.cut_all();
+            self.listener.close_all();
         }
     }
 
     /// Cut all open connections.
     pub fn close_connections(&self) {
-        self.listener.cut_all();
+        self.listener.close_all();
     }
 
     /// Get a copy of the ledger.
--- a/bergamotswitch-standin/src/value.rs
+++ b/bergamotswitch-standin/src/value.rs
@@ -14,8 +14,8 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::answer::{AnswerBody, error_answer, json_answer, query_number};
 use crate::listener::{ListenerControl, ListenerHandle, listen};
+use crate::response::{ResponseBody, error_response, json_response, query_number};
 use crate::switches::{OutageMode, ValueSwitches, merge};
 use crate::target_control::lock;
 
@@ -48,7 +48,7 @@
 struct ValueRevision {
     revision: u64,
     body: Arc<Value>,
-    shows_at: Instant,
+    visible_at: Instant,
 }
 
 #[derive(Debug, Default)]
@@ -168,7 +168,7 @@
         revisions.push_back(ValueRevision {
             revision,
             body: Arc::new(body),
-            shows_at: Instant::now() + lag,
+            visible_at: Instant::now() + lag,
         });
         if revisions.len() > MAX_REVISIONS {
             revisions.pop_front();
@@ -187,7 +187,7 @@
             let refused = switches.outage == OutageMode::Refused;
             self.control.set_listening(!refused);
             if refused {
-                self.control.cut_all();
+                self.control.close_all();
             }
         }
         self.changes.send_modify(|count| *count += 1);
@@ -195,7 +195,7 @@
 
     /// Count a call, and get the highest revision that the replica it reached
     /// knows of any value.
-    fn count(&self, is_watch: bool) -> Replica {
+    fn record_call(&self, is_watch: bool) -> Replica {
         let mut state = lock(&self.state);
         match is_watch {
             true => state.counts.watches += 1,
@@ -208,23 +208,28 @@
         }
     }
 
-    /// Get the newest revision that shows, and when a newer one will.
-    fn newest(&self, name: &str, replica: Replica) -> (Option<ValueRevision>, Option<Instant>) {
+    /// Get the newest revision that is_visible, and when a newer one will.
+    fn newest_visible(
+        &self,
+        name: &str,
+        replica: Replica,
+    ) -> (Option<ValueRevision>, Option<Instant>) {
         let state = lock(&self.state);
         let Some(revisions) = state.values.get(name) else {
             return (None, None);
         };
         let now = Instant::now();
-        let hidden = revisions.iter().find(|value| value.shows_at > now);
+        let hidden = revisions.iter().find(|value| value.visible_at > now);
         let last = revisions.back().map_or(0, |last| last.revision);
-        let ceiling = match (replica, state.switches.stale, state.switches.flapping) {
+        let max_revision = match (replica, state.switches.stale, state.switches.flapping) {
             (Replica::Fresh, _, _) | (_, None, false) => u64::MAX,
             (Replica::Stale, Some(revision), _) => revision,
             (Replica::Stale, None, true) => last.saturating_sub(1),
         };
-        let shows = |value: &&ValueRevision| value.shows_at <= now && value.revision <= ceiling;
-        let newest = revisions.iter().rev().find(shows).cloned();
-        (newest, hidden.map(|value| value.shows_at))
+        let is_visible =
+            |value: &&ValueRevision| value.visible_at <= now && value.revision <= max_revision;
+        let newest = revisions.iter().rev().find(is_visible).cloned();
+        (newest, hidden.map(|value| value.visible_at))
     }
 }
 
@@ -240,63 +245,67 @@
 pub(crate) async fn handle(
     core: Arc<ValueCore>,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let path = request.uri().path();
     let name = match core.source {
         ValueSource::Configuration => path.strip_prefix("/v1/values/"),
         ValueSource::HostList => (path == "/v1/hosts").then_some(HOSTS_VALUE),
     };
     let (&Method::GET, Some(name)) = (request.method(), name) else {
-        return error_answer(StatusCode::NOT_FOUND, "values are only read and watched");
+        return error_response(StatusCode::NOT_FOUND, "values are only read and watched");
     };
     let after = query_number(&request, "after");
     let wait = Duration::from_millis(query_number(&request, "wait_ms").unwrap_or(0));
-    let replica = core.count(after.is_some() && !wait.is_zero());
+    let replica = core.record_call(after.is_some() && !wait.is_zero());
     let latency = lock(&core.state).switches.latency_ms;
     sleep(Duration::from_millis(latency)).await;
     let deadline = Instant::now() + wait.min(MAX_WAIT);
-    answer_value(&core, name, after, deadline, replica).await
+    wait_for_value(&core, name, after, deadline, replica).await
 }
 
-async fn answer_value(
+async fn wait_for_value(
     core: &ValueCore,
     name: &str,
     after: Option<u64>,
     deadline: Instant,
     replica: Replica,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let mut changes = core.changes.subscribe();
     loop {
         changes.mark_unchanged();
         if lock(&core.state).switches.outage != OutageMode::Off {
-            return error_answer(StatusCode::SERVICE_UNAVAILABLE, "outage");
+            return error_response(StatusCode::SERVICE_UNAVAILABLE, "outage");
         }
-        let (newest, shows_at) = core.newest(name, replica);
-        let is_wanted =
+        let (newest, visible_at) = core.newest_visible(name, replica);
+        let is_newer =
             |value: &ValueRevision| after.is_none_or(|revision| value.revision > revision);
-        if let Some(value) = newest.filter(is_wanted) {
-            return value_answer(core.source, name, &value);
+        if let Some(value) = newest.filter(is_newer) {
+            return value_response(core.source, name, &value);
         }
         let Some(_) = after else {
-            return error_answer(StatusCode::NOT_FOUND, "unknown value");
+            return error_response(StatusCode::NOT_FOUND, "unknown value");
         };
         if Instant::now() >= deadline {
-            let mut response = Response::new(AnswerBody::default());
+            let mut response = Response::new(ResponseBody::default());
             *response.status_mut() = StatusCode::NOT_MODIFIED;
             return response;
         }
-        let next_look = shows_at.map_or(deadline, |at| at.min(deadline));
+        let wake_at = visible_at.map_or(deadline, |at| at.min(deadline));
         tokio::select! {
             _ = changes.changed() => {}
-            () = sleep_until(next_look) => {}
+            () = sleep_until(wake_at) => {}
         }
     }
 }
 
-fn value_answer(source: ValueSource, name: &str, value: &ValueRevision) -> Response<AnswerBody> {
+fn value_response(
+    source: ValueSource,
+    name: &str,
+    value: &ValueRevision,
+) -> Response<ResponseBody> {
     let mut answer = json!({"revision": value.revision, "body": &*value.body});
     if source == ValueSource::Configuration {
         answer["name"] = json!(name);
     }
-    json_answer(StatusCode::OK, &answer)
+    json_response(StatusCode::OK, &answer)
 }
