--- a/bergamotswitch-standin/src/batch.rs
+++ b/bergamotswitch-standin/src/batch.rs
@@ -1,5 +1,6 @@
-//! Provides the continuous batching of an engine: every step gives each
-//! running request one token; what does not fit waits in arrival order.
+//! Provides the continuous batching of an engine: each step produces one output
+//! token per running request whose prefill is done. Requests that do not fit
+//! into the batch are queued in arrival order.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -11,18 +12,18 @@
 use crate::prefix::PrefixCache;
 use crate::prompt::{BLOCK_TOKENS, PromptShape};
 
-/// A `RunProgress` is how far a run has come.
+/// A `RunProgress` is the progress of a run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RunProgress {
-    /// The output tokens made.
+    /// The number of output tokens produced so far.
     pub(crate) emitted: u32,
-    /// The prompt tokens that the prefix cache saved.
+    /// The number of prompt tokens found in the prefix cache.
     pub(crate) cached_tokens: u32,
-    /// Whether and how it ended.
+    /// The outcome, [`RunOutcome::Running`] until the run ends.
     pub(crate) outcome: RunOutcome,
 }
 
-/// An `EngineRun` is one run of one completion request.
+/// An `EngineRun` is one execution of a completion request.
 #[derive(Debug)]
 pub(crate) struct EngineRun {
     pub(crate) stream_id: String,
@@ -33,17 +34,17 @@
 }
 
 impl EngineRun {
-    /// Get how far the run has come.
     pub(crate) fn progress(&self) -> RunProgress {
         *self.progress.borrow()
     }
 
-    /// Get whether the run goes on.
+    /// Get whether the run has not ended yet.
     pub(crate) fn is_live(&self) -> bool {
         self.progress().outcome == RunOutcome::Running
     }
 
-    /// Get the tokens that the run holds at its end.
+    /// Get the number of tokens, prompt and output, that the run occupies at its
+    /// end.
     fn tokens(&self) -> u64 {
         u64::from(self.shape.tokens) + u64::from(self.shape.output_tokens)
     }
@@ -62,7 +63,7 @@
     }
 }
 
-/// A `LoadSample` is an engine's load at one moment.
+/// A `LoadSample` is the load of an engine at one point in time.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LoadSample {
     pub(crate) running: usize,
@@ -70,7 +71,8 @@
     pub(crate) outstanding_tokens: u64,
 }
 
-/// An `EngineBatch` is the runs inside an engine and its prefix cache.
+/// An `EngineBatch` is the running batch, the queue and the prefix cache of an
+/// engine.
 #[derive(Debug)]
 pub(crate) struct EngineBatch {
     max_batch: usize,
@@ -94,23 +96,23 @@
         }
     }
 
-    /// Take a run in; it waits for its place.
+    /// Add a run to the end of the queue.
     pub(crate) fn submit(&mut self, run: Arc<EngineRun>) {
         self.waiting.push_back(run);
     }
 
-    /// Take a run out before its end.
+    /// Remove a run from the queue or the batch before it finishes.
     pub(crate) fn remove(&mut self, run: &Arc<EngineRun>) {
         self.waiting.retain(|other| !Arc::ptr_eq(other, run));
         self.running.retain(|slot| !Arc::ptr_eq(&slot.run, run));
     }
 
-    /// Get whether there is nothing to do.
+    /// Get whether no run is queued or running.
     pub(crate) fn is_idle(&self) -> bool {
         self.waiting.is_empty() && self.running.is_empty()
     }
 
-    /// Get the load.
+    /// Get the current load.
     pub(crate) fn load(&self) -> LoadSample {
         let waiting: u64 = self.waiting.iter().map(|run| run.tokens()).sum();
         let running: u64 = self.running.iter().map(BatchSlot::outstanding_tokens).sum();
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Make one step, and get the runs that it finished.
+    /// Execute one step, and get the runs that finished in it.
     pub(crate) fn step(&mut self) -> Vec<Arc<EngineRun>> {
         self.admit_waiting();
         let mut prefill_budget = self.prefill_per_step;
@@ -150,8 +152,9 @@
         finished
     }
 
-    /// Move waiting runs into the batch while the first of them fits. A run
-    /// above the token limit runs alone rather than never.
+    /// Move runs from the queue into the batch as long as the first one fits. A
+    /// run above the token limit is admitted into an empty batch, since it would
+    /// otherwise never run.
     fn admit_waiting(&mut self) {
         while self.running.len() < self.max_batch {
             let Some(first) = self.waiting.front() else {
--- a/bergamotswitch-standin/src/deployment.rs
+++ b/bergamotswitch-standin/src/deployment.rs
@@ -1,68 +1,69 @@
-//! Provides the published pools as far as stand-ins need them.
+//! Provides the parts of the published `pools` value that stand-ins read.
 
 use std::net::SocketAddr;
 
 use serde::Deserialize;
 
-/// A `TargetContract` says what a target honours; what is absent it does not.
+/// A `TargetContract` is the set of optional capabilities that a target
+/// supports; a missing member means unsupported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct TargetContract {
-    /// It refuses an order that carries an older fencing number.
+    /// Whether the target rejects requests with an outdated fencing token.
     pub checks_fencing: bool,
-    /// It resumes a stream by its id and offset without a second run.
+    /// Whether a stream can be resumed by id and offset without a second run.
     pub resumes: bool,
-    /// It stops a stream on request.
+    /// Whether a stream can be cancelled.
     pub cancels: bool,
-    /// A refusal (429 or 503) proves that the request was not run.
+    /// Whether a refusal (429 or 503) guarantees that the request was not run.
     pub refusal_means_not_run: bool,
-    /// It exports and imports KV cache.
+    /// Whether the target exports and imports KV cache.
     pub moves_cache: bool,
 }
 
-/// A `PoolKind` says how a pool's targets are spoken to.
+/// A `PoolKind` is the protocol that the targets of a pool speak.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PoolKind {
-    /// Model engines.
+    /// The protocol of model engines, with streams and cache events.
     #[default]
     Engine,
-    /// Plain services.
+    /// Plain HTTP requests and responses.
     Plain,
 }
 
-/// A `PoolTarget` is one target to stand in for.
+/// A `PoolTarget` is a published target for which a stand-in is started.
 #[derive(Clone, Debug, Deserialize)]
 pub struct PoolTarget {
-    /// The target's name.
+    /// The name of the target.
     pub name: String,
-    /// Where it listens.
+    /// The address on which the target listens.
     pub address: SocketAddr,
-    /// What it honours.
+    /// The capabilities of the target.
     #[serde(default)]
     pub contract: TargetContract,
-    /// Its output tokens per second over all its streams.
+    /// The output tokens per second over all streams of the target.
     #[serde(default = "default_speed")]
     pub expected_speed: u32,
-    /// The most tokens (prompt and output) that its batch holds.
+    /// The maximum number of tokens, prompt and output, in the target's batch.
     #[serde(default = "default_token_limit")]
     pub token_limit: u32,
 }
 
-/// A `TargetPool` is a group of targets.
+/// A `TargetPool` is a group of targets with the same protocol.
 #[derive(Clone, Debug, Deserialize)]
 pub struct TargetPool {
-    /// How its targets are spoken to.
+    /// The protocol of the targets.
     #[serde(default)]
     pub kind: PoolKind,
-    /// Its targets.
+    /// The targets of the pool.
     pub targets: Vec<PoolTarget>,
 }
 
-/// A `PublishedPools` is the value `pools`.
+/// A `PublishedPools` is the content of the published value `pools`.
 #[derive(Clone, Debug, Deserialize)]
 pub struct PublishedPools {
-    /// The pools.
+    /// All published pools.
     pub pools: Vec<TargetPool>,
 }
 
--- a/bergamotswitch-standin/src/engine.rs
+++ b/bergamotswitch-standin/src/engine.rs
@@ -1,4 +1,5 @@
-//! Provides the engine stand-in.
+//! Provides the stand-in for a model engine, with a simulated batch and prefix
+//! cache.
 
 use std::io;
 use std::net::SocketAddr;
@@ -23,22 +24,22 @@
 };
 use crate::target_control::TargetControl;
 
-/// An `EngineOptions` says how an engine stand-in behaves.
+/// An `EngineOptions` is the configuration of an engine stand-in.
 #[derive(Clone, Debug)]
 pub struct EngineOptions {
-    /// What it honours.
+    /// The capabilities of the engine.
     pub contract: TargetContract,
-    /// The time of one step.
+    /// The duration of one step of the batch.
     pub step: Duration,
-    /// The most requests that it runs at once.
+    /// The maximum number of requests in the batch.
     pub max_batch: usize,
-    /// Prompt tokens per second, over all requests.
+    /// The prompt tokens processed per second, over all requests.
     pub prefill_speed: u32,
-    /// The most tokens (prompt and output) of the requests that it runs.
+    /// The maximum number of tokens, prompt and output, in the batch.
     pub token_limit: u64,
-    /// The prefix blocks of 1024 bytes that it holds.
+    /// The capacity of the prefix cache, in blocks of 1024 bytes.
     pub cache_blocks: usize,
-    /// The seed of stream ids and of gaps in the cache events.
+    /// The seed of the stream ids and of the dropped cache events.
     pub seed: u64,
 }
 
@@ -63,26 +64,26 @@
 }
 
 impl EngineOptions {
-    /// Set what the engine honours.
+    /// Set the capabilities of the engine.
     pub fn with_contract(mut self, contract: TargetContract) -> Self {
         self.contract = contract;
         self
     }
 
-    /// Set the time of one step.
+    /// Set the duration of one step of the batch.
     pub fn with_step(mut self, step: Duration) -> Self {
         self.step = step;
         self
     }
 
-    /// Set the most requests that run at once.
+    /// Set the maximum number of requests in the batch.
     pub fn with_max_batch(mut self, max_batch: usize) -> Self {
         self.max_batch = max_batch;
         self
     }
 }
 
-/// An `EngineStandin` is a running engine stand-in; dropping it stops it.
+/// An `EngineStandin` is a running engine stand-in; it stops when dropped.
 #[derive(Debug)]
 pub struct EngineStandin {
     core: Arc<EngineCore>,
@@ -91,11 +92,11 @@
 }
 
 impl EngineStandin {
-    /// Try to start an engine stand-in.
+    /// Try to start an engine stand-in on an address.
     ///
     /// # Errors
     ///
-    /// Returns the error of binding the address.
+    /// Returns an error if the address cannot be bound.
     pub async fn try_start(address: SocketAddr, options: EngineOptions) -> io::Result<Self> {
         let control = ListenerControl::new();
         let core = EngineCore::new(options, TargetControl::new(Arc::clone(&control)));
@@ -117,13 +118,14 @@
         self.listener.address
     }
 
-    /// Get the switches and the ledger.
+    /// Get the fault switches and the ledger.
     pub fn control(&self) -> &TargetControl {
         &self.core.control
     }
 
-    /// Forget all streams and cut all connections, as a restarted process
-    /// does. What ran is broken; the ledger stays.
+    /// Simulate a process restart: drop all streams and cached prefixes, close
+    /// all connections, and record running requests as
+    /// [`RunOutcome::Broken`]. The ledger is kept.
     pub fn restart(&self) {
         self.core.restart();
     }
@@ -212,7 +214,7 @@
     };
     let progress = run.progress();
     let done = progress.outcome == RunOutcome::Finished;
-    // The terminator is an event too.
+    // The `[DONE]` terminator counts as an event.
     let offset = progress.emitted + u32::from(done);
     let status = json!({
         "stream_id": run.stream_id,
--- a/bergamotswitch-standin/src/engine_core.rs
+++ b/bergamotswitch-standin/src/engine_core.rs
@@ -1,4 +1,4 @@
-//! Provides the state of an engine stand-in and the task that steps it.
+//! Provides the state of an engine stand-in and the loop that steps its batch.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex};
@@ -16,10 +16,11 @@
 use crate::prompt::PromptShape;
 use crate::target_control::{TargetControl, lock};
 
-/// The streams kept for resuming; the oldest ended ones go first.
+/// The number of streams kept for resuming, above which ended ones are evicted,
+/// oldest first. Eviction stops at the first run that has not ended.
 const MAX_STREAMS: usize = 4096;
-/// The steps that a late engine catches up on; beyond them it was paused, and
-/// a paused engine makes no tokens.
+/// The maximum number of missed steps that are made up for. A longer delay is
+/// treated as a pause of the engine, during which no tokens are produced.
 const MAX_CATCH_UP: u32 = 10;
 
 #[derive(Debug)]
@@ -32,7 +33,7 @@
     rng: StdRng,
 }
 
-/// An `EngineCore` is the state of an engine stand-in.
+/// An `EngineCore` is the state that all connections of an engine stand-in share.
 #[derive(Debug)]
 pub(crate) struct EngineCore {
     pub(crate) options: EngineOptions,
@@ -59,7 +60,7 @@
         })
     }
 
-    /// Step the batch for ever.
+    /// Step the batch in an endless loop, which waits while the batch is idle.
     pub(crate) async fn run(self: Arc<Self>) {
         let mut next = Instant::now();
         loop {
@@ -85,7 +86,7 @@
         self.sample_load(&mut state);
     }
 
-    /// Begin a run.
+    /// Start a run of a request, and add it to the batch's queue.
     pub(crate) fn submit(&self, request_id: Option<String>, shape: PromptShape) -> Arc<EngineRun> {
         let mut state = lock(&self.state);
         let stream_id = format!("{:016x}", state.rng.random::<u64>());
@@ -112,7 +113,7 @@
         run
     }
 
-    /// End a run before its time.
+    /// End a run early with an outcome; a run that has ended is unchanged.
     pub(crate) fn stop(&self, run: &Arc<EngineRun>, outcome: RunOutcome) {
         let mut state = lock(&self.state);
         if run.is_live() {
@@ -122,7 +123,8 @@
         }
     }
 
-    /// Forget all streams, requests and prefixes; what ran is broken.
+    /// Drop all streams, requests and cached prefixes, record running requests as
+    /// broken, and close all connections.
     pub(crate) fn restart(&self) {
         let mut state = lock(&self.state);
         self.fail_runs(&mut state);
@@ -150,18 +152,19 @@
             .send_modify(|progress| progress.outcome = outcome);
     }
 
-    /// Get a run by its stream id.
+    /// Get a run by its stream id, if it is still kept.
     pub(crate) fn stream(&self, stream_id: &str) -> Option<Arc<EngineRun>> {
         lock(&self.state).streams.get(stream_id).cloned()
     }
 
-    /// Get the latest run of a request id.
+    /// Get the latest run of a request id, if it is still kept.
     pub(crate) fn request(&self, request_id: &str) -> Option<Arc<EngineRun>> {
         lock(&self.state).requests.get(request_id).cloned()
     }
 
-    /// Get the identity and the digest with which a run is answered: its own,
-    /// or those of the latest other request where answers are crossed.
+    /// Get the request id and the body digest used in the response to a run:
+    /// those of the run, or with the `crossed` switch those of the latest run of
+    /// another request, or made-up ones if there is none.
     pub(crate) fn response_identity(&self, run: &EngineRun) -> (String, u64) {
         if !self.control.switches().crossed {
             return (run.request_id.clone(), run.shape.digest);
@@ -175,7 +178,7 @@
         }
     }
 
-    /// Get the load as it was a lag ago, and the lag in milliseconds.
+    /// Get the load as it was `load_lag_ms` ago, and that lag in milliseconds.
     pub(crate) fn load(&self) -> (LoadSample, u64) {
         let mut state = lock(&self.state);
         let lag = self.control.switches().load_lag_ms;
@@ -186,7 +189,7 @@
 
     fn sample_load(&self, state: &mut EngineState) {
         if state.load_samples.is_empty() {
-            // The load before the first change.
+            // The load before the first change is zero.
             let since = Instant::now();
             state.load_samples.push_back((since, LoadSample::default()));
         }
@@ -195,22 +198,23 @@
         state.evict_loads(self.control.switches().load_lag_ms);
     }
 
-    /// Get whether a prefix is held.
+    /// Get whether a prefix is cached.
     pub(crate) fn holds_prefix(&self, prefix: u64) -> bool {
         lock(&self.state).batch.cache.contains(prefix)
     }
 
-    /// Hold a prefix that was computed elsewhere.
+    /// Add a prefix to the cache that was computed by another engine.
     pub(crate) fn import_prefix(&self, prefix: u64) {
         lock(&self.state).batch.cache.insert(&[prefix]);
     }
 
-    /// Get the cache events from now on.
+    /// Subscribe to cache events; earlier events are not delivered.
     pub(crate) fn cache_events(&self) -> broadcast::Receiver<PrefixEvent> {
         lock(&self.state).batch.cache.subscribe()
     }
 
-    /// Draw whether a cache event is lost.
+    /// Decide at random, by the `cache_event_gaps` percentage, whether a cache
+    /// event is dropped.
     pub(crate) fn drops_cache_event(&self) -> bool {
         let gaps = self.control.switches().cache_event_gaps;
         lock(&self.state).rng.random_range(0..100) < gaps
@@ -232,7 +236,7 @@
         }
     }
 
-    /// Forget the samples that were outdated a lag ago.
+    /// Evict the samples that were already superseded `lag_ms` ago.
     fn evict_loads(&mut self, lag_ms: u64) {
         let Some(then) = Instant::now().checked_sub(Duration::from_millis(lag_ms)) else {
             return;
--- a/bergamotswitch-standin/src/engine_stream.rs
+++ b/bergamotswitch-standin/src/engine_stream.rs
@@ -1,4 +1,5 @@
-//! Provides the event streams of an engine: answers and cache events.
+//! Provides the responses of an engine: completions, streamed or as one body,
+//! and the stream of cache events.
 
 use std::sync::Arc;
 
@@ -18,16 +19,16 @@
 use crate::prompt::output_token;
 use crate::response::{CloseError, REQUEST_ID, ResponseBody, set_header};
 
-/// A `StreamCursor` is one connection's place in a run's events.
+/// A `StreamCursor` is the position of one connection in the events of a run.
 struct StreamCursor {
     caller: CallerGuard,
     progress: watch::Receiver<RunProgress>,
-    /// The identity and digest with which the run is answered.
+    /// The request id and the body digest used in the response.
     identity: (String, u64),
-    /// The number of the next event; the terminator's is one above the last
-    /// token's.
+    /// The number of the next event. The terminator has the number after the
+    /// last token's.
     next: u32,
-    /// The events sent on this connection.
+    /// The number of events sent on this connection.
     sent: u32,
 }
 
@@ -37,8 +38,8 @@
         loop {
             let switches = self.caller.core.control.switches();
             if switches.drop.is_some_and(|limit| self.sent >= limit) {
-                // What was sent so far is flushed before the connection is
-                // cut, so that the cut comes in the middle of the answer.
+                // Yielding lets the events so far be flushed, so that the
+                // connection closes in the middle of the response.
                 tokio::task::yield_now().await;
                 return Some(Err(CloseError));
             }
@@ -86,7 +87,8 @@
     }
 }
 
-/// A `CallerGuard` stands for the caller that a run is made for.
+/// A `CallerGuard` stops a run when its caller's connection closes, unless the
+/// stream can be resumed.
 struct CallerGuard {
     core: Arc<EngineCore>,
     run: Arc<EngineRun>,
@@ -103,8 +105,8 @@
 
 impl Drop for CallerGuard {
     fn drop(&mut self) {
-        // Without resuming nobody can ask for the rest; an engine then stops
-        // the run, as real ones do when their caller is gone.
+        // Without resuming, the rest of the output cannot be requested again.
+        // Engines abort such a run when its caller disconnects.
         if !self.core.options.contract.resumes {
             self.core.stop(&self.run, RunOutcome::Broken);
         }
@@ -119,7 +121,7 @@
     })
 }
 
-/// Get the answer that streams a run's events after `offset`.
+/// Get the response that streams the events of a run after `offset`.
 pub(crate) fn stream_response(
     core: &Arc<EngineCore>,
     run: &Arc<EngineRun>,
@@ -143,8 +145,8 @@
     response
 }
 
-/// Get a run's whole answer as one JSON value, waiting for its end; `None`
-/// where it ended otherwise.
+/// Wait for the end of a run, and get the request id and the complete answer as
+/// one JSON value, or `None` if the run did not finish.
 pub(crate) async fn complete_response(
     core: &Arc<EngineCore>,
     run: &Arc<EngineRun>,
@@ -173,7 +175,8 @@
     Some((id, answer))
 }
 
-/// Get the answer that streams cache events, late and with gaps.
+/// Get the response that streams cache events, delayed and incomplete according
+/// to the switches.
 pub(crate) fn cache_event_response(core: &Arc<EngineCore>) -> Response<ResponseBody> {
     let subscription = (Arc::clone(core), core.cache_events());
     let events = stream::unfold(subscription, |(core, mut receiver)| async move {
--- a/bergamotswitch-standin/src/gateway_target.rs
+++ b/bergamotswitch-standin/src/gateway_target.rs
@@ -1,5 +1,5 @@
-//! Provides a stand-in of the users' platform's targets: plain answers and
-//! streams of events, each signed, and a switch for each kind of wrong answer.
+//! Provides the stand-in for a target of the gateway: plain and streamed
+//! responses with a `response-seal` header, and fault injection for each call.
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -21,52 +21,54 @@
 use crate::loopback_listener::LoopbackListener;
 use crate::target_control::lock;
 
-/// A `ResponseMode` is how a target answers one call.
+/// A `ResponseMode` is the way in which a target answers one call.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum ResponseMode {
-    /// With its whole answer.
+    /// A complete, valid response.
     #[default]
     Normal,
-    /// It says that it does not run the call.
+    /// A 503 response with the header `not-executed`.
     Full,
-    /// With its own error.
+    /// A 500 response.
     ServerError,
-    /// Without its signature.
+    /// A response without the `response-seal` header.
     Unsigned,
-    /// With the id of another call.
+    /// A response with the request id of another call.
     WrongRequestId,
-    /// It closes the connection without an answer.
+    /// The connection is closed without a response.
     Close,
-    /// It closes the connection after so long, without an answer.
+    /// The connection is closed without a response after a delay.
     CloseAfter(Duration),
-    /// It never answers.
+    /// No response is sent, and the connection stays open.
     NoResponse,
-    /// Its stream breaks off in the middle of the event after so many.
+    /// The stream is cut off inside the event that follows a number of complete
+    /// events.
     TruncateAfter(u32),
-    /// Its stream stands still for so long after so many events.
+    /// The stream pauses for a duration after a number of events.
     PauseAfter(u32, Duration),
 }
 
-/// A `RecordedCall` is one call as a target got it.
+/// A `RecordedCall` is a call as the target received it.
 #[derive(Clone, Debug)]
 pub struct RecordedCall {
-    /// Method, path and query.
+    /// The method, path and query.
     pub request_line: String,
-    /// The header fields.
+    /// The headers of the request.
     pub headers: HeaderMap,
-    /// The body.
+    /// The body of the request.
     pub body: Bytes,
-    /// When it came.
+    /// The time at which the call was received.
     pub received_at: Instant,
-    /// Whether the target began to work on it.
+    /// Whether the target started to execute the call.
     pub ran: bool,
-    /// When its stream ended, whole or broken off; none while it goes on, or
-    /// where the answer is no stream.
+    /// The time at which the response stream ended, complete or not; `None` while
+    /// it is open or if the response is not a stream.
     pub ended_at: Option<Instant>,
 }
 
 impl RecordedCall {
-    /// Get a field's text, empty where it is absent.
+    /// Get the value of a header, or an empty string if it is missing or not
+    /// visible ASCII.
     pub fn field(&self, name: &str) -> &str {
         let value = self.headers.get(name);
         value
@@ -85,17 +87,18 @@
     instance: Mutex<TargetInstance>,
 }
 
-/// What a target tells of its run.
+/// A `TargetInstance` is one incarnation of a target, as its registration
+/// describes it.
 #[derive(Debug)]
 struct TargetInstance {
-    /// The Unix millisecond of its start.
+    /// The start time in Unix milliseconds.
     started_ms: u64,
-    /// How often it has registered.
+    /// The number of registrations so far.
     sequence: u64,
 }
 
 impl TargetInstance {
-    /// Get a run that starts now, later than the one before.
+    /// Get an instance that starts now, but later than `earlier`.
     fn starting_after(earlier: u64) -> Self {
         let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
         let now = now.map_or(0, |span| span.as_millis() as u64);
@@ -106,7 +109,8 @@
     }
 }
 
-/// A `GatewayTargetStandin` is a running stand-in; its drop stops it.
+/// A `GatewayTargetStandin` is a running target stand-in; it stops accepting
+/// connections when dropped.
 #[derive(Debug)]
 pub struct GatewayTargetStandin {
     listener: LoopbackListener,
@@ -114,12 +118,12 @@
 }
 
 impl GatewayTargetStandin {
-    /// Try to start a target on a free port of loopback, whose streams have so
-    /// many events, each after a pause.
+    /// Try to start a target on a free loopback port. Its streams have `events`
+    /// events, with a pause of `gap` before each.
     ///
     /// # Errors
     ///
-    /// Returns an error where there is none.
+    /// Returns an error if no port can be bound.
     pub async fn start(name: &str, events: u32, gap: Duration) -> io::Result<Self> {
         let shared = Arc::new(TargetShared {
             name: name.to_owned(),
@@ -135,26 +139,27 @@
         Ok(GatewayTargetStandin { listener, shared })
     }
 
-    /// Get where it listens.
+    /// Get the bound address.
     pub fn address(&self) -> SocketAddr {
         self.listener.address
     }
 
-    /// Get its name.
+    /// Get the name of the target.
     pub fn name(&self) -> &str {
         &self.shared.name
     }
 
-    /// Start again under the same name: its connections end, with all that it
-    /// worked on, and its counts start anew.
+    /// Simulate a process restart under the same name: close all connections,
+    /// abort all calls, and start a new instance whose registrations count from
+    /// zero.
     pub fn restart(&self) {
         self.listener.close_connections();
         let mut instance = lock(&self.shared.instance);
         *instance = TargetInstance::starting_after(instance.started_ms);
     }
 
-    /// Get what it writes to the store of itself, at an address that may be that
-    /// of a relay before it.
+    /// Get the next registration of the target for the store. The address may be
+    /// that of a relay in front of the target.
     pub fn registration(&self, service: &str, address: SocketAddr, state: &str) -> Value {
         let mut instance = lock(&self.shared.instance);
         instance.sequence += 1;
@@ -165,17 +170,18 @@
         })
     }
 
-    /// Set how the next calls are answered, one after the other.
+    /// Add the response modes of further calls, one for each, to the queue. Calls
+    /// beyond the queue are answered normally.
     pub fn queue_responses(&self, modes: &[ResponseMode]) {
         lock(&self.shared.modes).extend(modes.iter().cloned());
     }
 
-    /// Set how the next calls are answered, in place of what was set before.
+    /// Replace the queue of response modes.
     pub fn replace_responses(&self, modes: &[ResponseMode]) {
         *lock(&self.shared.modes) = modes.iter().cloned().collect();
     }
 
-    /// Get the calls that came.
+    /// Get all calls received so far, in order of arrival.
     pub fn calls(&self) -> Vec<RecordedCall> {
         lock(&self.shared.calls).clone()
     }
@@ -291,7 +297,8 @@
 
 type EventFrames = Pin<Box<dyn Stream<Item = Result<Frame<Bytes>, io::Error>> + Send + Sync>>;
 
-/// Get the stream of a call, from behind the last event that it names.
+/// Get the streamed response to a call, which starts after the event named in the
+/// `last-event-id` header.
 fn event_response(
     shared: &Arc<TargetShared>,
     call: &RecordedCall,
@@ -315,7 +322,7 @@
         _ => (None, Duration::ZERO),
     };
     let frames = stream::iter(first..=last).then(move |id| {
-        // The stream holds the run until it has ended or is dropped.
+        // The stream owns the guard until it ends or is dropped.
         let _guard = &guard;
         async move {
             sleep(gap).await;
@@ -335,7 +342,8 @@
     response
 }
 
-/// A `StreamGuard` is a stream that goes on; its drop notes when it ended.
+/// A `StreamGuard` is an open response stream; its drop records the end time in
+/// the call.
 struct StreamGuard {
     shared: Arc<TargetShared>,
     index: usize,
@@ -347,7 +355,7 @@
     }
 }
 
-/// Get a number that a call's query names, where it does.
+/// Get a numeric query parameter of a request line, if it is present and valid.
 fn query_number(line: &str, name: &str) -> Option<u32> {
     let (_, query) = line.split_once('?')?;
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -355,12 +363,12 @@
     number.parse().ok()
 }
 
-/// Get one event's bytes.
+/// Get the text of an event without padding.
 pub fn event_text(id: u32) -> String {
     padded_event(id, 0)
 }
 
-/// Get the bytes of an event that is longer by so much.
+/// Get the text of an event that is extended by `padding` bytes.
 pub fn padded_event(id: u32, padding: usize) -> String {
     format!("id: {id}\ndata: piece {id}{}\n\n", ".".repeat(padding))
 }
--- a/bergamotswitch-standin/src/kv_store.rs
+++ b/bergamotswitch-standin/src/kv_store.rs
@@ -1,5 +1,6 @@
-//! Provides a stand-in of the users' platform's store: items by key, reads by
-//! prefix, watches, and a switch for each way in which the store misbehaves.
+//! Provides the stand-in for the key-value store from which the gateway reads
+//! routes and targets: range reads and watches by key prefix, with fault
+//! injection.
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -19,15 +20,15 @@
 use crate::loopback_listener::LoopbackListener;
 use crate::target_control::lock;
 
-/// A `StoreMode` is how the store answers.
+/// A `StoreMode` is the way in which the store answers calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreMode {
-    /// As it should.
+    /// Calls are answered normally.
     #[default]
     Normal,
-    /// With 503 to every call.
+    /// Every call is answered with 503.
     Unavailable,
-    /// Never.
+    /// Calls are accepted but never answered.
     NoResponse,
 }
 
@@ -49,7 +50,7 @@
     items: BTreeMap<String, StoredItem>,
     history: Vec<StoredChange>,
     revision: u64,
-    /// The revision up to which the history is gone.
+    /// The revision up to which the history has been compacted.
     compacted: u64,
     mode: StoreMode,
     calls: u64,
@@ -61,7 +62,8 @@
     changed: Notify,
 }
 
-/// A `KvStoreStandin` is a running stand-in; its drop stops it.
+/// A `KvStoreStandin` is a running key-value store stand-in; it stops accepting
+/// connections when dropped.
 #[derive(Debug)]
 pub struct KvStoreStandin {
     listener: LoopbackListener,
@@ -69,11 +71,11 @@
 }
 
 impl KvStoreStandin {
-    /// Try to start a store on a free port of loopback.
+    /// Try to start an empty store on a free loopback port.
     ///
     /// # Errors
     ///
-    /// Returns an error where there is none.
+    /// Returns an error if no port can be bound.
     pub async fn start() -> io::Result<Self> {
         let shared = Arc::<StoreShared>::default();
         let served = Arc::clone(&shared);
@@ -82,17 +84,17 @@
         Ok(KvStoreStandin { listener, shared })
     }
 
-    /// Get where it listens.
+    /// Get the bound address.
     pub fn address(&self) -> SocketAddr {
         self.listener.address
     }
 
-    /// Write an item.
+    /// Write an item with a JSON value.
     pub fn put(&self, key: &str, value: &Value) {
         self.put_bytes(key, Bytes::from(value.to_string()));
     }
 
-    /// Write an item of any bytes, as another writer may.
+    /// Write an item with arbitrary bytes, which may be invalid JSON.
     pub fn put_bytes(&self, key: &str, value: Bytes) {
         let mut state = lock(&self.shared.state);
         state.revision += 1;
@@ -126,19 +128,20 @@
         self.shared.changed.notify_waiters();
     }
 
-    /// Drop the history: watches from before are told so.
+    /// Compact the history: a watch from an earlier revision is answered with
+    /// 410.
     pub fn compact(&self) {
         let mut state = lock(&self.shared.state);
         state.compacted = state.revision;
         state.history.clear();
     }
 
-    /// Set how the store answers from now on.
+    /// Set the way in which the store answers calls.
     pub fn set_mode(&self, mode: StoreMode) {
         lock(&self.shared.state).mode = mode;
     }
 
-    /// Get the calls since the start.
+    /// Get the number of calls since the start.
     pub fn call_count(&self) -> u64 {
         lock(&self.shared.state).calls
     }
@@ -169,7 +172,7 @@
         "/kv-watch" => watch(&shared, &prefix, query).await,
         _ => json_response(StatusCode::NOT_FOUND, &json!({})),
     };
-    // A watch that waited when the store fell silent must not tell its news.
+    // A watch that was pending when the mode changed must not be answered.
     if lock(&shared.state).mode == StoreMode::NoResponse {
         sleep(Duration::from_secs(3_600)).await;
     }
--- a/bergamotswitch-standin/src/ledger.rs
+++ b/bergamotswitch-standin/src/ledger.rs
@@ -1,5 +1,5 @@
-//! Provides ledgers: which requests a target ran, so that tests can count
-//! runs by identity.
+//! Provides the ledger of a target: a record of every run of a request, by
+//! which tests detect duplicate and lost executions.
 
 use std::collections::VecDeque;
 use std::time::Instant;
@@ -8,42 +8,42 @@
 use serde_json::Value;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The most runs that a ledger keeps; the oldest go first. Far above what any
-/// test sends, so that a long demo stays bounded.
+/// The maximum number of runs in a ledger; the oldest are evicted first. It only
+/// bounds the memory of long demos: tests send far fewer requests.
 const MAX_RUNS: usize = 100_000;
 
-/// A `RunOutcome` says how a run ended.
+/// A `RunOutcome` is the state of a run or how it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunOutcome {
-    /// It goes on.
+    /// The run has not ended yet.
     Running,
-    /// It made its whole answer.
+    /// The run produced its complete answer.
     Finished,
-    /// It was cancelled on request.
+    /// The run was cancelled on request.
     Cancelled,
-    /// It ended without a whole answer.
+    /// The run ended without a complete answer.
     Broken,
 }
 
-/// A `RunRecord` is one run of one request.
+/// A `RunRecord` is the record of one run of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunRecord {
-    /// The `x-request-id` of the submission.
+    /// The request id from the `x-request-id` header of the submission.
     pub request_id: String,
-    /// The xxh3 of the body, 16 hex digits.
+    /// The xxh3 hash of the request body in 16 hex digits.
     pub body: String,
-    /// When it started, in milliseconds since the stand-in did.
+    /// The start of the run in milliseconds since the start of the stand-in.
     pub started_ms: u64,
-    /// How it ended.
+    /// The outcome of the run.
     pub outcome: RunOutcome,
 }
 
-/// A `RunNumber` names a record of one ledger.
+/// A `RunNumber` is the number of a record in its ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunNumber(u64);
 
-/// A `RunLedger` is what one target ran, oldest first.
+/// A `RunLedger` is the list of the runs of one target, oldest first.
 #[derive(Clone, Debug)]
 pub struct RunLedger {
     started: Instant,
@@ -52,7 +52,6 @@
 }
 
 impl RunLedger {
-    /// Get an empty ledger.
     pub(crate) fn new() -> Self {
         RunLedger {
             started: Instant::now(),
@@ -76,7 +75,7 @@
         RunNumber(self.first + self.runs.len() as u64 - 1)
     }
 
-    /// Record the end of a run; the first outcome stays.
+    /// Record the end of a run; only the first outcome is kept.
     pub(crate) fn end(&mut self, number: RunNumber, outcome: RunOutcome) {
         let index = number.0.checked_sub(self.first);
         let record = index.and_then(|index| self.runs.get_mut(index as usize));
@@ -86,25 +85,25 @@
         }
     }
 
-    /// Get all runs.
+    /// Get all recorded runs, oldest first.
     pub fn runs(&self) -> impl Iterator<Item = &RunRecord> {
         self.runs.iter()
     }
 
-    /// Get the runs of a request id.
+    /// Get the runs with a request id.
     pub fn runs_of(&self, request_id: &str) -> Vec<&RunRecord> {
         let matching = |run: &&RunRecord| run.request_id == request_id;
         self.runs.iter().filter(matching).collect()
     }
 
-    /// Get the runs of a body.
+    /// Get the runs with a request body.
     pub fn runs_of_body(&self, body: &[u8]) -> Vec<&RunRecord> {
         let digest = format!("{:016x}", xxh3_64(body));
         let matching = |run: &&RunRecord| run.body == digest;
         self.runs.iter().filter(matching).collect()
     }
 
-    /// Get the ledger as JSON.
+    /// Get the ledger as a JSON object with the member `runs`.
     pub fn to_json(&self) -> Value {
         serde_json::json!({"runs": self.runs})
     }
--- a/bergamotswitch-standin/src/lib.rs
+++ b/bergamotswitch-standin/src/lib.rs
@@ -1,8 +1,9 @@
-//! Provides small stand-ins for engines, plain services, the configuration
-//! service and the host list: for tests, the demo and measuring only.
+//! Provides stand-ins: small test servers in place of engines, plain services,
+//! the configuration service, the host list, and the key-value store and targets
+//! of the gateway. They serve tests, the demo and benchmarks only.
 //!
-//! Each stand-in is started on an address inside the current tokio runtime
-//! and stops when its handle is dropped. The protocols are written down in
+//! Each stand-in listens on an address, runs in the current tokio runtime and
+//! stops when its handle is dropped. The protocols are described in
 //! `docs/STANDINS.md`.
 
 #![forbid(unsafe_code)]
--- a/bergamotswitch-standin/src/listener.rs
+++ b/bergamotswitch-standin/src/listener.rs
@@ -1,4 +1,5 @@
-//! Provides listeners whose connections can go silent, be cut or refused.
+//! Provides HTTP listeners with fault injection: connections can be made
+//! unresponsive, closed or refused.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -22,7 +23,7 @@
 use crate::switches::SilenceMode;
 use crate::target_control::lock;
 
-/// The pause before another try to bind or accept.
+/// The delay before binding or accepting is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(10);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,7 +40,7 @@
     writer: Option<Waker>,
 }
 
-/// A `ConnectionGate` decides whether one connection is read and written.
+/// A `ConnectionGate` controls whether one connection is read and written.
 #[derive(Debug)]
 struct ConnectionGate(Mutex<GateState>);
 
@@ -54,7 +55,7 @@
 
     fn set(&self, mode: GateMode) {
         let mut state = lock(&self.0);
-        // A connection that was cut stays so.
+        // A closed connection cannot be reopened.
         if state.mode != GateMode::Closed {
             state.mode = mode;
         }
@@ -78,13 +79,13 @@
     }
 }
 
-/// A `GatedStream` is a connection behind its gate.
+/// A `GatedStream` is a TCP stream whose reads and writes pass a gate.
 struct GatedStream {
     stream: TcpStream,
     gate: Arc<ConnectionGate>,
 }
 
-/// Return early unless the gate lets the call through.
+/// Return from the caller with pending or an error unless the gate is open.
 macro_rules! pass_gate {
     ($self:ident, $context:ident, $writing:literal) => {
         match $self.gate.poll($context, $writing) {
@@ -133,7 +134,8 @@
     silence_new: bool,
 }
 
-/// A `ListenerControl` switches a listener and its connections.
+/// A `ListenerControl` opens, closes and silences a listener's socket and
+/// connections.
 #[derive(Debug)]
 pub(crate) struct ListenerControl {
     connections: Mutex<ConnectionSet>,
@@ -141,7 +143,7 @@
 }
 
 impl ListenerControl {
-    /// Get the control of a listener that is to listen.
+    /// Get a control whose listener accepts connections.
     pub(crate) fn new() -> Arc<Self> {
         Arc::new(ListenerControl {
             connections: Mutex::default(),
@@ -149,7 +151,7 @@
         })
     }
 
-    /// Silence connections, or let them go on.
+    /// Stop or resume the reading and writing of connections.
     pub(crate) fn set_silence(&self, mode: SilenceMode) {
         lock(&self.connections).silence_new = mode == SilenceMode::All;
         match mode {
@@ -163,7 +165,7 @@
         self.listening.send_replace(listening);
     }
 
-    /// Cut all open connections.
+    /// Close all open connections.
     pub(crate) fn close_all(&self) {
         self.set_gates(GateMode::Closed);
     }
@@ -188,11 +190,10 @@
     }
 }
 
-/// A `ListenerHandle` is a running listener; dropping it closes the listener
-/// and all its connections.
+/// A `ListenerHandle` is a running listener; dropping it closes the socket and
+/// all connections.
 #[derive(Debug)]
 pub(crate) struct ListenerHandle {
-    /// The bound address.
     pub(crate) address: SocketAddr,
     control: Arc<ListenerControl>,
     task: JoinHandle<()>,
@@ -205,11 +206,11 @@
     }
 }
 
-/// Serve HTTP/1.1 on `address`.
+/// Serve HTTP/1.1 on `address` with `handler`, under `control`.
 ///
 /// # Errors
 ///
-/// Returns the error of binding.
+/// Returns an error if the address cannot be bound.
 pub(crate) async fn listen<H, F>(
     address: SocketAddr,
     control: Arc<ListenerControl>,
@@ -280,7 +281,7 @@
     H: Fn(Request<Incoming>) -> F + Send + 'static,
     F: Future<Output = Response<ResponseBody>> + Send + 'static,
 {
-    // Tokens are small and must not wait for each other.
+    // Nagle's algorithm would delay the small writes of single tokens.
     let _ = stream.set_nodelay(true);
     let gate = control.register();
     let io = TokioIo::new(GatedStream { stream, gate });
@@ -290,7 +291,7 @@
         async move {
             let mut response = answer.await;
             if let Some(id) = id {
-                // An answer that names another request keeps that name.
+                // The wrong id of a crossed answer is kept.
                 response.headers_mut().entry(REQUEST_ID).or_insert(id);
             }
             Ok::<_, Infallible>(response)
@@ -298,7 +299,7 @@
     });
     let connection = hyper::server::conn::http1::Builder::new().serve_connection(io, service);
     tokio::spawn(async move {
-        // A connection that breaks is what the switches are for.
+        // Connection errors are expected: the switches cause them.
         let _ = connection.await;
     });
 }
--- a/bergamotswitch-standin/src/loopback_listener.rs
+++ b/bergamotswitch-standin/src/loopback_listener.rs
@@ -1,4 +1,5 @@
-//! Provides the listener of the stand-ins of the users' platform.
+//! Provides the HTTP listener on the loopback interface that the stand-ins of the
+//! key-value store and the gateway's targets use.
 
 use std::error::Error;
 use std::future::Future;
@@ -15,16 +16,16 @@
 
 use crate::target_control::lock;
 
-/// A `LoopbackListener` is a running listener; its drop closes it.
+/// A `LoopbackListener` is a running HTTP listener; it stops accepting connections
+/// when dropped.
 #[derive(Debug)]
 pub(crate) struct LoopbackListener {
-    /// Where it listens.
     pub(crate) address: SocketAddr,
     task: JoinHandle<()>,
     connections: OpenConnections,
 }
 
-/// The tasks of the connections that were accepted.
+/// The tasks of the accepted connections.
 type OpenConnections = Arc<Mutex<Vec<AbortHandle>>>;
 
 impl Drop for LoopbackListener {
@@ -34,12 +35,12 @@
 }
 
 impl LoopbackListener {
-    /// Try to serve HTTP/1.1 by `handler` on a free port of loopback. A
-    /// handler's error closes its connection.
+    /// Try to serve HTTP/1.1 with `handler` on a free loopback port. An error
+    /// returned by the handler closes the connection.
     ///
     /// # Errors
     ///
-    /// Returns an error where there is none.
+    /// Returns an error if no port can be bound.
     pub(crate) async fn start<Handler, ResponseFuture, ResponseBody, HandlerError>(
         handler: Handler,
     ) -> io::Result<Self>
@@ -62,7 +63,7 @@
                 let builder = server::conn::http1::Builder::new();
                 let connection = builder.serve_connection(TokioIo::new(stream), service);
                 let serving = tokio::spawn(async move {
-                    // The caller sees the same error at its end.
+                    // The client observes the error as a closed connection.
                     let _ = connection.await;
                 });
                 let mut open = lock(&open);
@@ -77,8 +78,7 @@
         })
     }
 
-    /// End all connections and what is served on them, as a process does that
-    /// ends.
+    /// Close all connections and abort their requests, as a process exit does.
     pub(crate) fn close_connections(&self) {
         for connection in lock(&self.connections).drain(..) {
             connection.abort();
--- a/bergamotswitch-standin/src/plain.rs
+++ b/bergamotswitch-standin/src/plain.rs
@@ -1,4 +1,5 @@
-//! Provides the plain service stand-in: one call, one answer.
+//! Provides the stand-in for a plain service, which answers each call with one
+//! JSON body.
 
 use std::io;
 use std::net::SocketAddr;
@@ -23,10 +24,10 @@
 };
 use crate::target_control::TargetControl;
 
-/// The identity and text with which a crossed call is answered.
+/// The request id and text of the answer under the `crossed` switch.
 const CROSSED_TEXT: &str = "crossed";
 
-/// A `PlainCore` is what all connections of a plain service share.
+/// A `PlainCore` is the state that all connections of a plain service share.
 #[derive(Debug)]
 struct PlainCore {
     name: String,
@@ -34,7 +35,7 @@
     control: Arc<TargetControl>,
 }
 
-/// A `PlainStandin` is a running plain service; dropping it stops it.
+/// A `PlainStandin` is a running plain service stand-in; it stops when dropped.
 #[derive(Debug)]
 pub struct PlainStandin {
     core: Arc<PlainCore>,
@@ -42,11 +43,11 @@
 }
 
 impl PlainStandin {
-    /// Try to start a plain service stand-in.
+    /// Try to start a plain service stand-in on an address.
     ///
     /// # Errors
     ///
-    /// Returns the error of binding the address.
+    /// Returns an error if the address cannot be bound.
     pub async fn try_start(
         address: SocketAddr,
         name: &str,
@@ -71,12 +72,12 @@
         self.listener.address
     }
 
-    /// Get the switches and the ledger.
+    /// Get the fault switches and the ledger.
     pub fn control(&self) -> &TargetControl {
         &self.core.control
     }
 
-    /// Cut all connections, as a restarted process does.
+    /// Simulate a process restart by closing all connections.
     pub fn restart(&self) {
         self.core.control.close_connections();
     }
@@ -126,14 +127,15 @@
     response
 }
 
-/// Get an answer that promises its whole length and breaks off in the middle.
+/// Get a response with the full `Content-Length` whose body is cut off in the
+/// middle by closing the connection.
 fn truncated_response(text: &str) -> Response<ResponseBody> {
     let half = Bytes::copy_from_slice(&text.as_bytes()[..text.len() / 2]);
     let pieces = stream::unfold(Some(half), |half| async move {
         if let Some(half) = half {
             return Some((Ok(Frame::data(half)), None));
         }
-        // The first half is flushed before the connection is cut.
+        // Yielding lets the first half be flushed before the connection closes.
         tokio::task::yield_now().await;
         Some((Err(CloseError), None))
     });
@@ -147,8 +149,9 @@
     response
 }
 
-/// A `RunGuard` records a run as broken unless it finished: the handler is
-/// dropped where the caller's connection closes first.
+/// A `RunGuard` records the outcome of a run when dropped: finished, or broken if
+/// the call failed or its handler was dropped because the caller's connection
+/// closed.
 struct RunGuard<'a> {
     control: &'a TargetControl,
     number: crate::ledger::RunNumber,
--- a/bergamotswitch-standin/src/platform.rs
+++ b/bergamotswitch-standin/src/platform.rs
@@ -1,5 +1,6 @@
-//! Provides a whole platform: all targets of a deployment, the configuration
-//! service, the host list, and a control address to drive them from outside.
+//! Provides a complete platform of stand-ins: all targets of a deployment, the
+//! configuration service, the host list, and an HTTP interface that controls
+//! them.
 
 use std::fmt;
 use std::io;
@@ -21,24 +22,23 @@
 use crate::target_control::TargetControl;
 use crate::value::{HOSTS_VALUE, ValueCore, ValueSource, ValueStandin};
 
-/// The values of a deployment that the configuration service publishes.
+/// The names of the values that the configuration service publishes.
 const VALUE_NAMES: [&str; 5] = ["pools", "rules", "accounts", "domains", "limits"];
-/// The value that names the targets.
+/// The name of the value that lists the targets.
 const POOLS_VALUE: &str = "pools";
-/// The name by which the control address calls the configuration service.
+/// The name of the configuration service in control messages and ledgers.
 const CONFIGURATION: &str = "configuration";
-/// The name by which the control address calls the host list.
+/// The name of the host list in control messages and ledgers.
 const HOST_LIST: &str = "host-list";
-/// The least time of an engine step. The unit of "about 3" was not given;
-/// milliseconds are what the stand-in takes it for.
+/// The minimum duration of an engine step.
 const MIN_STEP: Duration = Duration::from_millis(3);
 
-/// A `PlatformError` says why a platform could not be started.
+/// A `PlatformError` is the reason why a platform could not be started.
 #[derive(Debug)]
 pub enum PlatformError {
     /// A file of the deployment could not be read.
     File(PathBuf, io::Error),
-    /// A file of the deployment is not the JSON that it should be.
+    /// A file of the deployment is not valid JSON or has an unexpected structure.
     Json(PathBuf, serde_json::Error),
     /// An address could not be bound.
     Bind(String, io::Error),
@@ -56,18 +56,20 @@
 
 impl std::error::Error for PlatformError {}
 
-/// A `PlatformOptions` says where a platform finds its values and listens.
+/// A `PlatformOptions` is the configuration of a platform: its deployment and
+/// its addresses.
 #[derive(Clone, Debug)]
 pub struct PlatformOptions {
-    /// The directory with the values, one file each, `NAME.json`.
+    /// The directory of the deployment's values, with a file `NAME.json` for each.
     pub deployment: PathBuf,
-    /// Where the configuration service listens.
+    /// The address on which the configuration service listens.
     pub configuration: SocketAddr,
-    /// Where the host list listens.
+    /// The address on which the host list listens.
     pub host_list: SocketAddr,
-    /// A further address for `/control` and `/ledger`, which no switch closes.
+    /// An additional address for `/control` and `/ledger`, which no switch
+    /// affects.
     pub control: Option<SocketAddr>,
-    /// The seed of all that is drawn.
+    /// The seed of all random draws.
     pub seed: u64,
 }
 
@@ -107,7 +109,7 @@
     host_list: ValueStandin,
 }
 
-/// A `PlatformStandin` is a running platform; dropping it stops it.
+/// A `PlatformStandin` is a running platform of stand-ins; it stops when dropped.
 #[derive(Debug)]
 pub struct PlatformStandin {
     core: Arc<PlatformCore>,
@@ -116,11 +118,13 @@
 }
 
 impl PlatformStandin {
-    /// Try to start all targets of a deployment and the platform's services.
+    /// Try to start all targets of a deployment, the configuration service and
+    /// the host list.
     ///
     /// # Errors
     ///
-    /// Returns the first file or address that is at fault.
+    /// Returns an error for the first file that cannot be read or parsed, or the
+    /// first address that cannot be bound.
     pub async fn try_start(options: &PlatformOptions) -> Result<Self, PlatformError> {
         let control = ListenerControl::new();
         let configuration = ValueCore::new(ValueSource::Configuration, Arc::clone(&control));
@@ -169,7 +173,8 @@
         self.core.host_list.address()
     }
 
-    /// Get the bound address for control, which no switch closes.
+    /// Get the bound address of the additional control interface, if there is
+    /// one; no switch affects it.
     pub fn control_address(&self) -> Option<SocketAddr> {
         self.control.as_ref().map(|listener| listener.address)
     }
@@ -215,8 +220,8 @@
         let started = PlainStandin::try_start(target.address, &target.name, target.contract);
         return Ok(PlatformTarget::Plain(started.await?));
     }
-    // A full batch makes one token a request and step: its size follows from
-    // the speed over all streams, and the step is fitted to the whole number.
+    // A full batch produces `max_batch` tokens a step. The step is adjusted to
+    // the rounded batch size, so that a full batch has the expected speed.
     let speed = f64::from(target.expected_speed.max(1));
     let max_batch = (speed * MIN_STEP.as_secs_f64()).ceil();
     let options = EngineOptions {
@@ -257,7 +262,7 @@
         })
     }
 
-    /// Obey a control message, or get what is wrong with it.
+    /// Apply a control message, or get the reason why it is invalid.
     fn apply_message(&self, message: &Value) -> Result<Value, String> {
         if let Some(publication) = message.get("publish") {
             return self.publish(publication);
@@ -291,7 +296,7 @@
             return Err(format!("unknown target {name:?}"));
         };
         let mut changes = changes.clone();
-        // A restart is an act, not a state.
+        // `restart` is an action and not a switch.
         let restart = changes
             .as_object_mut()
             .and_then(|set| set.remove("restart"));
--- a/bergamotswitch-standin/src/prefix.rs
+++ b/bergamotswitch-standin/src/prefix.rs
@@ -1,30 +1,30 @@
-//! Provides the prefix cache of an engine: bounded, least recently used goes
-//! first, every change is announced.
+//! Provides the prefix cache of an engine: an LRU cache of prompt prefixes that
+//! publishes an event for each insertion and eviction.
 
 use std::collections::VecDeque;
 
 use tokio::sync::broadcast;
 use tokio::time::Instant;
 
-/// The announcements kept for a reader that falls behind; older ones are lost.
+/// The number of events buffered for a slow subscriber; older ones are lost.
 const EVENT_BUFFER: usize = 1024;
 
-/// A `PrefixEvent` says that a prefix is now held or no longer held.
+/// A `PrefixEvent` is the insertion or eviction of a prefix.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PrefixEvent {
-    /// The xxh3 of the prompt's beginning.
+    /// The xxh3 hash of the prefix.
     pub(crate) prefix: u64,
-    /// Whether it is held.
+    /// Whether the prefix is cached after the event.
     pub(crate) held: bool,
-    /// When it happened.
+    /// The time of the event.
     pub(crate) at: Instant,
 }
 
-/// A `PrefixCache` holds the prefix blocks of recent prompts.
+/// A `PrefixCache` is an LRU cache of the prefix blocks of recent prompts.
 #[derive(Debug)]
 pub(crate) struct PrefixCache {
     capacity: usize,
-    /// Least recently used first.
+    /// The hashes of the cached blocks, least recently used first.
     blocks: VecDeque<u64>,
     events: broadcast::Sender<PrefixEvent>,
 }
@@ -38,20 +38,20 @@
         }
     }
 
-    /// Get how many of a prompt's blocks are held, from its beginning.
+    /// Get the number of a prompt's leading blocks that are cached.
     pub(crate) fn cached_blocks(&self, blocks: &[u64]) -> usize {
         let held = |block: &&u64| self.contains(**block);
         blocks.iter().take_while(held).count()
     }
 
-    /// Get whether a block is held.
+    /// Get whether a block is cached.
     pub(crate) fn contains(&self, block: u64) -> bool {
         self.blocks.contains(&block)
     }
 
-    /// Hold a prompt's blocks, and drop the least recently used beyond the
-    /// capacity. The prompt's last block goes first: a beginning is of use
-    /// without its end, but not the other way round.
+    /// Insert the blocks of a prompt, and evict the least recently used blocks
+    /// beyond the capacity. The last block of the prompt is evicted first, since
+    /// a block is of no use without those before it.
     pub(crate) fn insert(&mut self, blocks: &[u64]) {
         for block in blocks.iter().rev() {
             let known = self.blocks.iter().position(|held| held == block);
@@ -68,19 +68,19 @@
         }
     }
 
-    /// Forget everything without a word, as a restarted process does.
+    /// Remove all blocks without publishing events, as a process restart does.
     pub(crate) fn clear(&mut self) {
         self.blocks.clear();
     }
 
-    /// Get the announcements from now on.
+    /// Subscribe to events; earlier events are not delivered.
     pub(crate) fn subscribe(&self) -> broadcast::Receiver<PrefixEvent> {
         self.events.subscribe()
     }
 
     fn publish(&self, prefix: u64, held: bool) {
         let at = Instant::now();
-        // Without readers the announcement is lost, as it should be.
+        // Sending fails only if there are no subscribers.
         let _ = self.events.send(PrefixEvent { prefix, held, at });
     }
 }
--- a/bergamotswitch-standin/src/program.rs
+++ b/bergamotswitch-standin/src/program.rs
@@ -1,4 +1,4 @@
-//! Provides the program that runs a whole platform of stand-ins as one
+//! Provides the program that runs a complete platform of stand-ins in one
 //! process.
 
 use std::error::Error;
@@ -11,7 +11,7 @@
 const USAGE: &str = "bergamotswitch-standin --deployment DIR --configuration ADDR \
 --host-list ADDR [--control ADDR] [--seed N]";
 
-/// Run the program with the process's arguments.
+/// Run the program with the command-line arguments of the process.
 pub fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
@@ -53,7 +53,7 @@
     Ok(())
 }
 
-/// Get the options; `None` where help is asked for.
+/// Parse the command-line arguments, or get `None` if help was requested.
 fn parse_arguments() -> Result<Option<PlatformOptions>, lexopt::Error> {
     let mut deployment = None;
     let mut configuration = None;
--- a/bergamotswitch-standin/src/prompt.rs
+++ b/bergamotswitch-standin/src/prompt.rs
@@ -1,35 +1,36 @@
-//! Provides prompts: what an engine needs to know of a completion request.
+//! Provides the parsing of completion requests and the generation of output
+//! tokens.
 
 use serde_json::Value;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The bytes of prompt text that one prefix block spans.
+/// The length of one prefix block in bytes of prompt text.
 pub(crate) const BLOCK_BYTES: usize = 1024;
-/// The most prefix blocks that are cached of one prompt.
+/// The maximum number of cached prefix blocks per prompt.
 const MAX_BLOCKS: usize = 16;
-/// The bytes of text that stand for one token.
+/// The length of one token in bytes of text.
 const TOKEN_BYTES: usize = 4;
-/// The tokens of one prefix block.
+/// The length of one prefix block in tokens.
 pub(crate) const BLOCK_TOKENS: u32 = (BLOCK_BYTES / TOKEN_BYTES) as u32;
-/// The output tokens where the request does not say.
+/// The default of `max_tokens`.
 const DEFAULT_TOKENS: u64 = 16;
-/// The most output tokens of one run.
+/// The maximum number of output tokens of one run.
 const MAX_TOKENS: u64 = 100_000;
 
-/// A `PromptShape` is what an engine needs to know of a completion request.
+/// A `PromptShape` is the part of a completion request that an engine uses.
 #[derive(Clone, Debug)]
 pub(crate) struct PromptShape {
-    /// The model's name.
+    /// The name of the model.
     pub(crate) model: String,
-    /// Whether the caller wants a stream.
+    /// Whether the response is streamed.
     pub(crate) stream: bool,
-    /// The prompt's tokens.
+    /// The length of the prompt in tokens.
     pub(crate) tokens: u32,
-    /// The xxh3 of the prompt's beginning up to each block's end.
+    /// The xxh3 hash of the prompt up to the end of each block.
     pub(crate) blocks: Vec<u64>,
-    /// The tokens to put out.
+    /// The number of output tokens to produce.
     pub(crate) output_tokens: u32,
-    /// The xxh3 of the body; the output is made of it.
+    /// The xxh3 hash of the request body, from which the output is derived.
     pub(crate) digest: u64,
 }
 
@@ -67,7 +68,8 @@
     text
 }
 
-/// Add a content: a text, or a list of texts and parts with a `text`.
+/// Append the text of a message content: a string, or an array of strings and
+/// of objects with the member `text`.
 fn append_text(content: &Value, text: &mut String) {
     match content {
         Value::String(part) => text.push_str(part),
@@ -77,7 +79,8 @@
     }
 }
 
-/// Get the output token with this number, counted from 1.
+/// Get the output token with a number, counted from 1. The same request body
+/// always gives the same tokens.
 pub(crate) fn output_token(digest: u64, number: u32) -> String {
     let mut seed = digest.to_le_bytes().to_vec();
     seed.extend(number.to_le_bytes());
--- a/bergamotswitch-standin/src/stage.rs
+++ b/bergamotswitch-standin/src/stage.rs
@@ -1,26 +1,24 @@
-//! Provides staged deployments: copies of a deployment's files at a loopback
-//! address of their own, for tests and the demo.
+//! Provides staged deployments: copies of a deployment's files, each with its
+//! own loopback address, for tests and the demo.
 
 use std::io;
 use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU16, Ordering};
 
-/// The address that the files of a deployment name.
+/// The address in the original files of a deployment.
 const PUBLISHED_ADDRESS: &str = "127.0.0.1";
 
-/// The stages of this process so far.
+/// The number of stages that this process has created.
 static STAGE_COUNT: AtomicU16 = AtomicU16::new(0);
 
-/// A `StagedDeployment` is a copy of a deployment in a directory of its own.
+/// A `StagedDeployment` is a copy of a deployment in a temporary directory; the
+/// directory is removed on drop.
 ///
-/// Its processes must know each other's ports before they start, so the ports
-/// are the published ones; what differs is the loopback address. Two stages
-/// at one address would take each other's ports; each stage's address comes
-/// from the number of its process and its own, below the range from which
-/// port 0 draws, so none of them meets another.
-///
-/// Dropping it removes the directory.
+/// The processes of a deployment have to know each other's ports before they
+/// start, so the ports are those of the original files. Each stage has its own
+/// loopback address instead, derived from the process id and the number of the
+/// stage, so that parallel tests do not conflict.
 #[derive(Debug)]
 pub struct StagedDeployment {
     directory: PathBuf,
@@ -32,7 +30,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the first file that cannot be read or written.
+    /// Returns an error if a file cannot be read or written.
     pub fn try_new(source: &Path) -> io::Result<Self> {
         let stage = STAGE_COUNT.fetch_add(1, Ordering::Relaxed);
         let address = stage_address(std::process::id(), stage);
@@ -58,17 +56,17 @@
         Ok(())
     }
 
-    /// Get the directory of the published values.
+    /// Get the directory with the copies of the published values.
     pub fn directory(&self) -> &Path {
         &self.directory
     }
 
-    /// Get the directory of the hosts' settings.
+    /// Get the directory with the copies of the hosts' settings.
     pub fn settings_directory(&self) -> PathBuf {
         self.directory.join("settings")
     }
 
-    /// Get the loopback address of the stage.
+    /// Get the loopback address that the copied files name.
     pub fn address(&self) -> Ipv4Addr {
         self.address
     }
@@ -76,13 +74,13 @@
 
 impl Drop for StagedDeployment {
     fn drop(&mut self) {
-        // A directory that stays behind does no harm: its name is its own.
+        // A directory that cannot be removed is harmless, as its name is unique.
         let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
-/// Get the loopback address of a stage: 127.64.0.0/10 holds 2^22 of them, for
-/// process numbers of up to 18 bits and 16 stages each.
+/// Get the loopback address of a stage. 127.64.0.0/10 has 2^22 addresses, enough
+/// for process ids of up to 18 bits with 16 stages each.
 fn stage_address(process: u32, stage: u16) -> Ipv4Addr {
     let number = (process & 0x3_ffff) << 4 | u32::from(stage & 0xf);
     Ipv4Addr::from(u32::from(Ipv4Addr::new(127, 64, 0, 0)) | number)
--- a/bergamotswitch-standin/src/switches.rs
+++ b/bergamotswitch-standin/src/switches.rs
@@ -1,4 +1,4 @@
-//! Provides the switches by which a test makes a stand-in misbehave.
+//! Provides the fault switches of stand-ins.
 
 use std::time::Duration;
 
@@ -6,55 +6,58 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// The least factor of `slow`; 0 would make an engine spin.
+/// The minimum of `slow`; an engine with 0 would step in a busy loop.
 const MIN_SLOW_FACTOR: f64 = 0.01;
-/// The greatest factor of `slow`; a duration must not overflow.
+/// The maximum of `slow`; a greater factor could overflow durations.
 const MAX_SLOW_FACTOR: f64 = 1e6;
 
-/// A `SilenceMode` says which connections are neither read nor written
-/// while they stay open.
+/// A `SilenceMode` is the set of connections that stay open but are neither read
+/// nor written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SilenceMode {
-    /// None; silenced ones go on.
+    /// No connections; reading and writing resume.
     #[default]
     Off,
-    /// Those open when the switch is set; new ones work.
+    /// The connections that are open when the switch is set; new ones work.
     Open,
-    /// All, also new ones.
+    /// All connections, including new ones.
     All,
 }
 
-/// A `TargetSwitches` is how an engine or plain service misbehaves.
+/// A `TargetSwitches` is the set of faults injected into an engine or plain
+/// service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TargetSwitches {
-    /// Factor on step time, prefill time and delay.
+    /// The factor by which the step, the prefill and the delay take longer.
     pub slow: f64,
-    /// Connections that go silent.
+    /// The connections that become unresponsive.
     pub silent: SilenceMode,
-    /// Cut a connection once its answer has sent this many events; a plain
-    /// service cuts in the middle of the body. 0 also cuts all connections
-    /// that are open when the switch is set.
+    /// The number of events after which the connection of a stream is closed. A
+    /// plain service closes it in the middle of the body. Setting 0 also closes
+    /// all open connections.
     pub drop: Option<u32>,
-    /// Answer with another request's id and text.
+    /// Whether responses carry the id and text of another request.
     pub crossed: bool,
-    /// End answers early, without the terminator.
+    /// Whether responses end early: a stream after half of its tokens and
+    /// without its terminator, a plain response in the middle of the body.
     pub truncate: bool,
-    /// Refuse with this status (429 or 503). Where the contract does not say
-    /// that a refusal means not run, the ledger counts a broken run.
+    /// The status (429 or 503) with which requests are refused. Unless the
+    /// contract has `refusal_means_not_run`, the ledger records a broken run.
     pub refuse: Option<u16>,
-    /// Answer 500 to submissions, after the run has begun and broken.
+    /// Whether submissions are answered with 500 and recorded as broken runs.
     pub error: bool,
-    /// Close the listener: connects are refused, open connections stay.
+    /// Whether the listener is closed: new connections are refused, open ones
+    /// stay.
     pub reject: bool,
-    /// How long a plain service takes, in milliseconds.
+    /// The response time of a plain service, in milliseconds.
     pub delay_ms: u64,
-    /// How old an engine's load report is, in milliseconds.
+    /// The age of an engine's load report, in milliseconds.
     pub load_lag_ms: u64,
-    /// How late an engine's cache events are, in milliseconds.
+    /// The delay of an engine's cache events, in milliseconds.
     pub cache_event_lag_ms: u64,
-    /// The percentage of cache events that are lost.
+    /// The percentage of an engine's cache events that are dropped.
     pub cache_event_gaps: u8,
 }
 
@@ -78,50 +81,51 @@
 }
 
 impl TargetSwitches {
-    /// Get how long something takes that would take `duration`.
+    /// Multiply a duration by the factor `slow`, limited to the allowed range.
     pub(crate) fn scaled(&self, duration: Duration) -> Duration {
         duration.mul_f64(self.slow.clamp(MIN_SLOW_FACTOR, MAX_SLOW_FACTOR))
     }
 }
 
-/// An `OutageMode` says how a service of the platform is down.
+/// An `OutageMode` is the kind of outage of the configuration service or the host
+/// list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OutageMode {
-    /// It is up.
+    /// The service is available.
     #[default]
     Off,
-    /// It answers 503.
+    /// Requests are answered with 503.
     Unavailable,
-    /// It refuses connects and cuts the open connections.
+    /// New connections are refused and the open ones are closed.
     Refused,
 }
 
-/// A `ValueSwitches` is how the configuration service or the host list
-/// misbehaves.
+/// A `ValueSwitches` is the set of faults injected into the configuration service
+/// or the host list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ValueSwitches {
-    /// Whether it is down.
+    /// The outage of the service.
     pub outage: OutageMode,
-    /// Connections that go silent.
+    /// The connections that become unresponsive.
     pub silent: SilenceMode,
-    /// The highest revision that a stale replica knows of any value.
+    /// The highest revision that the stale replica returns for any value.
     pub stale: Option<u64>,
-    /// Alternate between a stale and a fresh replica from call to call. Without
-    /// `stale` the stale one is a revision behind.
+    /// Whether calls alternate between a stale and an up-to-date replica. Unless
+    /// `stale` is set, the stale replica is one revision behind.
     pub flapping: bool,
-    /// How long each answer takes, in milliseconds.
+    /// The latency of each response, in milliseconds.
     pub latency_ms: u64,
-    /// How long after its publication a value shows, in milliseconds.
+    /// The delay until a published value becomes visible, in milliseconds.
     pub lag_ms: u64,
 }
 
-/// Get `switches` with the members of `changes` replaced.
+/// Get a copy of `switches` with the members of `changes` replaced.
 ///
 /// # Errors
 ///
-/// Returns what `serde_json` says of an unknown member or a wrong type.
+/// Returns an error if `changes` has an unknown member or a value of a wrong type.
 pub(crate) fn merge<T>(switches: &T, changes: &Value) -> Result<T, serde_json::Error>
 where
     T: Serialize + DeserializeOwned,
--- a/bergamotswitch-standin/src/target_control.rs
+++ b/bergamotswitch-standin/src/target_control.rs
@@ -1,4 +1,5 @@
-//! Provides what a test holds of a running target: its switches and ledger.
+//! Provides the control of a running target stand-in: its fault switches and
+//! its ledger of runs.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -12,7 +13,8 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A `TargetControl` is the switches and the ledger of one target.
+/// A `TargetControl` is the interface by which a test controls one target: its
+/// fault switches, its ledger and its connections.
 #[derive(Debug)]
 pub struct TargetControl {
     switches: Mutex<TargetSwitches>,
@@ -29,28 +31,30 @@
         })
     }
 
-    /// Get the switches as they are.
+    /// Get a copy of the current switches.
     pub fn switches(&self) -> TargetSwitches {
         lock(&self.switches).clone()
     }
 
-    /// Change the switches; it takes effect at once.
+    /// Change the switches with immediate effect.
     pub fn set(&self, change: impl FnOnce(&mut TargetSwitches)) {
         let mut switches = self.switches();
         change(&mut switches);
         self.apply(switches);
     }
 
-    /// Change the switches that are members of `changes`.
+    /// Set the switches that are named in the JSON object `changes`.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with `changes`; nothing is changed then.
+    /// Returns an error if `changes` names an unknown switch or has a value of a
+    /// wrong type; no switch is changed then.
     pub(crate) fn set_json(&self, changes: &Value) -> Result<(), serde_json::Error> {
         let switches = merge(&self.switches(), changes)?;
         self.apply(switches);
         if changes.get("silent").is_some() {
-            // Said again, it means the connections that are open now.
+            // Setting the same mode again also applies to the connections that were
+            // opened since.
             self.listener.set_silence(self.switches().silent);
         }
         Ok(())
@@ -69,7 +73,7 @@
         }
     }
 
-    /// Cut all open connections.
+    /// Close all open connections.
     pub fn close_connections(&self) {
         self.listener.close_all();
     }
@@ -79,7 +83,7 @@
         lock(&self.ledger).clone()
     }
 
-    /// Get the number of runs of a request id.
+    /// Get the number of runs with a request id.
     pub fn run_count(&self, request_id: &str) -> usize {
         self.ledger_mut().runs_of(request_id).len()
     }
--- a/bergamotswitch-standin/src/value.rs
+++ b/bergamotswitch-standin/src/value.rs
@@ -1,5 +1,6 @@
-//! Provides the configuration service and the host list: values by name,
-//! read and watched, each with a revision that counts its publications.
+//! Provides the stand-ins for the configuration service and the host list. Both
+//! serve named values by reads and watches; the revision of a value is the number
+//! of its publications.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -19,28 +20,28 @@
 use crate::switches::{OutageMode, ValueSwitches, merge};
 use crate::target_control::lock;
 
-/// The name of the value that the host list answers with.
+/// The name of the value that the host list serves.
 pub const HOSTS_VALUE: &str = "hosts";
-/// The most revisions kept of one value, for stale answers.
+/// The number of revisions kept of each value, for stale responses.
 const MAX_REVISIONS: usize = 64;
-/// The longest wait of a watch, whatever it asks for.
+/// The maximum wait of a watch, even if a longer one is requested.
 const MAX_WAIT: Duration = Duration::from_secs(300);
 
-/// A `ValueSource` says which of the platform's services is stood in for.
+/// A `ValueSource` is the service that a stand-in replaces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ValueSource {
-    /// The configuration service: `/v1/values/{name}`.
+    /// The configuration service, with the path `/v1/values/{name}`.
     Configuration,
-    /// The host list: `/v1/hosts`.
+    /// The host list, with the path `/v1/hosts`.
     HostList,
 }
 
-/// A `CallCounts` is the calls that a service got.
+/// A `CallCounts` is the number of calls to a service, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct CallCounts {
-    /// Calls answered at once.
+    /// The number of calls without a wait.
     pub reads: u64,
-    /// Calls that asked to wait; each counts once.
+    /// The number of calls that may wait for a newer revision.
     pub watches: u64,
 }
 
@@ -58,18 +59,19 @@
     counts: CallCounts,
 }
 
-/// A `ValueCore` is what all connections of a service share.
+/// A `ValueCore` is the state that all connections of a service share.
 #[derive(Debug)]
 pub(crate) struct ValueCore {
     source: ValueSource,
     state: Mutex<ValueState>,
-    /// Counts publications and changes of switches: watches look again.
+    /// The number of publications and changes of switches, each of which wakes the
+    /// watches.
     changes: watch::Sender<u64>,
     control: Arc<ListenerControl>,
 }
 
-/// A `ValueStandin` is a running configuration service or host list; dropping
-/// it stops it.
+/// A `ValueStandin` is a running stand-in for the configuration service or the
+/// host list; it stops when dropped.
 #[derive(Debug)]
 pub struct ValueStandin {
     core: Arc<ValueCore>,
@@ -77,11 +79,11 @@
 }
 
 impl ValueStandin {
-    /// Try to start a configuration service or host list without values.
+    /// Try to start a configuration service or host list that has no values yet.
     ///
     /// # Errors
     ///
-    /// Returns the error of binding the address.
+    /// Returns an error if the address cannot be bound.
     pub async fn try_start(address: SocketAddr, source: ValueSource) -> io::Result<Self> {
         let control = ListenerControl::new();
         let core = ValueCore::new(source, Arc::clone(&control));
@@ -103,24 +105,23 @@
         self.core.publish(name, body)
     }
 
-    /// Get what the control address may change.
     pub(crate) fn core(&self) -> &ValueCore {
         &self.core
     }
 
-    /// Get the switches as they are.
+    /// Get a copy of the current switches.
     pub fn switches(&self) -> ValueSwitches {
         self.core.switches()
     }
 
-    /// Change the switches; it takes effect at once.
+    /// Change the switches with immediate effect.
     pub fn set(&self, change: impl FnOnce(&mut ValueSwitches)) {
         let mut switches = self.switches();
         change(&mut switches);
         self.core.apply(switches);
     }
 
-    /// Get the calls so far.
+    /// Get the number of calls so far.
     pub fn counts(&self) -> CallCounts {
         self.core.counts()
     }
@@ -144,16 +145,18 @@
         lock(&self.state).counts
     }
 
-    /// Change the switches that are members of `changes`.
+    /// Set the switches that are named in the JSON object `changes`.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with `changes`; nothing is changed then.
+    /// Returns an error if `changes` names an unknown switch or has a value of a
+    /// wrong type; no switch is changed then.
     pub(crate) fn set_json(&self, changes: &Value) -> Result<(), serde_json::Error> {
         let switches = merge(&self.switches(), changes)?;
         self.apply(switches);
         if changes.get("silent").is_some() {
-            // Said again, it means the connections that are open now.
+            // Setting the same mode again also applies to the connections that were
+            // opened since.
             self.control.set_silence(self.switches().silent);
         }
         Ok(())
@@ -193,8 +196,7 @@
         self.changes.send_modify(|count| *count += 1);
     }
 
-    /// Count a call, and get the highest revision that the replica it reached
-    /// knows of any value.
+    /// Count a call, and get the replica that answers it.
     fn record_call(&self, is_watch: bool) -> Replica {
         let mut state = lock(&self.state);
         match is_watch {
@@ -208,7 +210,8 @@
         }
     }
 
-    /// Get the newest revision that is_visible, and when a newer one will.
+    /// Get the newest revision of a value that is visible on a replica, and the
+    /// time at which the next one becomes visible.
     fn newest_visible(
         &self,
         name: &str,
@@ -233,15 +236,15 @@
     }
 }
 
-/// A `Replica` is which replica of the service a call reaches.
+/// A `Replica` is the replica of the service that answers a call.
 #[derive(Clone, Copy, Debug)]
 enum Replica {
     Fresh,
-    /// Stale where the switches say so.
+    /// The replica to which the switches `stale` and `flapping` apply.
     Stale,
 }
 
-/// Answer a read or a watch.
+/// Handle a read or a watch of a value.
 pub(crate) async fn handle(
     core: Arc<ValueCore>,
     request: Request<Incoming>,
