--- a/bergamotswitch-standin/tests/configuration_protocol.rs
+++ b/bergamotswitch-standin/tests/configuration_protocol.rs
@@ -29,7 +29,7 @@
 }
 
 #[tokio::test]
-async fn watch_wakes() {
+async fn watch_returns_update() {
     let service = start(ValueSource::Configuration).await;
     service.publish("rules", json!(1));
     let address = service.address();
@@ -65,7 +65,7 @@
 // Symptom: a host cannot read its rules. Sequence: the service answers 503,
 // or refuses connects, and comes back. Cause: an outage of the platform.
 #[tokio::test]
-async fn outage_ends() {
+async fn recovery_after_outage() {
     let service = start(ValueSource::Configuration).await;
     service.publish("rules", json!(1));
     service.set(|switches| switches.outage = OutageMode::Unavailable);
@@ -89,7 +89,7 @@
 }
 
 #[tokio::test]
-async fn lagging_list() {
+async fn delayed_host_list() {
     let list = start(ValueSource::HostList).await;
     let hosts = json!({"hosts": [], "targets": []});
     list.publish(HOSTS_VALUE, hosts.clone());
--- a/bergamotswitch-standin/tests/engine_protocol.rs
+++ b/bergamotswitch-standin/tests/engine_protocol.rs
@@ -9,7 +9,7 @@
 use http_body_util::BodyExt;
 use hyper::{Response, StatusCode, body::Incoming};
 use serde_json::{Value, json};
-use support::{LONG, LOOPBACK, SHORT, TestConnection, call, get, text};
+use support::{LOOPBACK, RESPONSE_TIMEOUT, SILENCE_WAIT, TestConnection, call, get, text};
 use tokio::time::timeout;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -42,15 +42,15 @@
 }
 
 #[tokio::test]
-async fn whole_stream() {
+async fn complete_stream() {
     let engine = start(EngineOptions::default()).await;
     let body = chat("a streak over the pampas", 5);
     let response = call(engine.address(), "POST", CHAT, "r1", &body).await;
     assert_eq!(response.status(), StatusCode::OK);
     assert_eq!(header(&response, "x-request-id"), "r1");
     assert_eq!(header(&response, "content-type"), "text/event-stream");
-    let (events, whole) = text(response).await;
-    assert!(whole);
+    let (events, complete) = text(response).await;
+    assert!(complete);
     let ids: Vec<&str> = events
         .lines()
         .filter_map(|line| line.strip_prefix("id: "))
@@ -76,7 +76,7 @@
 // twice. Sequence: the connection is cut after two events; the client resumes
 // by stream id and offset. Cause: a resume that begins a second run.
 #[tokio::test]
-async fn resume_rest() {
+async fn resume_after_close() {
     let engine = start(EngineOptions::default()).await;
     let body = chat("night log", 8);
     let whole = text(call(engine.address(), "POST", CHAT, "first", &body).await)
@@ -85,13 +85,13 @@
     engine.control().set(|switches| switches.drop = Some(2));
     let response = call(engine.address(), "POST", CHAT, "second", &body).await;
     let stream_id = header(&response, "x-stream-id");
-    let (beginning, is_whole) = text(response).await;
-    assert!(!is_whole);
+    let (beginning, is_complete) = text(response).await;
+    assert!(!is_complete);
     assert_eq!(chunks(&beginning).len(), 2);
     engine.control().set(|switches| switches.drop = None);
     let path = format!("/v1/streams/{stream_id}?offset=2");
-    let (rest, is_whole) = text(call(engine.address(), "GET", &path, "", "").await).await;
-    assert!(is_whole);
+    let (rest, is_complete) = text(call(engine.address(), "GET", &path, "", "").await).await;
+    assert!(is_complete);
     assert_eq!(
         format!("{beginning}{rest}"),
         whole.replace("first", "second")
@@ -116,13 +116,13 @@
         .control()
         .set(|switches| switches.silent = SilenceMode::Open);
     let mut late = std::pin::pin!(old.call("GET", "/v1/load", "", ""));
-    assert!(timeout(SHORT, &mut late).await.is_err());
+    assert!(timeout(SILENCE_WAIT, &mut late).await.is_err());
     let (status, _) = get(engine.address(), "/v1/load").await;
     assert_eq!(status, StatusCode::OK);
     engine
         .control()
         .set(|switches| switches.silent = SilenceMode::Off);
-    let response = timeout(LONG, late).await.expect("goes on");
+    let response = timeout(RESPONSE_TIMEOUT, late).await.expect("goes on");
     assert_eq!(response.expect("answers").status(), StatusCode::OK);
 }
 
@@ -130,7 +130,7 @@
 // the engine crosses or truncates answers. Cause: only the id and the
 // terminator tell.
 #[tokio::test]
-async fn false_answers() {
+async fn crossed_and_truncated() {
     let engine = start(EngineOptions::default()).await;
     let body = chat("x", 4);
     engine.control().set(|switches| switches.crossed = true);
@@ -143,8 +143,8 @@
         switches.truncate = true;
     });
     let response = call(engine.address(), "POST", CHAT, "r2", &body).await;
-    let (truncated, whole) = text(response).await;
-    assert!(whole, "only the terminator is missing");
+    let (truncated, complete) = text(response).await;
+    assert!(complete, "only the terminator is missing");
     assert_eq!(chunks(&truncated).len(), 2);
     assert!(!truncated.contains("[DONE]"));
 }
@@ -152,7 +152,7 @@
 // Symptom: a refused request ran all the same. Sequence: the engine answers
 // 429, 500, or restarts. Cause: only the contract makes a refusal proof.
 #[tokio::test]
-async fn refusals_counted() {
+async fn refusals_recorded() {
     let mut engine = start(EngineOptions::default()).await;
     engine.control().set(|switches| switches.refuse = Some(429));
     let response = call(engine.address(), "POST", CHAT, "r1", &chat("x", 4)).await;
@@ -170,7 +170,7 @@
 // Symptom: a resumed stream is unknown. Sequence: the engine restarts in the
 // middle of it. Cause: streams live in the process; 404 proves nothing.
 #[tokio::test]
-async fn restart_forgets() {
+async fn restart_drops_streams() {
     let engine = start(EngineOptions::default()).await;
     let body = chat("x", 10_000);
     let response = call(engine.address(), "POST", CHAT, "r1", &body).await;
@@ -186,7 +186,7 @@
 }
 
 #[tokio::test]
-async fn cancel_stops() {
+async fn cancelled_stream() {
     let engine = start(EngineOptions::default()).await;
     let body = chat("x", 10_000);
     let response = call(engine.address(), "POST", CHAT, "r1", &body).await;
@@ -201,7 +201,7 @@
 // connection closes in the middle of a stream that cannot be resumed. Cause:
 // nobody can ask for the rest.
 #[tokio::test]
-async fn caller_gone() {
+async fn caller_disconnected() {
     let contract = TargetContract::default();
     let engine = start(EngineOptions::default().with_contract(contract)).await;
     let body = chat("x", 10_000);
@@ -212,7 +212,7 @@
             tokio::task::yield_now().await;
         }
     };
-    timeout(LONG, stopped).await.expect("stops");
+    timeout(RESPONSE_TIMEOUT, stopped).await.expect("stops");
 }
 
 #[tokio::test]
@@ -232,7 +232,9 @@
             }
         }
     };
-    let load = timeout(LONG, filled).await.expect("fills the batch");
+    let load = timeout(RESPONSE_TIMEOUT, filled)
+        .await
+        .expect("fills the batch");
     assert_eq!(load["waiting"], 1);
     let (_, waiting) = get(engine.address(), "/v1/requests/r3/status").await;
     assert_eq!(waiting["offset"], 0);
@@ -259,7 +261,7 @@
     };
     assert_eq!(cached(&first), 0);
     assert_eq!(cached(&second), 512);
-    let frame = timeout(LONG, events.into_body().frame()).await;
+    let frame = timeout(RESPONSE_TIMEOUT, events.into_body().frame()).await;
     let frame = frame.expect("in time").expect("an event").expect("whole");
     let event = frame.into_data().expect("data");
     // The longest prefix is announced first.
@@ -269,7 +271,7 @@
 }
 
 #[tokio::test]
-async fn connects_refused() {
+async fn connections_refused() {
     let engine = start(EngineOptions::default()).await;
     engine.control().set(|switches| switches.reject = true);
     let refused = async {
@@ -280,7 +282,7 @@
             tokio::task::yield_now().await;
         }
     };
-    timeout(LONG, refused).await.expect("refuses");
+    timeout(RESPONSE_TIMEOUT, refused).await.expect("refuses");
     engine.control().set(|switches| switches.reject = false);
     let accepted = async {
         while tokio::net::TcpStream::connect(engine.address())
@@ -290,5 +292,7 @@
             tokio::task::yield_now().await;
         }
     };
-    timeout(LONG, accepted).await.expect("accepts again");
+    timeout(RESPONSE_TIMEOUT, accepted)
+        .await
+        .expect("accepts again");
 }
--- a/bergamotswitch-standin/tests/platform_protocol.rs
+++ b/bergamotswitch-standin/tests/platform_protocol.rs
@@ -43,7 +43,7 @@
 }
 
 #[tokio::test]
-async fn driven_outside() {
+async fn controlled_over_http() {
     let options = options(write_deployment("driven"));
     let platform = PlatformStandin::try_start(&options).await.expect("starts");
     let address = platform.configuration_address();
@@ -69,7 +69,7 @@
 // service refuses connects, and is to be switched on again. Cause: control
 // on the address that is closed.
 #[tokio::test]
-async fn outage_controlled() {
+async fn control_during_outage() {
     let options = options(write_deployment("outage"));
     let platform = PlatformStandin::try_start(&options).await.expect("starts");
     let address = platform.control_address().expect("bound");
@@ -87,14 +87,14 @@
 }
 
 #[tokio::test]
-async fn faults_told() {
+async fn errors_reported() {
     let options = options(write_deployment("faults"));
     let platform = PlatformStandin::try_start(&options).await.expect("starts");
     let address = platform.configuration_address();
     let unknown = json!({"target": "p1", "set": {"no-such-switch": 1}});
     assert_eq!(control(address, unknown).await.0, StatusCode::BAD_REQUEST);
-    let nobody = json!({"target": "p9", "set": {"error": true}});
-    assert_eq!(control(address, nobody).await.0, StatusCode::BAD_REQUEST);
+    let missing = json!({"target": "p9", "set": {"error": true}});
+    assert_eq!(control(address, missing).await.0, StatusCode::BAD_REQUEST);
     let rules = options.deployment.join("rules.json");
     std::fs::write(&rules, "{").expect("written");
     let error = PlatformStandin::try_start(&options)
--- a/bergamotswitch-standin/tests/service_protocol.rs
+++ b/bergamotswitch-standin/tests/service_protocol.rs
@@ -30,7 +30,7 @@
 // Symptom: two crews are sent to one field. Sequence: a caller repeats the
 // alert under another id. Cause: runs counted by id alone look like one each.
 #[tokio::test]
-async fn runs_counted() {
+async fn runs_recorded() {
     let service = start().await;
     for id in ["r1", "r1", "r2"] {
         call(service.address(), "POST", "/alert", id, "alert crew 4").await;
@@ -44,12 +44,12 @@
 // Sequence: the connection is cut in the middle of the body.
 // Cause: only the content length tells.
 #[tokio::test]
-async fn body_cut() {
+async fn truncated_body() {
     let service = start().await;
     service.control().set(|switches| switches.drop = Some(1));
     let response = call(service.address(), "POST", "/alert", "r1", "x").await;
-    let (half, whole) = text(response).await;
-    assert!(!whole);
+    let (half, complete) = text(response).await;
+    assert!(!complete);
     assert!(half.starts_with('{') && !half.ends_with('}'));
     let outcome = service.control().ledger().runs_of("r1")[0].outcome;
     assert_eq!(outcome, RunOutcome::Finished);
--- a/bergamotswitch-standin/tests/support/mod.rs
+++ b/bergamotswitch-standin/tests/support/mod.rs
@@ -15,9 +15,9 @@
 use tokio::time::timeout;
 
 /// A time by which everything on loopback is over, however busy the machine.
-pub const LONG: Duration = Duration::from_secs(20);
+pub const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
 /// A time in which something that works would have answered.
-pub const SHORT: Duration = Duration::from_millis(200);
+pub const SILENCE_WAIT: Duration = Duration::from_millis(200);
 /// Any free port on loopback.
 pub const LOOPBACK: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
@@ -61,7 +61,7 @@
 ) -> Response<Incoming> {
     let mut connection = TestConnection::open(address).await;
     let call = connection.call(method, path, request_id, body);
-    timeout(LONG, call)
+    timeout(RESPONSE_TIMEOUT, call)
         .await
         .expect("in time")
         .expect("answers")
@@ -75,7 +75,10 @@
 pub async fn json(response: Response<Incoming>) -> (StatusCode, Value) {
     let status = response.status();
     let body = response.into_body().collect();
-    let bytes = timeout(LONG, body).await.expect("in time").expect("whole");
+    let bytes = timeout(RESPONSE_TIMEOUT, body)
+        .await
+        .expect("in time")
+        .expect("whole");
     let value = serde_json::from_slice(&bytes.to_bytes()).unwrap_or_default();
     (status, value)
 }
@@ -85,7 +88,10 @@
 pub async fn text(response: Response<Incoming>) -> (String, bool) {
     let mut body = response.into_body();
     let mut text = String::new();
-    while let Some(frame) = timeout(LONG, body.frame()).await.expect("in time") {
+    while let Some(frame) = timeout(RESPONSE_TIMEOUT, body.frame())
+        .await
+        .expect("in time")
+    {
         let Ok(frame) = frame else {
             return (text, false);
         };
