--- a/bergamotswitch-standin/tests/configuration_protocol.rs
+++ b/bergamotswitch-standin/tests/configuration_protocol.rs
@@ -1,4 +1,4 @@
-//! Tests of the configuration service's and the host list's protocol.
+//! Tests of the protocol of the configuration service and of the host list.
 
 mod support;
 
@@ -14,7 +14,7 @@
 
 async fn start(source: ValueSource) -> ValueStandin {
     let started = ValueStandin::try_start(LOOPBACK, source).await;
-    started.expect("binds")
+    started.expect("bound")
 }
 
 #[tokio::test]
@@ -38,7 +38,7 @@
     tokio::time::sleep(Duration::from_millis(50)).await;
     assert!(!watch.is_finished());
     service.publish("rules", json!(2));
-    let (_, answer) = watch.await.expect("answers");
+    let (_, answer) = watch.await.expect("a response");
     assert_eq!(answer["revision"], 2);
     let path = format!("{RULES}?after=2&wait_ms=20");
     assert_eq!(get(address, &path).await.0, StatusCode::NOT_MODIFIED);
@@ -46,9 +46,8 @@
     assert_eq!(service.counts().reads, 0);
 }
 
-// Symptom: a host falls back to rules that were replaced. Sequence: a stale
-// replica, or two of which one is stale, answers. Cause: the service does not
-// say that it is stale.
+// Guards against a stand-in without stale reads: a stale replica answers with a
+// superseded revision and does not indicate it.
 #[tokio::test]
 async fn stale_replica() {
     let service = start(ValueSource::Configuration).await;
@@ -62,8 +61,8 @@
     assert_ne!(first["revision"], second["revision"]);
 }
 
-// Symptom: a host cannot read its rules. Sequence: the service answers 503,
-// or refuses connects, and comes back. Cause: an outage of the platform.
+// Guards against an outage that does not end: after 503 responses and refused
+// connections, reads work again.
 #[tokio::test]
 async fn recovery_after_outage() {
     let service = start(ValueSource::Configuration).await;
--- a/bergamotswitch-standin/tests/engine_protocol.rs
+++ b/bergamotswitch-standin/tests/engine_protocol.rs
@@ -1,4 +1,4 @@
-//! Tests of the engine's protocol.
+//! Tests of the protocol of the engine stand-in.
 
 mod support;
 
@@ -17,7 +17,7 @@
 
 async fn start(options: EngineOptions) -> EngineStandin {
     let started = EngineStandin::try_start(LOOPBACK, options).await;
-    started.expect("binds")
+    started.expect("bound")
 }
 
 fn chat(content: &str, tokens: u32) -> String {
@@ -30,7 +30,7 @@
     value.expect("visible").to_owned()
 }
 
-/// Get the chunks of a whole event stream, without its terminator.
+/// Get the chunks of an event stream, without its terminator.
 fn chunks(events: &str) -> Vec<Value> {
     let data = events
         .lines()
@@ -72,9 +72,8 @@
     );
 }
 
-// Symptom: a caller misses the end of its report, or the engine makes it
-// twice. Sequence: the connection is cut after two events; the client resumes
-// by stream id and offset. Cause: a resume that begins a second run.
+// Guards against a resume that starts a second run or loses events: a stream
+// whose connection closes after two events continues at the offset.
 #[tokio::test]
 async fn resume_after_close() {
     let engine = start(EngineOptions::default()).await;
@@ -104,14 +103,15 @@
     assert_eq!(status["stream_id"], stream_id);
 }
 
-// Symptom: an answer stops for good and no error is seen. Sequence: a stream
-// is open, something between the ends loses track of the connection, new
-// connections work. Cause: silence is no close.
+// Guards against silence that closes connections or affects new ones: an open
+// connection stops responding without an error, and resumes later.
 #[tokio::test]
 async fn silent_connection() {
     let engine = start(EngineOptions::default()).await;
     let mut old = TestConnection::open(engine.address()).await;
-    old.call("GET", "/v1/load", "", "").await.expect("answers");
+    old.call("GET", "/v1/load", "", "")
+        .await
+        .expect("a response");
     engine
         .control()
         .set(|switches| switches.silent = SilenceMode::Open);
@@ -122,13 +122,14 @@
     engine
         .control()
         .set(|switches| switches.silent = SilenceMode::Off);
-    let response = timeout(RESPONSE_TIMEOUT, late).await.expect("goes on");
-    assert_eq!(response.expect("answers").status(), StatusCode::OK);
+    let response = timeout(RESPONSE_TIMEOUT, late)
+        .await
+        .expect("connection resumed");
+    assert_eq!(response.expect("a response").status(), StatusCode::OK);
 }
 
-// Symptom: a caller gets another caller's answer, or half of one. Sequence:
-// the engine crosses or truncates answers. Cause: only the id and the
-// terminator tell.
+// Guards against faults that the transport reveals: a crossed answer differs only
+// in its id, a truncated one only lacks the terminator.
 #[tokio::test]
 async fn crossed_and_truncated() {
     let engine = start(EngineOptions::default()).await;
@@ -144,13 +145,16 @@
     });
     let response = call(engine.address(), "POST", CHAT, "r2", &body).await;
     let (truncated, complete) = text(response).await;
-    assert!(complete, "only the terminator is missing");
+    assert!(
+        complete,
+        "a truncated stream must end without a transport error"
+    );
     assert_eq!(chunks(&truncated).len(), 2);
     assert!(!truncated.contains("[DONE]"));
 }
 
-// Symptom: a refused request ran all the same. Sequence: the engine answers
-// 429, 500, or restarts. Cause: only the contract makes a refusal proof.
+// Guards against a refusal that is recorded wrongly: only with
+// `refusal_means_not_run` does it leave no run in the ledger.
 #[tokio::test]
 async fn refusals_recorded() {
     let mut engine = start(EngineOptions::default()).await;
@@ -167,8 +171,8 @@
     assert_eq!(engine.control().run_count("r2"), 1);
 }
 
-// Symptom: a resumed stream is unknown. Sequence: the engine restarts in the
-// middle of it. Cause: streams live in the process; 404 proves nothing.
+// Guards against streams that survive a restart: afterwards the stream is unknown
+// (404), although its request ran.
 #[tokio::test]
 async fn restart_drops_streams() {
     let engine = start(EngineOptions::default()).await;
@@ -197,9 +201,8 @@
     assert_eq!(outcome, RunOutcome::Cancelled);
 }
 
-// Symptom: an engine works for callers that are gone. Sequence: the caller's
-// connection closes in the middle of a stream that cannot be resumed. Cause:
-// nobody can ask for the rest.
+// Guards against runs that continue without a caller: a stream that cannot be
+// resumed is stopped when its connection closes.
 #[tokio::test]
 async fn caller_disconnected() {
     let contract = TargetContract::default();
@@ -212,7 +215,9 @@
             tokio::task::yield_now().await;
         }
     };
-    timeout(RESPONSE_TIMEOUT, stopped).await.expect("stops");
+    timeout(RESPONSE_TIMEOUT, stopped)
+        .await
+        .expect("run stopped");
 }
 
 #[tokio::test]
@@ -234,7 +239,7 @@
     };
     let load = timeout(RESPONSE_TIMEOUT, filled)
         .await
-        .expect("fills the batch");
+        .expect("batch is full");
     assert_eq!(load["waiting"], 1);
     let (_, waiting) = get(engine.address(), "/v1/requests/r3/status").await;
     assert_eq!(waiting["offset"], 0);
@@ -262,9 +267,12 @@
     assert_eq!(cached(&first), 0);
     assert_eq!(cached(&second), 512);
     let frame = timeout(RESPONSE_TIMEOUT, events.into_body().frame()).await;
-    let frame = frame.expect("in time").expect("an event").expect("whole");
+    let frame = frame
+        .expect("no timeout")
+        .expect("an event")
+        .expect("a complete frame");
     let event = frame.into_data().expect("data");
-    // The longest prefix is announced first.
+    // The event of the longest prefix comes first.
     let prefix = format!("{:016x}", xxh3_64(&log.as_bytes()[..2048]));
     let expected = format!("data: {}\n\n", json!({"prefix": prefix, "held": true}));
     assert_eq!(event, expected.as_bytes());
@@ -282,7 +290,9 @@
             tokio::task::yield_now().await;
         }
     };
-    timeout(RESPONSE_TIMEOUT, refused).await.expect("refuses");
+    timeout(RESPONSE_TIMEOUT, refused)
+        .await
+        .expect("connections refused");
     engine.control().set(|switches| switches.reject = false);
     let accepted = async {
         while tokio::net::TcpStream::connect(engine.address())
@@ -294,5 +304,5 @@
     };
     timeout(RESPONSE_TIMEOUT, accepted)
         .await
-        .expect("accepts again");
+        .expect("connections accepted");
 }
--- a/bergamotswitch-standin/tests/platform_protocol.rs
+++ b/bergamotswitch-standin/tests/platform_protocol.rs
@@ -1,4 +1,4 @@
-//! Tests of a whole platform, driven from outside.
+//! Tests of a complete platform, controlled over HTTP.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 use support::{LOOPBACK, call, get, json as answer};
 
-/// Write a deployment of one engine and one plain service.
+/// Write a deployment with one engine and one plain service.
 fn write_deployment(name: &str) -> PathBuf {
     let directory = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::create_dir_all(&directory).expect("a directory");
@@ -45,7 +45,7 @@
 #[tokio::test]
 async fn controlled_over_http() {
     let options = options(write_deployment("driven"));
-    let platform = PlatformStandin::try_start(&options).await.expect("starts");
+    let platform = PlatformStandin::try_start(&options).await.expect("started");
     let address = platform.configuration_address();
     let publication = json!({"publish": {"name": "rules", "body": {"rules": [1]}}});
     assert_eq!(control(address, publication).await.1["revision"], 2);
@@ -65,13 +65,12 @@
     assert_eq!(ledger["configuration"]["reads"], 1);
 }
 
-// Symptom: a test that ends an outage hangs. Sequence: the configuration
-// service refuses connects, and is to be switched on again. Cause: control
-// on the address that is closed.
+// Guards against a control interface that an outage disables: with the
+// configuration service's address closed, the control address ends the outage.
 #[tokio::test]
 async fn control_during_outage() {
     let options = options(write_deployment("outage"));
-    let platform = PlatformStandin::try_start(&options).await.expect("starts");
+    let platform = PlatformStandin::try_start(&options).await.expect("started");
     let address = platform.control_address().expect("bound");
     let outage = |mode: &str| json!({"target": "configuration", "set": {"outage": mode}});
     control(address, outage("refused")).await;
@@ -89,7 +88,7 @@
 #[tokio::test]
 async fn errors_reported() {
     let options = options(write_deployment("faults"));
-    let platform = PlatformStandin::try_start(&options).await.expect("starts");
+    let platform = PlatformStandin::try_start(&options).await.expect("started");
     let address = platform.configuration_address();
     let unknown = json!({"target": "p1", "set": {"no-such-switch": 1}});
     assert_eq!(control(address, unknown).await.0, StatusCode::BAD_REQUEST);
@@ -99,6 +98,6 @@
     std::fs::write(&rules, "{").expect("written");
     let error = PlatformStandin::try_start(&options)
         .await
-        .expect_err("no JSON");
+        .expect_err("a file with invalid JSON");
     assert!(matches!(error, PlatformError::Json(path, _) if path == rules));
 }
--- a/bergamotswitch-standin/tests/service_protocol.rs
+++ b/bergamotswitch-standin/tests/service_protocol.rs
@@ -1,4 +1,4 @@
-//! Tests of the plain service's protocol.
+//! Tests of the protocol of the plain service stand-in.
 
 mod support;
 
@@ -11,7 +11,7 @@
 async fn start() -> PlainStandin {
     let contract = TargetContract::default();
     let started = PlainStandin::try_start(LOOPBACK, "red-app", contract).await;
-    started.expect("binds")
+    started.expect("bound")
 }
 
 #[tokio::test]
@@ -27,8 +27,8 @@
     assert_eq!(answer["request_id"], "r1");
 }
 
-// Symptom: two crews are sent to one field. Sequence: a caller repeats the
-// alert under another id. Cause: runs counted by id alone look like one each.
+// Guards against duplicate runs that stay unnoticed: a body resubmitted under
+// another request id is found by its hash.
 #[tokio::test]
 async fn runs_recorded() {
     let service = start().await;
@@ -40,9 +40,8 @@
     assert_eq!(ledger.runs_of_body(b"alert crew 4").len(), 3);
 }
 
-// Symptom: half an answer is taken for a whole one, although the call ran.
-// Sequence: the connection is cut in the middle of the body.
-// Cause: only the content length tells.
+// Guards against a truncated body that looks complete: the connection closes
+// before `Content-Length` is reached, although the call was executed.
 #[tokio::test]
 async fn truncated_body() {
     let service = start().await;
--- a/bergamotswitch-standin/tests/support/mod.rs
+++ b/bergamotswitch-standin/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Provides a small HTTP client for the protocol tests.
+//! Provides an HTTP client for the protocol tests.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::net::SocketAddr;
@@ -14,11 +14,11 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// A time by which everything on loopback is over, however busy the machine.
+/// The timeout of operations that succeed, with a margin for a busy machine.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
-/// A time in which something that works would have answered.
+/// The time without a response after which a connection counts as unresponsive.
 pub const SILENCE_WAIT: Duration = Duration::from_millis(200);
-/// Any free port on loopback.
+/// A loopback address with port 0, which binds any free port.
 pub const LOOPBACK: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
@@ -27,7 +27,7 @@
 
 impl TestConnection {
     pub async fn open(address: SocketAddr) -> Self {
-        let stream = TcpStream::connect(address).await.expect("connects");
+        let stream = TcpStream::connect(address).await.expect("a connection");
         let (sender, connection) = handshake(TokioIo::new(stream)).await.expect("handshake");
         tokio::spawn(connection);
         TestConnection(sender)
@@ -51,7 +51,7 @@
     }
 }
 
-/// Call once on a new connection.
+/// Send one request on a new connection, and get the response.
 pub async fn call(
     address: SocketAddr,
     method: &str,
@@ -63,11 +63,11 @@
     let call = connection.call(method, path, request_id, body);
     timeout(RESPONSE_TIMEOUT, call)
         .await
-        .expect("in time")
-        .expect("answers")
+        .expect("no timeout")
+        .expect("a response")
 }
 
-/// Get a JSON answer on a new connection.
+/// Send a GET request on a new connection, and get the status and JSON body.
 pub async fn get(address: SocketAddr, path: &str) -> (StatusCode, Value) {
     json(call(address, "GET", path, "", "").await).await
 }
@@ -77,20 +77,20 @@
     let body = response.into_body().collect();
     let bytes = timeout(RESPONSE_TIMEOUT, body)
         .await
-        .expect("in time")
-        .expect("whole");
+        .expect("no timeout")
+        .expect("a complete body");
     let value = serde_json::from_slice(&bytes.to_bytes()).unwrap_or_default();
     (status, value)
 }
 
-/// Get the text of a body until its end or its break, and whether it was
-/// whole at the transport.
+/// Get the text of a body up to its end or a transport error, and whether it ended
+/// without an error.
 pub async fn text(response: Response<Incoming>) -> (String, bool) {
     let mut body = response.into_body();
     let mut text = String::new();
     while let Some(frame) = timeout(RESPONSE_TIMEOUT, body.frame())
         .await
-        .expect("in time")
+        .expect("no timeout")
     {
         let Ok(frame) = frame else {
             return (text, false);
