--- a/bergamotswitch-standin/src/kv_store.rs
+++ b/bergamotswitch-standin/src/kv_store.rs
@@ -159,7 +159,7 @@
     match mode {
         StoreMode::Normal => {}
         StoreMode::Unavailable => {
-            return Ok(json_response(StatusCode::SERVICE_UNAVAILABLE, &json!({})));
+            return Ok(respond(StatusCode::SERVICE_UNAVAILABLE, &json!({})));
         }
         StoreMode::NoResponse => {
             sleep(Duration::from_secs(3_600)).await;
@@ -170,7 +170,7 @@
     let response = match request.uri().path() {
         "/kv-range" => range(&shared, &prefix),
         "/kv-watch" => watch(&shared, &prefix, query).await,
-        _ => json_response(StatusCode::NOT_FOUND, &json!({})),
+        _ => respond(StatusCode::NOT_FOUND, &json!({})),
     };
     // A watch that was pending when the mode changed must not be answered.
     if lock(&shared.state).mode == StoreMode::NoResponse {
@@ -193,7 +193,7 @@
         "truncated": false,
         "storeRevision": state.revision,
     });
-    json_response(StatusCode::OK, &body)
+    respond(StatusCode::OK, &body)
 }
 
 async fn watch(shared: &StoreShared, prefix: &str, query: &str) -> Response<Full<Bytes>> {
@@ -212,7 +212,7 @@
         Ok(found) => found,
         Err(_) => {
             let revision = lock(&shared.state).revision;
-            json_response(
+            respond(
                 StatusCode::OK,
                 &json!({ "events": [], "storeRevision": revision }),
             )
@@ -223,7 +223,7 @@
 fn changes_after(shared: &StoreShared, prefix: &str, after: u64) -> Option<Response<Full<Bytes>>> {
     let state = lock(&shared.state);
     if after < state.compacted {
-        return Some(json_response(StatusCode::GONE, &json!({})));
+        return Some(respond(StatusCode::GONE, &json!({})));
     }
     let later = state.history.iter();
     let later = later.filter(|change| change.revision > after && change.key.starts_with(prefix));
@@ -234,7 +234,7 @@
         return None;
     }
     let body = json!({ "events": events, "storeRevision": state.revision });
-    Some(json_response(StatusCode::OK, &body))
+    Some(respond(StatusCode::OK, &body))
 }
 
 fn item_json(key: &str, value: Option<&Bytes>, revision: u64) -> Value {
@@ -255,7 +255,7 @@
     base64::engine::general_purpose::STANDARD.encode(bytes)
 }
 
-fn json_response(status: StatusCode, body: &Value) -> Response<Full<Bytes>> {
+fn respond(status: StatusCode, body: &Value) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(body.to_string())));
     *response.status_mut() = status;
     response
