--- a/bergamotswitch-standin/src/kv_store.rs
+++ b/bergamotswitch-standin/src/kv_store.rs
@@ -158,9 +158,7 @@
     };
     match mode {
         StoreMode::Normal => {}
-        StoreMode::Unavailable => {
-            return Ok(respond(StatusCode::SERVICE_UNAVAILABLE, &json!({})));
-        }
+        StoreMode::Unavailable => return Ok(respond(StatusCode::SERVICE_UNAVAILABLE, &json!({}))),
         StoreMode::NoResponse => {
             sleep(Duration::from_secs(3_600)).await;
         }
