--- a/bergamotswitch-standin/src/stage.rs
+++ b/bergamotswitch-standin/src/stage.rs
@@ -16,9 +16,10 @@
 /// directory is removed on drop.
 ///
 /// The processes of a deployment have to know each other's ports before they
-/// start, so the ports are those of the original files. Each stage has its own
-/// loopback address instead, derived from the process id and the number of the
-/// stage, so that parallel tests do not conflict.
+/// start, so the ports are those of the original files, below the ephemeral range
+/// from which port 0 draws. Each stage has its own loopback address instead,
+/// derived from the process id and the number of the stage, so that parallel
+/// tests do not conflict.
 #[derive(Debug)]
 pub struct StagedDeployment {
     directory: PathBuf,
--- a/bergamotswitch-standin/src/switches.rs
+++ b/bergamotswitch-standin/src/switches.rs
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TargetSwitches {
-    /// The factor by which the step, the prefill and the delay take longer.
+    /// The factor applied to the step, prefill and response times.
     pub slow: f64,
     /// The connections that become unresponsive.
     pub silent: SilenceMode,
