--- a/bergamotswitch-standin/src/engine_core.rs
+++ b/bergamotswitch-standin/src/engine_core.rs
@@ -1,4 +1,4 @@
-//! Provides the state of an engine stand-in and the task that steps it.
+//! Provides the state of an engine stand-in and the loop that steps its batch.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex};
@@ -10,16 +10,17 @@
 use tokio::time::{Instant, sleep_until};
 
 use crate::batch::{EngineBatch, EngineRun, LoadSample, RunProgress};
-use crate::board::{TargetBoard, lock};
 use crate::engine::EngineOptions;
 use crate::ledger::RunOutcome;
 use crate::prefix::PrefixEvent;
 use crate::prompt::PromptShape;
+use crate::target_control::{TargetControl, lock};
 
-/// The streams kept for resuming; the oldest ended ones go first.
+/// The number of streams kept for resuming, above which ended ones are evicted,
+/// oldest first. Eviction stops at the first run that has not ended.
 const MAX_STREAMS: usize = 4096;
-/// The steps that a late engine catches up on; beyond them it was paused, and
-/// a paused engine makes no tokens.
+/// The maximum number of missed steps that are made up for. A longer delay is
+/// treated as a pause of the engine, during which no tokens are produced.
 const MAX_CATCH_UP: u32 = 10;
 
 #[derive(Debug)]
@@ -28,38 +29,38 @@
     streams: HashMap<String, Arc<EngineRun>>,
     requests: HashMap<String, Arc<EngineRun>>,
     arrivals: VecDeque<Arc<EngineRun>>,
-    loads: VecDeque<(Instant, LoadSample)>,
+    load_samples: VecDeque<(Instant, LoadSample)>,
     rng: StdRng,
 }
 
-/// An `EngineCore` is the state of an engine stand-in.
+/// An `EngineCore` is the state that all connections of an engine stand-in share.
 #[derive(Debug)]
 pub(crate) struct EngineCore {
     pub(crate) options: EngineOptions,
-    pub(crate) board: Arc<TargetBoard>,
+    pub(crate) control: Arc<TargetControl>,
     state: Mutex<EngineState>,
     work: Notify,
 }
 
 impl EngineCore {
-    pub(crate) fn new(options: EngineOptions, board: Arc<TargetBoard>) -> Arc<Self> {
+    pub(crate) fn new(options: EngineOptions, control: Arc<TargetControl>) -> Arc<Self> {
         let state = EngineState {
             batch: EngineBatch::new(&options),
             streams: HashMap::new(),
             requests: HashMap::new(),
             arrivals: VecDeque::new(),
-            loads: VecDeque::new(),
+            load_samples: VecDeque::new(),
             rng: StdRng::seed_from_u64(options.seed),
         };
         Arc::new(EngineCore {
             options,
-            board,
+            control,
             state: Mutex::new(state),
             work: Notify::new(),
         })
     }
 
-    /// Step the batch for ever.
+    /// Step the batch in an endless loop, which waits while the batch is idle.
     pub(crate) async fn run(self: Arc<Self>) {
         let mut next = Instant::now();
         loop {
@@ -67,7 +68,7 @@
                 self.work.notified().await;
                 next = Instant::now();
             }
-            let step = self.board.switches().slowed(self.options.step);
+            let step = self.control.switches().scaled(self.options.step);
             let earliest = Instant::now().checked_sub(step * MAX_CATCH_UP);
             next = earliest.map_or(next, |earliest| next.max(earliest)) + step;
             sleep_until(next).await;
@@ -78,20 +79,20 @@
     fn step(&self) {
         let mut state = lock(&self.state);
         for run in state.batch.step() {
-            self.board
+            self.control
                 .ledger_mut()
                 .end(run.number, RunOutcome::Finished);
         }
         self.sample_load(&mut state);
     }
 
-    /// Begin a run.
+    /// Start a run of a request, and add it to the batch's queue.
     pub(crate) fn submit(&self, request_id: Option<String>, shape: PromptShape) -> Arc<EngineRun> {
         let mut state = lock(&self.state);
         let stream_id = format!("{:016x}", state.rng.random::<u64>());
         let request_id = request_id.unwrap_or_else(|| format!("anonymous-{stream_id}"));
         let run = Arc::new(EngineRun {
-            number: self.board.ledger_mut().start(&request_id, shape.digest),
+            number: self.control.ledger_mut().start(&request_id, shape.digest),
             progress: watch::Sender::new(RunProgress {
                 emitted: 0,
                 cached_tokens: 0,
@@ -104,7 +105,7 @@
         state.streams.insert(stream_id, Arc::clone(&run));
         state.requests.insert(request_id, Arc::clone(&run));
         state.arrivals.push_back(Arc::clone(&run));
-        state.forget_oldest();
+        state.evict_ended_runs();
         state.batch.submit(Arc::clone(&run));
         self.sample_load(&mut state);
         drop(state);
@@ -112,7 +113,7 @@
         run
     }
 
-    /// End a run before its time.
+    /// End a run early with an outcome; a run that has ended is unchanged.
     pub(crate) fn stop(&self, run: &Arc<EngineRun>, outcome: RunOutcome) {
         let mut state = lock(&self.state);
         if run.is_live() {
@@ -122,20 +123,21 @@
         }
     }
 
-    /// Forget all streams, requests and prefixes; what ran is broken.
+    /// Drop all streams, requests and cached prefixes, record running requests as
+    /// broken, and close all connections.
     pub(crate) fn restart(&self) {
         let mut state = lock(&self.state);
-        self.break_runs(&mut state);
+        self.fail_runs(&mut state);
         state.arrivals.clear();
         state.streams.clear();
         state.requests.clear();
         state.batch.cache.clear();
         self.sample_load(&mut state);
         drop(state);
-        self.board.cut_connections();
+        self.control.close_connections();
     }
 
-    fn break_runs(&self, state: &mut EngineState) {
+    fn fail_runs(&self, state: &mut EngineState) {
         for run in state.arrivals.clone() {
             if run.is_live() {
                 state.batch.remove(&run);
@@ -145,25 +147,26 @@
     }
 
     fn end(&self, run: &EngineRun, outcome: RunOutcome) {
-        self.board.ledger_mut().end(run.number, outcome);
+        self.control.ledger_mut().end(run.number, outcome);
         run.progress
             .send_modify(|progress| progress.outcome = outcome);
     }
 
-    /// Get a run by its stream id.
+    /// Get a run by its stream id, if it is still kept.
     pub(crate) fn stream(&self, stream_id: &str) -> Option<Arc<EngineRun>> {
         lock(&self.state).streams.get(stream_id).cloned()
     }
 
-    /// Get the latest run of a request id.
+    /// Get the latest run of a request id, if it is still kept.
     pub(crate) fn request(&self, request_id: &str) -> Option<Arc<EngineRun>> {
         lock(&self.state).requests.get(request_id).cloned()
     }
 
-    /// Get the identity and the digest with which a run is answered: its own,
-    /// or those of the latest other request where answers are crossed.
-    pub(crate) fn answered_as(&self, run: &EngineRun) -> (String, u64) {
-        if !self.board.switches().crossed {
+    /// Get the request id and the body digest used in the response to a run:
+    /// those of the run, or with the `crossed` switch those of the latest run of
+    /// another request, or made-up ones if there is none.
+    pub(crate) fn response_identity(&self, run: &EngineRun) -> (String, u64) {
+        if !self.control.switches().crossed {
             return (run.request_id.clone(), run.shape.digest);
         }
         let state = lock(&self.state);
@@ -175,50 +178,51 @@
         }
     }
 
-    /// Get the load as it was a lag ago, and the lag in milliseconds.
+    /// Get the load as it was `load_lag_ms` ago, and that lag in milliseconds.
     pub(crate) fn load(&self) -> (LoadSample, u64) {
         let mut state = lock(&self.state);
-        let lag = self.board.switches().load_lag_ms;
-        state.forget_loads(lag);
-        let known = state.loads.front().map(|(_, sample)| *sample);
+        let lag = self.control.switches().load_lag_ms;
+        state.evict_loads(lag);
+        let known = state.load_samples.front().map(|(_, sample)| *sample);
         (known.unwrap_or_default(), lag)
     }
 
     fn sample_load(&self, state: &mut EngineState) {
-        if state.loads.is_empty() {
-            // The load before the first change.
+        if state.load_samples.is_empty() {
+            // The load before the first change is zero.
             let since = Instant::now();
-            state.loads.push_back((since, LoadSample::default()));
+            state.load_samples.push_back((since, LoadSample::default()));
         }
         let sample = state.batch.load();
-        state.loads.push_back((Instant::now(), sample));
-        state.forget_loads(self.board.switches().load_lag_ms);
+        state.load_samples.push_back((Instant::now(), sample));
+        state.evict_loads(self.control.switches().load_lag_ms);
     }
 
-    /// Get whether a prefix is held.
-    pub(crate) fn holds(&self, prefix: u64) -> bool {
-        lock(&self.state).batch.cache.holds(prefix)
+    /// Get whether a prefix is cached.
+    pub(crate) fn holds_prefix(&self, prefix: u64) -> bool {
+        lock(&self.state).batch.cache.contains(prefix)
     }
 
-    /// Hold a prefix that was computed elsewhere.
-    pub(crate) fn import(&self, prefix: u64) {
+    /// Add a prefix to the cache that was computed by another engine.
+    pub(crate) fn import_prefix(&self, prefix: u64) {
         lock(&self.state).batch.cache.insert(&[prefix]);
     }
 
-    /// Get the cache events from now on.
+    /// Subscribe to cache events; earlier events are not delivered.
     pub(crate) fn cache_events(&self) -> broadcast::Receiver<PrefixEvent> {
         lock(&self.state).batch.cache.subscribe()
     }
 
-    /// Draw whether a cache event is lost.
-    pub(crate) fn draw_gap(&self) -> bool {
-        let gaps = self.board.switches().cache_event_gaps;
+    /// Decide at random, by the `cache_event_gaps` percentage, whether a cache
+    /// event is dropped.
+    pub(crate) fn drops_cache_event(&self) -> bool {
+        let gaps = self.control.switches().cache_event_gaps;
         lock(&self.state).rng.random_range(0..100) < gaps
     }
 }
 
 impl EngineState {
-    fn forget_oldest(&mut self) {
+    fn evict_ended_runs(&mut self) {
         while self.arrivals.len() > MAX_STREAMS {
             let ended = self.arrivals.front().is_some_and(|run| !run.is_live());
             let Some(run) = self.arrivals.pop_front_if(|_| ended) else {
@@ -232,13 +236,13 @@
         }
     }
 
-    /// Forget the samples that were outdated a lag ago.
-    fn forget_loads(&mut self, lag_ms: u64) {
+    /// Evict the samples that were already superseded `lag_ms` ago.
+    fn evict_loads(&mut self, lag_ms: u64) {
         let Some(then) = Instant::now().checked_sub(Duration::from_millis(lag_ms)) else {
             return;
         };
-        while self.loads.get(1).is_some_and(|(at, _)| *at <= then) {
-            self.loads.pop_front();
+        while self.load_samples.get(1).is_some_and(|(at, _)| *at <= then) {
+            self.load_samples.pop_front();
         }
     }
 }
--- a/bergamotswitch-standin/src/engine_stream.rs
+++ b/bergamotswitch-standin/src/engine_stream.rs
@@ -1,4 +1,5 @@
-//! Provides the event streams of an engine: answers and cache events.
+//! Provides the responses of an engine: completions, streamed or as one body,
+//! and the stream of cache events.
 
 use std::sync::Arc;
 
@@ -11,36 +12,36 @@
 use serde_json::{Value, json};
 use tokio::sync::{broadcast, watch};
 
-use crate::answer::{AnswerBody, CutError, REQUEST_ID, set_header};
 use crate::batch::{EngineRun, RunProgress};
 use crate::engine_core::EngineCore;
 use crate::ledger::RunOutcome;
 use crate::prefix::PrefixEvent;
 use crate::prompt::output_token;
+use crate::response::{CloseError, REQUEST_ID, ResponseBody, set_header};
 
-/// A `StreamCursor` is one connection's place in a run's events.
+/// A `StreamCursor` is the position of one connection in the events of a run.
 struct StreamCursor {
     caller: CallerGuard,
     progress: watch::Receiver<RunProgress>,
-    /// The identity and digest with which the run is answered.
+    /// The request id and the body digest used in the response.
     identity: (String, u64),
-    /// The number of the next event; the terminator's is one above the last
-    /// token's.
+    /// The number of the next event. The terminator has the number after the
+    /// last token's.
     next: u32,
-    /// The events sent on this connection.
+    /// The number of events sent on this connection.
     sent: u32,
 }
 
 impl StreamCursor {
-    async fn next_event(&mut self) -> Option<Result<Bytes, CutError>> {
+    async fn next_event(&mut self) -> Option<Result<Bytes, CloseError>> {
         let tokens = self.caller.run.shape.output_tokens;
         loop {
-            let switches = self.caller.core.board.switches();
+            let switches = self.caller.core.control.switches();
             if switches.drop.is_some_and(|limit| self.sent >= limit) {
-                // What was sent so far is flushed before the connection is
-                // cut, so that the cut comes in the middle of the answer.
+                // Yielding lets the events so far be flushed, so that the
+                // connection closes in the middle of the response.
                 tokio::task::yield_now().await;
-                return Some(Err(CutError));
+                return Some(Err(CloseError));
             }
             if self.next > tokens + 1 || (switches.truncate && self.next > tokens / 2) {
                 return None;
@@ -52,7 +53,7 @@
             match progress.outcome {
                 RunOutcome::Finished => return Some(Ok(self.event("[DONE]"))),
                 RunOutcome::Cancelled => return None,
-                RunOutcome::Broken => return Some(Err(CutError)),
+                RunOutcome::Broken => return Some(Err(CloseError)),
                 RunOutcome::Running => self.progress.changed().await.ok()?,
             }
         }
@@ -86,7 +87,8 @@
     }
 }
 
-/// A `CallerGuard` stands for the caller that a run is made for.
+/// A `CallerGuard` stops a run when its caller's connection closes, unless the
+/// stream can be resumed.
 struct CallerGuard {
     core: Arc<EngineCore>,
     run: Arc<EngineRun>,
@@ -103,8 +105,8 @@
 
 impl Drop for CallerGuard {
     fn drop(&mut self) {
-        // Without resuming nobody can ask for the rest; an engine then stops
-        // the run, as real ones do when their caller is gone.
+        // Without resuming, the rest of the output cannot be requested again.
+        // Engines abort such a run when its caller disconnects.
         if !self.core.options.contract.resumes {
             self.core.stop(&self.run, RunOutcome::Broken);
         }
@@ -119,16 +121,16 @@
     })
 }
 
-/// Get the answer that streams a run's events after `offset`.
-pub(crate) fn stream_answer(
+/// Get the response that streams the events of a run after `offset`.
+pub(crate) fn stream_response(
     core: &Arc<EngineCore>,
     run: &Arc<EngineRun>,
     offset: u32,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let cursor = StreamCursor {
         caller: CallerGuard::new(core, run),
         progress: run.progress.subscribe(),
-        identity: core.answered_as(run),
+        identity: core.response_identity(run),
         next: offset.saturating_add(1),
         sent: 0,
     };
@@ -143,9 +145,9 @@
     response
 }
 
-/// Get a run's whole answer as one JSON value, waiting for its end; `None`
-/// where it ended otherwise.
-pub(crate) async fn whole_answer(
+/// Wait for the end of a run, and get the request id and the complete answer as
+/// one JSON value, or `None` if the run did not finish.
+pub(crate) async fn complete_response(
     core: &Arc<EngineCore>,
     run: &Arc<EngineRun>,
 ) -> Option<(String, Value)> {
@@ -156,7 +158,7 @@
     if progress.outcome != RunOutcome::Finished {
         return None;
     }
-    let (id, digest) = core.answered_as(run);
+    let (id, digest) = core.response_identity(run);
     let tokens = 1..=progress.emitted;
     let text: String = tokens.map(|number| output_token(digest, number)).collect();
     let answer = json!({
@@ -173,10 +175,11 @@
     Some((id, answer))
 }
 
-/// Get the answer that streams cache events, late and with gaps.
-pub(crate) fn cache_event_answer(core: &Arc<EngineCore>) -> Response<AnswerBody> {
-    let follower = (Arc::clone(core), core.cache_events());
-    let events = stream::unfold(follower, |(core, mut receiver)| async move {
+/// Get the response that streams cache events, delayed and incomplete according
+/// to the switches.
+pub(crate) fn cache_event_response(core: &Arc<EngineCore>) -> Response<ResponseBody> {
+    let subscription = (Arc::clone(core), core.cache_events());
+    let events = stream::unfold(subscription, |(core, mut receiver)| async move {
         let event = next_cache_event(&core, &mut receiver).await?;
         let data = json!({
             "prefix": format!("{:016x}", event.prefix),
@@ -198,16 +201,16 @@
             Err(broadcast::error::RecvError::Lagged(_)) => continue,
             Err(broadcast::error::RecvError::Closed) => return None,
         };
-        if core.draw_gap() {
+        if core.drops_cache_event() {
             continue;
         }
-        let lag = core.board.switches().cache_event_lag_ms;
+        let lag = core.control.switches().cache_event_lag_ms;
         tokio::time::sleep_until(event.at + std::time::Duration::from_millis(lag)).await;
         return Some(event);
     }
 }
 
-fn event_stream(body: AnswerBody) -> Response<AnswerBody> {
+fn event_stream(body: ResponseBody) -> Response<ResponseBody> {
     let mut response = Response::new(body);
     set_header(&mut response, CONTENT_TYPE.as_str(), "text/event-stream");
     response
--- /dev/null
+++ b/bergamotswitch-standin/src/gateway_target.rs
@@ -0,0 +1,374 @@
+//! Provides the stand-in for a target of the gateway: plain and streamed
+//! responses with a `response-seal` header, and fault injection for each call.
+
+use std::collections::VecDeque;
+use std::convert::Infallible;
+use std::io;
+use std::net::SocketAddr;
+use std::pin::Pin;
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant, SystemTime};
+
+use bytes::Bytes;
+use futures_util::{Stream, StreamExt, stream};
+use http_body_util::{BodyExt, Full, StreamBody, combinators::BoxBody};
+use hyper::body::{Frame, Incoming};
+use hyper::header::HeaderMap;
+use hyper::{Request, Response, StatusCode};
+use serde_json::{Value, json};
+use tokio::time::sleep;
+
+use crate::loopback_listener::LoopbackListener;
+use crate::target_control::lock;
+
+/// A `ResponseMode` is the way in which a target answers one call.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub enum ResponseMode {
+    /// A complete, valid response.
+    #[default]
+    Normal,
+    /// A 503 response with the header `not-executed`.
+    Full,
+    /// A 500 response.
+    ServerError,
+    /// A response without the `response-seal` header.
+    Unsigned,
+    /// A response with the request id of another call.
+    WrongRequestId,
+    /// The connection is closed without a response.
+    Close,
+    /// The connection is closed without a response after a delay.
+    CloseAfter(Duration),
+    /// No response is sent, and the connection stays open.
+    NoResponse,
+    /// The stream is cut off inside the event that follows a number of complete
+    /// events.
+    TruncateAfter(u32),
+    /// The stream pauses for a duration after a number of events.
+    PauseAfter(u32, Duration),
+}
+
+/// A `RecordedCall` is a call as the target received it.
+#[derive(Clone, Debug)]
+pub struct RecordedCall {
+    /// The method, path and query.
+    pub request_line: String,
+    /// The headers of the request.
+    pub headers: HeaderMap,
+    /// The body of the request.
+    pub body: Bytes,
+    /// The time at which the call was received.
+    pub received_at: Instant,
+    /// Whether the target started to execute the call.
+    pub ran: bool,
+    /// The time at which the response stream ended, complete or not; `None` while
+    /// it is open or if the response is not a stream.
+    pub ended_at: Option<Instant>,
+}
+
+impl RecordedCall {
+    /// Get the value of a header, or an empty string if it is missing or not
+    /// visible ASCII.
+    pub fn field(&self, name: &str) -> &str {
+        let value = self.headers.get(name);
+        value
+            .and_then(|value| value.to_str().ok())
+            .unwrap_or_default()
+    }
+}
+
+#[derive(Debug)]
+struct TargetShared {
+    name: String,
+    events: u32,
+    gap: Duration,
+    calls: Mutex<Vec<RecordedCall>>,
+    modes: Mutex<VecDeque<ResponseMode>>,
+    instance: Mutex<TargetInstance>,
+}
+
+/// A `TargetInstance` is one incarnation of a target, as its registration
+/// describes it.
+#[derive(Debug)]
+struct TargetInstance {
+    /// The start time in Unix milliseconds.
+    started_ms: u64,
+    /// The number of registrations so far.
+    sequence: u64,
+}
+
+impl TargetInstance {
+    /// Get an instance that starts now, but later than `earlier`.
+    fn starting_after(earlier: u64) -> Self {
+        let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
+        let now = now.map_or(0, |span| span.as_millis() as u64);
+        TargetInstance {
+            started_ms: now.max(earlier + 1),
+            sequence: 0,
+        }
+    }
+}
+
+/// A `GatewayTargetStandin` is a running target stand-in; it stops accepting
+/// connections when dropped.
+#[derive(Debug)]
+pub struct GatewayTargetStandin {
+    listener: LoopbackListener,
+    shared: Arc<TargetShared>,
+}
+
+impl GatewayTargetStandin {
+    /// Try to start a target on a free loopback port. Its streams have `events`
+    /// events, with a pause of `gap` before each.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if no port can be bound.
+    pub async fn start(name: &str, events: u32, gap: Duration) -> io::Result<Self> {
+        let shared = Arc::new(TargetShared {
+            name: name.to_owned(),
+            events,
+            gap,
+            calls: Mutex::default(),
+            modes: Mutex::default(),
+            instance: Mutex::new(TargetInstance::starting_after(0)),
+        });
+        let served = Arc::clone(&shared);
+        let handler = move |request| handle(Arc::clone(&served), request);
+        let listener = LoopbackListener::start(handler).await?;
+        Ok(GatewayTargetStandin { listener, shared })
+    }
+
+    /// Get the bound address.
+    pub fn address(&self) -> SocketAddr {
+        self.listener.address
+    }
+
+    /// Get the name of the target.
+    pub fn name(&self) -> &str {
+        &self.shared.name
+    }
+
+    /// Simulate a process restart under the same name: close all connections,
+    /// abort all calls, and start a new instance whose registrations count from
+    /// zero.
+    pub fn restart(&self) {
+        self.listener.close_connections();
+        let mut instance = lock(&self.shared.instance);
+        *instance = TargetInstance::starting_after(instance.started_ms);
+    }
+
+    /// Get the next registration of the target for the store. The address may be
+    /// that of a relay in front of the target.
+    pub fn registration(&self, service: &str, address: SocketAddr, state: &str) -> Value {
+        let mut instance = lock(&self.shared.instance);
+        instance.sequence += 1;
+        json!({
+            "service": service, "address": address.to_string(), "zone": "hall-1",
+            "version": "v1", "slots": 4, "state": state, "coldRemainingMs": 0,
+            "sequence": instance.sequence, "born": instance.started_ms,
+        })
+    }
+
+    /// Add the response modes of further calls, one for each, to the queue. Calls
+    /// beyond the queue are answered normally.
+    pub fn queue_responses(&self, modes: &[ResponseMode]) {
+        lock(&self.shared.modes).extend(modes.iter().cloned());
+    }
+
+    /// Replace the queue of response modes.
+    pub fn replace_responses(&self, modes: &[ResponseMode]) {
+        *lock(&self.shared.modes) = modes.iter().cloned().collect();
+    }
+
+    /// Get all calls received so far, in order of arrival.
+    pub fn calls(&self) -> Vec<RecordedCall> {
+        lock(&self.shared.calls).clone()
+    }
+}
+
+type ResponseBody = BoxBody<Bytes, io::Error>;
+
+async fn handle(
+    shared: Arc<TargetShared>,
+    request: Request<Incoming>,
+) -> Result<Response<ResponseBody>, io::Error> {
+    let (parts, body) = request.into_parts();
+    let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
+    let mut call = RecordedCall {
+        request_line: format!("{} {}", parts.method, parts.uri),
+        headers: parts.headers,
+        body,
+        received_at: Instant::now(),
+        ran: false,
+        ended_at: None,
+    };
+    let mode = lock(&shared.modes).pop_front().unwrap_or_default();
+    let expected = call.field("target-instance");
+    let misdirected = !expected.is_empty() && expected != shared.name;
+    call.ran = !misdirected && mode != ResponseMode::Full;
+    let index = {
+        let mut calls = lock(&shared.calls);
+        calls.push(call.clone());
+        calls.len() - 1
+    };
+    if misdirected {
+        return Ok(plain_response(
+            StatusCode::MISDIRECTED_REQUEST,
+            &call,
+            "",
+            &[],
+        ));
+    }
+    match mode {
+        ResponseMode::Normal => {}
+        ResponseMode::Full => {
+            let status = StatusCode::SERVICE_UNAVAILABLE;
+            return Ok(plain_response(
+                status,
+                &call,
+                "full",
+                &[("not-executed", "1")],
+            ));
+        }
+        ResponseMode::ServerError => {
+            let status = StatusCode::INTERNAL_SERVER_ERROR;
+            return Ok(with_seal(
+                &shared,
+                plain_response(status, &call, "failed", &[]),
+            ));
+        }
+        ResponseMode::Unsigned => return Ok(plain_response(StatusCode::OK, &call, "forged", &[])),
+        ResponseMode::WrongRequestId => {
+            let mut response = with_seal(
+                &shared,
+                plain_response(StatusCode::OK, &call, "another's", &[]),
+            );
+            let other = hyper::header::HeaderValue::from_static("another");
+            response.headers_mut().insert("request-id", other);
+            return Ok(response);
+        }
+        ResponseMode::Close => return Err(io::ErrorKind::ConnectionReset.into()),
+        ResponseMode::CloseAfter(wait) => {
+            sleep(wait).await;
+            return Err(io::ErrorKind::ConnectionReset.into());
+        }
+        ResponseMode::NoResponse => sleep(Duration::from_secs(3_600)).await,
+        ResponseMode::TruncateAfter(_) | ResponseMode::PauseAfter(..) => {}
+    }
+    let is_stream = !call.field("token-count").is_empty();
+    let response = match is_stream {
+        true => event_response(&shared, &call, &mode, index),
+        false => plain_response(StatusCode::OK, &call, &format!("from {}", shared.name), &[]),
+    };
+    Ok(with_seal(&shared, response))
+}
+
+fn plain_response(
+    status: StatusCode,
+    call: &RecordedCall,
+    text: &str,
+    fields: &[(&'static str, &'static str)],
+) -> Response<ResponseBody> {
+    let body = Full::new(Bytes::from(text.to_owned()));
+    let body = body.map_err(|never: Infallible| match never {}).boxed();
+    let mut response = Response::new(body);
+    *response.status_mut() = status;
+    if let Some(id) = call.headers.get("request-id") {
+        response.headers_mut().insert("request-id", id.clone());
+    }
+    for (name, value) in fields {
+        let value = hyper::header::HeaderValue::from_static(value);
+        response.headers_mut().insert(*name, value);
+    }
+    response
+}
+
+fn with_seal(
+    shared: &TargetShared,
+    mut response: Response<ResponseBody>,
+) -> Response<ResponseBody> {
+    let seal = format!("seal-of-{}", shared.name);
+    if let Ok(value) = hyper::header::HeaderValue::from_str(&seal) {
+        response.headers_mut().insert("response-seal", value);
+    }
+    response
+}
+
+type EventFrames = Pin<Box<dyn Stream<Item = Result<Frame<Bytes>, io::Error>> + Send + Sync>>;
+
+/// Get the streamed response to a call, which starts after the event named in the
+/// `last-event-id` header.
+fn event_response(
+    shared: &Arc<TargetShared>,
+    call: &RecordedCall,
+    mode: &ResponseMode,
+    index: usize,
+) -> Response<ResponseBody> {
+    let guard = StreamGuard {
+        shared: Arc::clone(shared),
+        index,
+    };
+    let first: u32 = call.field("last-event-id").parse().unwrap_or(0) + 1;
+    let last = query_number(&call.request_line, "events").unwrap_or(shared.events);
+    let padding = query_number(&call.request_line, "padding").unwrap_or(0) as usize;
+    let gap = shared.gap;
+    let truncated_at = match mode {
+        ResponseMode::TruncateAfter(count) => Some(first + count),
+        _ => None,
+    };
+    let (paused_at, pause) = match *mode {
+        ResponseMode::PauseAfter(count, pause) => (Some(first + count), pause),
+        _ => (None, Duration::ZERO),
+    };
+    let frames = stream::iter(first..=last).then(move |id| {
+        // The stream owns the guard until it ends or is dropped.
+        let _guard = &guard;
+        async move {
+            sleep(gap).await;
+            if paused_at == Some(id) {
+                sleep(pause).await;
+            }
+            match truncated_at {
+                Some(cut) if id > cut => Err(io::ErrorKind::ConnectionReset.into()),
+                Some(cut) if id == cut => Ok(Frame::data(Bytes::from(format!("id: {id}\nda")))),
+                _ => Ok(Frame::data(Bytes::from(padded_event(id, padding)))),
+            }
+        }
+    });
+    let frames: EventFrames = Box::pin(frames);
+    let mut response = plain_response(StatusCode::OK, call, "", &[]);
+    *response.body_mut() = BodyExt::boxed(StreamBody::new(frames));
+    response
+}
+
+/// A `StreamGuard` is an open response stream; its drop records the end time in
+/// the call.
+struct StreamGuard {
+    shared: Arc<TargetShared>,
+    index: usize,
+}
+
+impl Drop for StreamGuard {
+    fn drop(&mut self) {
+        lock(&self.shared.calls)[self.index].ended_at = Some(Instant::now());
+    }
+}
+
+/// Get a numeric query parameter of a request line, if it is present and valid.
+fn query_number(line: &str, name: &str) -> Option<u32> {
+    let (_, query) = line.split_once('?')?;
+    let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
+    let (_, number) = pairs.find(|(key, _)| *key == name)?;
+    number.parse().ok()
+}
+
+/// Get the text of an event without padding.
+pub fn event_text(id: u32) -> String {
+    padded_event(id, 0)
+}
+
+/// Get the text of an event that is extended by `padding` bytes.
+pub fn padded_event(id: u32, padding: usize) -> String {
+    format!("id: {id}\ndata: piece {id}{}\n\n", ".".repeat(padding))
+}
--- a/bergamotswitch-standin/src/listener.rs
+++ b/bergamotswitch-standin/src/listener.rs
@@ -1,4 +1,5 @@
-//! Provides listeners whose connections can go silent, be cut or refused.
+//! Provides HTTP listeners with fault injection: connections can be made
+//! unresponsive, closed or refused.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -18,18 +19,18 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-use crate::answer::{AnswerBody, REQUEST_ID};
-use crate::board::lock;
+use crate::response::{REQUEST_ID, ResponseBody};
 use crate::switches::SilenceMode;
+use crate::target_control::lock;
 
-/// The pause before another try to bind or accept.
-const RETRY_PAUSE: Duration = Duration::from_millis(10);
+/// The delay before binding or accepting is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(10);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum GateMode {
-    Flowing,
+    Open,
     Silent,
-    Cut,
+    Closed,
 }
 
 #[derive(Debug)]
@@ -39,7 +40,7 @@
     writer: Option<Waker>,
 }
 
-/// A `ConnectionGate` decides whether one connection is read and written.
+/// A `ConnectionGate` controls whether one connection is read and written.
 #[derive(Debug)]
 struct ConnectionGate(Mutex<GateState>);
 
@@ -54,8 +55,8 @@
 
     fn set(&self, mode: GateMode) {
         let mut state = lock(&self.0);
-        // A connection that was cut stays so.
-        if state.mode != GateMode::Cut {
+        // A closed connection cannot be reopened.
+        if state.mode != GateMode::Closed {
             state.mode = mode;
         }
         let wakers = [state.reader.take(), state.writer.take()];
@@ -71,20 +72,20 @@
             false => state.reader = waker,
         }
         match state.mode {
-            GateMode::Flowing => Poll::Ready(Ok(())),
+            GateMode::Open => Poll::Ready(Ok(())),
             GateMode::Silent => Poll::Pending,
-            GateMode::Cut => Poll::Ready(Err(io::ErrorKind::ConnectionReset.into())),
+            GateMode::Closed => Poll::Ready(Err(io::ErrorKind::ConnectionReset.into())),
         }
     }
 }
 
-/// A `GatedStream` is a connection behind its gate.
+/// A `GatedStream` is a TCP stream whose reads and writes pass a gate.
 struct GatedStream {
     stream: TcpStream,
     gate: Arc<ConnectionGate>,
 }
 
-/// Return early unless the gate lets the call through.
+/// Return from the caller with pending or an error unless the gate is open.
 macro_rules! pass_gate {
     ($self:ident, $context:ident, $writing:literal) => {
         match $self.gate.poll($context, $writing) {
@@ -133,27 +134,28 @@
     silence_new: bool,
 }
 
-/// A `ListenerControl` switches a listener and its connections.
+/// A `ListenerControl` opens, closes and silences a listener's socket and
+/// connections.
 #[derive(Debug)]
 pub(crate) struct ListenerControl {
-    set: Mutex<ConnectionSet>,
+    connections: Mutex<ConnectionSet>,
     listening: watch::Sender<bool>,
 }
 
 impl ListenerControl {
-    /// Get the control of a listener that is to listen.
+    /// Get a control whose listener accepts connections.
     pub(crate) fn new() -> Arc<Self> {
         Arc::new(ListenerControl {
-            set: Mutex::default(),
+            connections: Mutex::default(),
             listening: watch::Sender::new(true),
         })
     }
 
-    /// Silence connections, or let them go on.
+    /// Stop or resume the reading and writing of connections.
     pub(crate) fn set_silence(&self, mode: SilenceMode) {
-        lock(&self.set).silence_new = mode == SilenceMode::All;
+        lock(&self.connections).silence_new = mode == SilenceMode::All;
         match mode {
-            SilenceMode::Off => self.set_gates(GateMode::Flowing),
+            SilenceMode::Off => self.set_gates(GateMode::Open),
             SilenceMode::Open | SilenceMode::All => self.set_gates(GateMode::Silent),
         }
     }
@@ -163,36 +165,35 @@
         self.listening.send_replace(listening);
     }
 
-    /// Cut all open connections.
-    pub(crate) fn cut_all(&self) {
-        self.set_gates(GateMode::Cut);
+    /// Close all open connections.
+    pub(crate) fn close_all(&self) {
+        self.set_gates(GateMode::Closed);
     }
 
     fn set_gates(&self, mode: GateMode) {
-        let gates = lock(&self.set).gates.clone();
+        let gates = lock(&self.connections).gates.clone();
         for gate in gates.iter().filter_map(Weak::upgrade) {
             gate.set(mode);
         }
     }
 
-    fn admit(&self) -> Arc<ConnectionGate> {
-        let mut set = lock(&self.set);
-        let mode = match set.silence_new {
+    fn register(&self) -> Arc<ConnectionGate> {
+        let mut connections = lock(&self.connections);
+        let mode = match connections.silence_new {
             true => GateMode::Silent,
-            false => GateMode::Flowing,
+            false => GateMode::Open,
         };
         let gate = Arc::new(ConnectionGate::new(mode));
-        set.gates.retain(|gate| gate.strong_count() > 0);
-        set.gates.push(Arc::downgrade(&gate));
+        connections.gates.retain(|gate| gate.strong_count() > 0);
+        connections.gates.push(Arc::downgrade(&gate));
         gate
     }
 }
 
-/// A `ListenerHandle` is a running listener; dropping it closes the listener
-/// and all its connections.
+/// A `ListenerHandle` is a running listener; dropping it closes the socket and
+/// all connections.
 #[derive(Debug)]
 pub(crate) struct ListenerHandle {
-    /// The bound address.
     pub(crate) address: SocketAddr,
     control: Arc<ListenerControl>,
     task: JoinHandle<()>,
@@ -201,15 +202,15 @@
 impl Drop for ListenerHandle {
     fn drop(&mut self) {
         self.task.abort();
-        self.control.cut_all();
+        self.control.close_all();
     }
 }
 
-/// Serve HTTP/1.1 on `address`.
+/// Serve HTTP/1.1 on `address` with `handler`, under `control`.
 ///
 /// # Errors
 ///
-/// Returns the error of binding.
+/// Returns an error if the address cannot be bound.
 pub(crate) async fn listen<H, F>(
     address: SocketAddr,
     control: Arc<ListenerControl>,
@@ -217,7 +218,7 @@
 ) -> io::Result<ListenerHandle>
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
-    F: Future<Output = Response<AnswerBody>> + Send + 'static,
+    F: Future<Output = Response<ResponseBody>> + Send + 'static,
 {
     let listener = TcpListener::bind(address).await?;
     let address = listener.local_addr()?;
@@ -241,7 +242,7 @@
     handler: H,
 ) where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
-    F: Future<Output = Response<AnswerBody>> + Send + 'static,
+    F: Future<Output = Response<ResponseBody>> + Send + 'static,
 {
     let mut listening = control.listening.subscribe();
     let mut bound = Some(listener);
@@ -252,7 +253,7 @@
             (true, None) => match TcpListener::bind(address).await {
                 Ok(listener) => listener,
                 Err(_) => {
-                    tokio::time::sleep(RETRY_PAUSE).await;
+                    tokio::time::sleep(RETRY_DELAY).await;
                     continue;
                 }
             },
@@ -268,7 +269,7 @@
             _ = listening.changed() => {}
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => serve(stream, &control, handler.clone()),
-                Err(_) => tokio::time::sleep(RETRY_PAUSE).await,
+                Err(_) => tokio::time::sleep(RETRY_DELAY).await,
             },
         }
         bound = Some(listener);
@@ -278,11 +279,11 @@
 fn serve<H, F>(stream: TcpStream, control: &ListenerControl, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Send + 'static,
-    F: Future<Output = Response<AnswerBody>> + Send + 'static,
+    F: Future<Output = Response<ResponseBody>> + Send + 'static,
 {
-    // Tokens are small and must not wait for each other.
+    // Nagle's algorithm would delay the small writes of single tokens.
     let _ = stream.set_nodelay(true);
-    let gate = control.admit();
+    let gate = control.register();
     let io = TokioIo::new(GatedStream { stream, gate });
     let service = service_fn(move |request: Request<Incoming>| {
         let id = request.headers().get(REQUEST_ID).cloned();
@@ -290,7 +291,7 @@
         async move {
             let mut response = answer.await;
             if let Some(id) = id {
-                // An answer that names another request keeps that name.
+                // The wrong id of a crossed answer is kept.
                 response.headers_mut().entry(REQUEST_ID).or_insert(id);
             }
             Ok::<_, Infallible>(response)
@@ -298,7 +299,7 @@
     });
     let connection = hyper::server::conn::http1::Builder::new().serve_connection(io, service);
     tokio::spawn(async move {
-        // A connection that breaks is what the switches are for.
+        // Connection errors are expected: the switches cause them.
         let _ = connection.await;
     });
 }
--- a/bergamotswitch-standin/src/users_listener.rs
+++ b/bergamotswitch-standin/src/loopback_listener.rs
@@ -1,4 +1,5 @@
-//! Provides the listener of the stand-ins of the users' platform.
+//! Provides the HTTP listener on the loopback interface that the stand-ins of the
+//! key-value store and the gateway's targets use.
 
 use std::error::Error;
 use std::future::Future;
@@ -13,41 +14,44 @@
 use tokio::net::TcpListener;
 use tokio::task::{AbortHandle, JoinHandle};
 
-use crate::board::lock;
+use crate::target_control::lock;
 
-/// A `UsersListener` is a running listener; its drop closes it.
+/// A `LoopbackListener` is a running HTTP listener; it stops accepting connections
+/// when dropped.
 #[derive(Debug)]
-pub(crate) struct UsersListener {
-    /// Where it listens.
+pub(crate) struct LoopbackListener {
     pub(crate) address: SocketAddr,
     task: JoinHandle<()>,
     connections: OpenConnections,
 }
 
-/// The tasks of the connections that were accepted.
+/// The tasks of the accepted connections.
 type OpenConnections = Arc<Mutex<Vec<AbortHandle>>>;
 
-impl Drop for UsersListener {
+impl Drop for LoopbackListener {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-impl UsersListener {
-    /// Try to serve HTTP/1.1 by `handler` on a free port of loopback. A
-    /// handler's error closes its connection.
+impl LoopbackListener {
+    /// Try to serve HTTP/1.1 with `handler` on a free loopback port. An error
+    /// returned by the handler closes the connection.
     ///
     /// # Errors
     ///
-    /// Returns an error where there is none.
-    pub(crate) async fn start<Handler, Answer, Bytes, Failure>(handler: Handler) -> io::Result<Self>
+    /// Returns an error if no port can be bound.
+    pub(crate) async fn start<Handler, ResponseFuture, ResponseBody, HandlerError>(
+        handler: Handler,
+    ) -> io::Result<Self>
     where
-        Handler: Fn(Request<Incoming>) -> Answer + Clone + Send + 'static,
-        Answer: Future<Output = Result<Response<Bytes>, Failure>> + Send + 'static,
-        Bytes: Body + Send + 'static,
-        Bytes::Data: Send,
-        Bytes::Error: Into<Box<dyn Error + Send + Sync>>,
-        Failure: Into<Box<dyn Error + Send + Sync>> + 'static,
+        Handler: Fn(Request<Incoming>) -> ResponseFuture + Clone + Send + 'static,
+        ResponseFuture:
+            Future<Output = Result<Response<ResponseBody>, HandlerError>> + Send + 'static,
+        ResponseBody: Body + Send + 'static,
+        ResponseBody::Data: Send,
+        ResponseBody::Error: Into<Box<dyn Error + Send + Sync>>,
+        HandlerError: Into<Box<dyn Error + Send + Sync>> + 'static,
     {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let address = listener.local_addr()?;
@@ -56,10 +60,10 @@
         let task = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let service = service_fn(handler.clone());
-                let serving = server::conn::http1::Builder::new();
-                let connection = serving.serve_connection(TokioIo::new(stream), service);
+                let builder = server::conn::http1::Builder::new();
+                let connection = builder.serve_connection(TokioIo::new(stream), service);
                 let serving = tokio::spawn(async move {
-                    // The caller sees the same error at its end.
+                    // The client observes the error as a closed connection.
                     let _ = connection.await;
                 });
                 let mut open = lock(&open);
@@ -67,16 +71,15 @@
                 open.push(serving.abort_handle());
             }
         });
-        Ok(UsersListener {
+        Ok(LoopbackListener {
             address,
             task,
             connections,
         })
     }
 
-    /// End all connections and what is served on them, as a process does that
-    /// ends.
-    pub(crate) fn end_connections(&self) {
+    /// Close all connections and abort their requests, as a process exit does.
+    pub(crate) fn close_connections(&self) {
         for connection in lock(&self.connections).drain(..) {
             connection.abort();
         }
--- a/bergamotswitch-standin/src/plain.rs
+++ b/bergamotswitch-standin/src/plain.rs
@@ -1,4 +1,5 @@
-//! Provides the plain service stand-in: one call, one answer.
+//! Provides the stand-in for a plain service, which answers each call with one
+//! JSON body.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,27 +15,27 @@
 use serde_json::json;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::answer::{
-    AnswerBody, CutError, REQUEST_ID, error_answer, json_answer, read_body, refusal_answer,
-    request_id, set_header,
-};
-use crate::board::TargetBoard;
 use crate::deployment::TargetContract;
 use crate::ledger::RunOutcome;
 use crate::listener::{ListenerControl, ListenerHandle, listen};
+use crate::response::{
+    CloseError, REQUEST_ID, ResponseBody, error_response, json_response, read_body,
+    refusal_response, request_id, set_header,
+};
+use crate::target_control::TargetControl;
 
-/// The identity and text with which a crossed call is answered.
-const CROSSED: &str = "crossed";
+/// The request id and text of the answer under the `crossed` switch.
+const CROSSED_TEXT: &str = "crossed";
 
-/// A `PlainCore` is what all connections of a plain service share.
+/// A `PlainCore` is the state that all connections of a plain service share.
 #[derive(Debug)]
 struct PlainCore {
     name: String,
     contract: TargetContract,
-    board: Arc<TargetBoard>,
+    control: Arc<TargetControl>,
 }
 
-/// A `PlainStandin` is a running plain service; dropping it stops it.
+/// A `PlainStandin` is a running plain service stand-in; it stops when dropped.
 #[derive(Debug)]
 pub struct PlainStandin {
     core: Arc<PlainCore>,
@@ -42,11 +43,11 @@
 }
 
 impl PlainStandin {
-    /// Try to start a plain service stand-in.
+    /// Try to start a plain service stand-in on an address.
     ///
     /// # Errors
     ///
-    /// Returns the error of binding the address.
+    /// Returns an error if the address cannot be bound.
     pub async fn try_start(
         address: SocketAddr,
         name: &str,
@@ -56,7 +57,7 @@
         let core = Arc::new(PlainCore {
             name: name.to_owned(),
             contract,
-            board: TargetBoard::new(Arc::clone(&control)),
+            control: TargetControl::new(Arc::clone(&control)),
         });
         let shared = Arc::clone(&core);
         let listener = listen(address, control, move |request| {
@@ -71,54 +72,54 @@
         self.listener.address
     }
 
-    /// Get the switches and the ledger.
-    pub fn board(&self) -> &TargetBoard {
-        &self.core.board
+    /// Get the fault switches and the ledger.
+    pub fn control(&self) -> &TargetControl {
+        &self.core.control
     }
 
-    /// Cut all connections, as a restarted process does.
+    /// Simulate a process restart by closing all connections.
     pub fn restart(&self) {
-        self.core.board.cut_connections();
+        self.core.control.close_connections();
     }
 }
 
-async fn handle(core: Arc<PlainCore>, request: Request<Incoming>) -> Response<AnswerBody> {
+async fn handle(core: Arc<PlainCore>, request: Request<Incoming>) -> Response<ResponseBody> {
     let id = request_id(request.headers()).unwrap_or_default();
     let path = request.uri().to_string();
     let Some(body) = read_body(request).await else {
-        return error_answer(StatusCode::BAD_REQUEST, "the body is too long or broke off");
+        return error_response(StatusCode::BAD_REQUEST, "the body is too long or broke off");
     };
-    let switches = core.board.switches();
+    let switches = core.control.switches();
     let refused = switches.refuse;
     if let Some(status) = refused.filter(|_| core.contract.refusal_means_not_run) {
-        return refusal_answer(status);
+        return refusal_response(status);
     }
-    let number = core.board.ledger_mut().start(&id, xxh3_64(&body));
+    let number = core.control.ledger_mut().start(&id, xxh3_64(&body));
     let run = RunGuard {
-        board: &core.board,
+        control: &core.control,
         number,
         outcome: RunOutcome::Broken,
     };
     if let Some(status) = refused {
-        return refusal_answer(status);
+        return refusal_response(status);
     }
     if switches.error {
-        return error_answer(StatusCode::INTERNAL_SERVER_ERROR, "the run broke");
+        return error_response(StatusCode::INTERNAL_SERVER_ERROR, "the run broke");
     }
     let delay = Duration::from_millis(switches.delay_ms);
-    tokio::time::sleep(switches.slowed(delay)).await;
+    tokio::time::sleep(switches.scaled(delay)).await;
     run.finish();
     let text = String::from_utf8_lossy(&body);
     let (id, echo) = match switches.crossed {
-        true => (CROSSED, CROSSED),
+        true => (CROSSED_TEXT, CROSSED_TEXT),
         false => (id.as_str(), text.as_ref()),
     };
     let answer = json!({"service": core.name, "path": path, "echo": echo, "request_id": id});
     // The switches may have changed during the delay.
-    let switches = core.board.switches();
+    let switches = core.control.switches();
     let mut response = match switches.truncate || switches.drop.is_some() {
-        true => half_answer(&answer.to_string()),
-        false => json_answer(StatusCode::OK, &answer),
+        true => truncated_response(&answer.to_string()),
+        false => json_response(StatusCode::OK, &answer),
     };
     if switches.crossed {
         set_header(&mut response, REQUEST_ID, id);
@@ -126,16 +127,17 @@
     response
 }
 
-/// Get an answer that promises its whole length and breaks off in the middle.
-fn half_answer(text: &str) -> Response<AnswerBody> {
+/// Get a response with the full `Content-Length` whose body is cut off in the
+/// middle by closing the connection.
+fn truncated_response(text: &str) -> Response<ResponseBody> {
     let half = Bytes::copy_from_slice(&text.as_bytes()[..text.len() / 2]);
     let pieces = stream::unfold(Some(half), |half| async move {
         if let Some(half) = half {
             return Some((Ok(Frame::data(half)), None));
         }
-        // The first half is flushed before the connection is cut.
+        // Yielding lets the first half be flushed before the connection closes.
         tokio::task::yield_now().await;
-        Some((Err(CutError), None))
+        Some((Err(CloseError), None))
     });
     let mut response = Response::new(StreamBody::new(pieces).boxed_unsync());
     set_header(&mut response, CONTENT_TYPE.as_str(), "application/json");
@@ -147,10 +149,11 @@
     response
 }
 
-/// A `RunGuard` records a run as broken unless it finished: the handler is
-/// dropped where the caller's connection closes first.
+/// A `RunGuard` records the outcome of a run when dropped: finished, or broken if
+/// the call failed or its handler was dropped because the caller's connection
+/// closed.
 struct RunGuard<'a> {
-    board: &'a TargetBoard,
+    control: &'a TargetControl,
     number: crate::ledger::RunNumber,
     outcome: RunOutcome,
 }
@@ -163,6 +166,6 @@
 
 impl Drop for RunGuard<'_> {
     fn drop(&mut self) {
-        self.board.ledger_mut().end(self.number, self.outcome);
+        self.control.ledger_mut().end(self.number, self.outcome);
     }
 }
--- a/bergamotswitch-standin/src/value.rs
+++ b/bergamotswitch-standin/src/value.rs
@@ -1,5 +1,6 @@
-//! Provides the configuration service and the host list: values by name,
-//! read and watched, each with a revision that counts its publications.
+//! Provides the stand-ins for the configuration service and the host list. Both
+//! serve named values by reads and watches; the revision of a value is the number
+//! of its publications.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -14,33 +15,33 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::answer::{AnswerBody, error_answer, json_answer, query_number};
-use crate::board::lock;
 use crate::listener::{ListenerControl, ListenerHandle, listen};
+use crate::response::{ResponseBody, error_response, json_response, query_number};
 use crate::switches::{OutageMode, ValueSwitches, merge};
+use crate::target_control::lock;
 
-/// The name of the value that the host list answers with.
+/// The name of the value that the host list serves.
 pub const HOSTS_VALUE: &str = "hosts";
-/// The most revisions kept of one value, for stale answers.
+/// The number of revisions kept of each value, for stale responses.
 const MAX_REVISIONS: usize = 64;
-/// The longest wait of a watch, whatever it asks for.
+/// The maximum wait of a watch, even if a longer one is requested.
 const MAX_WAIT: Duration = Duration::from_secs(300);
 
-/// A `ValueSource` says which of the platform's services is stood in for.
+/// A `ValueSource` is the service that a stand-in replaces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ValueSource {
-    /// The configuration service: `/v1/values/{name}`.
+    /// The configuration service, with the path `/v1/values/{name}`.
     Configuration,
-    /// The host list: `/v1/hosts`.
+    /// The host list, with the path `/v1/hosts`.
     HostList,
 }
 
-/// A `CallCounts` is the calls that a service got.
+/// A `CallCounts` is the number of calls to a service, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct CallCounts {
-    /// Calls answered at once.
+    /// The number of calls without a wait.
     pub reads: u64,
-    /// Calls that asked to wait; each counts once.
+    /// The number of calls that may wait for a newer revision.
     pub watches: u64,
 }
 
@@ -48,7 +49,7 @@
 struct ValueRevision {
     revision: u64,
     body: Arc<Value>,
-    shows_at: Instant,
+    visible_at: Instant,
 }
 
 #[derive(Debug, Default)]
@@ -58,18 +59,19 @@
     counts: CallCounts,
 }
 
-/// A `ValueCore` is what all connections of a service share.
+/// A `ValueCore` is the state that all connections of a service share.
 #[derive(Debug)]
 pub(crate) struct ValueCore {
     source: ValueSource,
     state: Mutex<ValueState>,
-    /// Counts publications and changes of switches: watches look again.
+    /// The number of publications and changes of switches, each of which wakes the
+    /// watches.
     changes: watch::Sender<u64>,
     control: Arc<ListenerControl>,
 }
 
-/// A `ValueStandin` is a running configuration service or host list; dropping
-/// it stops it.
+/// A `ValueStandin` is a running stand-in for the configuration service or the
+/// host list; it stops when dropped.
 #[derive(Debug)]
 pub struct ValueStandin {
     core: Arc<ValueCore>,
@@ -77,11 +79,11 @@
 }
 
 impl ValueStandin {
-    /// Try to start a configuration service or host list without values.
+    /// Try to start a configuration service or host list that has no values yet.
     ///
     /// # Errors
     ///
-    /// Returns the error of binding the address.
+    /// Returns an error if the address cannot be bound.
     pub async fn try_start(address: SocketAddr, source: ValueSource) -> io::Result<Self> {
         let control = ListenerControl::new();
         let core = ValueCore::new(source, Arc::clone(&control));
@@ -103,24 +105,23 @@
         self.core.publish(name, body)
     }
 
-    /// Get what the control address may change.
     pub(crate) fn core(&self) -> &ValueCore {
         &self.core
     }
 
-    /// Get the switches as they are.
+    /// Get a copy of the current switches.
     pub fn switches(&self) -> ValueSwitches {
         self.core.switches()
     }
 
-    /// Change the switches; it takes effect at once.
+    /// Change the switches with immediate effect.
     pub fn set(&self, change: impl FnOnce(&mut ValueSwitches)) {
         let mut switches = self.switches();
         change(&mut switches);
         self.core.apply(switches);
     }
 
-    /// Get the calls so far.
+    /// Get the number of calls so far.
     pub fn counts(&self) -> CallCounts {
         self.core.counts()
     }
@@ -144,16 +145,18 @@
         lock(&self.state).counts
     }
 
-    /// Change the switches that are members of `changes`.
+    /// Set the switches that are named in the JSON object `changes`.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with `changes`; nothing is changed then.
+    /// Returns an error if `changes` names an unknown switch or has a value of a
+    /// wrong type; no switch is changed then.
     pub(crate) fn set_json(&self, changes: &Value) -> Result<(), serde_json::Error> {
         let switches = merge(&self.switches(), changes)?;
         self.apply(switches);
         if changes.get("silent").is_some() {
-            // Said again, it means the connections that are open now.
+            // Setting the same mode again also applies to the connections that were
+            // opened since.
             self.control.set_silence(self.switches().silent);
         }
         Ok(())
@@ -168,7 +171,7 @@
         revisions.push_back(ValueRevision {
             revision,
             body: Arc::new(body),
-            shows_at: Instant::now() + lag,
+            visible_at: Instant::now() + lag,
         });
         if revisions.len() > MAX_REVISIONS {
             revisions.pop_front();
@@ -187,15 +190,14 @@
             let refused = switches.outage == OutageMode::Refused;
             self.control.set_listening(!refused);
             if refused {
-                self.control.cut_all();
+                self.control.close_all();
             }
         }
         self.changes.send_modify(|count| *count += 1);
     }
 
-    /// Count a call, and get the highest revision that the replica it reached
-    /// knows of any value.
-    fn count(&self, is_watch: bool) -> Replica {
+    /// Count a call, and get the replica that answers it.
+    fn record_call(&self, is_watch: bool) -> Replica {
         let mut state = lock(&self.state);
         match is_watch {
             true => state.counts.watches += 1,
@@ -208,95 +210,105 @@
         }
     }
 
-    /// Get the newest revision that shows, and when a newer one will.
-    fn newest(&self, name: &str, replica: Replica) -> (Option<ValueRevision>, Option<Instant>) {
+    /// Get the newest revision of a value that is visible on a replica, and the
+    /// time at which the next one becomes visible.
+    fn newest_visible(
+        &self,
+        name: &str,
+        replica: Replica,
+    ) -> (Option<ValueRevision>, Option<Instant>) {
         let state = lock(&self.state);
         let Some(revisions) = state.values.get(name) else {
             return (None, None);
         };
         let now = Instant::now();
-        let hidden = revisions.iter().find(|value| value.shows_at > now);
+        let hidden = revisions.iter().find(|value| value.visible_at > now);
         let last = revisions.back().map_or(0, |last| last.revision);
-        let ceiling = match (replica, state.switches.stale, state.switches.flapping) {
+        let max_revision = match (replica, state.switches.stale, state.switches.flapping) {
             (Replica::Fresh, _, _) | (_, None, false) => u64::MAX,
             (Replica::Stale, Some(revision), _) => revision,
             (Replica::Stale, None, true) => last.saturating_sub(1),
         };
-        let shows = |value: &&ValueRevision| value.shows_at <= now && value.revision <= ceiling;
-        let newest = revisions.iter().rev().find(shows).cloned();
-        (newest, hidden.map(|value| value.shows_at))
+        let is_visible =
+            |value: &&ValueRevision| value.visible_at <= now && value.revision <= max_revision;
+        let newest = revisions.iter().rev().find(is_visible).cloned();
+        (newest, hidden.map(|value| value.visible_at))
     }
 }
 
-/// A `Replica` is which replica of the service a call reaches.
+/// A `Replica` is the replica of the service that answers a call.
 #[derive(Clone, Copy, Debug)]
 enum Replica {
     Fresh,
-    /// Stale where the switches say so.
+    /// The replica to which the switches `stale` and `flapping` apply.
     Stale,
 }
 
-/// Answer a read or a watch.
+/// Handle a read or a watch of a value.
 pub(crate) async fn handle(
     core: Arc<ValueCore>,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let path = request.uri().path();
     let name = match core.source {
         ValueSource::Configuration => path.strip_prefix("/v1/values/"),
         ValueSource::HostList => (path == "/v1/hosts").then_some(HOSTS_VALUE),
     };
     let (&Method::GET, Some(name)) = (request.method(), name) else {
-        return error_answer(StatusCode::NOT_FOUND, "values are only read and watched");
+        return error_response(StatusCode::NOT_FOUND, "values are only read and watched");
     };
     let after = query_number(&request, "after");
     let wait = Duration::from_millis(query_number(&request, "wait_ms").unwrap_or(0));
-    let replica = core.count(after.is_some() && !wait.is_zero());
+    let replica = core.record_call(after.is_some() && !wait.is_zero());
     let latency = lock(&core.state).switches.latency_ms;
     sleep(Duration::from_millis(latency)).await;
     let deadline = Instant::now() + wait.min(MAX_WAIT);
-    answer_value(&core, name, after, deadline, replica).await
+    wait_for_value(&core, name, after, deadline, replica).await
 }
 
-async fn answer_value(
+async fn wait_for_value(
     core: &ValueCore,
     name: &str,
     after: Option<u64>,
     deadline: Instant,
     replica: Replica,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let mut changes = core.changes.subscribe();
     loop {
         changes.mark_unchanged();
         if lock(&core.state).switches.outage != OutageMode::Off {
-            return error_answer(StatusCode::SERVICE_UNAVAILABLE, "outage");
+            return error_response(StatusCode::SERVICE_UNAVAILABLE, "outage");
         }
-        let (newest, shows_at) = core.newest(name, replica);
-        let is_wanted =
+        let (newest, visible_at) = core.newest_visible(name, replica);
+        let is_newer =
             |value: &ValueRevision| after.is_none_or(|revision| value.revision > revision);
-        if let Some(value) = newest.filter(is_wanted) {
-            return value_answer(core.source, name, &value);
+        if let Some(value) = newest.filter(is_newer) {
+            return value_response(core.source, name, &value);
         }
         let Some(_) = after else {
-            return error_answer(StatusCode::NOT_FOUND, "unknown value");
+            return error_response(StatusCode::NOT_FOUND, "unknown value");
         };
         if Instant::now() >= deadline {
-            let mut response = Response::new(AnswerBody::default());
+            let mut response = Response::new(ResponseBody::default());
             *response.status_mut() = StatusCode::NOT_MODIFIED;
             return response;
         }
-        let next_look = shows_at.map_or(deadline, |at| at.min(deadline));
+        let wake_at = visible_at.map_or(deadline, |at| at.min(deadline));
         tokio::select! {
             _ = changes.changed() => {}
-            () = sleep_until(next_look) => {}
+            () = sleep_until(wake_at) => {}
         }
     }
 }
 
-fn value_answer(source: ValueSource, name: &str, value: &ValueRevision) -> Response<AnswerBody> {
+fn value_response(
+    source: ValueSource,
+    name: &str,
+    value: &ValueRevision,
+) -> Response<ResponseBody> {
     let mut answer = json!({"revision": value.revision, "body": &*value.body});
     if source == ValueSource::Configuration {
         answer["name"] = json!(name);
     }
-    json_answer(StatusCode::OK, &answer)
+    json_response(StatusCode::OK, &answer)
 }
--- a/bergamotswitch-standin/tests/engine_protocol.rs
+++ b/bergamotswitch-standin/tests/engine_protocol.rs
@@ -1,4 +1,4 @@
-//! Tests of the engine's protocol.
+//! Tests of the protocol of the engine stand-in.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use http_body_util::BodyExt;
 use hyper::{Response, StatusCode, body::Incoming};
 use serde_json::{Value, json};
-use support::{LONG, LOOPBACK, SHORT, TestConnection, call, get, text};
+use support::{LOOPBACK, RESPONSE_TIMEOUT, SILENCE_WAIT, TestConnection, call, get, text};
 use tokio::time::timeout;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -17,7 +17,7 @@
 
 async fn start(options: EngineOptions) -> EngineStandin {
     let started = EngineStandin::try_start(LOOPBACK, options).await;
-    started.expect("binds")
+    started.expect("bound")
 }
 
 fn chat(content: &str, tokens: u32) -> String {
@@ -30,7 +30,7 @@
     value.expect("visible").to_owned()
 }
 
-/// Get the chunks of a whole event stream, without its terminator.
+/// Get the chunks of an event stream, without its terminator.
 fn chunks(events: &str) -> Vec<Value> {
     let data = events
         .lines()
@@ -42,15 +42,15 @@
 }
 
 #[tokio::test]
-async fn whole_stream() {
+async fn complete_stream() {
     let engine = start(EngineOptions::default()).await;
     let body = chat("a streak over the pampas", 5);
     let response = call(engine.address(), "POST", CHAT, "r1", &body).await;
     assert_eq!(response.status(), StatusCode::OK);
     assert_eq!(header(&response, "x-request-id"), "r1");
     assert_eq!(header(&response, "content-type"), "text/event-stream");
-    let (events, whole) = text(response).await;
-    assert!(whole);
+    let (events, complete) = text(response).await;
+    assert!(complete);
     let ids: Vec<&str> = events
         .lines()
         .filter_map(|line| line.strip_prefix("id: "))
@@ -63,36 +63,39 @@
     assert_eq!(chunks[4]["choices"][0]["finish_reason"], "stop");
     assert_eq!(chunks[4]["usage"]["completion_tokens"], 5);
     assert_eq!(
-        engine.board().ledger().runs_of_body(body.as_bytes()).len(),
+        engine
+            .control()
+            .ledger()
+            .runs_of_body(body.as_bytes())
+            .len(),
         1
     );
 }
 
-// Symptom: a caller misses the end of its report, or the engine makes it
-// twice. Sequence: the connection is cut after two events; the client resumes
-// by stream id and offset. Cause: a resume that begins a second run.
+// Guards against a resume that starts a second run or loses events: a stream
+// whose connection closes after two events continues at the offset.
 #[tokio::test]
-async fn resume_rest() {
+async fn resume_after_close() {
     let engine = start(EngineOptions::default()).await;
     let body = chat("night log", 8);
     let whole = text(call(engine.address(), "POST", CHAT, "first", &body).await)
         .await
         .0;
-    engine.board().set(|switches| switches.drop = Some(2));
+    engine.control().set(|switches| switches.drop = Some(2));
     let response = call(engine.address(), "POST", CHAT, "second", &body).await;
     let stream_id = header(&response, "x-stream-id");
-    let (beginning, is_whole) = text(response).await;
-    assert!(!is_whole);
+    let (beginning, is_complete) = text(response).await;
+    assert!(!is_complete);
     assert_eq!(chunks(&beginning).len(), 2);
-    engine.board().set(|switches| switches.drop = None);
+    engine.control().set(|switches| switches.drop = None);
     let path = format!("/v1/streams/{stream_id}?offset=2");
-    let (rest, is_whole) = text(call(engine.address(), "GET", &path, "", "").await).await;
-    assert!(is_whole);
+    let (rest, is_complete) = text(call(engine.address(), "GET", &path, "", "").await).await;
+    assert!(is_complete);
     assert_eq!(
         format!("{beginning}{rest}"),
         whole.replace("first", "second")
     );
-    assert_eq!(engine.board().run_count("second"), 1);
+    assert_eq!(engine.control().run_count("second"), 1);
     let path = "/v1/requests/second/status";
     let (_, status) = get(engine.address(), path).await;
     assert_eq!(status["done"], true);
@@ -100,73 +103,78 @@
     assert_eq!(status["stream_id"], stream_id);
 }
 
-// Symptom: an answer stops for good and no error is seen. Sequence: a stream
-// is open, something between the ends loses track of the connection, new
-// connections work. Cause: silence is no close.
+// Guards against silence that closes connections or affects new ones: an open
+// connection stops responding without an error, and resumes later.
 #[tokio::test]
 async fn silent_connection() {
     let engine = start(EngineOptions::default()).await;
     let mut old = TestConnection::open(engine.address()).await;
-    old.call("GET", "/v1/load", "", "").await.expect("answers");
+    old.call("GET", "/v1/load", "", "")
+        .await
+        .expect("a response");
     engine
-        .board()
+        .control()
         .set(|switches| switches.silent = SilenceMode::Open);
     let mut late = std::pin::pin!(old.call("GET", "/v1/load", "", ""));
-    assert!(timeout(SHORT, &mut late).await.is_err());
+    assert!(timeout(SILENCE_WAIT, &mut late).await.is_err());
     let (status, _) = get(engine.address(), "/v1/load").await;
     assert_eq!(status, StatusCode::OK);
     engine
-        .board()
+        .control()
         .set(|switches| switches.silent = SilenceMode::Off);
-    let response = timeout(LONG, late).await.expect("goes on");
-    assert_eq!(response.expect("answers").status(), StatusCode::OK);
+    let response = timeout(RESPONSE_TIMEOUT, late)
+        .await
+        .expect("connection resumed");
+    assert_eq!(response.expect("a response").status(), StatusCode::OK);
 }
 
-// Symptom: a caller gets another caller's answer, or half of one. Sequence:
-// the engine crosses or truncates answers. Cause: only the id and the
-// terminator tell.
+// Guards against faults that the transport reveals: a crossed answer differs only
+// in its id, a truncated one only lacks the terminator.
 #[tokio::test]
-async fn false_answers() {
+async fn crossed_and_truncated() {
     let engine = start(EngineOptions::default()).await;
     let body = chat("x", 4);
-    engine.board().set(|switches| switches.crossed = true);
+    engine.control().set(|switches| switches.crossed = true);
     let crossed = text(call(engine.address(), "POST", CHAT, "r1", &body).await)
         .await
         .0;
     assert!(chunks(&crossed).iter().all(|chunk| chunk["id"] != "r1"));
-    engine.board().set(|switches| {
+    engine.control().set(|switches| {
         switches.crossed = false;
         switches.truncate = true;
     });
     let response = call(engine.address(), "POST", CHAT, "r2", &body).await;
-    let (truncated, whole) = text(response).await;
-    assert!(whole, "only the terminator is missing");
+    let (truncated, complete) = text(response).await;
+    assert!(
+        complete,
+        "a truncated stream must end without a transport error"
+    );
     assert_eq!(chunks(&truncated).len(), 2);
     assert!(!truncated.contains("[DONE]"));
 }
 
-// Symptom: a refused request ran all the same. Sequence: the engine answers
-// 429, 500, or restarts. Cause: only the contract makes a refusal proof.
+// Guards against a refusal that is recorded wrongly: only with
+// `refusal_means_not_run` does it leave no run in the ledger.
 #[tokio::test]
-async fn refusals_counted() {
+async fn refusals_recorded() {
     let mut engine = start(EngineOptions::default()).await;
-    engine.board().set(|switches| switches.refuse = Some(429));
+    engine.control().set(|switches| switches.refuse = Some(429));
     let response = call(engine.address(), "POST", CHAT, "r1", &chat("x", 4)).await;
     assert_eq!(response.status(), StatusCode::TOO_MANY_REQUESTS);
     assert_eq!(header(&response, "retry-after"), "1");
     assert_eq!(header(&response, "x-request-id"), "r1");
-    assert_eq!(engine.board().run_count("r1"), 0);
+    assert_eq!(engine.control().run_count("r1"), 0);
     let contract = TargetContract::default();
     engine = start(EngineOptions::default().with_contract(contract)).await;
-    engine.board().set(|switches| switches.refuse = Some(503));
+    engine.control().set(|switches| switches.refuse = Some(503));
     call(engine.address(), "POST", CHAT, "r2", &chat("x", 4)).await;
-    assert_eq!(engine.board().run_count("r2"), 1);
+    assert_eq!(engine.control().run_count("r2"), 1);
 }
 
-// Symptom: a resumed stream is unknown. Sequence: the engine restarts in the
-// middle of it. Cause: streams live in the process; 404 proves nothing.
+// Guards against streams that survive a restart: afterwards the stream is unknown
+// (404), although its request ran.
 #[tokio::test]
-async fn restart_forgets() {
+async fn restart_drops_streams() {
     let engine = start(EngineOptions::default()).await;
     let body = chat("x", 10_000);
     let response = call(engine.address(), "POST", CHAT, "r1", &body).await;
@@ -175,47 +183,48 @@
     assert!(!text(response).await.1);
     let path = format!("/v1/streams/{stream_id}/status");
     assert_eq!(get(engine.address(), &path).await.0, StatusCode::NOT_FOUND);
-    let outcome = engine.board().ledger().runs_of("r1")[0].outcome;
+    let outcome = engine.control().ledger().runs_of("r1")[0].outcome;
     assert_eq!(outcome, RunOutcome::Broken);
     let response = call(engine.address(), "POST", CHAT, "r2", &chat("x", 2)).await;
     assert!(text(response).await.0.contains("[DONE]"));
 }
 
 #[tokio::test]
-async fn cancel_stops() {
+async fn cancelled_stream() {
     let engine = start(EngineOptions::default()).await;
     let body = chat("x", 10_000);
     let response = call(engine.address(), "POST", CHAT, "r1", &body).await;
     let path = format!("/v1/streams/{}", header(&response, "x-stream-id"));
     call(engine.address(), "DELETE", &path, "", "").await;
     assert!(!text(response).await.0.contains("[DONE]"));
-    let outcome = engine.board().ledger().runs_of("r1")[0].outcome;
+    let outcome = engine.control().ledger().runs_of("r1")[0].outcome;
     assert_eq!(outcome, RunOutcome::Cancelled);
 }
 
-// Symptom: an engine works for callers that are gone. Sequence: the caller's
-// connection closes in the middle of a stream that cannot be resumed. Cause:
-// nobody can ask for the rest.
+// Guards against runs that continue without a caller: a stream that cannot be
+// resumed is stopped when its connection closes.
 #[tokio::test]
-async fn caller_gone() {
+async fn caller_disconnected() {
     let contract = TargetContract::default();
     let engine = start(EngineOptions::default().with_contract(contract)).await;
     let body = chat("x", 10_000);
     let response = call(engine.address(), "POST", CHAT, "r1", &body).await;
     drop(response);
     let stopped = async {
-        while engine.board().ledger().runs_of("r1")[0].outcome != RunOutcome::Broken {
+        while engine.control().ledger().runs_of("r1")[0].outcome != RunOutcome::Broken {
             tokio::task::yield_now().await;
         }
     };
-    timeout(LONG, stopped).await.expect("stops");
+    timeout(RESPONSE_TIMEOUT, stopped)
+        .await
+        .expect("run stopped");
 }
 
 #[tokio::test]
 async fn batch_order() {
     let options = EngineOptions::default().with_max_batch(2);
     let engine = start(options).await;
-    engine.board().set(|switches| switches.load_lag_ms = 0);
+    engine.control().set(|switches| switches.load_lag_ms = 0);
     let mut answers = Vec::new();
     for name in ["r1", "r2", "r3"] {
         answers.push(call(engine.address(), "POST", CHAT, name, &chat("x", 10_000)).await);
@@ -228,7 +237,9 @@
             }
         }
     };
-    let load = timeout(LONG, filled).await.expect("fills the batch");
+    let load = timeout(RESPONSE_TIMEOUT, filled)
+        .await
+        .expect("batch is full");
     assert_eq!(load["waiting"], 1);
     let (_, waiting) = get(engine.address(), "/v1/requests/r3/status").await;
     assert_eq!(waiting["offset"], 0);
@@ -238,7 +249,9 @@
 #[tokio::test]
 async fn prefix_cached() {
     let engine = start(EngineOptions::default()).await;
-    engine.board().set(|switches| switches.cache_event_gaps = 0);
+    engine
+        .control()
+        .set(|switches| switches.cache_event_gaps = 0);
     let events = call(engine.address(), "GET", "/v1/cache-events", "", "").await;
     let log = "s".repeat(3000);
     let first = text(call(engine.address(), "POST", CHAT, "r1", &chat(&log, 1)).await)
@@ -253,19 +266,22 @@
     };
     assert_eq!(cached(&first), 0);
     assert_eq!(cached(&second), 512);
-    let frame = timeout(LONG, events.into_body().frame()).await;
-    let frame = frame.expect("in time").expect("an event").expect("whole");
+    let frame = timeout(RESPONSE_TIMEOUT, events.into_body().frame()).await;
+    let frame = frame
+        .expect("no timeout")
+        .expect("an event")
+        .expect("a complete frame");
     let event = frame.into_data().expect("data");
-    // The longest prefix is announced first.
+    // The event of the longest prefix comes first.
     let prefix = format!("{:016x}", xxh3_64(&log.as_bytes()[..2048]));
     let expected = format!("data: {}\n\n", json!({"prefix": prefix, "held": true}));
     assert_eq!(event, expected.as_bytes());
 }
 
 #[tokio::test]
-async fn connects_refused() {
+async fn connections_refused() {
     let engine = start(EngineOptions::default()).await;
-    engine.board().set(|switches| switches.reject = true);
+    engine.control().set(|switches| switches.reject = true);
     let refused = async {
         while tokio::net::TcpStream::connect(engine.address())
             .await
@@ -274,8 +290,10 @@
             tokio::task::yield_now().await;
         }
     };
-    timeout(LONG, refused).await.expect("refuses");
-    engine.board().set(|switches| switches.reject = false);
+    timeout(RESPONSE_TIMEOUT, refused)
+        .await
+        .expect("connections refused");
+    engine.control().set(|switches| switches.reject = false);
     let accepted = async {
         while tokio::net::TcpStream::connect(engine.address())
             .await
@@ -284,5 +302,7 @@
             tokio::task::yield_now().await;
         }
     };
-    timeout(LONG, accepted).await.expect("accepts again");
+    timeout(RESPONSE_TIMEOUT, accepted)
+        .await
+        .expect("connections accepted");
 }
