--- a/bergamotswitch-net/src/answer.rs
+++ b/bergamotswitch-net/src/answer.rs
@@ -245,20 +245,20 @@
         }
     }
 
-    /// Wait until the answer is complete or `shows` accepts its parts, then get
+    /// Wait until the answer is complete or `is_ready` accepts its parts, then get
     /// the first part without consuming it. Returns `None` if the writer was
     /// dropped before that. Parts read earlier could belong to an attempt that
     /// is discarded.
     pub async fn wait_for_start(
         &mut self,
-        shows: impl Fn(&[AnswerPart]) -> bool,
+        is_ready: impl Fn(&[AnswerPart]) -> bool,
     ) -> Option<AnswerPart> {
         loop {
             self.length.mark_unchanged();
             let first = {
                 let log = lock(&self.log);
-                let begun = log.is_over() || shows(&log.parts);
-                begun.then(|| log.parts.first().cloned())
+                let has_started = log.is_over() || is_ready(&log.parts);
+                has_started.then(|| log.parts.first().cloned())
             };
             if let Some(first) = first {
                 return first;
--- a/bergamotswitch-net/src/caller/early_answer.rs
+++ b/bergamotswitch-net/src/caller/early_answer.rs
@@ -19,7 +19,7 @@
 };
 use super::fields::{INCARNATION_FIELD, REQUEST_ID_FIELD};
 use super::forward::{OriginalCall, forward};
-use super::submit::{CheckedCall, SubmitResult, submit};
+use super::submit::{CheckedCall, SubmittedCall, submit};
 use crate::answer::AnswerPart;
 use crate::follower::{AnswerFollower, has_output};
 
@@ -68,9 +68,9 @@
         original,
     } = checked;
     let follower = match submit(&context, submission, call).await {
-        SubmitResult::Local(follower) => *follower,
-        SubmitResult::Refused(page) => return refusal_events(&page),
-        SubmitResult::Remote(holder) => return holder_events(&context, &original, &holder).await,
+        SubmittedCall::Local(follower) => *follower,
+        SubmittedCall::Refused(page) => return refusal_events(&page),
+        SubmittedCall::Remote(holder) => return holder_events(&context, &original, &holder).await,
     };
     let id = comment(&format!("{REQUEST_ID_FIELD} {}", follower.id()));
     let first_event = stream::iter([Ok(id)]);
--- a/bergamotswitch-net/src/caller/engine_handler.rs
+++ b/bergamotswitch-net/src/caller/engine_handler.rs
@@ -13,7 +13,7 @@
 use super::fields::REQUEST_ID_FIELD;
 use super::forward::{OriginalCall, forward_and_write};
 use super::refusal_page::header_value;
-use super::submit::{CheckedCall, SubmitResult, submit};
+use super::submit::{CheckedCall, SubmittedCall, submit};
 use crate::answer::AnswerPart;
 use crate::follower::{AnswerFollower, has_output};
 
@@ -45,11 +45,11 @@
             original,
         } = checked;
         match submit(&self.context, submission, call).await {
-            SubmitResult::Refused(page) => page.write(res),
-            SubmitResult::Remote(holder) => {
+            SubmittedCall::Refused(page) => page.write(res),
+            SubmittedCall::Remote(holder) => {
                 forward_and_write(&self.context, &original, &holder, res).await;
             }
-            SubmitResult::Local(follower) => self.follow(*follower, original, format, res).await,
+            SubmittedCall::Local(follower) => self.follow(*follower, original, format, res).await,
         }
     }
 
--- a/bergamotswitch-net/src/caller/refusal_page.rs
+++ b/bergamotswitch-net/src/caller/refusal_page.rs
@@ -180,8 +180,8 @@
 
 impl IncarnationHeader {
     /// Get the header of an incarnation.
-    pub(super) fn new(run: &HostIncarnation) -> Self {
-        IncarnationHeader(header_value(run))
+    pub(super) fn new(incarnation: &HostIncarnation) -> Self {
+        IncarnationHeader(header_value(incarnation))
     }
 }
 
--- a/bergamotswitch-net/src/caller/service_handler.rs
+++ b/bergamotswitch-net/src/caller/service_handler.rs
@@ -18,7 +18,7 @@
 use super::fields::{CallerFields, REQUEST_ID_FIELD};
 use super::forward::{OriginalCall, forward_and_write};
 use super::refusal_page::{RefusalPage, header_value};
-use super::submit::{CheckedCall, SubmitResult, submit};
+use super::submit::{CheckedCall, SubmittedCall, submit};
 use crate::answer::AnswerPart;
 use crate::input::OutgoingCall;
 
@@ -148,9 +148,9 @@
             original,
         } = checked;
         let follower = match submit(&self.context, submission, call).await {
-            SubmitResult::Local(follower) => follower,
-            SubmitResult::Refused(page) => return page.write(res),
-            SubmitResult::Remote(holder) => {
+            SubmittedCall::Local(follower) => follower,
+            SubmittedCall::Refused(page) => return page.write(res),
+            SubmittedCall::Remote(holder) => {
                 return forward_and_write(&self.context, &original, &holder, res).await;
             }
         };
--- a/bergamotswitch-net/src/caller/submit.rs
+++ b/bergamotswitch-net/src/caller/submit.rs
@@ -24,9 +24,10 @@
     pub(super) original: OriginalCall,
 }
 
-/// A `SubmitResult` is the result of a submission to the event loop.
+/// A `SubmittedCall` is a caller's request after its submission to the event
+/// loop. Refusals are HTTP responses, ready to be sent to the caller.
 #[derive(Debug)]
-pub(super) enum SubmitResult {
+pub(super) enum SubmittedCall {
     /// This host holds the request.
     Local(Box<AnswerFollower>),
     /// Another host incarnation holds the request.
@@ -35,17 +36,17 @@
     Refused(RefusalPage),
 }
 
-/// Submit a request to the event loop and wait for the result.
+/// Submit a request to the event loop and wait for its reply.
 pub(super) async fn submit(
     context: &Arc<CallerContext>,
     submission: Submission,
     call: OutgoingCall,
-) -> SubmitResult {
+) -> SubmittedCall {
     match submit::submit(&context.node, submission, call).await {
-        submit::SubmitResult::Local(follower) => SubmitResult::Local(follower),
-        submit::SubmitResult::Remote(holder) => SubmitResult::Remote(holder),
-        submit::SubmitResult::Refused(refusal) => SubmitResult::Refused(RefusalPage::new(refusal)),
-        submit::SubmitResult::LoopStopped => SubmitResult::Refused(loop_stopped()),
-        submit::SubmitResult::AnswerDropped => SubmitResult::Refused(answer_dropped()),
+        submit::SubmitResult::Local(follower) => SubmittedCall::Local(follower),
+        submit::SubmitResult::Remote(holder) => SubmittedCall::Remote(holder),
+        submit::SubmitResult::Refused(refusal) => SubmittedCall::Refused(RefusalPage::new(refusal)),
+        submit::SubmitResult::LoopStopped => SubmittedCall::Refused(loop_stopped()),
+        submit::SubmitResult::AnswerDropped => SubmittedCall::Refused(answer_dropped()),
     }
 }
--- a/bergamotswitch-net/src/gateway/call.rs
+++ b/bergamotswitch-net/src/gateway/call.rs
@@ -62,7 +62,7 @@
     /// The call is refused.
     Refused(Refusal),
     /// The caller closed its connection.
-    CallerLeft,
+    CallerDisconnected,
 }
 
 impl CallFailure {
@@ -89,7 +89,7 @@
             refusal_response(&refusal)
         }
         // This answer is not delivered to anyone.
-        Err(CallFailure::CallerLeft) => {
+        Err(CallFailure::CallerDisconnected) => {
             refusal_response(&Refusal::before_acceptance(RefusalReason::CallerLeft))
         }
     }
@@ -171,8 +171,8 @@
         };
         let hash = xxh3_64(call.request_id.as_bytes());
         let pool = route.pool_for(hash).ok_or(RefusalReason::NoTarget)?;
-        let facts = routes.pool(pool);
-        let kind = match facts.and_then(|facts| facts.engine) {
+        let spec = routes.pool(pool);
+        let kind = match spec.and_then(|spec| spec.engine) {
             Some(_) => PoolKind::Engine,
             None => PoolKind::Plain,
         };
@@ -313,7 +313,7 @@
         Err(error) if error.is::<http_body_util::LengthLimitError>() => {
             Err(CallFailure::new(RefusalReason::TooLarge))
         }
-        Err(_) => Err(CallFailure::CallerLeft),
+        Err(_) => Err(CallFailure::CallerDisconnected),
     }
 }
 
@@ -357,11 +357,11 @@
 /// response does not count, because the call may be retried at another target.
 fn has_event(parts: &[AnswerPart]) -> bool {
     let mut parts = parts.iter();
-    let begun = match parts.next() {
+    let has_success_head = match parts.next() {
         Some(AnswerPart::Head { status, .. }) => is_success(*status),
         _ => false,
     };
-    begun && parts.any(|part| matches!(part, AnswerPart::Data(_)))
+    has_success_head && parts.any(|part| matches!(part, AnswerPart::Data(_)))
 }
 
 fn is_success(status: u16) -> bool {
--- a/bergamotswitch-net/src/input.rs
+++ b/bergamotswitch-net/src/input.rs
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub struct SubmissionReply {
     /// Whether the request is accepted, attached, forwarded or refused.
-    pub reception: SubmitOutcome,
+    pub outcome: SubmitOutcome,
     /// The reader of the answer, if this host serves the request.
     pub answer: Option<AnswerReader>,
 }
--- a/bergamotswitch-net/src/link/handshake.rs
+++ b/bergamotswitch-net/src/link/handshake.rs
@@ -29,7 +29,7 @@
 pub const LINK_PATH: &str = "/link";
 
 const VERSION_FIELD: &str = "link-version";
-const RUN_FIELD: &str = "link-run";
+const INCARNATION_FIELD: &str = "link-run";
 const NONCE_FIELD: &str = "link-nonce";
 const MESSAGES_FIELD: &str = "link-messages";
 const PROOF_FIELD: &str = "link-proof";
@@ -148,7 +148,7 @@
     pub fn write(&self, fields: &mut HeaderMap) {
         fields.insert(VERSION_FIELD, HeaderValue::from(self.version));
         fields.insert(MESSAGES_FIELD, HeaderValue::from(self.message_set));
-        insert_text(fields, RUN_FIELD, &self.incarnation.to_string());
+        insert_text(fields, INCARNATION_FIELD, &self.incarnation.to_string());
         insert_text(fields, NONCE_FIELD, &format!("{:032x}", self.nonce));
     }
 
@@ -164,7 +164,7 @@
         if version != LINK_VERSION.to_string() {
             return Err(PeerRefusal::Version(version.to_owned()));
         }
-        let incarnation = HostIncarnation::try_from(field_text(fields, RUN_FIELD)?)
+        let incarnation = HostIncarnation::try_from(field_text(fields, INCARNATION_FIELD)?)
             .map_err(|_| PeerRefusal::Malformed)?;
         let nonce = u128::from_str_radix(field_text(fields, NONCE_FIELD)?, 16)
             .map_err(|_| PeerRefusal::Malformed)?;
--- a/bergamotswitch-net/src/node/adapters.rs
+++ b/bergamotswitch-net/src/node/adapters.rs
@@ -77,11 +77,11 @@
         }
     }
 
-    /// Watch a value for revisions higher than `beyond`. The store's client
+    /// Watch a value for revisions higher than `after`. The store's client
     /// continues from its own last call instead.
-    pub(super) fn watch(&mut self, name: &ValueName, beyond: Revision) {
+    pub(super) fn watch(&mut self, name: &ValueName, after: Revision) {
         match self {
-            ValueSource::Services(client) => client.watch(name, beyond),
+            ValueSource::Services(client) => client.watch(name, after),
             ValueSource::Store(source) => source.read(name),
         }
     }
--- a/bergamotswitch-net/src/node/event_loop.rs
+++ b/bergamotswitch-net/src/node/event_loop.rs
@@ -88,14 +88,14 @@
         )
         .map_err(NodeError::Link)?;
         let metrics = Arc::clone(&setup.metrics);
-        let desk = CallerContext {
+        let context = CallerContext {
             node: sender.clone(),
             publication: published,
             this_host: me.clone(),
             metrics,
             opts: CallerOptions::default(),
         };
-        let parts = HostParts::try_new(setup.listeners, &setup.settings, desk)?;
+        let parts = HostParts::try_new(setup.listeners, &setup.settings, context)?;
         Ok(HostNode {
             me,
             core,
@@ -164,7 +164,7 @@
             metrics,
             ..
         } = self;
-        let stop_at = schedule.map(|schedule| schedule.begun_at);
+        let stop_at = schedule.map(|schedule| schedule.started_at);
         let mut timeout = Box::pin(tokio::time::sleep(left));
         let mut closing = Box::pin(callers.close());
         loop {
@@ -193,9 +193,9 @@
             } => {
                 let schedule = self.stop.schedule();
                 let log = RequestLog::of(self.now(), &submission, &call)
-                    .with_stop(schedule.map(|schedule| schedule.begun_at));
-                let (reception, actions) = self.core.submit(self.now(), *submission);
-                let received = self.receive(reception, *call, log);
+                    .with_stop(schedule.map(|schedule| schedule.started_at));
+                let (outcome, actions) = self.core.submit(self.now(), *submission);
+                let received = self.receive(outcome, *call, log);
                 self.execute_all(actions);
                 // The caller may have disconnected; its guard then sends
                 // `CallerLeft`.
@@ -271,11 +271,11 @@
 
     fn receive(
         &mut self,
-        reception: SubmitOutcome,
+        outcome: SubmitOutcome,
         call: OutgoingCall,
         log: RequestLog,
     ) -> SubmissionReply {
-        let answer = match &reception {
+        let answer = match &outcome {
             SubmitOutcome::Accepted(id) => Some(self.requests.open(*id, call, log)),
             SubmitOutcome::Attached(id) => self.requests.attach(*id),
             SubmitOutcome::Forward(_) => None,
@@ -286,7 +286,7 @@
                 None
             }
         };
-        SubmissionReply { reception, answer }
+        SubmissionReply { outcome, answer }
     }
 
     fn handle(&mut self, event: NodeEvent) {
--- a/bergamotswitch-net/src/node/event_loop/reports.rs
+++ b/bergamotswitch-net/src/node/event_loop/reports.rs
@@ -57,10 +57,10 @@
     pub(super) fn log_stop_progress(&self, incident: Incident, schedule: &StopSchedule) {
         self.metrics.count_incident(incident);
         let now = self.now();
-        let desk = self.core.view(now).desk;
-        let waiting: u32 = desk.waiting.iter().sum();
-        let running: u32 = desk.running.iter().sum();
-        let stopped = now.since(schedule.begun_at).as_millis();
+        let view = self.core.view(now).desk;
+        let waiting: u32 = view.waiting.iter().sum();
+        let running: u32 = view.running.iter().sum();
+        let stopped = now.since(schedule.started_at).as_millis();
         let accepting = schedule.accept_until().since(now).as_millis();
         let grace = match schedule.killed_at() {
             Moment::NEVER => String::new(),
--- a/bergamotswitch-net/src/node/event_loop/stopping.rs
+++ b/bergamotswitch-net/src/node/event_loop/stopping.rs
@@ -117,7 +117,7 @@
     log.write_end(now, None, &Conclusion::Refused(refusal.clone()), 0);
     // The caller may have disconnected.
     let _ = reply.send(SubmissionReply {
-        reception: SubmitOutcome::Refused(refusal),
+        outcome: SubmitOutcome::Refused(refusal),
         answer: None,
     });
 }
--- a/bergamotswitch-net/src/node/host_parts.rs
+++ b/bergamotswitch-net/src/node/host_parts.rs
@@ -32,9 +32,9 @@
     pub(super) fn try_new(
         listeners: CallerListeners,
         settings: &HostSettings,
-        desk: CallerContext,
+        context: CallerContext,
     ) -> Result<Self, NodeError> {
-        let node = desk.node.clone();
+        let node = context.node.clone();
         let (sockets, gateway) = match (listeners, &settings.gateway) {
             (CallerListeners::Gateway(sockets), Some(gateway)) => (sockets, gateway),
             (CallerListeners::Gateway(_), None) => {
@@ -45,7 +45,7 @@
                 let host_lists = settings.host_lists.clone();
                 let opts = PlatformOptions::default();
                 let client = PlatformClient::new(services, host_lists, opts, node.clone());
-                let server = caller::serve(listener, desk).map_err(NodeError::Serve)?;
+                let server = caller::serve(listener, context).map_err(NodeError::Serve)?;
                 return Ok(HostParts {
                     callers: CallerServer::Api(server),
                     platform: ValueSource::Services(client),
@@ -57,8 +57,8 @@
         let server = GatewayServer::try_new(
             sockets,
             node.clone(),
-            desk.publication,
-            desk.metrics,
+            context.publication,
+            context.metrics,
             gateway_setup::body_bytes(gateway),
         );
         let gossip = GossipSocket::try_new(settings.link_address, node.clone());
--- a/bergamotswitch-net/src/node/mod.rs
+++ b/bergamotswitch-net/src/node/mod.rs
@@ -112,12 +112,12 @@
             Some(gateway) => gateway_setup::options(&settings, gateway),
         };
         let peers = listen(settings.link_address)?;
-        let run = HostIncarnation {
+        let incarnation = HostIncarnation {
             host: settings.name.clone(),
             incarnation: Incarnation(rand::random()),
         };
         let me = HostIdentity {
-            incarnation: run,
+            incarnation,
             domain: settings.domain.clone(),
         };
         Ok(NodeSetup {
--- a/bergamotswitch-net/src/node/request_log.rs
+++ b/bergamotswitch-net/src/node/request_log.rs
@@ -157,11 +157,11 @@
         let ran = self.started_at.map_or(Duration::ZERO, |at| now.since(at));
         let ran = ran.as_millis();
         // Negative for a request that was received before the stop signal.
-        let stopping = match self.received_at < stop.begun_at {
-            true => format!("-{}", stop.begun_at.since(self.received_at).as_millis()),
+        let stopping = match self.received_at < stop.started_at {
+            true => format!("-{}", stop.started_at.since(self.received_at).as_millis()),
             false => self
                 .received_at
-                .since(stop.begun_at)
+                .since(stop.started_at)
                 .as_millis()
                 .to_string(),
         };
--- a/bergamotswitch-net/src/node/stop.rs
+++ b/bergamotswitch-net/src/node/stop.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct StopSchedule {
     /// When the stop signal arrived.
-    pub begun_at: Moment,
+    pub started_at: Moment,
     /// How long callers use addresses that were handed out. Callers are accepted
     /// until then, so that none connects to a closed port.
     lifetime: Duration,
@@ -38,7 +38,7 @@
     /// Create the schedule of a stop that begins now.
     pub fn new(now: Moment, lifetime: Duration, grace: Option<Duration>) -> Self {
         StopSchedule {
-            begun_at: now,
+            started_at: now,
             lifetime,
             grace,
         }
@@ -58,7 +58,7 @@
 
     /// Get the time until which callers are accepted.
     pub fn accept_until(&self) -> Moment {
-        self.begun_at
+        self.started_at
             .plus(self.lifetime)
             .min(self.answer_deadline())
     }
@@ -96,7 +96,7 @@
         };
         let scale = grace.as_secs_f64() / FULL_MARGIN_GRACE.as_secs_f64();
         let margin = margin.mul_f64(scale.min(1.0));
-        self.begun_at.plus(grace.saturating_sub(margin))
+        self.started_at.plus(grace.saturating_sub(margin))
     }
 }
 
--- a/bergamotswitch-net/src/operator.rs
+++ b/bergamotswitch-net/src/operator.rs
@@ -20,27 +20,27 @@
 const LOOP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Get the routes of the operator interface.
-pub fn router(desk: &Arc<CallerContext>) -> Router {
+pub fn router(context: &Arc<CallerContext>) -> Router {
     Router::new()
-        .push(Router::with_path("metrics").get(MetricsCall(Arc::clone(desk))))
-        .push(Router::with_path("status").get(StatusCall(Arc::clone(desk))))
-        .push(Router::with_path("healthz").get(HealthCall(Arc::clone(desk))))
+        .push(Router::with_path("metrics").get(MetricsHandler(Arc::clone(context))))
+        .push(Router::with_path("status").get(StatusHandler(Arc::clone(context))))
+        .push(Router::with_path("healthz").get(HealthHandler(Arc::clone(context))))
 }
 
-/// A `MetricsCall` handles metrics scrapes.
+/// A `MetricsHandler` handles metrics scrapes.
 #[derive(Debug)]
-struct MetricsCall(Arc<CallerContext>);
+struct MetricsHandler(Arc<CallerContext>);
 
-/// A `StatusCall` handles queries for the host's status.
+/// A `StatusHandler` handles queries for the host's status.
 #[derive(Debug)]
-struct StatusCall(Arc<CallerContext>);
+struct StatusHandler(Arc<CallerContext>);
 
-/// A `HealthCall` handles health checks.
+/// A `HealthHandler` handles health checks.
 #[derive(Debug)]
-struct HealthCall(Arc<CallerContext>);
+struct HealthHandler(Arc<CallerContext>);
 
 #[async_trait]
-impl Handler for MetricsCall {
+impl Handler for MetricsHandler {
     async fn handle(
         &self,
         _req: &mut Request,
@@ -55,7 +55,7 @@
 }
 
 #[async_trait]
-impl Handler for StatusCall {
+impl Handler for StatusHandler {
     async fn handle(
         &self,
         _req: &mut Request,
@@ -71,7 +71,7 @@
 }
 
 #[async_trait]
-impl Handler for HealthCall {
+impl Handler for HealthHandler {
     async fn handle(
         &self,
         _req: &mut Request,
@@ -91,9 +91,9 @@
 }
 
 /// Get the loop's status, `None` if the loop has terminated or hangs.
-async fn loop_status(desk: &CallerContext) -> Option<Value> {
+async fn loop_status(context: &CallerContext) -> Option<Value> {
     let (reply, status) = oneshot::channel();
-    desk.node.send(NodeInput::Status(reply)).ok()?;
+    context.node.send(NodeInput::Status(reply)).ok()?;
     timeout(LOOP_TIMEOUT, status).await.ok()?.ok()
 }
 
--- a/bergamotswitch-net/src/store_source/connection.rs
+++ b/bergamotswitch-net/src/store_source/connection.rs
@@ -34,7 +34,7 @@
     /// The store returned an error status.
     Status(StatusCode),
     /// The answer is malformed.
-    Fault(StoreParseError),
+    Malformed(StoreParseError),
     /// The read exceeded the maximum number of pages.
     TooMany,
 }
@@ -45,7 +45,7 @@
             StoreCallError::Connection => write!(f, "no connection"),
             StoreCallError::Timeout => write!(f, "no answer in time"),
             StoreCallError::Status(status) => write!(f, "status {status}"),
-            StoreCallError::Fault(fault) => write!(f, "{fault}"),
+            StoreCallError::Malformed(error) => write!(f, "{error}"),
             StoreCallError::TooMany => write!(f, "too many pages"),
         }
     }
@@ -83,8 +83,8 @@
         limit: Duration,
         calls: &AtomicU64,
     ) -> Result<(StatusCode, Bytes), StoreCallError> {
-        let kept = self.open.take().filter(|open| open.sender.is_ready());
-        let mut open = match kept {
+        let reusable = self.open.take().filter(|open| open.sender.is_ready());
+        let mut open = match reusable {
             Some(open) => open,
             None => self.dial().await?,
         };
--- a/bergamotswitch-net/src/store_source/cursor.rs
+++ b/bergamotswitch-net/src/store_source/cursor.rs
@@ -55,10 +55,10 @@
 
     /// Get the next update, by a read of all items or by a watch.
     pub(super) async fn next(&mut self, calls: &AtomicU64) -> Result<StoreUpdate, StoreCallError> {
-        let Some(beyond) = self.as_of else {
+        let Some(after) = self.as_of else {
             return self.read_all(calls).await;
         };
-        let path = store::watch_path(self.prefix, beyond, self.wait);
+        let path = store::watch_path(self.prefix, after, self.wait);
         let limit = self.wait + ANSWER_TIMEOUT;
         let (status, body) = self.connection.get(&path, limit, calls).await?;
         if status == StatusCode::GONE {
@@ -67,8 +67,8 @@
             return self.read_all(calls).await;
         }
         let body = check_status(status, body)?;
-        let found = store::read_changes(&body).map_err(StoreCallError::Fault)?;
-        self.as_of = Some(found.as_of.max(beyond));
+        let found = store::read_changes(&body).map_err(StoreCallError::Malformed)?;
+        self.as_of = Some(found.as_of.max(after));
         Ok(StoreUpdate::Changes {
             changes: found.changes,
             as_of: found.as_of,
@@ -79,11 +79,11 @@
         let mut items: Vec<StoreItem> = Vec::new();
         let mut as_of = None;
         for _ in 0..MAX_PAGES {
-            let after = items.last().map(|item| item.key.clone());
-            let path = store::page_path(self.prefix, after.as_deref());
+            let last_key = items.last().map(|item| item.key.clone());
+            let path = store::page_path(self.prefix, last_key.as_deref());
             let (status, body) = self.connection.get(&path, ANSWER_TIMEOUT, calls).await?;
             let body = check_status(status, body)?;
-            let page = store::read_page(&body).map_err(StoreCallError::Fault)?;
+            let page = store::read_page(&body).map_err(StoreCallError::Malformed)?;
             // The pages are not a consistent snapshot. The first watch starts
             // at the revision of the first page, so it repeats the changes made
             // meanwhile.
--- a/bergamotswitch-net/src/store_source/entry_reader.rs
+++ b/bergamotswitch-net/src/store_source/entry_reader.rs
@@ -35,11 +35,11 @@
                 self.logged.remove(&item.key);
                 Ok(entry)
             }
-            Err(fault) => {
+            Err(error) => {
                 if self.should_log(&item.key) {
                     event_log::write(
                         Incident::EntryUnreadable,
-                        &[("key", &item.key), ("cause", &fault)],
+                        &[("key", &item.key), ("cause", &error)],
                     );
                 }
                 Err(registration::target_name(&item.key))
--- a/bergamotswitch-net/src/store_source/mod.rs
+++ b/bergamotswitch-net/src/store_source/mod.rs
@@ -180,8 +180,10 @@
     let Some(item) = newest else {
         return PlatformEvent::Unchanged(name.clone());
     };
-    let book = config::read(&item.value);
-    let body = book.ok().and_then(|book| serde_json::to_string(&book).ok());
+    let config = config::read(&item.value);
+    let body = config
+        .ok()
+        .and_then(|config| serde_json::to_string(&config).ok());
     match body {
         Some(body) => PlatformEvent::Read(PublishedValue {
             name: name.clone(),
--- a/bergamotswitch-net/src/submit.rs
+++ b/bergamotswitch-net/src/submit.rs
@@ -59,7 +59,7 @@
 }
 
 fn from_reply(node: &NodeSender, reply: SubmissionReply) -> SubmitResult {
-    match (reply.reception, reply.answer) {
+    match (reply.outcome, reply.answer) {
         (SubmitOutcome::Accepted(id) | SubmitOutcome::Attached(id), Some(reader)) => {
             SubmitResult::Local(Box::new(AnswerFollower::new(node, id, reader)))
         }
--- a/bergamotswitch-net/src/target_client/call_context.rs
+++ b/bergamotswitch-net/src/target_client/call_context.rs
@@ -48,10 +48,10 @@
 
 /// A `CallTrace` is the state of a call that is shared with its abort.
 #[derive(Clone, Debug, Default)]
-pub(super) struct CallTrace(Arc<Mutex<CallMarks>>);
+pub(super) struct CallTrace(Arc<Mutex<TraceState>>);
 
 #[derive(Debug, Default)]
-struct CallMarks {
+struct TraceState {
     sent: bool,
     stream: Option<StreamId>,
 }
@@ -73,8 +73,8 @@
 
     /// Get the stream's id, if known.
     pub fn stream(&self) -> Option<StreamId> {
-        let marks = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        marks.stream.clone()
+        let state = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        state.stream.clone()
     }
 }
 
@@ -205,9 +205,9 @@
         let (head, body) = response.into_parts();
         let reading = Limited::new(body, MAX_EVENT_BYTES).collect();
         match timeout(ERROR_BODY_WAIT, reading).await {
-            Ok(Ok(whole)) => {
+            Ok(Ok(collected)) => {
                 self.push_head(&head);
-                self.answer.push(AnswerPart::Data(whole.to_bytes()));
+                self.answer.push(AnswerPart::Data(collected.to_bytes()));
                 CallEnd::Failed
             }
             Ok(Err(_)) | Err(_) => {
--- a/bergamotswitch-net/src/target_client/engine_call.rs
+++ b/bergamotswitch-net/src/target_client/engine_call.rs
@@ -238,8 +238,8 @@
     pub(super) async fn read(&mut self, mut stream: OpenStream) -> Result<(), StreamError> {
         let mut parser = EventParser::new();
         loop {
-            let piece = self.next_piece(&mut stream.body).await?;
-            parser.feed(&piece);
+            let chunk = self.next_chunk(&mut stream.body).await?;
+            parser.feed(&chunk);
             while let Some(event) = parser.next_event().map_err(|_| StreamError::Malformed)? {
                 if self.accept(event)? {
                     self.keep(stream).await;
@@ -249,7 +249,7 @@
         }
     }
 
-    async fn next_piece(&self, body: &mut Incoming) -> Result<Bytes, StreamError> {
+    async fn next_chunk(&self, body: &mut Incoming) -> Result<Bytes, StreamError> {
         // Buffered data is read before the timers are checked: after a pause of
         // this process a timer may fire although the data has arrived.
         tokio::select! {
--- a/bergamotswitch-net/src/target_client/event_stream.rs
+++ b/bergamotswitch-net/src/target_client/event_stream.rs
@@ -46,8 +46,8 @@
     }
 
     /// Add the next chunk of the body.
-    pub fn feed(&mut self, piece: &[u8]) {
-        self.unread.extend_from_slice(piece);
+    pub fn feed(&mut self, chunk: &[u8]) {
+        self.unread.extend_from_slice(chunk);
     }
 
     /// Try to get the next complete event, or `None` until more is fed.
--- a/bergamotswitch-net/src/target_client/plain_call.rs
+++ b/bergamotswitch-net/src/target_client/plain_call.rs
@@ -71,8 +71,8 @@
             context.log_incident(Incident::AnswerRejected, "answer truncated");
             return CallEnd::Broken(meter.usage());
         };
-        if let Ok(piece) = frame.into_data() {
-            context.answer.push(AnswerPart::Data(piece));
+        if let Ok(chunk) = frame.into_data() {
+            context.answer.push(AnswerPart::Data(chunk));
             report_step(meter.add_plain(), report);
         }
     }
--- a/bergamotswitch-net/src/target_client/routed_call.rs
+++ b/bergamotswitch-net/src/target_client/routed_call.rs
@@ -196,7 +196,7 @@
     ) -> CallEnd {
         // The caller has already received a part of a resumed stream, so an
         // error answer cannot follow.
-        let has_begun = self.context.answer.last_event_id().is_some();
+        let has_started = self.context.answer.last_event_id().is_some();
         let collected = Limited::new(body, MAX_BODY_BYTES).collect().await;
         let Ok(bytes) = collected.map(|collected| collected.to_bytes()) else {
             self.context
@@ -204,13 +204,13 @@
             return CallEnd::Broken(meter.usage());
         };
         let success = self.head.status.is_success();
-        if !has_begun {
+        if !has_started {
             report_step(meter.add_plain(), report);
             self.push_head();
             self.context.answer.push(AnswerPart::Data(bytes));
         }
         self.keep();
-        match (success, has_begun) {
+        match (success, has_started) {
             (true, false) => CallEnd::Finished(meter.usage()),
             (false, false) => CallEnd::Failed,
             (_, true) => CallEnd::Broken(meter.usage()),
@@ -286,7 +286,7 @@
         report: &AttemptReport,
     ) -> Result<Option<hyper::body::Frame<bytes::Bytes>>, CallEnd> {
         let is_resumed = self.context.answer.last_event_id().is_some();
-        let has_begun = is_resumed || !meter.awaits_first();
+        let has_started = is_resumed || !meter.awaits_first();
         let wait = match meter.awaits_first() {
             true => self.routed.start_timeout,
             false => self.routed.gap_timeout,
@@ -300,7 +300,7 @@
                 Ok(None) => return Ok(None),
                 Ok(Some(Ok(frame))) => return Ok(Some(frame)),
                 Ok(Some(Err(_))) => break "stream truncated",
-                Err(_) if has_begun => {
+                Err(_) if has_started => {
                     self.context
                         .log_incident(Incident::StreamStalled, "no event in time");
                     report.step(AttemptEvent::Stalled);
--- a/bergamotswitch-net/src/target_client/silence_watch.rs
+++ b/bergamotswitch-net/src/target_client/silence_watch.rs
@@ -61,7 +61,7 @@
             return std::future::pending().await;
         }
         sleep(self.options.idle_probe).await;
-        let quiet_since = Instant::now();
+        let silent_since = Instant::now();
         let mut misses = 0;
         loop {
             let finding = self.query().await;
@@ -80,7 +80,7 @@
                 StatusFinding::UnknownRequest => {
                     // The request may still be in flight to the engine.
                     misses = 0;
-                    if quiet_since.elapsed() >= self.options.unknown_request_grace {
+                    if silent_since.elapsed() >= self.options.unknown_request_grace {
                         return SilenceVerdict::Unavailable;
                     }
                 }
--- a/bergamotswitch-net/src/target_client/stream_status.rs
+++ b/bergamotswitch-net/src/target_client/stream_status.rs
@@ -120,8 +120,8 @@
             _ => {}
         }
         let body = Limited::new(response.into_body(), MAX_REPORT_BYTES);
-        let whole = body.collect().await.map_err(|_| QueryError::NoAnswer)?;
-        Ok(whole.to_bytes())
+        let collected = body.collect().await.map_err(|_| QueryError::NoAnswer)?;
+        Ok(collected.to_bytes())
     };
     timeout(options.probe_timeout, exchange)
         .await
--- a/bergamotswitch-net/tests/caller_requests/answers.rs
+++ b/bergamotswitch-net/tests/caller_requests/answers.rs
@@ -99,11 +99,17 @@
     let response = within_timeout(send(host.server.address(), chat(true, &fields))).await;
     // The event loop has not answered yet, and the caller has the head and the
     // incarnation.
-    let run = host.run.to_string();
-    assert_eq!(response.headers()["bergamot-incarnation"], run.as_str());
+    let incarnation = host.incarnation.to_string();
+    assert_eq!(
+        response.headers()["bergamot-incarnation"],
+        incarnation.as_str()
+    );
     let mut body = response.into_body();
-    let incarnation = next_chunk(&mut body).await;
-    assert_eq!(incarnation, format!(": bergamot-incarnation {run}\n\n"));
+    let first_event = next_chunk(&mut body).await;
+    assert_eq!(
+        first_event,
+        format!(": bergamot-incarnation {incarnation}\n\n")
+    );
 
     let writer = host.accept_next().await;
     let id = next_chunk(&mut body).await;
@@ -132,9 +138,9 @@
     host.submitted().await;
     // The read does not wait: only what was sent before is available.
     let mut sent = [0; 4096];
-    let len = stream.read(&mut sent).expect("head and run");
+    let len = stream.read(&mut sent).expect("head and incarnation");
     let sent = String::from_utf8_lossy(&sent[..len]);
-    assert!(sent.contains(&format!(": bergamot-incarnation {}\n\n", host.run)));
+    assert!(sent.contains(&format!(": bergamot-incarnation {}\n\n", host.incarnation)));
 }
 
 #[tokio::test]
@@ -161,7 +167,7 @@
     let refusal = Refusal::before_acceptance(RefusalReason::Overloaded)
         .with_retry_after(Duration::from_millis(2100));
     let received = SubmissionReply {
-        reception: SubmitOutcome::Refused(refusal),
+        outcome: SubmitOutcome::Refused(refusal),
         answer: None,
     };
     let reply = host.submitted_reply().await;
--- a/bergamotswitch-net/tests/caller_requests/checks.rs
+++ b/bergamotswitch-net/tests/caller_requests/checks.rs
@@ -30,7 +30,10 @@
     let reason = rejection_reason(host).await;
     assert_eq!(answer.json()["error"]["code"], reason.as_str());
     assert_eq!(answer.json()["error"]["ran"], "no");
-    assert_eq!(answer.field("bergamot-incarnation"), host.run.to_string());
+    assert_eq!(
+        answer.field("bergamot-incarnation"),
+        host.incarnation.to_string()
+    );
     (answer, reason)
 }
 
--- a/bergamotswitch-net/tests/caller_requests/disconnects.rs
+++ b/bergamotswitch-net/tests/caller_requests/disconnects.rs
@@ -40,7 +40,7 @@
     // The server must have detected the end of the connection.
     tokio::time::sleep(std::time::Duration::from_millis(50)).await;
     let received = SubmissionReply {
-        reception: SubmitOutcome::Accepted(host.id(1)),
+        outcome: SubmitOutcome::Accepted(host.id(1)),
         answer: Some(AnswerWriter::new().reader()),
     };
     reply.send(received).expect("a task that waits");
--- a/bergamotswitch-net/tests/caller_requests/fake_loop.rs
+++ b/bergamotswitch-net/tests/caller_requests/fake_loop.rs
@@ -42,7 +42,7 @@
 /// A host whose event loop is simulated by the test.
 pub struct FakeHost {
     pub server: HttpServer,
-    pub run: HostIncarnation,
+    pub incarnation: HostIncarnation,
     pub inbox: mpsc::UnboundedReceiver<NodeInput>,
     pub metrics: Arc<NodeMetrics>,
     publication: watch::Sender<Arc<Publication>>,
@@ -66,7 +66,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let (node, inbox) = mpsc::unbounded_channel();
         let (publication, publication_receiver) = watch::channel(Arc::default());
-        let run = HostIncarnation {
+        let incarnation = HostIncarnation {
             host: HostName::try_from(name).expect("a name"),
             incarnation: Incarnation(0xabc),
         };
@@ -75,7 +75,7 @@
             node,
             publication: publication_receiver,
             this_host: HostIdentity {
-                incarnation: run.clone(),
+                incarnation: incarnation.clone(),
                 domain: DomainName::try_from("sanjuan").expect("a name"),
             },
             metrics: Arc::clone(&metrics),
@@ -83,7 +83,7 @@
         };
         FakeHost {
             server: serve(listener, context).expect("a server"),
-            run,
+            incarnation,
             inbox,
             metrics,
             publication,
@@ -100,7 +100,7 @@
 
     /// Publish all values, with this host and `hosts` in the host list.
     pub fn publish(&self, hosts: &[(&str, SocketAddr)]) {
-        let mut listed = vec![(self.run.host.as_str(), self.server.address())];
+        let mut listed = vec![(self.incarnation.host.as_str(), self.server.address())];
         listed.extend_from_slice(hosts);
         let mut publication = Publication::default();
         for (name, body) in published_values(&listed) {
@@ -140,7 +140,7 @@
     /// Get the id of this host's request with the given sequence number.
     pub fn id(&self, sequence: u64) -> RequestId {
         RequestId {
-            incarnation: self.run.incarnation,
+            incarnation: self.incarnation.incarnation,
             sequence,
         }
     }
@@ -155,7 +155,7 @@
     pub fn accept(&self, reply: oneshot::Sender<SubmissionReply>) -> AnswerWriter {
         let writer = AnswerWriter::new();
         let received = SubmissionReply {
-            reception: SubmitOutcome::Accepted(self.id(1)),
+            outcome: SubmitOutcome::Accepted(self.id(1)),
             answer: Some(writer.reader()),
         };
         reply.send(received).expect("a caller that waits");
--- a/bergamotswitch-net/tests/caller_requests/forwarding.rs
+++ b/bergamotswitch-net/tests/caller_requests/forwarding.rs
@@ -13,7 +13,7 @@
 
 async fn reply_forward(host: &mut FakeHost, holder: &HostIncarnation) {
     let received = SubmissionReply {
-        reception: SubmitOutcome::Forward(holder.clone()),
+        outcome: SubmitOutcome::Forward(holder.clone()),
         answer: None,
     };
     let reply = host.submitted_reply().await;
@@ -22,7 +22,7 @@
 
 fn incarnation_of(name: &str) -> HostIncarnation {
     let text = format!("{name}~{:032x}", 5);
-    HostIncarnation::try_from(text.as_str()).expect("a run")
+    HostIncarnation::try_from(text.as_str()).expect("an incarnation")
 }
 
 #[tokio::test]
@@ -30,17 +30,20 @@
     let mut holder = FakeHost::ready("mza-norte-1", &[]);
     let hosts = [("mza-norte-1", holder.server.address())];
     let mut host = FakeHost::ready("sanjuan-1", &hosts);
-    let run = holder.run.to_string();
+    let incarnation = holder.incarnation.to_string();
     let fields = [
         ("idempotency-key", "fall-7"),
-        ("bergamot-incarnation", run.as_str()),
+        ("bergamot-incarnation", incarnation.as_str()),
         ("bergamot-work", "report"),
     ];
     let response = tokio::spawn(send(host.server.address(), chat(true, &fields)));
-    reply_forward(&mut host, &holder.run).await;
+    reply_forward(&mut host, &holder.incarnation).await;
     // The holder receives the same request and accepts it.
     let submitted = holder.submitted().await;
-    assert_eq!(submitted.submission.holder, Some(holder.run.clone()));
+    assert_eq!(
+        submitted.submission.holder,
+        Some(holder.incarnation.clone())
+    );
     assert_eq!(
         submitted.submission.key.as_ref().map(|key| key.as_str()),
         Some("fall-7")
@@ -50,7 +53,10 @@
     writer.push(chunk("At "));
     // The answer is streamed back with the holder's incarnation.
     let mut response = within_timeout(response).await.expect("an answer");
-    assert_eq!(response.headers()["bergamot-incarnation"], run.as_str());
+    assert_eq!(
+        response.headers()["bergamot-incarnation"],
+        incarnation.as_str()
+    );
     assert!(next_chunk(response.body_mut()).await.contains("At "));
     writer.push(AnswerPart::End);
     assert_eq!(next_chunk(response.body_mut()).await, "data: [DONE]\n\n");
@@ -68,9 +74,12 @@
     for stream in [true, false] {
         let call = spawn_call(host.server.address(), chat(stream, &fields));
         let writer = host.accept_next().await;
-        writer.push(AnswerPart::Forward(holder.run.clone()));
+        writer.push(AnswerPart::Forward(holder.incarnation.clone()));
         let submitted = holder.submitted().await;
-        assert_eq!(submitted.submission.holder, Some(holder.run.clone()));
+        assert_eq!(
+            submitted.submission.holder,
+            Some(holder.incarnation.clone())
+        );
         assert!(submitted.submission.resubmission);
         let writer = holder.accept(submitted.reply);
         writer.push(stream_head());
@@ -84,7 +93,7 @@
         assert_eq!(answer.text.ends_with("data: [DONE]\n\n"), stream);
         // A retry has to name the holder, and not the incarnation that was sent
         // first.
-        let incarnation = format!(": bergamot-incarnation {}\n", holder.run);
+        let incarnation = format!(": bergamot-incarnation {}\n", holder.incarnation);
         assert_eq!(answer.text.contains(&incarnation), stream);
     }
 }
@@ -153,7 +162,7 @@
     let hosts = [("mza-norte-1", holder.server.address())];
     let mut host = FakeHost::ready("sanjuan-1", &hosts);
     let call = spawn_call(host.server.address(), chat(false, &[]));
-    reply_forward(&mut host, &holder.run).await;
+    reply_forward(&mut host, &holder.incarnation).await;
     let _writer = holder.accept_next().await;
     call.abort();
     match holder.input().await {
--- a/bergamotswitch-net/tests/caller_requests/lookups.rs
+++ b/bergamotswitch-net/tests/caller_requests/lookups.rs
@@ -65,8 +65,11 @@
     let mut holder = FakeHost::ready("mza-norte-1", &[]);
     let hosts = [("mza-norte-1", holder.server.address())];
     let host = FakeHost::ready("sanjuan-1", &hosts);
-    let run = holder.run.to_string();
-    let request = get("/v1/requests?key=fall-7", &[("bergamot-incarnation", &run)]);
+    let incarnation = holder.incarnation.to_string();
+    let request = get(
+        "/v1/requests?key=fall-7",
+        &[("bergamot-incarnation", &incarnation)],
+    );
     let call = spawn_call(host.server.address(), request);
     let NodeInput::Outcome(OutcomeQuery::Key(_, key), reply) = holder.input().await else {
         panic!("not a lookup by key");
--- a/bergamotswitch-net/tests/event_blocks.rs
+++ b/bergamotswitch-net/tests/event_blocks.rs
@@ -4,12 +4,12 @@
 
 const STREAM: &[u8] = b"\nid: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: c\n\nid: 4\nda";
 
-/// Split the stream, fed in chunks of `piece` bytes, and get its events and the
+/// Split the stream, fed in chunks of `chunk_len` bytes, and get its events and the
 /// remainder.
-fn split(piece: usize) -> (Vec<EventBlock>, Vec<u8>) {
+fn split(chunk_len: usize) -> (Vec<EventBlock>, Vec<u8>) {
     let mut splitter = EventSplitter::default();
     let mut found = Vec::new();
-    for bytes in STREAM.chunks(piece) {
+    for bytes in STREAM.chunks(chunk_len) {
         splitter.add(bytes);
         found.extend(splitter.by_ref());
     }
@@ -33,8 +33,12 @@
 
 #[test]
 fn any_chunking() {
-    for piece in 1..STREAM.len() {
-        assert_eq!(split(piece), split(STREAM.len()), "pieces of {piece} bytes");
+    for chunk_len in 1..STREAM.len() {
+        assert_eq!(
+            split(chunk_len),
+            split(STREAM.len()),
+            "chunks of {chunk_len} bytes"
+        );
     }
 }
 
--- a/bergamotswitch-net/tests/event_stream.rs
+++ b/bergamotswitch-net/tests/event_stream.rs
@@ -5,11 +5,11 @@
 };
 use bytes::Bytes;
 
-fn read_all(pieces: &[&[u8]]) -> Result<Vec<ServerEvent>, EventTooLarge> {
+fn read_all(chunks: &[&[u8]]) -> Result<Vec<ServerEvent>, EventTooLarge> {
     let mut parser = EventParser::new();
     let mut events = Vec::new();
-    for piece in pieces {
-        parser.feed(piece);
+    for chunk in chunks {
+        parser.feed(chunk);
         while let Some(event) = parser.next_event()? {
             events.push(event);
         }
@@ -45,15 +45,15 @@
             body.extend_from_slice(lines[usize::from(*choice) % lines.len()]);
             body.extend_from_slice(if *with_return { b"\r\n" } else { b"\n" });
         }
-        let mut pieces = Vec::new();
+        let mut chunks = Vec::new();
         let mut rest = body.as_slice();
         for cut in cuts {
-            let (piece, after) = rest.split_at(usize::from(*cut).min(rest.len()));
-            pieces.push(piece);
+            let (chunk, after) = rest.split_at(usize::from(*cut).min(rest.len()));
+            chunks.push(chunk);
             rest = after;
         }
-        pieces.push(rest);
-        assert_eq!(read_all(&pieces), read_all(&[&body]));
+        chunks.push(rest);
+        assert_eq!(read_all(&chunks), read_all(&[&body]));
     });
 }
 
@@ -61,8 +61,8 @@
 fn endless_event() {
     // A target that never ends an event, by one long line or by many short
     // ones, must not exhaust the host's memory.
-    let piece = vec![b'x'; 64 * 1024];
-    let long_line: Vec<&[u8]> = vec![&piece; MAX_EVENT_BYTES / piece.len() + 1];
+    let chunk = vec![b'x'; 64 * 1024];
+    let long_line: Vec<&[u8]> = vec![&chunk; MAX_EVENT_BYTES / chunk.len() + 1];
     assert_eq!(read_all(&long_line), Err(EventTooLarge));
     let line: &[u8] = b"data: 0123456789\n";
     let many_lines = vec![line; MAX_EVENT_BYTES / 10];
--- a/bergamotswitch-net/tests/link_codec.rs
+++ b/bergamotswitch-net/tests/link_codec.rs
@@ -21,7 +21,7 @@
     })
 }
 
-fn whole(len: usize) -> LinkMessage {
+fn value_message(len: usize) -> LinkMessage {
     LinkMessage::Revision(RevisionMessage::Whole(PublishedValue {
         name: "rules".try_into().unwrap(),
         revision: Revision(3),
@@ -212,8 +212,10 @@
     }
 
     let text = MAX_MESSAGE_LEN + 1;
-    assert!(matches!(codec::encode(&whole(text)), Err(CodecError::TooLong(len)) if len > text));
-    let fitting = codec::encode(&whole(MAX_MESSAGE_LEN - 64)).unwrap();
+    assert!(
+        matches!(codec::encode(&value_message(text)), Err(CodecError::TooLong(len)) if len > text)
+    );
+    let fitting = codec::encode(&value_message(MAX_MESSAGE_LEN - 64)).unwrap();
     let mut reader = FrameReader::default();
     reader.push(&fitting);
     assert!(reader.next_frame().unwrap().is_some());
@@ -240,7 +242,7 @@
     assert_eq!(read_body(&longer), Err(CodecError::TrailingBytes(3)));
 
     // A name with invalid characters is refused, too.
-    let mut frame = codec::encode(&whole(1)).unwrap()[LENGTH_BYTES..].to_vec();
+    let mut frame = codec::encode(&value_message(1)).unwrap()[LENGTH_BYTES..].to_vec();
     let at = frame.windows(5).position(|w| w == b"rules").unwrap();
     frame[at] = b'/';
     assert!(matches!(read_body(&frame), Err(CodecError::Malformed(_))));
@@ -329,7 +331,7 @@
 
 #[test]
 fn short_value_uncompressed() {
-    let message = whole(100);
+    let message = value_message(100);
     let plain = codec::encode(&message).unwrap();
     assert_eq!(codec::encode_compressed(&message).unwrap(), plain);
 }
--- a/bergamotswitch-net/tests/pending_lines.rs
+++ b/bergamotswitch-net/tests/pending_lines.rs
@@ -33,12 +33,12 @@
 /// number.
 fn take_counts(lines: &mut PendingLines) -> (BTreeMap<u16, u64>, BTreeMap<u16, u64>) {
     let (bytes, dropped) = lines.take();
-    let mut kept = BTreeMap::new();
+    let mut accepted = BTreeMap::new();
     for line in String::from_utf8(bytes).expect("text").lines() {
         let number = line.trim().parse().expect("number");
-        *kept.entry(number).or_default() += 1;
+        *accepted.entry(number).or_default() += 1;
     }
-    (kept, dropped)
+    (accepted, dropped)
 }
 
 // Guards against a burst of lines about calls that displaces warnings, errors and
@@ -57,8 +57,8 @@
     for incident in priority {
         add(&mut lines, incident);
     }
-    let (kept, dropped) = take_counts(&mut lines);
-    assert_eq!(kept, [(101, 1), (201, 1), (206, 50), (302, 1)].into());
+    let (accepted, dropped) = take_counts(&mut lines);
+    assert_eq!(accepted, [(101, 1), (201, 1), (206, 50), (302, 1)].into());
     assert_eq!(dropped, [(206, 350)].into());
 }
 
@@ -69,8 +69,8 @@
         add(&mut lines, Incident::DegradedAdmission);
         add(&mut lines, Incident::RequestEnded);
     }
-    let (kept, dropped) = take_counts(&mut lines);
-    assert_eq!(kept, [(205, 50), (206, 50)].into());
+    let (accepted, dropped) = take_counts(&mut lines);
+    assert_eq!(accepted, [(205, 50), (206, 50)].into());
     assert_eq!(dropped, [(205, 350), (206, 350)].into());
     // The limits apply to each interval separately.
     add(&mut lines, Incident::RequestEnded);
--- a/bergamotswitch-net/tests/silent_connections.rs
+++ b/bergamotswitch-net/tests/silent_connections.rs
@@ -271,8 +271,8 @@
     // unresponsive connections. A reused connection may become unresponsive
     // before its next request, which then never arrives.
     let checked = complete_answers(quick_options()).await;
-    let kept = quick_options().with_idle_reuse(Duration::from_secs(2));
-    let reused = complete_answers(kept).await;
+    let reuse_options = quick_options().with_idle_reuse(Duration::from_secs(2));
+    let reused = complete_answers(reuse_options).await;
     let unchecked = complete_answers(quick_options().with_liveness(false)).await;
     println!("complete answers of {CALLS}: {checked} with probes and new connections");
     println!("{reused} with probes and reused connections, {unchecked} without probes");
