--- a/bergamotswitch-net/src/follower.rs
+++ b/bergamotswitch-net/src/follower.rs
@@ -27,7 +27,7 @@
     fn drop(&mut self) {
         if let Some(id) = self.id.take() {
             // Sending fails only if the loop has terminated, and with it the request.
-            let _ = self.node.send(NodeInput::CallerLeft(id));
+            let _ = self.node.send(NodeInput::CallerDisconnected(id));
         }
     }
 }
--- a/bergamotswitch-net/src/input.rs
+++ b/bergamotswitch-net/src/input.rs
@@ -69,7 +69,7 @@
         reply: oneshot::Sender<SubmissionReply>,
     },
     /// A caller that followed the request's answer has disconnected.
-    CallerLeft(RequestId),
+    CallerDisconnected(RequestId),
     /// A query for a request's outcome.
     Outcome(OutcomeQuery, oneshot::Sender<OutcomeView>),
     /// A query for the hosts that a caller may connect to.
--- a/bergamotswitch-net/src/node/event_loop.rs
+++ b/bergamotswitch-net/src/node/event_loop.rs
@@ -198,10 +198,10 @@
                 let received = self.receive(outcome, *call, log);
                 self.execute_all(actions);
                 // The caller may have disconnected; its guard then sends
-                // `CallerLeft`.
+                // `CallerDisconnected`.
                 let _ = reply.send(received);
             }
-            NodeInput::CallerLeft(id) => {
+            NodeInput::CallerDisconnected(id) => {
                 if self.requests.detach(id) {
                     self.handle(NodeEvent::CallerDisconnected(id));
                 }
--- a/bergamotswitch-net/tests/caller_requests/answers.rs
+++ b/bergamotswitch-net/tests/caller_requests/answers.rs
@@ -245,7 +245,10 @@
     assert!(rest.starts_with("event: error\n") && rest.contains("\"answer-truncated\""));
     assert!(!rest.contains("bolide") && !rest.contains("[DONE]"));
     // The event loop is notified that this caller no longer follows the answer.
-    assert!(matches!(host.input().await, NodeInput::CallerLeft(_)));
+    assert!(matches!(
+        host.input().await,
+        NodeInput::CallerDisconnected(_)
+    ));
 }
 
 #[tokio::test]
--- a/bergamotswitch-net/tests/caller_requests/disconnects.rs
+++ b/bergamotswitch-net/tests/caller_requests/disconnects.rs
@@ -10,7 +10,7 @@
 
 async fn expect_caller_left(host: &mut FakeHost) {
     match host.input().await {
-        NodeInput::CallerLeft(id) => assert_eq!(id, host.id(1)),
+        NodeInput::CallerDisconnected(id) => assert_eq!(id, host.id(1)),
         other => panic!("not a caller's disconnect: {other:?}"),
     }
 }
--- a/bergamotswitch-net/tests/caller_requests/forwarding.rs
+++ b/bergamotswitch-net/tests/caller_requests/forwarding.rs
@@ -166,7 +166,7 @@
     let _writer = holder.accept_next().await;
     call.abort();
     match holder.input().await {
-        NodeInput::CallerLeft(id) => assert_eq!(id, holder.id(1)),
+        NodeInput::CallerDisconnected(id) => assert_eq!(id, holder.id(1)),
         other => panic!("not a caller's disconnect: {other:?}"),
     }
 }
--- a/bergamotswitch/src/command/error.rs
+++ b/bergamotswitch/src/command/error.rs
@@ -22,7 +22,7 @@
     /// The async runtime cannot start, or a listening address is unavailable.
     Runtime(std::io::Error),
     /// The log cannot be opened.
-    Journal(EventLogError),
+    Log(EventLogError),
     /// The output cannot be written.
     Output(std::io::Error),
     /// A host or a simulated platform did not respond as expected.
@@ -41,7 +41,7 @@
             }
             CommandError::Start(error) => write!(f, "cannot start the host: {error}"),
             CommandError::Runtime(error) => write!(f, "cannot start the runtime: {error}"),
-            CommandError::Journal(error) => write!(f, "cannot open the log: {error}"),
+            CommandError::Log(error) => write!(f, "cannot open the log: {error}"),
             CommandError::Output(error) => write!(f, "cannot write the output: {error}"),
             CommandError::Answer(text) => f.write_str(text),
         }
--- a/bergamotswitch/src/command/serve.rs
+++ b/bergamotswitch/src/command/serve.rs
@@ -23,7 +23,7 @@
     let text = files::read(path)?;
     let settings = HostSettings::try_from_json(&text)
         .map_err(|findings| CommandError::Invalid(path.to_owned(), findings))?;
-    let _journal = event_log::start(&settings.log).map_err(CommandError::Journal)?;
+    let _logger = event_log::start(&settings.log).map_err(CommandError::Log)?;
     runtime()?.block_on(run(settings, path))
 }
 
