--- a/bergamotswitch-net/src/answer.rs
+++ b/bergamotswitch-net/src/answer.rs
@@ -1,6 +1,6 @@
-//! Provides answer buffers: an attempt at a target writes an answer, callers
-//! read it. Each reader starts at the beginning, so a caller that resubmits a
-//! request gets the same complete answer as the first one.
+//! Provides answer buffers: an attempt at a target writes an answer, callers read it.
+//! Each reader starts with the first part, so a caller that resubmits a request gets
+//! the same complete answer as the first one.
 
 use std::mem::size_of;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -33,7 +33,7 @@
     End,
     /// The answer will not be completed.
     Refused(Refusal),
-    /// Another host process holds the request and its answer. Always the first
+    /// Another host incarnation holds the request and its answer. Always the first
     /// part.
     Forward(HostIncarnation),
 }
@@ -92,7 +92,7 @@
     bound: Option<AnswerBound>,
 }
 
-/// An `AnswerReader` reads an answer from its beginning.
+/// An `AnswerReader` reads an answer from its start.
 #[derive(Debug)]
 pub struct AnswerReader {
     log: Arc<Mutex<AnswerLog>>,
@@ -191,7 +191,7 @@
         lock(&self.log).overlong
     }
 
-    /// Get a reader at the beginning of the answer.
+    /// Get a reader at the start of the answer.
     pub fn reader(&self) -> AnswerReader {
         AnswerReader {
             log: Arc::clone(&self.log),
@@ -207,7 +207,8 @@
         return;
     }
     log.overlong = true;
-    // A send fails only during shutdown, when no caller waits for the answer.
+    // Sending fails only if the event loop has ended, when no caller waits for the
+    // answer.
     let _ = bound.node.send(NodeInput::AnswerTooLong(bound.request));
 }
 
--- a/bergamotswitch-net/src/caller/context.rs
+++ b/bergamotswitch-net/src/caller/context.rs
@@ -23,7 +23,7 @@
 /// would hold its partial body in memory forever.
 const BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A `CallerOptions` is the options of the callers' HTTP interface.
+/// A `CallerOptions` is the set of options of the callers' HTTP interface.
 #[derive(Clone, Debug)]
 pub struct CallerOptions {
     /// Whether the operators' routes are served as well.
@@ -117,8 +117,8 @@
     /// loop, so that it is counted.
     pub(super) fn count_rejection(&self, page: &RefusalPage) {
         let rejection = NodeInput::EarlyRefusal(page.reason(), None);
-        // A send fails only after the event loop has ended, when nothing
-        // counts.
+        // Sending fails only if the event loop has ended, when nothing is
+        // counted any more.
         let _ = self.node.send(rejection);
     }
 }
--- a/bergamotswitch-net/src/caller/forward.rs
+++ b/bergamotswitch-net/src/caller/forward.rs
@@ -165,7 +165,7 @@
         .await
         .map_err(|_| ForwardFailure::NotConnected)?;
     // The connection ends when the body of the answer is dropped, by which the
-    // holder detects that the caller has left. The task ends with it.
+    // holder detects that the caller has disconnected. The task ends with it.
     tokio::spawn(async move {
         let _ = connection.await;
     });
--- a/bergamotswitch-net/src/follower.rs
+++ b/bergamotswitch-net/src/follower.rs
@@ -8,9 +8,9 @@
 use crate::input::{NodeInput, NodeSender};
 use crate::target_client::usage_meter::StreamChunk;
 
-/// A `DisconnectGuard` reports to the loop that a caller has disconnected if it
-/// is dropped before the answer has ended. Otherwise a request without callers
-/// would keep its slot and waste tokens.
+/// A `DisconnectGuard` reports to the event loop that a caller has disconnected if it
+/// is dropped before the answer has ended. Otherwise a request without callers would
+/// keep its slot and waste tokens.
 #[derive(Debug)]
 struct DisconnectGuard {
     node: NodeSender,
@@ -26,7 +26,7 @@
 impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if let Some(id) = self.id.take() {
-            // Sending fails only if the loop has terminated, and with it the request.
+            // Sending fails only if the event loop has ended, and with it the request.
             let _ = self.node.send(NodeInput::CallerDisconnected(id));
         }
     }
@@ -99,9 +99,8 @@
     }
 }
 
-/// Get whether any part contains output. The condition is the one by which the
-/// first token is reported to the loop, after which a streamed attempt is not
-/// retried.
+/// Get whether any part contains output. The condition is the one by which the first
+/// token is reported to the event loop, after which a streamed attempt is not retried.
 pub(crate) fn has_output(parts: &[AnswerPart]) -> bool {
     parts.iter().any(|part| match part {
         AnswerPart::Data(data) => {
--- a/bergamotswitch-net/src/gateway/call.rs
+++ b/bergamotswitch-net/src/gateway/call.rs
@@ -84,7 +84,7 @@
         Ok(response) => response,
         Err(CallFailure::Refused(refusal)) => {
             let rejection = NodeInput::EarlyRefusal(refusal.reason(), None);
-            // The event loop has ended only while the process exits.
+            // Sending fails only if the event loop has ended.
             let _ = context.node.send(rejection);
             refusal_response(&refusal)
         }
--- a/bergamotswitch-net/src/gateway/mod.rs
+++ b/bergamotswitch-net/src/gateway/mod.rs
@@ -31,7 +31,7 @@
     pub metrics: std::net::TcpListener,
 }
 
-/// A `GatewayPhase` is a phase of the gateway's graceful stop, in order.
+/// A `GatewayPhase` is a phase of the gateway during a planned stop, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum GatewayPhase {
     /// No stop has begun.
--- a/bergamotswitch-net/src/gossip.rs
+++ b/bergamotswitch-net/src/gossip.rs
@@ -20,7 +20,7 @@
 }
 
 impl GossipSocket {
-    /// Try to bind a socket to an address and pass received messages to the loop.
+    /// Try to bind a socket to an address and pass received messages to the event loop.
     /// Must be called on a tokio runtime.
     ///
     /// # Errors
--- a/bergamotswitch-net/src/input.rs
+++ b/bergamotswitch-net/src/input.rs
@@ -36,7 +36,7 @@
     pub routed: Option<RoutedCall>,
 }
 
-/// A `SubmissionReply` is the loop's reply to a submission.
+/// A `SubmissionReply` is the event loop's reply to a submission.
 #[derive(Debug)]
 pub struct SubmissionReply {
     /// Whether the request is accepted, attached, forwarded or refused.
@@ -100,13 +100,13 @@
     Load(TargetName, LoadReport),
     /// A target's cache event: the prefix was cached (`true`) or evicted (`false`).
     Prefix(TargetName, PrefixHash, bool),
-    /// A refusal before the request reached the loop, reported for the metrics.
+    /// A refusal before the request reached the event loop, reported for the metrics.
     EarlyRefusal(RefusalReason, Option<Tier>),
     /// A signal to stop the host.
     Stop,
 }
 
-/// A `NodeSender` is the sending half of the loop's input queue.
+/// A `NodeSender` is the sending half of the event loop's input queue.
 pub type NodeSender = mpsc::UnboundedSender<NodeInput>;
 
 /// A `HostIdentity` identifies the host on which a task runs.
--- a/bergamotswitch-net/src/line_buffer.rs
+++ b/bergamotswitch-net/src/line_buffer.rs
@@ -1,5 +1,5 @@
-//! Provides a non-blocking log writer for standard output: a bounded buffer that
-//! a separate thread writes out, so that a slow reader does not block the loop.
+//! Provides a non-blocking log writer for standard output: a bounded buffer that a
+//! separate thread writes out, so that a slow reader does not block the event loop.
 
 use std::fmt;
 use std::io::{self, Write};
@@ -136,8 +136,8 @@
     out.flush()
 }
 
-/// Write the lines in chunks of whole lines that a pipe accepts atomically, so
-/// that lines of several processes sharing a pipe are not interleaved.
+/// Write the lines in chunks of complete lines that a pipe accepts atomically, so that
+/// lines of several processes sharing a pipe are not interleaved.
 fn write_lines(out: &mut impl Write, bytes: &[u8]) -> io::Result<()> {
     let mut rest = bytes;
     while !rest.is_empty() {
--- a/bergamotswitch-net/src/link/counters.rs
+++ b/bergamotswitch-net/src/link/counters.rs
@@ -38,9 +38,9 @@
 message_kinds! {
     /// A heartbeat.
     Heartbeat = "heartbeat", LinkMessage::Heartbeat(_),
-    /// A request for a slot.
+    /// A request for a permit.
     Ask = "ask", LinkMessage::ToOwner(OwnerMessage::Ask(_)),
-    /// A withdrawal of a slot request.
+    /// A withdrawal of a permit request.
     Withdraw = "withdraw", LinkMessage::ToOwner(OwnerMessage::Withdraw { .. }),
     /// A released permit.
     Release = "release", LinkMessage::ToOwner(OwnerMessage::Release { .. }),
@@ -58,9 +58,9 @@
     QuotaUse = "quota-use", LinkMessage::ToOwner(OwnerMessage::QuotaUse { .. }),
     /// A granted permit.
     Granted = "granted", LinkMessage::FromOwner(OwnerReply::Granted { .. }),
-    /// A refused slot request.
+    /// A refused permit request.
     Refused = "refused", LinkMessage::FromOwner(OwnerReply::Refused { .. }),
-    /// A redirect of a slot request whose idempotency key is held elsewhere.
+    /// A redirect of a permit request whose idempotency key is held elsewhere.
     KeyHeld = "key-known", LinkMessage::FromOwner(OwnerReply::KeyHeld { .. }),
     /// A command to preempt an attempt.
     Preempt = "preempt", LinkMessage::FromOwner(OwnerReply::Preempt { .. }),
@@ -171,7 +171,7 @@
 pub struct LinkCounters {
     /// Messages passed to a connection.
     pub sent: KindCounts,
-    /// Messages received from peers and passed to the loop.
+    /// Messages received from peers and passed to the event loop.
     pub received: KindCounts,
     /// Messages not sent because there was no link, the message was too long or
     /// unknown to the peer, the send queue was full, or the link closed.
--- a/bergamotswitch-net/src/link/hub.rs
+++ b/bergamotswitch-net/src/link/hub.rs
@@ -1,4 +1,4 @@
-//! Provides the hub of a host's links, which is their interface to the loop.
+//! Provides the hub of a host's links, which is their interface to the event loop.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -43,9 +43,9 @@
     _task: TaskGuard,
 }
 
-/// A `LinkHub` manages all links of a host to its peers. It reports to the loop when
-/// a peer is up or down and which messages it sends: for each incarnation of a peer
-/// an up event, then its messages, then a down event. Dropping the hub closes all
+/// A `LinkHub` manages all links of a host to its peers. It reports to the event loop
+/// when a peer is up or down and which messages it sends: for each incarnation of a
+/// peer an up event, then its messages, then a down event. Dropping the hub closes all
 /// links.
 #[derive(Debug)]
 pub struct LinkHub {
--- a/bergamotswitch-net/src/link/mod.rs
+++ b/bergamotswitch-net/src/link/mod.rs
@@ -6,8 +6,8 @@
 //! starts while the configuration service is down waits for the service.
 //!
 //! Messages of one link arrive in order but may be lost: those queued or in transit
-//! when a link closes are not delivered. The state machines that send them retransmit
-//! what is needed.
+//! when a link closes are not delivered. The state machines that send messages
+//! retransmit those that matter.
 
 mod acceptor;
 mod backoff;
--- a/bergamotswitch-net/src/link/registry.rs
+++ b/bergamotswitch-net/src/link/registry.rs
@@ -1,5 +1,5 @@
-//! Provides the registry of a host's links: the hosts that may link, the active link
-//! to each peer, and the link events sent to the loop.
+//! Provides the registry of a host's links: the hosts that may link, the active link to
+//! each peer, and the link events sent to the event loop.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Display;
@@ -92,7 +92,7 @@
     }
 
     fn notify(&self, event: LinkEvent) {
-        // Sending fails only if the loop has terminated at exit.
+        // Sending fails only if the event loop has ended.
         let _ = self.node.send(NodeInput::Link(event));
     }
 
@@ -233,9 +233,9 @@
     }
 
     /// Get whether a new session with this role shows that the peer has lost `link`.
-    /// Messages sent on the link may then be lost, so the loop must receive another up
-    /// event: otherwise slot requests, releases and keys would be missing at the peer
-    /// until their regular retransmission.
+    /// Messages sent on the link may then be lost, so the event loop must receive
+    /// another up event: otherwise permit requests, releases and keys would be missing
+    /// at the peer until their regular retransmission.
     ///
     /// A host dials only while it has no link. The peer has therefore lost `link` if
     /// the same side dialled both, or if the new session comes later than any attempt
--- a/bergamotswitch-net/src/link/registry/guard.rs
+++ b/bergamotswitch-net/src/link/registry/guard.rs
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Pass a message to the loop. It is ignored if another session has taken over and
-    /// delivered messages already, since it would arrive out of order.
+    /// Pass a message to the event loop. It is ignored if another session has taken
+    /// over and delivered messages already, since it would arrive out of order.
     pub(crate) fn deliver(&self, frame: ReceivedFrame) {
         let mut state = self.registry.lock();
         let Some(link) = state.links.get_mut(&self.incarnation.host) else {
--- a/bergamotswitch-net/src/node/adapters.rs
+++ b/bergamotswitch-net/src/node/adapters.rs
@@ -22,7 +22,7 @@
 }
 
 impl CallerServer {
-    /// Begin a graceful stop; callers are still accepted.
+    /// Begin a planned stop; callers are still accepted.
     pub(super) fn begin_stop(&self) {
         match self {
             // Its connections are closed after the last address has expired.
--- a/bergamotswitch-net/src/node/open_request.rs
+++ b/bergamotswitch-net/src/node/open_request.rs
@@ -58,7 +58,7 @@
         reader
     }
 
-    /// Add a caller that reads the answer from its beginning.
+    /// Add a caller that reads the answer from its start.
     pub fn attach(&mut self, id: RequestId) -> Option<AnswerReader> {
         let request = self.requests.get_mut(&id)?;
         request.followers += 1;
--- a/bergamotswitch-net/src/operator.rs
+++ b/bergamotswitch-net/src/operator.rs
@@ -1,4 +1,5 @@
-//! Provides the HTTP interface of a host for operators: metrics, status, health.
+//! Provides the HTTP interface of a host for operators: metrics, status and
+//! health checks.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,8 +16,8 @@
 
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// The time after which a loop that does not answer counts as hung, so that
-/// health checks fail.
+/// The time after which an event loop that does not answer counts as hung, so
+/// that health checks fail.
 const LOOP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Get the routes of the operator interface.
@@ -90,7 +91,7 @@
     }
 }
 
-/// Get the loop's status, `None` if the loop has terminated or hangs.
+/// Get the event loop's status, or `None` if the event loop has ended or hangs.
 async fn loop_status(context: &CallerContext) -> Option<Value> {
     let (reply, status) = oneshot::channel();
     context.node.send(NodeInput::Status(reply)).ok()?;
--- a/bergamotswitch-net/src/platform/client.rs
+++ b/bergamotswitch-net/src/platform/client.rs
@@ -109,7 +109,7 @@
                 Ok(CallAnswer::Unchanged) => PlatformEvent::Unchanged(value_name),
                 Err(_) => PlatformEvent::Failed(value_name),
             };
-            // The receiver is dropped only when the process exits.
+            // Sending fails only if the event loop has ended.
             let _ = node.send(NodeInput::Platform(event));
         });
         self.tasks.insert(name.clone(), CallTask { kind, task });
--- a/bergamotswitch-net/src/platform/options.rs
+++ b/bergamotswitch-net/src/platform/options.rs
@@ -7,19 +7,22 @@
 
 /// The minimum wait of a watch. An unresponsive connection is detected after
 /// the wait and [`WATCH_MARGIN`]; reconnecting after that, a host must still
-/// apply a change within 9 s. This holds from 60 reads a minute on; with fewer,
-/// hosts depend on the watches of other readers.
+/// apply a change within 9 s. This holds if the read budget is at least 60
+/// reads a minute; with fewer, hosts depend on the watches of other hosts that
+/// read the services.
 const MIN_WATCH_WAIT: Duration = Duration::from_secs(4);
 
 /// The time after its wait by which a watch must have been answered.
 pub(super) const WATCH_MARGIN: Duration = Duration::from_millis(500);
 
-/// The maximum wait of a watch. It bounds how long a change of the readers goes
-/// unnoticed by a host that may be the only one to know of a value.
+/// The maximum wait of a watch. It bounds how long a watching host misses that
+/// other hosts now read the services, while it may be the only one with the
+/// latest value.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
 
-/// The denominator of the share of the read quota that watches may use when no
-/// call fails: three quarters. The rest is reserved for reads after failures.
+/// The denominator of the fraction of the read budget that watches may use when
+/// no call fails: three quarters. The rest is reserved for reads after
+/// failures.
 const WATCH_SHARE_DENOMINATOR: u64 = 4;
 
 /// A `PlatformOptions` is the set of timeouts of platform calls.
@@ -72,7 +75,7 @@
 }
 
 /// Get the shortest wait with which the watches of all values stay within the
-/// read quota. Shorter watches would exhaust it, and values would go unwatched
+/// read budget. Shorter watches would exhaust it, and values would go unwatched
 /// until the next read is allowed.
 fn watch_wait(reads_per_minute: u64) -> Duration {
     let values = RevisionOptions::default().value_count() as u64;
--- a/bergamotswitch-net/src/store_source/mod.rs
+++ b/bergamotswitch-net/src/store_source/mod.rs
@@ -87,7 +87,7 @@
                 Ok(update) => to_input(&value, update, &reader),
                 Err(error) => failure_input(&value, error),
             };
-            // The receiver is dropped only when the process exits.
+            // Sending fails only if the event loop has ended.
             let _ = node.send(input);
         });
         self.tasks.insert(name.clone(), task);
--- a/bergamotswitch-net/src/submit.rs
+++ b/bergamotswitch-net/src/submit.rs
@@ -1,4 +1,4 @@
-//! Provides the submission of validated requests to the loop.
+//! Provides the submission of validated requests to the event loop.
 
 use bergamotswitch_core::entry::{Submission, SubmitOutcome};
 use bergamotswitch_core::host::HostIncarnation;
@@ -8,22 +8,22 @@
 use crate::follower::AnswerFollower;
 use crate::input::{NodeInput, NodeSender, OutgoingCall, SubmissionReply};
 
-/// A `SubmitResult` is the result of submitting a request to the loop.
+/// A `SubmitResult` is the result of submitting a request to the event loop.
 #[derive(Debug)]
 pub(crate) enum SubmitResult {
-    /// This host serves the request.
+    /// This host holds the request.
     Local(Box<AnswerFollower>),
     /// Another host, or an earlier incarnation of this one, holds the request.
     Remote(HostIncarnation),
     /// The request is refused.
     Refused(Refusal),
-    /// The loop has terminated and did not receive the request.
+    /// The event loop has ended and did not receive the request.
     LoopStopped,
-    /// The loop received the request and dropped the reply or the answer.
+    /// The event loop received the request and dropped the reply or the answer.
     AnswerDropped,
 }
 
-/// Submit a request to the loop and wait for its reply.
+/// Submit a request to the event loop and wait for its reply.
 ///
 /// A separate task waits for the reply. If the caller disconnects before the
 /// reply, its request id is not known yet and the disconnect could not be
--- a/bergamotswitch-net/src/target_client/attempt_report.rs
+++ b/bergamotswitch-net/src/target_client/attempt_report.rs
@@ -64,7 +64,7 @@
 
     fn send(&self, event: AttemptEvent) {
         if !self.aborted.is_set() {
-            // The receiver is dropped only when the process exits.
+            // Sending fails only if the event loop has ended.
             let _ = self.events.send(NodeInput::Attempt(self.attempt, event));
         }
     }
--- a/bergamotswitch-net/src/target_client/event_stream.rs
+++ b/bergamotswitch-net/src/target_client/event_stream.rs
@@ -40,7 +40,7 @@
 }
 
 impl EventParser {
-    /// Get a parser at the beginning of a stream.
+    /// Get a parser at the start of a stream.
     pub fn new() -> Self {
         EventParser::default()
     }
--- a/bergamotswitch-net/tests/caller_requests/forwarding.rs
+++ b/bergamotswitch-net/tests/caller_requests/forwarding.rs
@@ -156,8 +156,8 @@
 
 #[tokio::test]
 async fn forwarded_caller_leaves() {
-    // The holder detects that the caller left, although the caller is connected
-    // to another host.
+    // The holder detects that the caller has disconnected, although the caller
+    // is connected to another host.
     let mut holder = FakeHost::ready("mza-norte-1", &[]);
     let hosts = [("mza-norte-1", holder.server.address())];
     let mut host = FakeHost::ready("sanjuan-1", &hosts);
--- a/bergamotswitch-net/tests/link_codec.rs
+++ b/bergamotswitch-net/tests/link_codec.rs
@@ -231,7 +231,7 @@
 #[test]
 fn invalid_bytes_refused() {
     // Guards against wrong decoding of messages from a peer with another message
-    // layout, which could grant a slot that was never requested.
+    // layout, which could grant a permit that was never requested.
     let unknown_variant = read_body(&[200, 0, 0]);
     assert!(matches!(unknown_variant, Err(CodecError::Malformed(_))));
     let empty = read_body(&[]);
