--- a/bergamotswitch-net/src/caller/engine_body.rs
+++ b/bergamotswitch-net/src/caller/engine_body.rs
@@ -64,7 +64,7 @@
     ///
     /// # Errors
     ///
-    /// Returns all faults with their places (JSON pointers).
+    /// Returns all findings with their places (JSON pointers).
     pub(super) fn parse(form: CompletionForm, text: &[u8]) -> Result<Self, Findings> {
         let mut findings = Findings::new();
         let members: BodyMembers = match serde_json::from_slice(text) {
@@ -74,7 +74,7 @@
                 return Err(findings);
             }
         };
-        // Each member is checked by itself, so that all faults are reported
+        // Each member is checked by itself, so that all findings are reported
         // together.
         let mut reader = MemberReader::new(&members, &mut findings);
         let model = reader.model();
--- a/bergamotswitch-net/src/caller/engine_check.rs
+++ b/bergamotswitch-net/src/caller/engine_check.rs
@@ -33,7 +33,7 @@
 ///
 /// # Errors
 ///
-/// Returns a refusal if the request is malformed, with all faults and their
+/// Returns a refusal if the request is malformed, with all findings and their
 /// places, or if its account, pool, deadline or rule does not allow it to run.
 pub(super) async fn check_engine_call(
     context: &CallerContext,
@@ -94,8 +94,8 @@
     Ok((checked, format))
 }
 
-/// Try to parse the header fields and the body; the faults of both are reported
-/// together.
+/// Try to parse the header fields and the body; the findings of both are
+/// reported together.
 fn read_request(
     form: CompletionForm,
     req: &Request,
@@ -106,8 +106,8 @@
     match EngineBody::parse(form, text) {
         Ok(body) if findings.is_empty() => Ok((fields, body)),
         Ok(_) => Err(RefusalPage::malformed(findings)),
-        Err(faults) => {
-            findings.append(faults);
+        Err(body_findings) => {
+            findings.append(body_findings);
             Err(RefusalPage::malformed(findings))
         }
     }
--- a/bergamotswitch-net/src/caller/engine_members.rs
+++ b/bergamotswitch-net/src/caller/engine_members.rs
@@ -23,7 +23,7 @@
 pub(super) type BodyMembers = BTreeMap<String, Box<RawValue>>;
 
 /// A `MemberReader` reads the members of a body that affect routing and cost,
-/// and collects their faults with their places.
+/// and collects findings about them with their places.
 #[derive(Debug)]
 pub(super) struct MemberReader<'a> {
     members: &'a BodyMembers,
@@ -31,7 +31,7 @@
 }
 
 impl<'a> MemberReader<'a> {
-    /// Get a reader of a body's members that adds faults to `findings`.
+    /// Get a reader of a body's members that adds its findings to `findings`.
     pub(super) fn new(members: &'a BodyMembers, findings: &'a mut Findings) -> Self {
         MemberReader { members, findings }
     }
--- a/bergamotswitch-net/src/caller/fields.rs
+++ b/bergamotswitch-net/src/caller/fields.rs
@@ -21,12 +21,12 @@
 pub(super) const DEADLINE_FIELD: HeaderName = HeaderName::from_static("bergamot-deadline-ms");
 /// The kind of work that the caller declares.
 pub(super) const WORK_FIELD: HeaderName = HeaderName::from_static("bergamot-work");
-/// `false` forbids a second run.
+/// `false` forbids running the request a second time.
 pub(super) const IDEMPOTENT_FIELD: HeaderName = HeaderName::from_static("bergamot-idempotent");
-/// `true` forbids a second dispatch.
+/// `true` forbids dispatching the request a second time.
 pub(super) const DISPATCH_ONCE_FIELD: HeaderName =
     HeaderName::from_static("bergamot-dispatch-once");
-/// The mark of a request that another host forwarded.
+/// Present if another host forwarded the request.
 pub(super) const FORWARDED_FIELD: HeaderName = HeaderName::from_static("bergamot-forwarded");
 /// `false` keeps common client libraries from retrying automatically.
 pub(super) const SHOULD_RETRY_FIELD: HeaderName = HeaderName::from_static("x-should-retry");
@@ -45,7 +45,7 @@
     Passed,
 }
 
-/// A `CallerFields` is the validated header fields of a request, without its
+/// A `CallerFields` holds the validated header fields of a request, without its
 /// bearer key.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CallerFields {
@@ -68,7 +68,8 @@
 }
 
 impl CallerFields {
-    /// Read the fields of `headers`, and add their faults to `findings`.
+    /// Read the fields of `headers`, and add findings about invalid ones to
+    /// `findings`.
     pub(super) fn read(headers: &HeaderMap, findings: &mut Findings) -> Self {
         let mut reader = FieldReader { headers, findings };
         CallerFields {
--- a/bergamotswitch-net/src/caller/forward.rs
+++ b/bergamotswitch-net/src/caller/forward.rs
@@ -73,7 +73,7 @@
     pub(super) fn new(req: &Request, body: Bytes, forwarded: bool) -> Self {
         let uri = req.uri();
         let path_and_query = match uri.path_and_query() {
-            Some(target) => target.as_str(),
+            Some(path_and_query) => path_and_query.as_str(),
             None => uri.path(),
         };
         OriginalCall {
--- a/bergamotswitch-net/src/caller/lookup.rs
+++ b/bergamotswitch-net/src/caller/lookup.rs
@@ -155,8 +155,7 @@
     }
 }
 
-/// Get the request id of its text form: 32 hex digits, a dash and a decimal
-/// number.
+/// Try to parse a request id: 32 hex digits, a dash and a decimal number.
 fn request_id(text: &str) -> Option<RequestId> {
     let (digits, number) = text.split_once('-')?;
     let hex_only = digits.bytes().all(|byte| byte.is_ascii_hexdigit());
--- a/bergamotswitch-net/src/caller/service_handler.rs
+++ b/bergamotswitch-net/src/caller/service_handler.rs
@@ -46,7 +46,7 @@
 struct ServicePath {
     pool: PoolName,
     /// Path and query at the target, as the caller sent them.
-    target: String,
+    target_path: String,
 }
 
 impl ServicePath {
@@ -57,18 +57,18 @@
         let rest = original.strip_prefix(SERVICE_PREFIX).unwrap_or_default();
         // The name of the pool ends at the next slash or at the query.
         let end = rest.find(['/', '?']).unwrap_or(rest.len());
-        let (name, target) = rest.split_at(end);
+        let (name, target_path) = rest.split_at(end);
         let pool = PoolName::try_from(name).map_err(|error| {
             let mut findings = Findings::new();
             findings.add("path:", format!("{name:?}"), error.to_string());
             findings
         })?;
         // The path at the target always begins with a slash.
-        let target = match target.starts_with('/') {
-            true => target.to_owned(),
-            false => format!("/{target}"),
+        let target_path = match target_path.starts_with('/') {
+            true => target_path.to_owned(),
+            false => format!("/{target_path}"),
         };
-        Ok(ServicePath { pool, target })
+        Ok(ServicePath { pool, target_path })
     }
 }
 
@@ -91,8 +91,8 @@
         let path = match ServicePath::parse(&original.path_and_query) {
             Ok(path) if findings.is_empty() => path,
             Ok(_) => return Err(RefusalPage::malformed(findings)),
-            Err(faults) => {
-                findings.append(faults);
+            Err(path_findings) => {
+                findings.append(path_findings);
                 return Err(RefusalPage::malformed(findings));
             }
         };
@@ -111,7 +111,7 @@
             Some(verdict) => fields.tighten(verdict),
             None => return Err(RefusalPage::before_acceptance(RefusalReason::NoRule)),
         };
-        let target = &original.path_and_query;
+        let path_and_query = &original.path_and_query;
         let submission = Submission {
             account,
             pool: path.pool,
@@ -121,7 +121,7 @@
             key: fields.key,
             holder: fields.holder,
             resubmission: fields.resubmission,
-            fingerprint: fingerprint(req.method(), target, &original.body),
+            fingerprint: fingerprint(req.method(), path_and_query, &original.body),
             cost: CALL_COST,
             prefixes: Vec::new(),
             streaming: false,
@@ -129,7 +129,7 @@
         };
         let call = OutgoingCall {
             method: req.method().clone(),
-            path: path.target,
+            path: path.target_path,
             content_type: content_type(req),
             body: original.body.clone(),
             routed: None,
--- a/bergamotswitch-net/src/caller/submit.rs
+++ b/bergamotswitch-net/src/caller/submit.rs
@@ -16,7 +16,7 @@
 /// submission.
 #[derive(Debug)]
 pub(super) struct CheckedCall {
-    /// The facts on which admission and scheduling depend.
+    /// The properties on which admission and scheduling depend.
     pub(super) submission: Submission,
     /// The call sent to a target.
     pub(super) call: OutgoingCall,
--- a/bergamotswitch-net/src/gateway/call.rs
+++ b/bergamotswitch-net/src/gateway/call.rs
@@ -88,7 +88,7 @@
             let _ = context.node.send(rejection);
             refusal_response(&refusal)
         }
-        // This answer is not delivered to anyone.
+        // The connection is closed, so this answer is not delivered.
         Err(CallFailure::CallerDisconnected) => {
             refusal_response(&Refusal::before_acceptance(RefusalReason::CallerLeft))
         }
@@ -137,8 +137,8 @@
 }
 
 /// Get the refusal of a call whose route or key is unknown. If this host's
-/// configuration may be stale, the route or key may exist, and the caller is
-/// asked to retry.
+/// configuration may be stale, the route or key may exist, so the refusal
+/// requests a retry.
 async fn unknown_route_or_key(context: &GatewayContext, reason: RefusalReason) -> CallFailure {
     match query_loop(context, NodeInput::KeysTrusted).await {
         Some(true) => CallFailure::new(reason),
--- a/bergamotswitch-net/src/gateway/listener.rs
+++ b/bergamotswitch-net/src/gateway/listener.rs
@@ -21,10 +21,10 @@
 /// The smallest buffer for request heads that the HTTP library allows.
 const MIN_HEAD_BUFFER: usize = 8_192;
 
-/// The idle time before the first TCP keepalive probe, the interval of the
-/// probes, and the number of unanswered probes after which a connection is
-/// closed. Callers whose machine lost power are detected by them, and their
-/// requests are cancelled.
+/// The TCP keepalive settings: the idle time before the first probe, which is
+/// also the interval of the probes, and the number of unanswered probes after
+/// which a connection is closed. They detect callers whose machine lost power,
+/// so that their requests are cancelled.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(4);
 const KEEPALIVE_PROBES: u32 = 3;
 
--- a/bergamotswitch-net/src/gateway/mod.rs
+++ b/bergamotswitch-net/src/gateway/mod.rs
@@ -18,7 +18,7 @@
 use crate::task_guard::TaskGuard;
 use listener::serve;
 
-/// A `GatewaySockets` is the listening sockets of a gateway.
+/// A `GatewaySockets` is the set of listening sockets of a gateway.
 #[derive(Debug)]
 pub struct GatewaySockets {
     /// For calls.
--- a/bergamotswitch-net/src/link/session.rs
+++ b/bergamotswitch-net/src/link/session.rs
@@ -23,8 +23,8 @@
 /// The maximum size of a header list in bytes, well above that of a handshake.
 pub(crate) const HEADER_BYTES: u32 = 4 << 10;
 
-/// The number of slices into which the PING timeout is divided. After a pause of the
-/// process its timers fire before its sockets are read; with slices the pause uses up
+/// The number of slices into which the PING timeout is divided. After the process was
+/// paused, its timers fire before its sockets are read; with slices the pause uses up
 /// only one of them, and an answer that waits in the socket is still processed.
 const PING_SLICES: u32 = 4;
 
--- a/bergamotswitch-net/src/metrics/mod.rs
+++ b/bergamotswitch-net/src/metrics/mod.rs
@@ -86,9 +86,9 @@
 }
 
 impl NodeMetrics {
-    /// Create metrics that start at zero. The counters of all refusal reasons,
-    /// retry reasons and incidents exist from the start, because a counter that
-    /// appears with its first event hides that event from a rate query.
+    /// Get metrics that start at zero. The counters of all refusal reasons, retry
+    /// reasons and incidents exist from the start, because a counter that appears with
+    /// its first event hides that event from a rate query.
     pub fn new() -> Self {
         let mut metrics = NodeMetrics {
             registry: Registry::with_prefix(METRIC_PREFIX),
@@ -288,7 +288,8 @@
     }
 
     /// Set the total number of requests with an idempotency key that were accepted
-    /// while a resubmission not marked as one could not have been recognized.
+    /// while this host could not have recognized them as resubmissions unless their
+    /// callers had marked them as such.
     pub fn set_unmarked_exposure(&self, total: u64) {
         set_total(&self.unmarked_exposure, total);
     }
--- a/bergamotswitch-net/src/node/gateway_setup.rs
+++ b/bergamotswitch-net/src/node/gateway_setup.rs
@@ -32,9 +32,10 @@
 /// How long a stopping owner keeps acting while its successor takes over.
 const HANDOVER: Duration = Duration::from_millis(400);
 
-/// The interval at which relays are queried for how long ago their routes were
-/// known to be the newest. It has to be short enough that a host two hops from a
-/// reader can confirm its routes before keys are no longer trusted.
+/// The interval at which a host queries its relays, the peers from which it receives
+/// the routes, for how long ago their routes were known to be the newest. It has to be
+/// short enough that a host two hops from one that reads the store can confirm its
+/// routes before keys are no longer trusted.
 const CONFIRM_INTERVAL: Duration = Duration::from_millis(600);
 
 /// How long a starting host waits for peers before it reads the store itself.
@@ -144,7 +145,7 @@
         roster: Some(RosterSetup {
             host: own_entry(settings, gateway),
             seeds: gateway.seeds.clone(),
-            started_at_ms: time_of_day_ms(),
+            started_at_ms: unix_time_ms(),
             options: RosterOptions::default(),
         }),
         limits: Some(limits),
@@ -188,9 +189,9 @@
     }
 }
 
-/// Get the Unix time in milliseconds, or zero if the clock is set before 1970.
-/// The host then continues from the stamp that other hosts hold.
-fn time_of_day_ms() -> u64 {
+/// Get the Unix time in milliseconds, or zero if the clock is set before 1970. The host
+/// then continues from the roster stamp that other hosts hold for it.
+fn unix_time_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| u64::try_from(since.as_millis()).unwrap_or(0))
 }
--- a/bergamotswitch-net/src/node/request_log.rs
+++ b/bergamotswitch-net/src/node/request_log.rs
@@ -15,7 +15,7 @@
 use crate::event_log;
 use crate::input::OutgoingCall;
 
-/// A `RequestLog` is the data for the log lines about a request.
+/// A `RequestLog` holds the data for the log lines about a request.
 #[derive(Debug)]
 pub(super) struct RequestLog {
     /// The request id from the caller. Requests of the native API have none; their
@@ -34,12 +34,12 @@
     started_at: Option<Moment>,
     first_token_at: Option<Moment>,
     targets: Vec<TargetName>,
-    /// When the planned stop began during which the request was received.
+    /// The start of the planned stop during which the request was received.
     stop_at: Option<Moment>,
 }
 
 impl RequestLog {
-    /// Create the log of a request that has just been received.
+    /// Get the log of a request that has just been received.
     pub(super) fn of(now: Moment, submission: &Submission, call: &OutgoingCall) -> Self {
         let routed = call.routed.as_ref();
         RequestLog {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Set when the planned stop began during which the request was received.
+    /// Set the start of the planned stop during which the request was received.
     pub(super) fn with_stop(mut self, stop_at: Option<Moment>) -> Self {
         self.stop_at = stop_at;
         self
--- a/bergamotswitch-net/src/node/stop.rs
+++ b/bergamotswitch-net/src/node/stop.rs
@@ -25,17 +25,17 @@
 /// A `StopSchedule` is the set of deadlines of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct StopSchedule {
-    /// When the stop signal arrived.
+    /// The time at which the stop signal arrived.
     pub started_at: Moment,
-    /// How long callers use addresses that were handed out. Callers are accepted
-    /// until then, so that none connects to a closed port.
+    /// How long callers use the addresses that they received from lookups. Callers are
+    /// accepted until then, so that none connects to a closed port.
     lifetime: Duration,
     /// The time after which the process is killed, or `None` if it is not killed.
     grace: Option<Duration>,
 }
 
 impl StopSchedule {
-    /// Create the schedule of a stop that begins now.
+    /// Get the schedule of a stop that begins now.
     pub fn new(now: Moment, lifetime: Duration, grace: Option<Duration>) -> Self {
         StopSchedule {
             started_at: now,
@@ -105,7 +105,8 @@
 pub(super) enum StopPhase {
     /// No stop is in progress.
     Serving,
-    /// Callers are accepted until the addresses that were handed out have expired.
+    /// Callers are accepted until the addresses that they received from lookups have
+    /// expired.
     AwaitingExpiry(StopSchedule),
     /// No new callers are accepted; waiting and running requests continue. A host
     /// that accepted callers until it was idle would be killed under load with
--- a/bergamotswitch-net/src/pending_lines.rs
+++ b/bergamotswitch-net/src/pending_lines.rs
@@ -28,7 +28,7 @@
 /// The lowest event number that does not concern the process itself.
 const FIRST_NON_PROCESS_EVENT: u16 = 200;
 
-/// A `LineKind` is the properties of a line that decide whether it is kept.
+/// A `LineKind` holds the properties of a line that decide whether it is accepted.
 #[derive(Clone, Copy, Debug)]
 pub struct LineKind {
     /// The severity.
--- a/bergamotswitch-net/src/platform/options.rs
+++ b/bergamotswitch-net/src/platform/options.rs
@@ -16,8 +16,8 @@
 pub(super) const WATCH_MARGIN: Duration = Duration::from_millis(500);
 
 /// The maximum wait of a watch. It bounds how long a watching host misses that
-/// other hosts now read the services, while it may be the only one with the
-/// latest value.
+/// other hosts now read the services, while it may be the only one that knows
+/// of a value.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
 
 /// The denominator of the fraction of the read budget that watches may use when
--- a/bergamotswitch-net/src/target_client/attempt_report.rs
+++ b/bergamotswitch-net/src/target_client/attempt_report.rs
@@ -1,5 +1,5 @@
-//! Provides the reports of an attempt to the event loop: any number of steps
-//! and exactly one end.
+//! Provides the reports of an attempt to the event loop: any number of progress
+//! events and exactly one final event.
 
 use std::fmt;
 use std::sync::Arc;
@@ -31,9 +31,9 @@
 
 /// An `AttemptReport` sends the events of one attempt to the event loop.
 ///
-/// Dropped without an end, it reports `Broken`, so that a call that panics does
-/// not leave its request in flight and its permit taken until the next audit.
-/// An aborted attempt reports nothing.
+/// If it is dropped without a final event, it reports `Broken`, so that a call
+/// that panics does not leave its request in flight and its permit taken until
+/// the next audit. An aborted attempt reports nothing.
 #[derive(Debug)]
 pub(super) struct AttemptReport {
     attempt: AttemptId,
--- a/bergamotswitch-net/src/target_client/call_context.rs
+++ b/bergamotswitch-net/src/target_client/call_context.rs
@@ -1,5 +1,5 @@
-//! Provides what all kinds of call share: the call's context, sending the first
-//! request and forwarding an error answer.
+//! Provides what all kinds of calls share: the context of a call, the sending
+//! of its request and the forwarding of an error answer.
 
 use std::pin::pin;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -25,7 +25,7 @@
 use crate::answer::{AnswerPart, AnswerWriter};
 use crate::input::OutgoingCall;
 
-// The timeout for the body of an error answer.
+/// The timeout for the body of an error answer.
 const ERROR_BODY_WAIT: Duration = Duration::from_secs(5);
 
 /// The header by which answers are matched to requests.
@@ -46,7 +46,7 @@
     Broken(Usage),
 }
 
-/// A `CallTrace` is the state of a call that is shared with its abort.
+/// A `CallTrace` is the state of a call that its abort needs.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CallTrace(Arc<Mutex<TraceState>>);
 
@@ -78,7 +78,7 @@
     }
 }
 
-/// A `CallContext` is the environment of one call.
+/// A `CallContext` holds the data and resources that one call uses.
 #[derive(Debug)]
 pub(super) struct CallContext {
     pub attempt: AttemptId,
@@ -91,7 +91,8 @@
     pub trace: CallTrace,
 }
 
-/// A `FirstResponse` is the head of the answer and its connection.
+/// A `FirstResponse` is a response whose head has been received, with its
+/// connection.
 #[derive(Debug)]
 pub(super) struct FirstResponse {
     pub connection: TargetConnection,
--- a/bergamotswitch-net/src/target_client/connection.rs
+++ b/bergamotswitch-net/src/target_client/connection.rs
@@ -24,8 +24,8 @@
 /// The request type of every call.
 pub type TargetRequest = Request<Full<Bytes>>;
 
-// The interval between TCP keepalive probes, and the number of failed probes
-// after which the connection is closed.
+/// The interval between TCP keepalive probes, and the number of failed probes
+/// after which the connection is closed.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 const KEEPALIVE_RETRIES: u32 = 3;
 
--- a/bergamotswitch-net/src/target_client/engine_call.rs
+++ b/bergamotswitch-net/src/target_client/engine_call.rs
@@ -22,12 +22,12 @@
 use crate::answer::AnswerPart;
 use crate::input::OutgoingCall;
 
-// The data of a stream's last event.
+/// The data of a stream's last event.
 const DONE: &[u8] = b"[DONE]";
-// The header that carries a stream's id.
+/// The header that carries a stream's id.
 const STREAM_ID: &str = "x-stream-id";
-// How long after the last event to wait for the end of the body. A connection
-// whose body ends later is not reused.
+/// How long after the last event to wait for the end of the body. A connection
+/// whose body ends later is not reused.
 const BODY_END_WAIT: Duration = Duration::from_millis(50);
 
 /// A `StreamError` is the reason why a connection delivers no more of a stream.
@@ -75,7 +75,7 @@
     Ended(CallEnd),
 }
 
-/// An `EngineCall` is one attempt at an engine.
+/// An `EngineCall` is the call of one attempt to an engine.
 #[derive(Debug)]
 pub(super) struct EngineCall<'a> {
     pub(super) context: &'a CallContext,
--- a/bergamotswitch-net/src/target_client/load_watch.rs
+++ b/bergamotswitch-net/src/target_client/load_watch.rs
@@ -22,7 +22,7 @@
 const LOAD_PATH: &str = "/v1/load";
 const CACHE_PATH: &str = "/v1/cache-events";
 
-// The range of the backoff after a failed request for cache events.
+/// The bounds of the backoff after a failed request for cache events.
 const MIN_BACKOFF: Duration = Duration::from_millis(200);
 const MAX_BACKOFF: Duration = Duration::from_secs(10);
 
--- a/bergamotswitch-net/src/target_client/mod.rs
+++ b/bergamotswitch-net/src/target_client/mod.rs
@@ -40,9 +40,9 @@
 use crate::answer::AnswerWriter;
 use crate::input::{NodeSender, OutgoingCall};
 
-// The initial number of calls at which finished ones are removed. The threshold
-// then doubles with the calls in flight, so that the amortized cost for each
-// call is constant.
+/// The initial number of calls at which finished ones are removed. The threshold
+/// then doubles with the calls in flight, so that the amortized cost for each
+/// call is constant.
 const FIRST_SWEEP: usize = 64;
 
 /// A `CallGuard` owns a call's task. Dropping it stops the task without a
--- a/bergamotswitch-net/src/target_client/silence_watch.rs
+++ b/bergamotswitch-net/src/target_client/silence_watch.rs
@@ -2,9 +2,8 @@
 //! or lost.
 //!
 //! A middlebox can lose the state of an open connection, which then stays open
-//! without delivering anything, while new connections work. The reader cannot
-//! tell this from a slow engine, so the engine's status is queried over a new
-//! connection.
+//! without delivering anything, while new connections work. This looks like a
+//! slow engine, so the engine's status is queried over a new connection.
 
 use std::net::SocketAddr;
 
--- a/bergamotswitch-net/src/target_client/stream_cancel.rs
+++ b/bergamotswitch-net/src/target_client/stream_cancel.rs
@@ -10,8 +10,8 @@
 use super::options::TargetClientOptions;
 use super::stream_status::{QueryError, StreamId, query, query_status};
 
-// The maximum number of cancellation attempts. An engine that receives none of
-// them runs the stream to its end, which only wastes capacity.
+/// The maximum number of cancellation attempts. An engine that receives none of
+/// them runs the stream to its end, which only wastes capacity.
 const CANCEL_ATTEMPTS: u32 = 5;
 
 /// A `StreamCancel` is a request to an engine to cancel one stream.
--- a/bergamotswitch-net/src/target_client/stream_resume.rs
+++ b/bergamotswitch-net/src/target_client/stream_resume.rs
@@ -13,12 +13,12 @@
 use super::engine_call::{EngineCall, OpenStream, StreamError, is_event_stream};
 use super::stream_status::{QueryError, StreamId, empty_request, query_status};
 
-// The maximum pause between two resume attempts.
+/// The maximum pause between two resume attempts.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
-// The number of refused connections and unknown requests after which the stream
-// counts as lost. Unlike a network partition, a closed port means that the
-// process with the stream has ended, so a longer wait only delays the next
-// attempt. The backoff still leaves time for a request in flight.
+/// The number of refused connections and unknown requests after which the stream
+/// counts as lost. Unlike a network partition, a closed port means that the
+/// process with the stream has ended, so a longer wait only delays the next
+/// attempt. The backoff still leaves time for a request in flight.
 const MAX_DENIALS: u32 = 4;
 
 impl EngineCall<'_> {
--- a/bergamotswitch-net/src/target_client/stream_status.rs
+++ b/bergamotswitch-net/src/target_client/stream_status.rs
@@ -12,7 +12,7 @@
 use super::connection::{TargetConnection, TargetRequest};
 use super::options::TargetClientOptions;
 
-// The maximum size of a status or load report.
+/// The maximum size of a status or load report.
 const MAX_REPORT_BYTES: usize = 64 * 1024;
 
 /// A `StreamId` is an engine's id of a stream, restricted to characters that
--- a/bergamotswitch-net/src/target_client/usage_meter.rs
+++ b/bergamotswitch-net/src/target_client/usage_meter.rs
@@ -10,7 +10,7 @@
 
 use super::attempt_report::AttemptReport;
 
-/// A `StreamChunk` is the part of a completion chunk that is evaluated.
+/// A `StreamChunk` holds the members of a completion chunk that are evaluated.
 #[derive(Debug, Deserialize)]
 pub(crate) struct StreamChunk {
     /// The id of the request that the chunk belongs to.
--- a/bergamotswitch-net/tests/caller_requests/fake_loop.rs
+++ b/bergamotswitch-net/tests/caller_requests/fake_loop.rs
@@ -1,4 +1,4 @@
-//! A host whose event loop is simulated by the test, and an HTTP client.
+//! Provides a host whose event loop the test simulates, and an HTTP client.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -39,7 +39,7 @@
         .expect("completed before the timeout")
 }
 
-/// A host whose event loop is simulated by the test.
+/// A `FakeHost` is a host whose event loop the test simulates.
 pub struct FakeHost {
     pub server: HttpServer,
     pub incarnation: HostIncarnation,
@@ -48,8 +48,8 @@
     publication: watch::Sender<Arc<Publication>>,
 }
 
-/// A request as it was submitted to the event loop.
-pub struct Submitted {
+/// A `SubmittedRequest` is a request as it was submitted to the event loop.
+pub struct SubmittedRequest {
     pub submission: Submission,
     pub call: OutgoingCall,
     pub reply: oneshot::Sender<SubmissionReply>,
@@ -118,13 +118,13 @@
         within_timeout(self.inbox.recv()).await.expect("an input")
     }
 
-    pub async fn submitted(&mut self) -> Submitted {
+    pub async fn submitted(&mut self) -> SubmittedRequest {
         match self.input().await {
             NodeInput::Submit {
                 submission,
                 call,
                 reply,
-            } => Submitted {
+            } => SubmittedRequest {
                 submission: *submission,
                 call: *call,
                 reply,
@@ -266,7 +266,7 @@
     sender.send_request(request).await.expect("an answer")
 }
 
-/// An answer that was read to its end.
+/// A `ReadAnswer` is an answer that was read to its end.
 pub struct ReadAnswer {
     pub status: u16,
     pub headers: HeaderMap,
--- a/bergamotswitch-net/tests/event_blocks.rs
+++ b/bergamotswitch-net/tests/event_blocks.rs
@@ -1,4 +1,4 @@
-//! Tests the splitting of event streams into complete events.
+//! Tests of the splitting of event streams into complete events.
 
 use bergamotswitch_net::target_client::event_blocks::{EventBlock, EventSplitter};
 
--- a/bergamotswitch-net/tests/event_stream.rs
+++ b/bergamotswitch-net/tests/event_stream.rs
@@ -1,4 +1,4 @@
-//! Tests the parser of server-sent events.
+//! Tests of the parser of server-sent events.
 
 use bergamotswitch_net::target_client::event_stream::{
     EventParser, EventTooLarge, MAX_EVENT_BYTES, ServerEvent,
--- a/bergamotswitch-net/tests/platform_reads.rs
+++ b/bergamotswitch-net/tests/platform_reads.rs
@@ -1,4 +1,4 @@
-//! Tests reading and watching published values over sockets.
+//! Tests of reads and watches of published values over sockets.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
--- a/bergamotswitch-net/tests/silent_connections.rs
+++ b/bergamotswitch-net/tests/silent_connections.rs
@@ -1,4 +1,4 @@
-//! Tests connections that become unresponsive while new ones work.
+//! Tests of connections that become unresponsive while new ones work.
 
 mod target_support;
 
--- a/bergamotswitch-net/tests/target_calls.rs
+++ b/bergamotswitch-net/tests/target_calls.rs
@@ -1,4 +1,5 @@
-//! Tests calls to engines and plain services and the outcomes that they report.
+//! Tests of calls to engines and plain services and the outcomes that they
+//! report.
 
 mod target_support;
 
--- a/bergamotswitch/src/command/check.rs
+++ b/bergamotswitch/src/command/check.rs
@@ -59,7 +59,7 @@
     Ok(result.err().unwrap_or_default())
 }
 
-/// A `CheckReport` is the findings of all checked files, one per line.
+/// A `CheckReport` holds the findings of all checked files, one per line.
 #[derive(Debug, Default)]
 struct CheckReport {
     lines: Vec<String>,
--- a/bergamotswitch/src/command/demo/counters.rs
+++ b/bergamotswitch/src/command/demo/counters.rs
@@ -9,7 +9,7 @@
 use crate::command::client;
 use crate::command::error::CommandError;
 
-/// A `FleetCounters` is the sums, over all hosts, of counters for recoveries
+/// A `FleetCounters` holds the sums, over all hosts, of counters for recoveries
 /// that callers cannot observe.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct FleetCounters {
--- a/bergamotswitch/src/command/demo/report.rs
+++ b/bergamotswitch/src/command/demo/report.rs
@@ -22,7 +22,7 @@
     "bergamot_incidents_total{number=\"2",
 ];
 
-/// A `WorkReport` is the outcomes of the calls of one kind of work.
+/// A `WorkReport` holds the outcomes of the calls of one kind of work.
 #[derive(Debug, Default)]
 struct WorkReport {
     sent: usize,
@@ -38,7 +38,7 @@
     work: &'static str,
 }
 
-/// A `DemoReport` is the outcomes of the demo's regular calls.
+/// A `DemoReport` holds the outcomes of the demo's regular calls.
 #[derive(Debug, Default)]
 pub(super) struct DemoReport {
     rows: BTreeMap<WorkRow, WorkReport>,
@@ -80,7 +80,7 @@
     }
 }
 
-/// A `ScenarioReport` is the outcomes of the failure scenarios.
+/// A `ScenarioReport` holds the outcomes of the failure scenarios.
 #[derive(Debug)]
 pub(super) struct ScenarioReport {
     table: TextTable,
--- a/bergamotswitch/src/command/logs/mod.rs
+++ b/bergamotswitch/src/command/logs/mod.rs
@@ -16,7 +16,7 @@
 use super::error::CommandError;
 use super::output::write_out;
 
-/// A `LogsArgs` is the parsed arguments of the `logs` command.
+/// A `LogsArgs` holds the parsed arguments of the `logs` command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogsArgs {
     /// The query to run.
--- a/bergamotswitch/src/command/logs/outcome.rs
+++ b/bergamotswitch/src/command/logs/outcome.rs
@@ -96,7 +96,7 @@
     format!("{:.1}", millis as f64 / 1_000.0)
 }
 
-/// An `OutcomeTable` is the outcome counts of requests, by key.
+/// An `OutcomeTable` holds the outcome counts of requests, by key.
 #[derive(Debug, Default)]
 pub(super) struct OutcomeTable(BTreeMap<String, OutcomeCount>);
 
--- a/bergamotswitch/src/command/logs/summary.rs
+++ b/bergamotswitch/src/command/logs/summary.rs
@@ -15,7 +15,7 @@
 /// The number of the `request ended` event.
 const REQUEST_ENDED: u64 = 206;
 
-/// A `LogSummary` is the outcome tables of all requests in the logs.
+/// A `LogSummary` holds the outcome tables of all requests in the logs.
 #[derive(Debug, Default)]
 struct LogSummary {
     all: OutcomeTable,
--- a/bergamotswitch/src/command/logs/trace.rs
+++ b/bergamotswitch/src/command/logs/trace.rs
@@ -14,8 +14,8 @@
 /// The number of the `request ended` event.
 const REQUEST_ENDED: u64 = 206;
 
-/// The maximum number of lines kept, since callers may reuse an id for many
-/// requests.
+/// The maximum number of lines held in memory, since callers may reuse an id
+/// for many requests.
 const MAX_LINES: usize = 10_000;
 
 /// An `InternalId` is the id under which hosts know a request: the incarnation
--- a/bergamotswitch/src/command/table.rs
+++ b/bergamotswitch/src/command/table.rs
@@ -14,7 +14,7 @@
 }
 
 impl TextTable {
-    /// Create a table with a header row only.
+    /// Get a table with a header row only.
     pub fn new(head: &[&str]) -> Self {
         let head = head.iter().map(|cell| (*cell).to_owned()).collect();
         TextTable {
