--- a/bergamotswitch-net/tests/caller_requests/checks.rs
+++ b/bergamotswitch-net/tests/caller_requests/checks.rs
@@ -158,12 +158,14 @@
     let mut slow = TcpStream::connect(host.server.address())
         .await
         .expect("a connection");
-    let half = format!(
+    let partial_request = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nhost: t\r\nauthorization: Bearer {}\r\n\
          content-length: 100\r\n\r\n{{",
         KEY
     );
-    slow.write_all(half.as_bytes()).await.expect("written");
+    slow.write_all(partial_request.as_bytes())
+        .await
+        .expect("written");
     let quick = spawn_call(host.server.address(), chat(false, &[]));
     let submitted = host.submitted().await;
     assert_eq!(submitted.submission.pool.as_str(), "bolido-llm");
@@ -179,11 +181,14 @@
     let mut stream = TcpStream::connect(host.server.address())
         .await
         .expect("a connection");
-    let half = format!(
+    let partial_request = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nhost: t\r\nauthorization: Bearer {KEY}\r\n\
          content-length: 100\r\n\r\n{{",
     );
-    stream.write_all(half.as_bytes()).await.expect("written");
+    stream
+        .write_all(partial_request.as_bytes())
+        .await
+        .expect("written");
     assert_eq!(rejection_reason(&mut host).await, RefusalReason::BadRequest);
     let mut answer = [0; 12];
     within_timeout(stream.read_exact(&mut answer))
@@ -232,22 +237,22 @@
 async fn stricter_fields() {
     let mut host = FakeHost::ready("sanjuan-1", &[]);
     // A caller may restrict the verdict of the rule.
-    let strict = [
+    let restricting_fields = [
         ("bergamot-idempotent", "false"),
         ("bergamot-dispatch-once", "true"),
     ];
-    let call = spawn_call(host.server.address(), chat(false, &strict));
+    let call = spawn_call(host.server.address(), chat(false, &restricting_fields));
     let verdict = host.submitted().await.submission.verdict;
     call.abort();
     assert!(!verdict.idempotent && verdict.dispatch_once);
     // It cannot relax the verdict, nor extend the deadline of the rule.
-    let loose = [
+    let relaxing_fields = [
         ("bergamot-work", "report"),
         ("bergamot-idempotent", "true"),
         ("bergamot-dispatch-once", "false"),
         ("bergamot-deadline-ms", "99000"),
     ];
-    let call = spawn_call(host.server.address(), chat(false, &loose));
+    let call = spawn_call(host.server.address(), chat(false, &relaxing_fields));
     let verdict = host.submitted().await.submission.verdict;
     call.abort();
     assert!(!verdict.idempotent && verdict.dispatch_once);
--- a/bergamotswitch-net/tests/caller_requests/disconnects.rs
+++ b/bergamotswitch-net/tests/caller_requests/disconnects.rs
@@ -8,7 +8,7 @@
     FakeHost, chat, chunk, next_chunk, send, send_h2, spawn_call, stream_head, within_timeout,
 };
 
-async fn expect_caller_left(host: &mut FakeHost) {
+async fn expect_caller_disconnected(host: &mut FakeHost) {
     match host.input().await {
         NodeInput::CallerDisconnected(id) => assert_eq!(id, host.id(1)),
         other => panic!("not a caller's disconnect: {other:?}"),
@@ -24,12 +24,12 @@
         let call = spawn_call(host.server.address(), chat(stream, &[]));
         let _writer = host.accept_next().await;
         call.abort();
-        expect_caller_left(&mut host).await;
+        expect_caller_disconnected(&mut host).await;
     }
 }
 
 #[tokio::test]
-async fn before_reception() {
+async fn before_submission_reply() {
     // Guards against a disconnect that is not reported because it happens after
     // the submission and before the event loop has returned the id of the
     // request.
@@ -44,7 +44,7 @@
         answer: Some(AnswerWriter::new().reader()),
     };
     reply.send(received).expect("a task that waits");
-    expect_caller_left(&mut host).await;
+    expect_caller_disconnected(&mut host).await;
 }
 
 #[tokio::test]
@@ -57,7 +57,7 @@
     let mut response = response.await.expect("an answer");
     next_chunk(response.body_mut()).await;
     drop(response);
-    expect_caller_left(&mut host).await;
+    expect_caller_disconnected(&mut host).await;
 }
 
 #[tokio::test]
@@ -69,7 +69,7 @@
     let waiting = tokio::spawn(send_h2(address, chat(false, &[])));
     let _writer = host.accept_next().await;
     waiting.abort();
-    expect_caller_left(&mut host).await;
+    expect_caller_disconnected(&mut host).await;
 
     let response = tokio::spawn(send_h2(address, chat(true, &[])));
     let writer = host.accept_next().await;
@@ -78,7 +78,7 @@
     let mut response = response.await.expect("an answer");
     next_chunk(response.body_mut()).await;
     drop(response);
-    expect_caller_left(&mut host).await;
+    expect_caller_disconnected(&mut host).await;
 }
 
 #[tokio::test]
--- a/bergamotswitch-net/tests/caller_requests/forwarding.rs
+++ b/bergamotswitch-net/tests/caller_requests/forwarding.rs
@@ -155,7 +155,7 @@
 }
 
 #[tokio::test]
-async fn forwarded_caller_leaves() {
+async fn forwarded_caller_disconnects() {
     // The holder detects that the caller has disconnected, although the caller
     // is connected to another host.
     let mut holder = FakeHost::ready("mza-norte-1", &[]);
--- a/bergamotswitch-net/tests/link_support/mod.rs
+++ b/bergamotswitch-net/tests/link_support/mod.rs
@@ -26,8 +26,8 @@
 /// The timeout of each step, far above its duration on a busy machine.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The time for which no event must arrive.
-pub const QUIET_PERIOD: Duration = Duration::from_millis(400);
+/// How long to wait to verify that no further event arrives.
+pub const NO_EVENT_PERIOD: Duration = Duration::from_millis(400);
 
 pub fn fast_options() -> LinkOptions {
     LinkOptions::default()
@@ -112,8 +112,8 @@
         assert_eq!(self.event().await, event);
     }
 
-    pub async fn expect_quiet(&mut self) {
-        if let Ok(event) = time::timeout(QUIET_PERIOD, self.inbox.recv()).await {
+    pub async fn expect_no_event(&mut self) {
+        if let Ok(event) = time::timeout(NO_EVENT_PERIOD, self.inbox.recv()).await {
             panic!("unexpected {event:?}");
         }
     }
--- a/bergamotswitch-net/tests/peer_links.rs
+++ b/bergamotswitch-net/tests/peer_links.rs
@@ -71,7 +71,7 @@
     a.hub.disconnect(&b.incarnation.host);
     a.expect(LinkEvent::Down(b.incarnation.clone())).await;
     b.expect(LinkEvent::Down(a.incarnation.clone())).await;
-    a.expect_quiet().await;
+    a.expect_no_event().await;
 }
 
 #[tokio::test]
@@ -113,8 +113,8 @@
         .await;
     a.wait_until("refusal by peer", |hub| hub.counters().refused_by_peers > 0)
         .await;
-    a.expect_quiet().await;
-    b.expect_quiet().await;
+    a.expect_no_event().await;
+    b.expect_no_event().await;
 
     // With the right key, the same hosts link.
     a.hub.set_host_list(&hosts, KEY);
@@ -136,7 +136,7 @@
     let text = body_text(answer).await;
     assert_eq!(text, "link version \"7\" is not spoken here, only 2");
     assert_eq!(b.hub.counters().refused.version, 1);
-    b.expect_quiet().await;
+    b.expect_no_event().await;
 }
 
 #[tokio::test]
@@ -155,7 +155,7 @@
     }
     assert_eq!(b.hub.counters().refused.not_ready, 2);
     assert_eq!(b.hub.counters().refused.total(), 4);
-    b.expect_quiet().await;
+    b.expect_no_event().await;
 }
 
 #[tokio::test]
@@ -207,7 +207,7 @@
     a.expect(LinkEvent::Up(b.incarnation.clone())).await;
     b.expect(LinkEvent::Up(a.incarnation.clone())).await;
     // An idle link that answers PINGs stays up.
-    a.expect_quiet().await;
+    a.expect_no_event().await;
     let started = Instant::now();
     proxy.cut();
     a.expect(LinkEvent::Down(b.incarnation.clone())).await;
@@ -230,8 +230,8 @@
         event,
         LinkEvent::Message(a.incarnation.clone(), heartbeat(1))
     );
-    a.expect_quiet().await;
-    b.expect_quiet().await;
+    a.expect_no_event().await;
+    b.expect_no_event().await;
     assert_eq!(a.hub.counters().silent, 1);
 }
 
@@ -250,7 +250,7 @@
     b.expect(LinkEvent::Down(a.incarnation.clone())).await;
     assert!(!a.hub.send(&b.incarnation.host, &heartbeat(1)));
     assert!(!b.hub.send(&a.incarnation.host, &heartbeat(1)));
-    a.expect_quiet().await;
+    a.expect_no_event().await;
     proxy.upstream.send_replace(Some(b.entry.link_address));
     a.expect(LinkEvent::Up(b.incarnation.clone())).await;
     b.expect(LinkEvent::Up(a.incarnation.clone())).await;
@@ -282,7 +282,7 @@
     assert!(a.hub.send(&b.incarnation.host, &heartbeat(1)));
     b.expect(LinkEvent::Message(a.incarnation.clone(), heartbeat(1)))
         .await;
-    a.expect_quiet().await;
+    a.expect_no_event().await;
 }
 
 #[tokio::test]
@@ -293,7 +293,7 @@
     let hosts = host_list(&[&a, &b]);
     let proxy = TestProxy::start(None).await;
     a.hub.connect(&proxy.entry_of(&b));
-    a.expect_quiet().await;
+    a.expect_no_event().await;
     assert!(proxy.opened.load(Ordering::Relaxed) > 1);
     for incarnation in [3, 4, 5] {
         let mut b = host("b", incarnation);
@@ -330,7 +330,7 @@
 }
 
 #[tokio::test]
-async fn crossed_dial() {
+async fn dial_during_handshake() {
     // Guards against a peer reported as down and up while both sides dial: the side
     // that knows first which connection stays must not close the other one while the
     // peer still uses it.
@@ -456,7 +456,7 @@
 // Guards against undetected loss of messages on a connection that the peer has lost
 // before this host detects it: each new session must be reported as up.
 #[tokio::test]
-async fn dialled_again() {
+async fn redial_before_detection() {
     let mut a = host("a", 1);
     let c = host("c", 3);
     a.hub.set_host_list(&host_list(&[&a, &c]), KEY);
@@ -466,7 +466,7 @@
         sessions.push(peer.authenticate(KEY).await);
         a.expect(LinkEvent::Up(c.incarnation.clone())).await;
     }
-    a.expect_quiet().await;
+    a.expect_no_event().await;
 }
 
 #[tokio::test]
@@ -508,7 +508,7 @@
     assert!(a.hub.send(&b.incarnation.host, &heartbeat(1)));
     b.expect(LinkEvent::Message(a.incarnation.clone(), heartbeat(1)))
         .await;
-    a.expect_quiet().await;
+    a.expect_no_event().await;
 }
 
 #[tokio::test]
--- a/bergamotswitch-net/tests/pending_lines.rs
+++ b/bergamotswitch-net/tests/pending_lines.rs
@@ -1,4 +1,4 @@
-//! Tests of which log lines are kept when more arrive than the buffer accepts.
+//! Tests of which log lines are dropped when more arrive than the buffer accepts.
 
 use std::collections::BTreeMap;
 
@@ -44,7 +44,7 @@
 // Guards against a burst of lines about calls that displaces warnings, errors and
 // lines about a planned stop.
 #[test]
-fn priority_lines_kept() {
+fn priority_lines_accepted() {
     let mut lines = PendingLines::default();
     for _ in 0..LINE_COUNT {
         add(&mut lines, Incident::RequestEnded);
--- a/bergamotswitch-net/tests/platform_reads.rs
+++ b/bergamotswitch-net/tests/platform_reads.rs
@@ -18,7 +18,7 @@
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// How long to wait to verify that no further input arrives.
-const QUIET_PERIOD: Duration = Duration::from_millis(300);
+const NO_INPUT_PERIOD: Duration = Duration::from_millis(300);
 
 fn short_timeouts() -> PlatformOptions {
     PlatformOptions::default()
@@ -77,8 +77,8 @@
         }
     }
 
-    async fn expect_quiet(&mut self) {
-        if let Ok(event) = time::timeout(QUIET_PERIOD, self.inbox.recv()).await {
+    async fn expect_no_input(&mut self) {
+        if let Ok(event) = time::timeout(NO_INPUT_PERIOD, self.inbox.recv()).await {
             panic!("unexpected {event:?}");
         }
     }
@@ -155,11 +155,11 @@
     test.expect_value("rules", 1, "1").await;
     test.client.watch(&value_name("rules"), Revision(1));
     test.client.watch(&value_name("hosts"), Revision(1));
-    test.expect_quiet().await;
-    let began = Instant::now();
+    test.expect_no_input().await;
+    let started_at = Instant::now();
     values.publish("rules", json!(2));
     test.expect_value("rules", 2, "2").await;
-    println!("change seen after {} us", began.elapsed().as_micros());
+    println!("change seen after {} us", started_at.elapsed().as_micros());
     hosts.publish("hosts", json!(2));
     test.expect_value("hosts", 2, "2").await;
 
@@ -178,13 +178,13 @@
     for _ in 0..10 {
         test.client.watch(&value_name("rules"), Revision(1));
     }
-    test.expect_quiet().await;
+    test.expect_no_input().await;
     assert_eq!(test.client.calls(), 1);
     // Another watch replaces the first one, whose answer is not reported.
     test.client.watch(&value_name("rules"), Revision(0));
     test.expect_value("rules", 1, "1").await;
     values.publish("rules", json!(2));
-    test.expect_quiet().await;
+    test.expect_no_input().await;
     assert_eq!((test.client.calls(), values.counts().watches), (2, 2));
 }
 
@@ -226,15 +226,15 @@
     let opts = short_timeouts().with_watch_wait(Duration::from_secs(1));
     let mut test = TestClient::new(&[values.address()], &[], opts);
     test.client.watch(&value_name("rules"), Revision(1));
-    let began = Instant::now();
+    let started_at = Instant::now();
     while values.counts().watches == 0 {
-        assert!(began.elapsed() < TEST_TIMEOUT, "no watch in time");
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "no watch in time");
         time::sleep(Duration::from_millis(1)).await;
     }
     values.set(|switches| switches.silent = SilenceMode::Open);
     values.publish("rules", json!(2));
     test.expect_failed("rules").await;
-    let elapsed = began.elapsed();
+    let elapsed = started_at.elapsed();
     println!(
         "unresponsive connection detected after {} ms",
         elapsed.as_millis()
@@ -249,9 +249,10 @@
     test.expect_value("rules", 2, "2").await;
 
     // A truncated answer is not reported as a value.
-    let half = http_ok(r#"{"name":"rules","revision":1,"body":1}"#);
-    let half = scripted_service(half[..half.len() - 9].to_owned()).await;
-    let mut test = TestClient::new(&[half], &[], short_timeouts());
+    let truncated_answer = http_ok(r#"{"name":"rules","revision":1,"body":1}"#);
+    let truncated_answer =
+        scripted_service(truncated_answer[..truncated_answer.len() - 9].to_owned()).await;
+    let mut test = TestClient::new(&[truncated_answer], &[], short_timeouts());
     test.client.read(&value_name("rules"));
     test.expect_failed("rules").await;
 }
@@ -272,8 +273,12 @@
         test.client.read(&value_name("rules"));
         test.expect_failed("rules").await;
     }
-    let unasked = "HTTP/1.1 304 Not Modified\r\n\r\n".to_owned();
-    let mut test = TestClient::new(&[scripted_service(unasked).await], &[], short_timeouts());
+    let unrequested = "HTTP/1.1 304 Not Modified\r\n\r\n".to_owned();
+    let mut test = TestClient::new(
+        &[scripted_service(unrequested).await],
+        &[],
+        short_timeouts(),
+    );
     test.client.read(&value_name("rules"));
     test.expect_failed("rules").await;
 }
--- a/bergamotswitch-net/tests/silent_connections.rs
+++ b/bergamotswitch-net/tests/silent_connections.rs
@@ -73,9 +73,9 @@
         let (attempt, answer) = harness.start(&target, PoolKind::Engine, &call);
         harness.first_token().await;
         silence_open(&engine);
-        let silenced = Instant::now();
+        let silenced_at = Instant::now();
         while harness.next_event().await.1 != AttemptEvent::Resumed {}
-        let recovery = silenced.elapsed();
+        let recovery = silenced_at.elapsed();
         println!("silent stream resumed after {recovery:?}, probed after {gap:?}");
         let events = harness.events().await;
         assert!(
--- a/bergamotswitch-net/tests/target_calls.rs
+++ b/bergamotswitch-net/tests/target_calls.rs
@@ -137,7 +137,7 @@
 }
 
 #[tokio::test]
-async fn kept_connection() {
+async fn idle_connection_reuse() {
     // The engine accepts no new connection after the first call, so only an
     // idle one can carry the second. After the reuse time, it is not used any
     // more.
@@ -175,7 +175,7 @@
 }
 
 #[tokio::test]
-async fn crossed_answer() {
+async fn answer_to_another_request() {
     // An answer with another request's id must not reach the caller.
     for (events, parts) in run_both(|switches| switches.crossed = true).await {
         assert!(matches!(events.as_slice(), [AttemptEvent::Broken(_)]));
@@ -194,7 +194,7 @@
 }
 
 #[tokio::test]
-async fn resumed_crossing() {
+async fn resumed_after_mismatch() {
     // If the answer went to another request, the engine's stream must still be
     // resumed completely by a later connection.
     let engine = start_engine(true).await;
