--- a/bergamotswitch-net/src/caller/mod.rs
+++ b/bergamotswitch-net/src/caller/mod.rs
@@ -1,6 +1,9 @@
 //! Provides the HTTP interface of a host for callers: requests to engines and
 //! plain services, and lookups of addresses and outcomes. It is described in
 //! `docs/API.md`.
+//!
+//! The holder of a request is the host incarnation that accepted it and buffers
+//! its answer. Other hosts forward resubmissions and lookups to the holder.
 
 mod assembly;
 mod body;
--- a/bergamotswitch-net/src/platform/call.rs
+++ b/bergamotswitch-net/src/platform/call.rs
@@ -55,7 +55,7 @@
     body: serde_json::Value,
 }
 
-/// Try to make one call over a new connection. Calls are rare, and an idle
+/// Try to make one call over a new connection, since calls are rare and an idle
 /// connection may have become unresponsive unnoticed.
 pub(crate) async fn call(
     service: SocketAddr,
--- a/bergamotswitch-net/src/target_client/connection.rs
+++ b/bergamotswitch-net/src/target_client/connection.rs
@@ -30,7 +30,8 @@
 const KEEPALIVE_RETRIES: u32 = 3;
 
 /// How long before the target's idle timeout a connection is no longer reused.
-/// Whether a request that crosses the close has run is unknown.
+/// If the target closes the connection while a request is in transit, it is
+/// unknown whether the request ran.
 const IDLE_MARGIN: Duration = Duration::from_millis(1_000);
 
 /// A `SendFailure` is an error of a call that received no response head.
--- a/bergamotswitch-net/src/target_client/mod.rs
+++ b/bergamotswitch-net/src/target_client/mod.rs
@@ -134,8 +134,9 @@
         self.calls.insert(attempt, guard);
     }
 
-    /// Stop an attempt, which reports nothing more. With `cancel`, its engine
-    /// is requested to cancel the stream if the target's contract supports it.
+    /// Stop an attempt, which reports nothing more. If `cancel` is set and the
+    /// target's contract supports it, the engine is requested to cancel the
+    /// stream.
     pub fn abort(&mut self, attempt: AttemptId, cancel: bool) {
         let Some(guard) = self.calls.remove(&attempt) else {
             return;
--- a/bergamotswitch-net/src/target_client/silence_watch.rs
+++ b/bergamotswitch-net/src/target_client/silence_watch.rs
@@ -53,8 +53,9 @@
 }
 
 impl SilenceWatch<'_> {
-    /// Wait for a verdict. It never comes while the engine is merely slow. The
-    /// wait has no state: drop it and start another one when data arrives.
+    /// Wait for a verdict. The wait never completes while the engine is merely
+    /// slow. The wait has no state: drop it and start another one when data
+    /// arrives.
     pub async fn verdict(self) -> SilenceVerdict {
         if !self.options.liveness {
             return std::future::pending().await;
--- a/bergamotswitch-net/src/task_guard.rs
+++ b/bergamotswitch-net/src/task_guard.rs
@@ -4,8 +4,8 @@
 
 use tokio::task::AbortHandle;
 
-/// A `TaskGuard` aborts its task when dropped. Otherwise a task that waits on a
-/// silent connection would never end and would keep its socket open.
+/// A `TaskGuard` aborts its task when dropped. Otherwise a task that waits on
+/// an unresponsive connection would never end and would keep its socket open.
 #[derive(Debug)]
 pub(crate) struct TaskGuard(AbortHandle);
 
