--- a/bergamotswitch-net/src/caller/forward.rs
+++ b/bergamotswitch-net/src/caller/forward.rs
@@ -73,7 +73,7 @@
     pub(super) fn new(req: &Request, body: Bytes, forwarded: bool) -> Self {
         let uri = req.uri();
         let path_and_query = match uri.path_and_query() {
-            Some(target) => target.as_str(),
+            Some(path_and_query) => path_and_query.as_str(),
             None => uri.path(),
         };
         OriginalCall {
@@ -165,7 +165,7 @@
         .await
         .map_err(|_| ForwardFailure::NotConnected)?;
     // The connection ends when the body of the answer is dropped, by which the
-    // holder detects that the caller has left. The task ends with it.
+    // holder detects that the caller has disconnected. The task ends with it.
     tokio::spawn(async move {
         let _ = connection.await;
     });
--- a/bergamotswitch-net/src/target_client/event_stream.rs
+++ b/bergamotswitch-net/src/target_client/event_stream.rs
@@ -40,14 +40,14 @@
 }
 
 impl EventParser {
-    /// Get a parser at the beginning of a stream.
+    /// Get a parser at the start of a stream.
     pub fn new() -> Self {
         EventParser::default()
     }
 
     /// Add the next chunk of the body.
-    pub fn feed(&mut self, piece: &[u8]) {
-        self.unread.extend_from_slice(piece);
+    pub fn feed(&mut self, chunk: &[u8]) {
+        self.unread.extend_from_slice(chunk);
     }
 
     /// Try to get the next complete event, or `None` until more is fed.
--- a/bergamotswitch-net/src/target_client/mod.rs
+++ b/bergamotswitch-net/src/target_client/mod.rs
@@ -40,9 +40,9 @@
 use crate::answer::AnswerWriter;
 use crate::input::{NodeSender, OutgoingCall};
 
-// The initial number of calls at which finished ones are removed. The threshold
-// then doubles with the calls in flight, so that the amortized cost for each
-// call is constant.
+/// The initial number of calls at which finished ones are removed. The threshold
+/// then doubles with the calls in flight, so that the amortized cost for each
+/// call is constant.
 const FIRST_SWEEP: usize = 64;
 
 /// A `CallGuard` owns a call's task. Dropping it stops the task without a
@@ -134,8 +134,9 @@
         self.calls.insert(attempt, guard);
     }
 
-    /// Stop an attempt, which reports nothing more. With `cancel`, its engine
-    /// is requested to cancel the stream if the target's contract supports it.
+    /// Stop an attempt, which reports nothing more. If `cancel` is set and the
+    /// target's contract supports it, the engine is requested to cancel the
+    /// stream.
     pub fn abort(&mut self, attempt: AttemptId, cancel: bool) {
         let Some(guard) = self.calls.remove(&attempt) else {
             return;
--- a/bergamotswitch-net/src/target_client/silence_watch.rs
+++ b/bergamotswitch-net/src/target_client/silence_watch.rs
@@ -2,9 +2,8 @@
 //! or lost.
 //!
 //! A middlebox can lose the state of an open connection, which then stays open
-//! without delivering anything, while new connections work. The reader cannot
-//! tell this from a slow engine, so the engine's status is queried over a new
-//! connection.
+//! without delivering anything, while new connections work. This looks like a
+//! slow engine, so the engine's status is queried over a new connection.
 
 use std::net::SocketAddr;
 
@@ -54,14 +53,15 @@
 }
 
 impl SilenceWatch<'_> {
-    /// Wait for a verdict. It never comes while the engine is merely slow. The
-    /// wait has no state: drop it and start another one when data arrives.
+    /// Wait for a verdict. The wait never completes while the engine is merely
+    /// slow. The wait has no state: drop it and start another one when data
+    /// arrives.
     pub async fn verdict(self) -> SilenceVerdict {
         if !self.options.liveness {
             return std::future::pending().await;
         }
         sleep(self.options.idle_probe).await;
-        let quiet_since = Instant::now();
+        let silent_since = Instant::now();
         let mut misses = 0;
         loop {
             let finding = self.query().await;
@@ -80,7 +80,7 @@
                 StatusFinding::UnknownRequest => {
                     // The request may still be in flight to the engine.
                     misses = 0;
-                    if quiet_since.elapsed() >= self.options.unknown_request_grace {
+                    if silent_since.elapsed() >= self.options.unknown_request_grace {
                         return SilenceVerdict::Unavailable;
                     }
                 }
--- a/bergamotswitch-net/src/target_client/stream_status.rs
+++ b/bergamotswitch-net/src/target_client/stream_status.rs
@@ -12,7 +12,7 @@
 use super::connection::{TargetConnection, TargetRequest};
 use super::options::TargetClientOptions;
 
-// The maximum size of a status or load report.
+/// The maximum size of a status or load report.
 const MAX_REPORT_BYTES: usize = 64 * 1024;
 
 /// A `StreamId` is an engine's id of a stream, restricted to characters that
@@ -120,8 +120,8 @@
             _ => {}
         }
         let body = Limited::new(response.into_body(), MAX_REPORT_BYTES);
-        let whole = body.collect().await.map_err(|_| QueryError::NoAnswer)?;
-        Ok(whole.to_bytes())
+        let collected = body.collect().await.map_err(|_| QueryError::NoAnswer)?;
+        Ok(collected.to_bytes())
     };
     timeout(options.probe_timeout, exchange)
         .await
--- a/bergamotswitch-net/tests/silent_connections.rs
+++ b/bergamotswitch-net/tests/silent_connections.rs
@@ -1,4 +1,4 @@
-//! Tests connections that become unresponsive while new ones work.
+//! Tests of connections that become unresponsive while new ones work.
 
 mod target_support;
 
@@ -73,9 +73,9 @@
         let (attempt, answer) = harness.start(&target, PoolKind::Engine, &call);
         harness.first_token().await;
         silence_open(&engine);
-        let silenced = Instant::now();
+        let silenced_at = Instant::now();
         while harness.next_event().await.1 != AttemptEvent::Resumed {}
-        let recovery = silenced.elapsed();
+        let recovery = silenced_at.elapsed();
         println!("silent stream resumed after {recovery:?}, probed after {gap:?}");
         let events = harness.events().await;
         assert!(
@@ -271,8 +271,8 @@
     // unresponsive connections. A reused connection may become unresponsive
     // before its next request, which then never arrives.
     let checked = complete_answers(quick_options()).await;
-    let kept = quick_options().with_idle_reuse(Duration::from_secs(2));
-    let reused = complete_answers(kept).await;
+    let reuse_options = quick_options().with_idle_reuse(Duration::from_secs(2));
+    let reused = complete_answers(reuse_options).await;
     let unchecked = complete_answers(quick_options().with_liveness(false)).await;
     println!("complete answers of {CALLS}: {checked} with probes and new connections");
     println!("{reused} with probes and reused connections, {unchecked} without probes");
