--- a/bergamotswitch/examples/overhead.rs
+++ b/bergamotswitch/examples/overhead.rs
@@ -62,7 +62,7 @@
 
 fn main() -> Result<(), AnyError> {
     let stage = StagedDeployment::try_new(&deployment_directory("red-austral"))?;
-    let calls = narrow_stage(stage.directory())?;
+    let calls = reduce_stage(stage.directory())?;
     let settings = read_settings(&stage)?;
     let host = settings.caller_address;
     start_platform(&stage, &settings)?;
@@ -81,14 +81,14 @@
 }
 
 /// Leave one host, one engine and one service in the stage, both quick.
-fn narrow_stage(directory: &Path) -> Result<Vec<MeasuredCall>, AnyError> {
+fn reduce_stage(directory: &Path) -> Result<Vec<MeasuredCall>, AnyError> {
     let mut hosts = read_json(&directory.join("hosts.json"))?;
-    truncate(&mut hosts["hosts"]);
+    keep_first(&mut hosts["hosts"]);
     std::fs::write(directory.join("hosts.json"), hosts.to_string())?;
     let mut pools = read_json(&directory.join("pools.json"))?;
     let mut addresses = Vec::new();
     for pool in pools["pools"].as_array_mut().into_iter().flatten() {
-        truncate(&mut pool["targets"]);
+        keep_first(&mut pool["targets"]);
         let target = &mut pool["targets"][0];
         target["expected_speed"] = 20_000.into();
         target["token_limit"] = 131_072.into();
@@ -118,7 +118,7 @@
     ])
 }
 
-fn truncate(list: &mut Value) {
+fn keep_first(list: &mut Value) {
     if let Some(list) = list.as_array_mut() {
         list.truncate(1);
     }
@@ -142,7 +142,7 @@
         control: None,
         seed: 1,
     };
-    let (started, wait_started) = mpsc::channel();
+    let (started, started_receiver) = mpsc::channel();
     let platform = thread::Builder::new().name("platform".to_owned());
     platform.spawn(move || {
         let run = || -> Result<(), AnyError> {
@@ -158,7 +158,7 @@
             eprintln!("platform: {error}");
         }
     })?;
-    Ok(wait_started.recv()?)
+    Ok(started_receiver.recv()?)
 }
 
 fn run_host(settings: HostSettings) {
@@ -184,20 +184,20 @@
             path: call.target_path,
             body: call.body.clone(),
         };
-        let through = CallRoute {
+        let proxied = CallRoute {
             address: host,
             path: call.host_path,
             body: call.body.clone(),
         };
         run_round(&direct, 4, WARM_UP_CALLS).await?;
-        run_round(&through, 4, WARM_UP_CALLS).await?;
-        for (at_once, count) in CALLS_PER_ROUND {
+        run_round(&proxied, 4, WARM_UP_CALLS).await?;
+        for (concurrency, count) in CALLS_PER_ROUND {
             let mut times = [histogram()?, histogram()?];
             for _ in 0..ROUNDS {
-                times[0].add(run_round(&direct, at_once, count).await?)?;
-                times[1].add(run_round(&through, at_once, count).await?)?;
+                times[0].add(run_round(&direct, concurrency, count).await?)?;
+                times[1].add(run_round(&proxied, concurrency, count).await?)?;
             }
-            print_row(call.name, at_once, &times);
+            print_row(call.name, concurrency, &times);
         }
     }
     Ok(())
@@ -207,30 +207,31 @@
     Ok(Histogram::new_with_bounds(1, MAX_MICROS, 3)?)
 }
 
-fn print_row(name: &str, at_once: usize, times: &[Histogram<u64>; 2]) {
-    let millis = |index: usize, part: f64| times[index].value_at_quantile(part) as f64 / 1_000.0;
-    let [direct, through] = [0, 1].map(|index| [millis(index, 0.5), millis(index, 0.99)]);
+fn print_row(name: &str, concurrency: usize, times: &[Histogram<u64>; 2]) {
+    let millis =
+        |index: usize, quantile: f64| times[index].value_at_quantile(quantile) as f64 / 1_000.0;
+    let [direct, proxied] = [0, 1].map(|index| [millis(index, 0.5), millis(index, 0.99)]);
     println!(
-        "| {name} | {at_once} | {:.2} | {:.2} | {:.2} | {:.2} | {:.2} | {:.2} |",
+        "| {name} | {concurrency} | {:.2} | {:.2} | {:.2} | {:.2} | {:.2} | {:.2} |",
         direct[0],
         direct[1],
-        through[0],
-        through[1],
-        through[0] - direct[0],
-        through[1] - direct[1]
+        proxied[0],
+        proxied[1],
+        proxied[0] - direct[0],
+        proxied[1] - direct[1]
     );
 }
 
-/// Make `count` calls, `at_once` of them at a time, each over a connection
+/// Make `count` calls, `concurrency` of them at a time, each over a connection
 /// that its caller keeps.
 async fn run_round(
     route: &CallRoute,
-    at_once: usize,
+    concurrency: usize,
     count: usize,
 ) -> Result<Histogram<u64>, AnyError> {
     let mut callers = JoinSet::new();
-    for _ in 0..at_once {
-        callers.spawn(call_repeatedly(route.clone(), count / at_once));
+    for _ in 0..concurrency {
+        callers.spawn(call_repeatedly(route.clone(), count / concurrency));
     }
     let mut times = histogram()?;
     while let Some(joined) = callers.join_next().await {
@@ -266,11 +267,11 @@
         .header("content-type", "application/json")
         .body(Full::new(route.body.clone()))?;
     sender.ready().await?;
-    let begun = Instant::now();
+    let start = Instant::now();
     let response = sender.send_request(request).await?;
     let status = response.status();
     let body = response.into_body().collect().await?.to_bytes();
-    let elapsed = begun.elapsed();
+    let elapsed = start.elapsed();
     match status.is_success() && !body.is_empty() {
         true => Ok(elapsed),
         false => Err(format!("{status}: {}", String::from_utf8_lossy(&body)).into()),
--- a/bergamotswitch/examples/policies/baseline.rs
+++ b/bergamotswitch/examples/policies/baseline.rs
@@ -13,14 +13,14 @@
 use bergamotswitch_core::retry::{RetryBudget, RetryRate};
 use bergamotswitch_core::target::{LoadReport, PoolTarget, TargetName};
 
+use crate::simulation::{PolicyCommand, TestPolicy, batch_size, targets};
 use crate::traffic::{HOST_COUNT, OfferedRequest, TestDeployment};
-use crate::world::{Order, TestPolicy, batch_of, targets};
 
 /// The most dispatches of one request, as in the entry side's options.
-const ATTEMPTS: u16 = 3;
+const MAX_ATTEMPTS: u16 = 3;
 
 /// How often a queue is checked for deadlines.
-const LOOK_MICROS: u64 = 100_000;
+const DEADLINE_CHECK_INTERVAL: u64 = 100_000;
 
 /// A `BaselineRule` says how a host chooses a target, and in what order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,7 +33,7 @@
 }
 
 /// A place in a host's queue: the tier where it counts, then the arrival.
-type QueuePlace = (u8, u64);
+type QueueKey = (u8, u64);
 
 struct BaselineTarget {
     target: PoolTarget,
@@ -52,24 +52,24 @@
     avoid: Vec<TargetName>,
     dispatches: u16,
     tier: u8,
-    begun: bool,
+    output_started: bool,
 }
 
 #[derive(Default)]
-struct BaselineHost {
-    waiting: BTreeMap<PoolName, BTreeMap<QueuePlace, WaitingRequest>>,
+struct BaselineHostState {
+    waiting: BTreeMap<PoolName, BTreeMap<QueueKey, WaitingRequest>>,
     running: HashMap<AttemptId, (WaitingRequest, usize)>,
     in_flight: Vec<usize>,
     budgets: BTreeMap<PoolName, RetryBudget>,
-    turn: usize,
-    looked_at: u64,
+    next_target: usize,
+    checked_at: u64,
 }
 
 /// A `BaselinePolicy` is a fleet of hosts that share nothing.
 pub struct BaselinePolicy {
     rule: BaselineRule,
     targets: Vec<BaselineTarget>,
-    hosts: Vec<BaselineHost>,
+    hosts: Vec<BaselineHostState>,
     sequence: u64,
 }
 
@@ -80,17 +80,17 @@
                 target: target.clone(),
                 // All hosts together just fill the batch: the best cap there
                 // is without an owner.
-                cap: batch_of(target).div_ceil(HOST_COUNT),
+                cap: batch_size(target).div_ceil(HOST_COUNT),
                 reported: 0,
             })
             .collect();
-        let fresh = || BaselineHost {
+        let new_host = || BaselineHostState {
             in_flight: vec![0; targets.len()],
-            ..BaselineHost::default()
+            ..BaselineHostState::default()
         };
         BaselinePolicy {
             rule,
-            hosts: (0..HOST_COUNT).map(|_| fresh()).collect(),
+            hosts: (0..HOST_COUNT).map(|_| new_host()).collect(),
             targets,
             sequence: 0,
         }
@@ -109,20 +109,20 @@
         queue.insert((tier, self.sequence), request);
     }
 
-    fn pump(&mut self, now: Moment, host: usize) -> Vec<Order> {
-        let mut orders = Vec::new();
+    fn dispatch_waiting(&mut self, now: Moment, host: usize) -> Vec<PolicyCommand> {
+        let mut commands = Vec::new();
         let pools: Vec<PoolName> = self.hosts[host].waiting.keys().cloned().collect();
         for pool in pools {
-            while let Some((place, request)) = self.take_next(now, host, &pool, &mut orders) {
+            while let Some((key, request)) = self.take_next(now, host, &pool, &mut commands) {
                 let Some(target) = self.choose(host, &request) else {
                     let queue = self.hosts[host].waiting.entry(pool.clone()).or_default();
-                    queue.insert(place, request);
+                    queue.insert(key, request);
                     break;
                 };
-                orders.push(self.dispatch(host, target, request));
+                commands.push(self.dispatch(host, target, request));
             }
         }
-        orders
+        commands
     }
 
     fn take_next(
@@ -130,24 +130,29 @@
         now: Moment,
         host: usize,
         pool: &PoolName,
-        orders: &mut Vec<Order>,
-    ) -> Option<(QueuePlace, WaitingRequest)> {
+        commands: &mut Vec<PolicyCommand>,
+    ) -> Option<(QueueKey, WaitingRequest)> {
         let queue = self.hosts[host].waiting.get_mut(pool)?;
         loop {
-            let (place, request) = queue.pop_first()?;
+            let (key, request) = queue.pop_first()?;
             if request.deadline > now.as_micros() {
-                return Some((place, request));
+                return Some((key, request));
             }
-            orders.push(Order::Conclude {
+            commands.push(PolicyCommand::Conclude {
                 request: request.index,
                 answered: false,
             });
         }
     }
 
-    fn dispatch(&mut self, host: usize, target: usize, mut request: WaitingRequest) -> Order {
+    fn dispatch(
+        &mut self,
+        host: usize,
+        target: usize,
+        mut request: WaitingRequest,
+    ) -> PolicyCommand {
         request.dispatches += 1;
-        let order = Order::Start {
+        let command = PolicyCommand::Start {
             host,
             attempt: request.attempt,
             request: request.index,
@@ -157,61 +162,63 @@
         self.hosts[host]
             .running
             .insert(request.attempt, (request, target));
-        order
+        command
     }
 
     fn choose(&mut self, host: usize, request: &WaitingRequest) -> Option<usize> {
-        let here = &mut self.hosts[host];
+        let state = &mut self.hosts[host];
         let count = self.targets.len();
-        let mine = |index: &usize| {
+        let is_eligible = |index: &usize| {
             let target = &self.targets[*index];
-            let known = target
+            let in_pool = target
                 .target
                 .name
                 .as_str()
                 .starts_with(request.pool.as_str());
-            known
-                && here.in_flight[*index] < target.cap
+            in_pool
+                && state.in_flight[*index] < target.cap
                 && !request.avoid.contains(&target.target.name)
         };
         match self.rule {
             BaselineRule::RoundRobin => {
-                let turn = here.turn;
-                let found = (0..count).map(|i| (turn + i) % count).find(|i| mine(i))?;
-                here.turn = found + 1;
+                let next_target = state.next_target;
+                let found = (0..count)
+                    .map(|i| (next_target + i) % count)
+                    .find(|i| is_eligible(i))?;
+                state.next_target = found + 1;
                 Some(found)
             }
             BaselineRule::LeastReported => (0..count)
-                .filter(mine)
+                .filter(is_eligible)
                 .min_by_key(|index| self.targets[*index].reported),
             _ => {
-                let turn = here.turn;
-                let order = (0..count).map(|i| (turn + i) % count);
-                let found = order
-                    .filter(mine)
-                    .min_by_key(|index| here.in_flight[*index])?;
-                here.turn = found + 1;
+                let next_target = state.next_target;
+                let indices = (0..count).map(|i| (next_target + i) % count);
+                let found = indices
+                    .filter(is_eligible)
+                    .min_by_key(|index| state.in_flight[*index])?;
+                state.next_target = found + 1;
                 Some(found)
             }
         }
     }
 
-    fn broke(
+    fn retry_or_fail(
         &mut self,
         now: Moment,
         host: usize,
         mut request: WaitingRequest,
         target: usize,
-    ) -> Option<Order> {
-        let here = &mut self.hosts[host];
-        let budget = here
+    ) -> Option<PolicyCommand> {
+        let state = &mut self.hosts[host];
+        let budget = state
             .budgets
             .entry(request.pool.clone())
             .or_insert_with(|| RetryBudget::new(RetryRate::default(), 1, now));
-        let seen = request.streaming && request.begun;
-        let again = request.idempotent && !seen && request.dispatches < ATTEMPTS;
-        if !again || !budget.try_spend(now) {
-            return Some(Order::Conclude {
+        let output_sent = request.streaming && request.output_started;
+        let can_retry = request.idempotent && !output_sent && request.dispatches < MAX_ATTEMPTS;
+        if !can_retry || !budget.try_spend(now) {
+            return Some(PolicyCommand::Conclude {
                 request: request.index,
                 answered: false,
             });
@@ -224,11 +231,16 @@
 }
 
 impl TestPolicy for BaselinePolicy {
-    fn start(&mut self, _now: Moment) -> Vec<Order> {
+    fn start(&mut self, _now: Moment) -> Vec<PolicyCommand> {
         Vec::new()
     }
 
-    fn submit(&mut self, now: Moment, index: usize, request: &OfferedRequest) -> Vec<Order> {
+    fn submit(
+        &mut self,
+        now: Moment,
+        index: usize,
+        request: &OfferedRequest,
+    ) -> Vec<PolicyCommand> {
         let submission = &request.submission;
         let host = request.host;
         let budgets = &mut self.hosts[host].budgets;
@@ -255,10 +267,10 @@
                 avoid: Vec::new(),
                 dispatches: 0,
                 tier: submission.verdict.tier.0,
-                begun: false,
+                output_started: false,
             },
         );
-        self.pump(now, host)
+        self.dispatch_waiting(now, host)
     }
 
     fn attempt(
@@ -267,10 +279,11 @@
         host: usize,
         id: AttemptId,
         event: AttemptEvent,
-    ) -> Vec<Order> {
-        let here = &mut self.hosts[host];
-        if let (AttemptEvent::FirstToken, Some((request, _))) = (event, here.running.get_mut(&id)) {
-            request.begun = true;
+    ) -> Vec<PolicyCommand> {
+        let state = &mut self.hosts[host];
+        if let (AttemptEvent::FirstToken, Some((request, _))) = (event, state.running.get_mut(&id))
+        {
+            request.output_started = true;
         }
         if matches!(
             event,
@@ -281,49 +294,60 @@
         ) {
             return Vec::new();
         }
-        let Some((request, target)) = here.running.remove(&id) else {
+        let Some((request, target)) = state.running.remove(&id) else {
             return Vec::new();
         };
-        here.in_flight[target] -= 1;
-        let end = match event {
-            AttemptEvent::Finished(_) => Some(Order::Conclude {
+        state.in_flight[target] -= 1;
+        let command = match event {
+            AttemptEvent::Finished(_) => Some(PolicyCommand::Conclude {
                 request: request.index,
                 answered: true,
             }),
-            _ => self.broke(now, host, request, target),
+            _ => self.retry_or_fail(now, host, request, target),
         };
-        let mut orders: Vec<Order> = end.into_iter().collect();
-        orders.extend(self.pump(now, host));
-        orders
+        let mut commands: Vec<PolicyCommand> = command.into_iter().collect();
+        commands.extend(self.dispatch_waiting(now, host));
+        commands
     }
 
-    fn load(&mut self, _now: Moment, target: &TargetName, report: LoadReport) -> Vec<Order> {
-        for known in &mut self.targets {
-            if known.target.name == *target {
-                known.reported = report.outstanding_tokens;
+    fn load(
+        &mut self,
+        _now: Moment,
+        target: &TargetName,
+        report: LoadReport,
+    ) -> Vec<PolicyCommand> {
+        for entry in &mut self.targets {
+            if entry.target.name == *target {
+                entry.reported = report.outstanding_tokens;
             }
         }
         Vec::new()
     }
 
-    fn prefix(&mut self, _now: Moment, _: &TargetName, _: PrefixHash, _: bool) -> Vec<Order> {
+    fn prefix(
+        &mut self,
+        _now: Moment,
+        _: &TargetName,
+        _: PrefixHash,
+        _: bool,
+    ) -> Vec<PolicyCommand> {
         Vec::new()
     }
 
-    fn link(&mut self, _now: Moment, _host: usize, _event: LinkEvent) -> Vec<Order> {
+    fn link(&mut self, _now: Moment, _host: usize, _event: LinkEvent) -> Vec<PolicyCommand> {
         Vec::new()
     }
 
-    fn tick(&mut self, now: Moment, host: usize) -> Vec<Order> {
-        self.hosts[host].looked_at = now.as_micros();
-        self.pump(now, host)
+    fn tick(&mut self, now: Moment, host: usize) -> Vec<PolicyCommand> {
+        self.hosts[host].checked_at = now.as_micros();
+        self.dispatch_waiting(now, host)
     }
 
     fn wake(&self, host: usize) -> Moment {
-        Moment::from_micros(self.hosts[host].looked_at + LOOK_MICROS)
+        Moment::from_micros(self.hosts[host].checked_at + DEADLINE_CHECK_INTERVAL)
     }
 
-    fn kill(&mut self, _host: usize, _silent: bool) -> Vec<Order> {
+    fn kill(&mut self, _host: usize, _silent: bool) -> Vec<PolicyCommand> {
         Vec::new()
     }
 }
--- a/bergamotswitch/examples/policies/engine.rs
+++ b/bergamotswitch/examples/policies/engine.rs
@@ -32,8 +32,8 @@
     pub blocks: Vec<PrefixHash>,
     pub arrived_at: u64,
     cached: u32,
-    read: u32,
-    written: u32,
+    prefilled: u32,
+    decoded: u32,
     first_token_at: u64,
 }
 
@@ -48,19 +48,19 @@
             blocks: Vec::new(),
             arrived_at: 0,
             cached: 0,
-            read: 0,
-            written: 0,
+            prefilled: 0,
+            decoded: 0,
             first_token_at: 0,
         }
     }
 
     /// Get the prompt tokens that were processed.
     pub fn prefilled(&self) -> u32 {
-        self.read
+        self.prefilled
     }
 
-    fn unread(&self) -> u32 {
-        self.prompt - self.cached - self.read
+    fn remaining_prefill(&self) -> u32 {
+        self.prompt - self.cached - self.prefilled
     }
 
     fn tokens(&self) -> u64 {
@@ -70,18 +70,18 @@
     pub fn usage(&self, now: u64) -> Usage {
         let millis = |from: u64, to: u64| (to.saturating_sub(from) / 1000) as u32;
         Usage {
-            prefill: self.read + self.cached,
+            prefill: self.prefilled + self.cached,
             cached: self.cached,
-            decode: self.written,
+            decode: self.decoded,
             first_token_ms: millis(self.arrived_at, self.first_token_at),
             elapsed_ms: millis(self.arrived_at, now),
         }
     }
 }
 
-/// An `EngineNews` is what a step brought about.
+/// An `EngineUpdate` is what a step brought about.
 #[derive(Debug)]
-pub enum EngineNews {
+pub enum EngineUpdate {
     Attempt(EngineRun, AttemptEvent),
     Ended(EngineRun),
     Cached(PrefixHash, bool),
@@ -95,12 +95,12 @@
     pub slowdown: f64,
     batch: usize,
     step_micros: f64,
-    cache_blocks: usize,
+    cache_capacity: usize,
     waiting: VecDeque<EngineRun>,
     running: Vec<EngineRun>,
     cache: HashMap<PrefixHash, u64>,
-    by_use: BTreeSet<(u64, PrefixHash)>,
-    uses: u64,
+    by_last_use: BTreeSet<(u64, PrefixHash)>,
+    use_count: u64,
     pub stepping: bool,
 }
 
@@ -111,12 +111,12 @@
             slowdown: 1.0,
             batch,
             step_micros,
-            cache_blocks: (target.token_limit / BLOCK_TOKENS) as usize,
+            cache_capacity: (target.token_limit / BLOCK_TOKENS) as usize,
             waiting: VecDeque::new(),
             running: Vec::new(),
             cache: HashMap::new(),
-            by_use: BTreeSet::new(),
-            uses: 0,
+            by_last_use: BTreeSet::new(),
+            use_count: 0,
             stepping: false,
             target,
         }
@@ -141,8 +141,9 @@
 
     pub fn load(&self) -> LoadReport {
         let waiting: u64 = self.waiting.iter().map(EngineRun::tokens).sum();
-        let left = |run: &EngineRun| u64::from(run.unread() + run.output - run.written);
-        let running: u64 = self.running.iter().map(left).sum();
+        let remaining_tokens =
+            |run: &EngineRun| u64::from(run.remaining_prefill() + run.output - run.decoded);
+        let running: u64 = self.running.iter().map(remaining_tokens).sum();
         LoadReport {
             running: self.running.len() as u32,
             waiting: self.waiting.len() as u32,
@@ -153,87 +154,89 @@
 
     /// Make one step; get how long it takes in microseconds, and what it
     /// brings about at its end.
-    pub fn step(&mut self, now: u64) -> (u64, Vec<EngineNews>) {
-        self.fill();
-        let mut chunk = CHUNK_TOKENS;
+    pub fn step(&mut self, now: u64) -> (u64, Vec<EngineUpdate>) {
+        self.fill_batch();
+        let mut chunk_left = CHUNK_TOKENS;
         for run in &mut self.running {
-            let part = run.unread().min(chunk);
-            chunk -= part;
+            let tokens = run.remaining_prefill().min(chunk_left);
+            chunk_left -= tokens;
         }
-        let read_micros = f64::from(CHUNK_TOKENS - chunk) * 1e6
+        let prefill_micros = f64::from(CHUNK_TOKENS - chunk_left) * 1e6
             / f64::from(self.target.expected_speed * PREFILL_FACTOR);
-        let span = ((self.step_micros + read_micros) * self.slowdown) as u64;
-        let end = now + span.max(1);
-        let mut news = Vec::new();
-        self.advance(end, &mut news);
-        (span.max(1), news)
+        let duration = ((self.step_micros + prefill_micros) * self.slowdown) as u64;
+        let end = now + duration.max(1);
+        let mut updates = Vec::new();
+        self.advance(end, &mut updates);
+        (duration.max(1), updates)
     }
 
-    fn advance(&mut self, end: u64, news: &mut Vec<EngineNews>) {
-        let mut chunk = CHUNK_TOKENS;
-        let mut warm = Vec::new();
+    fn advance(&mut self, end: u64, updates: &mut Vec<EngineUpdate>) {
+        let mut chunk_left = CHUNK_TOKENS;
+        let mut cached_blocks = Vec::new();
         for run in &mut self.running {
-            if run.unread() > 0 {
-                let part = run.unread().min(chunk);
-                chunk -= part;
-                run.read += part;
-                if run.unread() == 0 {
-                    warm.extend_from_slice(&run.blocks);
+            if run.remaining_prefill() > 0 {
+                let tokens = run.remaining_prefill().min(chunk_left);
+                chunk_left -= tokens;
+                run.prefilled += tokens;
+                if run.remaining_prefill() == 0 {
+                    cached_blocks.extend_from_slice(&run.blocks);
                 }
                 continue;
             }
-            run.written += 1;
-            if run.written == 1 {
+            run.decoded += 1;
+            if run.decoded == 1 {
                 run.first_token_at = end;
-                news.push(EngineNews::Attempt(run.clone(), AttemptEvent::FirstToken));
-            } else if run.written.is_multiple_of(PROGRESS_TOKENS) {
-                let event = AttemptEvent::Progress(run.written);
-                news.push(EngineNews::Attempt(run.clone(), event));
+                updates.push(EngineUpdate::Attempt(run.clone(), AttemptEvent::FirstToken));
+            } else if run.decoded.is_multiple_of(PROGRESS_TOKENS) {
+                let event = AttemptEvent::Progress(run.decoded);
+                updates.push(EngineUpdate::Attempt(run.clone(), event));
             }
-            if run.written == run.output {
-                news.push(EngineNews::Ended(run.clone()));
+            if run.decoded == run.output {
+                updates.push(EngineUpdate::Ended(run.clone()));
             }
         }
-        self.running.retain(|run| run.written < run.output);
-        for block in warm {
-            self.remember(block, news);
+        self.running.retain(|run| run.decoded < run.output);
+        for block in cached_blocks {
+            self.cache_block(block, updates);
         }
     }
 
     /// Move waiting runs into the batch while the first of them fits.
-    fn fill(&mut self) {
-        let mut held: u64 = self.running.iter().map(EngineRun::tokens).sum();
+    fn fill_batch(&mut self) {
+        let mut batch_tokens: u64 = self.running.iter().map(EngineRun::tokens).sum();
         while self.running.len() < self.batch {
             let Some(first) = self.waiting.front() else {
                 return;
             };
-            if held > 0 && held + first.tokens() > u64::from(self.target.token_limit) {
+            if batch_tokens > 0
+                && batch_tokens + first.tokens() > u64::from(self.target.token_limit)
+            {
                 return;
             }
             let Some(mut run) = self.waiting.pop_front() else {
                 return;
             };
-            held += run.tokens();
-            let warm = run.blocks.iter().take_while(|b| self.cache.contains_key(b));
+            batch_tokens += run.tokens();
+            let cached_prefix = run.blocks.iter().take_while(|b| self.cache.contains_key(b));
             // The last prompt token is always processed.
-            run.cached = (warm.count() as u32 * BLOCK_TOKENS).min(run.prompt - 1);
+            run.cached = (cached_prefix.count() as u32 * BLOCK_TOKENS).min(run.prompt - 1);
             self.running.push(run);
         }
     }
 
-    fn remember(&mut self, block: PrefixHash, news: &mut Vec<EngineNews>) {
-        self.uses += 1;
-        if let Some(used) = self.cache.insert(block, self.uses) {
-            self.by_use.remove(&(used, block));
+    fn cache_block(&mut self, block: PrefixHash, updates: &mut Vec<EngineUpdate>) {
+        self.use_count += 1;
+        if let Some(last_use) = self.cache.insert(block, self.use_count) {
+            self.by_last_use.remove(&(last_use, block));
         } else {
-            news.push(EngineNews::Cached(block, true));
+            updates.push(EngineUpdate::Cached(block, true));
         }
-        self.by_use.insert((self.uses, block));
-        if self.cache.len() > self.cache_blocks
-            && let Some((_, oldest)) = self.by_use.pop_first()
+        self.by_last_use.insert((self.use_count, block));
+        if self.cache.len() > self.cache_capacity
+            && let Some((_, oldest)) = self.by_last_use.pop_first()
         {
             self.cache.remove(&oldest);
-            news.push(EngineNews::Cached(oldest, false));
+            updates.push(EngineUpdate::Cached(oldest, false));
         }
     }
 }
--- a/bergamotswitch/examples/policies/main.rs
+++ b/bergamotswitch/examples/policies/main.rs
@@ -6,8 +6,8 @@
 mod engine;
 mod node_policy;
 mod report;
+mod simulation;
 mod traffic;
-mod world;
 
 use std::thread;
 
@@ -15,9 +15,9 @@
 
 use baseline::{BaselinePolicy, BaselineRule};
 use node_policy::{NodePolicy, owner_index};
-use report::{RunFigures, print_table};
-use traffic::{TestDeployment, TestScenario, offer};
-use world::{TestPolicy, World};
+use report::{RunMetrics, print_table};
+use simulation::{Simulation, TestPolicy};
+use traffic::{TestDeployment, TestScenario, generate_requests};
 
 const BASELINES: [(&str, BaselineRule); 4] = [
     ("round robin", BaselineRule::RoundRobin),
@@ -27,58 +27,68 @@
 ];
 
 /// The scenarios in which options are varied; all would take too long.
-const VARIED: [&str; 3] = ["dawn burst 2x", "slow engine", "owner dies in burst"];
+const OPTION_SCENARIOS: [&str; 3] = ["dawn burst 2x", "slow engine", "owner dies in burst"];
 
 fn run(
     deployment: &TestDeployment,
     scenario: &TestScenario,
     policy: &mut dyn TestPolicy,
     hedge_after: Option<u64>,
-) -> RunFigures {
-    let offered = offer(deployment, scenario);
+) -> RunMetrics {
+    let requests = generate_requests(deployment, scenario);
     let owner = owner_index(deployment);
-    let mut world = World::new(deployment, scenario, owner, offered, policy);
-    world.hedge_after = hedge_after;
-    RunFigures::of(&world.run(scenario), scenario)
+    let mut simulation = Simulation::new(deployment, scenario, owner, requests, policy);
+    simulation.hedge_after = hedge_after;
+    RunMetrics::of(&simulation.run(scenario), scenario)
 }
 
-type Rows = Vec<(String, RunFigures)>;
+type MetricRows = Vec<(String, RunMetrics)>;
 
-fn compare(deployment: &TestDeployment, scenario: &TestScenario) -> Rows {
+fn compare(deployment: &TestDeployment, scenario: &TestScenario) -> MetricRows {
     let mut rows = Vec::new();
-    let mut own = NodePolicy::new(deployment, &NodeOptions::default());
-    let figures = run(deployment, scenario, &mut own, None);
-    rows.push(("bergamotswitch".to_owned(), figures));
+    let mut policy = NodePolicy::new(deployment, &NodeOptions::default());
+    let metrics = run(deployment, scenario, &mut policy, None);
+    rows.push(("bergamotswitch".to_owned(), metrics));
     for (name, rule) in BASELINES {
         let mut policy = BaselinePolicy::new(deployment, rule);
-        let figures = run(deployment, scenario, &mut policy, None);
-        rows.push((name.to_owned(), figures));
+        let metrics = run(deployment, scenario, &mut policy, None);
+        rows.push((name.to_owned(), metrics));
     }
     rows
 }
 
 /// Measure the policy's options one at a time.
-fn vary(deployment: &TestDeployment, scenario: &TestScenario) -> Rows {
+fn compare_options(deployment: &TestDeployment, scenario: &TestScenario) -> MetricRows {
     let mut rows = Vec::new();
     let mut add = |name: &str, opts: NodeOptions, set: fn(&mut NodePolicy), hedge_after| {
         let mut policy = NodePolicy::new(deployment, &opts);
         set(&mut policy);
-        let figures = run(deployment, scenario, &mut policy, hedge_after);
-        rows.push((name.to_owned(), figures));
+        let metrics = run(deployment, scenario, &mut policy, hedge_after);
+        rows.push((name.to_owned(), metrics));
     };
-    let usual = NodeOptions::default;
-    add("as it is", usual(), |_| {}, None);
-    add("no prefix affinity", usual(), |p| p.affinity = false, None);
-    add("hedged after 0.5 s", usual(), |_| {}, Some(500_000));
-    add("hedged after 2 s", usual(), |_| {}, Some(2_000_000));
-    add("queue of 30 s", usual(), |p| p.limit_queue(30_000), None);
+    let defaults = NodeOptions::default;
+    add("as it is", defaults(), |_| {}, None);
+    add(
+        "no prefix affinity",
+        defaults(),
+        |p| p.affinity = false,
+        None,
+    );
+    add("hedged after 0.5 s", defaults(), |_| {}, Some(500_000));
+    add("hedged after 2 s", defaults(), |_| {}, Some(2_000_000));
+    add(
+        "queue of 30 s",
+        defaults(),
+        |p| p.set_queue_limit(30_000),
+        None,
+    );
     rows
 }
 
 fn print_all(
     title: &str,
     scenarios: &[TestScenario],
-    measure: fn(&TestDeployment, &TestScenario) -> Rows,
+    measure: fn(&TestDeployment, &TestScenario) -> MetricRows,
 ) {
     println!("\n## {title}");
     for deployment in [
@@ -87,13 +97,14 @@
     ] {
         // Three threads at most, so that a busy machine stays usable.
         for group in scenarios.chunks(3) {
-            let tables: Vec<Rows> = thread::scope(|scope| {
-                let runs: Vec<_> = group
+            let tables: Vec<MetricRows> = thread::scope(|scope| {
+                let handles: Vec<_> = group
                     .iter()
                     .map(|scenario| scope.spawn(|| measure(&deployment, scenario)))
                     .collect();
-                runs.into_iter()
-                    .map(|run| run.join().expect("a run that ends"))
+                handles
+                    .into_iter()
+                    .map(|handle| handle.join().expect("a measurement thread panicked"))
                     .collect()
             });
             for (scenario, rows) in group.iter().zip(&tables) {
@@ -106,6 +117,6 @@
 fn main() {
     let mut scenarios = TestScenario::all();
     print_all("The policy and baselines", &scenarios, compare);
-    scenarios.retain(|scenario| VARIED.contains(&scenario.name));
-    print_all("The policy's options", &scenarios, vary);
+    scenarios.retain(|scenario| OPTION_SCENARIOS.contains(&scenario.name));
+    print_all("The policy's options", &scenarios, compare_options);
 }
--- a/bergamotswitch/examples/policies/node_policy.rs
+++ b/bergamotswitch/examples/policies/node_policy.rs
@@ -15,13 +15,13 @@
 use bergamotswitch_core::revision::{LIMITS_VALUE, PublishedValue};
 use bergamotswitch_core::target::{LoadReport, TargetName};
 
+use crate::simulation::{PolicyCommand, TestPolicy};
 use crate::traffic::{HOST_COUNT, OfferedRequest, TestDeployment};
-use crate::world::{Order, TestPolicy};
 
 struct NodeHost {
-    run: HostIncarnation,
+    incarnation: HostIncarnation,
     node: NodeCore,
-    watches: bool,
+    watches_targets: bool,
     linked: [bool; HOST_COUNT],
     alive: bool,
 }
@@ -40,20 +40,20 @@
     pub fn new(deployment: &TestDeployment, opts: &NodeOptions) -> Self {
         let listed = &deployment.publication.hosts.hosts;
         let hosts = listed.iter().enumerate().map(|(index, host)| {
-            let run = HostIncarnation {
+            let incarnation = HostIncarnation {
                 host: host.name.clone(),
                 incarnation: Incarnation(index as u128 + 1),
             };
             let node = NodeCore::new(
-                run.clone(),
+                incarnation.clone(),
                 host.domain.clone(),
                 opts.clone(),
                 Moment::START,
             );
             NodeHost {
-                run,
+                incarnation,
                 node,
-                watches: false,
+                watches_targets: false,
                 linked: [false; HOST_COUNT],
                 alive: true,
             }
@@ -68,7 +68,7 @@
     }
 
     /// Publish another limit on the queue.
-    pub fn limit_queue(&mut self, millis: u64) {
+    pub fn set_queue_limit(&mut self, millis: u64) {
         let limits = self.values.iter_mut();
         for value in limits.filter(|value| value.name.as_str() == LIMITS_VALUE) {
             let limit = format!("{{\"queue_limit_ms\":{millis},");
@@ -83,11 +83,11 @@
             .expect("a listed host")
     }
 
-    fn handle(&mut self, now: Moment, host: usize, event: NodeEvent) -> Vec<Order> {
+    fn handle(&mut self, now: Moment, host: usize, event: NodeEvent) -> Vec<PolicyCommand> {
         let actions = self.hosts[host].node.handle(now, event);
-        let mut orders = Vec::new();
-        self.translate(now, host, actions, &mut orders);
-        orders
+        let mut commands = Vec::new();
+        self.translate(now, host, actions, &mut commands);
+        commands
     }
 
     fn translate(
@@ -95,44 +95,46 @@
         now: Moment,
         host: usize,
         actions: Vec<NodeAction>,
-        orders: &mut Vec<Order>,
+        commands: &mut Vec<PolicyCommand>,
     ) {
         for action in actions {
             match action {
                 NodeAction::Send(to, message) => {
                     let to = self.index_of(&to);
-                    let event = LinkEvent::Message(self.hosts[host].run.clone(), message);
-                    orders.push(Order::Link { to, event });
+                    let event = LinkEvent::Message(self.hosts[host].incarnation.clone(), message);
+                    commands.push(PolicyCommand::Link { to, event });
                 }
-                NodeAction::Connect(peer) => self.connect(host, &peer.name, orders),
+                NodeAction::Connect(peer) => self.connect(host, &peer.name, commands),
                 NodeAction::Read(name) => {
                     let found = self.values.iter().find(|value| value.name == name);
                     if let Some(value) = found.cloned() {
                         let more = self.hosts[host].node.handle(now, NodeEvent::Read(value));
-                        self.translate(now, host, more, orders);
+                        self.translate(now, host, more, commands);
                     }
                 }
                 NodeAction::WatchTargets(targets) => {
-                    self.hosts[host].watches = !targets.is_empty();
+                    self.hosts[host].watches_targets = !targets.is_empty();
                 }
                 NodeAction::Start {
                     attempt, target, ..
                 } => {
                     let request = self.requests[&attempt.request];
-                    orders.push(Order::Start {
+                    commands.push(PolicyCommand::Start {
                         host,
                         attempt,
                         request,
                         target: target.name,
                     });
                 }
-                NodeAction::Abort { attempt, .. } => orders.push(Order::Abort { attempt }),
+                NodeAction::Abort { attempt, .. } => {
+                    commands.push(PolicyCommand::Abort { attempt })
+                }
                 NodeAction::Conclude(id, conclusion) => {
                     // A refusal before the request got its number is told by
                     // the reception.
                     if let Some(request) = self.requests.get(&id) {
                         let answered = conclusion == Conclusion::Answered;
-                        orders.push(Order::Conclude {
+                        commands.push(PolicyCommand::Conclude {
                             request: *request,
                             answered,
                         });
@@ -143,55 +145,63 @@
         }
     }
 
-    fn connect(&mut self, host: usize, peer: &HostName, orders: &mut Vec<Order>) {
+    fn connect(&mut self, host: usize, peer: &HostName, commands: &mut Vec<PolicyCommand>) {
         let to = self.index_of(peer);
         if self.hosts[host].linked[to] || !self.hosts[to].alive {
             return;
         }
         self.hosts[host].linked[to] = true;
         self.hosts[to].linked[host] = true;
-        let (mine, theirs) = (self.hosts[host].run.clone(), self.hosts[to].run.clone());
-        orders.push(Order::Link {
+        let (local, remote) = (
+            self.hosts[host].incarnation.clone(),
+            self.hosts[to].incarnation.clone(),
+        );
+        commands.push(PolicyCommand::Link {
             to,
-            event: LinkEvent::Up(mine),
+            event: LinkEvent::Up(local),
         });
-        orders.push(Order::Link {
+        commands.push(PolicyCommand::Link {
             to: host,
-            event: LinkEvent::Up(theirs),
+            event: LinkEvent::Up(remote),
         });
     }
 }
 
 impl TestPolicy for NodePolicy {
-    fn start(&mut self, now: Moment) -> Vec<Order> {
+    fn start(&mut self, now: Moment) -> Vec<PolicyCommand> {
         (0..HOST_COUNT)
             .flat_map(|host| self.handle(now, host, NodeEvent::Tick))
             .collect()
     }
 
-    fn submit(&mut self, now: Moment, index: usize, request: &OfferedRequest) -> Vec<Order> {
+    fn submit(
+        &mut self,
+        now: Moment,
+        index: usize,
+        request: &OfferedRequest,
+    ) -> Vec<PolicyCommand> {
         let mut submission = request.submission.clone();
         if !self.affinity {
             submission.prefixes.clear();
         }
-        let (reception, actions) = self.hosts[request.host].node.submit(now, submission);
-        let mut orders = Vec::new();
-        match reception {
+        let (outcome, actions) = self.hosts[request.host].node.submit(now, submission);
+        let mut commands = Vec::new();
+        match outcome {
             SubmitOutcome::Accepted(id) => {
                 self.requests.insert(id, index);
             }
             SubmitOutcome::Refused(refusal) => {
                 let ready = refusal.reason() != RefusalReason::NotReady;
                 assert!(ready, "hosts are ready when the load begins");
-                orders.push(Order::Conclude {
+                commands.push(PolicyCommand::Conclude {
                     request: index,
                     answered: false,
                 });
             }
             other => panic!("no keys are used: {other:?}"),
         }
-        self.translate(now, request.host, actions, &mut orders);
-        orders
+        self.translate(now, request.host, actions, &mut commands);
+        commands
     }
 
     fn attempt(
@@ -200,14 +210,14 @@
         host: usize,
         id: AttemptId,
         event: AttemptEvent,
-    ) -> Vec<Order> {
+    ) -> Vec<PolicyCommand> {
         self.handle(now, host, NodeEvent::Attempt(id, event))
     }
 
-    fn load(&mut self, now: Moment, target: &TargetName, report: LoadReport) -> Vec<Order> {
-        let watching: Vec<usize> = self.watching();
+    fn load(&mut self, now: Moment, target: &TargetName, report: LoadReport) -> Vec<PolicyCommand> {
+        let watching_hosts: Vec<usize> = self.watching_hosts();
         let event = NodeEvent::Load(target.clone(), report);
-        watching
+        watching_hosts
             .into_iter()
             .flat_map(|host| self.handle(now, host, event.clone()))
             .collect()
@@ -218,24 +228,24 @@
         now: Moment,
         target: &TargetName,
         prefix: PrefixHash,
-        held: bool,
-    ) -> Vec<Order> {
+        cached: bool,
+    ) -> Vec<PolicyCommand> {
         if !self.affinity {
             return Vec::new();
         }
-        let event = NodeEvent::Prefix(target.clone(), prefix, held);
-        let watching: Vec<usize> = self.watching();
-        watching
+        let event = NodeEvent::Prefix(target.clone(), prefix, cached);
+        let watching_hosts: Vec<usize> = self.watching_hosts();
+        watching_hosts
             .into_iter()
             .flat_map(|host| self.handle(now, host, event.clone()))
             .collect()
     }
 
-    fn link(&mut self, now: Moment, host: usize, event: LinkEvent) -> Vec<Order> {
+    fn link(&mut self, now: Moment, host: usize, event: LinkEvent) -> Vec<PolicyCommand> {
         self.handle(now, host, NodeEvent::Link(event))
     }
 
-    fn tick(&mut self, now: Moment, host: usize) -> Vec<Order> {
+    fn tick(&mut self, now: Moment, host: usize) -> Vec<PolicyCommand> {
         self.handle(now, host, NodeEvent::Tick)
     }
 
@@ -243,28 +253,28 @@
         self.hosts[host].node.next_wake()
     }
 
-    fn kill(&mut self, host: usize, silent: bool) -> Vec<Order> {
+    fn kill(&mut self, host: usize, silent: bool) -> Vec<PolicyCommand> {
         self.hosts[host].alive = false;
-        self.hosts[host].watches = false;
+        self.hosts[host].watches_targets = false;
         if silent {
             return Vec::new();
         }
-        let run = self.hosts[host].run.clone();
+        let incarnation = self.hosts[host].incarnation.clone();
         let linked = self.hosts[host].linked;
         let peers = (0..HOST_COUNT).filter(|peer| linked[*peer]);
         peers
-            .map(|to| Order::Link {
+            .map(|to| PolicyCommand::Link {
                 to,
-                event: LinkEvent::Down(run.clone()),
+                event: LinkEvent::Down(incarnation.clone()),
             })
             .collect()
     }
 }
 
 impl NodePolicy {
-    fn watching(&self) -> Vec<usize> {
+    fn watching_hosts(&self) -> Vec<usize> {
         (0..HOST_COUNT)
-            .filter(|host| self.hosts[*host].watches)
+            .filter(|host| self.hosts[*host].watches_targets)
             .collect()
     }
 }
@@ -282,9 +292,9 @@
         .iter()
         .map(|host| host.name.clone())
         .collect();
-    let first = rendezvous::rank(&shard, names.iter()).remove(0);
+    let owner = rendezvous::rank(&shard, names.iter()).remove(0);
     names
         .iter()
-        .position(|name| *name == first)
+        .position(|name| *name == owner)
         .expect("a ranked host")
 }
--- a/bergamotswitch/examples/policies/report.rs
+++ b/bergamotswitch/examples/policies/report.rs
@@ -4,42 +4,43 @@
 
 use bergamotswitch_core::pool::PoolKind;
 
+use crate::simulation::RunRecord;
 use crate::traffic::TestScenario;
-use crate::world::RunRecord;
 
 /// The tier of the work that one account floods.
 const CONTENDED_TIER: u8 = 1;
 
-/// A `TierFigures` is what became of one tier.
+/// A `TierMetrics` is what became of one tier.
 #[derive(Clone, Debug, Default)]
-pub struct TierFigures {
+pub struct TierMetrics {
     pub offered: usize,
     pub good: usize,
-    waits: Vec<u64>,
+    first_token_micros: Vec<u64>,
 }
 
-impl TierFigures {
+impl TierMetrics {
     pub fn goodput(&self) -> f64 {
         100.0 * self.good as f64 / self.offered.max(1) as f64
     }
 
-    /// Get the time to the first token in seconds that `part` of those
+    /// Get the time to the first token in seconds that `quantile` of those
     /// requests stay under which got one.
-    pub fn wait(&self, part: f64) -> f64 {
-        if self.waits.is_empty() {
+    pub fn time_to_first_token(&self, quantile: f64) -> f64 {
+        if self.first_token_micros.is_empty() {
             return f64::NAN;
         }
-        let at = ((self.waits.len() as f64 * part).ceil() as usize).clamp(1, self.waits.len());
-        self.waits[at - 1] as f64 / 1e6
+        let at = ((self.first_token_micros.len() as f64 * quantile).ceil() as usize)
+            .clamp(1, self.first_token_micros.len());
+        self.first_token_micros[at - 1] as f64 / 1e6
     }
 }
 
-/// A `RunFigures` is the measures of a run.
-pub struct RunFigures {
+/// A `RunMetrics` is the measures of a run.
+pub struct RunMetrics {
     /// The engines' work by tier.
-    pub tiers: BTreeMap<u8, TierFigures>,
+    pub tiers: BTreeMap<u8, TierMetrics>,
     /// The plain services' calls.
-    pub plain: TierFigures,
+    pub plain: TierMetrics,
     /// Prompt tokens processed without a whole answer in time, and all.
     pub wasted: u64,
     pub prefilled: u64,
@@ -49,43 +50,45 @@
     /// From the owner's death to the next top-tier dispatch, in seconds.
     pub stall: Option<f64>,
     /// Top-tier requests that only the dead host held.
-    pub lost_top: usize,
+    pub lost_top_tier: usize,
 }
 
-impl RunFigures {
+impl RunMetrics {
     pub fn of(record: &RunRecord, scenario: &TestScenario) -> Self {
-        let mut tiers: BTreeMap<u8, TierFigures> = BTreeMap::new();
-        let mut plain = TierFigures::default();
-        let (mut wasted, mut prefilled, mut lost_top) = (0, 0, 0);
-        for (request, fate) in record.offered.iter().zip(&record.fates) {
+        let mut tiers: BTreeMap<u8, TierMetrics> = BTreeMap::new();
+        let mut plain = TierMetrics::default();
+        let (mut wasted, mut prefilled, mut lost_top_tier) = (0, 0, 0);
+        for (request, outcome) in record.offered.iter().zip(&record.outcomes) {
             let tier = request.submission.verdict.tier.0;
-            let figures = match request.submission.kind {
+            let metrics = match request.submission.kind {
                 PoolKind::Engine => tiers.entry(tier).or_default(),
                 PoolKind::Plain => &mut plain,
             };
-            figures.offered += 1;
-            let good = fate.answered_at.is_some_and(|at| at <= request.deadline);
-            figures.good += usize::from(good);
-            if let Some(at) = fate.first_token {
-                figures.waits.push(at - request.at);
+            metrics.offered += 1;
+            let good = outcome.answered_at.is_some_and(|at| at <= request.deadline);
+            metrics.good += usize::from(good);
+            if let Some(at) = outcome.first_token {
+                metrics.first_token_micros.push(at - request.at);
             }
-            prefilled += fate.prefilled;
-            wasted += fate.prefilled - if good { fate.useful } else { 0 };
-            let held = record.dead_host == Some(request.host) && request.at <= record.killed_at;
-            lost_top += usize::from(held && tier == 0 && fate.answered_at.is_none());
+            prefilled += outcome.prefilled;
+            wasted += outcome.prefilled - if good { outcome.useful } else { 0 };
+            let on_dead_host =
+                record.dead_host == Some(request.host) && request.at <= record.killed_at;
+            lost_top_tier +=
+                usize::from(on_dead_host && tier == 0 && outcome.answered_at.is_none());
         }
-        for figures in tiers.values_mut() {
-            figures.waits.sort_unstable();
+        for metrics in tiers.values_mut() {
+            metrics.first_token_micros.sort_unstable();
         }
-        let again = record.top_again_at;
-        RunFigures {
+        let resumed_at = record.top_tier_resumed_at;
+        RunMetrics {
             fairness: fairness(record, CONTENDED_TIER, scenario),
             tiers,
             plain,
             wasted,
             prefilled,
-            stall: again.map(|at| (at - record.killed_at) as f64 / 1e6),
-            lost_top,
+            stall: resumed_at.map(|at| (at - record.killed_at) as f64 / 1e6),
+            lost_top_tier,
         }
     }
 }
@@ -102,7 +105,7 @@
 fn fairness(record: &RunRecord, tier: u8, scenario: &TestScenario) -> f64 {
     let (from, until) = scenario.middle();
     let mut accounts: BTreeMap<&str, AccountTokens> = BTreeMap::new();
-    for (request, fate) in record.offered.iter().zip(&record.fates) {
+    for (request, outcome) in record.offered.iter().zip(&record.outcomes) {
         let verdict = &request.submission.verdict;
         let plain = request.submission.kind == PoolKind::Plain;
         if plain || verdict.tier.0 != tier || request.at < from || request.at >= until {
@@ -114,17 +117,17 @@
             .or_default();
         account.share = f64::from(verdict.share);
         account.offered += tokens;
-        let good = fate
+        let good = outcome
             .answered_at
             .is_some_and(|at| at <= request.deadline.min(until));
         account.good += if good { tokens } else { 0.0 };
     }
     let accounts: Vec<AccountTokens> = accounts.into_values().collect();
-    let fair = fair_parts(&accounts);
+    let allocations = max_min_allocation(&accounts);
     let ratios: Vec<f64> = accounts
         .iter()
-        .zip(&fair)
-        .map(|(a, fair)| a.good / fair.max(1.0))
+        .zip(&allocations)
+        .map(|(account, allocation)| account.good / allocation.max(1.0))
         .collect();
     let sum: f64 = ratios.iter().sum();
     let squares: f64 = ratios.iter().map(|ratio| ratio * ratio).sum();
@@ -135,39 +138,40 @@
 }
 
 /// Divide what was got in all by weight, no account above its demand.
-fn fair_parts(accounts: &[AccountTokens]) -> Vec<f64> {
-    let mut left: f64 = accounts.iter().map(|account| account.good).sum();
-    let mut parts = vec![0.0; accounts.len()];
-    let mut hungry: Vec<usize> = (0..accounts.len()).collect();
-    while !hungry.is_empty() && left > 1.0 {
-        let shares: f64 = hungry.iter().map(|i| accounts[*i].share).sum();
-        let unit = left / shares;
-        let full = |i: &usize| accounts[*i].offered - parts[*i] <= unit * accounts[*i].share;
-        let sated: Vec<usize> = hungry.iter().copied().filter(full).collect();
-        if sated.is_empty() {
-            for i in &hungry {
-                parts[*i] += unit * accounts[*i].share;
+fn max_min_allocation(accounts: &[AccountTokens]) -> Vec<f64> {
+    let mut remaining: f64 = accounts.iter().map(|account| account.good).sum();
+    let mut allocations = vec![0.0; accounts.len()];
+    let mut unsatisfied: Vec<usize> = (0..accounts.len()).collect();
+    while !unsatisfied.is_empty() && remaining > 1.0 {
+        let shares: f64 = unsatisfied.iter().map(|i| accounts[*i].share).sum();
+        let unit = remaining / shares;
+        let fits_demand =
+            |i: &usize| accounts[*i].offered - allocations[*i] <= unit * accounts[*i].share;
+        let satisfied: Vec<usize> = unsatisfied.iter().copied().filter(fits_demand).collect();
+        if satisfied.is_empty() {
+            for i in &unsatisfied {
+                allocations[*i] += unit * accounts[*i].share;
             }
-            return parts;
+            return allocations;
         }
-        for i in &sated {
-            left -= accounts[*i].offered - parts[*i];
-            parts[*i] = accounts[*i].offered;
+        for i in &satisfied {
+            remaining -= accounts[*i].offered - allocations[*i];
+            allocations[*i] = accounts[*i].offered;
         }
-        hungry.retain(|i| !sated.contains(i));
+        unsatisfied.retain(|i| !satisfied.contains(i));
     }
-    parts
+    allocations
 }
 
 /// Print one scenario's table.
-pub fn print_table(title: &str, rows: &[(String, RunFigures)]) {
+pub fn print_table(title: &str, rows: &[(String, RunMetrics)]) {
     println!("\n### {title}\n");
     let Some((_, first)) = rows.first() else {
         return;
     };
     let tiers: Vec<u8> = first.tiers.keys().copied().collect();
     let goodput: Vec<String> = tiers.iter().map(|t| format!("good t{t} %")).collect();
-    let deaths = first.stall.is_some();
+    let owner_died = first.stall.is_some();
     print!(
         "| policy | {} | plain % | wasted ktok | wasted % | TTFT s p50/p95/p99 t{}",
         goodput.join(" | "),
@@ -178,29 +182,33 @@
     }
     println!(
         " | Jain t1 |{}",
-        if deaths { " stall s | lost t0 |" } else { "" }
+        if owner_died {
+            " stall s | lost t0 |"
+        } else {
+            ""
+        }
     );
-    let columns = 2 + tiers.len() * 2 + 3 + if deaths { 2 } else { 0 };
+    let columns = 2 + tiers.len() * 2 + 3 + if owner_died { 2 } else { 0 };
     println!("|{}", "---|".repeat(columns));
     for (policy, run) in rows {
         print!("| {policy}");
-        for figures in run.tiers.values() {
-            print!(" | {:.2}", figures.goodput());
+        for metrics in run.tiers.values() {
+            print!(" | {:.2}", metrics.goodput());
         }
         print!(" | {:.2}", run.plain.goodput());
-        let part = 100.0 * run.wasted as f64 / run.prefilled.max(1) as f64;
-        print!(" | {} | {part:.2}", run.wasted / 1000);
+        let wasted_percent = 100.0 * run.wasted as f64 / run.prefilled.max(1) as f64;
+        print!(" | {} | {wasted_percent:.2}", run.wasted / 1000);
         for tier in run.tiers.values() {
             print!(
                 " | {:.2}/{:.2}/{:.2}",
-                tier.wait(0.5),
-                tier.wait(0.95),
-                tier.wait(0.99)
+                tier.time_to_first_token(0.5),
+                tier.time_to_first_token(0.95),
+                tier.time_to_first_token(0.99)
             );
         }
         print!(" | {:.3} |", run.fairness);
         if let Some(stall) = run.stall {
-            print!(" {stall:.2} | {} |", run.lost_top);
+            print!(" {stall:.2} | {} |", run.lost_top_tier);
         }
         println!();
     }
--- a/bergamotswitch/examples/policies/world.rs
+++ b/bergamotswitch/examples/policies/simulation.rs
@@ -12,27 +12,27 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::engine::{EngineNews, EngineRun, FakeEngine};
-use crate::traffic::{HOST_COUNT, Mishap, OfferedRequest, TestDeployment, TestScenario};
+use crate::engine::{EngineRun, EngineUpdate, FakeEngine};
+use crate::traffic::{Fault, HOST_COUNT, OfferedRequest, TestDeployment, TestScenario};
 
 /// The one-way delay between two machines, in microseconds.
-const DELAY: u64 = 1_000;
+const NETWORK_DELAY: u64 = 1_000;
 
 /// How often a target's load is read, how old the report is on arrival, and
 /// how much of that age it tells.
-const LOAD_PERIOD: u64 = 250_000;
-const LOAD_LAG: u64 = 500_000;
+const LOAD_INTERVAL: u64 = 250_000;
+const LOAD_DELAY: u64 = 500_000;
 const LOAD_AGE_MS: u32 = 400;
 
 /// How late a cache event comes, and how many of a hundred get lost.
-const CACHE_LAG: u64 = 2_000_000;
-const CACHE_LOSS: u32 = 30;
+const CACHE_EVENT_DELAY: u64 = 2_000_000;
+const CACHE_EVENT_LOSS_PERCENT: u32 = 30;
 
 /// How long after its load a run may go on.
-const DRAIN: u64 = 900_000_000;
+const MAX_DRAIN: u64 = 900_000_000;
 
-/// An `Order` is what a policy wants done.
-pub enum Order {
+/// An `PolicyCommand` is what a policy wants done.
+pub enum PolicyCommand {
     Start {
         host: usize,
         attempt: AttemptId,
@@ -54,28 +54,29 @@
 
 /// A `TestPolicy` is a fleet of hosts that decide.
 pub trait TestPolicy {
-    fn start(&mut self, now: Moment) -> Vec<Order>;
-    fn submit(&mut self, now: Moment, index: usize, request: &OfferedRequest) -> Vec<Order>;
+    fn start(&mut self, now: Moment) -> Vec<PolicyCommand>;
+    fn submit(&mut self, now: Moment, index: usize, request: &OfferedRequest)
+    -> Vec<PolicyCommand>;
     fn attempt(
         &mut self,
         now: Moment,
         host: usize,
         id: AttemptId,
         event: AttemptEvent,
-    ) -> Vec<Order>;
-    fn load(&mut self, now: Moment, target: &TargetName, report: LoadReport) -> Vec<Order>;
+    ) -> Vec<PolicyCommand>;
+    fn load(&mut self, now: Moment, target: &TargetName, report: LoadReport) -> Vec<PolicyCommand>;
     fn prefix(
         &mut self,
         now: Moment,
         target: &TargetName,
         prefix: PrefixHash,
-        held: bool,
-    ) -> Vec<Order>;
-    fn link(&mut self, now: Moment, host: usize, event: LinkEvent) -> Vec<Order>;
-    fn tick(&mut self, now: Moment, host: usize) -> Vec<Order>;
+        cached: bool,
+    ) -> Vec<PolicyCommand>;
+    fn link(&mut self, now: Moment, host: usize, event: LinkEvent) -> Vec<PolicyCommand>;
+    fn tick(&mut self, now: Moment, host: usize) -> Vec<PolicyCommand>;
     fn wake(&self, host: usize) -> Moment;
     /// Let a host die; get what its peers notice at once.
-    fn kill(&mut self, host: usize, silent: bool) -> Vec<Order>;
+    fn kill(&mut self, host: usize, silent: bool) -> Vec<PolicyCommand>;
 }
 
 enum Event {
@@ -83,7 +84,7 @@
     Attempt(usize, AttemptId, AttemptEvent),
     Admit(usize, Box<EngineRun>),
     Cancel(usize, AttemptId),
-    StepEnd(usize, Vec<EngineNews>),
+    StepEnd(usize, Vec<EngineUpdate>),
     ReadLoads,
     Load(usize, LoadReport),
     Prefix(usize, PrefixHash, bool),
@@ -94,9 +95,9 @@
     Kill(usize, bool),
 }
 
-/// A `RequestFate` is what became of a request.
+/// A `RequestOutcome` is what became of a request.
 #[derive(Clone, Debug, Default)]
-pub struct RequestFate {
+pub struct RequestOutcome {
     pub first_token: Option<u64>,
     pub answered_at: Option<u64>,
     pub concluded: bool,
@@ -109,24 +110,24 @@
 /// A `RunRecord` is a run's requests with their fates.
 pub struct RunRecord {
     pub offered: Vec<OfferedRequest>,
-    pub fates: Vec<RequestFate>,
+    pub outcomes: Vec<RequestOutcome>,
     pub dead_host: Option<usize>,
     pub killed_at: u64,
     /// When work of the top tier was first dispatched after the death.
-    pub top_again_at: Option<u64>,
+    pub top_tier_resumed_at: Option<u64>,
 }
 
-struct Flight {
+struct Dispatch {
     host: usize,
     engine: usize,
     request: usize,
-    begun: bool,
+    output_started: bool,
 }
 
 /// Marks the second run of a hedged attempt.
-const TWIN: u16 = 1 << 15;
+const HEDGE_FLAG: u16 = 1 << 15;
 
-pub struct World<'a> {
+pub struct Simulation<'a> {
     now: u64,
     sequence: u64,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
@@ -134,17 +135,17 @@
     policy: &'a mut dyn TestPolicy,
     engines: Vec<FakeEngine>,
     by_name: BTreeMap<TargetName, usize>,
-    flights: HashMap<AttemptId, Flight>,
-    wakes: [u64; HOST_COUNT],
-    draw: StdRng,
-    open: usize,
+    dispatches: HashMap<AttemptId, Dispatch>,
+    wake_times: [u64; HOST_COUNT],
+    rng: StdRng,
+    open_requests: usize,
     record: RunRecord,
     /// After how long without a token top-tier work that may run twice is
     /// sent to a second engine.
     pub hedge_after: Option<u64>,
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     pub fn new(
         deployment: &TestDeployment,
         scenario: &TestScenario,
@@ -153,10 +154,10 @@
         policy: &'a mut dyn TestPolicy,
     ) -> Self {
         let engines: Vec<FakeEngine> = targets(deployment)
-            .map(|target| FakeEngine::new(target.clone(), batch_of(target)))
+            .map(|target| FakeEngine::new(target.clone(), batch_size(target)))
             .collect();
         let names = engines.iter().enumerate();
-        let mut world = World {
+        let mut simulation = Simulation {
             now: 0,
             sequence: 0,
             queue: BinaryHeap::new(),
@@ -166,52 +167,52 @@
                 .map(|(i, engine)| (engine.target.name.clone(), i))
                 .collect(),
             engines,
-            flights: HashMap::new(),
-            wakes: [u64::MAX; HOST_COUNT],
-            draw: StdRng::seed_from_u64(7),
-            open: offered.len(),
+            dispatches: HashMap::new(),
+            wake_times: [u64::MAX; HOST_COUNT],
+            rng: StdRng::seed_from_u64(7),
+            open_requests: offered.len(),
             hedge_after: None,
             record: RunRecord {
-                fates: vec![RequestFate::default(); offered.len()],
+                outcomes: vec![RequestOutcome::default(); offered.len()],
                 offered,
                 dead_host: None,
                 killed_at: 0,
-                top_again_at: None,
+                top_tier_resumed_at: None,
             },
         };
-        for index in 0..world.record.offered.len() {
-            let at = world.record.offered[index].at;
-            world.push(at, Event::Arrive(index));
+        for index in 0..simulation.record.offered.len() {
+            let at = simulation.record.offered[index].at;
+            simulation.push(at, Event::Arrive(index));
         }
-        world.push(LOAD_PERIOD, Event::ReadLoads);
+        simulation.push(LOAD_INTERVAL, Event::ReadLoads);
         let (from, until) = scenario.middle();
-        match scenario.mishap {
-            Mishap::None => {}
-            Mishap::SlowEngine(engine) => {
-                world.push(from, Event::Slow(engine, 10.0));
-                world.push(until, Event::Slow(engine, 1.0));
+        match scenario.fault {
+            Fault::None => {}
+            Fault::SlowEngine(engine) => {
+                simulation.push(from, Event::Slow(engine, 10.0));
+                simulation.push(until, Event::Slow(engine, 1.0));
             }
-            Mishap::OwnerDeath { silent } => {
-                world.push((from + until) / 2, Event::Kill(owner, silent));
+            Fault::OwnerDeath { silent } => {
+                simulation.push((from + until) / 2, Event::Kill(owner, silent));
             }
         }
-        world
+        simulation
     }
 
     pub fn run(mut self, scenario: &TestScenario) -> RunRecord {
-        let end = scenario.load_end() + DRAIN;
-        let orders = self.policy.start(Moment::START);
-        self.carry_out(orders);
+        let end = scenario.load_end() + MAX_DRAIN;
+        let commands = self.policy.start(Moment::START);
+        self.execute(commands);
         for host in 0..HOST_COUNT {
-            self.plan_tick(host);
+            self.schedule_tick(host);
         }
-        while let Some(Reverse((at, key))) = self.queue.pop() {
-            if at > end || self.open == 0 {
+        while let Some(Reverse((at, sequence))) = self.queue.pop() {
+            if at > end || self.open_requests == 0 {
                 break;
             }
             self.now = at;
-            if let Some(event) = self.events.remove(&key) {
-                self.happen(event);
+            if let Some(event) = self.events.remove(&sequence) {
+                self.handle(event);
             }
         }
         self.record
@@ -223,15 +224,15 @@
         self.events.insert(self.sequence, event);
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let now = Moment::from_micros(self.now);
         match event {
             Event::Arrive(index) => self.arrive(now, index),
             Event::Attempt(host, id, event) => {
                 if self.record.dead_host != Some(host) {
-                    let orders = self.policy.attempt(now, host, id, event);
-                    self.carry_out(orders);
-                    self.plan_tick(host);
+                    let commands = self.policy.attempt(now, host, id, event);
+                    self.execute(commands);
+                    self.schedule_tick(host);
                 }
             }
             Event::Admit(engine, mut run) => {
@@ -241,47 +242,47 @@
             }
             Event::Cancel(engine, attempt) => {
                 if let Some(run) = self.engines[engine].cancel(attempt) {
-                    self.record.fates[run.request].prefilled += u64::from(run.prefilled());
+                    self.record.outcomes[run.request].prefilled += u64::from(run.prefilled());
                 }
             }
-            Event::StepEnd(engine, news) => {
+            Event::StepEnd(engine, updates) => {
                 self.engines[engine].stepping = false;
-                for news in news {
-                    self.hear(engine, news);
+                for update in updates {
+                    self.handle_update(engine, update);
                 }
                 self.step(engine);
             }
             Event::ReadLoads => {
                 for engine in 0..self.engines.len() {
                     let report = self.engines[engine].load();
-                    self.push(self.now + LOAD_LAG, Event::Load(engine, report));
+                    self.push(self.now + LOAD_DELAY, Event::Load(engine, report));
                 }
-                self.push(self.now + LOAD_PERIOD, Event::ReadLoads);
+                self.push(self.now + LOAD_INTERVAL, Event::ReadLoads);
             }
             Event::Load(engine, mut report) => {
                 report.age_ms = LOAD_AGE_MS;
                 let name = self.engines[engine].target.name.clone();
-                let orders = self.policy.load(now, &name, report);
-                self.carry_out(orders);
+                let commands = self.policy.load(now, &name, report);
+                self.execute(commands);
             }
-            Event::Prefix(engine, prefix, held) => {
+            Event::Prefix(engine, prefix, cached) => {
                 let name = self.engines[engine].target.name.clone();
-                let orders = self.policy.prefix(now, &name, prefix, held);
-                self.carry_out(orders);
+                let commands = self.policy.prefix(now, &name, prefix, cached);
+                self.execute(commands);
             }
             Event::Link(host, event) => {
                 if self.record.dead_host != Some(host) {
-                    let orders = self.policy.link(now, host, *event);
-                    self.carry_out(orders);
-                    self.plan_tick(host);
+                    let commands = self.policy.link(now, host, *event);
+                    self.execute(commands);
+                    self.schedule_tick(host);
                 }
             }
             Event::Tick(host) => {
-                if self.record.dead_host != Some(host) && self.wakes[host] == self.now {
-                    self.wakes[host] = u64::MAX;
-                    let orders = self.policy.tick(now, host);
-                    self.carry_out(orders);
-                    self.plan_tick(host);
+                if self.record.dead_host != Some(host) && self.wake_times[host] == self.now {
+                    self.wake_times[host] = u64::MAX;
+                    let commands = self.policy.tick(now, host);
+                    self.execute(commands);
+                    self.schedule_tick(host);
                 }
             }
             Event::Hedge(attempt) => self.hedge(attempt),
@@ -297,36 +298,37 @@
             *host = (*host + 1) % HOST_COUNT;
         }
         let request = self.record.offered[index].clone();
-        let orders = self.policy.submit(now, index, &request);
-        self.carry_out(orders);
-        self.plan_tick(request.host);
+        let commands = self.policy.submit(now, index, &request);
+        self.execute(commands);
+        self.schedule_tick(request.host);
     }
 
     fn kill(&mut self, host: usize, silent: bool) {
         self.record.dead_host = Some(host);
         self.record.killed_at = self.now;
-        let orders = self.policy.kill(host, silent);
-        self.carry_out(orders);
+        let commands = self.policy.kill(host, silent);
+        self.execute(commands);
         for (index, request) in self.record.offered.iter().enumerate() {
-            let fate = &mut self.record.fates[index];
-            if request.host == host && request.at <= self.now && !fate.concluded {
-                fate.concluded = true;
-                self.open -= 1;
+            let outcome = &mut self.record.outcomes[index];
+            if request.host == host && request.at <= self.now && !outcome.concluded {
+                outcome.concluded = true;
+                self.open_requests -= 1;
             }
         }
         if silent {
             // Nothing tells the engines; what runs there runs on.
             return;
         }
-        let held = self
-            .flights
+        let on_host = self
+            .dispatches
             .iter()
-            .filter(|(_, flight)| flight.host == host);
-        let mut cut: Vec<(AttemptId, usize)> =
-            held.map(|(id, flight)| (*id, flight.engine)).collect();
-        cut.sort();
-        for (attempt, engine) in cut {
-            self.push(self.now + DELAY, Event::Cancel(engine, attempt));
+            .filter(|(_, dispatch)| dispatch.host == host);
+        let mut cancelled: Vec<(AttemptId, usize)> = on_host
+            .map(|(id, dispatch)| (*id, dispatch.engine))
+            .collect();
+        cancelled.sort();
+        for (attempt, engine) in cancelled {
+            self.push(self.now + NETWORK_DELAY, Event::Cancel(engine, attempt));
         }
     }
 
@@ -336,94 +338,104 @@
             return;
         }
         engine.stepping = true;
-        let (span, news) = engine.step(self.now);
-        self.push(self.now + span, Event::StepEnd(index, news));
+        let (duration, updates) = engine.step(self.now);
+        self.push(self.now + duration, Event::StepEnd(index, updates));
     }
 
-    fn hear(&mut self, engine: usize, news: EngineNews) {
-        match news {
-            EngineNews::Attempt(mut run, event) => {
-                if !self.is_first(&mut run.attempt, event) {
+    fn handle_update(&mut self, engine: usize, update: EngineUpdate) {
+        match update {
+            EngineUpdate::Attempt(mut run, event) => {
+                if !self.resolve_hedge(&mut run.attempt, event) {
                     return;
                 }
                 self.push(
-                    self.now + DELAY,
+                    self.now + NETWORK_DELAY,
                     Event::Attempt(run.host, run.attempt, event),
                 );
                 if event == AttemptEvent::FirstToken {
-                    let fate = &mut self.record.fates[run.request];
-                    fate.first_token = Some(self.now + DELAY);
+                    let outcome = &mut self.record.outcomes[run.request];
+                    outcome.first_token = Some(self.now + NETWORK_DELAY);
                 }
             }
-            EngineNews::Ended(mut run) => {
-                self.flights.remove(&run.attempt);
-                run.attempt.attempt &= !TWIN;
-                let fate = &mut self.record.fates[run.request];
-                fate.prefilled += u64::from(run.prefilled());
-                fate.useful = u64::from(run.prefilled());
+            EngineUpdate::Ended(mut run) => {
+                self.dispatches.remove(&run.attempt);
+                run.attempt.attempt &= !HEDGE_FLAG;
+                let outcome = &mut self.record.outcomes[run.request];
+                outcome.prefilled += u64::from(run.prefilled());
+                outcome.useful = u64::from(run.prefilled());
                 let event = AttemptEvent::Finished(run.usage(self.now));
                 self.push(
-                    self.now + DELAY,
+                    self.now + NETWORK_DELAY,
                     Event::Attempt(run.host, run.attempt, event),
                 );
             }
-            EngineNews::Cached(prefix, held) => {
-                if self.draw.random_range(0..100) >= CACHE_LOSS {
-                    self.push(self.now + CACHE_LAG, Event::Prefix(engine, prefix, held));
+            EngineUpdate::Cached(prefix, cached) => {
+                if self.rng.random_range(0..100) >= CACHE_EVENT_LOSS_PERCENT {
+                    self.push(
+                        self.now + CACHE_EVENT_DELAY,
+                        Event::Prefix(engine, prefix, cached),
+                    );
                 }
             }
         }
     }
 
     /// Cancel an attempt at its engine.
-    fn recall(&mut self, attempt: AttemptId) {
-        if let Some(flight) = self.flights.remove(&attempt) {
-            self.push(self.now + DELAY, Event::Cancel(flight.engine, attempt));
+    fn cancel_attempt(&mut self, attempt: AttemptId) {
+        if let Some(dispatch) = self.dispatches.remove(&attempt) {
+            self.push(
+                self.now + NETWORK_DELAY,
+                Event::Cancel(dispatch.engine, attempt),
+            );
         }
     }
 
     /// Send a second run to the least loaded engine, by its true load.
     fn hedge(&mut self, attempt: AttemptId) {
-        let Some(flight) = self.flights.get(&attempt).filter(|flight| !flight.begun) else {
+        let Some(dispatch) = self
+            .dispatches
+            .get(&attempt)
+            .filter(|dispatch| !dispatch.output_started)
+        else {
             return;
         };
-        let (host, request, first) = (flight.host, flight.request, flight.engine);
+        let (host, request, first) = (dispatch.host, dispatch.request, dispatch.engine);
         let engines = self.engines.iter().enumerate();
         let others = engines.filter(|(i, e)| *i != first && e.target.expected_speed > 300);
         let least = others.min_by_key(|(_, engine)| engine.load().outstanding_tokens);
         let name = least.map(|(_, engine)| engine.target.name.clone());
         if let Some(name) = name {
-            self.dispatch(host, twin_of(attempt), request, &name);
+            self.dispatch(host, hedge_of(attempt), request, &name);
         }
     }
 
     /// Get whether an attempt's news count: the first of two runs to answer
     /// goes on under the name of the one that was asked for.
-    fn is_first(&mut self, attempt: &mut AttemptId, event: AttemptEvent) -> bool {
-        let Some(flight) = self.flights.get_mut(attempt) else {
+    fn resolve_hedge(&mut self, attempt: &mut AttemptId, event: AttemptEvent) -> bool {
+        let Some(dispatch) = self.dispatches.get_mut(attempt) else {
             return false;
         };
-        flight.begun = true;
+        dispatch.output_started = true;
         if event == AttemptEvent::FirstToken {
-            self.recall(twin_of(*attempt));
+            self.cancel_attempt(hedge_of(*attempt));
         }
-        attempt.attempt &= !TWIN;
+        attempt.attempt &= !HEDGE_FLAG;
         true
     }
 
-    fn plan_tick(&mut self, host: usize) {
+    fn schedule_tick(&mut self, host: usize) {
         let wake = self.policy.wake(host).as_micros();
         let wake = wake.max(self.now + 1_000);
-        if wake < self.wakes[host] {
-            self.wakes[host] = wake;
+        if wake < self.wake_times[host] {
+            self.wake_times[host] = wake;
             self.push(wake, Event::Tick(host));
         }
     }
 
-    fn carry_out(&mut self, orders: Vec<Order>) {
-        for order in orders {
-            match order {
-                Order::Start {
+    fn execute(&mut self, commands: Vec<PolicyCommand>) {
+        for command in commands {
+            match command {
+                PolicyCommand::Start {
                     host,
                     attempt,
                     request,
@@ -431,22 +443,22 @@
                 } => {
                     self.dispatch(host, attempt, request, &target);
                 }
-                Order::Abort { attempt } => {
-                    self.recall(attempt);
-                    self.recall(twin_of(attempt));
+                PolicyCommand::Abort { attempt } => {
+                    self.cancel_attempt(attempt);
+                    self.cancel_attempt(hedge_of(attempt));
                 }
-                Order::Conclude { request, answered } => {
-                    let fate = &mut self.record.fates[request];
-                    if !fate.concluded {
-                        fate.concluded = true;
-                        self.open -= 1;
+                PolicyCommand::Conclude { request, answered } => {
+                    let outcome = &mut self.record.outcomes[request];
+                    if !outcome.concluded {
+                        outcome.concluded = true;
+                        self.open_requests -= 1;
                     }
                     if answered {
-                        fate.answered_at = Some(self.now);
+                        outcome.answered_at = Some(self.now);
                     }
                 }
-                Order::Link { to, event } => {
-                    self.push(self.now + DELAY, Event::Link(to, Box::new(event)));
+                PolicyCommand::Link { to, event } => {
+                    self.push(self.now + NETWORK_DELAY, Event::Link(to, Box::new(event)));
                 }
             }
         }
@@ -457,37 +469,40 @@
         let offered = &self.record.offered[request];
         let top = offered.submission.verdict.tier.0 == 0;
         let idempotent = offered.submission.verdict.idempotent;
-        if top && self.record.dead_host.is_some() && self.record.top_again_at.is_none() {
-            self.record.top_again_at = Some(self.now);
+        if top && self.record.dead_host.is_some() && self.record.top_tier_resumed_at.is_none() {
+            self.record.top_tier_resumed_at = Some(self.now);
         }
         let mut run = EngineRun::new(attempt, host, request);
         run.prompt = offered.submission.cost.prefill;
         run.output = offered.output;
         run.blocks = offered.submission.prefixes.clone();
-        self.record.fates[request].runs += 1;
-        self.flights.insert(
+        self.record.outcomes[request].runs += 1;
+        self.dispatches.insert(
             attempt,
-            Flight {
+            Dispatch {
                 host,
                 engine,
                 request,
-                begun: false,
+                output_started: false,
             },
         );
-        self.push(self.now + DELAY, Event::Admit(engine, Box::new(run)));
-        if let Some(span) = self.hedge_after
+        self.push(
+            self.now + NETWORK_DELAY,
+            Event::Admit(engine, Box::new(run)),
+        );
+        if let Some(duration) = self.hedge_after
             && top
             && idempotent
-            && attempt.attempt & TWIN == 0
+            && attempt.attempt & HEDGE_FLAG == 0
         {
-            self.push(self.now + span, Event::Hedge(attempt));
+            self.push(self.now + duration, Event::Hedge(attempt));
         }
     }
 }
 
-fn twin_of(attempt: AttemptId) -> AttemptId {
+fn hedge_of(attempt: AttemptId) -> AttemptId {
     AttemptId {
-        attempt: attempt.attempt ^ TWIN,
+        attempt: attempt.attempt ^ HEDGE_FLAG,
         ..attempt
     }
 }
@@ -503,7 +518,7 @@
 
 /// Get how many requests a target serves at once: the fast generations hold
 /// larger batches.
-pub fn batch_of(target: &PoolTarget) -> usize {
+pub fn batch_size(target: &PoolTarget) -> usize {
     match target.expected_speed {
         0..=300 => 8,
         301..=1000 => 16,
--- a/bergamotswitch/examples/policies/traffic.rs
+++ b/bergamotswitch/examples/policies/traffic.rs
@@ -25,17 +25,17 @@
 /// Every figure comes from this seed.
 const SEED: u64 = 20_260_801;
 
-/// A `WorkShape` is one kind of work. Lengths are drawn evenly on a
+/// A `WorkProfile` is one kind of work. Lengths are drawn evenly on a
 /// logarithmic scale.
 #[derive(Clone, Debug)]
-pub struct WorkShape {
+pub struct WorkProfile {
     work: &'static str,
     prompt: (u32, u32),
     output: (u32, u32),
     /// How many blocks at the beginning several requests share.
     shared_blocks: usize,
     /// The number of such beginnings for each account.
-    families: u64,
+    shared_prefixes: u64,
     streaming: bool,
 }
 
@@ -48,8 +48,8 @@
     pub engines: TargetPool,
     pub plain: TargetPool,
     /// Top tier, dispatched once, short, long.
-    shapes: [WorkShape; 4],
-    lookups: &'static str,
+    profiles: [WorkProfile; 4],
+    plain_work: &'static str,
 }
 
 macro_rules! files {
@@ -81,31 +81,31 @@
 
 impl TestDeployment {
     pub fn red_austral() -> Self {
-        let shapes = [
-            shape("dawn-report", (400, 1_600), (150, 400), 2, true),
-            shape("trajectory-report", (1_000, 4_000), (300, 800), 4, true),
-            shape("candidate-tag", (150, 300), (4, 16), 0, false),
-            shape("sky-log-summary", (6_000, 24_000), (300, 900), 8, false),
+        let profiles = [
+            profile("dawn-report", (400, 1_600), (150, 400), 2, true),
+            profile("trajectory-report", (1_000, 4_000), (300, 800), 4, true),
+            profile("candidate-tag", (150, 300), (4, 16), 0, false),
+            profile("sky-log-summary", (6_000, 24_000), (300, 900), 8, false),
         ];
-        TestDeployment::new("Red Austral", &files!("red-austral"), shapes, "status")
+        TestDeployment::new("Red Austral", &files!("red-austral"), profiles, "status")
     }
 
     pub fn naapuriseina() -> Self {
-        let shapes = [
-            shape("objection-summary", (800, 3_200), (200, 500), 2, true),
-            shape("notice-draft", (500, 2_000), (400, 1_200), 4, true),
-            shape("letter", (150, 300), (4, 16), 0, false),
-            shape("clause-check", (4_000, 16_000), (100, 400), 12, false),
+        let profiles = [
+            profile("objection-summary", (800, 3_200), (200, 500), 2, true),
+            profile("notice-draft", (500, 2_000), (400, 1_200), 4, true),
+            profile("letter", (150, 300), (4, 16), 0, false),
+            profile("clause-check", (4_000, 16_000), (100, 400), 12, false),
         ];
         let files = files!("naapuriseina");
-        TestDeployment::new("Naapuriseina", &files, shapes, "status-lookup")
+        TestDeployment::new("Naapuriseina", &files, profiles, "status-lookup")
     }
 
     fn new(
         name: &'static str,
         files: &[(&str, &str)],
-        shapes: [WorkShape; 4],
-        lookups: &'static str,
+        profiles: [WorkProfile; 4],
+        plain_work: &'static str,
     ) -> Self {
         let mut values: Vec<PublishedValue> =
             files.iter().map(|file| value(file.0, file.1)).collect();
@@ -146,8 +146,8 @@
             plain: of_kind(PoolKind::Plain),
             values,
             publication,
-            shapes,
-            lookups,
+            profiles,
+            plain_work,
         }
     }
 }
@@ -160,19 +160,19 @@
     }
 }
 
-fn shape(
+fn profile(
     work: &'static str,
     prompt: (u32, u32),
     output: (u32, u32),
     shared_blocks: usize,
     streaming: bool,
-) -> WorkShape {
-    WorkShape {
+) -> WorkProfile {
+    WorkProfile {
         work,
         prompt,
         output,
         shared_blocks,
-        families: 4,
+        shared_prefixes: 4,
         streaming,
     }
 }
@@ -187,9 +187,9 @@
     pub flood: f64,
 }
 
-/// A `Mishap` is what goes wrong.
+/// A `Fault` is what goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mishap {
+pub enum Fault {
     None,
     /// This engine is ten times slower for the middle phase.
     SlowEngine(usize),
@@ -205,39 +205,39 @@
 pub struct TestScenario {
     pub name: &'static str,
     pub phases: Vec<LoadPhase>,
-    pub mishap: Mishap,
+    pub fault: Fault,
 }
 
 const CALM: [f64; 4] = [0.10, 0.15, 0.05, 0.20];
 const STEADY: [f64; 4] = [0.14, 0.21, 0.07, 0.28];
 const BURST: [f64; 4] = [0.70, 0.30, 0.20, 0.80];
-const LOGS: [f64; 4] = [0.10, 0.15, 0.05, 1.70];
+const LONG_LOGS: [f64; 4] = [0.10, 0.15, 0.05, 1.70];
 
 impl TestScenario {
     pub fn all() -> Vec<TestScenario> {
-        let plain = |name, loads| TestScenario::new(name, loads, 0.0, Mishap::None);
+        let plain = |name, loads| TestScenario::new(name, loads, 0.0, Fault::None);
         vec![
             plain("steady 0.7", STEADY),
             plain("dawn burst 2x", BURST),
-            TestScenario::new("slow engine", STEADY, 0.0, Mishap::SlowEngine(6)),
+            TestScenario::new("slow engine", STEADY, 0.0, Fault::SlowEngine(6)),
             TestScenario::new(
                 "owner dies in burst",
                 BURST,
                 0.0,
-                Mishap::OwnerDeath { silent: false },
+                Fault::OwnerDeath { silent: false },
             ),
             TestScenario::new(
                 "owner silent in burst",
                 BURST,
                 0.0,
-                Mishap::OwnerDeath { silent: true },
+                Fault::OwnerDeath { silent: true },
             ),
-            plain("long-log flood", LOGS),
-            TestScenario::new("account flood", STEADY, 1.3, Mishap::None),
+            plain("long-log flood", LONG_LOGS),
+            TestScenario::new("account flood", STEADY, 1.3, Fault::None),
         ]
     }
 
-    fn new(name: &'static str, middle: [f64; 4], flood: f64, mishap: Mishap) -> Self {
+    fn new(name: &'static str, middle: [f64; 4], flood: f64, fault: Fault) -> Self {
         let phase = |seconds, loads, flood| LoadPhase {
             seconds,
             loads,
@@ -250,7 +250,7 @@
                 phase(60, middle, flood),
                 phase(60, CALM, 0.0),
             ],
-            mishap,
+            fault,
         }
     }
 
@@ -279,33 +279,36 @@
 }
 
 /// The parts of the traffic that the five accounts send: a few are large.
-const ACCOUNT_PARTS: [f64; 5] = [0.40, 0.30, 0.10, 0.10, 0.10];
+const ACCOUNT_FRACTIONS: [f64; 5] = [0.40, 0.30, 0.10, 0.10, 0.10];
 
 /// Get what a scenario offers, in the order of time. Every policy gets the
 /// same.
-pub fn offer(deployment: &TestDeployment, scenario: &TestScenario) -> Vec<OfferedRequest> {
-    let mut draw = StdRng::seed_from_u64(SEED);
+pub fn generate_requests(
+    deployment: &TestDeployment,
+    scenario: &TestScenario,
+) -> Vec<OfferedRequest> {
+    let mut rng = StdRng::seed_from_u64(SEED);
     let mut offered = Vec::new();
     let mut from = LOAD_START;
     for phase in &scenario.phases {
         let until = from + phase.seconds * SECOND;
-        for (index, shape) in deployment.shapes.iter().enumerate() {
-            let rate = phase.loads[index] / busy_time(deployment, shape);
-            arrive(&mut draw, from, until, rate, |draw, at| {
-                let account = pick_account(draw);
-                offered.push(engine_request(deployment, shape, account, at, draw));
+        for (index, profile) in deployment.profiles.iter().enumerate() {
+            let rate = phase.loads[index] / pool_seconds_per_request(deployment, profile);
+            generate_arrivals(&mut rng, from, until, rate, |rng, at| {
+                let account = pick_account(rng);
+                offered.push(engine_request(deployment, profile, account, at, rng));
             });
         }
         if phase.flood > 0.0 {
-            let shape = &deployment.shapes[1];
-            let rate = phase.flood / busy_time(deployment, shape);
-            arrive(&mut draw, from, until, rate, |draw, at| {
-                offered.push(engine_request(deployment, shape, 3, at, draw));
+            let profile = &deployment.profiles[1];
+            let rate = phase.flood / pool_seconds_per_request(deployment, profile);
+            generate_arrivals(&mut rng, from, until, rate, |rng, at| {
+                offered.push(engine_request(deployment, profile, 3, at, rng));
             });
         }
-        arrive(&mut draw, from, until, 20.0, |draw, at| {
-            let account = pick_account(draw);
-            offered.push(lookup(deployment, account, at, draw));
+        generate_arrivals(&mut rng, from, until, 20.0, |rng, at| {
+            let account = pick_account(rng);
+            offered.push(plain_request(deployment, account, at, rng));
         });
         from = until;
     }
@@ -313,28 +316,28 @@
     offered
 }
 
-/// Call `each` at the moments of a Poisson process.
-fn arrive(
-    draw: &mut StdRng,
+/// Call `on_arrival` at the moments of a Poisson process.
+fn generate_arrivals(
+    rng: &mut StdRng,
     from: u64,
     until: u64,
     per_second: f64,
-    mut each: impl FnMut(&mut StdRng, u64),
+    mut on_arrival: impl FnMut(&mut StdRng, u64),
 ) {
     let mut at = from as f64;
     loop {
-        let even: f64 = draw.random();
-        at += -(1.0 - even).ln() * 1e6 / per_second;
+        let uniform: f64 = rng.random();
+        at += -(1.0 - uniform).ln() * 1e6 / per_second;
         if at >= until as f64 {
             return;
         }
-        each(draw, at as u64);
+        on_arrival(rng, at as u64);
     }
 }
 
 /// Get the part of a second for which an average request keeps all engines
 /// of the pool busy, with full batches and nothing cached.
-fn busy_time(deployment: &TestDeployment, shape: &WorkShape) -> f64 {
+fn pool_seconds_per_request(deployment: &TestDeployment, profile: &WorkProfile) -> f64 {
     let mean = |(low, high): (u32, u32)| {
         let (low, high) = (f64::from(low), f64::from(high));
         (high - low) / (high / low).ln()
@@ -345,59 +348,59 @@
         .iter()
         .map(|t| f64::from(t.expected_speed))
         .sum();
-    let output = mean(shape.output) * 0.7;
-    (mean(shape.prompt) / f64::from(PREFILL_FACTOR) + output) / speed
+    let output = mean(profile.output) * 0.7;
+    (mean(profile.prompt) / f64::from(PREFILL_FACTOR) + output) / speed
 }
 
-fn pick_account(draw: &mut StdRng) -> usize {
-    let mut left: f64 = draw.random();
-    for (account, part) in ACCOUNT_PARTS.iter().enumerate() {
-        left -= part;
-        if left < 0.0 {
+fn pick_account(rng: &mut StdRng) -> usize {
+    let mut remaining: f64 = rng.random();
+    for (account, fraction) in ACCOUNT_FRACTIONS.iter().enumerate() {
+        remaining -= fraction;
+        if remaining < 0.0 {
             return account;
         }
     }
-    ACCOUNT_PARTS.len() - 1
+    ACCOUNT_FRACTIONS.len() - 1
 }
 
-fn log_even(draw: &mut StdRng, (low, high): (u32, u32)) -> u32 {
-    let even: f64 = draw.random();
+fn log_uniform(rng: &mut StdRng, (low, high): (u32, u32)) -> u32 {
+    let uniform: f64 = rng.random();
     let low = f64::from(low);
-    (low * (f64::from(high) / low).powf(even)) as u32
+    (low * (f64::from(high) / low).powf(uniform)) as u32
 }
 
 fn engine_request(
     deployment: &TestDeployment,
-    shape: &WorkShape,
+    profile: &WorkProfile,
     account: usize,
     at: u64,
-    draw: &mut StdRng,
+    rng: &mut StdRng,
 ) -> OfferedRequest {
-    let prompt = log_even(draw, shape.prompt);
-    let most = log_even(draw, shape.output);
-    let part: f64 = draw.random_range(0.4..1.0);
-    let family = draw.random_range(0..shape.families) * 64 + account as u64;
-    let own: u64 = draw.random();
+    let prompt = log_uniform(rng, profile.prompt);
+    let max_output = log_uniform(rng, profile.output);
+    let fraction: f64 = rng.random_range(0.4..1.0);
+    let shared_prefix = rng.random_range(0..profile.shared_prefixes) * 64 + account as u64;
+    let unique: u64 = rng.random();
     let blocks = ((prompt / BLOCK_TOKENS) as usize).min(MAX_PREFIX_HASHES);
-    let kind = u64::from(shape.prompt.0) << 40;
-    let hash = |block: usize| match block < shape.shared_blocks {
-        true => PrefixHash(kind + (family << 8) + block as u64),
-        false => PrefixHash(own.wrapping_add(block as u64) | 1 << 63),
+    let kind = u64::from(profile.prompt.0) << 40;
+    let hash = |block: usize| match block < profile.shared_blocks {
+        true => PrefixHash(kind + (shared_prefix << 8) + block as u64),
+        false => PrefixHash(unique.wrapping_add(block as u64) | 1 << 63),
     };
     let cost = TokenCost {
         prefill: prompt,
-        decode: most,
+        decode: max_output,
     };
     let prefixes = (0..blocks).map(hash).collect();
-    let output = ((f64::from(most) * part) as u32).max(1);
+    let output = ((f64::from(max_output) * fraction) as u32).max(1);
     request(
         deployment,
         &deployment.engines,
-        shape.work,
-        shape.streaming,
+        profile.work,
+        profile.streaming,
         account,
         at,
-        draw,
+        rng,
         |submission| {
             submission.cost = cost;
             submission.prefixes = prefixes;
@@ -406,20 +409,20 @@
     )
 }
 
-fn lookup(
+fn plain_request(
     deployment: &TestDeployment,
     account: usize,
     at: u64,
-    draw: &mut StdRng,
+    rng: &mut StdRng,
 ) -> OfferedRequest {
     request(
         deployment,
         &deployment.plain,
-        deployment.lookups,
+        deployment.plain_work,
         false,
         account,
         at,
-        draw,
+        rng,
         |_| {},
         1,
     )
@@ -433,11 +436,11 @@
     streaming: bool,
     account: usize,
     at: u64,
-    draw: &mut StdRng,
-    adorn: impl FnOnce(&mut Submission),
+    rng: &mut StdRng,
+    customize: impl FnOnce(&mut Submission),
     output: u32,
 ) -> OfferedRequest {
-    let host = draw.random_range(0..HOST_COUNT);
+    let host = rng.random_range(0..HOST_COUNT);
     let account = account_name(deployment, account);
     let work: WorkKind = work.to_owned().try_into().expect("a name");
     let hosts = &deployment.publication.hosts.hosts;
@@ -473,7 +476,7 @@
         streaming,
     };
     submission.deadline_in = submission.verdict.deadline;
-    adorn(&mut submission);
+    customize(&mut submission);
     OfferedRequest {
         at,
         deadline: at + submission.deadline_in.as_micros() as u64,
