--- a/bergamotswitch/examples/slopes/entry.rs
+++ b/bergamotswitch/examples/slopes/entry.rs
@@ -11,9 +11,9 @@
 use bergamotswitch_core::request::{AttemptId, RequestId};
 use bergamotswitch_net::answer::{AnswerPart, AnswerWriter};
 
-use crate::probe::{growth, micros_each};
-use crate::sheet::{SlopeSheet, at_sizes};
-use crate::world::{host_name, name, pool, run_of, shard, submission, targets};
+use crate::fixtures::{host_name, incarnation_of, name, pool, shard, submission, targets};
+use crate::probe::{cpu_micros_per_call, memory_growth};
+use crate::report::{SlopeReport, measure_at_sizes};
 
 const USAGE: Usage = Usage {
     prefill: 1_000,
@@ -25,7 +25,7 @@
 
 /// An `EntryBench` is a desk with a clock and an owner of its own.
 struct EntryBench {
-    desk: EntryDispatcher,
+    dispatcher: EntryDispatcher,
     now: Moment,
     sequence: u64,
     owner: HostName,
@@ -37,7 +37,7 @@
             .with_permit_resend_interval(Duration::from_secs(1_000))
             .with_max_kept_answers(1_000_000);
         let mut bench = EntryBench {
-            desk: EntryDispatcher::new(run_of(1), opts),
+            dispatcher: EntryDispatcher::new(incarnation_of(1), opts),
             now: Moment::from_millis(1_000),
             sequence: 0,
             owner: host_name(2),
@@ -50,28 +50,30 @@
 
     fn event(&mut self, event: EntryEvent) -> Vec<EntryAction> {
         self.now = self.now.plus(Duration::from_micros(20));
-        self.desk.handle(self.now, event)
+        self.dispatcher.handle(self.now, event)
     }
 
     /// Let a request come, up to its ask.
-    fn submit(&mut self, keyed: bool) -> (RequestId, AttemptId) {
+    fn submit(&mut self, with_key: bool) -> (RequestId, AttemptId) {
         self.sequence += 1;
-        let key = keyed.then(|| format!("summary-2026-12-02-{:08}", self.sequence));
-        let (reception, actions) = self.desk.submit(self.now, submission(self.sequence, key));
-        let SubmitOutcome::Accepted(id) = reception else {
-            panic!("an accepted request, not {reception:?}");
+        let key = with_key.then(|| format!("summary-2026-12-02-{:08}", self.sequence));
+        let (outcome, actions) = self
+            .dispatcher
+            .submit(self.now, submission(self.sequence, key));
+        let SubmitOutcome::Accepted(id) = outcome else {
+            panic!("an accepted request, not {outcome:?}");
         };
-        let asked = actions.iter().find_map(|action| match action {
+        let attempt = actions.iter().find_map(|action| match action {
             EntryAction::Send(_, OwnerMessage::Ask(ask)) => Some(ask.attempt),
             _ => None,
         });
-        (id, asked.expect("an ask"))
+        (id, attempt.expect("an ask"))
     }
 
-    fn permit(&mut self, attempt: AttemptId) {
+    fn grant(&mut self, attempt: AttemptId) {
         let permit = Permit {
             id: PermitId {
-                owner: run_of(2).incarnation,
+                owner: incarnation_of(2).incarnation,
                 sequence: attempt.request.sequence,
             },
             attempt,
@@ -90,15 +92,15 @@
         self.event(EntryEvent::Attempt(attempt, AttemptEvent::Finished(USAGE)));
     }
 
-    fn turn(&mut self) {
+    fn complete_request(&mut self) {
         let (_, attempt) = self.submit(false);
-        self.permit(attempt);
+        self.grant(attempt);
         self.finish(attempt);
     }
 
-    fn run_one(&mut self) -> AttemptId {
+    fn start_request(&mut self) -> AttemptId {
         let (_, attempt) = self.submit(false);
-        self.permit(attempt);
+        self.grant(attempt);
         attempt
     }
 }
@@ -124,65 +126,65 @@
 }
 
 /// Measure the memory.
-pub fn measure_memory(sheet: &SlopeSheet) {
-    sheet.part("entry host, memory in bytes");
+pub fn measure_memory(report: &SlopeReport) {
+    report.section("entry host, memory in bytes");
     let sizes = [5_000, 10_000, 20_000, 40_000];
     let mut bench = Box::new(EntryBench::new(67));
-    let points = growth(&sizes, || {
+    let points = memory_growth(&sizes, || {
         bench.submit(false);
     });
-    sheet.slope("requests that wait, without body", &points);
-    let mut kept = Box::new(EntryBench::new(67));
-    let points = growth(&sizes, || {
-        let (_, attempt) = kept.submit(true);
-        kept.permit(attempt);
-        kept.finish(attempt);
+    report.slope("requests that wait, without body", &points);
+    let mut completed = Box::new(EntryBench::new(67));
+    let points = memory_growth(&sizes, || {
+        let (_, attempt) = completed.submit(true);
+        completed.grant(attempt);
+        completed.finish(attempt);
     });
-    sheet.slope("outcomes with their keys, without answer", &points);
+    report.slope("outcomes with their keys, without answer", &points);
     let mut answers = Vec::new();
-    let points = growth(&[100, 200, 400, 800], || answers.push(answer()));
-    sheet.slope("whole answers of 424 tokens, as events", &points);
+    let points = memory_growth(&[100, 200, 400, 800], || answers.push(answer()));
+    report.slope("whole answers of 424 tokens, as events", &points);
     // Memory that is given back would be taken again unseen.
     std::mem::forget(answers);
     Box::leak(bench);
-    Box::leak(kept);
+    Box::leak(completed);
 }
 
 /// Measure the processor time.
-pub fn measure(sheet: &SlopeSheet) {
-    sheet.part("entry host, processor time in microseconds");
-    let points = at_sizes(&[18, 75, 150, 300, 600], |count| {
+pub fn measure(report: &SlopeReport) {
+    report.section("entry host, processor time in microseconds");
+    let points = measure_at_sizes(&[18, 75, 150, 300, 600], |count| {
         let mut bench = EntryBench::new(count);
-        micros_each(|| bench.turn())
+        cpu_micros_per_call(|| bench.complete_request())
     });
-    sheet.slope(
+    report.slope(
         "request from submission to end, by targets of its pool",
         &points,
     );
-    let points = at_sizes(&[10, 100, 1_000, 5_000], |count| {
+    let points = measure_at_sizes(&[10, 100, 1_000, 5_000], |count| {
         let mut bench = EntryBench::new(67);
         for _ in 0..count {
-            bench.run_one();
+            bench.start_request();
         }
-        micros_each(|| bench.turn())
+        cpu_micros_per_call(|| bench.complete_request())
     });
-    sheet.slope("request, 67 targets, by requests in flight", &points);
-    let points = at_sizes(&[10, 100, 1_000, 5_000], |count| {
+    report.slope("request, 67 targets, by requests in flight", &points);
+    let points = measure_at_sizes(&[10, 100, 1_000, 5_000], |count| {
         let mut bench = EntryBench::new(67);
         for _ in 0..count {
             bench.submit(false);
         }
-        micros_each(|| bench.turn())
+        cpu_micros_per_call(|| bench.complete_request())
     });
-    sheet.slope("request, 67 targets, by requests that wait", &points);
-    let points = at_sizes(&[10, 100, 1_000, 5_000], |count| {
+    report.slope("request, 67 targets, by requests that wait", &points);
+    let points = measure_at_sizes(&[10, 100, 1_000, 5_000], |count| {
         let mut bench = EntryBench::new(67);
         for _ in 0..count {
-            bench.run_one();
+            bench.start_request();
         }
-        micros_each(|| bench.desk.used_shards())
+        cpu_micros_per_call(|| bench.dispatcher.used_shards())
     });
-    sheet.slope(
+    report.slope(
         "shards in use (each event of a host), by requests in flight",
         &points,
     );
--- a/bergamotswitch/examples/slopes/parcel.rs
+++ b/bergamotswitch/examples/slopes/event.rs
@@ -9,8 +9,8 @@
 use bergamotswitch_core::request::AttemptId;
 use bergamotswitch_core::revision::{Revision, ValueName};
 
-/// A `Parcel` is what happens at a moment to come.
-pub enum Parcel {
+/// A `FleetEvent` is what happens at a moment to come.
+pub enum FleetEvent {
     Wake(usize),
     Redial,
     Message(usize, usize, Box<LinkMessage>),
@@ -20,24 +20,24 @@
     Submit(usize),
 }
 
-/// A `Queued` is a parcel with its moment and its place among others.
-pub struct Queued(pub Moment, pub u64, pub Parcel);
+/// A `ScheduledEvent` is a parcel with its moment and its place among others.
+pub struct ScheduledEvent(pub Moment, pub u64, pub FleetEvent);
 
-impl PartialEq for Queued {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
         self.1 == other.1
     }
 }
 
-impl Eq for Queued {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Queued {
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Queued {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.0, self.1).cmp(&(other.0, other.1))
     }
--- a/bergamotswitch/examples/slopes/failures.rs
+++ b/bergamotswitch/examples/slopes/failures.rs
@@ -2,165 +2,178 @@
 
 use std::time::Duration;
 
+use crate::fixtures::{DESIGN_SIZE, DOMAINS};
 use crate::fleet::BenchFleet;
-use crate::sheet::SlopeSheet;
-use crate::world::{DOMAINS, TARGET_SIZE};
+use crate::report::SlopeReport;
 
-const SETTLE: Duration = Duration::from_secs(15);
-const WATCHED: Duration = Duration::from_secs(20);
+const WARM_UP_TIME: Duration = Duration::from_secs(15);
+const OBSERVATION_TIME: Duration = Duration::from_secs(20);
 /// Few requests, but so many that each host always uses each pool.
-const GAP: Duration = Duration::from_secs(1);
-const CHANGES: u64 = 12;
-const DYING: usize = 5;
+const REQUEST_INTERVAL: Duration = Duration::from_secs(1);
+const CHANGE_COUNT: u64 = 12;
+const KILLED_OWNERS: usize = 5;
 /// Heartbeats of a fleet that started together go together, each 6 s: deaths
 /// have to come at different places between two of them.
-const BETWEEN: Duration = Duration::from_millis(1_100);
+const KILL_INTERVAL: Duration = Duration::from_millis(1_100);
 
-/// An `Episode` is what happened in one watched span.
-struct Episode {
+/// An `Observation` is what happened in one watched span.
+struct Observation {
     messages: u64,
     bytes: u64,
-    most_bytes: u64,
+    max_bytes: u64,
     longest_wait: Duration,
-    late: u64,
+    long_waits: u64,
     refused: u64,
     waiting: usize,
 }
 
-fn watch(fleet: &mut BenchFleet, span: Duration) -> Episode {
+fn observe(fleet: &mut BenchFleet, span: Duration) -> Observation {
     fleet.run_for(span);
     let sent = fleet.nodes.iter().flatten().map(|node| node.sent);
-    let (mut messages, mut bytes, mut most_bytes) = (0, 0, 0);
+    let (mut messages, mut bytes, mut max_bytes) = (0, 0, 0);
     for traffic in sent {
         messages += traffic.messages;
         bytes += traffic.bytes;
-        most_bytes = most_bytes.max(traffic.bytes);
+        max_bytes = max_bytes.max(traffic.bytes);
     }
-    Episode {
+    Observation {
         messages,
         bytes,
-        most_bytes,
+        max_bytes,
         longest_wait: fleet.longest_wait,
-        late: fleet.late,
+        long_waits: fleet.long_waits,
         refused: fleet.refused,
-        waiting: fleet.waiting_long(),
+        waiting: fleet.overdue_requests(),
     }
 }
 
-fn print(sheet: &SlopeSheet, what: &str, seen: &Episode, usual: &Episode) {
-    sheet.line(format_args!(
-        "{what:<44} {:>8} messages {:>9} bytes more than usual, {:>7} bytes by the busiest host; \
+fn print(report: &SlopeReport, title: &str, observation: &Observation, baseline: &Observation) {
+    report.line(format_args!(
+        "{title:<44} {:>8} messages {:>9} bytes more than usual, {:>7} bytes by the busiest host; \
          longest wait for a permit {:.2} s, {} waited over 0.1 s, {} still wait, {} refused",
-        seen.messages as i64 - usual.messages as i64,
-        seen.bytes as i64 - usual.bytes as i64,
-        seen.most_bytes,
-        seen.longest_wait.as_secs_f64(),
-        seen.late,
-        seen.waiting,
-        seen.refused,
+        observation.messages as i64 - baseline.messages as i64,
+        observation.bytes as i64 - baseline.bytes as i64,
+        observation.max_bytes,
+        observation.longest_wait.as_secs_f64(),
+        observation.long_waits,
+        observation.waiting,
+        observation.refused,
     ));
 }
 
 /// Measure.
-pub fn measure(sheet: &SlopeSheet) {
-    sheet.part("changes and failures, 380 hosts, 20 s each");
-    let mut fleet = BenchFleet::start(TARGET_SIZE);
-    fleet.run_for(SETTLE);
-    measure_changes(sheet, &mut fleet);
-    fleet.set_request_gap(Some(GAP));
-    fleet.run_for(SETTLE);
+pub fn measure(report: &SlopeReport) {
+    report.section("changes and failures, 380 hosts, 20 s each");
+    let mut fleet = BenchFleet::start(DESIGN_SIZE);
+    fleet.run_for(WARM_UP_TIME);
+    measure_changes(report, &mut fleet);
+    fleet.set_request_interval(Some(REQUEST_INTERVAL));
+    fleet.run_for(WARM_UP_TIME);
     fleet.reset();
-    let usual = watch(&mut fleet, WATCHED);
-    print(sheet, "nothing", &usual, &usual);
+    let baseline = observe(&mut fleet, OBSERVATION_TIME);
+    print(report, "nothing", &baseline, &baseline);
     let owner = fleet.busiest_owner();
     fleet.reset();
     fleet.kill(owner, false);
     fleet.run_for(Duration::from_secs(2));
     fleet.boot(owner, 1);
     print(
-        sheet,
+        report,
         "an owner's process dies, back after 2 s",
-        &watch(&mut fleet, WATCHED - Duration::from_secs(2)),
-        &usual,
+        &observe(&mut fleet, OBSERVATION_TIME - Duration::from_secs(2)),
+        &baseline,
     );
     let owners = fleet.owners();
     fleet.reset();
-    for place in 0..DYING {
-        fleet.kill(owners[place * owners.len() / DYING], true);
-        fleet.run_for(BETWEEN);
+    for place in 0..KILLED_OWNERS {
+        fleet.kill(owners[place * owners.len() / KILLED_OWNERS], true);
+        fleet.run_for(KILL_INTERVAL);
     }
-    let seen = watch(&mut fleet, WATCHED - BETWEEN * DYING as u32);
-    print(sheet, "five owners' hosts die, 1.1 s apart", &seen, &usual);
+    let observation = observe(
+        &mut fleet,
+        OBSERVATION_TIME - KILL_INTERVAL * KILLED_OWNERS as u32,
+    );
+    print(
+        report,
+        "five owners' hosts die, 1.1 s apart",
+        &observation,
+        &baseline,
+    );
     fleet.reset();
     for index in (0..12).map(|place| place * DOMAINS.len()) {
         fleet.kill(index, true);
     }
     print(
-        sheet,
+        report,
         "a rack: 12 hosts of a failure domain die",
-        &watch(&mut fleet, WATCHED),
-        &usual,
+        &observe(&mut fleet, OBSERVATION_TIME),
+        &baseline,
     );
     fleet.reset();
-    for index in (1..TARGET_SIZE.hosts).step_by(DOMAINS.len()) {
+    for index in (1..DESIGN_SIZE.hosts).step_by(DOMAINS.len()) {
         fleet.kill(index, true);
     }
     print(
-        sheet,
+        report,
         "a failure domain's 48 hosts die",
-        &watch(&mut fleet, WATCHED),
-        &usual,
+        &observe(&mut fleet, OBSERVATION_TIME),
+        &baseline,
     );
     fleet.reset();
-    fleet.part_regions(true);
-    print(sheet, "regions part", &watch(&mut fleet, WATCHED), &usual);
+    fleet.set_partitioned(true);
+    print(
+        report,
+        "regions part",
+        &observe(&mut fleet, OBSERVATION_TIME),
+        &baseline,
+    );
     fleet.reset();
-    fleet.part_regions(false);
+    fleet.set_partitioned(false);
     print(
-        sheet,
+        report,
         "regions meet again",
-        &watch(&mut fleet, WATCHED),
-        &usual,
+        &observe(&mut fleet, OBSERVATION_TIME),
+        &baseline,
     );
 }
 
-fn measure_changes(sheet: &SlopeSheet, fleet: &mut BenchFleet) {
+fn measure_changes(report: &SlopeReport, fleet: &mut BenchFleet) {
     let names = ["rules", "accounts", "pools", "hosts"];
     fleet.reset();
-    let usual = watch(fleet, WATCHED);
+    let baseline = observe(fleet, OBSERVATION_TIME);
     fleet.reset();
     let mut slowest = Duration::ZERO;
-    for step in 1..=CHANGES {
+    for step in 1..=CHANGE_COUNT {
         let value = names[step as usize % names.len()];
-        let mut size = TARGET_SIZE;
+        let mut size = DESIGN_SIZE;
         size.hosts -= (step as usize / names.len()) % 2;
         let values = size.values(step);
         let body = values.into_iter().find(|(name, _)| *name == value);
         let published_at = fleet.now;
         fleet.publish(value, step + 1, &body.expect("a value").1);
-        fleet.run_for(WATCHED / CHANGES as u32);
-        let in_force = fleet.in_force_at.get(&crate::world::name(value));
+        fleet.run_for(OBSERVATION_TIME / CHANGE_COUNT as u32);
+        let in_force = fleet.in_force_at.get(&crate::fixtures::name(value));
         let took = in_force.map(|at| at.since(published_at));
-        slowest = slowest.max(took.unwrap_or(WATCHED));
+        slowest = slowest.max(took.unwrap_or(OBSERVATION_TIME));
     }
-    let seen = watch(fleet, Duration::ZERO);
-    let changes = CHANGES as f64;
-    let more = (seen.bytes.saturating_sub(usual.bytes)) as f64;
-    let hosts = TARGET_SIZE.hosts as f64;
-    sheet.figure(
+    let observation = observe(fleet, Duration::ZERO);
+    let changes = CHANGE_COUNT as f64;
+    let extra_bytes = (observation.bytes.saturating_sub(baseline.bytes)) as f64;
+    let hosts = DESIGN_SIZE.hosts as f64;
+    report.figure(
         "a change: frame bytes sent, mean host",
-        more / changes / hosts,
+        extra_bytes / changes / hosts,
     );
-    let busiest = seen.most_bytes.saturating_sub(usual.most_bytes) as f64;
-    sheet.figure(
+    let busiest = observation.max_bytes.saturating_sub(baseline.max_bytes) as f64;
+    report.figure(
         "a change: frame bytes sent, busiest host",
         busiest / changes,
     );
-    let messages = seen.messages.saturating_sub(usual.messages) as f64;
-    sheet.figure("a change: messages, mean host", messages / changes / hosts);
-    let behind = fleet.hosts_behind();
-    sheet.figure("hosts without the last revisions", behind as f64);
-    sheet.figure(
+    let messages = observation.messages.saturating_sub(baseline.messages) as f64;
+    report.figure("a change: messages, mean host", messages / changes / hosts);
+    let behind = fleet.outdated_hosts();
+    report.figure("hosts without the last revisions", behind as f64);
+    report.figure(
         "a change: seconds until in force everywhere",
         slowest.as_secs_f64(),
     );
--- a/bergamotswitch/examples/slopes/fit.rs
+++ b/bergamotswitch/examples/slopes/fit.rs
@@ -17,7 +17,7 @@
     /// The growth for each unit of size.
     pub slope: f64,
     /// The value at size 0.
-    pub base: f64,
+    pub intercept: f64,
     /// The standard error of the slope.
     pub error: f64,
     /// The part of the variance that the line explains, 0 to 1.
@@ -30,24 +30,28 @@
         let count = points.len() as f64;
         let mean_size = points.iter().map(|p| p.size).sum::<f64>() / count;
         let mean_value = points.iter().map(|p| p.value).sum::<f64>() / count;
-        let spread: f64 = points.iter().map(|p| (p.size - mean_size).powi(2)).sum();
-        let both: f64 = points
+        let size_squares: f64 = points.iter().map(|p| (p.size - mean_size).powi(2)).sum();
+        let covariance: f64 = points
             .iter()
             .map(|p| (p.size - mean_size) * (p.value - mean_value))
             .sum();
-        let slope = both / spread;
-        let base = mean_value - slope * mean_size;
-        let left: f64 = points
+        let slope = covariance / size_squares;
+        let intercept = mean_value - slope * mean_size;
+        let residual_squares: f64 = points
             .iter()
-            .map(|p| (p.value - base - slope * p.size).powi(2))
+            .map(|p| (p.value - intercept - slope * p.size).powi(2))
             .sum();
-        let total: f64 = points.iter().map(|p| (p.value - mean_value).powi(2)).sum();
+        let total_squares: f64 = points.iter().map(|p| (p.value - mean_value).powi(2)).sum();
         LineFit {
             slope,
-            base,
-            error: (left / (count - 2.0).max(1.0) / spread).sqrt(),
+            intercept,
+            error: (residual_squares / (count - 2.0).max(1.0) / size_squares).sqrt(),
             // Values that are all alike lie on their line.
-            r2: if total > 0.0 { 1.0 - left / total } else { 1.0 },
+            r2: if total_squares > 0.0 {
+                1.0 - residual_squares / total_squares
+            } else {
+                1.0
+            },
         }
     }
 }
@@ -56,10 +60,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let LineFit {
             slope,
-            base,
+            intercept,
             error,
             r2,
         } = self;
-        write!(f, "{slope:>11.4} ± {error:<9.4} {base:>11.3} {r2:>6.3}")
+        write!(
+            f,
+            "{slope:>11.4} ± {error:<9.4} {intercept:>11.3} {r2:>6.3}"
+        )
     }
 }
--- a/bergamotswitch/examples/slopes/world.rs
+++ b/bergamotswitch/examples/slopes/fixtures.rs
@@ -36,7 +36,7 @@
 }
 
 /// The size of letter 1's target.
-pub const TARGET_SIZE: FleetSize = FleetSize {
+pub const DESIGN_SIZE: FleetSize = FleetSize {
     hosts: 380,
     targets: 600,
     pools: 9,
@@ -57,7 +57,7 @@
     name(format!("{}-{index:03}", domain_of(index)))
 }
 
-pub fn run_of(index: usize) -> HostIncarnation {
+pub fn incarnation_of(index: usize) -> HostIncarnation {
     HostIncarnation {
         host: host_name(index),
         incarnation: Incarnation(0x5bd1_e995_9e37_79b9_7f4a_7c15_0000_0000 + index as u128),
@@ -93,8 +93,10 @@
     pub fn pools(&self, step: u64) -> Value {
         let pools: Vec<Value> = (0..self.pools)
             .map(|pool| {
-                let own = (0..self.targets).filter(|index| index % self.pools == pool);
-                let targets: Vec<Value> = own.map(|index| target_entry(index, step)).collect();
+                let pool_targets = (0..self.targets).filter(|index| index % self.pools == pool);
+                let targets: Vec<Value> = pool_targets
+                    .map(|index| target_entry(index, step))
+                    .collect();
                 json!({"name": format!("drafting-lm-{pool}"), "kind": "engine",
                     "shard_by_domain": true, "targets": targets})
             })
@@ -202,10 +204,10 @@
     }
 }
 
-pub fn attempt(run: Incarnation, sequence: u64) -> AttemptId {
+pub fn attempt(incarnation: Incarnation, sequence: u64) -> AttemptId {
     AttemptId {
         request: RequestId {
-            incarnation: run,
+            incarnation,
             sequence,
         },
         attempt: 0,
@@ -215,7 +217,7 @@
 pub fn claim(key: u64) -> KeyClaim {
     KeyClaim {
         key: u128::from(key) << 64 | 0x9e37_79b9_7f4a_7c15,
-        holder: run_of(1),
+        holder: incarnation_of(1),
         resubmission: false,
     }
 }
@@ -225,7 +227,7 @@
     Ask {
         quota_units: 0,
         first_answer_ms: None,
-        attempt: attempt(run_of(1).incarnation, sequence),
+        attempt: attempt(incarnation_of(1).incarnation, sequence),
         shard: shard(None),
         tier: Tier((sequence % 3) as u8),
         account: name(account(account_index)),
@@ -252,7 +254,7 @@
 
 /// Get a submission like [`ask`]; `key` makes it one that must not run twice.
 pub fn submission(sequence: u64, key: Option<String>) -> Submission {
-    let guarded = key.is_some();
+    let keyed = key.is_some();
     Submission {
         options: bergamotswitch_core::entry::CallOptions::default(),
         account: name(account((sequence % 280) as usize)),
@@ -263,8 +265,8 @@
             tier: Tier((sequence % 3) as u8),
             share: 2,
             domains: Vec::new(),
-            dispatch_once: guarded,
-            idempotent: !guarded,
+            dispatch_once: keyed,
+            idempotent: !keyed,
             preemptible: false,
             deadline: Duration::from_secs(300),
         },
--- a/bergamotswitch/examples/slopes/fleet.rs
+++ b/bergamotswitch/examples/slopes/fleet.rs
@@ -18,20 +18,22 @@
 use bergamotswitch_net::link::counters::MessageKind;
 use serde_json::Value;
 
-use crate::parcel::{Parcel, Queued};
-use crate::world::{DOMAINS, FleetSize, domain_of, host_name, name, published, run_of, submission};
+use crate::event::{FleetEvent, ScheduledEvent};
+use crate::fixtures::{
+    DOMAINS, FleetSize, domain_of, host_name, incarnation_of, name, published, submission,
+};
 
 const LATENCY: Duration = Duration::from_millis(1);
-const PLATFORM_TIME: Duration = Duration::from_millis(3);
-const WATCH_TIME: Duration = Duration::from_secs(30);
-const REDIAL: Duration = Duration::from_millis(200);
+const PLATFORM_LATENCY: Duration = Duration::from_millis(3);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(30);
+const REDIAL_INTERVAL: Duration = Duration::from_millis(200);
 /// 424 tokens, 41 ms each.
 const ANSWER_TIME: Duration = Duration::from_millis(17_400);
 /// A longer wait for a permit is counted.
-pub const LATE: Duration = Duration::from_millis(100);
+pub const LONG_WAIT: Duration = Duration::from_millis(100);
 /// How long the links take to find a silent peer: a PING's interval and its
 /// timeout, the defaults of `LinkOptions`.
-const LINK_SILENCE: Duration = Duration::from_secs(3);
+const LINK_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A `Traffic` is what was sent.
 #[derive(Clone, Copy, Debug, Default)]
@@ -43,9 +45,9 @@
 /// A `FleetNode` is one host.
 pub struct FleetNode {
     pub core: NodeCore,
-    pub run: HostIncarnation,
+    pub incarnation: HostIncarnation,
     dialing: BTreeSet<usize>,
-    calls: BTreeMap<ValueName, u64>,
+    pending_reads: BTreeMap<ValueName, u64>,
     wake_at: Moment,
     pub sent: Traffic,
     pub received: Traffic,
@@ -59,26 +61,26 @@
     pub nodes: Vec<Option<FleetNode>>,
     pub kinds: BTreeMap<MessageKind, Traffic>,
     /// Messages of requests that crossed a region's border, and all of them.
-    pub crossed: u64,
-    pub on_path: u64,
+    pub cross_region_messages: u64,
+    pub request_path_messages: u64,
     /// Dispatches to a target of another region, and all of them.
-    pub far: u64,
+    pub cross_region_dispatches: u64,
     pub dispatched: u64,
     /// Requests that ended without an answer.
     pub refused: u64,
     /// The longest time from acceptance to dispatch, and how many took long.
     pub longest_wait: Duration,
-    pub late: u64,
+    pub long_waits: u64,
     pub accepted_at: HashMap<RequestId, Moment>,
     submitted: u64,
-    names: HashMap<HostName, usize>,
-    pub service: BTreeMap<ValueName, PublishedValue>,
+    host_indices: HashMap<HostName, usize>,
+    pub published_values: BTreeMap<ValueName, PublishedValue>,
     pub links: BTreeSet<(usize, usize)>,
-    parcels: BinaryHeap<Reverse<Queued>>,
-    counter: u64,
+    events: BinaryHeap<Reverse<ScheduledEvent>>,
+    sequence: u64,
     /// Which region each host stands in, as far as links are cut.
-    sides: Vec<usize>,
-    request_gap: Option<Duration>,
+    partitions: Vec<usize>,
+    request_interval: Option<Duration>,
     /// Whether requests carry a key and must not run twice.
     pub keyed: bool,
     pub in_force_at: BTreeMap<ValueName, Moment>,
@@ -91,31 +93,31 @@
             now: Moment::START,
             nodes: (0..size.hosts).map(|_| None).collect(),
             kinds: BTreeMap::new(),
-            crossed: 0,
-            on_path: 0,
-            far: 0,
+            cross_region_messages: 0,
+            request_path_messages: 0,
+            cross_region_dispatches: 0,
             dispatched: 0,
             refused: 0,
             longest_wait: Duration::ZERO,
-            late: 0,
+            long_waits: 0,
             accepted_at: HashMap::new(),
             submitted: 0,
-            names: (0..size.hosts)
+            host_indices: (0..size.hosts)
                 .map(|index| (host_name(index), index))
                 .collect(),
-            service: BTreeMap::new(),
+            published_values: BTreeMap::new(),
             links: BTreeSet::new(),
-            parcels: BinaryHeap::new(),
-            counter: 0,
-            sides: vec![0; size.hosts],
-            request_gap: None,
+            events: BinaryHeap::new(),
+            sequence: 0,
+            partitions: vec![0; size.hosts],
+            request_interval: None,
             keyed: false,
             in_force_at: BTreeMap::new(),
         };
         for (value, body) in size.values(0) {
             fleet.publish(value, 1, &body);
         }
-        fleet.post(REDIAL, Parcel::Redial);
+        fleet.schedule(REDIAL_INTERVAL, FleetEvent::Redial);
         for index in 0..size.hosts {
             fleet.boot(index, 0);
         }
@@ -123,22 +125,27 @@
     }
 
     /// Start a run of a host.
-    pub fn boot(&mut self, index: usize, run: u128) {
-        let mut me = run_of(index);
-        me.incarnation.0 += run << 32;
+    pub fn boot(&mut self, index: usize, restart: u128) {
+        let mut incarnation = incarnation_of(index);
+        incarnation.incarnation.0 += restart << 32;
         let domain = name(domain_of(index));
-        let core = NodeCore::new(me.clone(), domain, NodeOptions::default(), self.now);
+        let core = NodeCore::new(
+            incarnation.clone(),
+            domain,
+            NodeOptions::default(),
+            self.now,
+        );
         self.nodes[index] = Some(FleetNode {
             core,
-            run: me,
+            incarnation,
             dialing: BTreeSet::new(),
-            calls: BTreeMap::new(),
+            pending_reads: BTreeMap::new(),
             wake_at: Moment::NEVER,
             sent: Traffic::default(),
             received: Traffic::default(),
             service_calls: 0,
         });
-        self.tell(index, NodeEvent::Tick);
+        self.deliver(index, NodeEvent::Tick);
     }
 
     /// End a run: its links break at once, or fall silent with the host.
@@ -146,66 +153,68 @@
         let Some(node) = self.nodes[index].take() else {
             return;
         };
-        let after = if silent { LINK_SILENCE } else { LATENCY };
+        let after = if silent { LINK_TIMEOUT } else { LATENCY };
         for (a, b) in self.links.clone() {
             if a == index || b == index {
                 self.links.remove(&(a, b));
                 let other = if a == index { b } else { a };
-                self.post(after, Parcel::LinkDown(other, node.run.clone()));
+                self.schedule(after, FleetEvent::LinkDown(other, node.incarnation.clone()));
             }
         }
     }
 
     /// Cut every link between two regions, or mend all.
-    pub fn part_regions(&mut self, parted: bool) {
-        self.sides = (0..self.size.hosts)
-            .map(|index| if parted { region_of(index) } else { 0 })
+    pub fn set_partitioned(&mut self, partitioned: bool) {
+        self.partitions = (0..self.size.hosts)
+            .map(|index| if partitioned { region_of(index) } else { 0 })
             .collect();
         for (a, b) in self.links.clone() {
-            if self.sides[a] == self.sides[b] {
+            if self.partitions[a] == self.partitions[b] {
                 continue;
             }
             self.links.remove(&(a, b));
-            let runs = [(a, b), (b, a)].map(|(at, of)| (at, self.run(of)));
-            for (at, run) in runs {
-                if let Some(run) = run {
-                    self.post(LINK_SILENCE, Parcel::LinkDown(at, run));
+            let incarnations = [(a, b), (b, a)].map(|(at, of)| (at, self.incarnation(of)));
+            for (at, incarnation) in incarnations {
+                if let Some(incarnation) = incarnation {
+                    self.schedule(LINK_TIMEOUT, FleetEvent::LinkDown(at, incarnation));
                 }
             }
         }
     }
 
-    fn run(&self, index: usize) -> Option<HostIncarnation> {
-        self.nodes[index].as_ref().map(|node| node.run.clone())
+    fn incarnation(&self, index: usize) -> Option<HostIncarnation> {
+        self.nodes[index]
+            .as_ref()
+            .map(|node| node.incarnation.clone())
     }
 
     pub fn publish(&mut self, value: &str, revision: u64, body: &Value) {
         let value = published(value, revision, body);
         self.in_force_at.remove(&value.name);
         let name = value.name.clone();
-        self.service.insert(name.clone(), value);
+        self.published_values.insert(name.clone(), value);
         // Waiting watches are answered at once.
         let mut waiting = Vec::new();
         for (index, node) in self.nodes.iter().enumerate() {
-            let call = node.as_ref().and_then(|node| node.calls.get(&name));
-            waiting.extend(call.map(|call| (index, *call)));
+            let read_id = node.as_ref().and_then(|node| node.pending_reads.get(&name));
+            waiting.extend(read_id.map(|read_id| (index, *read_id)));
         }
-        for (index, call) in waiting {
-            let parcel = Parcel::Answer(index, call, name.clone(), None);
-            self.post(PLATFORM_TIME, parcel);
+        for (index, read_id) in waiting {
+            let event = FleetEvent::Answer(index, read_id, name.clone(), None);
+            self.schedule(PLATFORM_LATENCY, event);
         }
     }
 
-    /// Let each host get a request each `gap`.
-    pub fn set_request_gap(&mut self, gap: Option<Duration>) {
-        let began = self.request_gap.is_none();
-        self.request_gap = gap;
-        let Some(gap) = gap.filter(|_| began) else {
+    /// Let each host get a request each `interval`.
+    pub fn set_request_interval(&mut self, interval: Option<Duration>) {
+        let starting = self.request_interval.is_none();
+        self.request_interval = interval;
+        let Some(interval) = interval.filter(|_| starting) else {
             return;
         };
         for index in 0..self.size.hosts {
-            let first = gap * index as u32 / self.size.hosts as u32;
-            self.post(first, Parcel::Submit(index));
+            let first = interval * index as u32 / self.size.hosts as u32;
+            self.schedule(first, FleetEvent::Submit(index));
         }
     }
 
@@ -216,71 +225,71 @@
         let key = self
             .keyed
             .then(|| format!("summary-2026-12-02-{number:08}"));
-        let wanted = Submission {
+        let submission = Submission {
             pool: name(format!("drafting-lm-{pool}")),
             fingerprint: u128::from(number),
             ..submission(number, key)
         };
         let now = self.now;
         if let Some(node) = &mut self.nodes[index] {
-            let (reception, actions) = node.core.submit(now, wanted);
-            if let SubmitOutcome::Accepted(id) = reception {
+            let (outcome, actions) = node.core.submit(now, submission);
+            if let SubmitOutcome::Accepted(id) = outcome {
                 self.accepted_at.insert(id, now);
             }
-            self.carry_out(index, actions);
-            self.note_wake(index);
+            self.execute(index, actions);
+            self.schedule_wake(index);
         }
     }
 
-    fn post(&mut self, after: Duration, parcel: Parcel) {
-        self.counter += 1;
-        let queued = Queued(self.now.plus(after), self.counter, parcel);
-        self.parcels.push(Reverse(queued));
+    fn schedule(&mut self, after: Duration, event: FleetEvent) {
+        self.sequence += 1;
+        let queued = ScheduledEvent(self.now.plus(after), self.sequence, event);
+        self.events.push(Reverse(queued));
     }
 
-    fn tell(&mut self, index: usize, event: NodeEvent) {
+    fn deliver(&mut self, index: usize, event: NodeEvent) {
         let now = self.now;
         if let Some(node) = &mut self.nodes[index] {
             let actions = node.core.handle(now, event);
-            self.carry_out(index, actions);
-            self.note_wake(index);
+            self.execute(index, actions);
+            self.schedule_wake(index);
         }
     }
 
-    fn note_wake(&mut self, index: usize) {
+    fn schedule_wake(&mut self, index: usize) {
         if let Some(node) = &mut self.nodes[index] {
             let wake = node.core.next_wake();
             if wake < node.wake_at || node.wake_at <= self.now {
                 node.wake_at = wake.max(self.now.plus(Duration::from_micros(1)));
                 let after = node.wake_at.since(self.now);
-                self.post(after, Parcel::Wake(index));
+                self.schedule(after, FleetEvent::Wake(index));
             }
         }
     }
 
-    fn carry_out(&mut self, index: usize, actions: Vec<NodeAction>) {
+    fn execute(&mut self, index: usize, actions: Vec<NodeAction>) {
         for action in actions {
             match action {
                 NodeAction::Send(host, message) => self.send(index, &host, message),
                 NodeAction::Connect(entry) => {
-                    let peer = self.names[&entry.name];
+                    let peer = self.host_indices[&entry.name];
                     self.node(index).dialing.insert(peer);
                 }
                 NodeAction::Disconnect(host) => {
-                    let peer = self.names[&host];
+                    let peer = self.host_indices[&host];
                     self.node(index).dialing.remove(&peer);
                 }
-                NodeAction::Read(value) => self.call(index, value, None),
-                NodeAction::Watch(value, after) => self.call(index, value, Some(after)),
+                NodeAction::Read(value) => self.start_read(index, value, None),
+                NodeAction::Watch(value, after) => self.start_read(index, value, Some(after)),
                 NodeAction::Published(value) => {
                     self.in_force_at.insert(value, self.now);
                 }
                 NodeAction::Start {
                     attempt, target, ..
                 } => {
-                    let there = region_named(target.domain.as_str());
+                    let target_region = region_named(target.domain.as_str());
                     self.dispatched += 1;
-                    self.far += u64::from(there != region_of(index));
+                    self.cross_region_dispatches += u64::from(target_region != region_of(index));
                     self.start_attempt(index, attempt);
                 }
                 NodeAction::Conclude(_, Conclusion::Refused(_)) => self.refused += 1,
@@ -294,7 +303,7 @@
     }
 
     fn start_attempt(&mut self, index: usize, attempt: AttemptId) {
-        let run = self.node(index).run.incarnation;
+        let incarnation = self.node(index).incarnation.incarnation;
         let usage = Usage {
             prefill: 1_000,
             cached: 0,
@@ -303,16 +312,19 @@
             elapsed_ms: ANSWER_TIME.as_millis() as u32,
         };
         let end = AttemptEvent::Finished(usage);
-        self.post(ANSWER_TIME, Parcel::Attempt(index, run, attempt, end));
+        self.schedule(
+            ANSWER_TIME,
+            FleetEvent::Attempt(index, incarnation, attempt, end),
+        );
         if let Some(accepted_at) = self.accepted_at.remove(&attempt.request) {
             let wait = self.now.since(accepted_at);
             self.longest_wait = self.longest_wait.max(wait);
-            self.late += u64::from(wait > LATE);
+            self.long_waits += u64::from(wait > LONG_WAIT);
         }
     }
 
     fn send(&mut self, index: usize, host: &HostName, message: LinkMessage) {
-        let peer = self.names[host];
+        let peer = self.host_indices[host];
         if !self.links.contains(&(index.min(peer), index.max(peer))) {
             return;
         }
@@ -324,54 +336,61 @@
             kind,
             MessageKind::Ask | MessageKind::Granted | MessageKind::Release
         ) {
-            self.on_path += 1;
-            self.crossed += u64::from(region_of(index) != region_of(peer));
+            self.request_path_messages += 1;
+            self.cross_region_messages += u64::from(region_of(index) != region_of(peer));
         }
         if let Some(node) = &mut self.nodes[peer] {
             count(&mut node.received, bytes);
         }
-        self.post(LATENCY, Parcel::Message(index, peer, Box::new(message)));
+        self.schedule(LATENCY, FleetEvent::Message(index, peer, Box::new(message)));
     }
 
-    fn call(&mut self, index: usize, value: ValueName, beyond: Option<Revision>) {
-        self.counter += 1;
-        let call = self.counter;
+    fn start_read(&mut self, index: usize, value: ValueName, known_revision: Option<Revision>) {
+        self.sequence += 1;
+        let read_id = self.sequence;
         let node = self.node(index);
         node.service_calls += 1;
-        node.calls.insert(value.clone(), call);
-        let current = self.service.get(&value).map(|value| value.revision);
-        let wait = match beyond {
-            Some(beyond) if current <= Some(beyond) => WATCH_TIME,
-            _ => PLATFORM_TIME,
+        node.pending_reads.insert(value.clone(), read_id);
+        let current = self
+            .published_values
+            .get(&value)
+            .map(|value| value.revision);
+        let wait = match known_revision {
+            Some(known_revision) if current <= Some(known_revision) => WATCH_TIMEOUT,
+            _ => PLATFORM_LATENCY,
         };
-        self.post(wait, Parcel::Answer(index, call, value, beyond));
+        self.schedule(
+            wait,
+            FleetEvent::Answer(index, read_id, value, known_revision),
+        );
     }
 
-    fn dial(&mut self) {
-        let mut wanted = BTreeSet::new();
+    fn update_links(&mut self) {
+        let mut wanted_links = BTreeSet::new();
         for (index, node) in self.nodes.iter().enumerate() {
             for peer in node.iter().flat_map(|node| &node.dialing) {
-                let open = self.nodes[*peer].is_some() && self.sides[index] == self.sides[*peer];
-                if open {
-                    wanted.insert((index.min(*peer), index.max(*peer)));
+                let reachable =
+                    self.nodes[*peer].is_some() && self.partitions[index] == self.partitions[*peer];
+                if reachable {
+                    wanted_links.insert((index.min(*peer), index.max(*peer)));
                 }
             }
         }
-        let unwanted: Vec<_> = self.links.difference(&wanted).copied().collect();
-        let fresh: Vec<_> = wanted.difference(&self.links).copied().collect();
-        for (a, b) in unwanted {
+        let closed: Vec<_> = self.links.difference(&wanted_links).copied().collect();
+        let opened: Vec<_> = wanted_links.difference(&self.links).copied().collect();
+        for (a, b) in closed {
             self.links.remove(&(a, b));
             for (at, of) in [(a, b), (b, a)] {
-                if let Some(run) = self.run(of) {
-                    self.tell(at, NodeEvent::Link(LinkEvent::Down(run)));
+                if let Some(incarnation) = self.incarnation(of) {
+                    self.deliver(at, NodeEvent::Link(LinkEvent::Down(incarnation)));
                 }
             }
         }
-        for (a, b) in fresh {
+        for (a, b) in opened {
             self.links.insert((a, b));
             for (at, of) in [(a, b), (b, a)] {
-                if let Some(run) = self.run(of) {
-                    self.tell(at, NodeEvent::Link(LinkEvent::Up(run)));
+                if let Some(incarnation) = self.incarnation(of) {
+                    self.deliver(at, NodeEvent::Link(LinkEvent::Up(incarnation)));
                 }
             }
         }
@@ -379,67 +398,85 @@
 
     pub fn run_for(&mut self, span: Duration) {
         let end = self.now.plus(span);
-        while let Some(Reverse(Queued(at, ..))) = self.parcels.peek() {
+        while let Some(Reverse(ScheduledEvent(at, ..))) = self.events.peek() {
             if *at > end {
                 break;
             }
-            let Some(Reverse(Queued(at, _, parcel))) = self.parcels.pop() else {
+            let Some(Reverse(ScheduledEvent(at, _, event))) = self.events.pop() else {
                 break;
             };
             self.now = at;
-            self.take(parcel);
+            self.handle(event);
         }
         self.now = end;
     }
 
-    fn take(&mut self, parcel: Parcel) {
-        match parcel {
-            Parcel::Wake(index) => {
+    fn handle(&mut self, event: FleetEvent) {
+        match event {
+            FleetEvent::Wake(index) => {
                 let due = self.nodes[index].as_ref().map(|node| node.wake_at);
                 if due == Some(self.now) {
-                    self.tell(index, NodeEvent::Tick);
+                    self.deliver(index, NodeEvent::Tick);
                 }
             }
-            Parcel::Redial => {
-                self.dial();
-                self.post(REDIAL, Parcel::Redial);
+            FleetEvent::Redial => {
+                self.update_links();
+                self.schedule(REDIAL_INTERVAL, FleetEvent::Redial);
             }
-            Parcel::Message(from, to, message) => {
+            FleetEvent::Message(from, to, message) => {
                 let linked = self.links.contains(&(from.min(to), from.max(to)));
-                if let Some(run) = self.run(from).filter(|_| linked) {
-                    self.tell(to, NodeEvent::Link(LinkEvent::Message(run, *message)));
+                if let Some(incarnation) = self.incarnation(from).filter(|_| linked) {
+                    self.deliver(
+                        to,
+                        NodeEvent::Link(LinkEvent::Message(incarnation, *message)),
+                    );
                 }
             }
-            Parcel::Answer(index, call, value, beyond) => self.answer(index, call, value, beyond),
-            Parcel::Attempt(index, run, attempt, event) => {
-                if self.run(index).is_some_and(|me| me.incarnation == run) {
-                    self.tell(index, NodeEvent::Attempt(attempt, event));
+            FleetEvent::Answer(index, read_id, value, known_revision) => {
+                self.answer(index, read_id, value, known_revision)
+            }
+            FleetEvent::Attempt(index, incarnation, attempt, event) => {
+                if self
+                    .incarnation(index)
+                    .is_some_and(|current| current.incarnation == incarnation)
+                {
+                    self.deliver(index, NodeEvent::Attempt(attempt, event));
                 }
             }
-            Parcel::LinkDown(index, run) => self.tell(index, NodeEvent::Link(LinkEvent::Down(run))),
-            Parcel::Submit(index) => {
-                if let Some(gap) = self.request_gap {
+            FleetEvent::LinkDown(index, incarnation) => {
+                self.deliver(index, NodeEvent::Link(LinkEvent::Down(incarnation)))
+            }
+            FleetEvent::Submit(index) => {
+                if let Some(interval) = self.request_interval {
                     let pool = self.submitted as usize % self.size.pools;
                     self.submit(index, pool);
-                    self.post(gap, Parcel::Submit(index));
+                    self.schedule(interval, FleetEvent::Submit(index));
                 }
             }
         }
     }
 
-    fn answer(&mut self, index: usize, call: u64, value: ValueName, beyond: Option<Revision>) {
+    fn answer(
+        &mut self,
+        index: usize,
+        read_id: u64,
+        value: ValueName,
+        known_revision: Option<Revision>,
+    ) {
         let Some(node) = &mut self.nodes[index] else {
             return;
         };
-        if node.calls.get(&value) != Some(&call) {
+        if node.pending_reads.get(&value) != Some(&read_id) {
             return;
         }
-        node.calls.remove(&value);
-        let event = match self.service.get(&value) {
-            Some(current) if Some(current.revision) > beyond => NodeEvent::Read(current.clone()),
+        node.pending_reads.remove(&value);
+        let event = match self.published_values.get(&value) {
+            Some(current) if Some(current.revision) > known_revision => {
+                NodeEvent::Read(current.clone())
+            }
             _ => NodeEvent::Unchanged(value),
         };
-        self.tell(index, event);
+        self.deliver(index, event);
     }
 }
 
--- a/bergamotswitch/examples/slopes/fleet_view.rs
+++ b/bergamotswitch/examples/slopes/fleet_stats.rs
@@ -6,9 +6,9 @@
 use bergamotswitch_core::address::{AddressQuery, CallerHash};
 use bergamotswitch_core::host::Incarnation;
 
-use crate::fleet::{BenchFleet, FleetNode, LATE};
-use crate::probe::micros_each;
-use crate::world::{account, domain_of, name};
+use crate::fixtures::{account, domain_of, name};
+use crate::fleet::{BenchFleet, FleetNode, LONG_WAIT};
+use crate::probe::cpu_micros_per_call;
 
 impl BenchFleet {
     /// Get the number of links of each host, most first.
@@ -30,13 +30,13 @@
             domain: Some(name(domain_of(index))),
         };
         let node = self.nodes[index].as_ref().expect("a host that runs");
-        micros_each(|| node.core.address(&query))
+        cpu_micros_per_call(|| node.core.address(&query))
     }
 
     /// Get the processor time of one view for gauges, in microseconds.
     pub fn view_micros(&self, index: usize) -> f64 {
         let node = self.nodes[index].as_ref().expect("a host that runs");
-        micros_each(|| node.core.view(self.now))
+        cpu_micros_per_call(|| node.core.view(self.now))
     }
 
     /// Get the host that owns most shards now.
@@ -48,16 +48,16 @@
     }
 
     /// Get the number of requests that have waited long and still do.
-    pub fn waiting_long(&self) -> usize {
-        let runs: BTreeSet<Incarnation> = self
+    pub fn overdue_requests(&self) -> usize {
+        let incarnations: BTreeSet<Incarnation> = self
             .nodes
             .iter()
             .flatten()
-            .map(|node| node.run.incarnation)
+            .map(|node| node.incarnation.incarnation)
             .collect();
         let accepted = self.accepted_at.iter();
         let waiting = accepted.filter(|(id, accepted_at)| {
-            runs.contains(&id.incarnation) && self.now.since(**accepted_at) > LATE
+            incarnations.contains(&id.incarnation) && self.now.since(**accepted_at) > LONG_WAIT
         });
         waiting.count()
     }
@@ -71,23 +71,23 @@
     }
 
     /// Get the number of hosts that lack a published revision.
-    pub fn hosts_behind(&self) -> usize {
-        let lacks = |node: &&FleetNode| {
+    pub fn outdated_hosts(&self) -> usize {
+        let is_outdated = |node: &&FleetNode| {
             let values = node.core.view(self.now).revisions.values;
             values.iter().any(|value| {
-                let newest = self.service.get(&value.name);
+                let newest = self.published_values.get(&value.name);
                 value.in_force != newest.map(|newest| newest.revision)
             })
         };
-        self.nodes.iter().flatten().filter(lacks).count()
+        self.nodes.iter().flatten().filter(is_outdated).count()
     }
 
     /// Forget what was counted.
     pub fn reset(&mut self) {
         self.kinds.clear();
-        (self.crossed, self.on_path) = (0, 0);
-        (self.far, self.dispatched) = (0, 0);
-        (self.refused, self.late) = (0, 0);
+        (self.cross_region_messages, self.request_path_messages) = (0, 0);
+        (self.cross_region_dispatches, self.dispatched) = (0, 0);
+        (self.refused, self.long_waits) = (0, 0);
         self.longest_wait = Duration::ZERO;
         for node in self.nodes.iter_mut().flatten() {
             (node.sent, node.received) = Default::default();
--- a/bergamotswitch/examples/slopes/frames.rs
+++ b/bergamotswitch/examples/slopes/frames.rs
@@ -10,42 +10,42 @@
 use bergamotswitch_core::rules::Tier;
 use bergamotswitch_net::link::codec::encoded_len;
 
-use crate::sheet::{SlopeSheet, at_sizes};
-use crate::world::{ask, attempt, claim, name, prefixes, run_of, shard};
+use crate::fixtures::{ask, attempt, claim, incarnation_of, name, prefixes, shard};
+use crate::report::{SlopeReport, measure_at_sizes};
 
 /// Sequence numbers as after some days.
-const LATE: u64 = 5_000_000;
+const BASE_SEQUENCE: u64 = 5_000_000;
 
-fn len(message: &LinkMessage) -> f64 {
+fn frame_len(message: &LinkMessage) -> f64 {
     encoded_len(message) as f64
 }
 
-fn to_owner(message: OwnerMessage) -> f64 {
-    len(&LinkMessage::ToOwner(message))
+fn to_owner_len(message: OwnerMessage) -> f64 {
+    frame_len(&LinkMessage::ToOwner(message))
 }
 
-fn from_owner(reply: OwnerReply) -> f64 {
-    len(&LinkMessage::FromOwner(reply))
+fn from_owner_len(reply: OwnerReply) -> f64 {
+    frame_len(&LinkMessage::FromOwner(reply))
 }
 
 fn permit_id(sequence: u64) -> PermitId {
     PermitId {
-        owner: Incarnation(run_of(2).incarnation.0),
-        sequence: LATE + sequence,
+        owner: Incarnation(incarnation_of(2).incarnation.0),
+        sequence: BASE_SEQUENCE + sequence,
     }
 }
 
 fn permit(sequence: u64) -> Permit {
     Permit {
         id: permit_id(sequence),
-        attempt: attempt(run_of(1).incarnation, LATE + sequence),
+        attempt: attempt(incarnation_of(1).incarnation, BASE_SEQUENCE + sequence),
         target: name("drafting-lm-412"),
         lifetime_ms: 2_000,
     }
 }
 
-fn held(sequence: u64) -> InFlightWork {
-    let ask = ask(LATE + sequence, 17);
+fn in_flight_work(sequence: u64) -> InFlightWork {
+    let ask = ask(BASE_SEQUENCE + sequence, 17);
     InFlightWork {
         permit: permit_id(sequence),
         attempt: ask.attempt,
@@ -59,26 +59,26 @@
 }
 
 /// Measure.
-pub fn measure(sheet: &SlopeSheet) {
-    sheet.part("frames between hosts, bytes with the length");
-    let home = || shard(Some("vantaa-hall"));
-    let points = at_sizes(&[0, 4, 8, 16], |count| {
-        let mut ask = ask(LATE, 17);
-        ask.shard = home();
-        ask.prefixes = prefixes(LATE, count);
-        to_owner(OwnerMessage::Ask(Box::new(ask)))
+pub fn measure(report: &SlopeReport) {
+    report.section("frames between hosts, bytes with the length");
+    let domain_shard = || shard(Some("vantaa-hall"));
+    let points = measure_at_sizes(&[0, 4, 8, 16], |count| {
+        let mut ask = ask(BASE_SEQUENCE, 17);
+        ask.shard = domain_shard();
+        ask.prefixes = prefixes(BASE_SEQUENCE, count);
+        to_owner_len(OwnerMessage::Ask(Box::new(ask)))
     });
-    sheet.slope("ask, by prefix hashes", &points);
-    let mut keyed = ask(LATE, 17);
-    keyed.shard = home();
-    keyed.claim = Some(claim(LATE));
-    let keyed = to_owner(OwnerMessage::Ask(Box::new(keyed)));
-    sheet.figure("ask, 4 prefix hashes and a key", keyed);
-    let granted = from_owner(OwnerReply::Granted {
-        shard: home(),
+    report.slope("ask, by prefix hashes", &points);
+    let mut keyed = ask(BASE_SEQUENCE, 17);
+    keyed.shard = domain_shard();
+    keyed.claim = Some(claim(BASE_SEQUENCE));
+    let keyed = to_owner_len(OwnerMessage::Ask(Box::new(keyed)));
+    report.figure("ask, 4 prefix hashes and a key", keyed);
+    let granted = from_owner_len(OwnerReply::Granted {
+        shard: domain_shard(),
         permit: permit(0),
     });
-    sheet.figure("granted", granted);
+    report.figure("granted", granted);
     let usage = Usage {
         prefill: 1_000,
         cached: 500,
@@ -86,59 +86,59 @@
         first_token_ms: 700,
         elapsed_ms: 17_000,
     };
-    let release = to_owner(OwnerMessage::Release {
-        shard: home(),
+    let release = to_owner_len(OwnerMessage::Release {
+        shard: domain_shard(),
         release: Release {
             permit: permit_id(0),
             attempt: permit(0).attempt,
             outcome: ReleaseOutcome::Finished(usage),
         },
     });
-    sheet.figure("release", release);
-    let refused = from_owner(OwnerReply::Refused {
+    report.figure("release", release);
+    let refused = from_owner_len(OwnerReply::Refused {
         attempt: permit(0).attempt,
         reason: RefusalReason::Overloaded,
         retry_after_ms: 30_000,
     });
-    sheet.figure("refused", refused);
-    let beat = len(&LinkMessage::Heartbeat(Heartbeat {
-        sequence: LATE,
-        heard: LATE,
+    report.figure("refused", refused);
+    let heartbeat = frame_len(&LinkMessage::Heartbeat(Heartbeat {
+        sequence: BASE_SEQUENCE,
+        heard: BASE_SEQUENCE,
         stopping: false,
         load_permille: 700,
     }));
-    sheet.figure("heartbeat", beat);
+    report.figure("heartbeat", heartbeat);
     let sizes = [1, 10, 100, 1_000];
-    let points = at_sizes(&sizes, |count| {
-        from_owner(OwnerReply::Audit {
-            shard: home(),
+    let points = measure_at_sizes(&sizes, |count| {
+        from_owner_len(OwnerReply::Audit {
+            shard: domain_shard(),
             permits: (0..count as u64).map(permit_id).collect(),
         })
     });
-    sheet.slope("audit, by permits", &points);
-    let points = at_sizes(&sizes, |count| {
-        to_owner(OwnerMessage::Resync {
-            shard: home(),
-            held: (0..count as u64).map(held).collect(),
+    report.slope("audit, by permits", &points);
+    let points = measure_at_sizes(&sizes, |count| {
+        to_owner_len(OwnerMessage::Resync {
+            shard: domain_shard(),
+            held: (0..count as u64).map(in_flight_work).collect(),
             claims: Vec::new(),
         })
     });
-    sheet.slope("retell, by requests in flight", &points);
-    let points = at_sizes(&sizes, |count| {
-        to_owner(OwnerMessage::Resync {
-            shard: home(),
+    report.slope("retell, by requests in flight", &points);
+    let points = measure_at_sizes(&sizes, |count| {
+        to_owner_len(OwnerMessage::Resync {
+            shard: domain_shard(),
             held: Vec::new(),
             claims: (0..count as u64).map(claim).collect(),
         })
     });
-    sheet.slope("retell, by keys", &points);
-    let points = at_sizes(&[0, 1, 6], |count| {
+    report.slope("retell, by keys", &points);
+    let points = measure_at_sizes(&[0, 1, 6], |count| {
         let mark = RevisionMark {
             name: name("accounts"),
             revision: Revision(300_000),
         };
         let marks = RevisionMessage::Marks(vec![mark; count]);
-        len(&LinkMessage::Revision(marks))
+        frame_len(&LinkMessage::Revision(marks))
     });
-    sheet.slope("marks, by values", &points);
+    report.slope("marks, by values", &points);
 }
--- a/bergamotswitch/examples/slopes/growth.rs
+++ b/bergamotswitch/examples/slopes/growth.rs
@@ -5,41 +5,41 @@
 use bergamotswitch_net::link::counters::MessageKind;
 
 use crate::fit::Point;
+use crate::fixtures::{DESIGN_SIZE, FleetSize};
 use crate::fleet::{BenchFleet, Traffic};
 use crate::probe::{cpu_nanos, resident_bytes};
-use crate::sheet::SlopeSheet;
-use crate::world::{FleetSize, TARGET_SIZE};
+use crate::report::SlopeReport;
 
 const HOSTS: [usize; 4] = [8, 95, 190, 380];
 const KEYED_HOSTS: usize = 95;
-const SETTLE: Duration = Duration::from_secs(15);
-const WATCHED: Duration = Duration::from_secs(20);
+const WARM_UP_TIME: Duration = Duration::from_secs(15);
+const OBSERVATION_TIME: Duration = Duration::from_secs(20);
 
 /// Two answers' time: the owners then know the targets' speeds.
-const RAMP: Duration = Duration::from_secs(36);
+const RAMP_UP_TIME: Duration = Duration::from_secs(36);
 
 /// One host's requests at the peak: 3,300 a second over 380 hosts.
-const PEAK_GAP: Duration = Duration::from_millis(115);
+const PEAK_REQUEST_INTERVAL: Duration = Duration::from_millis(115);
 
-/// A `GrowthPoint` is what was seen at one number of hosts.
-struct GrowthPoint {
+/// A `FleetSample` is what was seen at one number of hosts.
+struct FleetSample {
     hosts: f64,
     mean_sent: f64,
-    most_sent: f64,
-    most_both: f64,
-    most_links: f64,
+    max_sent: f64,
+    max_total: f64,
+    max_links: f64,
     mean_links: f64,
     cpu_permille: f64,
     service_calls: f64,
     resident: f64,
 }
 
-fn watch(fleet: &mut BenchFleet) -> GrowthPoint {
+fn sample(fleet: &mut BenchFleet) -> FleetSample {
     fleet.reset();
-    let began = cpu_nanos();
-    fleet.run_for(WATCHED);
-    let spent = (cpu_nanos() - began) as f64;
-    let seconds = WATCHED.as_secs_f64();
+    let cpu_start = cpu_nanos();
+    fleet.run_for(OBSERVATION_TIME);
+    let cpu_nanos_spent = (cpu_nanos() - cpu_start) as f64;
+    let seconds = OBSERVATION_TIME.as_secs_f64();
     let hosts = fleet.size.hosts as f64;
     let sent: Vec<u64> = fleet
         .nodes
@@ -47,8 +47,8 @@
         .flatten()
         .map(|node| node.sent.bytes)
         .collect();
-    let both = fleet.nodes.iter().flatten();
-    let both = both.map(|node| node.sent.bytes + node.received.bytes);
+    let totals = fleet.nodes.iter().flatten();
+    let totals = totals.map(|node| node.sent.bytes + node.received.bytes);
     let links = fleet.link_counts();
     let calls: u64 = fleet
         .nodes
@@ -56,26 +56,26 @@
         .flatten()
         .map(|node| node.service_calls)
         .sum();
-    GrowthPoint {
+    FleetSample {
         hosts,
         mean_sent: sent.iter().sum::<u64>() as f64 / seconds / hosts,
-        most_sent: sent.iter().max().copied().unwrap_or(0) as f64 / seconds,
-        most_both: both.max().unwrap_or(0) as f64 / seconds,
-        most_links: links[0] as f64,
+        max_sent: sent.iter().max().copied().unwrap_or(0) as f64 / seconds,
+        max_total: totals.max().unwrap_or(0) as f64 / seconds,
+        max_links: links[0] as f64,
         mean_links: links.iter().sum::<usize>() as f64 / hosts,
-        cpu_permille: spent / 1e9 / seconds / hosts * 1_000.0,
+        cpu_permille: cpu_nanos_spent / 1e9 / seconds / hosts * 1_000.0,
         service_calls: calls as f64 / seconds,
         resident: 0.0,
     }
 }
 
-fn print(sheet: &SlopeSheet, what: &str, points: &[GrowthPoint]) {
-    type Field = (&'static str, fn(&GrowthPoint) -> f64);
+fn print(report: &SlopeReport, title: &str, points: &[FleetSample]) {
+    type Field = (&'static str, fn(&FleetSample) -> f64);
     let fields: [Field; 7] = [
         ("bytes/s sent, mean host", |p| p.mean_sent),
-        ("bytes/s sent, busiest host", |p| p.most_sent),
-        ("bytes/s sent and received, busiest host", |p| p.most_both),
-        ("links, busiest host", |p| p.most_links),
+        ("bytes/s sent, busiest host", |p| p.max_sent),
+        ("bytes/s sent and received, busiest host", |p| p.max_total),
+        ("links, busiest host", |p| p.max_links),
         ("links, mean host", |p| p.mean_links),
         ("processor time, per mille of a core a host", |p| {
             p.cpu_permille
@@ -90,43 +90,43 @@
                 value: field(point),
             })
             .collect();
-        sheet.slope(&format!("{what}: {name}"), &points);
+        report.slope(&format!("{title}: {name}"), &points);
     }
 }
 
-fn print_kinds(sheet: &SlopeSheet, fleet: &BenchFleet) {
-    let per = WATCHED.as_secs_f64() * fleet.size.hosts as f64;
+fn print_kinds(report: &SlopeReport, fleet: &BenchFleet) {
+    let host_seconds = OBSERVATION_TIME.as_secs_f64() * fleet.size.hosts as f64;
     for kind in MessageKind::ALL {
         let Traffic { messages, bytes } = fleet.kinds.get(kind).copied().unwrap_or_default();
         if messages > 0 {
             let text = format!(
                 "  {}: messages/s a host (bytes/s {:.1})",
                 kind.as_str(),
-                bytes as f64 / per
+                bytes as f64 / host_seconds
             );
-            sheet.figure(&text, messages as f64 / per);
+            report.figure(&text, messages as f64 / host_seconds);
         }
     }
 }
 
 /// Measure hosts without requests.
-pub fn measure_idle(sheet: &SlopeSheet) {
-    sheet.part("whole hosts without requests, by hosts");
+pub fn measure_idle(report: &SlopeReport) {
+    report.section("whole hosts without requests, by hosts");
     let mut points = Vec::new();
     for hosts in HOSTS {
         let before = resident_bytes();
-        let mut fleet = start(hosts);
-        let point = watch(&mut fleet);
+        let mut fleet = start_fleet(hosts);
+        let point = sample(&mut fleet);
         let resident = resident_bytes().saturating_sub(before) as f64;
         let resident = resident / hosts as f64 / 1e6;
-        points.push(GrowthPoint { resident, ..point });
-        if hosts == TARGET_SIZE.hosts {
-            print_kinds(sheet, &fleet);
+        points.push(FleetSample { resident, ..point });
+        if hosts == DESIGN_SIZE.hosts {
+            print_kinds(report, &fleet);
         }
         // Memory that is given back would be taken again unseen.
         std::mem::forget(fleet);
     }
-    print(sheet, "idle", &points);
+    print(report, "idle", &points);
     let points: Vec<Point> = points
         .iter()
         .map(|point| Point {
@@ -134,37 +134,37 @@
             value: point.resident,
         })
         .collect();
-    sheet.slope("idle: resident MB a host", &points);
+    report.slope("idle: resident MB a host", &points);
 }
 
-fn print_far(sheet: &SlopeSheet, fleet: &BenchFleet) {
-    let share = fleet.crossed as f64 / fleet.on_path.max(1) as f64;
-    sheet.figure("  part of asks, permits, releases across regions", share);
-    let share = fleet.far as f64 / fleet.dispatched.max(1) as f64;
-    sheet.figure("  part of dispatches across regions", share);
+fn print_cross_region(report: &SlopeReport, fleet: &BenchFleet) {
+    let share = fleet.cross_region_messages as f64 / fleet.request_path_messages.max(1) as f64;
+    report.figure("  part of asks, permits, releases across regions", share);
+    let share = fleet.cross_region_dispatches as f64 / fleet.dispatched.max(1) as f64;
+    report.figure("  part of dispatches across regions", share);
 }
 
 /// Measure hosts at the peak.
-pub fn measure_peak(sheet: &SlopeSheet) {
-    sheet.part("whole hosts with 8.7 requests/s each, by hosts");
+pub fn measure_peak(report: &SlopeReport) {
+    report.section("whole hosts with 8.7 requests/s each, by hosts");
     let mut points = Vec::new();
-    let (mut place_times, mut view_times) = (Vec::new(), Vec::new());
+    let (mut address_times, mut view_times) = (Vec::new(), Vec::new());
     for hosts in HOSTS {
-        let mut fleet = start(hosts);
-        fleet.set_request_gap(Some(PEAK_GAP));
-        fleet.run_for(RAMP);
+        let mut fleet = start_fleet(hosts);
+        fleet.set_request_interval(Some(PEAK_REQUEST_INTERVAL));
+        fleet.run_for(RAMP_UP_TIME);
         let refused = fleet.refused;
-        points.push(watch(&mut fleet));
-        if hosts == TARGET_SIZE.hosts {
-            print_kinds(sheet, &fleet);
-            sheet.figure(
+        points.push(sample(&mut fleet));
+        if hosts == DESIGN_SIZE.hosts {
+            print_kinds(report, &fleet);
+            report.figure(
                 "  requests refused while the targets are new",
                 refused as f64,
             );
-            sheet.figure("  requests refused then", fleet.refused as f64);
-            print_far(sheet, &fleet);
+            report.figure("  requests refused then", fleet.refused as f64);
+            print_cross_region(report, &fleet);
         }
-        place_times.push(Point {
+        address_times.push(Point {
             size: hosts as f64,
             value: fleet.address_micros(0),
         });
@@ -173,25 +173,28 @@
             value: fleet.view_micros(0),
         });
     }
-    print(sheet, "peak", &points);
-    sheet.slope("peak: processor us, address answer of a host", &place_times);
-    sheet.slope(
+    print(report, "peak", &points);
+    report.slope(
+        "peak: processor us, address answer of a host",
+        &address_times,
+    );
+    report.slope(
         "peak: processor us, view of a host (each second)",
         &view_times,
     );
-    let mut fleet = start(KEYED_HOSTS);
+    let mut fleet = start_fleet(KEYED_HOSTS);
     fleet.keyed = true;
-    fleet.set_request_gap(Some(PEAK_GAP));
-    fleet.run_for(SETTLE);
-    sheet.part("requests with a key that must not run twice, 95 hosts");
-    print_far(sheet, &fleet);
+    fleet.set_request_interval(Some(PEAK_REQUEST_INTERVAL));
+    fleet.run_for(WARM_UP_TIME);
+    report.section("requests with a key that must not run twice, 95 hosts");
+    print_cross_region(report, &fleet);
 }
 
-fn start(hosts: usize) -> BenchFleet {
+fn start_fleet(hosts: usize) -> BenchFleet {
     let mut fleet = BenchFleet::start(FleetSize {
         hosts,
-        ..TARGET_SIZE
+        ..DESIGN_SIZE
     });
-    fleet.run_for(SETTLE);
+    fleet.run_for(WARM_UP_TIME);
     fleet
 }
--- a/bergamotswitch/examples/slopes/main.rs
+++ b/bergamotswitch/examples/slopes/main.rs
@@ -6,82 +6,83 @@
 //! two minutes, bounded and with fixed numbers in place of random ones.
 
 mod entry;
+mod event;
 mod failures;
 mod fit;
+mod fixtures;
 mod fleet;
-mod fleet_view;
+mod fleet_stats;
 mod frames;
 mod growth;
 mod links;
 mod owner;
-mod parcel;
 mod probe;
-mod sheet;
+mod report;
 mod values;
-mod world;
 
 use std::thread;
 use std::time::Instant;
 
-use sheet::SlopeSheet;
+use report::SlopeReport;
 
-/// A `Part` is a group of measurements that may be run alone.
+/// A `Measurement` is a group of measurements that may be run alone.
 #[derive(Clone, Copy)]
-struct Part {
+struct Measurement {
     name: &'static str,
-    measure: fn(&SlopeSheet),
+    measure: fn(&SlopeReport),
 }
 
-const fn part(name: &'static str, measure: fn(&SlopeSheet)) -> Part {
-    Part { name, measure }
+const fn measurement(name: &'static str, measure: fn(&SlopeReport)) -> Measurement {
+    Measurement { name, measure }
 }
 
 /// Memory comes first and alone: it is that of the whole process, and what is
 /// freed later would be taken again unseen.
-const MEMORY: [Part; 5] = [
-    part("values-memory", values::measure_memory),
-    part("entry-memory", entry::measure_memory),
-    part("owner-memory", owner::measure_memory),
-    part("links-memory", links::measure_memory),
-    part("idle", growth::measure_idle),
+const MEMORY_MEASUREMENTS: [Measurement; 5] = [
+    measurement("values-memory", values::measure_memory),
+    measurement("entry-memory", entry::measure_memory),
+    measurement("owner-memory", owner::measure_memory),
+    measurement("links-memory", links::measure_memory),
+    measurement("idle", growth::measure_idle),
 ];
 
 /// What runs side by side. Processor time is that of each one's own thread.
-const TIME: [&[Part]; 3] = [
+const CPU_MEASUREMENTS: [&[Measurement]; 3] = [
     &[
-        part("frames", frames::measure),
-        part("values", values::measure),
-        part("entry", entry::measure),
-        part("owner", owner::measure),
-        part("links", links::measure),
+        measurement("frames", frames::measure),
+        measurement("values", values::measure),
+        measurement("entry", entry::measure),
+        measurement("owner", owner::measure),
+        measurement("links", links::measure),
     ],
-    &[part("peak", growth::measure_peak)],
-    &[part("failures", failures::measure)],
+    &[measurement("peak", growth::measure_peak)],
+    &[measurement("failures", failures::measure)],
 ];
 
-fn run(parts: &[Part], wanted: Option<&str>) -> String {
-    let sheet = SlopeSheet::new();
-    for part in parts {
-        if wanted.is_none_or(|wanted| wanted == part.name) {
-            (part.measure)(&sheet);
+fn run(measurements: &[Measurement], selected: Option<&str>) -> String {
+    let report = SlopeReport::new();
+    for measurement in measurements {
+        if selected.is_none_or(|selected| selected == measurement.name) {
+            (measurement.measure)(&report);
         }
     }
-    sheet.into_text()
+    report.into_text()
 }
 
 fn main() {
-    let began = Instant::now();
-    let wanted = std::env::args().nth(1);
-    let wanted = wanted.as_deref();
-    println!("{}", SlopeSheet::head());
-    print!("{}", run(&MEMORY, wanted));
+    let start = Instant::now();
+    let selected = std::env::args().nth(1);
+    let selected = selected.as_deref();
+    println!("{}", SlopeReport::head());
+    print!("{}", run(&MEMORY_MEASUREMENTS, selected));
     thread::scope(|scope| {
-        let runs = TIME.map(|parts| scope.spawn(move || run(parts, wanted)));
-        for run in runs {
-            print!("{}", run.join().expect("a measurement"));
+        let handles =
+            CPU_MEASUREMENTS.map(|measurements| scope.spawn(move || run(measurements, selected)));
+        for handle in handles {
+            print!("{}", handle.join().expect("a measurement"));
         }
     });
-    let seconds = began.elapsed().as_secs_f64();
+    let seconds = start.elapsed().as_secs_f64();
     let peak = probe::peak_bytes() / 1_000_000;
     println!("\nin {seconds:.0} s, at most {peak} MB");
 }
--- a/bergamotswitch/examples/slopes/owner.rs
+++ b/bergamotswitch/examples/slopes/owner.rs
@@ -11,12 +11,12 @@
 use bergamotswitch_core::pool_owner::{OwnerAction, OwnerEvent, OwnerOptions, ShardOwner};
 use bergamotswitch_core::target::LoadReport;
 
-use crate::probe::{growth, micros_each};
-use crate::sheet::{SlopeSheet, at_sizes};
-use crate::world::{ask, claim, host_name, name, prefixes, run_of, shard, targets};
+use crate::fixtures::{ask, claim, host_name, incarnation_of, name, prefixes, shard, targets};
+use crate::probe::{cpu_micros_per_call, memory_growth};
+use crate::report::{SlopeReport, measure_at_sizes};
 
 /// Room for so many tokens that nothing waits.
-const ROOMY: u32 = 4_000_000_000;
+const AMPLE_TOKENS: u32 = 4_000_000_000;
 
 /// A `OwnerBench` is an owner with a clock of its own.
 struct OwnerBench {
@@ -33,7 +33,7 @@
             .with_audit_after(Duration::from_secs(1_000_000));
         let now = Moment::from_millis(1_000);
         let mut bench = OwnerBench {
-            owner: ShardOwner::new(run_of(2), shard(None), opts, now),
+            owner: ShardOwner::new(incarnation_of(2), shard(None), opts, now),
             now,
             sequence: 0,
             entry: host_name(1),
@@ -58,7 +58,7 @@
         ask
     }
 
-    fn put(&mut self, ask: Ask) -> Vec<Permit> {
+    fn submit(&mut self, ask: Ask) -> Vec<Permit> {
         permits(self.message(OwnerMessage::Ask(Box::new(ask))))
     }
 
@@ -81,13 +81,13 @@
     }
 
     /// Let a request come and end, with `waiting` others queued all along.
-    fn turn(&mut self, held: &mut Vec<Permit>, accounts: usize) {
+    fn cycle_request(&mut self, in_flight: &mut Vec<Permit>, accounts: usize) {
         let ask = self.next_ask(accounts);
-        let mut fresh = self.put(ask);
-        if let Some(first) = held.pop() {
-            fresh.extend(self.release(&first));
+        let mut granted = self.submit(ask);
+        if let Some(first) = in_flight.pop() {
+            granted.extend(self.release(&first));
         }
-        held.extend(fresh);
+        in_flight.extend(granted);
     }
 }
 
@@ -102,130 +102,130 @@
 }
 
 /// Measure.
-pub fn measure(sheet: &SlopeSheet) {
-    sheet.part("pool owner, processor time in microseconds");
+pub fn measure(report: &SlopeReport) {
+    report.section("pool owner, processor time in microseconds");
     let target_counts = [18, 75, 150, 300, 600];
-    let points = at_sizes(&target_counts, |count| {
-        let mut bench = OwnerBench::new(count, ROOMY);
-        let mut held = Vec::new();
-        micros_each(|| bench.turn(&mut held, 280))
+    let points = measure_at_sizes(&target_counts, |count| {
+        let mut bench = OwnerBench::new(count, AMPLE_TOKENS);
+        let mut in_flight = Vec::new();
+        cpu_micros_per_call(|| bench.cycle_request(&mut in_flight, 280))
     });
-    sheet.slope(
+    report.slope(
         "request (ask, permit, release) with room, by targets",
         &points,
     );
-    let points = at_sizes(&target_counts, |count| {
-        let mut bench = OwnerBench::new(count, ROOMY);
+    let points = measure_at_sizes(&target_counts, |count| {
+        let mut bench = OwnerBench::new(count, AMPLE_TOKENS);
         // One request of a hundred is long, so that the others are short.
-        let mut held = Vec::new();
+        let mut in_flight = Vec::new();
         for _ in 0..400 {
             let ask = bench.next_ask(280);
-            held.extend(bench.put(ask));
+            in_flight.extend(bench.submit(ask));
         }
-        micros_each(|| {
+        cpu_micros_per_call(|| {
             let mut ask = bench.next_ask(280);
             ask.cost.prefill = 100_000;
-            let fresh = bench.put(ask);
-            for permit in &fresh {
+            let granted = bench.submit(ask);
+            for permit in &granted {
                 bench.release(permit);
             }
-            fresh.len()
+            granted.len()
         })
     });
-    sheet.slope("long request with room, by targets", &points);
-    let points = at_sizes(&[100, 1_000, 4_000, 8_000], |count| {
-        let mut bench = OwnerBench::new(67, ROOMY);
-        let mut held = Vec::new();
+    report.slope("long request with room, by targets", &points);
+    let points = measure_at_sizes(&[100, 1_000, 4_000, 8_000], |count| {
+        let mut bench = OwnerBench::new(67, AMPLE_TOKENS);
+        let mut in_flight = Vec::new();
         for _ in 0..count {
             let ask = bench.next_ask(280);
-            held.extend(bench.put(ask));
+            in_flight.extend(bench.submit(ask));
         }
-        held.reverse();
-        micros_each(|| bench.turn(&mut held, 280))
+        in_flight.reverse();
+        cpu_micros_per_call(|| bench.cycle_request(&mut in_flight, 280))
     });
-    sheet.slope("request, 67 targets, by permits in flight", &points);
-    let points = at_sizes(&[0, 1_000, 5_000, 20_000], |count| {
+    report.slope("request, 67 targets, by permits in flight", &points);
+    let points = measure_at_sizes(&[0, 1_000, 5_000, 20_000], |count| {
         let mut bench = OwnerBench::new(67, 8_192);
-        let mut held = fill(&mut bench, 280);
+        let mut in_flight = fill_targets(&mut bench, 280);
         for _ in 0..count {
             let ask = bench.next_ask(280);
-            bench.put(ask);
+            bench.submit(ask);
         }
-        micros_each(|| bench.turn(&mut held, 280))
+        cpu_micros_per_call(|| bench.cycle_request(&mut in_flight, 280))
     });
-    sheet.slope("request, 67 full targets, by requests that wait", &points);
-    let points = at_sizes(&[5, 50, 100, 280], |count| {
+    report.slope("request, 67 full targets, by requests that wait", &points);
+    let points = measure_at_sizes(&[5, 50, 100, 280], |count| {
         let mut bench = OwnerBench::new(67, 8_192);
-        let mut held = fill(&mut bench, count);
+        let mut in_flight = fill_targets(&mut bench, count);
         for _ in 0..5_000 {
             let ask = bench.next_ask(count);
-            bench.put(ask);
+            bench.submit(ask);
         }
-        micros_each(|| bench.turn(&mut held, count))
+        cpu_micros_per_call(|| bench.cycle_request(&mut in_flight, count))
     });
-    sheet.slope("request, 67 full targets, 5,000 wait, by accounts", &points);
-    let points = at_sizes(&target_counts, |count| {
-        let mut bench = OwnerBench::new(count, ROOMY);
-        let report = LoadReport {
+    report.slope("request, 67 full targets, 5,000 wait, by accounts", &points);
+    let points = measure_at_sizes(&target_counts, |count| {
+        let mut bench = OwnerBench::new(count, AMPLE_TOKENS);
+        let load = LoadReport {
             running: 10,
             waiting: 0,
             outstanding_tokens: 5_000,
             age_ms: 300,
         };
-        micros_each(|| bench.event(OwnerEvent::Load(name("drafting-lm-007"), report)))
+        cpu_micros_per_call(|| bench.event(OwnerEvent::Load(name("drafting-lm-007"), load)))
     });
-    sheet.slope("load report, by targets", &points);
+    report.slope("load report, by targets", &points);
 }
 
-fn fill(bench: &mut OwnerBench, accounts: usize) -> Vec<Permit> {
-    let mut held = Vec::new();
+fn fill_targets(bench: &mut OwnerBench, accounts: usize) -> Vec<Permit> {
+    let mut in_flight = Vec::new();
     loop {
         let ask = bench.next_ask(accounts);
-        let fresh = bench.put(ask);
-        if fresh.is_empty() {
-            held.reverse();
-            return held;
+        let granted = bench.submit(ask);
+        if granted.is_empty() {
+            in_flight.reverse();
+            return in_flight;
         }
-        held.extend(fresh);
+        in_flight.extend(granted);
     }
 }
 
 /// Measure the memory.
-pub fn measure_memory(sheet: &SlopeSheet) {
-    sheet.part("pool owner, memory in bytes");
+pub fn measure_memory(report: &SlopeReport) {
+    report.section("pool owner, memory in bytes");
     let sizes = [5_000, 10_000, 20_000, 40_000];
-    let mut full = Box::new(OwnerBench::new(67, 8_192));
-    fill(&mut full, 280);
-    let points = growth(&sizes, || {
-        let ask = full.next_ask(280);
-        full.put(ask);
+    let mut saturated = Box::new(OwnerBench::new(67, 8_192));
+    fill_targets(&mut saturated, 280);
+    let points = memory_growth(&sizes, || {
+        let ask = saturated.next_ask(280);
+        saturated.submit(ask);
     });
-    sheet.slope("requests that wait", &points);
-    let mut roomy = Box::new(OwnerBench::new(67, ROOMY));
-    let points = growth(&sizes, || {
-        let ask = roomy.next_ask(280);
-        roomy.put(ask);
+    report.slope("requests that wait", &points);
+    let mut ample = Box::new(OwnerBench::new(67, AMPLE_TOKENS));
+    let points = memory_growth(&sizes, || {
+        let ask = ample.next_ask(280);
+        ample.submit(ask);
     });
-    sheet.slope("permits in flight, with four prefixes each", &points);
+    report.slope("permits in flight, with four prefixes each", &points);
     let retention = Duration::from_secs(900);
     let mut table = Box::new(KeyTable::new(Moment::START, retention, 1_000_000));
     let mut key = 0;
-    let points = growth(&[50_000, 100_000, 150_000, 200_000], || {
+    let points = memory_growth(&[50_000, 100_000, 150_000, 200_000], || {
         key += 1;
         table.grant(Moment::START, &claim(key));
     });
-    sheet.slope("keys", &points);
-    let mut hinted = Box::new(OwnerBench::new(67, ROOMY));
+    report.slope("keys", &points);
+    let mut prefixed = Box::new(OwnerBench::new(67, AMPLE_TOKENS));
     let mut seed = 0;
-    let points = growth(&[8_000, 16_000, 32_000, 64_000], || {
+    let points = memory_growth(&[8_000, 16_000, 32_000, 64_000], || {
         seed += 1;
         let target = name(format!("drafting-lm-{:03}", seed % 67));
-        hinted.event(OwnerEvent::Prefix(target, prefixes(seed, 1)[0], true));
+        prefixed.event(OwnerEvent::Prefix(target, prefixes(seed, 1)[0], true));
     });
-    sheet.slope("prefixes", &points);
+    report.slope("prefixes", &points);
     // Memory that is given back would be taken again unseen.
-    Box::leak(full);
-    Box::leak(roomy);
+    Box::leak(saturated);
+    Box::leak(ample);
     Box::leak(table);
-    Box::leak(hinted);
+    Box::leak(prefixed);
 }
--- a/bergamotswitch/examples/slopes/probe.rs
+++ b/bergamotswitch/examples/slopes/probe.rs
@@ -5,14 +5,14 @@
 use std::hint::black_box;
 
 use crate::fit::Point;
-use crate::sheet::at_sizes;
+use crate::report::measure_at_sizes;
 
 /// The processor time that one timing takes at least. The system counts it
 /// in ticks of a few milliseconds.
-const TIMING_NANOS: u64 = 60_000_000;
+const MIN_TIMING_NANOS: u64 = 60_000_000;
 
 /// The least of so many timings counts: other load only ever adds.
-const TIMINGS: usize = 3;
+const TIMING_RUNS: usize = 3;
 
 /// Get the processor time of this thread so far, in nanoseconds.
 pub fn cpu_nanos() -> u64 {
@@ -39,33 +39,33 @@
 }
 
 /// Get the processor time of one call of `work`, in microseconds.
-pub fn micros_each<T>(mut work: impl FnMut() -> T) -> f64 {
-    let mut least = f64::MAX;
-    for _ in 0..TIMINGS {
-        let began = cpu_nanos();
+pub fn cpu_micros_per_call<T>(mut work: impl FnMut() -> T) -> f64 {
+    let mut fastest = f64::MAX;
+    for _ in 0..TIMING_RUNS {
+        let start = cpu_nanos();
         let mut calls = 0_u32;
         let mut batch = 1;
-        let spent = loop {
+        let cpu_time = loop {
             for _ in 0..batch {
                 black_box(work());
             }
             calls += batch;
-            let spent = cpu_nanos() - began;
-            if spent >= TIMING_NANOS {
-                break spent;
+            let cpu_time = cpu_nanos() - start;
+            if cpu_time >= MIN_TIMING_NANOS {
+                break cpu_time;
             }
             batch = batch.saturating_mul(2).min(4_096);
         };
-        least = least.min(spent as f64 / f64::from(calls) / 1_000.0);
+        fastest = fastest.min(cpu_time as f64 / f64::from(calls) / 1_000.0);
     }
-    least
+    fastest
 }
 
 /// Get the memory that `step` adds, at growing numbers of steps.
-pub fn growth(sizes: &[usize], mut step: impl FnMut()) -> Vec<Point> {
+pub fn memory_growth(sizes: &[usize], mut step: impl FnMut()) -> Vec<Point> {
     let before = resident_bytes();
     let mut done = 0;
-    at_sizes(sizes, |size| {
+    measure_at_sizes(sizes, |size| {
         for _ in done..size {
             step();
         }
--- a/bergamotswitch/examples/slopes/sheet.rs
+++ b/bergamotswitch/examples/slopes/report.rs
@@ -6,17 +6,17 @@
 
 use crate::fit::{LineFit, Point};
 
-/// A `SlopeSheet` collects what was found.
-pub struct SlopeSheet {
-    began: Instant,
+/// A `SlopeReport` collects what was found.
+pub struct SlopeReport {
+    started_at: Instant,
     text: RefCell<String>,
 }
 
-impl SlopeSheet {
+impl SlopeReport {
     /// Get an empty sheet.
     pub fn new() -> Self {
-        SlopeSheet {
-            began: Instant::now(),
+        SlopeReport {
+            started_at: Instant::now(),
             text: RefCell::default(),
         }
     }
@@ -37,20 +37,20 @@
     }
 
     /// Begin a part.
-    pub fn part(&self, name: &str) {
-        let seconds = self.began.elapsed().as_secs_f64();
+    pub fn section(&self, name: &str) {
+        let seconds = self.started_at.elapsed().as_secs_f64();
         self.line(format_args!("\n# {name} (after {seconds:.0} s)"));
     }
 
     /// Add the slope through points.
     pub fn slope(&self, quantity: &str, points: &[Point]) {
         let fit = LineFit::of(points);
-        let seen: Vec<String> = points
+        let values: Vec<String> = points
             .iter()
-            .map(|p| format!("{}: {}", p.size, Short(p.value)))
+            .map(|p| format!("{}: {}", p.size, ShortNumber(p.value)))
             .collect();
-        let seen = seen.join(", ");
-        self.line(format_args!("{quantity:<62} {fit}  {seen}"));
+        let values = values.join(", ");
+        self.line(format_args!("{quantity:<62} {fit}  {values}"));
     }
 
     /// Add one figure that has no size.
@@ -64,9 +64,9 @@
     }
 }
 
-struct Short(f64);
+struct ShortNumber(f64);
 
-impl std::fmt::Display for Short {
+impl std::fmt::Display for ShortNumber {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self.0.abs() {
             large if large >= 1_000.0 => write!(f, "{:.0}", self.0),
@@ -77,7 +77,7 @@
 }
 
 /// Measure at each size.
-pub fn at_sizes(sizes: &[usize], mut measure: impl FnMut(usize) -> f64) -> Vec<Point> {
+pub fn measure_at_sizes(sizes: &[usize], mut measure: impl FnMut(usize) -> f64) -> Vec<Point> {
     sizes
         .iter()
         .map(|size| Point {
--- a/bergamotswitch/examples/slopes/values.rs
+++ b/bergamotswitch/examples/slopes/values.rs
@@ -4,15 +4,15 @@
 use bergamotswitch_core::publication::{Publication, check_consistency};
 use bergamotswitch_core::rules::RequestFacts;
 
-use crate::probe::{growth, micros_each};
-use crate::sheet::{SlopeSheet, at_sizes};
-use crate::world::{FleetSize, TARGET_SIZE, account, domain_of, name, published};
+use crate::fixtures::{DESIGN_SIZE, FleetSize, account, domain_of, name, published};
+use crate::probe::{cpu_micros_per_call, memory_growth};
+use crate::report::{SlopeReport, measure_at_sizes};
 
 /// How often a value is kept for the measurement of memory.
 const COPIES: [usize; 4] = [10, 20, 40, 80];
 
-fn sized(value: &str, size: usize) -> FleetSize {
-    let mut fleet = TARGET_SIZE;
+fn size_with(value: &str, size: usize) -> FleetSize {
+    let mut fleet = DESIGN_SIZE;
     match value {
         "hosts" => fleet.hosts = size,
         "pools" => fleet.targets = size,
@@ -34,44 +34,44 @@
 const VALUES: [&str; 4] = ["hosts", "pools", "accounts", "rules"];
 
 fn body_of(value: &str, size: usize) -> serde_json::Value {
-    let values = sized(value, size).values(0);
+    let values = size_with(value, size).values(0);
     let found = values.into_iter().find(|(name, _)| *name == value);
     found.expect("a value").1
 }
 
 /// Measure the memory.
-pub fn measure_memory(sheet: &SlopeSheet) {
-    sheet.part("published values, memory in bytes");
-    let mut kept = Vec::new();
-    let points = growth(&COPIES, || kept.push(TARGET_SIZE.publication()));
-    sheet.slope(
+pub fn measure_memory(report: &SlopeReport) {
+    report.section("published values, memory in bytes");
+    let mut publications = Vec::new();
+    let points = memory_growth(&COPIES, || publications.push(DESIGN_SIZE.publication()));
+    report.slope(
         "all values of the target's size in force, by copies",
         &points,
     );
-    std::mem::forget(kept);
+    std::mem::forget(publications);
 }
 
 /// Measure the rest.
-pub fn measure(sheet: &SlopeSheet) {
-    sheet.part("published values: text in bytes, check in microseconds");
+pub fn measure(report: &SlopeReport) {
+    report.section("published values: text in bytes, check in microseconds");
     for value in VALUES {
-        let points = at_sizes(&sizes_of(value), |size| {
+        let points = measure_at_sizes(&sizes_of(value), |size| {
             body_of(value, size).to_string().len() as f64
         });
-        sheet.slope(
+        report.slope(
             &format!("{value}: text, by {value} (pools: targets)"),
             &points,
         );
-        let points = at_sizes(&sizes_of(value), |size| {
-            let whole = published(value, 1, &body_of(value, size));
+        let points = measure_at_sizes(&sizes_of(value), |size| {
+            let published_value = published(value, 1, &body_of(value, size));
             let mut publication = Publication::default();
-            micros_each(|| publication.apply(&whole).is_ok())
+            cpu_micros_per_call(|| publication.apply(&published_value).is_ok())
         });
-        sheet.slope(&format!("{value}: check and adopt, by {value}"), &points);
+        report.slope(&format!("{value}: check and adopt, by {value}"), &points);
     }
-    sheet.part("a request's way in, processor time in microseconds");
-    let points = at_sizes(&sizes_of("rules"), |size| {
-        let publication = sized("rules", size).publication();
+    report.section("a request's way in, processor time in microseconds");
+    let points = measure_at_sizes(&sizes_of("rules"), |size| {
+        let publication = size_with("rules", size).publication();
         let facts = RequestFacts {
             pool: &name("drafting-lm-1"),
             account: &name(account(7)),
@@ -81,16 +81,16 @@
             prompt_tokens: 1_000,
             streaming: true,
         };
-        micros_each(|| publication.rules.decide(&facts))
+        cpu_micros_per_call(|| publication.rules.decide(&facts))
     });
-    sheet.slope("rules, none matches, by rules", &points);
-    let points = at_sizes(&sizes_of("accounts"), |size| {
-        let publication = sized("accounts", size).publication();
-        micros_each(|| publication.accounts.authenticate("key-3").is_some())
+    report.slope("rules, none matches, by rules", &points);
+    let points = measure_at_sizes(&sizes_of("accounts"), |size| {
+        let publication = size_with("accounts", size).publication();
+        cpu_micros_per_call(|| publication.accounts.authenticate("key-3").is_some())
     });
-    sheet.slope("authentication, by accounts", &points);
-    let points = at_sizes(&sizes_of("hosts"), |size| {
-        let publication = sized("hosts", size).publication();
+    report.slope("authentication, by accounts", &points);
+    let points = measure_at_sizes(&sizes_of("hosts"), |size| {
+        let publication = size_with("hosts", size).publication();
         let book = AddressBook::new(&publication);
         let query = AddressQuery {
             account: name(account(7)),
@@ -98,22 +98,22 @@
             domain: Some(name(domain_of(3))),
         };
         let health = health(&publication);
-        micros_each(|| book.answer(&query, &health))
+        cpu_micros_per_call(|| book.answer(&query, &health))
     });
-    sheet.slope("address answer, by hosts", &points);
-    let points = at_sizes(&sizes_of("hosts"), |size| {
-        let publication = sized("hosts", size).publication();
-        micros_each(|| publication.clone())
+    report.slope("address answer, by hosts", &points);
+    let points = measure_at_sizes(&sizes_of("hosts"), |size| {
+        let publication = size_with("hosts", size).publication();
+        cpu_micros_per_call(|| publication.clone())
     });
-    sheet.slope(
+    report.slope(
         "copy of the publication for the callers' side, by hosts",
         &points,
     );
-    let points = at_sizes(&sizes_of("pools"), |size| {
-        let publication = sized("pools", size).publication();
-        micros_each(|| check_consistency(&publication))
+    let points = measure_at_sizes(&sizes_of("pools"), |size| {
+        let publication = size_with("pools", size).publication();
+        cpu_micros_per_call(|| check_consistency(&publication))
     });
-    sheet.slope(
+    report.slope(
         "cross-check (each second, for the status page), by targets",
         &points,
     );
