--- a/bergamotswitch/examples/overhead.rs
+++ b/bergamotswitch/examples/overhead.rs
@@ -1,9 +1,10 @@
-//! Measures what one host adds to a call: the same calls directly at a
-//! stand-in target and through one entry host, in turn, in one run.
+//! Measures the latency that one host adds to a call, by sending the same
+//! calls directly to a stand-in target and through one entry host.
 //!
-//! Caller, host and platform have a thread each, as they have a process each
-//! in a fleet. The target takes no more time than its least step, so that the
-//! added time is not lost in the target's own.
+//! The caller, the host and the platform stand-in run on a thread each, as
+//! they run in separate processes in production. The target is configured to
+//! answer as fast as it can, so that its own latency doesn't hide the
+//! overhead.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -28,21 +29,23 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::task::JoinSet;
 
-/// Calls of one cell of the table, and the rounds in which they are made:
-/// direct and through the host alternate, so that a busy machine hits both.
+/// The rounds of one table row. Direct and proxied rounds alternate, so that
+/// other load on the machine affects both.
 const ROUNDS: usize = 5;
+/// The concurrency of a table row, and its calls in each round.
 const CALLS_PER_ROUND: [(usize, usize); 2] = [(1, 60), (16, 480)];
 
-/// Not measured: first calls fill caches and grow the owner's limits.
+/// Calls that aren't recorded: they fill caches and raise the owner's adaptive
+/// limits.
 const WARM_UP_CALLS: usize = 64;
 
-/// The greatest time that is told apart.
+/// The highest latency that a histogram records.
 const MAX_MICROS: u64 = 60_000_000;
 
 type AnyError = Box<dyn Error + Send + Sync>;
 
-/// What is called: the same path and body at the host and, under another
-/// path, at the target.
+/// A `MeasuredCall` is a request that is sent both to the host and directly to
+/// the target.
 #[derive(Clone)]
 struct MeasuredCall {
     name: &'static str,
@@ -52,7 +55,7 @@
     body: Bytes,
 }
 
-/// One way to the target.
+/// A `CallRoute` is the address and path that a call is sent to.
 #[derive(Clone)]
 struct CallRoute {
     address: SocketAddr,
@@ -80,7 +83,8 @@
     Ok(Builder::new_current_thread().enable_all().build()?)
 }
 
-/// Leave one host, one engine and one service in the stage, both quick.
+/// Reduce the staged deployment to one host, one engine and one plain service,
+/// with both targets at their fastest.
 fn reduce_stage(directory: &Path) -> Result<Vec<MeasuredCall>, AnyError> {
     let mut hosts = read_json(&directory.join("hosts.json"))?;
     keep_first(&mut hosts["hosts"]);
@@ -175,8 +179,8 @@
 }
 
 async fn measure_all(host: SocketAddr, calls: &[MeasuredCall]) -> Result<(), AnyError> {
-    println!("all times in ms; added: through one host less direct, at the same percentile\n");
-    println!("| call | at once | direct p50 | p99 | through p50 | p99 | added p50 | p99 |");
+    println!("all times in ms; added: proxied minus direct, at the same percentile\n");
+    println!("| call | concurrency | direct p50 | p99 | proxied p50 | p99 | added p50 | p99 |");
     println!("|---|---:|---:|---:|---:|---:|---:|---:|");
     for call in calls {
         let direct = CallRoute {
@@ -222,8 +226,7 @@
     );
 }
 
-/// Make `count` calls, `concurrency` of them at a time, each over a connection
-/// that its caller keeps.
+/// Make `count` calls over `concurrency` keep-alive connections.
 async fn run_round(
     route: &CallRoute,
     concurrency: usize,
--- a/bergamotswitch/examples/policies/baseline.rs
+++ b/bergamotswitch/examples/policies/baseline.rs
@@ -1,6 +1,6 @@
-//! Provides the baselines: hosts without owners, each with a queue of its
-//! own, a concurrency cap for each engine, and the same deadlines and retry
-//! rule as the project's policy.
+//! Provides the baseline policies: hosts that share no state, each with its
+//! own queue and a concurrency limit for each target, and with the same
+//! deadlines and retry budget as the project's policy.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -16,23 +16,27 @@
 use crate::simulation::{PolicyCommand, TestPolicy, batch_size, targets};
 use crate::traffic::{HOST_COUNT, OfferedRequest, TestDeployment};
 
-/// The most dispatches of one request, as in the entry side's options.
+/// The maximum number of attempts for a request, as in the default
+/// `EntryOptions`.
 const MAX_ATTEMPTS: u16 = 3;
 
-/// How often a queue is checked for deadlines.
+/// How often a queue is checked for expired requests, in microseconds.
 const DEADLINE_CHECK_INTERVAL: u64 = 100_000;
 
-/// A `BaselineRule` says how a host chooses a target, and in what order.
+/// A `BaselineRule` is the load-balancing algorithm of a baseline policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BaselineRule {
     RoundRobin,
+    /// The target with the fewest outstanding tokens in its last load report.
     LeastReported,
+    /// The target with the fewest requests in flight from the same host.
     ShortestQueue,
-    /// The shortest queue, with strict tiers inside each host.
+    /// As `ShortestQueue`, with strict priority by tier in each host's queue.
     ShortestQueueTiers,
 }
 
-/// A place in a host's queue: the tier where it counts, then the arrival.
+/// The sort key of a queue: the tier, or 0 if the rule ignores tiers, then the
+/// order of arrival.
 type QueueKey = (u8, u64);
 
 struct BaselineTarget {
@@ -65,7 +69,7 @@
     checked_at: u64,
 }
 
-/// A `BaselinePolicy` is a fleet of hosts that share nothing.
+/// A `BaselinePolicy` is a fleet of hosts that share no state.
 pub struct BaselinePolicy {
     rule: BaselineRule,
     targets: Vec<BaselineTarget>,
@@ -78,8 +82,8 @@
         let targets: Vec<BaselineTarget> = targets(deployment)
             .map(|target| BaselineTarget {
                 target: target.clone(),
-                // All hosts together just fill the batch: the best cap there
-                // is without an owner.
+                // Without coordination, the batch is divided evenly among the
+                // hosts.
                 cap: batch_size(target).div_ceil(HOST_COUNT),
                 reported: 0,
             })
--- a/bergamotswitch/examples/policies/engine.rs
+++ b/bergamotswitch/examples/policies/engine.rs
@@ -1,5 +1,5 @@
-//! Provides a fake engine: continuous batching with chunked prefill and a
-//! prefix cache, in virtual time, without priorities.
+//! Provides a simulated inference engine with continuous batching, chunked
+//! prefill and a prefix cache, in virtual time and without priorities.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
@@ -8,20 +8,20 @@
 use bergamotswitch_core::request::{AttemptId, PrefixHash};
 use bergamotswitch_core::target::{LoadReport, PoolTarget};
 
-/// The prompt tokens that one prefix block spans.
+/// The prompt tokens in one block of the prefix cache.
 pub const BLOCK_TOKENS: u32 = 256;
 
-/// How many prompt tokens an engine reads in the time of one output token of
-/// its full batch.
+/// How many times faster an engine processes prompt tokens than it generates
+/// output tokens with a full batch.
 pub const PREFILL_FACTOR: u32 = 10;
 
-/// The most prompt tokens that one step reads.
+/// The maximum number of prompt tokens that one step processes.
 const CHUNK_TOKENS: u32 = 512;
 
-/// Every so many output tokens the host hears of the progress.
+/// The number of output tokens between two progress events.
 const PROGRESS_TOKENS: u32 = 32;
 
-/// An `EngineRun` is one attempt inside an engine.
+/// An `EngineRun` is the execution of one attempt by an engine.
 #[derive(Clone, Debug)]
 pub struct EngineRun {
     pub attempt: AttemptId,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Get the prompt tokens that were processed.
+    /// Get the number of prompt tokens processed so far, without cached ones.
     pub fn prefilled(&self) -> u32 {
         self.prefilled
     }
@@ -79,19 +79,20 @@
     }
 }
 
-/// An `EngineUpdate` is what a step brought about.
+/// An `EngineUpdate` is a result of an engine step.
 #[derive(Debug)]
 pub enum EngineUpdate {
     Attempt(EngineRun, AttemptEvent),
     Ended(EngineRun),
+    /// A prefix block was added to the cache, or evicted if the flag is `false`.
     Cached(PrefixHash, bool),
 }
 
-/// A `FakeEngine` is one engine, or one plain service.
+/// A `FakeEngine` is a simulated target: an engine or a plain service.
 #[derive(Debug)]
 pub struct FakeEngine {
     pub target: PoolTarget,
-    /// How many times longer a step takes than it should.
+    /// The factor by which steps are slowed down; 1 is the normal speed.
     pub slowdown: f64,
     batch: usize,
     step_micros: f64,
@@ -130,7 +131,7 @@
         self.waiting.push_back(run);
     }
 
-    /// Take a run out before its end.
+    /// Remove a run before it ends.
     pub fn cancel(&mut self, attempt: AttemptId) -> Option<EngineRun> {
         if let Some(at) = self.waiting.iter().position(|run| run.attempt == attempt) {
             return self.waiting.remove(at);
@@ -152,8 +153,8 @@
         }
     }
 
-    /// Make one step; get how long it takes in microseconds, and what it
-    /// brings about at its end.
+    /// Run one step. Get its duration in microseconds and the updates that take
+    /// effect at its end.
     pub fn step(&mut self, now: u64) -> (u64, Vec<EngineUpdate>) {
         self.fill_batch();
         let mut chunk_left = CHUNK_TOKENS;
@@ -201,7 +202,8 @@
         }
     }
 
-    /// Move waiting runs into the batch while the first of them fits.
+    /// Move waiting runs into the batch in order of arrival, until one doesn't
+    /// fit.
     fn fill_batch(&mut self) {
         let mut batch_tokens: u64 = self.running.iter().map(EngineRun::tokens).sum();
         while self.running.len() < self.batch {
@@ -218,7 +220,7 @@
             };
             batch_tokens += run.tokens();
             let cached_prefix = run.blocks.iter().take_while(|b| self.cache.contains_key(b));
-            // The last prompt token is always processed.
+            // The last prompt token is never taken from the cache.
             run.cached = (cached_prefix.count() as u32 * BLOCK_TOKENS).min(run.prompt - 1);
             self.running.push(run);
         }
--- a/bergamotswitch/examples/policies/main.rs
+++ b/bergamotswitch/examples/policies/main.rs
@@ -1,6 +1,7 @@
-//! Measures the policy on the decision core in virtual time, beside
-//! baselines that get the same requests and engines. Prints the tables of
-//! `docs/MEASUREMENTS.md`; the seed is fixed.
+//! Compares the scheduling policy with baselines in a virtual-time simulation
+//! with the same requests and engines.
+//!
+//! Prints the tables of `docs/MEASUREMENTS.md`. The seed is fixed.
 
 mod baseline;
 mod engine;
@@ -26,7 +27,8 @@
     ("shortest queue, tiers", BaselineRule::ShortestQueueTiers),
 ];
 
-/// The scenarios in which options are varied; all would take too long.
+/// The scenarios in which options are compared: a subset, to limit the run
+/// time.
 const OPTION_SCENARIOS: [&str; 3] = ["dawn burst 2x", "slow engine", "owner dies in burst"];
 
 fn run(
@@ -57,7 +59,7 @@
     rows
 }
 
-/// Measure the policy's options one at a time.
+/// Run the policy with one option changed at a time.
 fn compare_options(deployment: &TestDeployment, scenario: &TestScenario) -> MetricRows {
     let mut rows = Vec::new();
     let mut add = |name: &str, opts: NodeOptions, set: fn(&mut NodePolicy), hedge_after| {
@@ -67,7 +69,7 @@
         rows.push((name.to_owned(), metrics));
     };
     let defaults = NodeOptions::default;
-    add("as it is", defaults(), |_| {}, None);
+    add("default options", defaults(), |_| {}, None);
     add(
         "no prefix affinity",
         defaults(),
@@ -77,7 +79,7 @@
     add("hedged after 0.5 s", defaults(), |_| {}, Some(500_000));
     add("hedged after 2 s", defaults(), |_| {}, Some(2_000_000));
     add(
-        "queue of 30 s",
+        "queue limit of 30 s",
         defaults(),
         |p| p.set_queue_limit(30_000),
         None,
@@ -95,7 +97,7 @@
         TestDeployment::red_austral(),
         TestDeployment::naapuriseina(),
     ] {
-        // Three threads at most, so that a busy machine stays usable.
+        // Limits the simulation to three threads.
         for group in scenarios.chunks(3) {
             let tables: Vec<MetricRows> = thread::scope(|scope| {
                 let handles: Vec<_> = group
@@ -116,7 +118,7 @@
 
 fn main() {
     let mut scenarios = TestScenario::all();
-    print_all("The policy and baselines", &scenarios, compare);
+    print_all("Policy and baselines", &scenarios, compare);
     scenarios.retain(|scenario| OPTION_SCENARIOS.contains(&scenario.name));
-    print_all("The policy's options", &scenarios, compare_options);
+    print_all("Policy options", &scenarios, compare_options);
 }
--- a/bergamotswitch/examples/policies/node_policy.rs
+++ b/bergamotswitch/examples/policies/node_policy.rs
@@ -1,5 +1,5 @@
-//! Provides the project's own policy: eight `NodeCore`s that talk to each
-//! other.
+//! Provides the project's policy: a fleet of `NodeCore`s that exchange messages
+//! over simulated links.
 
 use std::collections::HashMap;
 
@@ -26,13 +26,13 @@
     alive: bool,
 }
 
-/// A `NodePolicy` is a fleet of real decision cores.
+/// A `NodePolicy` is a fleet of hosts that run the production `NodeCore`.
 pub struct NodePolicy {
     hosts: Vec<NodeHost>,
     names: Vec<HostName>,
     values: Vec<PublishedValue>,
     requests: HashMap<RequestId, usize>,
-    /// Whether owners hear of cached prefixes, and asks carry hashes.
+    /// Whether prefix hashes are sent to owners, for prefix-cache affinity.
     pub affinity: bool,
 }
 
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Publish another limit on the queue.
+    /// Set the queue limit in the published limits.
     pub fn set_queue_limit(&mut self, millis: u64) {
         let limits = self.values.iter_mut();
         for value in limits.filter(|value| value.name.as_str() == LIMITS_VALUE) {
@@ -80,7 +80,7 @@
         self.names
             .iter()
             .position(|other| other == name)
-            .expect("a listed host")
+            .expect("host not in the host list")
     }
 
     fn handle(&mut self, now: Moment, host: usize, event: NodeEvent) -> Vec<PolicyCommand> {
@@ -130,8 +130,8 @@
                     commands.push(PolicyCommand::Abort { attempt })
                 }
                 NodeAction::Conclude(id, conclusion) => {
-                    // A refusal before the request got its number is told by
-                    // the reception.
+                    // A refusal before the request got an ID is reported by
+                    // `submit`.
                     if let Some(request) = self.requests.get(&id) {
                         let answered = conclusion == Conclusion::Answered;
                         commands.push(PolicyCommand::Conclude {
@@ -192,13 +192,13 @@
             }
             SubmitOutcome::Refused(refusal) => {
                 let ready = refusal.reason() != RefusalReason::NotReady;
-                assert!(ready, "hosts are ready when the load begins");
+                assert!(ready, "host not ready when the load starts");
                 commands.push(PolicyCommand::Conclude {
                     request: index,
                     answered: false,
                 });
             }
-            other => panic!("no keys are used: {other:?}"),
+            other => panic!("unexpected outcome of a request without a key: {other:?}"),
         }
         self.translate(now, request.host, actions, &mut commands);
         commands
@@ -279,7 +279,7 @@
     }
 }
 
-/// Get the host that owns the engines' shard.
+/// Get the index of the host that owns the shard of the engine pool.
 pub fn owner_index(deployment: &TestDeployment) -> usize {
     let shard = PoolShard {
         pool: deployment.engines.name.clone(),
@@ -296,5 +296,5 @@
     names
         .iter()
         .position(|name| *name == owner)
-        .expect("a ranked host")
+        .expect("ranked host not in the host list")
 }
--- a/bergamotswitch/examples/policies/report.rs
+++ b/bergamotswitch/examples/policies/report.rs
@@ -1,4 +1,4 @@
-//! Provides the figures of a run and the tables that hold them.
+//! Provides the metrics of a simulation run and prints them as tables.
 
 use std::collections::BTreeMap;
 
@@ -7,13 +7,14 @@
 use crate::simulation::RunRecord;
 use crate::traffic::TestScenario;
 
-/// The tier of the work that one account floods.
+/// The tier of the requests that one account sends in excess.
 const CONTENDED_TIER: u8 = 1;
 
-/// A `TierMetrics` is what became of one tier.
+/// A `TierMetrics` is the metrics of the requests of one tier.
 #[derive(Clone, Debug, Default)]
 pub struct TierMetrics {
     pub offered: usize,
+    /// Requests that were answered before their deadline.
     pub good: usize,
     first_token_micros: Vec<u64>,
 }
@@ -23,8 +24,8 @@
         100.0 * self.good as f64 / self.offered.max(1) as f64
     }
 
-    /// Get the time to the first token in seconds that `quantile` of those
-    /// requests stay under which got one.
+    /// Get a quantile of the time to first token in seconds, among the requests
+    /// that got one.
     pub fn time_to_first_token(&self, quantile: f64) -> f64 {
         if self.first_token_micros.is_empty() {
             return f64::NAN;
@@ -35,21 +36,23 @@
     }
 }
 
-/// A `RunMetrics` is the measures of a run.
+/// A `RunMetrics` is the metrics of one run.
 pub struct RunMetrics {
-    /// The engines' work by tier.
+    /// The requests to engines, by tier.
     pub tiers: BTreeMap<u8, TierMetrics>,
-    /// The plain services' calls.
+    /// The requests to plain services.
     pub plain: TierMetrics,
-    /// Prompt tokens processed without a whole answer in time, and all.
+    /// Prompt tokens processed that didn't contribute to an answer in time.
     pub wasted: u64,
+    /// All prompt tokens processed.
     pub prefilled: u64,
-    /// Jain's index of the accounts' good tokens over their fair parts in
-    /// the tier that one account may flood.
+    /// Jain's fairness index of the client accounts in the contended tier: their
+    /// goodput in tokens relative to their weighted max-min fair share.
     pub fairness: f64,
-    /// From the owner's death to the next top-tier dispatch, in seconds.
+    /// The time from the owner's failure to the next top-tier dispatch, in
+    /// seconds.
     pub stall: Option<f64>,
-    /// Top-tier requests that only the dead host held.
+    /// Top-tier requests lost with the entry host that failed.
     pub lost_top_tier: usize,
 }
 
@@ -100,8 +103,8 @@
     good: f64,
 }
 
-/// Get Jain's index of what the accounts got in the middle phase over the
-/// weighted max-min fair parts of the same sum.
+/// Get Jain's fairness index of the client accounts in the middle phase, from
+/// the ratio of their goodput to its weighted max-min fair allocation.
 fn fairness(record: &RunRecord, tier: u8, scenario: &TestScenario) -> f64 {
     let (from, until) = scenario.middle();
     let mut accounts: BTreeMap<&str, AccountTokens> = BTreeMap::new();
@@ -137,7 +140,8 @@
     sum * sum / (ratios.len() as f64 * squares)
 }
 
-/// Divide what was got in all by weight, no account above its demand.
+/// Get the weighted max-min fair allocation of the total goodput, bounded by
+/// the demand of each client account.
 fn max_min_allocation(accounts: &[AccountTokens]) -> Vec<f64> {
     let mut remaining: f64 = accounts.iter().map(|account| account.good).sum();
     let mut allocations = vec![0.0; accounts.len()];
@@ -163,7 +167,7 @@
     allocations
 }
 
-/// Print one scenario's table.
+/// Print the table of one scenario.
 pub fn print_table(title: &str, rows: &[(String, RunMetrics)]) {
     println!("\n### {title}\n");
     let Some((_, first)) = rows.first() else {
--- a/bergamotswitch/examples/policies/simulation.rs
+++ b/bergamotswitch/examples/policies/simulation.rs
@@ -1,5 +1,5 @@
-//! Provides the event queue in virtual time that runs a policy, its engines
-//! and the offered requests.
+//! Provides a discrete-event simulation of a policy, its engines and its
+//! requests. Times are in microseconds of virtual time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -15,23 +15,28 @@
 use crate::engine::{EngineRun, EngineUpdate, FakeEngine};
 use crate::traffic::{Fault, HOST_COUNT, OfferedRequest, TestDeployment, TestScenario};
 
-/// The one-way delay between two machines, in microseconds.
+/// The one-way network delay between two machines.
 const NETWORK_DELAY: u64 = 1_000;
 
-/// How often a target's load is read, how old the report is on arrival, and
-/// how much of that age it tells.
+/// How often the load of a target is read.
 const LOAD_INTERVAL: u64 = 250_000;
+
+/// How old a load report is on arrival.
 const LOAD_DELAY: u64 = 500_000;
+
+/// The age that a load report states, which is less than its actual age.
 const LOAD_AGE_MS: u32 = 400;
 
-/// How late a cache event comes, and how many of a hundred get lost.
+/// The delay of a prefix-cache event.
 const CACHE_EVENT_DELAY: u64 = 2_000_000;
+
+/// The percentage of prefix-cache events that are lost.
 const CACHE_EVENT_LOSS_PERCENT: u32 = 30;
 
-/// How long after its load a run may go on.
+/// How long a run may continue after the end of its load.
 const MAX_DRAIN: u64 = 900_000_000;
 
-/// An `PolicyCommand` is what a policy wants done.
+/// A `PolicyCommand` is an action that a policy requests from the simulation.
 pub enum PolicyCommand {
     Start {
         host: usize,
@@ -52,7 +57,7 @@
     },
 }
 
-/// A `TestPolicy` is a fleet of hosts that decide.
+/// A `TestPolicy` is a scheduling policy that runs on a fleet of hosts.
 pub trait TestPolicy {
     fn start(&mut self, now: Moment) -> Vec<PolicyCommand>;
     fn submit(&mut self, now: Moment, index: usize, request: &OfferedRequest)
@@ -75,7 +80,8 @@
     fn link(&mut self, now: Moment, host: usize, event: LinkEvent) -> Vec<PolicyCommand>;
     fn tick(&mut self, now: Moment, host: usize) -> Vec<PolicyCommand>;
     fn wake(&self, host: usize) -> Moment;
-    /// Let a host die; get what its peers notice at once.
+    /// Stop a host. Get the commands that report the closed links to its peers;
+    /// there are none if the host fails silently.
     fn kill(&mut self, host: usize, silent: bool) -> Vec<PolicyCommand>;
 }
 
@@ -95,25 +101,26 @@
     Kill(usize, bool),
 }
 
-/// A `RequestOutcome` is what became of a request.
+/// A `RequestOutcome` is the result of a request.
 #[derive(Clone, Debug, Default)]
 pub struct RequestOutcome {
     pub first_token: Option<u64>,
     pub answered_at: Option<u64>,
     pub concluded: bool,
-    /// Prompt tokens processed for it, and those for the whole answer.
+    /// Prompt tokens processed in all runs of the request.
     pub prefilled: u64,
+    /// Prompt tokens processed in the run that was completed.
     pub useful: u64,
     pub runs: u32,
 }
 
-/// A `RunRecord` is a run's requests with their fates.
+/// A `RunRecord` is the requests of a run with their outcomes.
 pub struct RunRecord {
     pub offered: Vec<OfferedRequest>,
     pub outcomes: Vec<RequestOutcome>,
     pub dead_host: Option<usize>,
     pub killed_at: u64,
-    /// When work of the top tier was first dispatched after the death.
+    /// When a top-tier request was first dispatched after the host failure.
     pub top_tier_resumed_at: Option<u64>,
 }
 
@@ -124,9 +131,10 @@
     output_started: bool,
 }
 
-/// Marks the second run of a hedged attempt.
+/// The bit of an attempt number that marks a hedge.
 const HEDGE_FLAG: u16 = 1 << 15;
 
+/// A `Simulation` is a policy with its engines and its event queue.
 pub struct Simulation<'a> {
     now: u64,
     sequence: u64,
@@ -140,8 +148,8 @@
     rng: StdRng,
     open_requests: usize,
     record: RunRecord,
-    /// After how long without a token top-tier work that may run twice is
-    /// sent to a second engine.
+    /// The time without a first token after which an idempotent top-tier request
+    /// is hedged.
     pub hedge_after: Option<u64>,
 }
 
@@ -291,7 +299,7 @@
         }
     }
 
-    /// A caller whose host is dead uses the next one.
+    /// Submit a request. A caller whose host has failed uses the next one.
     fn arrive(&mut self, now: Moment, index: usize) {
         if self.record.dead_host == Some(self.record.offered[index].host) {
             let host = &mut self.record.offered[index].host;
@@ -316,7 +324,7 @@
             }
         }
         if silent {
-            // Nothing tells the engines; what runs there runs on.
+            // The connections stay open, so the engines continue their runs.
             return;
         }
         let on_host = self
@@ -380,7 +388,7 @@
         }
     }
 
-    /// Cancel an attempt at its engine.
+    /// Cancel a dispatched attempt at its engine.
     fn cancel_attempt(&mut self, attempt: AttemptId) {
         if let Some(dispatch) = self.dispatches.remove(&attempt) {
             self.push(
@@ -390,7 +398,8 @@
         }
     }
 
-    /// Send a second run to the least loaded engine, by its true load.
+    /// Dispatch a hedge of an attempt to the least loaded other engine, by its
+    /// current load.
     fn hedge(&mut self, attempt: AttemptId) {
         let Some(dispatch) = self
             .dispatches
@@ -409,8 +418,8 @@
         }
     }
 
-    /// Get whether an attempt's news count: the first of two runs to answer
-    /// goes on under the name of the one that was asked for.
+    /// Get whether an attempt is still dispatched. At the first token, cancel the
+    /// other run of a hedged attempt. Remove the hedge flag from `attempt`.
     fn resolve_hedge(&mut self, attempt: &mut AttemptId, event: AttemptEvent) -> bool {
         let Some(dispatch) = self.dispatches.get_mut(attempt) else {
             return false;
@@ -507,7 +516,7 @@
     }
 }
 
-/// Get all targets of a deployment.
+/// Iterate over all targets of a deployment.
 pub fn targets(deployment: &TestDeployment) -> impl Iterator<Item = &PoolTarget> {
     deployment
         .engines
@@ -516,8 +525,7 @@
         .chain(&deployment.plain.targets)
 }
 
-/// Get how many requests a target serves at once: the fast generations hold
-/// larger batches.
+/// Get the maximum batch size of a target, which grows with its speed.
 pub fn batch_size(target: &PoolTarget) -> usize {
     match target.expected_speed {
         0..=300 => 8,
--- a/bergamotswitch/examples/policies/traffic.rs
+++ b/bergamotswitch/examples/policies/traffic.rs
@@ -1,4 +1,4 @@
-//! Provides deployments, scenarios and the requests that they offer.
+//! Provides the deployments and scenarios, and generates their requests.
 
 use std::time::Duration;
 
@@ -14,40 +14,40 @@
 
 use crate::engine::{BLOCK_TOKENS, PREFILL_FACTOR};
 
-/// The entry hosts of a deployment.
+/// The number of entry hosts in a deployment.
 pub const HOST_COUNT: usize = 8;
 
-/// When the load begins: the hosts have found each other by then.
+/// When the load starts, in microseconds: by then the hosts are connected.
 pub const LOAD_START: u64 = 10_000_000;
 
 const SECOND: u64 = 1_000_000;
 
-/// Every figure comes from this seed.
+/// The seed of the generated requests.
 const SEED: u64 = 20_260_801;
 
-/// A `WorkProfile` is one kind of work. Lengths are drawn evenly on a
-/// logarithmic scale.
+/// A `WorkProfile` describes the requests of one kind of work. Prompt and output
+/// lengths have a log-uniform distribution.
 #[derive(Clone, Debug)]
 pub struct WorkProfile {
     work: &'static str,
     prompt: (u32, u32),
     output: (u32, u32),
-    /// How many blocks at the beginning several requests share.
+    /// The number of leading prefix blocks that are shared between requests.
     shared_blocks: usize,
-    /// The number of such beginnings for each account.
+    /// The number of distinct shared prefixes for each client account.
     shared_prefixes: u64,
     streaming: bool,
 }
 
-/// A `TestDeployment` is one of the two published deployments, with eight
-/// hosts instead of three.
+/// A `TestDeployment` is one of the example deployments of this repository, with
+/// [`HOST_COUNT`] hosts.
 pub struct TestDeployment {
     pub name: &'static str,
     pub values: Vec<PublishedValue>,
     pub publication: Publication,
     pub engines: TargetPool,
     pub plain: TargetPool,
-    /// Top tier, dispatched once, short, long.
+    /// The profiles of top-tier, dispatch-once, short and long requests.
     profiles: [WorkProfile; 4],
     plain_work: &'static str,
 }
@@ -111,7 +111,7 @@
             files.iter().map(|file| value(file.0, file.1)).collect();
         let mut publication = Publication::default();
         for value in &values {
-            publication.apply(value).expect("a good value");
+            publication.apply(value).expect("invalid published value");
         }
         let domains: Vec<DomainName> = publication
             .domains
@@ -130,14 +130,14 @@
             })
             .collect();
         let hosts = value("hosts", &format!(r#"{{"hosts":[{}]}}"#, hosts.join(",")));
-        publication.apply(&hosts).expect("a good host list");
+        publication.apply(&hosts).expect("invalid host list");
         values.push(hosts);
         let pools = publication.pools.pools();
         let of_kind = |kind| {
             pools
                 .iter()
                 .find(|pool| pool.kind == kind)
-                .expect("a pool")
+                .expect("no pool of this kind")
                 .clone()
         };
         TestDeployment {
@@ -154,7 +154,7 @@
 
 fn value(name: &str, body: &str) -> PublishedValue {
     PublishedValue {
-        name: name.to_owned().try_into().expect("a name"),
+        name: name.to_owned().try_into().expect("invalid name"),
         revision: Revision(1),
         body: body.to_owned(),
     }
@@ -177,30 +177,31 @@
     }
 }
 
-/// A `LoadPhase` is a stretch of steady arrivals.
+/// A `LoadPhase` is a period with constant arrival rates.
 #[derive(Clone, Debug)]
 pub struct LoadPhase {
     pub seconds: u64,
-    /// The parts of the engines' capacity that each shape asks for.
+    /// The offered load of each profile, as a fraction of the engines' capacity.
     pub loads: [f64; 4],
-    /// More of the second shape, from the fourth account alone.
+    /// The additional load of the second profile from the fourth client account,
+    /// as a fraction of the engines' capacity.
     pub flood: f64,
 }
 
-/// A `Fault` is what goes wrong.
+/// A `Fault` is a fault that is injected in a scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     None,
-    /// This engine is ten times slower for the middle phase.
+    /// The engine is ten times slower during the middle phase.
     SlowEngine(usize),
-    /// The engines' owner dies in the middle of the middle phase; its
-    /// connections close, or only go silent.
+    /// The owner of the engine pool fails halfway through the middle phase. Its
+    /// connections close, or stay open without traffic if `silent`.
     OwnerDeath {
         silent: bool,
     },
 }
 
-/// A `TestScenario` is a run's load and mishap.
+/// A `TestScenario` is the load of a run and the fault injected in it.
 #[derive(Clone, Debug)]
 pub struct TestScenario {
     pub name: &'static str,
@@ -259,30 +260,30 @@
         LOAD_START + seconds * SECOND
     }
 
-    /// Get the middle phase's beginning and end.
+    /// Get the start and the end of the middle phase.
     pub fn middle(&self) -> (u64, u64) {
         let from = LOAD_START + self.phases[0].seconds * SECOND;
         (from, from + self.phases[1].seconds * SECOND)
     }
 }
 
-/// An `OfferedRequest` is one request of a run.
+/// An `OfferedRequest` is a request that a caller sends in a run.
 #[derive(Clone, Debug)]
 pub struct OfferedRequest {
     pub at: u64,
     pub deadline: u64,
-    /// The host that the caller was sent to.
+    /// The entry host that the caller uses.
     pub host: usize,
     pub submission: Submission,
-    /// The output that the engine really makes.
+    /// The output tokens that the engine generates, at most the estimated cost.
     pub output: u32,
 }
 
-/// The parts of the traffic that the five accounts send: a few are large.
+/// The fraction of the traffic of each client account.
 const ACCOUNT_FRACTIONS: [f64; 5] = [0.40, 0.30, 0.10, 0.10, 0.10];
 
-/// Get what a scenario offers, in the order of time. Every policy gets the
-/// same.
+/// Generate the requests of a scenario in order of arrival. They are the same
+/// for every policy.
 pub fn generate_requests(
     deployment: &TestDeployment,
     scenario: &TestScenario,
@@ -316,7 +317,7 @@
     offered
 }
 
-/// Call `on_arrival` at the moments of a Poisson process.
+/// Call `on_arrival` at the arrival times of a Poisson process.
 fn generate_arrivals(
     rng: &mut StdRng,
     from: u64,
@@ -335,8 +336,8 @@
     }
 }
 
-/// Get the part of a second for which an average request keeps all engines
-/// of the pool busy, with full batches and nothing cached.
+/// Get the time in seconds that the whole engine pool needs for an average
+/// request, with full batches and an empty prefix cache.
 fn pool_seconds_per_request(deployment: &TestDeployment, profile: &WorkProfile) -> f64 {
     let mean = |(low, high): (u32, u32)| {
         let (low, high) = (f64::from(low), f64::from(high));
@@ -442,7 +443,7 @@
 ) -> OfferedRequest {
     let host = rng.random_range(0..HOST_COUNT);
     let account = account_name(deployment, account);
-    let work: WorkKind = work.to_owned().try_into().expect("a name");
+    let work: WorkKind = work.to_owned().try_into().expect("invalid name");
     let hosts = &deployment.publication.hosts.hosts;
     let pool_name: PoolName = pool.name.clone();
     let mut submission = Submission {
@@ -462,7 +463,7 @@
                 prompt_tokens: 1,
                 streaming,
             })
-            .expect("a rule"),
+            .expect("no rule matches"),
         key: None,
         holder: None,
         resubmission: false,
--- a/bergamotswitch/examples/slopes/entry.rs
+++ b/bergamotswitch/examples/slopes/entry.rs
@@ -1,4 +1,4 @@
-//! Measures the entry desk.
+//! Measures the memory and CPU time of the entry dispatcher.
 
 use std::time::Duration;
 
@@ -23,7 +23,8 @@
     elapsed_ms: 17_000,
 };
 
-/// An `EntryBench` is a desk with a clock and an owner of its own.
+/// An `EntryBench` drives an `EntryDispatcher` with its own clock and a fixed
+/// owner.
 struct EntryBench {
     dispatcher: EntryDispatcher,
     now: Moment,
@@ -53,7 +54,7 @@
         self.dispatcher.handle(self.now, event)
     }
 
-    /// Let a request come, up to its ask.
+    /// Submit a request. Get its ID and the attempt for which a permit is asked.
     fn submit(&mut self, with_key: bool) -> (RequestId, AttemptId) {
         self.sequence += 1;
         let key = with_key.then(|| format!("summary-2026-12-02-{:08}", self.sequence));
@@ -61,13 +62,13 @@
             .dispatcher
             .submit(self.now, submission(self.sequence, key));
         let SubmitOutcome::Accepted(id) = outcome else {
-            panic!("an accepted request, not {outcome:?}");
+            panic!("request not accepted: {outcome:?}");
         };
         let attempt = actions.iter().find_map(|action| match action {
             EntryAction::Send(_, OwnerMessage::Ask(ask)) => Some(ask.attempt),
             _ => None,
         });
-        (id, attempt.expect("an ask"))
+        (id, attempt.expect("no permit asked for"))
     }
 
     fn grant(&mut self, attempt: AttemptId) {
@@ -105,7 +106,7 @@
     }
 }
 
-/// Get an answer as an engine streams it, an event for each token.
+/// Get the answer of an engine as a stream with one event per token.
 fn answer() -> AnswerWriter {
     let answer = AnswerWriter::new();
     answer.push(AnswerPart::Head {
@@ -125,7 +126,7 @@
     answer
 }
 
-/// Measure the memory.
+/// Measure the memory of requests, outcomes and answers.
 pub fn measure_memory(report: &SlopeReport) {
     report.section("entry host, memory in bytes");
     let sizes = [5_000, 10_000, 20_000, 40_000];
@@ -133,32 +134,35 @@
     let points = memory_growth(&sizes, || {
         bench.submit(false);
     });
-    report.slope("requests that wait, without body", &points);
+    report.slope("waiting requests, without body", &points);
     let mut completed = Box::new(EntryBench::new(67));
     let points = memory_growth(&sizes, || {
         let (_, attempt) = completed.submit(true);
         completed.grant(attempt);
         completed.finish(attempt);
     });
-    report.slope("outcomes with their keys, without answer", &points);
+    report.slope(
+        "kept outcomes with idempotency keys, without answer",
+        &points,
+    );
     let mut answers = Vec::new();
     let points = memory_growth(&[100, 200, 400, 800], || answers.push(answer()));
-    report.slope("whole answers of 424 tokens, as events", &points);
-    // Memory that is given back would be taken again unseen.
+    report.slope("complete answers of 424 tokens, as events", &points);
+    // Freed memory would be reused and hide the growth of later measurements.
     std::mem::forget(answers);
     Box::leak(bench);
     Box::leak(completed);
 }
 
-/// Measure the processor time.
+/// Measure the CPU time of requests.
 pub fn measure(report: &SlopeReport) {
-    report.section("entry host, processor time in microseconds");
+    report.section("entry host, CPU time in microseconds");
     let points = measure_at_sizes(&[18, 75, 150, 300, 600], |count| {
         let mut bench = EntryBench::new(count);
         cpu_micros_per_call(|| bench.complete_request())
     });
     report.slope(
-        "request from submission to end, by targets of its pool",
+        "request from submission to end, by targets in its pool",
         &points,
     );
     let points = measure_at_sizes(&[10, 100, 1_000, 5_000], |count| {
@@ -176,7 +180,7 @@
         }
         cpu_micros_per_call(|| bench.complete_request())
     });
-    report.slope("request, 67 targets, by requests that wait", &points);
+    report.slope("request, 67 targets, by waiting requests", &points);
     let points = measure_at_sizes(&[10, 100, 1_000, 5_000], |count| {
         let mut bench = EntryBench::new(67);
         for _ in 0..count {
@@ -185,7 +189,7 @@
         cpu_micros_per_call(|| bench.dispatcher.used_shards())
     });
     report.slope(
-        "shards in use (each event of a host), by requests in flight",
+        "shards in use (for each event), by requests in flight",
         &points,
     );
 }
--- a/bergamotswitch/examples/slopes/event.rs
+++ b/bergamotswitch/examples/slopes/event.rs
@@ -1,4 +1,4 @@
-//! Provides what is under way between the hosts of a [`BenchFleet`].
+//! Provides the scheduled events of a [`BenchFleet`].
 //!
 //! [`BenchFleet`]: crate::fleet::BenchFleet
 
@@ -9,7 +9,7 @@
 use bergamotswitch_core::request::AttemptId;
 use bergamotswitch_core::revision::{Revision, ValueName};
 
-/// A `FleetEvent` is what happens at a moment to come.
+/// A `FleetEvent` is a future event of the simulation.
 pub enum FleetEvent {
     Wake(usize),
     Redial,
@@ -20,7 +20,8 @@
     Submit(usize),
 }
 
-/// A `ScheduledEvent` is a parcel with its moment and its place among others.
+/// A `ScheduledEvent` is an event with its time and a sequence number that breaks
+/// ties.
 pub struct ScheduledEvent(pub Moment, pub u64, pub FleetEvent);
 
 impl PartialEq for ScheduledEvent {
--- a/bergamotswitch/examples/slopes/failures.rs
+++ b/bergamotswitch/examples/slopes/failures.rs
@@ -1,4 +1,5 @@
-//! Measures what changes and failures cost a whole fleet of the target's size.
+//! Measures the cost of configuration changes and host failures in a fleet of
+//! the design size.
 
 use std::time::Duration;
 
@@ -8,15 +9,16 @@
 
 const WARM_UP_TIME: Duration = Duration::from_secs(15);
 const OBSERVATION_TIME: Duration = Duration::from_secs(20);
-/// Few requests, but so many that each host always uses each pool.
+/// The time between two requests of a host: low load, but enough for each host
+/// to keep using every pool.
 const REQUEST_INTERVAL: Duration = Duration::from_secs(1);
 const CHANGE_COUNT: u64 = 12;
 const KILLED_OWNERS: usize = 5;
-/// Heartbeats of a fleet that started together go together, each 6 s: deaths
-/// have to come at different places between two of them.
+/// The time between two host failures. The simulated hosts send their heartbeats
+/// at the same time, every 6 s, so the failures are spread over that interval.
 const KILL_INTERVAL: Duration = Duration::from_millis(1_100);
 
-/// An `Observation` is what happened in one watched span.
+/// An `Observation` is the traffic and the request waits of one observed period.
 struct Observation {
     messages: u64,
     bytes: u64,
@@ -49,8 +51,8 @@
 
 fn print(report: &SlopeReport, title: &str, observation: &Observation, baseline: &Observation) {
     report.line(format_args!(
-        "{title:<44} {:>8} messages {:>9} bytes more than usual, {:>7} bytes by the busiest host; \
-         longest wait for a permit {:.2} s, {} waited over 0.1 s, {} still wait, {} refused",
+        "{title:<44} {:>8} messages {:>9} bytes above baseline, {:>7} bytes by the busiest host; \
+         longest wait for a permit {:.2} s, {} waited over 0.1 s, {} still waiting, {} refused",
         observation.messages as i64 - baseline.messages as i64,
         observation.bytes as i64 - baseline.bytes as i64,
         observation.max_bytes,
@@ -61,7 +63,7 @@
     ));
 }
 
-/// Measure.
+/// Measure the cost of changes and failures.
 pub fn measure(report: &SlopeReport) {
     report.section("changes and failures, 380 hosts, 20 s each");
     let mut fleet = BenchFleet::start(DESIGN_SIZE);
@@ -71,7 +73,7 @@
     fleet.run_for(WARM_UP_TIME);
     fleet.reset();
     let baseline = observe(&mut fleet, OBSERVATION_TIME);
-    print(report, "nothing", &baseline, &baseline);
+    print(report, "no failure", &baseline, &baseline);
     let owner = fleet.busiest_owner();
     fleet.reset();
     fleet.kill(owner, false);
@@ -79,7 +81,7 @@
     fleet.boot(owner, 1);
     print(
         report,
-        "an owner's process dies, back after 2 s",
+        "owner process dies, restarts after 2 s",
         &observe(&mut fleet, OBSERVATION_TIME - Duration::from_secs(2)),
         &baseline,
     );
@@ -95,7 +97,7 @@
     );
     print(
         report,
-        "five owners' hosts die, 1.1 s apart",
+        "five owner hosts fail, 1.1 s apart",
         &observation,
         &baseline,
     );
@@ -105,7 +107,7 @@
     }
     print(
         report,
-        "a rack: 12 hosts of a failure domain die",
+        "12 hosts of a failure domain fail",
         &observe(&mut fleet, OBSERVATION_TIME),
         &baseline,
     );
@@ -115,7 +117,7 @@
     }
     print(
         report,
-        "a failure domain's 48 hosts die",
+        "48 hosts of a failure domain fail",
         &observe(&mut fleet, OBSERVATION_TIME),
         &baseline,
     );
@@ -123,7 +125,7 @@
     fleet.set_partitioned(true);
     print(
         report,
-        "regions part",
+        "network partition between regions",
         &observe(&mut fleet, OBSERVATION_TIME),
         &baseline,
     );
@@ -131,7 +133,7 @@
     fleet.set_partitioned(false);
     print(
         report,
-        "regions meet again",
+        "network partition between regions heals",
         &observe(&mut fleet, OBSERVATION_TIME),
         &baseline,
     );
@@ -150,7 +152,7 @@
         let values = size.values(step);
         let body = values.into_iter().find(|(name, _)| *name == value);
         let published_at = fleet.now;
-        fleet.publish(value, step + 1, &body.expect("a value").1);
+        fleet.publish(value, step + 1, &body.expect("unknown value").1);
         fleet.run_for(OBSERVATION_TIME / CHANGE_COUNT as u32);
         let in_force = fleet.in_force_at.get(&crate::fixtures::name(value));
         let took = in_force.map(|at| at.since(published_at));
@@ -172,9 +174,9 @@
     let messages = observation.messages.saturating_sub(baseline.messages) as f64;
     report.figure("a change: messages, mean host", messages / changes / hosts);
     let behind = fleet.outdated_hosts();
-    report.figure("hosts without the last revisions", behind as f64);
+    report.figure("hosts without the latest revisions", behind as f64);
     report.figure(
-        "a change: seconds until in force everywhere",
+        "a change: seconds until in force on all hosts",
         slowest.as_secs_f64(),
     );
 }
--- a/bergamotswitch/examples/slopes/fit.rs
+++ b/bergamotswitch/examples/slopes/fit.rs
@@ -1,31 +1,29 @@
-//! Provides the straight line through measured points.
+//! Provides a least-squares line fit.
 
 use std::fmt;
 
-/// A `Point` is one measurement: a size and what was seen at it.
+/// A `Point` is the value measured at one size.
 #[derive(Clone, Copy, Debug)]
 pub struct Point {
-    /// The size.
     pub size: f64,
-    /// What was measured.
     pub value: f64,
 }
 
-/// A `LineFit` is the least-squares line through points.
+/// A `LineFit` is a least-squares line with its goodness of fit.
 #[derive(Clone, Copy, Debug)]
 pub struct LineFit {
-    /// The growth for each unit of size.
+    /// The growth of the value per unit of size.
     pub slope: f64,
     /// The value at size 0.
     pub intercept: f64,
     /// The standard error of the slope.
     pub error: f64,
-    /// The part of the variance that the line explains, 0 to 1.
+    /// The coefficient of determination, from 0 to 1.
     pub r2: f64,
 }
 
 impl LineFit {
-    /// Get the line through `points`, of which there are at least three.
+    /// Fit a line to at least three `points`.
     pub fn of(points: &[Point]) -> Self {
         let count = points.len() as f64;
         let mean_size = points.iter().map(|p| p.size).sum::<f64>() / count;
@@ -46,7 +44,7 @@
             slope,
             intercept,
             error: (residual_squares / (count - 2.0).max(1.0) / size_squares).sqrt(),
-            // Values that are all alike lie on their line.
+            // Identical values are a perfect fit.
             r2: if total_squares > 0.0 {
                 1.0 - residual_squares / total_squares
             } else {
--- a/bergamotswitch/examples/slopes/fixtures.rs
+++ b/bergamotswitch/examples/slopes/fixtures.rs
@@ -1,4 +1,5 @@
-//! Provides published values of a size, with names of realistic lengths.
+//! Provides published values and messages for a fleet of a given size, with names
+//! of realistic lengths.
 
 use bergamotswitch_core::client_account::KeyHash;
 use bergamotswitch_core::entry::Submission;
@@ -13,7 +14,7 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// The failure domains, three regions of them.
+/// The failure domains and their regions.
 pub const DOMAINS: [(&str, &str); 8] = [
     ("mza-norte", "cuyo"),
     ("mza-sur", "cuyo"),
@@ -25,7 +26,7 @@
     ("pampa-oeste", "pampa"),
 ];
 
-/// A `FleetSize` is how much of everything there is.
+/// A `FleetSize` is the number of hosts, targets and other entries in a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSize {
     pub hosts: usize,
@@ -35,7 +36,7 @@
     pub rules: usize,
 }
 
-/// The size of letter 1's target.
+/// The fleet size that the system is designed for.
 pub const DESIGN_SIZE: FleetSize = FleetSize {
     hosts: 380,
     targets: 600,
@@ -44,9 +45,13 @@
     rules: 100,
 };
 
-/// Get a checked name from a text that is one.
+/// Get a name from a valid text.
+///
+/// # Panics
+///
+/// Panics if the text is not a valid name.
 pub fn name<T: TryFrom<String>>(text: impl Into<String>) -> T {
-    T::try_from(text.into()).ok().expect("a name")
+    T::try_from(text.into()).ok().expect("invalid name")
 }
 
 pub fn domain_of(index: usize) -> &'static str {
@@ -72,8 +77,8 @@
 }
 
 impl FleetSize {
-    /// Get the name and the JSON of every value, so long as `step` goes, each
-    /// step with a small change in each value.
+    /// Get the name and the JSON of every value. Each `step` makes a small change
+    /// to some of the values.
     pub fn values(&self, step: u64) -> Vec<(&'static str, Value)> {
         vec![
             ("hosts", self.hosts()),
@@ -134,12 +139,12 @@
         json!({"rules": rules})
     }
 
-    /// Get all values in force.
+    /// Get a publication with all values in force.
     pub fn publication(&self) -> Publication {
         let mut publication = Publication::default();
         for (value, body) in self.values(0) {
             let value = published(value, 1, &body);
-            publication.apply(&value).expect("good values");
+            publication.apply(&value).expect("invalid published value");
         }
         publication
     }
@@ -179,7 +184,7 @@
         "expected_speed": speed, "token_limit": 262_144})
 }
 
-/// Get `count` targets of one shard, the rooms of which have `limit` tokens.
+/// Get `count` targets of one shard, each with a token limit of `limit`.
 pub fn targets(count: usize, limit: u32) -> Vec<PoolTarget> {
     (0..count)
         .map(|index| PoolTarget {
@@ -222,7 +227,7 @@
     }
 }
 
-/// Get an ask of a prompt of 4 KB, for 424 tokens of output.
+/// Get an ask with 1,000 prompt tokens and 424 output tokens.
 pub fn ask(sequence: u64, account_index: usize) -> Ask {
     Ask {
         quota_units: 0,
@@ -252,7 +257,7 @@
         .collect()
 }
 
-/// Get a submission like [`ask`]; `key` makes it one that must not run twice.
+/// Get a submission like [`ask`]. With a `key`, it is dispatched only once.
 pub fn submission(sequence: u64, key: Option<String>) -> Submission {
     let keyed = key.is_some();
     Submission {
--- a/bergamotswitch/examples/slopes/fleet.rs
+++ b/bergamotswitch/examples/slopes/fleet.rs
@@ -1,6 +1,6 @@
-//! Provides whole hosts' decisions side by side in virtual time: messages
-//! take a millisecond, the platform answers in three, targets in seventeen
-//! seconds. What is sent is counted as the link codec writes it.
+//! Provides a simulated fleet of `NodeCore`s in virtual time, with fixed
+//! latencies for links, platform and targets. Traffic is counted in bytes as
+//! encoded by the link codec.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
@@ -27,22 +27,22 @@
 const PLATFORM_LATENCY: Duration = Duration::from_millis(3);
 const WATCH_TIMEOUT: Duration = Duration::from_secs(30);
 const REDIAL_INTERVAL: Duration = Duration::from_millis(200);
-/// 424 tokens, 41 ms each.
+/// The time that a target takes for an answer of 424 tokens.
 const ANSWER_TIME: Duration = Duration::from_millis(17_400);
-/// A longer wait for a permit is counted.
+/// A wait for a permit that is longer than this counts as a long wait.
 pub const LONG_WAIT: Duration = Duration::from_millis(100);
-/// How long the links take to find a silent peer: a PING's interval and its
-/// timeout, the defaults of `LinkOptions`.
+/// How long a link takes to detect a silent peer: the PING interval and timeout
+/// of the default `LinkOptions`.
 const LINK_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A `Traffic` is what was sent.
+/// A `Traffic` counts messages and their bytes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
     pub messages: u64,
     pub bytes: u64,
 }
 
-/// A `FleetNode` is one host.
+/// A `FleetNode` is a running host with its traffic counters.
 pub struct FleetNode {
     pub core: NodeCore,
     pub incarnation: HostIncarnation,
@@ -54,22 +54,24 @@
     pub service_calls: u64,
 }
 
-/// A `BenchFleet` is hosts, links and a platform.
+/// A `BenchFleet` is a simulated fleet of hosts with their links and the platform.
 pub struct BenchFleet {
     pub size: FleetSize,
     pub now: Moment,
     pub nodes: Vec<Option<FleetNode>>,
     pub kinds: BTreeMap<MessageKind, Traffic>,
-    /// Messages of requests that crossed a region's border, and all of them.
+    /// Request-path messages between hosts of different regions.
     pub cross_region_messages: u64,
+    /// All asks, permits and releases sent.
     pub request_path_messages: u64,
-    /// Dispatches to a target of another region, and all of them.
+    /// Dispatches to a target in another region than the entry host.
     pub cross_region_dispatches: u64,
     pub dispatched: u64,
-    /// Requests that ended without an answer.
+    /// Requests that ended with a refusal.
     pub refused: u64,
-    /// The longest time from acceptance to dispatch, and how many took long.
+    /// The longest time from acceptance to dispatch.
     pub longest_wait: Duration,
+    /// Requests that waited longer than [`LONG_WAIT`] for their dispatch.
     pub long_waits: u64,
     pub accepted_at: HashMap<RequestId, Moment>,
     submitted: u64,
@@ -78,10 +80,10 @@
     pub links: BTreeSet<(usize, usize)>,
     events: BinaryHeap<Reverse<ScheduledEvent>>,
     sequence: u64,
-    /// Which region each host stands in, as far as links are cut.
+    /// The network partition of each host. Hosts have links only within one.
     partitions: Vec<usize>,
     request_interval: Option<Duration>,
-    /// Whether requests carry a key and must not run twice.
+    /// Whether requests have an idempotency key and are dispatched only once.
     pub keyed: bool,
     pub in_force_at: BTreeMap<ValueName, Moment>,
 }
@@ -124,7 +126,7 @@
         fleet
     }
 
-    /// Start a run of a host.
+    /// Start a host. `restart` makes its incarnation differ from earlier ones.
     pub fn boot(&mut self, index: usize, restart: u128) {
         let mut incarnation = incarnation_of(index);
         incarnation.incarnation.0 += restart << 32;
@@ -148,7 +150,8 @@
         self.deliver(index, NodeEvent::Tick);
     }
 
-    /// End a run: its links break at once, or fall silent with the host.
+    /// Stop a host. Its peers detect the closed links immediately, or after
+    /// [`LINK_TIMEOUT`] if `silent`.
     pub fn kill(&mut self, index: usize, silent: bool) {
         let Some(node) = self.nodes[index].take() else {
             return;
@@ -163,7 +166,7 @@
         }
     }
 
-    /// Cut every link between two regions, or mend all.
+    /// Partition the network between the regions, or heal the partition.
     pub fn set_partitioned(&mut self, partitioned: bool) {
         self.partitions = (0..self.size.hosts)
             .map(|index| if partitioned { region_of(index) } else { 0 })
@@ -193,7 +196,7 @@
         self.in_force_at.remove(&value.name);
         let name = value.name.clone();
         self.published_values.insert(name.clone(), value);
-        // Waiting watches are answered at once.
+        // Answers the pending watches of the value.
         let mut waiting = Vec::new();
         for (index, node) in self.nodes.iter().enumerate() {
             let read_id = node.as_ref().and_then(|node| node.pending_reads.get(&name));
@@ -205,7 +208,7 @@
         }
     }
 
-    /// Let each host get a request each `interval`.
+    /// Set the time between two requests of each host, or stop the requests.
     pub fn set_request_interval(&mut self, interval: Option<Duration>) {
         let starting = self.request_interval.is_none();
         self.request_interval = interval;
@@ -218,7 +221,7 @@
         }
     }
 
-    /// Let a host get one request for a pool.
+    /// Submit a request for a pool to a host.
     fn submit(&mut self, index: usize, pool: usize) {
         self.submitted += 1;
         let number = self.submitted;
@@ -243,8 +246,8 @@
 
     fn schedule(&mut self, after: Duration, event: FleetEvent) {
         self.sequence += 1;
-        let queued = ScheduledEvent(self.now.plus(after), self.sequence, event);
-        self.events.push(Reverse(queued));
+        let scheduled = ScheduledEvent(self.now.plus(after), self.sequence, event);
+        self.events.push(Reverse(scheduled));
     }
 
     fn deliver(&mut self, index: usize, event: NodeEvent) {
@@ -299,7 +302,7 @@
     }
 
     fn node(&mut self, index: usize) -> &mut FleetNode {
-        self.nodes[index].as_mut().expect("a host that runs")
+        self.nodes[index].as_mut().expect("host not running")
     }
 
     fn start_attempt(&mut self, index: usize, attempt: AttemptId) {
@@ -485,7 +488,7 @@
     traffic.bytes += bytes;
 }
 
-/// Get the number of the region in which a host stands.
+/// Get a number that identifies the region of a host.
 pub fn region_of(index: usize) -> usize {
     region_named(domain_of(index))
 }
--- a/bergamotswitch/examples/slopes/fleet_stats.rs
+++ b/bergamotswitch/examples/slopes/fleet_stats.rs
@@ -1,4 +1,4 @@
-//! Provides what is read off a [`BenchFleet`].
+//! Provides statistics of a [`BenchFleet`].
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use crate::probe::cpu_micros_per_call;
 
 impl BenchFleet {
-    /// Get the number of links of each host, most first.
+    /// Get the number of links of each host, in descending order.
     pub fn link_counts(&self) -> Vec<usize> {
         let mut counts = vec![0; self.size.hosts];
         for (a, b) in &self.links {
@@ -22,24 +22,24 @@
         counts
     }
 
-    /// Get the processor time of one address answer, in microseconds.
+    /// Measure the CPU time of one address query, in microseconds.
     pub fn address_micros(&self, index: usize) -> f64 {
         let query = AddressQuery {
             account: name(account(7)),
             caller: CallerHash::default(),
             domain: Some(name(domain_of(index))),
         };
-        let node = self.nodes[index].as_ref().expect("a host that runs");
+        let node = self.nodes[index].as_ref().expect("host not running");
         cpu_micros_per_call(|| node.core.address(&query))
     }
 
-    /// Get the processor time of one view for gauges, in microseconds.
+    /// Measure the CPU time of one node view for metrics, in microseconds.
     pub fn view_micros(&self, index: usize) -> f64 {
-        let node = self.nodes[index].as_ref().expect("a host that runs");
+        let node = self.nodes[index].as_ref().expect("host not running");
         cpu_micros_per_call(|| node.core.view(self.now))
     }
 
-    /// Get the host that owns most shards now.
+    /// Get the index of the host that owns the most shards.
     pub fn busiest_owner(&self) -> usize {
         let owned = |node: &FleetNode| node.core.view(self.now).owns.len();
         let nodes = self.nodes.iter().enumerate();
@@ -47,7 +47,8 @@
         counts.max().map_or(0, |(_, index)| index)
     }
 
-    /// Get the number of requests that have waited long and still do.
+    /// Get the number of undispatched requests on running hosts that have waited
+    /// longer than [`LONG_WAIT`].
     pub fn overdue_requests(&self) -> usize {
         let incarnations: BTreeSet<Incarnation> = self
             .nodes
@@ -62,7 +63,7 @@
         waiting.count()
     }
 
-    /// Get the hosts that own shards now.
+    /// Get the indices of the hosts that own shards.
     pub fn owners(&self) -> Vec<usize> {
         let owns = |node: &FleetNode| !node.core.view(self.now).owns.is_empty();
         let nodes = self.nodes.iter().enumerate();
@@ -70,7 +71,8 @@
         owners.map(|(index, _)| index).collect()
     }
 
-    /// Get the number of hosts that lack a published revision.
+    /// Get the number of hosts that don't have the latest published revisions in
+    /// force.
     pub fn outdated_hosts(&self) -> usize {
         let is_outdated = |node: &&FleetNode| {
             let values = node.core.view(self.now).revisions.values;
@@ -82,7 +84,7 @@
         self.nodes.iter().flatten().filter(is_outdated).count()
     }
 
-    /// Forget what was counted.
+    /// Reset the traffic and request counters.
     pub fn reset(&mut self) {
         self.kinds.clear();
         (self.cross_region_messages, self.request_path_messages) = (0, 0);
--- a/bergamotswitch/examples/slopes/frames.rs
+++ b/bergamotswitch/examples/slopes/frames.rs
@@ -1,4 +1,4 @@
-//! Measures the bytes of the frames between hosts.
+//! Measures the encoded size of the messages between hosts.
 
 use bergamotswitch_core::host::Incarnation;
 use bergamotswitch_core::link::{Heartbeat, LinkMessage};
@@ -13,7 +13,8 @@
 use crate::fixtures::{ask, attempt, claim, incarnation_of, name, prefixes, shard};
 use crate::report::{SlopeReport, measure_at_sizes};
 
-/// Sequence numbers as after some days.
+/// The offset of sequence numbers, for the varint lengths of a host that has
+/// been running for days.
 const BASE_SEQUENCE: u64 = 5_000_000;
 
 fn frame_len(message: &LinkMessage) -> f64 {
@@ -58,9 +59,9 @@
     }
 }
 
-/// Measure.
+/// Measure the frame sizes.
 pub fn measure(report: &SlopeReport) {
-    report.section("frames between hosts, bytes with the length");
+    report.section("frames between hosts, bytes including the length prefix");
     let domain_shard = || shard(Some("vantaa-hall"));
     let points = measure_at_sizes(&[0, 4, 8, 16], |count| {
         let mut ask = ask(BASE_SEQUENCE, 17);
@@ -73,7 +74,7 @@
     keyed.shard = domain_shard();
     keyed.claim = Some(claim(BASE_SEQUENCE));
     let keyed = to_owner_len(OwnerMessage::Ask(Box::new(keyed)));
-    report.figure("ask, 4 prefix hashes and a key", keyed);
+    report.figure("ask, 4 prefix hashes and an idempotency key", keyed);
     let granted = from_owner_len(OwnerReply::Granted {
         shard: domain_shard(),
         permit: permit(0),
@@ -123,7 +124,7 @@
             claims: Vec::new(),
         })
     });
-    report.slope("retell, by requests in flight", &points);
+    report.slope("resync, by requests in flight", &points);
     let points = measure_at_sizes(&sizes, |count| {
         to_owner_len(OwnerMessage::Resync {
             shard: domain_shard(),
@@ -131,7 +132,7 @@
             claims: (0..count as u64).map(claim).collect(),
         })
     });
-    report.slope("retell, by keys", &points);
+    report.slope("resync, by idempotency keys", &points);
     let points = measure_at_sizes(&[0, 1, 6], |count| {
         let mark = RevisionMark {
             name: name("accounts"),
@@ -140,5 +141,5 @@
         let marks = RevisionMessage::Marks(vec![mark; count]);
         frame_len(&LinkMessage::Revision(marks))
     });
-    report.slope("marks, by values", &points);
+    report.slope("revision marks, by values", &points);
 }
--- a/bergamotswitch/examples/slopes/growth.rs
+++ b/bergamotswitch/examples/slopes/growth.rs
@@ -1,4 +1,5 @@
-//! Measures how the control traffic of whole hosts grows with the fleet.
+//! Measures how the control traffic and CPU time of hosts grow with the fleet
+//! size.
 
 use std::time::Duration;
 
@@ -15,13 +16,15 @@
 const WARM_UP_TIME: Duration = Duration::from_secs(15);
 const OBSERVATION_TIME: Duration = Duration::from_secs(20);
 
-/// Two answers' time: the owners then know the targets' speeds.
+/// The time of two answers, after which the owners have estimated the targets'
+/// speeds.
 const RAMP_UP_TIME: Duration = Duration::from_secs(36);
 
-/// One host's requests at the peak: 3,300 a second over 380 hosts.
+/// The time between two requests of a host at peak load: 3,300 requests a second
+/// over 380 hosts.
 const PEAK_REQUEST_INTERVAL: Duration = Duration::from_millis(115);
 
-/// A `FleetSample` is what was seen at one number of hosts.
+/// A `FleetSample` is the traffic and resource use of a fleet of one size.
 struct FleetSample {
     hosts: f64,
     mean_sent: f64,
@@ -77,9 +80,7 @@
         ("bytes/s sent and received, busiest host", |p| p.max_total),
         ("links, busiest host", |p| p.max_links),
         ("links, mean host", |p| p.mean_links),
-        ("processor time, per mille of a core a host", |p| {
-            p.cpu_permille
-        }),
+        ("CPU time per host, per mille of a core", |p| p.cpu_permille),
         ("service calls/s, whole fleet", |p| p.service_calls),
     ];
     for (name, field) in fields {
@@ -100,7 +101,7 @@
         let Traffic { messages, bytes } = fleet.kinds.get(kind).copied().unwrap_or_default();
         if messages > 0 {
             let text = format!(
-                "  {}: messages/s a host (bytes/s {:.1})",
+                "  {}: messages/s per host (bytes/s {:.1})",
                 kind.as_str(),
                 bytes as f64 / host_seconds
             );
@@ -109,9 +110,9 @@
     }
 }
 
-/// Measure hosts without requests.
+/// Measure fleets without requests.
 pub fn measure_idle(report: &SlopeReport) {
-    report.section("whole hosts without requests, by hosts");
+    report.section("fleet without requests, by hosts");
     let mut points = Vec::new();
     for hosts in HOSTS {
         let before = resident_bytes();
@@ -123,7 +124,7 @@
         if hosts == DESIGN_SIZE.hosts {
             print_kinds(report, &fleet);
         }
-        // Memory that is given back would be taken again unseen.
+        // Freed memory would be reused and hide the growth of later measurements.
         std::mem::forget(fleet);
     }
     print(report, "idle", &points);
@@ -134,19 +135,22 @@
             value: point.resident,
         })
         .collect();
-    report.slope("idle: resident MB a host", &points);
+    report.slope("idle: resident MB per host", &points);
 }
 
 fn print_cross_region(report: &SlopeReport, fleet: &BenchFleet) {
     let share = fleet.cross_region_messages as f64 / fleet.request_path_messages.max(1) as f64;
-    report.figure("  part of asks, permits, releases across regions", share);
+    report.figure(
+        "  fraction of asks, permits, releases across regions",
+        share,
+    );
     let share = fleet.cross_region_dispatches as f64 / fleet.dispatched.max(1) as f64;
-    report.figure("  part of dispatches across regions", share);
+    report.figure("  fraction of dispatches across regions", share);
 }
 
-/// Measure hosts at the peak.
+/// Measure fleets at peak load.
 pub fn measure_peak(report: &SlopeReport) {
-    report.section("whole hosts with 8.7 requests/s each, by hosts");
+    report.section("fleet with 8.7 requests/s per host, by hosts");
     let mut points = Vec::new();
     let (mut address_times, mut view_times) = (Vec::new(), Vec::new());
     for hosts in HOSTS {
@@ -157,11 +161,8 @@
         points.push(sample(&mut fleet));
         if hosts == DESIGN_SIZE.hosts {
             print_kinds(report, &fleet);
-            report.figure(
-                "  requests refused while the targets are new",
-                refused as f64,
-            );
-            report.figure("  requests refused then", fleet.refused as f64);
+            report.figure("  requests refused during ramp-up", refused as f64);
+            report.figure("  requests refused after ramp-up", fleet.refused as f64);
             print_cross_region(report, &fleet);
         }
         address_times.push(Point {
@@ -174,19 +175,13 @@
         });
     }
     print(report, "peak", &points);
-    report.slope(
-        "peak: processor us, address answer of a host",
-        &address_times,
-    );
-    report.slope(
-        "peak: processor us, view of a host (each second)",
-        &view_times,
-    );
+    report.slope("peak: CPU us per address query", &address_times);
+    report.slope("peak: CPU us per node view (each second)", &view_times);
     let mut fleet = start_fleet(KEYED_HOSTS);
     fleet.keyed = true;
     fleet.set_request_interval(Some(PEAK_REQUEST_INTERVAL));
     fleet.run_for(WARM_UP_TIME);
-    report.section("requests with a key that must not run twice, 95 hosts");
+    report.section("dispatch-once requests with idempotency key, 95 hosts");
     print_cross_region(report, &fleet);
 }
 
--- a/bergamotswitch/examples/slopes/links.rs
+++ b/bergamotswitch/examples/slopes/links.rs
@@ -1,4 +1,5 @@
-//! Measures real links on loopback: what the codec does not show.
+//! Measures the bytes, CPU time and memory of real links on loopback, including
+//! the overhead of TCP and tasks.
 
 use std::net::TcpListener as StdListener;
 use std::sync::Arc;
@@ -25,13 +26,13 @@
 
 const KEY: &str = "a-link-key-of-some-length";
 const IDLE_TIME: Duration = Duration::from_secs(6);
-/// Messages that wait at once; the queue of a link has its bound.
+/// The messages that are queued at once, within the bound of a link's queue.
 const BATCH_SIZE: usize = 100;
-/// The pause between two messages of a link with little traffic: longer than
-/// what TCP puts together.
+/// The time between two messages of a link with low traffic, long enough to keep
+/// TCP from coalescing them.
 const MESSAGE_INTERVAL: Duration = Duration::from_millis(3);
 
-/// A `LinkEnd` is one host's links and what they report.
+/// A `LinkEnd` is the link hub of one host with its event channel.
 struct LinkEnd {
     hub: LinkHub,
     inbox: mpsc::UnboundedReceiver<NodeInput>,
@@ -39,8 +40,8 @@
 }
 
 fn link_end(index: usize) -> LinkEnd {
-    let listener = StdListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("an address");
+    let listener = StdListener::bind("127.0.0.1:0").expect("cannot bind to loopback");
+    let address = listener.local_addr().expect("no local address");
     let incarnation = incarnation_of(index);
     let entry = EntryHost {
         capacity: 0,
@@ -55,7 +56,8 @@
         domain: entry.domain.clone(),
     };
     let (node, inbox) = mpsc::unbounded_channel();
-    let hub = LinkHub::try_new(identity, listener, LinkOptions::default(), node).expect("a hub");
+    let hub = LinkHub::try_new(identity, listener, LinkOptions::default(), node)
+        .expect("cannot create the link hub");
     LinkEnd { hub, inbox, entry }
 }
 
@@ -69,12 +71,12 @@
     }
 }
 
-/// A `ByteCounter` forwards a connection and counts what TCP carries.
+/// A `ByteCounter` is a TCP proxy that counts the bytes it forwards.
 #[derive(Clone, Default)]
 struct ByteCounter {
     forwarded: Arc<AtomicU64>,
     returned: Arc<AtomicU64>,
-    /// Reads that brought something: about the segments with data.
+    /// The number of reads, which approximates the number of segments with data.
     segments: Arc<AtomicU64>,
 }
 
@@ -85,9 +87,11 @@
 
     async fn forward(self, listener: TcpListener, to: std::net::SocketAddr) {
         while let Ok((client, _)) = listener.accept().await {
-            let server = TcpStream::connect(to).await.expect("the host behind");
-            client.set_nodelay(true).expect("an option");
-            server.set_nodelay(true).expect("an option");
+            let server = TcpStream::connect(to)
+                .await
+                .expect("cannot connect to the host");
+            client.set_nodelay(true).expect("cannot set TCP_NODELAY");
+            server.set_nodelay(true).expect("cannot set TCP_NODELAY");
             let (client_in, client_out) = client.into_split();
             let (server_in, server_out) = server.into_split();
             let segments = self.segments.clone();
@@ -148,9 +152,11 @@
     let mut ends = vec![link_end(0), link_end(1)];
     set_host_lists(&mut ends);
     let counter = ByteCounter::default();
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("cannot bind to loopback");
     let mut proxied = ends[1].entry.clone();
-    proxied.link_address = listener.local_addr().expect("an address");
+    proxied.link_address = listener.local_addr().expect("no local address");
     tokio::spawn(
         counter
             .clone()
@@ -180,9 +186,9 @@
             value: (counter.total() - before) as f64,
         });
     }
-    report.slope("bytes in TCP, one ask at a time, by asks", &points);
+    report.slope("TCP payload bytes, one ask at a time, by asks", &points);
     report.figure(
-        "  frame of such an ask, bytes",
+        "  frame of one ask, bytes",
         encoded_len(&message(300)) as f64,
     );
     let (before, segments) = (counter.total(), counter.segments.load(Ordering::Relaxed));
@@ -190,8 +196,8 @@
     let seconds = IDLE_TIME.as_secs_f64();
     let bytes = (counter.total() - before) as f64 / seconds;
     let segments = (counter.segments.load(Ordering::Relaxed) - segments) as f64 / seconds;
-    report.figure("idle link: bytes/s in TCP, both ways", bytes);
-    report.figure("idle link: segments/s with data, both ways", segments);
+    report.figure("idle link: TCP payload bytes/s, both directions", bytes);
+    report.figure("idle link: segments/s with data, both directions", segments);
 }
 
 async fn measure_time(report: &SlopeReport) {
@@ -214,7 +220,7 @@
         });
     }
     report.slope(
-        "processor us, one message at a time, both ends, by messages",
+        "CPU us, one message at a time, both ends, by messages",
         &points,
     );
     let mut points = Vec::new();
@@ -231,13 +237,10 @@
             value: (cpu_nanos() - cpu_start) as f64 / 1e3,
         });
     }
-    report.slope(
-        "processor us, a hundred at a time, both ends, by messages",
-        &points,
-    );
+    report.slope("CPU us, batches of 100, both ends, by messages", &points);
 }
 
-/// A `StarLinks` is one host with links to many.
+/// A `StarLinks` is one host with links to many others.
 struct StarLinks {
     ends: Vec<LinkEnd>,
     linked: usize,
@@ -277,7 +280,7 @@
             value: cpu_micros / span.as_secs_f64(),
         });
     }
-    report.slope("processor us/s of idle links, both ends, by links", &points);
+    report.slope("CPU us/s of idle links, both ends, by links", &points);
 }
 
 async fn measure_resident(report: &SlopeReport) {
@@ -294,7 +297,7 @@
     report.slope("resident bytes, both ends, by links", &points);
 }
 
-/// Measure the memory.
+/// Measure the memory of links.
 pub fn measure_memory(report: &SlopeReport) {
     report.section("links, memory in bytes");
     runtime().block_on(measure_resident(report));
@@ -304,10 +307,10 @@
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime")
+        .expect("cannot build the runtime")
 }
 
-/// Measure.
+/// Measure the bytes and CPU time of links.
 pub fn measure(report: &SlopeReport) {
     report.section("links on loopback");
     runtime().block_on(async {
--- a/bergamotswitch/examples/slopes/main.rs
+++ b/bergamotswitch/examples/slopes/main.rs
@@ -1,9 +1,10 @@
-//! Measures how state, messages and processor time of each role grow with the
-//! size of the fleet, and prints each as a slope. `docs/CAPACITY.md` is worked
-//! out from what this prints.
+//! Measures how the memory, messages and CPU time of each role grow with the
+//! fleet size, and prints a line fit for each. The figures are the basis of
+//! `docs/CAPACITY.md`.
 //!
-//! `cargo run --release -p bergamotswitch --example slopes [PART]` runs within
-//! two minutes, bounded and with fixed numbers in place of random ones.
+//! Run it with
+//! `cargo run --release -p bergamotswitch --example slopes [MEASUREMENT]`. The
+//! inputs are fixed, without random numbers.
 
 mod entry;
 mod event;
@@ -25,7 +26,7 @@
 
 use report::SlopeReport;
 
-/// A `Measurement` is a group of measurements that may be run alone.
+/// A `Measurement` is a named group of measurements that can be run alone.
 #[derive(Clone, Copy)]
 struct Measurement {
     name: &'static str,
@@ -36,8 +37,8 @@
     Measurement { name, measure }
 }
 
-/// Memory comes first and alone: it is that of the whole process, and what is
-/// freed later would be taken again unseen.
+/// The memory measurements, which run first and one at a time: they read the
+/// memory of the whole process, and would miss growth into freed memory.
 const MEMORY_MEASUREMENTS: [Measurement; 5] = [
     measurement("values-memory", values::measure_memory),
     measurement("entry-memory", entry::measure_memory),
@@ -46,7 +47,8 @@
     measurement("idle", growth::measure_idle),
 ];
 
-/// What runs side by side. Processor time is that of each one's own thread.
+/// The groups of CPU time measurements, which run in parallel: CPU time is
+/// measured for each thread.
 const CPU_MEASUREMENTS: [&[Measurement]; 3] = [
     &[
         measurement("frames", frames::measure),
@@ -79,10 +81,10 @@
         let handles =
             CPU_MEASUREMENTS.map(|measurements| scope.spawn(move || run(measurements, selected)));
         for handle in handles {
-            print!("{}", handle.join().expect("a measurement"));
+            print!("{}", handle.join().expect("a measurement thread panicked"));
         }
     });
     let seconds = start.elapsed().as_secs_f64();
     let peak = probe::peak_bytes() / 1_000_000;
-    println!("\nin {seconds:.0} s, at most {peak} MB");
+    println!("\nfinished in {seconds:.0} s, peak memory {peak} MB");
 }
--- a/bergamotswitch/examples/slopes/owner.rs
+++ b/bergamotswitch/examples/slopes/owner.rs
@@ -1,4 +1,4 @@
-//! Measures a shard's owner.
+//! Measures the memory and CPU time of a shard owner.
 
 use std::time::Duration;
 
@@ -15,10 +15,10 @@
 use crate::probe::{cpu_micros_per_call, memory_growth};
 use crate::report::{SlopeReport, measure_at_sizes};
 
-/// Room for so many tokens that nothing waits.
+/// A token limit that is high enough for no request to wait.
 const AMPLE_TOKENS: u32 = 4_000_000_000;
 
-/// A `OwnerBench` is an owner with a clock of its own.
+/// An `OwnerBench` drives a `ShardOwner` with its own clock.
 struct OwnerBench {
     owner: ShardOwner,
     now: Moment,
@@ -80,7 +80,8 @@
         }))
     }
 
-    /// Let a request come and end, with `waiting` others queued all along.
+    /// Ask for a permit and release one of those in flight, so that the number of
+    /// queued requests stays the same.
     fn cycle_request(&mut self, in_flight: &mut Vec<Permit>, accounts: usize) {
         let ask = self.next_ask(accounts);
         let mut granted = self.submit(ask);
@@ -101,9 +102,9 @@
         .collect()
 }
 
-/// Measure.
+/// Measure the CPU time of requests and load reports.
 pub fn measure(report: &SlopeReport) {
-    report.section("pool owner, processor time in microseconds");
+    report.section("shard owner, CPU time in microseconds");
     let target_counts = [18, 75, 150, 300, 600];
     let points = measure_at_sizes(&target_counts, |count| {
         let mut bench = OwnerBench::new(count, AMPLE_TOKENS);
@@ -111,12 +112,13 @@
         cpu_micros_per_call(|| bench.cycle_request(&mut in_flight, 280))
     });
     report.slope(
-        "request (ask, permit, release) with room, by targets",
+        "request (ask, permit, release), spare capacity, by targets",
         &points,
     );
     let points = measure_at_sizes(&target_counts, |count| {
         let mut bench = OwnerBench::new(count, AMPLE_TOKENS);
-        // One request of a hundred is long, so that the others are short.
+        // Fills the cost history with short requests, compared with which the
+        // measured requests are long.
         let mut in_flight = Vec::new();
         for _ in 0..400 {
             let ask = bench.next_ask(280);
@@ -132,7 +134,7 @@
             granted.len()
         })
     });
-    report.slope("long request with room, by targets", &points);
+    report.slope("long request, spare capacity, by targets", &points);
     let points = measure_at_sizes(&[100, 1_000, 4_000, 8_000], |count| {
         let mut bench = OwnerBench::new(67, AMPLE_TOKENS);
         let mut in_flight = Vec::new();
@@ -153,7 +155,7 @@
         }
         cpu_micros_per_call(|| bench.cycle_request(&mut in_flight, 280))
     });
-    report.slope("request, 67 full targets, by requests that wait", &points);
+    report.slope("request, 67 full targets, by waiting requests", &points);
     let points = measure_at_sizes(&[5, 50, 100, 280], |count| {
         let mut bench = OwnerBench::new(67, 8_192);
         let mut in_flight = fill_targets(&mut bench, count);
@@ -163,7 +165,10 @@
         }
         cpu_micros_per_call(|| bench.cycle_request(&mut in_flight, count))
     });
-    report.slope("request, 67 full targets, 5,000 wait, by accounts", &points);
+    report.slope(
+        "request, 67 full targets, 5,000 waiting, by accounts",
+        &points,
+    );
     let points = measure_at_sizes(&target_counts, |count| {
         let mut bench = OwnerBench::new(count, AMPLE_TOKENS);
         let load = LoadReport {
@@ -190,9 +195,9 @@
     }
 }
 
-/// Measure the memory.
+/// Measure the memory of queues, permits, keys and prefixes.
 pub fn measure_memory(report: &SlopeReport) {
-    report.section("pool owner, memory in bytes");
+    report.section("shard owner, memory in bytes");
     let sizes = [5_000, 10_000, 20_000, 40_000];
     let mut saturated = Box::new(OwnerBench::new(67, 8_192));
     fill_targets(&mut saturated, 280);
@@ -200,7 +205,7 @@
         let ask = saturated.next_ask(280);
         saturated.submit(ask);
     });
-    report.slope("requests that wait", &points);
+    report.slope("waiting requests", &points);
     let mut ample = Box::new(OwnerBench::new(67, AMPLE_TOKENS));
     let points = memory_growth(&sizes, || {
         let ask = ample.next_ask(280);
@@ -214,7 +219,7 @@
         key += 1;
         table.grant(Moment::START, &claim(key));
     });
-    report.slope("keys", &points);
+    report.slope("idempotency keys", &points);
     let mut prefixed = Box::new(OwnerBench::new(67, AMPLE_TOKENS));
     let mut seed = 0;
     let points = memory_growth(&[8_000, 16_000, 32_000, 64_000], || {
@@ -223,7 +228,7 @@
         prefixed.event(OwnerEvent::Prefix(target, prefixes(seed, 1)[0], true));
     });
     report.slope("prefixes", &points);
-    // Memory that is given back would be taken again unseen.
+    // Freed memory would be reused and hide the growth of later measurements.
     Box::leak(saturated);
     Box::leak(ample);
     Box::leak(table);
--- a/bergamotswitch/examples/slopes/probe.rs
+++ b/bergamotswitch/examples/slopes/probe.rs
@@ -1,5 +1,4 @@
-//! Provides what the operating system says of this process: processor time
-//! and memory.
+//! Provides measurements of the CPU time and memory of this process.
 
 use std::fs;
 use std::hint::black_box;
@@ -7,38 +6,42 @@
 use crate::fit::Point;
 use crate::report::measure_at_sizes;
 
-/// The processor time that one timing takes at least. The system counts it
-/// in ticks of a few milliseconds.
+/// The minimum CPU time of one timing, well above the tick of a few milliseconds
+/// in which the kernel accounts it.
 const MIN_TIMING_NANOS: u64 = 60_000_000;
 
-/// The least of so many timings counts: other load only ever adds.
+/// The number of timings, of which the fastest counts: other load on the machine
+/// can only slow a timing down.
 const TIMING_RUNS: usize = 3;
 
-/// Get the processor time of this thread so far, in nanoseconds.
+/// Get the CPU time used by this thread, in nanoseconds.
 pub fn cpu_nanos() -> u64 {
-    let text = fs::read_to_string("/proc/thread-self/schedstat").expect("a Linux system");
-    let first = text.split_whitespace().next().expect("a field");
-    first.parse().expect("a number")
+    let text = fs::read_to_string("/proc/thread-self/schedstat").expect("cannot read /proc");
+    let first = text.split_whitespace().next().expect("empty schedstat");
+    first.parse().expect("invalid CPU time in schedstat")
 }
 
-/// Get the memory that this process holds now, in bytes.
+/// Get the resident memory of this process, in bytes.
 pub fn resident_bytes() -> u64 {
     status_field("VmRSS:")
 }
 
-/// Get the most memory that this process ever held, in bytes.
+/// Get the peak resident memory of this process, in bytes.
 pub fn peak_bytes() -> u64 {
     status_field("VmHWM:")
 }
 
 fn status_field(name: &str) -> u64 {
-    let text = fs::read_to_string("/proc/self/status").expect("a Linux system");
+    let text = fs::read_to_string("/proc/self/status").expect("cannot read /proc");
     let line = text.lines().find(|line| line.starts_with(name));
     let field = line.and_then(|line| line.split_whitespace().nth(1));
-    field.and_then(|kib| kib.parse::<u64>().ok()).expect("kB") * 1024
+    field
+        .and_then(|kib| kib.parse::<u64>().ok())
+        .expect("invalid memory size in status")
+        * 1024
 }
 
-/// Get the processor time of one call of `work`, in microseconds.
+/// Measure the CPU time of one call of `work`, in microseconds.
 pub fn cpu_micros_per_call<T>(mut work: impl FnMut() -> T) -> f64 {
     let mut fastest = f64::MAX;
     for _ in 0..TIMING_RUNS {
@@ -61,7 +64,8 @@
     fastest
 }
 
-/// Get the memory that `step` adds, at growing numbers of steps.
+/// Measure the resident memory that calls of `step` add, at each number of calls
+/// in `sizes`.
 pub fn memory_growth(sizes: &[usize], mut step: impl FnMut()) -> Vec<Point> {
     let before = resident_bytes();
     let mut done = 0;
--- a/bergamotswitch/examples/slopes/report.rs
+++ b/bergamotswitch/examples/slopes/report.rs
@@ -1,4 +1,4 @@
-//! Provides the table of slopes as text.
+//! Provides the text report of the measured slopes.
 
 use std::cell::RefCell;
 use std::fmt::Display;
@@ -6,14 +6,14 @@
 
 use crate::fit::{LineFit, Point};
 
-/// A `SlopeReport` collects what was found.
+/// A `SlopeReport` collects the results of measurements as a text table.
 pub struct SlopeReport {
     started_at: Instant,
     text: RefCell<String>,
 }
 
 impl SlopeReport {
-    /// Get an empty sheet.
+    /// Get an empty report.
     pub fn new() -> Self {
         SlopeReport {
             started_at: Instant::now(),
@@ -21,28 +21,28 @@
         }
     }
 
-    /// Get the head of the table.
+    /// Get the header of the table.
     pub fn head() -> String {
         format!(
             "{:<62} {:>11}   {:<9} {:>11} {:>6}  points (size: value)",
-            "quantity, by size", "slope", "error", "base", "R2"
+            "quantity, by size", "slope", "std error", "intercept", "R2"
         )
     }
 
-    /// Add a line.
+    /// Add a line of text.
     pub fn line(&self, line: impl Display) {
         let mut text = self.text.borrow_mut();
         text.push_str(&line.to_string());
         text.push('\n');
     }
 
-    /// Begin a part.
+    /// Start a section.
     pub fn section(&self, name: &str) {
         let seconds = self.started_at.elapsed().as_secs_f64();
         self.line(format_args!("\n# {name} (after {seconds:.0} s)"));
     }
 
-    /// Add the slope through points.
+    /// Add a line fit through `points`.
     pub fn slope(&self, quantity: &str, points: &[Point]) {
         let fit = LineFit::of(points);
         let values: Vec<String> = points
@@ -53,12 +53,12 @@
         self.line(format_args!("{quantity:<62} {fit}  {values}"));
     }
 
-    /// Add one figure that has no size.
+    /// Add a single value that doesn't depend on a size.
     pub fn figure(&self, quantity: &str, value: f64) {
         self.line(format_args!("{quantity:<62} {value:>11.3}"));
     }
 
-    /// Get what was collected.
+    /// Get the text of the report.
     pub fn into_text(self) -> String {
         self.text.into_inner()
     }
@@ -76,7 +76,7 @@
     }
 }
 
-/// Measure at each size.
+/// Call `measure` at each size and collect the points.
 pub fn measure_at_sizes(sizes: &[usize], mut measure: impl FnMut(usize) -> f64) -> Vec<Point> {
     sizes
         .iter()
--- a/bergamotswitch/examples/slopes/values.rs
+++ b/bergamotswitch/examples/slopes/values.rs
@@ -1,4 +1,4 @@
-//! Measures published values and address answers.
+//! Measures published values, address queries and the admission of requests.
 
 use bergamotswitch_core::address::{AddressBook, AddressQuery, CallerHash, HostHealth};
 use bergamotswitch_core::publication::{Publication, check_consistency};
@@ -8,7 +8,7 @@
 use crate::probe::{cpu_micros_per_call, memory_growth};
 use crate::report::{SlopeReport, measure_at_sizes};
 
-/// How often a value is kept for the measurement of memory.
+/// The numbers of publications that are held in memory.
 const COPIES: [usize; 4] = [10, 20, 40, 80];
 
 fn size_with(value: &str, size: usize) -> FleetSize {
@@ -36,30 +36,28 @@
 fn body_of(value: &str, size: usize) -> serde_json::Value {
     let values = size_with(value, size).values(0);
     let found = values.into_iter().find(|(name, _)| *name == value);
-    found.expect("a value").1
+    found.expect("unknown value").1
 }
 
-/// Measure the memory.
+/// Measure the memory of publications.
 pub fn measure_memory(report: &SlopeReport) {
     report.section("published values, memory in bytes");
     let mut publications = Vec::new();
     let points = memory_growth(&COPIES, || publications.push(DESIGN_SIZE.publication()));
-    report.slope(
-        "all values of the target's size in force, by copies",
-        &points,
-    );
+    report.slope("all values of the design size in force, by copies", &points);
     std::mem::forget(publications);
 }
 
-/// Measure the rest.
+/// Measure the size of published values, and the CPU time of checks and
+/// lookups.
 pub fn measure(report: &SlopeReport) {
-    report.section("published values: text in bytes, check in microseconds");
+    report.section("published values: size in bytes, check in CPU microseconds");
     for value in VALUES {
         let points = measure_at_sizes(&sizes_of(value), |size| {
             body_of(value, size).to_string().len() as f64
         });
         report.slope(
-            &format!("{value}: text, by {value} (pools: targets)"),
+            &format!("{value}: JSON size, by {value} (pools: targets)"),
             &points,
         );
         let points = measure_at_sizes(&sizes_of(value), |size| {
@@ -67,9 +65,9 @@
             let mut publication = Publication::default();
             cpu_micros_per_call(|| publication.apply(&published_value).is_ok())
         });
-        report.slope(&format!("{value}: check and adopt, by {value}"), &points);
+        report.slope(&format!("{value}: check and apply, by {value}"), &points);
     }
-    report.section("a request's way in, processor time in microseconds");
+    report.section("admission of a request, CPU time in microseconds");
     let points = measure_at_sizes(&sizes_of("rules"), |size| {
         let publication = size_with("rules", size).publication();
         let facts = RequestFacts {
@@ -83,7 +81,7 @@
         };
         cpu_micros_per_call(|| publication.rules.decide(&facts))
     });
-    report.slope("rules, none matches, by rules", &points);
+    report.slope("rule lookup without a match, by rules", &points);
     let points = measure_at_sizes(&sizes_of("accounts"), |size| {
         let publication = size_with("accounts", size).publication();
         cpu_micros_per_call(|| publication.accounts.authenticate("key-3").is_some())
@@ -100,13 +98,13 @@
         let health = health(&publication);
         cpu_micros_per_call(|| book.answer(&query, &health))
     });
-    report.slope("address answer, by hosts", &points);
+    report.slope("address query, by hosts", &points);
     let points = measure_at_sizes(&sizes_of("hosts"), |size| {
         let publication = size_with("hosts", size).publication();
         cpu_micros_per_call(|| publication.clone())
     });
     report.slope(
-        "copy of the publication for the callers' side, by hosts",
+        "copy of the publication for the caller side, by hosts",
         &points,
     );
     let points = measure_at_sizes(&sizes_of("pools"), |size| {
@@ -114,7 +112,7 @@
         cpu_micros_per_call(|| check_consistency(&publication))
     });
     report.slope(
-        "cross-check (each second, for the status page), by targets",
+        "consistency check (each second, status page), by targets",
         &points,
     );
 }
