--- a/bergamotswitch/examples/overhead.rs
+++ b/bergamotswitch/examples/overhead.rs
@@ -1,9 +1,10 @@
-//! Measures what one host adds to a call: the same calls directly at a
-//! stand-in target and through one entry host, in turn, in one run.
+//! Measures the latency that one host adds to a call, by sending the same
+//! calls directly to a stand-in target and through one entry host.
 //!
-//! Caller, host and platform have a thread each, as they have a process each
-//! in a fleet. The target takes no more time than its least step, so that the
-//! added time is not lost in the target's own.
+//! The caller, the host and the platform stand-in run on a thread each, as
+//! they run in separate processes in production. The target is configured to
+//! answer as fast as it can, so that its own latency doesn't hide the
+//! overhead.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -28,21 +29,23 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::task::JoinSet;
 
-/// Calls of one cell of the table, and the rounds in which they are made:
-/// direct and through the host alternate, so that a busy machine hits both.
+/// The rounds of one table row. Direct and proxied rounds alternate, so that
+/// other load on the machine affects both.
 const ROUNDS: usize = 5;
+/// The concurrency of a table row, and its calls in each round.
 const CALLS_PER_ROUND: [(usize, usize); 2] = [(1, 60), (16, 480)];
 
-/// Not measured: first calls fill caches and grow the owner's limits.
+/// Calls that aren't recorded: they fill caches and raise the owner's adaptive
+/// limits.
 const WARM_UP_CALLS: usize = 64;
 
-/// The greatest time that is told apart.
+/// The highest latency that a histogram records.
 const MAX_MICROS: u64 = 60_000_000;
 
 type AnyError = Box<dyn Error + Send + Sync>;
 
-/// What is called: the same path and body at the host and, under another
-/// path, at the target.
+/// A `MeasuredCall` is a request that is sent both to the host and directly to
+/// the target.
 #[derive(Clone)]
 struct MeasuredCall {
     name: &'static str,
@@ -52,7 +55,7 @@
     body: Bytes,
 }
 
-/// One way to the target.
+/// A `CallRoute` is the address and path that a call is sent to.
 #[derive(Clone)]
 struct CallRoute {
     address: SocketAddr,
@@ -62,7 +65,7 @@
 
 fn main() -> Result<(), AnyError> {
     let stage = StagedDeployment::try_new(&deployment_directory("red-austral"))?;
-    let calls = narrow_stage(stage.directory())?;
+    let calls = reduce_stage(stage.directory())?;
     let settings = read_settings(&stage)?;
     let host = settings.caller_address;
     start_platform(&stage, &settings)?;
@@ -80,15 +83,16 @@
     Ok(Builder::new_current_thread().enable_all().build()?)
 }
 
-/// Leave one host, one engine and one service in the stage, both quick.
-fn narrow_stage(directory: &Path) -> Result<Vec<MeasuredCall>, AnyError> {
+/// Reduce the staged deployment to one host, one engine and one plain service,
+/// with both targets at their fastest.
+fn reduce_stage(directory: &Path) -> Result<Vec<MeasuredCall>, AnyError> {
     let mut hosts = read_json(&directory.join("hosts.json"))?;
-    truncate(&mut hosts["hosts"]);
+    keep_first(&mut hosts["hosts"]);
     std::fs::write(directory.join("hosts.json"), hosts.to_string())?;
     let mut pools = read_json(&directory.join("pools.json"))?;
     let mut addresses = Vec::new();
     for pool in pools["pools"].as_array_mut().into_iter().flatten() {
-        truncate(&mut pool["targets"]);
+        keep_first(&mut pool["targets"]);
         let target = &mut pool["targets"][0];
         target["expected_speed"] = 20_000.into();
         target["token_limit"] = 131_072.into();
@@ -118,7 +122,7 @@
     ])
 }
 
-fn truncate(list: &mut Value) {
+fn keep_first(list: &mut Value) {
     if let Some(list) = list.as_array_mut() {
         list.truncate(1);
     }
@@ -142,7 +146,7 @@
         control: None,
         seed: 1,
     };
-    let (started, wait_started) = mpsc::channel();
+    let (started, started_receiver) = mpsc::channel();
     let platform = thread::Builder::new().name("platform".to_owned());
     platform.spawn(move || {
         let run = || -> Result<(), AnyError> {
@@ -158,7 +162,7 @@
             eprintln!("platform: {error}");
         }
     })?;
-    Ok(wait_started.recv()?)
+    Ok(started_receiver.recv()?)
 }
 
 fn run_host(settings: HostSettings) {
@@ -175,8 +179,8 @@
 }
 
 async fn measure_all(host: SocketAddr, calls: &[MeasuredCall]) -> Result<(), AnyError> {
-    println!("all times in ms; added: through one host less direct, at the same percentile\n");
-    println!("| call | at once | direct p50 | p99 | through p50 | p99 | added p50 | p99 |");
+    println!("all times in ms; added: proxied minus direct, at the same percentile\n");
+    println!("| call | concurrency | direct p50 | p99 | proxied p50 | p99 | added p50 | p99 |");
     println!("|---|---:|---:|---:|---:|---:|---:|---:|");
     for call in calls {
         let direct = CallRoute {
@@ -184,20 +188,20 @@
             path: call.target_path,
             body: call.body.clone(),
         };
-        let through = CallRoute {
+        let proxied = CallRoute {
             address: host,
             path: call.host_path,
             body: call.body.clone(),
         };
         run_round(&direct, 4, WARM_UP_CALLS).await?;
-        run_round(&through, 4, WARM_UP_CALLS).await?;
-        for (at_once, count) in CALLS_PER_ROUND {
+        run_round(&proxied, 4, WARM_UP_CALLS).await?;
+        for (concurrency, count) in CALLS_PER_ROUND {
             let mut times = [histogram()?, histogram()?];
             for _ in 0..ROUNDS {
-                times[0].add(run_round(&direct, at_once, count).await?)?;
-                times[1].add(run_round(&through, at_once, count).await?)?;
+                times[0].add(run_round(&direct, concurrency, count).await?)?;
+                times[1].add(run_round(&proxied, concurrency, count).await?)?;
             }
-            print_row(call.name, at_once, &times);
+            print_row(call.name, concurrency, &times);
         }
     }
     Ok(())
@@ -207,30 +211,30 @@
     Ok(Histogram::new_with_bounds(1, MAX_MICROS, 3)?)
 }
 
-fn print_row(name: &str, at_once: usize, times: &[Histogram<u64>; 2]) {
-    let millis = |index: usize, part: f64| times[index].value_at_quantile(part) as f64 / 1_000.0;
-    let [direct, through] = [0, 1].map(|index| [millis(index, 0.5), millis(index, 0.99)]);
+fn print_row(name: &str, concurrency: usize, times: &[Histogram<u64>; 2]) {
+    let millis =
+        |index: usize, quantile: f64| times[index].value_at_quantile(quantile) as f64 / 1_000.0;
+    let [direct, proxied] = [0, 1].map(|index| [millis(index, 0.5), millis(index, 0.99)]);
     println!(
-        "| {name} | {at_once} | {:.2} | {:.2} | {:.2} | {:.2} | {:.2} | {:.2} |",
+        "| {name} | {concurrency} | {:.2} | {:.2} | {:.2} | {:.2} | {:.2} | {:.2} |",
         direct[0],
         direct[1],
-        through[0],
-        through[1],
-        through[0] - direct[0],
-        through[1] - direct[1]
+        proxied[0],
+        proxied[1],
+        proxied[0] - direct[0],
+        proxied[1] - direct[1]
     );
 }
 
-/// Make `count` calls, `at_once` of them at a time, each over a connection
-/// that its caller keeps.
+/// Make `count` calls over `concurrency` keep-alive connections.
 async fn run_round(
     route: &CallRoute,
-    at_once: usize,
+    concurrency: usize,
     count: usize,
 ) -> Result<Histogram<u64>, AnyError> {
     let mut callers = JoinSet::new();
-    for _ in 0..at_once {
-        callers.spawn(call_repeatedly(route.clone(), count / at_once));
+    for _ in 0..concurrency {
+        callers.spawn(call_repeatedly(route.clone(), count / concurrency));
     }
     let mut times = histogram()?;
     while let Some(joined) = callers.join_next().await {
@@ -266,11 +270,11 @@
         .header("content-type", "application/json")
         .body(Full::new(route.body.clone()))?;
     sender.ready().await?;
-    let begun = Instant::now();
+    let start = Instant::now();
     let response = sender.send_request(request).await?;
     let status = response.status();
     let body = response.into_body().collect().await?.to_bytes();
-    let elapsed = begun.elapsed();
+    let elapsed = start.elapsed();
     match status.is_success() && !body.is_empty() {
         true => Ok(elapsed),
         false => Err(format!("{status}: {}", String::from_utf8_lossy(&body)).into()),
--- a/bergamotswitch/examples/slopes/entry.rs
+++ b/bergamotswitch/examples/slopes/entry.rs
@@ -1,4 +1,4 @@
-//! Measures the entry desk.
+//! Measures the memory and CPU time of the entry dispatcher.
 
 use std::time::Duration;
 
@@ -11,9 +11,9 @@
 use bergamotswitch_core::request::{AttemptId, RequestId};
 use bergamotswitch_net::answer::{AnswerPart, AnswerWriter};
 
-use crate::probe::{growth, micros_each};
-use crate::sheet::{SlopeSheet, at_sizes};
-use crate::world::{host_name, name, pool, run_of, shard, submission, targets};
+use crate::fixtures::{host_name, incarnation_of, name, pool, shard, submission, targets};
+use crate::probe::{cpu_micros_per_call, memory_growth};
+use crate::report::{SlopeReport, measure_at_sizes};
 
 const USAGE: Usage = Usage {
     prefill: 1_000,
@@ -23,9 +23,10 @@
     elapsed_ms: 17_000,
 };
 
-/// An `EntryBench` is a desk with a clock and an owner of its own.
+/// An `EntryBench` drives an `EntryDispatcher` with its own clock and a fixed
+/// owner.
 struct EntryBench {
-    desk: EntryDispatcher,
+    dispatcher: EntryDispatcher,
     now: Moment,
     sequence: u64,
     owner: HostName,
@@ -37,7 +38,7 @@
             .with_permit_resend_interval(Duration::from_secs(1_000))
             .with_max_kept_answers(1_000_000);
         let mut bench = EntryBench {
-            desk: EntryDispatcher::new(run_of(1), opts),
+            dispatcher: EntryDispatcher::new(incarnation_of(1), opts),
             now: Moment::from_millis(1_000),
             sequence: 0,
             owner: host_name(2),
@@ -50,28 +51,30 @@
 
     fn event(&mut self, event: EntryEvent) -> Vec<EntryAction> {
         self.now = self.now.plus(Duration::from_micros(20));
-        self.desk.handle(self.now, event)
+        self.dispatcher.handle(self.now, event)
     }
 
-    /// Let a request come, up to its ask.
-    fn submit(&mut self, keyed: bool) -> (RequestId, AttemptId) {
+    /// Submit a request. Get its ID and the attempt for which a permit is asked.
+    fn submit(&mut self, with_key: bool) -> (RequestId, AttemptId) {
         self.sequence += 1;
-        let key = keyed.then(|| format!("summary-2026-12-02-{:08}", self.sequence));
-        let (reception, actions) = self.desk.submit(self.now, submission(self.sequence, key));
-        let SubmitOutcome::Accepted(id) = reception else {
-            panic!("an accepted request, not {reception:?}");
+        let key = with_key.then(|| format!("summary-2026-12-02-{:08}", self.sequence));
+        let (outcome, actions) = self
+            .dispatcher
+            .submit(self.now, submission(self.sequence, key));
+        let SubmitOutcome::Accepted(id) = outcome else {
+            panic!("request not accepted: {outcome:?}");
         };
-        let asked = actions.iter().find_map(|action| match action {
+        let attempt = actions.iter().find_map(|action| match action {
             EntryAction::Send(_, OwnerMessage::Ask(ask)) => Some(ask.attempt),
             _ => None,
         });
-        (id, asked.expect("an ask"))
+        (id, attempt.expect("no permit asked for"))
     }
 
-    fn permit(&mut self, attempt: AttemptId) {
+    fn grant(&mut self, attempt: AttemptId) {
         let permit = Permit {
             id: PermitId {
-                owner: run_of(2).incarnation,
+                owner: incarnation_of(2).incarnation,
                 sequence: attempt.request.sequence,
             },
             attempt,
@@ -90,20 +93,20 @@
         self.event(EntryEvent::Attempt(attempt, AttemptEvent::Finished(USAGE)));
     }
 
-    fn turn(&mut self) {
+    fn complete_request(&mut self) {
         let (_, attempt) = self.submit(false);
-        self.permit(attempt);
+        self.grant(attempt);
         self.finish(attempt);
     }
 
-    fn run_one(&mut self) -> AttemptId {
+    fn start_request(&mut self) -> AttemptId {
         let (_, attempt) = self.submit(false);
-        self.permit(attempt);
+        self.grant(attempt);
         attempt
     }
 }
 
-/// Get an answer as an engine streams it, an event for each token.
+/// Get the answer of an engine as a stream with one event per token.
 fn answer() -> AnswerWriter {
     let answer = AnswerWriter::new();
     answer.push(AnswerPart::Head {
@@ -123,67 +126,70 @@
     answer
 }
 
-/// Measure the memory.
-pub fn measure_memory(sheet: &SlopeSheet) {
-    sheet.part("entry host, memory in bytes");
+/// Measure the memory of requests, outcomes and answers.
+pub fn measure_memory(report: &SlopeReport) {
+    report.section("entry host, memory in bytes");
     let sizes = [5_000, 10_000, 20_000, 40_000];
     let mut bench = Box::new(EntryBench::new(67));
-    let points = growth(&sizes, || {
+    let points = memory_growth(&sizes, || {
         bench.submit(false);
     });
-    sheet.slope("requests that wait, without body", &points);
-    let mut kept = Box::new(EntryBench::new(67));
-    let points = growth(&sizes, || {
-        let (_, attempt) = kept.submit(true);
-        kept.permit(attempt);
-        kept.finish(attempt);
+    report.slope("waiting requests, without body", &points);
+    let mut completed = Box::new(EntryBench::new(67));
+    let points = memory_growth(&sizes, || {
+        let (_, attempt) = completed.submit(true);
+        completed.grant(attempt);
+        completed.finish(attempt);
     });
-    sheet.slope("outcomes with their keys, without answer", &points);
+    report.slope(
+        "kept outcomes with idempotency keys, without answer",
+        &points,
+    );
     let mut answers = Vec::new();
-    let points = growth(&[100, 200, 400, 800], || answers.push(answer()));
-    sheet.slope("whole answers of 424 tokens, as events", &points);
-    // Memory that is given back would be taken again unseen.
+    let points = memory_growth(&[100, 200, 400, 800], || answers.push(answer()));
+    report.slope("complete answers of 424 tokens, as events", &points);
+    // Freed memory would be reused and hide the growth of later measurements.
     std::mem::forget(answers);
     Box::leak(bench);
-    Box::leak(kept);
+    Box::leak(completed);
 }
 
-/// Measure the processor time.
-pub fn measure(sheet: &SlopeSheet) {
-    sheet.part("entry host, processor time in microseconds");
-    let points = at_sizes(&[18, 75, 150, 300, 600], |count| {
+/// Measure the CPU time of requests.
+pub fn measure(report: &SlopeReport) {
+    report.section("entry host, CPU time in microseconds");
+    let points = measure_at_sizes(&[18, 75, 150, 300, 600], |count| {
         let mut bench = EntryBench::new(count);
-        micros_each(|| bench.turn())
+        cpu_micros_per_call(|| bench.complete_request())
     });
-    sheet.slope(
-        "request from submission to end, by targets of its pool",
+    report.slope(
+        "request from submission to end, by targets in its pool",
         &points,
     );
-    let points = at_sizes(&[10, 100, 1_000, 5_000], |count| {
+    let points = measure_at_sizes(&[10, 100, 1_000, 5_000], |count| {
         let mut bench = EntryBench::new(67);
         for _ in 0..count {
-            bench.run_one();
+            bench.start_request();
         }
-        micros_each(|| bench.turn())
+        cpu_micros_per_call(|| bench.complete_request())
     });
-    sheet.slope("request, 67 targets, by requests in flight", &points);
-    let points = at_sizes(&[10, 100, 1_000, 5_000], |count| {
+    report.slope("request, 67 targets, by requests in flight", &points);
+    let points = measure_at_sizes(&[10, 100, 1_000, 5_000], |count| {
         let mut bench = EntryBench::new(67);
         for _ in 0..count {
             bench.submit(false);
         }
-        micros_each(|| bench.turn())
+        cpu_micros_per_call(|| bench.complete_request())
     });
-    sheet.slope("request, 67 targets, by requests that wait", &points);
-    let points = at_sizes(&[10, 100, 1_000, 5_000], |count| {
+    report.slope("request, 67 targets, by waiting requests", &points);
+    let points = measure_at_sizes(&[10, 100, 1_000, 5_000], |count| {
         let mut bench = EntryBench::new(67);
         for _ in 0..count {
-            bench.run_one();
+            bench.start_request();
         }
-        micros_each(|| bench.desk.used_shards())
+        cpu_micros_per_call(|| bench.dispatcher.used_shards())
     });
-    sheet.slope(
-        "shards in use (each event of a host), by requests in flight",
+    report.slope(
+        "shards in use (for each event), by requests in flight",
         &points,
     );
 }
--- a/bergamotswitch/examples/slopes/world.rs
+++ b/bergamotswitch/examples/slopes/fixtures.rs
@@ -1,4 +1,5 @@
-//! Provides published values of a size, with names of realistic lengths.
+//! Provides published values and messages for a fleet of a given size, with names
+//! of realistic lengths.
 
 use bergamotswitch_core::client_account::KeyHash;
 use bergamotswitch_core::entry::Submission;
@@ -13,7 +14,7 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// The failure domains, three regions of them.
+/// The failure domains and their regions.
 pub const DOMAINS: [(&str, &str); 8] = [
     ("mza-norte", "cuyo"),
     ("mza-sur", "cuyo"),
@@ -25,7 +26,7 @@
     ("pampa-oeste", "pampa"),
 ];
 
-/// A `FleetSize` is how much of everything there is.
+/// A `FleetSize` is the number of hosts, targets and other entries in a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSize {
     pub hosts: usize,
@@ -35,8 +36,8 @@
     pub rules: usize,
 }
 
-/// The size of letter 1's target.
-pub const TARGET_SIZE: FleetSize = FleetSize {
+/// The fleet size that the system is designed for.
+pub const DESIGN_SIZE: FleetSize = FleetSize {
     hosts: 380,
     targets: 600,
     pools: 9,
@@ -44,9 +45,13 @@
     rules: 100,
 };
 
-/// Get a checked name from a text that is one.
+/// Get a name from a valid text.
+///
+/// # Panics
+///
+/// Panics if the text is not a valid name.
 pub fn name<T: TryFrom<String>>(text: impl Into<String>) -> T {
-    T::try_from(text.into()).ok().expect("a name")
+    T::try_from(text.into()).ok().expect("invalid name")
 }
 
 pub fn domain_of(index: usize) -> &'static str {
@@ -57,7 +62,7 @@
     name(format!("{}-{index:03}", domain_of(index)))
 }
 
-pub fn run_of(index: usize) -> HostIncarnation {
+pub fn incarnation_of(index: usize) -> HostIncarnation {
     HostIncarnation {
         host: host_name(index),
         incarnation: Incarnation(0x5bd1_e995_9e37_79b9_7f4a_7c15_0000_0000 + index as u128),
@@ -72,8 +77,8 @@
 }
 
 impl FleetSize {
-    /// Get the name and the JSON of every value, so long as `step` goes, each
-    /// step with a small change in each value.
+    /// Get the name and the JSON of every value. Each `step` makes a small change
+    /// to some of the values.
     pub fn values(&self, step: u64) -> Vec<(&'static str, Value)> {
         vec![
             ("hosts", self.hosts()),
@@ -93,8 +98,10 @@
     pub fn pools(&self, step: u64) -> Value {
         let pools: Vec<Value> = (0..self.pools)
             .map(|pool| {
-                let own = (0..self.targets).filter(|index| index % self.pools == pool);
-                let targets: Vec<Value> = own.map(|index| target_entry(index, step)).collect();
+                let pool_targets = (0..self.targets).filter(|index| index % self.pools == pool);
+                let targets: Vec<Value> = pool_targets
+                    .map(|index| target_entry(index, step))
+                    .collect();
                 json!({"name": format!("drafting-lm-{pool}"), "kind": "engine",
                     "shard_by_domain": true, "targets": targets})
             })
@@ -132,12 +139,12 @@
         json!({"rules": rules})
     }
 
-    /// Get all values in force.
+    /// Get a publication with all values in force.
     pub fn publication(&self) -> Publication {
         let mut publication = Publication::default();
         for (value, body) in self.values(0) {
             let value = published(value, 1, &body);
-            publication.apply(&value).expect("good values");
+            publication.apply(&value).expect("invalid published value");
         }
         publication
     }
@@ -177,7 +184,7 @@
         "expected_speed": speed, "token_limit": 262_144})
 }
 
-/// Get `count` targets of one shard, the rooms of which have `limit` tokens.
+/// Get `count` targets of one shard, each with a token limit of `limit`.
 pub fn targets(count: usize, limit: u32) -> Vec<PoolTarget> {
     (0..count)
         .map(|index| PoolTarget {
@@ -202,10 +209,10 @@
     }
 }
 
-pub fn attempt(run: Incarnation, sequence: u64) -> AttemptId {
+pub fn attempt(incarnation: Incarnation, sequence: u64) -> AttemptId {
     AttemptId {
         request: RequestId {
-            incarnation: run,
+            incarnation,
             sequence,
         },
         attempt: 0,
@@ -215,17 +222,17 @@
 pub fn claim(key: u64) -> KeyClaim {
     KeyClaim {
         key: u128::from(key) << 64 | 0x9e37_79b9_7f4a_7c15,
-        holder: run_of(1),
+        holder: incarnation_of(1),
         resubmission: false,
     }
 }
 
-/// Get an ask of a prompt of 4 KB, for 424 tokens of output.
+/// Get an ask with 1,000 prompt tokens and 424 output tokens.
 pub fn ask(sequence: u64, account_index: usize) -> Ask {
     Ask {
         quota_units: 0,
         first_answer_ms: None,
-        attempt: attempt(run_of(1).incarnation, sequence),
+        attempt: attempt(incarnation_of(1).incarnation, sequence),
         shard: shard(None),
         tier: Tier((sequence % 3) as u8),
         account: name(account(account_index)),
@@ -250,9 +257,9 @@
         .collect()
 }
 
-/// Get a submission like [`ask`]; `key` makes it one that must not run twice.
+/// Get a submission like [`ask`]. With a `key`, it is dispatched only once.
 pub fn submission(sequence: u64, key: Option<String>) -> Submission {
-    let guarded = key.is_some();
+    let keyed = key.is_some();
     Submission {
         options: bergamotswitch_core::entry::CallOptions::default(),
         account: name(account((sequence % 280) as usize)),
@@ -263,8 +270,8 @@
             tier: Tier((sequence % 3) as u8),
             share: 2,
             domains: Vec::new(),
-            dispatch_once: guarded,
-            idempotent: !guarded,
+            dispatch_once: keyed,
+            idempotent: !keyed,
             preemptible: false,
             deadline: Duration::from_secs(300),
         },
