--- a/bergamotswitch-core/src/entry/dispatcher/permit_requests.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/permit_requests.rs
@@ -7,7 +7,7 @@
 use crate::entry::request_table::{LiveEntry, RequestRecord};
 use crate::host::HostName;
 use crate::incident::Incident;
-use crate::permit::{Ask, KeyClaim, OwnerMessage};
+use crate::permit::{KeyClaim, OwnerMessage, PermitRequest};
 use crate::refusal::{RefusalReason, RetryReason};
 use crate::retry::RetryBudget;
 
@@ -36,8 +36,8 @@
     ) {
         let requested_from = self.owners.get(&record.shard).cloned();
         if let Some(owner) = &requested_from {
-            let ask = self.permit_request(now, &record);
-            let message = OwnerMessage::Ask(Box::new(ask));
+            let request = self.permit_request(now, &record);
+            let message = OwnerMessage::PermitRequest(Box::new(request));
             actions.push(EntryAction::Send(owner.clone(), message));
         }
         let waiting = WaitingAttempt {
@@ -62,7 +62,7 @@
         actions: &mut Vec<EntryAction>,
     ) {
         if let Some(owner) = &waiting.requested_from {
-            let message = OwnerMessage::Ask(Box::new(self.permit_request(now, &record)));
+            let message = OwnerMessage::PermitRequest(Box::new(self.permit_request(now, &record)));
             actions.push(EntryAction::Send(owner.clone(), message));
         }
         let waiting = WaitingAttempt {
@@ -76,9 +76,9 @@
         });
     }
 
-    fn permit_request(&self, now: Moment, record: &RequestRecord) -> Ask {
+    fn permit_request(&self, now: Moment, record: &RequestRecord) -> PermitRequest {
         let submission = &record.submission;
-        Ask {
+        PermitRequest {
             attempt: record.attempt_id(),
             shard: record.shard.clone(),
             tier: submission.verdict.tier,
--- a/bergamotswitch-core/src/node/key_guard.rs
+++ b/bergamotswitch-core/src/node/key_guard.rs
@@ -17,7 +17,7 @@
 use crate::clock::Moment;
 use crate::host::HostName;
 use crate::membership::KeyQuorum;
-use crate::permit::{Ask, OwnerMessage, OwnerReply};
+use crate::permit::{OwnerMessage, OwnerReply, PermitRequest};
 use crate::pool::{PoolKind, PoolShard};
 use crate::request::AttemptId;
 
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 struct HeldRequest {
     host: HostName,
-    ask: Ask,
+    request: PermitRequest,
     since: Moment,
 }
 
@@ -132,7 +132,7 @@
     }
 
     /// Take the held permit requests, with their remaining times as of now.
-    fn release(&mut self, now: Moment) -> Vec<(HostName, Ask)> {
+    fn release(&mut self, now: Moment) -> Vec<(HostName, PermitRequest)> {
         let held = std::mem::take(&mut self.held);
         let fresh = held.into_values().filter_map(|held| held.aged(now));
         fresh.collect()
@@ -143,15 +143,15 @@
     /// Get the permit request with its holding time subtracted from the deadline;
     /// `None` if the deadline has passed, which its entry host has reported to the
     /// caller.
-    fn aged(self, now: Moment) -> Option<(HostName, Ask)> {
+    fn aged(self, now: Moment) -> Option<(HostName, PermitRequest)> {
         let waited = u32::try_from(now.since(self.since).as_millis()).unwrap_or(u32::MAX);
-        let left = self.ask.deadline_ms.checked_sub(waited)?;
-        let ask = Ask {
+        let left = self.request.deadline_ms.checked_sub(waited)?;
+        let request = PermitRequest {
             deadline_ms: left,
-            waited_ms: self.ask.waited_ms.saturating_add(waited),
-            ..self.ask
+            waited_ms: self.request.waited_ms.saturating_add(waited),
+            ..self.request
         };
-        Some((self.host, ask))
+        Some((self.host, request))
     }
 }
 
@@ -197,15 +197,15 @@
             return Some(message);
         };
         match message {
-            OwnerMessage::Ask(ask)
-                if ask.claim.is_some() && !guard.has_stable_quorum(now, beat) =>
+            OwnerMessage::PermitRequest(request)
+                if request.claim.is_some() && !guard.has_stable_quorum(now, beat) =>
             {
                 let held = HeldRequest {
                     host: host.clone(),
                     since: now,
-                    ask: *ask,
+                    request: *request,
                 };
-                guard.held.insert(held.ask.attempt, held);
+                guard.held.insert(held.request.attempt, held);
                 return None;
             }
             OwnerMessage::OwnerConfirmed { round, .. } => {
@@ -233,7 +233,7 @@
         host: &HostName,
         message: OwnerMessage,
     ) -> Option<OwnerMessage> {
-        let guarded = matches!(&message, OwnerMessage::Ask(ask) if ask.claim.is_some())
+        let guarded = matches!(&message, OwnerMessage::PermitRequest(request) if request.claim.is_some())
             && self.is_guarded(message.shard());
         // A host in degraded mode knows only its own keys, and several hosts may be
         // degraded at once. The permit request is dropped: the entry component repeats
@@ -299,8 +299,8 @@
         let Some(guard) = guard.filter(|guard| guard.has_stable_quorum(now, beat)) else {
             return;
         };
-        for (host, ask) in guard.release(now) {
-            self.on_owner_message(now, host, OwnerMessage::Ask(Box::new(ask)));
+        for (host, request) in guard.release(now) {
+            self.on_owner_message(now, host, OwnerMessage::PermitRequest(Box::new(request)));
         }
     }
 }
--- a/bergamotswitch-core/src/permit.rs
+++ b/bergamotswitch-core/src/permit.rs
@@ -1,5 +1,5 @@
 //! Provides the messages between entry hosts and the owner of a pool's shard:
-//! requests for slots (asks), permits and releases.
+//! permit requests, permits and releases.
 //!
 //! A permit grants capacity only. A duplicated, late or lost permit can waste a
 //! slot but cannot run a request twice, because a dispatch depends only on the
@@ -28,10 +28,10 @@
     pub resubmission: bool,
 }
 
-/// An `Ask` is an entry host's request for one slot of a pool shard. It may be
+/// A `PermitRequest` is an entry host's request for one slot of a pool shard. It may be
 /// sent repeatedly, because the owner identifies it by its attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct PermitRequest {
     /// The attempt that needs the slot.
     pub attempt: AttemptId,
     /// The shard.
@@ -180,7 +180,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OwnerMessage {
     /// Requests a slot.
-    Ask(Box<Ask>),
+    PermitRequest(Box<PermitRequest>),
     /// Cancels a slot request, because the caller disconnected or the deadline
     /// passed.
     Withdraw {
@@ -310,7 +310,7 @@
     /// Get the shard to which the message refers.
     pub fn shard(&self) -> &PoolShard {
         match self {
-            OwnerMessage::Ask(ask) => &ask.shard,
+            OwnerMessage::PermitRequest(request) => &request.shard,
             OwnerMessage::Withdraw { shard, .. }
             | OwnerMessage::Release { shard, .. }
             | OwnerMessage::Resync { shard, .. }
--- a/bergamotswitch-core/src/pool_owner/dispatch.rs
+++ b/bergamotswitch-core/src/pool_owner/dispatch.rs
@@ -51,12 +51,12 @@
             .values()
             .any(|load| load.back_off().is_active());
         while let Some(queued) = self.queue.next(&blocked) {
-            let warm = self.prefixes.warm(now, &queued.ask.prefixes);
+            let warm = self.prefixes.warm(now, &queued.request.prefixes);
             let query = route_query(queued, &warm);
             match choose(now, &self.targets, &reserved, &query) {
                 Some(route) => {
                     let late = self.is_too_late(now, queued, &route);
-                    let attempt = queued.ask.attempt;
+                    let attempt = queued.request.attempt;
                     self.grant_or_refuse(now, &attempt, &route, late, &warm, actions);
                 }
                 None => {
@@ -89,7 +89,7 @@
             return;
         }
         if late {
-            let retry_after = self.drain_time(now, queued.ask.tier);
+            let retry_after = self.drain_time(now, queued.request.tier);
             let reason = RefusalReason::DeadlinePassed;
             self.refuse_queued(attempt, reason, retry_after, actions);
             return;
@@ -101,11 +101,11 @@
     /// deadline. Top-tier requests are run anyway, since the prediction may be
     /// wrong.
     pub(super) fn is_too_late(&self, now: Moment, queued: &QueuedRequest, route: &Route) -> bool {
-        if queued.ask.tier == Tier(0) {
+        if queued.request.tier == Tier(0) {
             return false;
         }
         let load = self.targets.get(&route.target);
-        let run_ms = load.map_or(0.0, |load| load.run_ms(queued.ask.cost));
+        let run_ms = load.map_or(0.0, |load| load.run_ms(queued.request.cost));
         as_millis(queued.plan.run_until.since(now)) < run_ms
     }
 
@@ -113,7 +113,7 @@
     /// The key's entry may have expired or been evicted meanwhile; granting a
     /// permit now would run the request twice.
     fn is_key_taken(&self, now: Moment, queued: &QueuedRequest) -> bool {
-        let claim = queued.ask.claim.as_ref();
+        let claim = queued.request.claim.as_ref();
         let verdict = claim.map(|claim| self.keys.check(now, claim));
         matches!(verdict, Some(KeyVerdict::HeldBy(_)))
     }
@@ -128,8 +128,8 @@
             return;
         };
         self.quotas
-            .commit(&queued.ask.account, queued.ask.quota_units);
-        let claim = queued.ask.claim.as_ref();
+            .commit(&queued.request.account, queued.request.quota_units);
+        let claim = queued.request.claim.as_ref();
         if let Some(KeyVerdict::HeldBy(holder)) = claim.map(|claim| self.keys.check(now, claim)) {
             self.counts.keys_known += 1;
             let attempt = *attempt;
@@ -150,7 +150,7 @@
         let working = candidates
             .into_iter()
             .filter(|load| load.back_off().admission(now) == ProbeAdmission::Unrestricted);
-        let tokens = queued.ask.cost.total();
+        let tokens = queued.request.cost.total();
         if queued.placement.is_unrestricted() {
             reserved.reserve_all();
             return;
@@ -191,28 +191,28 @@
             return;
         };
         self.quotas
-            .commit(&queued.ask.account, queued.ask.quota_units);
+            .commit(&queued.request.account, queued.request.quota_units);
         let Some(load) = self.targets.get_mut(&route.target) else {
             return;
         };
-        self.queue.record_outcome(now, queued.ask.tier, true);
+        self.queue.record_outcome(now, queued.request.tier, true);
         self.sequence += 1;
         let id = PermitId {
             owner: self.me.incarnation,
             sequence: self.sequence,
         };
-        let ask = queued.ask;
-        let tokens = ask.cost.total();
+        let request = queued.request;
+        let tokens = request.cost.total();
         load.back_off_mut().start_probe(id);
         let utilization = load.utilization();
         load.add_permit(now, tokens, queued.placement.long);
         let tokens_ahead = load.tokens_ahead_of(now, tokens);
         let warm_blocks = warm.iter().find(|warm| warm.target == route.target);
         let warm_blocks = warm_blocks.map_or(0, |warm| warm.blocks);
-        for prefix in &ask.prefixes {
+        for prefix in &request.prefixes {
             self.prefixes.record(now, &route.target, *prefix);
         }
-        if let Some(claim) = &ask.claim {
+        if let Some(claim) = &request.claim {
             self.keys.grant(now, claim);
         }
         let permit = GrantedPermit {
@@ -220,14 +220,14 @@
             host: queued.host.clone(),
             attempt: *attempt,
             target: route.target.clone(),
-            tier: ask.tier,
-            account: ask.account,
-            cost: ask.cost,
+            tier: request.tier,
+            account: request.account,
+            cost: request.cost,
             long: queued.placement.long,
-            preemptible: ask.preemptible,
-            claim: ask.claim,
+            preemptible: request.preemptible,
+            claim: request.claim,
             warm_blocks,
-            prefixes: ask.prefixes,
+            prefixes: request.prefixes,
             granted_at: now,
             tokens_ahead,
             utilization,
@@ -269,11 +269,11 @@
             let Some(queued) = self.queue.get(&attempt) else {
                 return shed;
             };
-            let reason = match queued.ask.tier > tier {
+            let reason = match queued.request.tier > tier {
                 true => RefusalReason::ShedForHigherTier,
                 false => RefusalReason::Overloaded,
             };
-            let retry_after = self.drain_time(now, queued.ask.tier);
+            let retry_after = self.drain_time(now, queued.request.tier);
             self.refuse_queued(&attempt, reason, retry_after, actions);
             shed = true;
         }
@@ -292,7 +292,7 @@
         let Some(queued) = self.queue.get(attempt) else {
             return false;
         };
-        let tier = queued.ask.tier;
+        let tier = queued.request.tier;
         if let Some(wait) = self.predicted_slot_wait(now, tier) {
             let lower_kept = self.queue.requests_through(tier) < self.queue.len();
             if self.queue.is_below_floor(tier)
@@ -309,7 +309,7 @@
         if self.queue.tokens_through(tier) < self.queue.tokens() || speed == 0.0 {
             return false;
         }
-        let others = self.queue.tokens() - queued.ask.cost.total();
+        let others = self.queue.tokens() - queued.request.cost.total();
         let max_drain = queued.plan.give_up_at.since(now).mul_f64(DRAIN_TOLERANCE);
         if others as f64 / speed <= max_drain.as_secs_f64() {
             return false;
@@ -390,15 +390,15 @@
 pub(super) fn route_query<'a>(queued: &'a QueuedRequest, warm: &'a [WarmTarget]) -> RouteQuery<'a> {
     RouteQuery {
         placement: &queued.placement,
-        cost: queued.ask.cost,
-        blocks: queued.ask.prefixes.len(),
+        cost: queued.request.cost,
+        blocks: queued.request.prefixes.len(),
         warm,
         // Top-tier requests and requests that must not run twice aren't used as
         // probes.
-        probe_eligible: queued.ask.claim.is_none() && queued.ask.tier > Tier(0),
+        probe_eligible: queued.request.claim.is_none() && queued.request.tier > Tier(0),
         // Targets that fail together become due for a probe together. Probing
         // them all with the same request would exhaust its attempts although
         // other targets work.
-        failed_before: !queued.ask.avoid.is_empty(),
+        failed_before: !queued.request.avoid.is_empty(),
     }
 }
--- a/bergamotswitch-core/src/pool_owner/owner.rs
+++ b/bergamotswitch-core/src/pool_owner/owner.rs
@@ -7,7 +7,7 @@
 
 use crate::clock::Moment;
 use crate::host::{HostIncarnation, HostName};
-use crate::permit::{Ask, OwnerMessage, OwnerReply, QuotaLevel};
+use crate::permit::{OwnerMessage, OwnerReply, PermitRequest, QuotaLevel};
 use crate::pool::PoolShard;
 use crate::refusal::RefusalReason;
 use crate::request::TokenCost;
@@ -113,7 +113,9 @@
         self.expire_requests(now, &mut actions);
         self.queue.demote_late(now);
         let incoming = match &event {
-            OwnerEvent::Message(_, OwnerMessage::Ask(ask)) => Some((ask.attempt, ask.tier)),
+            OwnerEvent::Message(_, OwnerMessage::PermitRequest(request)) => {
+                Some((request.attempt, request.tier))
+            }
             _ => None,
         };
         // A resent request has been queued already.
@@ -199,7 +201,10 @@
     /// what it holds. Other messages don't show it: a release may be sent long
     /// after its host has switched owners.
     fn record_attached_host(&mut self, now: Moment, host: &HostName, message: &OwnerMessage) {
-        if matches!(message, OwnerMessage::Ask(_) | OwnerMessage::Resync { .. }) {
+        if matches!(
+            message,
+            OwnerMessage::PermitRequest(_) | OwnerMessage::Resync { .. }
+        ) {
             self.attached_hosts.attach(now, host);
         }
     }
@@ -217,10 +222,12 @@
             return;
         }
         match message {
-            OwnerMessage::Ask(ask) => self.on_ask(now, host, *ask, actions),
+            OwnerMessage::PermitRequest(request) => {
+                self.on_permit_request(now, host, *request, actions)
+            }
             OwnerMessage::Withdraw { attempt, .. } => {
                 if let Some(queued) = self.queue.remove(&attempt) {
-                    self.release_unused(&queued.ask);
+                    self.release_unused(&queued.request);
                 }
             }
             OwnerMessage::Release { release, .. } => self.on_release(now, &release, actions),
@@ -242,71 +249,85 @@
         }
     }
 
-    fn on_ask(&mut self, now: Moment, host: HostName, ask: Ask, actions: &mut Vec<OwnerAction>) {
+    fn on_permit_request(
+        &mut self,
+        now: Moment,
+        host: HostName,
+        request: PermitRequest,
+        actions: &mut Vec<OwnerAction>,
+    ) {
         // A request is resent if its answer is late. It must find its queue
         // entry or permit: a second permit would hold a slot without using it.
-        if let Some(permit) = self.permits.of_attempt(&ask.attempt) {
+        if let Some(permit) = self.permits.of_attempt(&request.attempt) {
             let reply = self.granted_reply(permit);
             actions.push(OwnerAction::Reply(host, reply));
             return;
         }
-        if self.queue.get(&ask.attempt).is_some() {
+        if self.queue.get(&request.attempt).is_some() {
             return;
         }
-        if ask.deadline_ms == 0 {
-            let retry_after = self.drain_time(now, ask.tier);
+        if request.deadline_ms == 0 {
+            let retry_after = self.drain_time(now, request.tier);
             let reason = RefusalReason::DeadlinePassed;
-            self.refuse(host, ask.attempt, reason, retry_after, actions);
+            self.refuse(host, request.attempt, reason, retry_after, actions);
             return;
         }
-        if let Some(claim) = &ask.claim {
+        if let Some(claim) = &request.claim {
             match self.keys.check(now, claim) {
                 KeyVerdict::Clear => {}
                 KeyVerdict::HeldBy(holder) => {
-                    return self.reply_key_known(host, ask.attempt, holder, actions);
+                    return self.reply_key_known(host, request.attempt, holder, actions);
                 }
                 KeyVerdict::Unknown(span) => {
                     let reason = RefusalReason::OutcomeUnknown;
-                    self.refuse(host, ask.attempt, reason, span, actions);
+                    self.refuse(host, request.attempt, reason, span, actions);
                     return;
                 }
             }
         }
-        self.enqueue(now, host, ask, actions);
+        self.enqueue(now, host, request, actions);
     }
 
-    fn enqueue(&mut self, now: Moment, host: HostName, ask: Ask, actions: &mut Vec<OwnerAction>) {
-        let tokens = ask.cost.total();
+    fn enqueue(
+        &mut self,
+        now: Moment,
+        host: HostName,
+        request: PermitRequest,
+        actions: &mut Vec<OwnerAction>,
+    ) {
+        let tokens = request.cost.total();
         // If the targets' slots are known, a long request takes one slot like
         // any other and needs no reserved capacity.
         let long = self.costs.is_long(tokens) && !self.has_slots();
-        let placement = Placement::of(&ask, long);
+        let placement = Placement::of(&request, long);
         // Fail closed: a request that no target may serve is refused now, and
         // never sent to a failure domain outside its rule. Before the first
         // list of targets that can't be decided.
         if self.targets_known && allowed(&self.targets, &placement).is_empty() {
             let reason = RefusalReason::NoTarget;
-            self.refuse(host, ask.attempt, reason, NO_TARGET_RETRY, actions);
+            self.refuse(host, request.attempt, reason, NO_TARGET_RETRY, actions);
             return;
         }
-        let taken = self.quotas.try_take(now, &ask.account, ask.quota_units);
+        let taken = self
+            .quotas
+            .try_take(now, &request.account, request.quota_units);
         if let Err(retry_after) = taken {
             let reason = RefusalReason::OverQuota;
-            self.refuse(host, ask.attempt, reason, retry_after, actions);
+            self.refuse(host, request.attempt, reason, retry_after, actions);
             return;
         }
         self.costs.add(now, tokens);
-        if let Some(claim) = &ask.claim {
+        if let Some(claim) = &request.claim {
             self.keys.claim(now, claim);
         }
         let plan = WaitPlan::new(
             now,
-            &ask,
-            self.min_first_token_time(ask.cost),
-            self.expected_run_time(ask.cost),
+            &request,
+            self.min_first_token_time(request.cost),
+            self.expected_run_time(request.cost),
         );
         let queued = QueuedRequest {
-            ask,
+            request,
             host,
             plan,
             placement: Arc::new(placement),
--- a/bergamotswitch-core/src/pool_owner/preemption.rs
+++ b/bergamotswitch-core/src/pool_owner/preemption.rs
@@ -76,7 +76,7 @@
     /// Get whether a request misses its deadline if it waits for a slot, and
     /// would meet it if it got one now.
     fn is_at_risk(&self, now: Moment, queued: &QueuedRequest) -> bool {
-        let tokens = queued.ask.cost.total();
+        let tokens = queued.request.cost.total();
         let left = queued.plan.run_until.since(now);
         let mut feasible = false;
         let targets = allowed(&self.targets, &queued.placement);
@@ -125,7 +125,7 @@
     /// Get the permit to preempt for a request: of the lowest tier, preferably
     /// one that frees enough tokens, with the least work lost.
     fn victim(&self, now: Moment, queued: &QueuedRequest, taken: &[PermitId]) -> Option<PermitId> {
-        let tokens = queued.ask.cost.total();
+        let tokens = queued.request.cost.total();
         let targets = allowed(&self.targets, &queued.placement);
         let usable = self.permits.iter().filter(|permit| {
             let stoppable = permit.preemptible && permit.tier > TOP_TIER;
--- a/bergamotswitch-core/src/pool_owner/queue.rs
+++ b/bergamotswitch-core/src/pool_owner/queue.rs
@@ -7,7 +7,7 @@
 use crate::clock::Moment;
 use crate::failure_domain::DomainName;
 use crate::host::{HostName, Incarnation};
-use crate::permit::Ask;
+use crate::permit::PermitRequest;
 use crate::request::AttemptId;
 use crate::rules::Tier;
 use crate::target::TargetName;
@@ -47,18 +47,18 @@
     }
 
     /// Get the placement of a request.
-    pub fn of(ask: &Ask, long: bool) -> Self {
-        let mut domains = ask.domains.clone();
+    pub fn of(request: &PermitRequest, long: bool) -> Self {
+        let mut domains = request.domains.clone();
         domains.sort();
         domains.dedup();
-        let mut avoid = ask.avoid.clone();
+        let mut avoid = request.avoid.clone();
         avoid.sort();
         avoid.dedup();
         Placement {
             domains,
             avoid,
             long,
-            first_token_limit_ms: ask.first_answer_ms,
+            first_token_limit_ms: request.first_answer_ms,
         }
     }
 
@@ -75,7 +75,7 @@
 #[derive(Clone, Debug)]
 pub struct QueuedRequest {
     /// The permit request.
-    pub ask: Ask,
+    pub request: PermitRequest,
     /// The entry host that sent it.
     pub host: HostName,
     /// How long the request may wait, and its sort key.
@@ -165,21 +165,21 @@
 
     /// Get the queued attempts of one run of an entry host.
     pub fn of_run(&self, run: Incarnation) -> Vec<AttemptId> {
-        self.find(|queued| queued.ask.attempt.request.incarnation == run)
+        self.find(|queued| queued.request.attempt.request.incarnation == run)
     }
 
     /// Add a request; nothing changes if its attempt is queued already.
     pub fn push(&mut self, now: Moment, queued: QueuedRequest) {
-        let attempt = queued.ask.attempt;
+        let attempt = queued.request.attempt;
         if self.requests.contains_key(&attempt) {
             return;
         }
         self.sequence += 1;
-        let waited = i64::from(queued.ask.waited_ms) * 1000;
+        let waited = i64::from(queued.request.waited_ms) * 1000;
         let entry = TierEntry {
-            account: queued.ask.account.clone(),
-            share: queued.ask.share,
-            tokens: queued.ask.cost.total(),
+            account: queued.request.account.clone(),
+            share: queued.request.share,
+            tokens: queued.request.cost.total(),
             placement: queued.placement.clone(),
             expires: queued.plan.give_up_at,
             rank: QueueRank {
@@ -190,7 +190,10 @@
                 attempt,
             },
         };
-        self.tiers.entry(queued.ask.tier).or_default().push(&entry);
+        self.tiers
+            .entry(queued.request.tier)
+            .or_default()
+            .push(&entry);
         *self.placements.entry(entry.placement.clone()).or_default() += 1;
         self.tokens += entry.tokens;
         if queued.plan.on_time_until != Moment::NEVER {
@@ -210,7 +213,7 @@
             let Some(stored) = self.requests.get_mut(&attempt) else {
                 continue;
             };
-            let Some(queue) = self.tiers.get_mut(&stored.queued.ask.tier) else {
+            let Some(queue) = self.tiers.get_mut(&stored.queued.request.tier) else {
                 continue;
             };
             queue.remove(&stored.entry, false);
@@ -304,7 +307,7 @@
         self.tokens -= entry.tokens;
         self.on_time_ends
             .remove(&(queued.plan.on_time_until, *attempt));
-        let tier = queued.ask.tier;
+        let tier = queued.request.tier;
         if let Some(queue) = self.tiers.get_mut(&tier) {
             queue.remove(&entry, served);
             if queue.requests() == 0 {
--- a/bergamotswitch-core/src/pool_owner/refusals.rs
+++ b/bergamotswitch-core/src/pool_owner/refusals.rs
@@ -4,7 +4,7 @@
 
 use crate::clock::Moment;
 use crate::host::{HostIncarnation, HostName};
-use crate::permit::{Ask, OwnerReply};
+use crate::permit::{OwnerReply, PermitRequest};
 use crate::refusal::RefusalReason;
 use crate::request::AttemptId;
 use crate::rules::Tier;
@@ -17,7 +17,7 @@
     pub(super) fn expire_requests(&mut self, now: Moment, actions: &mut Vec<OwnerAction>) {
         while let Some(attempt) = self.queue.expired(now) {
             let queued = self.queue.get(&attempt);
-            let tier = queued.map_or(Tier(0), |queued| queued.ask.tier);
+            let tier = queued.map_or(Tier(0), |queued| queued.request.tier);
             let reason = match queued.is_some_and(|queued| now < queued.plan.run_until) {
                 true => RefusalReason::Overloaded,
                 false => RefusalReason::DeadlinePassed,
@@ -36,9 +36,10 @@
         actions: &mut Vec<OwnerAction>,
     ) {
         if let Some(queued) = self.queue.remove(attempt) {
-            self.release_unused(&queued.ask);
-            self.queue.record_outcome(self.now, queued.ask.tier, false);
-            let retry_after = match queued.ask.first_answer_ms {
+            self.release_unused(&queued.request);
+            self.queue
+                .record_outcome(self.now, queued.request.tier, false);
+            let retry_after = match queued.request.first_answer_ms {
                 Some(_) => queued.plan.retry_after(self.now, attempt).max(retry_after),
                 None => retry_after,
             };
@@ -77,11 +78,11 @@
     }
 
     /// Release the key and the quota units of a request that got no permit.
-    pub(super) fn release_unused(&mut self, ask: &Ask) {
-        if let Some(claim) = &ask.claim {
+    pub(super) fn release_unused(&mut self, request: &PermitRequest) {
+        if let Some(claim) = &request.claim {
             self.keys.release_unused(claim);
         }
-        let units = ask.quota_units;
-        self.quotas.refund(self.now, &ask.account, units);
+        let units = request.quota_units;
+        self.quotas.refund(self.now, &request.account, units);
     }
 }
--- a/bergamotswitch-core/src/pool_owner/release.rs
+++ b/bergamotswitch-core/src/pool_owner/release.rs
@@ -84,10 +84,10 @@
             |claim: &KeyClaim| claim.key == reported.key && claim.holder != reported.holder;
         let duplicates = self
             .queue
-            .find(|queued| queued.ask.claim.as_ref().is_some_and(is_duplicate));
+            .find(|queued| queued.request.claim.as_ref().is_some_and(is_duplicate));
         for attempt in duplicates {
             if let Some(queued) = self.queue.remove(&attempt) {
-                self.release_unused(&queued.ask);
+                self.release_unused(&queued.request);
                 self.reply_key_known(queued.host, attempt, reported.holder.clone(), actions);
             }
         }
@@ -167,8 +167,8 @@
     /// Drop a queued request that may have run elsewhere.
     fn drop_queued(&mut self, attempt: &AttemptId) {
         if let Some(queued) = self.queue.remove(attempt) {
-            let ask = queued.ask;
-            self.quotas.commit(&ask.account, ask.quota_units);
+            let request = queued.request;
+            self.quotas.commit(&request.account, request.quota_units);
         }
     }
 
--- a/bergamotswitch-core/src/pool_owner/slot_dispatch.rs
+++ b/bergamotswitch-core/src/pool_owner/slot_dispatch.rs
@@ -59,12 +59,12 @@
         let mut view = SlotView::new(now, &self.targets, reserved);
         while !view.is_full() {
             let queued = self.queue.next(blocked)?;
-            let warm = self.prefixes.warm(now, &queued.ask.prefixes);
+            let warm = self.prefixes.warm(now, &queued.request.prefixes);
             let query = route_query(queued, &warm);
             let times = self.request_times(now, queued);
             if let Some(route) = view.choose(now, &query, times) {
                 return Some(SlotChoice {
-                    attempt: queued.ask.attempt,
+                    attempt: queued.request.attempt,
                     late: self.misses_deadline_at(now, queued, &route, times),
                     route,
                     warm,
@@ -85,11 +85,11 @@
         route: &Route,
         times: RequestTimes,
     ) -> bool {
-        if queued.ask.first_answer_ms.is_none() {
+        if queued.request.first_answer_ms.is_none() {
             return self.is_too_late(now, queued, route);
         }
         let load = self.targets.get(&route.target);
-        load.is_some_and(|load| !times.is_feasible(load, queued.ask.cost))
+        load.is_some_and(|load| !times.is_feasible(load, queued.request.cost))
     }
 
     /// Get the time limits of a queued request.
--- a/bergamotswitch-core/src/pool_owner/view.rs
+++ b/bergamotswitch-core/src/pool_owner/view.rs
@@ -18,7 +18,8 @@
     /// The tier.
     pub tier: Tier,
     /// The number of queued requests.
-    pub asks: usize,
+    #[serde(rename = "asks")]
+    pub requests: usize,
     /// The tokens of the queued requests.
     pub tokens: u64,
 }
@@ -99,7 +100,11 @@
         ShardView {
             shard: self.shard.clone(),
             queued: queued
-                .map(|(tier, asks, tokens)| TierView { tier, asks, tokens })
+                .map(|(tier, requests, tokens)| TierView {
+                    tier,
+                    requests,
+                    tokens,
+                })
                 .collect(),
             in_flight: self.permits.len(),
             targets: self.target_views(),
--- a/bergamotswitch-core/src/pool_owner/wait_plan.rs
+++ b/bergamotswitch-core/src/pool_owner/wait_plan.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use crate::clock::Moment;
-use crate::permit::Ask;
+use crate::permit::PermitRequest;
 use crate::request::AttemptId;
 
 /// The network delay from a permit to the arrival of its request at the target,
@@ -54,10 +54,10 @@
 impl WaitPlan {
     /// Get the plan of a request that arrives now, with its predicted time to
     /// first token `first` and its predicted run time `run`.
-    pub fn new(now: Moment, ask: &Ask, first: Duration, run: Duration) -> Self {
-        let left = Duration::from_millis(u64::from(ask.deadline_ms));
+    pub fn new(now: Moment, request: &PermitRequest, first: Duration, run: Duration) -> Self {
+        let left = Duration::from_millis(u64::from(request.deadline_ms));
         let run_until = now.plus(left);
-        let Some(first_answer_ms) = ask.first_answer_ms else {
+        let Some(first_answer_ms) = request.first_answer_ms else {
             return WaitPlan {
                 on_time_until: Moment::NEVER,
                 first_token_due: Moment::NEVER,
@@ -67,7 +67,7 @@
             };
         };
         let patience = Duration::from_millis(u64::from(first_answer_ms));
-        let waited = Duration::from_millis(u64::from(ask.waited_ms));
+        let waited = Duration::from_millis(u64::from(request.waited_ms));
         // A request that is sent again, to another owner or after an
         // interruption, keeps its original limits.
         let patience_left = patience.saturating_sub(waited);
--- a/bergamotswitch-core/tests/account_quotas.rs
+++ b/bergamotswitch-core/tests/account_quotas.rs
@@ -50,9 +50,9 @@
     for ms in (from_ms..to_ms).step_by(10) {
         for _ in 0..10 {
             *sequence += 1;
-            let mut call = ask(*sequence, 0, "busy");
+            let mut call = permit_request(*sequence, 0, "busy");
             call.quota_units = UNITS;
-            let message = OwnerMessage::Ask(Box::new(call));
+            let message = OwnerMessage::PermitRequest(Box::new(call));
             let event = OwnerEvent::Message(named("entry"), message);
             for action in owner.handle(Moment::from_millis(ms), event) {
                 if let OwnerAction::Reply(_, OwnerReply::Granted { .. }) = action {
@@ -105,9 +105,9 @@
     send_calls(&mut owner, 10_000, 11_000, &mut 0);
     let now = Moment::from_millis(11_000);
     let mut reply = |account: &str, sequence: u64| {
-        let mut call = ask(sequence, 0, account);
+        let mut call = permit_request(sequence, 0, account);
         call.quota_units = UNITS;
-        let message = OwnerMessage::Ask(Box::new(call));
+        let message = OwnerMessage::PermitRequest(Box::new(call));
         let event = OwnerEvent::Message(named("entry"), message);
         owner.handle(now, event).remove(0)
     };
@@ -137,9 +137,9 @@
 fn retried_call() {
     let mut owner = owner(Moment::START);
     send_calls(&mut owner, 10_000, 11_000, &mut 0);
-    let mut call = ask(10_001, 0, "busy");
+    let mut call = permit_request(10_001, 0, "busy");
     call.quota_units = 0;
-    let message = OwnerMessage::Ask(Box::new(call));
+    let message = OwnerMessage::PermitRequest(Box::new(call));
     let event = OwnerEvent::Message(named("entry"), message);
     let reply = owner.handle(Moment::from_millis(11_000), event).remove(0);
     let granted = matches!(reply, OwnerAction::Reply(_, OwnerReply::Granted { .. }));
@@ -151,7 +151,7 @@
     let mut owner = owner(now);
     let pool_target = target("t", "d", 100);
     owner.handle(now, OwnerEvent::Targets(vec![pool_target]));
-    let message = OwnerMessage::Ask(Box::new(ask(1_000_000, 0, "other")));
+    let message = OwnerMessage::PermitRequest(Box::new(permit_request(1_000_000, 0, "other")));
     let event = OwnerEvent::Message(named("entry"), message);
     let permit = owner
         .handle(now, event)
--- a/bergamotswitch-core/tests/burst_load/mod.rs
+++ b/bergamotswitch-core/tests/burst_load/mod.rs
@@ -143,17 +143,17 @@
         self.running.push(RunningRequest { permit, usage });
     }
 
-    fn ask(&mut self, now: Moment, sequence: u64) {
+    fn request_permit(&mut self, now: Moment, sequence: u64) {
         let tier = self.plan.tier_of(sequence);
         self.tiers[tier].submitted += 1;
         self.submitted_at.push(now);
         let class = &self.plan.classes[tier];
         let account = format!("account-{}", sequence.wrapping_mul(7) % ACCOUNTS);
-        let mut ask = ask(sequence, tier as u8, &account);
-        ask.cost = class.cost;
-        ask.first_answer_ms = Some(class.first_token_limit_ms);
-        ask.deadline_ms = class.deadline_ms;
-        self.send(now, OwnerMessage::Ask(Box::new(ask)));
+        let mut permit_request = permit_request(sequence, tier as u8, &account);
+        permit_request.cost = class.cost;
+        permit_request.first_answer_ms = Some(class.first_token_limit_ms);
+        permit_request.deadline_ms = class.deadline_ms;
+        self.send(now, OwnerMessage::PermitRequest(Box::new(permit_request)));
     }
 
     /// Run the simulation to its end.
@@ -174,7 +174,7 @@
                 self.tiers.fill(TierCount::default());
             }
             sequence += 1;
-            self.ask(next, sequence);
+            self.request_permit(next, sequence);
             next = next.plus(gap);
         }
     }
--- a/bergamotswitch-core/tests/entry_lifecycle.rs
+++ b/bergamotswitch-core/tests/entry_lifecycle.rs
@@ -27,13 +27,16 @@
 fn complete_request() {
     let mut dispatcher = TestDispatcher::new(EntryOptions::default());
     let (outcome, actions) = dispatcher.submit(submission());
-    let ask = asks(&actions).remove(0);
-    assert_eq!(outcome, SubmitOutcome::Accepted(ask.attempt.request));
-    assert_eq!(ask.claim, None);
-    dispatcher.start(ask.attempt, "t0");
+    let permit_request = permit_requests(&actions).remove(0);
+    assert_eq!(
+        outcome,
+        SubmitOutcome::Accepted(permit_request.attempt.request)
+    );
+    assert_eq!(permit_request.claim, None);
+    dispatcher.start(permit_request.attempt, "t0");
     dispatcher.now = dispatcher.now.plus(Duration::from_millis(300));
-    dispatcher.attempt(ask.attempt, AttemptEvent::FirstToken);
-    let actions = dispatcher.attempt(ask.attempt, AttemptEvent::Finished(usage()));
+    dispatcher.attempt(permit_request.attempt, AttemptEvent::FirstToken);
+    let actions = dispatcher.attempt(permit_request.attempt, AttemptEvent::Finished(usage()));
     assert_eq!(conclusions(&actions), vec![Conclusion::Answered]);
     let outcome = ReleaseOutcome::Finished(usage());
     assert_eq!(releases(&actions)[0].outcome, outcome);
@@ -43,7 +46,7 @@
         first_token: Some(Duration::from_millis(300)),
     }));
     // The request cannot be resubmitted, so its answer is not stored.
-    let forget = EntryAction::DropAnswer(ask.attempt.request);
+    let forget = EntryAction::DropAnswer(permit_request.attempt.request);
     assert_eq!(actions.last(), Some(&forget));
     assert_eq!(dispatcher.dispatcher.view().kept_answers, 0);
 }
@@ -112,9 +115,9 @@
     assert_eq!(starts(&actions), vec![]);
     assert_eq!(releases(&actions)[0].outcome, ReleaseOutcome::Unused);
     assert!(actions.contains(&EntryAction::CountRetry(RetryReason::PermitVoid)));
-    let ask = asks(&actions).remove(0);
-    assert_eq!(ask.avoid, vec![name("t0")]);
-    dispatcher.start(ask.attempt, "t1");
+    let permit_request = permit_requests(&actions).remove(0);
+    assert_eq!(permit_request.avoid, vec![name("t0")]);
+    dispatcher.start(permit_request.attempt, "t1");
 }
 
 // Guards against using a permit that was granted before a pause of the process
@@ -133,9 +136,9 @@
         actions.extend(dispatcher.grant(&permit));
         assert_eq!(starts(&actions), vec![]);
         assert_eq!(releases(&actions)[0].permit, permit.id);
-        let ask = asks(&actions).remove(0);
-        assert_ne!(ask.attempt, attempt);
-        dispatcher.start(ask.attempt, "t0");
+        let permit_request = permit_requests(&actions).remove(0);
+        assert_ne!(permit_request.attempt, attempt);
+        dispatcher.start(permit_request.attempt, "t0");
     }
 }
 
@@ -146,13 +149,13 @@
     let attempt = first_attempt(dispatcher.accept(submission()));
     let wake = dispatcher.dispatcher.next_wake().since(dispatcher.now);
     let actions = dispatcher.pass(wake);
-    let ask = asks(&actions).remove(0);
-    assert_eq!(ask.attempt, attempt);
-    assert_eq!(u128::from(ask.waited_ms), wake.as_millis());
+    let permit_request = permit_requests(&actions).remove(0);
+    assert_eq!(permit_request.attempt, attempt);
+    assert_eq!(u128::from(permit_request.waited_ms), wake.as_millis());
     // The resend interval grows while the request waits.
     let mut repeats = 0;
     for _ in 0..100 {
-        repeats += asks(&dispatcher.pass(Duration::from_millis(250))).len();
+        repeats += permit_requests(&dispatcher.pass(Duration::from_millis(250))).len();
     }
     assert_eq!(repeats, 2);
 }
@@ -173,7 +176,7 @@
     let south = dispatcher.dispatcher.used_shards().remove(0);
     assert_eq!(south.domain, Some(name("south")));
     let actions = dispatcher.event(EntryEvent::OwnerChanged(south, name(OWNER)));
-    assert_ne!(asks(&actions)[0].attempt, attempt);
+    assert_ne!(permit_requests(&actions)[0].attempt, attempt);
 }
 
 // Guards against dispatching a request whose permit arrives at its deadline,
@@ -183,10 +186,10 @@
     let mut dispatcher = TestDispatcher::new(EntryOptions::default());
     let attempt = first_attempt(dispatcher.accept(submission()));
     dispatcher.now = dispatcher.now.plus(Duration::from_secs(29));
-    let ask = asks(&dispatcher.event(EntryEvent::Tick)).remove(0);
-    assert_ne!(ask.attempt, attempt);
+    let permit_request = permit_requests(&dispatcher.event(EntryEvent::Tick)).remove(0);
+    assert_ne!(permit_request.attempt, attempt);
     dispatcher.now = dispatcher.now.plus(Duration::from_secs(1));
-    let permit = dispatcher.permit(ask.attempt, "t0");
+    let permit = dispatcher.permit(permit_request.attempt, "t0");
     let actions = dispatcher.grant(&permit);
     assert_eq!(starts(&actions), vec![]);
     assert_eq!(releases(&actions)[0].permit, permit.id);
@@ -212,7 +215,7 @@
         }
         other => panic!("held work not reported first: {other:?}"),
     }
-    assert_eq!(asks(&actions)[0].attempt, waiting);
+    assert_eq!(permit_requests(&actions)[0].attempt, waiting);
     // The former owner's permit is not used, and an audit confirms the permit
     // in use.
     let late = dispatcher.permit(waiting, "t0");
@@ -245,7 +248,7 @@
         EntryAction::Send(_, OwnerMessage::Resync { claims, .. }) => assert_eq!(claims, &[]),
         other => panic!("held work not reported: {other:?}"),
     }
-    let claim = asks(&actions)[0].claim.clone();
+    let claim = permit_requests(&actions)[0].claim.clone();
     assert!(claim.is_some_and(|claim| claim.resubmission));
 }
 
@@ -485,7 +488,11 @@
                 dispatcher.event(EntryEvent::OwnerChanged(shard, name("owner-1")));
             }
             let actions = dispatcher.submit(keyed_submission(&key)).1;
-            shards.extend(asks(&actions).into_iter().map(|ask| ask.shard));
+            shards.extend(
+                permit_requests(&actions)
+                    .into_iter()
+                    .map(|permit_request| permit_request.shard),
+            );
         }
         assert_eq!(shards.len(), 2);
         assert_eq!(shards[0], shards[1]);
--- a/bergamotswitch-core/tests/entry_retries.rs
+++ b/bergamotswitch-core/tests/entry_retries.rs
@@ -31,14 +31,14 @@
 }
 
 fn retried(actions: &[EntryAction], reason: RetryReason) -> bool {
-    actions.contains(&EntryAction::CountRetry(reason)) && asks(actions).len() == 1
+    actions.contains(&EntryAction::CountRetry(reason)) && permit_requests(actions).len() == 1
 }
 
 #[test]
 fn unsent_attempt() {
     let actions = fail_once(keyed_submission("k"), "t0", &[UNSENT]);
     assert!(retried(&actions, RetryReason::ConnectFailed));
-    assert_eq!(asks(&actions)[0].avoid, vec![name("t0")]);
+    assert_eq!(permit_requests(&actions)[0].avoid, vec![name("t0")]);
     assert_eq!(releases(&actions)[0].outcome, ReleaseOutcome::Unreachable);
 }
 
@@ -93,7 +93,7 @@
     let mut dispatcher = TestDispatcher::new(options);
     let attempt = dispatcher.begin(submission(), "t0");
     let actions = dispatcher.attempt(attempt, AttemptEvent::Broken(usage()));
-    let second = asks(&actions)[0].attempt;
+    let second = permit_requests(&actions)[0].attempt;
     dispatcher.start(second, "t1");
     let actions = dispatcher.attempt(second, UNSENT);
     let unknown = (RefusalReason::RetriesExhausted, RunClaim::Unknown);
@@ -158,7 +158,7 @@
     };
     assert!(actions.contains(&aborted(first)));
     // No further run is allowed, so the stalled one continues.
-    let second = asks(&actions)[0].attempt;
+    let second = permit_requests(&actions)[0].attempt;
     dispatcher.start(second, "t1");
     assert_eq!(dispatcher.attempt(second, AttemptEvent::Stalled), vec![]);
     let actions = dispatcher.attempt(second, AttemptEvent::Finished(usage()));
@@ -188,7 +188,10 @@
     let mut attempt = dispatcher.begin(submission(), "t0");
     for _ in 0..UNREACHABLE {
         let actions = dispatcher.attempt(attempt, UNSENT);
-        attempt = asks(&actions).first().expect("asked again").attempt;
+        attempt = permit_requests(&actions)
+            .first()
+            .expect("asked again")
+            .attempt;
         dispatcher.start(attempt, "t0");
     }
     let actions = dispatcher.attempt(attempt, AttemptEvent::Finished(usage()));
@@ -226,10 +229,10 @@
     for _ in 0..REQUESTS {
         dispatcher.now = dispatcher.now.plus(Duration::from_millis(5));
         let (_, mut actions) = dispatcher.submit(submission());
-        while let Some(ask) = asks(&actions).first() {
-            dispatcher.start(ask.attempt, "t0");
+        while let Some(permit_request) = permit_requests(&actions).first() {
+            dispatcher.start(permit_request.attempt, "t0");
             attempts += 1;
-            actions = dispatcher.attempt(ask.attempt, UNSENT);
+            actions = dispatcher.attempt(permit_request.attempt, UNSENT);
         }
         let last = refused(&actions);
         let not_run = (RefusalReason::RetriesExhausted, RunClaim::NotRun);
--- a/bergamotswitch-core/tests/entry_simulation/mod.rs
+++ b/bergamotswitch-core/tests/entry_simulation/mod.rs
@@ -49,7 +49,7 @@
 
 #[derive(Default)]
 struct FakeOwner {
-    pending: BTreeMap<AttemptId, (usize, Ask)>,
+    pending: BTreeMap<AttemptId, (usize, PermitRequest)>,
     granted: BTreeMap<AttemptId, Permit>,
 }
 
--- a/bergamotswitch-core/tests/entry_simulation/owners.rs
+++ b/bergamotswitch-core/tests/entry_simulation/owners.rs
@@ -7,7 +7,9 @@
     pub(super) fn deliver_to_owner(&mut self, host: usize, owner: usize, message: OwnerMessage) {
         let owner_state = &mut self.owners[owner];
         match message {
-            OwnerMessage::Ask(ask) => self.handle_ask(host, owner, *ask),
+            OwnerMessage::PermitRequest(permit_request) => {
+                self.handle_permit_request(host, owner, *permit_request)
+            }
             OwnerMessage::Withdraw { attempt, .. } => {
                 owner_state.pending.remove(&attempt);
             }
@@ -23,9 +25,9 @@
         }
     }
 
-    fn handle_ask(&mut self, host: usize, owner: usize, ask: Ask) {
-        let attempt = ask.attempt;
-        if let Some(claim) = &ask.claim {
+    fn handle_permit_request(&mut self, host: usize, owner: usize, permit_request: PermitRequest) {
+        let attempt = permit_request.attempt;
+        if let Some(claim) = &permit_request.claim {
             let holder = self.keys.entry(claim.key).or_insert(claim.holder.clone());
             if *holder != claim.holder {
                 let holder = holder.clone();
@@ -40,7 +42,9 @@
                 self.in_transit.push(message);
             }
             None => {
-                self.owners[owner].pending.insert(attempt, (host, ask));
+                self.owners[owner]
+                    .pending
+                    .insert(attempt, (host, permit_request));
             }
         }
     }
--- a/bergamotswitch-core/tests/entry_support/mod.rs
+++ b/bergamotswitch-core/tests/entry_support/mod.rs
@@ -14,7 +14,7 @@
 };
 pub use bergamotswitch_core::host::{HostIncarnation, HostName, Incarnation};
 pub use bergamotswitch_core::permit::{
-    Ask, OwnerMessage, OwnerReply, Permit, PermitId, Release, Usage,
+    OwnerMessage, OwnerReply, Permit, PermitId, PermitRequest, Release, Usage,
 };
 pub use bergamotswitch_core::pool::{PoolKind, PoolShard, TargetPool};
 pub use bergamotswitch_core::refusal::RefusalReason;
@@ -233,12 +233,14 @@
     }
 }
 
-pub fn asks(actions: &[EntryAction]) -> Vec<Ask> {
-    let ask = |action: &EntryAction| match action {
-        EntryAction::Send(_, OwnerMessage::Ask(ask)) => Some((**ask).clone()),
+pub fn permit_requests(actions: &[EntryAction]) -> Vec<PermitRequest> {
+    let permit_request = |action: &EntryAction| match action {
+        EntryAction::Send(_, OwnerMessage::PermitRequest(permit_request)) => {
+            Some((**permit_request).clone())
+        }
         _ => None,
     };
-    actions.iter().filter_map(ask).collect()
+    actions.iter().filter_map(permit_request).collect()
 }
 
 pub fn starts(actions: &[EntryAction]) -> Vec<AttemptId> {
--- a/bergamotswitch-core/tests/fleet_simulation/mod.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/mod.rs
@@ -392,7 +392,7 @@
         let shards = core.view(self.now).shards;
         let own = shards.iter().filter(|view| view.shard.pool == *pool);
         let mut queued = own.flat_map(|view| &view.queued);
-        if queued.any(|kept| kept.tier > tier && kept.asks > 0) {
+        if queued.any(|kept| kept.tier > tier && kept.requests > 0) {
             self.oracle.record_violation(Violation::ShedOrder);
         }
     }
--- a/bergamotswitch-core/tests/fleet_simulation/network.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/network.rs
@@ -39,11 +39,14 @@
         let Some(link) = self.network.links.get(&ends(from, to)).copied() else {
             return;
         };
-        if let LinkMessage::ToOwner(OwnerMessage::Ask(ask)) = &mut message {
+        if let LinkMessage::ToOwner(OwnerMessage::PermitRequest(permit_request)) = &mut message {
             if self.opts.flip_tiers {
-                ask.tier = Tier(7 - ask.tier.0);
+                permit_request.tier = Tier(7 - permit_request.tier.0);
             }
-            ask.claim = ask.claim.take().filter(|_| !self.opts.drop_claims);
+            permit_request.claim = permit_request
+                .claim
+                .take()
+                .filter(|_| !self.opts.drop_claims);
         }
         let grant = match &message {
             LinkMessage::FromOwner(OwnerReply::Granted { shard, .. }) => {
--- a/bergamotswitch-core/tests/node_cold_path.rs
+++ b/bergamotswitch-core/tests/node_cold_path.rs
@@ -68,13 +68,13 @@
 }
 
 fn asked(node: &TestNode) -> bool {
-    let asks = node.count(|action| {
+    let permit_requests = node.count(|action| {
         matches!(
             action,
-            NodeAction::Send(_, LinkMessage::ToOwner(OwnerMessage::Ask(_)))
+            NodeAction::Send(_, LinkMessage::ToOwner(OwnerMessage::PermitRequest(_)))
         )
     });
-    asks > 0
+    permit_requests > 0
 }
 
 fn in_domain(domain: &str) -> Submission {
@@ -148,7 +148,9 @@
     alert.verdict.domains = vec![name("north")];
     node.submit(alert);
     let owner = node.actions.iter().find_map(|action| match action {
-        NodeAction::Send(host, LinkMessage::ToOwner(OwnerMessage::Ask(_))) => Some(host.clone()),
+        NodeAction::Send(host, LinkMessage::ToOwner(OwnerMessage::PermitRequest(_))) => {
+            Some(host.clone())
+        }
         _ => None,
     });
     let owner = owner.expect("asked");
@@ -160,7 +162,7 @@
     let resent = node.count(|action| match action {
         NodeAction::Send(to, LinkMessage::ToOwner(message)) if *to == owner => match message {
             OwnerMessage::Resync { .. } => true,
-            OwnerMessage::Ask(ask) => ask.claim.is_some(),
+            OwnerMessage::PermitRequest(permit_request) => permit_request.claim.is_some(),
             _ => false,
         },
         _ => false,
--- a/bergamotswitch-core/tests/node_handover.rs
+++ b/bergamotswitch-core/tests/node_handover.rs
@@ -32,9 +32,13 @@
     let queued = |net: &NodeNet| {
         let node = &net.nodes[next];
         let view = &node.core.view(node.now).shards[0];
-        view.queued.iter().map(|tier| tier.asks).sum::<usize>()
+        view.queued.iter().map(|tier| tier.requests).sum::<usize>()
     };
-    assert_eq!(queued(&net), 2, "pending asks move to the new owner");
+    assert_eq!(
+        queued(&net),
+        2,
+        "pending permit requests move to the new owner"
+    );
     net.advance(Duration::from_millis(1_100));
     assert_eq!(
         net.owners(),
@@ -61,8 +65,9 @@
     for _ in 0..6 {
         node.submit(submission());
     }
-    let ask = OwnerMessage::Ask(Box::new(node_support::ask_of(asking.as_str())));
-    node.message(asking.as_str(), LinkMessage::ToOwner(ask));
+    let permit_request =
+        OwnerMessage::PermitRequest(Box::new(node_support::permit_request_of(asking.as_str())));
+    node.message(asking.as_str(), LinkMessage::ToOwner(permit_request));
     let mut notified = Vec::new();
     let owns = |node: &TestNode| !node.core.view(node.now).owns.is_empty();
     for _ in 0..100 {
--- a/bergamotswitch-core/tests/node_limits.rs
+++ b/bergamotswitch-core/tests/node_limits.rs
@@ -201,10 +201,10 @@
 fn permit_lifetime(limits: &Value) -> u64 {
     let mut node = bound(limits, ALONE, json!({}));
     node.link_up("peer");
-    let ask = ask_of("peer");
+    let permit_request = permit_request_of("peer");
     node.message(
         "peer",
-        LinkMessage::ToOwner(OwnerMessage::Ask(Box::new(ask))),
+        LinkMessage::ToOwner(OwnerMessage::PermitRequest(Box::new(permit_request))),
     );
     let granted = node.actions.iter().find_map(|action| match action {
         NodeAction::Send(_, LinkMessage::FromOwner(OwnerReply::Granted { permit, .. })) => {
--- a/bergamotswitch-core/tests/node_support/mod.rs
+++ b/bergamotswitch-core/tests/node_support/mod.rs
@@ -63,13 +63,13 @@
 }
 
 /// Get a permit request of a peer for the shard of the test pool.
-pub fn ask_of(peer: &str) -> Ask {
+pub fn permit_request_of(peer: &str) -> PermitRequest {
     let request = RequestId {
         incarnation: run(peer).incarnation,
         sequence: 1_000,
     };
     let submission = submission();
-    Ask {
+    PermitRequest {
         quota_units: 0,
         first_answer_ms: None,
         attempt: AttemptId {
--- a/bergamotswitch-core/tests/node_support/net.rs
+++ b/bergamotswitch-core/tests/node_support/net.rs
@@ -93,7 +93,7 @@
     }
 
     fn send(&mut self, from: usize, to: &HostName, message: LinkMessage) {
-        if let LinkMessage::ToOwner(OwnerMessage::Ask(_)) = &message {
+        if let LinkMessage::ToOwner(OwnerMessage::PermitRequest(_)) = &message {
             self.asked.push(to.clone());
         }
         let to = index(to);
--- a/bergamotswitch-core/tests/owner_bench/mod.rs
+++ b/bergamotswitch-core/tests/owner_bench/mod.rs
@@ -9,7 +9,7 @@
 pub use bergamotswitch_core::host::{HostIncarnation, Incarnation};
 pub use bergamotswitch_core::name::PoolName;
 pub use bergamotswitch_core::permit::{
-    Ask, InFlightWork, KeyClaim, OwnerMessage, OwnerReply, Permit, PermitId, Release,
+    InFlightWork, KeyClaim, OwnerMessage, OwnerReply, Permit, PermitId, PermitRequest, Release,
     ReleaseOutcome, Usage,
 };
 pub use bergamotswitch_core::pool::PoolShard;
@@ -70,8 +70,8 @@
 }
 
 /// Get a permit request of 100 tokens with a deadline of one minute.
-pub fn ask(sequence: u64, tier: u8, account: &str) -> Ask {
-    Ask {
+pub fn permit_request(sequence: u64, tier: u8, account: &str) -> PermitRequest {
+    PermitRequest {
         quota_units: 0,
         first_answer_ms: None,
         attempt: attempt_of(ENTRY_INCARNATION, sequence),
@@ -94,28 +94,33 @@
     TokenCost { prefill, decode }
 }
 
-pub fn with_cost(mut ask: Ask, prefill: u32, decode: u32) -> Ask {
-    ask.cost = cost_of(prefill, decode);
-    ask
+pub fn with_cost(mut permit_request: PermitRequest, prefill: u32, decode: u32) -> PermitRequest {
+    permit_request.cost = cost_of(prefill, decode);
+    permit_request
 }
 
-pub fn with_claim(mut ask: Ask, key: u128, holder: HostIncarnation, resubmission: bool) -> Ask {
-    ask.claim = Some(KeyClaim {
+pub fn with_claim(
+    mut permit_request: PermitRequest,
+    key: u128,
+    holder: HostIncarnation,
+    resubmission: bool,
+) -> PermitRequest {
+    permit_request.claim = Some(KeyClaim {
         key,
         holder,
         resubmission,
     });
-    ask
+    permit_request
 }
 
-pub fn with_deadline(mut ask: Ask, deadline_ms: u32) -> Ask {
-    ask.deadline_ms = deadline_ms;
-    ask
+pub fn with_deadline(mut permit_request: PermitRequest, deadline_ms: u32) -> PermitRequest {
+    permit_request.deadline_ms = deadline_ms;
+    permit_request
 }
 
-pub fn with_domain(mut ask: Ask, domain: &str) -> Ask {
-    ask.domains = vec![named(domain)];
-    ask
+pub fn with_domain(mut permit_request: PermitRequest, domain: &str) -> PermitRequest {
+    permit_request.domains = vec![named(domain)];
+    permit_request
 }
 
 pub fn load_report(running: u32, waiting: u32, outstanding_tokens: u64, age_ms: u32) -> LoadReport {
@@ -148,9 +153,9 @@
     }
 }
 
-pub fn with_prefixes(mut ask: Ask, hashes: &[u64]) -> Ask {
-    ask.prefixes = hashes.iter().map(|hash| PrefixHash(*hash)).collect();
-    ask
+pub fn with_prefixes(mut permit_request: PermitRequest, hashes: &[u64]) -> PermitRequest {
+    permit_request.prefixes = hashes.iter().map(|hash| PrefixHash(*hash)).collect();
+    permit_request
 }
 
 /// Get the usage of a completed attempt without cached tokens.
@@ -164,16 +169,16 @@
     }
 }
 
-pub fn in_flight_work(permit: Permit, ask: &Ask) -> InFlightWork {
+pub fn in_flight_work(permit: Permit, permit_request: &PermitRequest) -> InFlightWork {
     InFlightWork {
         permit: permit.id,
-        attempt: ask.attempt,
+        attempt: permit_request.attempt,
         target: permit.target,
-        tier: ask.tier,
-        account: ask.account.clone(),
-        share: ask.share,
-        cost: ask.cost,
-        preemptible: ask.preemptible,
+        tier: permit_request.tier,
+        account: permit_request.account.clone(),
+        share: permit_request.share,
+        cost: permit_request.cost,
+        preemptible: permit_request.preemptible,
     }
 }
 
@@ -206,8 +211,10 @@
         self.event(OwnerEvent::Message(named("entry"), message))
     }
 
-    pub fn ask(&mut self, ask: &Ask) -> Vec<OwnerAction> {
-        self.message(OwnerMessage::Ask(Box::new(ask.clone())))
+    pub fn request_permit(&mut self, permit_request: &PermitRequest) -> Vec<OwnerAction> {
+        self.message(OwnerMessage::PermitRequest(Box::new(
+            permit_request.clone(),
+        )))
     }
 
     pub fn release(&mut self, permit: &Permit, outcome: ReleaseOutcome) -> Vec<OwnerAction> {
@@ -220,8 +227,8 @@
     }
 
     /// Send a permit request and get the permit that is granted immediately.
-    pub fn granted(&mut self, ask: &Ask) -> Permit {
-        let actions = self.ask(ask);
+    pub fn granted(&mut self, permit_request: &PermitRequest) -> Permit {
+        let actions = self.request_permit(permit_request);
         let permits = permits(&actions);
         assert_eq!(permits.len(), 1, "expected one permit, got {actions:?}");
         permits[0].clone()
--- a/bergamotswitch-core/tests/owner_failover.rs
+++ b/bergamotswitch-core/tests/owner_failover.rs
@@ -21,7 +21,7 @@
     })
 }
 
-fn key_held_reply(asked: &Ask, host: &str, run: u128) -> OwnerReply {
+fn key_held_reply(asked: &PermitRequest, host: &str, run: u128) -> OwnerReply {
     OwnerReply::KeyHeld {
         attempt: asked.attempt,
         holder: incarnation_of(host, run),
@@ -34,24 +34,29 @@
     // naming the incarnation that holds its request.
     let mut bench = keyed_bench();
     let holder = incarnation_of("entry", 7);
-    let first = with_claim(ask(1, 0, "a"), 5, holder.clone(), false);
+    let first = with_claim(permit_request(1, 0, "a"), 5, holder.clone(), false);
     let permit = bench.granted(&first);
-    let second = with_claim(ask(2, 0, "a"), 5, incarnation_of("other", 8), false);
+    let second = with_claim(
+        permit_request(2, 0, "a"),
+        5,
+        incarnation_of("other", 8),
+        false,
+    );
     let key_held_reply = OwnerReply::KeyHeld {
         attempt: second.attempt,
         holder: holder.clone(),
     };
     assert_eq!(
-        replies(&bench.ask(&second)),
+        replies(&bench.request_permit(&second)),
         std::slice::from_ref(&key_held_reply)
     );
     bench.release(&permit, ReleaseOutcome::Finished(usage(first.cost, 100)));
     assert_eq!(
-        replies(&bench.ask(&second)),
+        replies(&bench.request_permit(&second)),
         [key_held_reply],
         "also after the attempt ended"
     );
-    let own = with_claim(ask(3, 0, "a"), 5, holder, true);
+    let own = with_claim(permit_request(3, 0, "a"), 5, holder, true);
     bench.granted(&own);
 }
 
@@ -60,14 +65,14 @@
     // A key is freed if its only permit request was shed, because it hasn't run.
     let opts = OwnerOptions::default().with_max_requests(1);
     let mut bench = OwnerBench::with_targets(opts, &[target("a", "d", 100)]);
-    let permit = bench.granted(&ask(0, 0, "a"));
-    bench.ask(&with_claim(
-        ask(1, 2, "a"),
+    let permit = bench.granted(&permit_request(0, 0, "a"));
+    bench.request_permit(&with_claim(
+        permit_request(1, 2, "a"),
         5,
         incarnation_of("entry", 7),
         false,
     ));
-    let refused = refusals(&bench.ask(&ask(2, 0, "a")));
+    let refused = refusals(&bench.request_permit(&permit_request(2, 0, "a")));
     assert_eq!(refused[0].reason, RefusalReason::ShedForHigherTier);
     bench.release(&permit, ReleaseOutcome::Unused);
     assert_eq!(bench.view().keys, 0);
@@ -78,16 +83,26 @@
     // Guards against permits for one key at two hosts: withdrawing one of two
     // queued attempts must not free the key.
     let mut bench = OwnerBench::with_targets(OwnerOptions::default(), &[target("a", "d", 100)]);
-    let permit = bench.granted(&ask(0, 0, "a"));
+    let permit = bench.granted(&permit_request(0, 0, "a"));
     let holder = incarnation_of("entry", 7);
     for request in 1..=2 {
-        bench.ask(&with_claim(ask(request, 0, "a"), 5, holder.clone(), false));
+        bench.request_permit(&with_claim(
+            permit_request(request, 0, "a"),
+            5,
+            holder.clone(),
+            false,
+        ));
     }
     bench.message(withdrawal(attempt_of(ENTRY_INCARNATION, 1)));
-    let other = with_claim(ask(3, 0, "a"), 5, incarnation_of("other", 8), false);
+    let other = with_claim(
+        permit_request(3, 0, "a"),
+        5,
+        incarnation_of("other", 8),
+        false,
+    );
     let attempt = other.attempt;
     let key_held_reply = OwnerReply::KeyHeld { attempt, holder };
-    assert_eq!(replies(&bench.ask(&other)), [key_held_reply]);
+    assert_eq!(replies(&bench.request_permit(&other)), [key_held_reply]);
     let actions = bench.release(&permit, ReleaseOutcome::Unused);
     assert_eq!(granted_requests(&actions), [2]);
 }
@@ -97,11 +112,21 @@
     // Guards against a second run after the owner and the key's holder have failed:
     // a new owner's empty key table doesn't mean that the key is new.
     let mut bench = keyed_bench();
-    let resubmitted = with_claim(ask(1, 0, "a"), 5, incarnation_of("entry", 7), true);
-    let refused = refusals(&bench.ask(&resubmitted));
+    let resubmitted = with_claim(
+        permit_request(1, 0, "a"),
+        5,
+        incarnation_of("entry", 7),
+        true,
+    );
+    let refused = refusals(&bench.request_permit(&resubmitted));
     assert_eq!(refused[0].reason, RefusalReason::OutcomeUnknown);
     assert_eq!(u128::from(refused[0].retry_after_ms), RETENTION.as_millis());
-    let new = with_claim(ask(2, 0, "a"), 6, incarnation_of("entry", 7), false);
+    let new = with_claim(
+        permit_request(2, 0, "a"),
+        6,
+        incarnation_of("entry", 7),
+        false,
+    );
     let first = bench.granted(&new);
     resync(
         &mut bench,
@@ -111,7 +136,12 @@
     bench.release(&first, ReleaseOutcome::Unused);
     bench.release(&second, ReleaseOutcome::Unused);
     bench.tick_after(60_001);
-    let later = with_claim(ask(3, 0, "a"), 9, incarnation_of("entry", 7), true);
+    let later = with_claim(
+        permit_request(3, 0, "a"),
+        9,
+        incarnation_of("entry", 7),
+        true,
+    );
     bench.granted(&later);
 }
 
@@ -126,11 +156,21 @@
     bench.tick_after(61_000);
     for request in 0..20 {
         let (key, holder) = (u128::from(request), incarnation_of("entry", 7));
-        bench.granted(&with_claim(ask(request, 0, "a"), key, holder, false));
+        bench.granted(&with_claim(
+            permit_request(request, 0, "a"),
+            key,
+            holder,
+            false,
+        ));
     }
     assert_eq!(bench.view().keys, 10);
-    let dropped = with_claim(ask(30, 0, "a"), 0, incarnation_of("other", 8), true);
-    let refused = refusals(&bench.ask(&dropped));
+    let dropped = with_claim(
+        permit_request(30, 0, "a"),
+        0,
+        incarnation_of("other", 8),
+        true,
+    );
+    let refused = refusals(&bench.request_permit(&dropped));
     assert_eq!(refused[0].reason, RefusalReason::OutcomeUnknown);
 }
 
@@ -139,7 +179,7 @@
     // Guards against overloaded targets after a failover: the new owner must count
     // the permits that entry hosts report in a resync.
     let mut old = OwnerBench::with_targets(OwnerOptions::default(), &[target("a", "d", 100)]);
-    let first = ask(1, 1, "a");
+    let first = permit_request(1, 1, "a");
     let permit = old.granted(&first);
     let mut bench = OwnerBench::new(OwnerOptions::default());
     for _ in 0..2 {
@@ -151,8 +191,8 @@
     }
     bench.event(OwnerEvent::Targets(vec![target("a", "d", 100)]));
     assert_eq!(bench.target_view("a").outstanding_tokens, 100);
-    assert!(permits(&bench.ask(&ask(2, 1, "a"))).is_empty());
-    assert_eq!(permits(&bench.ask(&first))[0].id, permit.id);
+    assert!(permits(&bench.request_permit(&permit_request(2, 1, "a"))).is_empty());
+    assert_eq!(permits(&bench.request_permit(&first))[0].id, permit.id);
     let actions = bench.release(&permit, ReleaseOutcome::Finished(usage(first.cost, 100)));
     assert_eq!(granted_requests(&actions), [2]);
     assert!(bench.release(&permit, ReleaseOutcome::Unused).is_empty());
@@ -160,10 +200,10 @@
 }
 
 #[test]
-fn early_ask() {
+fn early_permit_request() {
     // A permit request that arrives before the first target list is queued.
     let mut bench = OwnerBench::new(OwnerOptions::default());
-    assert!(bench.ask(&ask(1, 1, "a")).is_empty());
+    assert!(bench.request_permit(&permit_request(1, 1, "a")).is_empty());
     let actions = bench.event(OwnerEvent::Targets(vec![target("a", "d", 100)]));
     assert_eq!(granted_requests(&actions), [1]);
 }
@@ -171,11 +211,11 @@
 #[test]
 fn host_terminated() {
     let mut bench = OwnerBench::with_targets(OwnerOptions::default(), &[target("a", "d", 100)]);
-    bench.granted(&ask(1, 1, "a"));
-    bench.ask(&ask(2, 1, "a"));
-    let mut other = ask(3, 1, "a");
+    bench.granted(&permit_request(1, 1, "a"));
+    bench.request_permit(&permit_request(2, 1, "a"));
+    let mut other = permit_request(3, 1, "a");
     other.attempt = attempt_of(bergamotswitch_core::host::Incarnation(8), 3);
-    bench.ask(&other);
+    bench.request_permit(&other);
     let terminated = OwnerEvent::HostTerminated(named("entry"), ENTRY_INCARNATION);
     assert_eq!(granted_requests(&bench.event(terminated)), [3]);
     assert!(bench.view().queued.is_empty());
@@ -189,7 +229,7 @@
     // may still be running.
     let opts = OwnerOptions::default().with_audit_after(Duration::from_secs(30));
     let mut bench = OwnerBench::with_targets(opts, &[target("a", "d", 100)]);
-    let permit = bench.granted(&ask(1, 1, "a"));
+    let permit = bench.granted(&permit_request(1, 1, "a"));
     assert!(bench.tick_after(29_999).is_empty());
     let audit = OwnerReply::Audit {
         shard: shard(),
@@ -198,7 +238,7 @@
     assert_eq!(replies(&bench.tick_after(1)), std::slice::from_ref(&audit));
     assert_eq!(replies(&bench.tick_after(30_000)), [audit]);
     assert_eq!(bench.view().in_flight, 1, "not freed by a timer");
-    bench.ask(&ask(2, 1, "a"));
+    bench.request_permit(&permit_request(2, 1, "a"));
     let answer = not_held(vec![permit.id]);
     let other_host = OwnerEvent::Message(named("other"), answer.clone());
     assert!(bench.event(other_host).is_empty());
@@ -211,10 +251,10 @@
 #[test]
 fn other_shard() {
     let mut bench = OwnerBench::new(OwnerOptions::default());
-    let mut stray = ask(1, 1, "a");
+    let mut stray = permit_request(1, 1, "a");
     stray.shard.domain = Some(named("north"));
     let shard = stray.shard.clone();
-    let replies = replies(&bench.ask(&stray));
+    let replies = replies(&bench.request_permit(&stray));
     assert_eq!(replies, [OwnerReply::NotOwner { shard }]);
 }
 
@@ -227,8 +267,8 @@
     let mut targets = ["a", "b", "c", "d", "e"].map(|name| target(name, "d", 10_000));
     targets[1].started_at_ms = Some(2_000);
     let mut bench = OwnerBench::with_targets(OwnerOptions::default(), &targets);
-    let answered = bench.granted(&ask(1, 0, "x"));
-    let finished = ReleaseOutcome::Finished(usage(ask(1, 0, "x").cost, 100));
+    let answered = bench.granted(&permit_request(1, 0, "x"));
+    let finished = ReleaseOutcome::Finished(usage(permit_request(1, 0, "x").cost, 100));
     bench.release(&answered, finished);
     assert_eq!(answered.target.as_str(), "a");
     let failed = |name: &str| FailedTarget {
@@ -251,9 +291,9 @@
     // Guards against slots that stay occupied until the next regular audit after
     // the owner was paused and releases were lost: a resync starts an audit.
     let mut bench = OwnerBench::with_targets(OwnerOptions::default(), &[target("a", "d", 100)]);
-    let permit = bench.granted(&ask(1, 0, "a"));
+    let permit = bench.granted(&permit_request(1, 0, "a"));
     bench.tick_after(6_000);
-    assert!(granted_requests(&bench.ask(&ask(2, 0, "a"))).is_empty());
+    assert!(granted_requests(&bench.request_permit(&permit_request(2, 0, "a"))).is_empty());
     let audit = OwnerReply::Audit {
         shard: shard(),
         permits: vec![permit.id],
@@ -274,14 +314,29 @@
     ];
     for outcome in unrun {
         let mut bench = keyed_bench();
-        let first = with_claim(ask(1, 0, "a"), 5, incarnation_of("entry", 7), false);
+        let first = with_claim(
+            permit_request(1, 0, "a"),
+            5,
+            incarnation_of("entry", 7),
+            false,
+        );
         let permit = bench.granted(&first);
         bench.release(&permit, outcome);
-        let ran = with_claim(ask(2, 0, "a"), 5, incarnation_of("other", 8), false);
+        let ran = with_claim(
+            permit_request(2, 0, "a"),
+            5,
+            incarnation_of("other", 8),
+            false,
+        );
         resync(&mut bench, ran.claim.into_iter().collect());
-        let resubmitted = with_claim(ask(3, 0, "a"), 5, incarnation_of("entry", 7), true);
+        let resubmitted = with_claim(
+            permit_request(3, 0, "a"),
+            5,
+            incarnation_of("entry", 7),
+            true,
+        );
         assert_eq!(
-            replies(&bench.ask(&resubmitted)),
+            replies(&bench.request_permit(&resubmitted)),
             [key_held_reply(&resubmitted, "other", 8)]
         );
     }
@@ -292,10 +347,20 @@
 #[test]
 fn resynced_queued_key() {
     let mut bench = OwnerBench::with_targets(OwnerOptions::default(), &[target("a", "d", 100)]);
-    let permit = bench.granted(&ask(0, 0, "a"));
-    let waiting = with_claim(ask(1, 0, "a"), 5, incarnation_of("entry", 7), false);
-    bench.ask(&waiting);
-    let ran = with_claim(ask(2, 0, "a"), 5, incarnation_of("other", 8), false);
+    let permit = bench.granted(&permit_request(0, 0, "a"));
+    let waiting = with_claim(
+        permit_request(1, 0, "a"),
+        5,
+        incarnation_of("entry", 7),
+        false,
+    );
+    bench.request_permit(&waiting);
+    let ran = with_claim(
+        permit_request(2, 0, "a"),
+        5,
+        incarnation_of("other", 8),
+        false,
+    );
     let actions = resync(&mut bench, ran.claim.into_iter().collect());
     assert!(replies(&actions).contains(&key_held_reply(&waiting, "other", 8)));
     let actions = bench.release(&permit, ReleaseOutcome::Unused);
--- a/bergamotswitch-core/tests/owner_invariants.rs
+++ b/bergamotswitch-core/tests/owner_invariants.rs
@@ -12,9 +12,9 @@
 const DOMAINS: [&str; 2] = ["north", "south"];
 const TARGETS: [&str; 4] = ["p", "q", "r", "s"];
 
-/// An `AskDraw` is the random part of a permit request.
+/// An `PermitRequestDraw` is the random part of a permit request.
 #[derive(Clone, Copy, Debug, TypeGenerator)]
-struct AskDraw {
+struct PermitRequestDraw {
     run: u8,
     tier: u8,
     account: u8,
@@ -28,14 +28,14 @@
 /// An `OwnerTurn` is a permit request followed by another random event.
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 struct OwnerTurn {
-    ask: AskDraw,
+    request: PermitRequestDraw,
     step: OwnerStep,
 }
 
 /// An `OwnerStep` is one random event.
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 enum OwnerStep {
-    Ask(AskDraw),
+    PermitRequest(PermitRequestDraw),
     Repeat(u8),
     Withdraw(u8),
     Finish { index: u8, elapsed: u8 },
@@ -57,7 +57,7 @@
 /// An `OwnerModel` is the reference model, with which any correct owner agrees.
 #[derive(Default)]
 struct OwnerModel {
-    waiting: BTreeMap<AttemptId, (Ask, Moment)>,
+    waiting: BTreeMap<AttemptId, (PermitRequest, Moment)>,
     held: BTreeMap<PermitId, HeldPermit>,
     holders: BTreeMap<u128, Incarnation>,
     published: Vec<PoolTarget>,
@@ -86,20 +86,22 @@
             assert_eq!(held.permit, permit, "the same permit is granted again");
             return;
         }
-        let (ask, _) = self
+        let (permit_request, _) = self
             .waiting
             .remove(&permit.attempt)
             .expect("a queued request");
         let mut targets = self.published.iter();
         let target = targets.find(|target| target.name == permit.target);
         let target = target.expect("a published target");
-        assert!(ask.domains.is_empty() || ask.domains.contains(&target.domain));
-        if let Some(claim) = &ask.claim {
+        assert!(
+            permit_request.domains.is_empty() || permit_request.domains.contains(&target.domain)
+        );
+        if let Some(claim) = &permit_request.claim {
             let holder = claim.holder.incarnation;
             let key_holder = *self.holders.entry(claim.key).or_insert(holder);
             assert_eq!(key_holder, holder, "two incarnations hold one key");
         }
-        let tokens = ask.cost.total();
+        let tokens = permit_request.cost.total();
         self.held.insert(permit.id, HeldPermit { permit, tokens });
         self.answered += 1;
     }
@@ -107,7 +109,7 @@
     /// Check the owner's counts, and that nothing is queued or shed needlessly.
     fn check(&self, bench: &OwnerBench, actions: &[OwnerAction]) {
         let view = bench.view();
-        let queued: usize = view.queued.iter().map(|tier| tier.asks).sum();
+        let queued: usize = view.queued.iter().map(|tier| tier.requests).sum();
         assert_eq!(queued, self.waiting.len());
         assert_eq!(view.in_flight, self.held.len());
         for target in &view.targets {
@@ -148,30 +150,30 @@
 }
 
 /// Get the permit request of a draw.
-fn ask_of(number: u64, draw: AskDraw) -> Ask {
+fn permit_request_of(number: u64, draw: PermitRequestDraw) -> PermitRequest {
     let run = u128::from(draw.run % 3);
-    let mut ask = ask(
+    let mut permit_request = permit_request(
         number,
         draw.tier % 3,
         ["a", "b", "c"][usize::from(draw.account % 3)],
     );
-    ask.attempt = attempt_of(Incarnation(run), number);
-    ask = with_cost(ask, u32::from(draw.cost % 4_000), 20);
-    ask.prefixes = vec![PrefixHash(u64::from(draw.cost % 7))];
-    ask.deadline_ms = 100 + 100 * u32::from(draw.deadline);
-    ask.preemptible = draw.account.is_multiple_of(2);
+    permit_request.attempt = attempt_of(Incarnation(run), number);
+    permit_request = with_cost(permit_request, u32::from(draw.cost % 4_000), 20);
+    permit_request.prefixes = vec![PrefixHash(u64::from(draw.cost % 7))];
+    permit_request.deadline_ms = 100 + 100 * u32::from(draw.deadline);
+    permit_request.preemptible = draw.account.is_multiple_of(2);
     if let Some(name) = DOMAINS.get(usize::from(draw.domain % 4)) {
-        ask.domains = vec![named(name)];
+        permit_request.domains = vec![named(name)];
     }
     if draw.key < 40 {
-        ask = with_claim(
-            ask,
+        permit_request = with_claim(
+            permit_request,
             u128::from(draw.key % 8),
             incarnation_of("entry", run),
             draw.resubmission,
         );
     }
-    ask
+    permit_request
 }
 
 /// Get the event of a step, and apply it to the model.
@@ -179,17 +181,19 @@
     let from_entry = |message| OwnerEvent::Message(named("entry"), message);
     let index_of = |index: u8, count: usize| usize::from(index) % count.max(1);
     match step {
-        OwnerStep::Ask(draw) => {
-            let ask = ask_of(number, draw);
-            let span = Duration::from_millis(u64::from(ask.deadline_ms));
-            let entry = (ask.clone(), now.plus(span));
-            model.waiting.insert(ask.attempt, entry);
-            from_entry(OwnerMessage::Ask(Box::new(ask)))
+        OwnerStep::PermitRequest(draw) => {
+            let permit_request = permit_request_of(number, draw);
+            let span = Duration::from_millis(u64::from(permit_request.deadline_ms));
+            let entry = (permit_request.clone(), now.plus(span));
+            model.waiting.insert(permit_request.attempt, entry);
+            from_entry(OwnerMessage::PermitRequest(Box::new(permit_request)))
         }
         OwnerStep::Repeat(index) => {
             let count = model.waiting.len();
             match model.waiting.values().nth(index_of(index, count)) {
-                Some((ask, _)) => from_entry(OwnerMessage::Ask(Box::new(ask.clone()))),
+                Some((permit_request, _)) => from_entry(OwnerMessage::PermitRequest(Box::new(
+                    permit_request.clone(),
+                ))),
                 None => OwnerEvent::Tick,
             }
         }
@@ -289,7 +293,9 @@
         let model = &mut self.model;
         let event = event_of(model, self.bench.now, self.number, step);
         let waiting = model.waiting.values();
-        let before: Vec<Ask> = waiting.map(|(ask, _)| ask.clone()).collect();
+        let before: Vec<PermitRequest> = waiting
+            .map(|(permit_request, _)| permit_request.clone())
+            .collect();
         let actions = self.bench.event(event);
         model.apply(&actions);
         model.check(&self.bench, &actions);
@@ -306,22 +312,26 @@
     };
     run.step(OwnerStep::Targets(7));
     for turn in turns {
-        run.step(OwnerStep::Ask(turn.ask));
+        run.step(OwnerStep::PermitRequest(turn.request));
         run.step(turn.step);
     }
     run.model.answered
 }
 
 /// Check that no request was shed in favor of one of a lower tier.
-fn check_shed_order(model: &OwnerModel, before: &[Ask], actions: &[OwnerAction]) {
+fn check_shed_order(model: &OwnerModel, before: &[PermitRequest], actions: &[OwnerAction]) {
     for refusal in refusals(actions) {
-        let mut asks = before.iter();
-        let ask = asks.find(|ask| ask.attempt.request.sequence == refusal.request);
-        let (true, Some(ask)) = (refusal.is_shed(), ask) else {
+        let mut permit_requests = before.iter();
+        let permit_request = permit_requests
+            .find(|permit_request| permit_request.attempt.request.sequence == refusal.request);
+        let (true, Some(permit_request)) = (refusal.is_shed(), permit_request) else {
             continue;
         };
         let mut kept = model.waiting.values();
-        assert!(kept.all(|(kept, _)| kept.tier <= ask.tier), "{refusal:?}");
+        assert!(
+            kept.all(|(kept, _)| kept.tier <= permit_request.tier),
+            "{refusal:?}"
+        );
         assert!(refusal.retry_after_ms >= 100);
     }
 }
--- a/bergamotswitch-core/tests/owner_routing.rs
+++ b/bergamotswitch-core/tests/owner_routing.rs
@@ -18,11 +18,11 @@
 
 /// Run one request on the only target at `speed` tokens per second.
 fn run_once(bench: &mut OwnerBench, request: u64, speed: u32) {
-    let ask = with_cost(ask(request, 1, "a"), 500, 500);
-    let permit = bench.granted(&ask);
+    let permit_request = with_cost(permit_request(request, 1, "a"), 500, 500);
+    let permit = bench.granted(&permit_request);
     let elapsed_ms = 1_000_000 / speed;
     bench.now = bench.now.plus(Duration::from_millis(u64::from(elapsed_ms)));
-    bench.release(&permit, finished(ask.cost, elapsed_ms));
+    bench.release(&permit, finished(permit_request.cost, elapsed_ms));
 }
 
 /// Run the requests with these sequence numbers, one after another.
@@ -44,7 +44,9 @@
     let mut slow = target("slow", "d", 10_000);
     slow.expected_speed = 300;
     let mut bench = bench_of(&[slow, target("swift", "d", 10_000)]);
-    let chosen: Vec<Permit> = (0..8).map(|n| bench.granted(&ask(n, 1, "a"))).collect();
+    let chosen: Vec<Permit> = (0..8)
+        .map(|n| bench.granted(&permit_request(n, 1, "a")))
+        .collect();
     let names = chosen.iter().map(|permit| permit.target.as_str());
     let swift = names.filter(|name| *name == "swift");
     assert_eq!(
@@ -74,10 +76,10 @@
     // it.
     let mut bench = bench_of(&[target("a", "d", 200_000)]);
     for request in 0..10 {
-        bench.granted(&with_cost(ask(request, 1, "a"), 5_000, 5_000));
+        bench.granted(&with_cost(permit_request(request, 1, "a"), 5_000, 5_000));
     }
     for request in 10..20 {
-        let short = ask(request, 1, "a");
+        let short = permit_request(request, 1, "a");
         let permit = bench.granted(&short);
         bench.tick_after(1_100);
         bench.release(&permit, finished(short.cost, 1_100));
@@ -97,8 +99,8 @@
     let mut done = 0;
     let mut on_slow = VecDeque::new();
     for request in 0..200 {
-        let ask = ask(request, 1, "a");
-        let mut actions = bench.ask(&ask);
+        let permit_request = permit_request(request, 1, "a");
+        let mut actions = bench.request_permit(&permit_request);
         actions.extend(bench.tick_after(100));
         // The slower target completes one request every half second.
         let granted_at = match request % 5 {
@@ -107,7 +109,7 @@
         };
         if let Some((granted_at, permit)) = granted_at {
             let elapsed_ms = bench.now.since(granted_at).as_millis() as u32;
-            actions.extend(bench.release(&permit, finished(ask.cost, elapsed_ms)));
+            actions.extend(bench.release(&permit, finished(permit_request.cost, elapsed_ms)));
             done += 1;
         }
         for permit in permits(&actions) {
@@ -136,18 +138,22 @@
 #[test]
 fn warm_prefix() {
     let mut bench = bench_of(&[target("a", "d", 10_000), target("b", "d", 10_000)]);
-    let log = with_cost(with_prefixes(ask(1, 1, "a"), &[11, 12, 13]), 900, 10);
+    let log = with_cost(
+        with_prefixes(permit_request(1, 1, "a"), &[11, 12, 13]),
+        900,
+        10,
+    );
     let first = bench.granted(&log);
     let mut next = log.clone();
     next.attempt = attempt_of(ENTRY_INCARNATION, 2);
     bench.release(&first, finished(log.cost, 900));
-    bench.granted(&ask(3, 1, "other"));
+    bench.granted(&permit_request(3, 1, "other"));
     let second = bench.granted(&next);
     assert_eq!(second.target, first.target);
     // A late cache event reports the eviction, so the hint is removed.
     let outcome = finished(next.cost, 900);
     bench.release(&second, outcome);
-    bench.granted(&with_cost(ask(4, 1, "other"), 100, 100));
+    bench.granted(&with_cost(permit_request(4, 1, "other"), 100, 100));
     for hash in [11, 12, 13] {
         let hash = PrefixHash(hash);
         bench.event(OwnerEvent::Prefix(first.target.clone(), hash, false));
@@ -159,7 +165,7 @@
 fn unused_prefix() {
     // The hint of a request that never reached the target is removed.
     let mut bench = bench_of(&[target("a", "d", 10_000)]);
-    let permit = bench.granted(&with_prefixes(ask(1, 1, "a"), &[11, 12]));
+    let permit = bench.granted(&with_prefixes(permit_request(1, 1, "a"), &[11, 12]));
     assert_eq!(bench.view().prefixes, 2);
     bench.release(&permit, ReleaseOutcome::Unused);
     assert_eq!(bench.view().prefixes, 0);
@@ -170,15 +176,15 @@
     // Guards against requests queued on one target for a prefix cache that is too
     // small to save anything: the measured hit ratio must correct the hints.
     let mut bench = bench_of(&[target("a", "d", 100_000), target("b", "d", 100_000)]);
-    let log = with_cost(with_prefixes(ask(0, 1, "a"), &[11]), 1_000, 10);
+    let log = with_cost(with_prefixes(permit_request(0, 1, "a"), &[11]), 1_000, 10);
     let mut next = 0;
     let mut together = |bench: &mut OwnerBench| {
         let mut permits = Vec::new();
         for _ in 0..2 {
             next += 1;
-            let mut ask = log.clone();
-            ask.attempt = attempt_of(ENTRY_INCARNATION, next);
-            permits.push(bench.granted(&ask));
+            let mut permit_request = log.clone();
+            permit_request.attempt = attempt_of(ENTRY_INCARNATION, next);
+            permits.push(bench.granted(&permit_request));
         }
         for permit in &permits {
             bench.release(permit, finished(log.cost, 1_000));
@@ -198,17 +204,25 @@
     // Guards against requests that must not run twice being used to probe a failing
     // target.
     let mut bench = bench_of(&[target("a", "d", 10_000), target("b", "d", 10_000)]);
-    let first = bench.granted(&ask(1, 1, "a"));
+    let first = bench.granted(&permit_request(1, 1, "a"));
     assert_eq!(first.target.as_str(), "a");
     bench.release(&first, ReleaseOutcome::Unreachable);
     bench.tick_after(600);
     for request in 10..14 {
         let holder = incarnation_of("entry", 7);
-        let keyed = with_claim(ask(request, 1, "a"), u128::from(request), holder, false);
+        let keyed = with_claim(
+            permit_request(request, 1, "a"),
+            u128::from(request),
+            holder,
+            false,
+        );
         assert_eq!(bench.granted(&keyed).target.as_str(), "b");
     }
-    assert_eq!(bench.granted(&ask(20, 1, "a")).target.as_str(), "a");
-    let second = bench.granted(&ask(21, 1, "a"));
+    assert_eq!(
+        bench.granted(&permit_request(20, 1, "a")).target.as_str(),
+        "a"
+    );
+    let second = bench.granted(&permit_request(21, 1, "a"));
     assert_eq!(second.target.as_str(), "b", "one probe");
 }
 
@@ -220,16 +234,16 @@
     let live = ["c", "d", "e"].map(|name| target(name, "d", 10_000));
     let mut bench = bench_of(&[&dead[..], &live[..]].concat());
     for (request, dead) in (1..).zip(&dead) {
-        let permit = bench.granted(&ask(request, 1, "a"));
+        let permit = bench.granted(&permit_request(request, 1, "a"));
         assert_eq!(permit.target, dead.name);
         bench.release(&permit, ReleaseOutcome::Unreachable);
     }
     // Probes by any request are also due by then.
     bench.tick_after(10_000);
-    let probe = bench.granted(&ask(10, 1, "a"));
+    let probe = bench.granted(&permit_request(10, 1, "a"));
     assert_eq!(probe.target.as_str(), "a");
     bench.release(&probe, ReleaseOutcome::Unreachable);
-    let mut again = ask(10, 1, "a");
+    let mut again = permit_request(10, 1, "a");
     again.attempt.attempt = 1;
     again.avoid = vec![probe.target];
     assert_eq!(bench.granted(&again).target.as_str(), "c");
@@ -240,14 +254,14 @@
     // Guards against a backoff that never ends when the only target of a pool has
     // recovered.
     let mut bench = bench_of(&[target("a", "d", 10_000)]);
-    let first = bench.granted(&ask(1, 0, "a"));
+    let first = bench.granted(&permit_request(1, 0, "a"));
     bench.release(&first, ReleaseOutcome::Unreachable);
-    assert!(permits(&bench.ask(&ask(2, 0, "a"))).is_empty());
+    assert!(permits(&bench.request_permit(&permit_request(2, 0, "a"))).is_empty());
     let actions = bench.tick_after(500);
     assert_eq!(granted_requests(&actions), [2]);
     let probe = permits(&actions)[0].clone();
-    assert!(permits(&bench.ask(&ask(3, 0, "a"))).is_empty());
-    let actions = bench.release(&probe, finished(ask(2, 0, "a").cost, 100));
+    assert!(permits(&bench.request_permit(&permit_request(3, 0, "a"))).is_empty());
+    let actions = bench.release(&probe, finished(permit_request(2, 0, "a").cost, 100));
     assert_eq!(granted_requests(&actions), [3]);
     assert!(!bench.target_view("a").backed_off);
 }
@@ -263,7 +277,9 @@
     for _round in 0..200 {
         for (bench, held) in pair.iter_mut().zip(&mut held) {
             request += 1;
-            held.extend(permits(&bench.ask(&ask(request, 1, "a"))));
+            held.extend(permits(
+                &bench.request_permit(&permit_request(request, 1, "a")),
+            ));
             held.extend(permits(&bench.tick_after(100)));
         }
         let total = 100 * (held[0].len() + held[1].len()) as u64;
@@ -287,11 +303,11 @@
     // allows when these have no target left.
     let targets = [target("a", "north", 10_000), target("b", "south", 10_000)];
     let mut bench = bench_of(&targets);
-    let mut north = with_domain(ask(1, 1, "a"), "north");
+    let mut north = with_domain(permit_request(1, 1, "a"), "north");
     assert_eq!(bench.granted(&north).target.as_str(), "a");
     bench.event(OwnerEvent::Targets(vec![targets[1].clone()]));
     north.attempt = attempt_of(ENTRY_INCARNATION, 2);
-    let refused = refusals(&bench.ask(&north));
+    let refused = refusals(&bench.request_permit(&north));
     assert_eq!(refused[0].reason, RefusalReason::NoTarget);
     assert_eq!(
         bench.target_view("a").permits,
@@ -304,9 +320,9 @@
 fn draining_target() {
     let targets = [target("a", "d", 100), target("b", "d", 100)];
     let mut bench = bench_of(&targets);
-    let first = bench.granted(&ask(1, 1, "a"));
-    bench.granted(&ask(2, 1, "a"));
-    bench.ask(&ask(3, 1, "a"));
+    let first = bench.granted(&permit_request(1, 1, "a"));
+    bench.granted(&permit_request(2, 1, "a"));
+    bench.request_permit(&permit_request(3, 1, "a"));
     bench.event(OwnerEvent::Targets(vec![targets[1].clone()]));
     assert_eq!(first.target.as_str(), "a");
     assert!(permits(&bench.release(&first, ReleaseOutcome::Unused)).is_empty());
@@ -323,10 +339,10 @@
     // others.
     let mut bench = bench_of(&[target("a", "north", 100), target("b", "south", 100)]);
     for request in 0..300 {
-        let north = with_domain(ask(request, 0, "a"), "north");
-        bench.ask(&north);
+        let north = with_domain(permit_request(request, 0, "a"), "north");
+        bench.request_permit(&north);
     }
-    let south = with_domain(ask(900, 2, "b"), "south");
+    let south = with_domain(permit_request(900, 2, "b"), "south");
     assert_eq!(bench.granted(&south).target.as_str(), "b");
 }
 
@@ -337,24 +353,24 @@
     let targets = [target("a", "d", 20_000), target("b", "d", 20_000)];
     let mut bench = bench_of(&targets);
     for request in 0..16 {
-        let permit = bench.granted(&ask(request, 1, "a"));
+        let permit = bench.granted(&permit_request(request, 1, "a"));
         bench.release(&permit, ReleaseOutcome::Unused);
     }
     let mut long_targets = Vec::new();
     for request in 100..120 {
-        let long = with_cost(ask(request, 1, "b"), 4_000, 1_000);
-        long_targets.extend(permits(&bench.ask(&long)));
+        let long = with_cost(permit_request(request, 1, "b"), 4_000, 1_000);
+        long_targets.extend(permits(&bench.request_permit(&long)));
     }
     let count = long_targets.len();
     assert_eq!(count, 3, "three quarters of one of two targets");
-    bench.granted(&ask(200, 2, "a"));
+    bench.granted(&permit_request(200, 2, "a"));
 }
 
 #[test]
 fn oversized_request() {
     let mut bench = bench_of(&[target("a", "d", 100)]);
-    let permit = bench.granted(&with_cost(ask(1, 1, "a"), 5_000, 5_000));
-    assert!(permits(&bench.ask(&ask(2, 1, "a"))).is_empty());
+    let permit = bench.granted(&with_cost(permit_request(1, 1, "a"), 5_000, 5_000));
+    assert!(permits(&bench.request_permit(&permit_request(2, 1, "a"))).is_empty());
     let actions = bench.release(&permit, ReleaseOutcome::Unused);
     assert_eq!(granted_requests(&actions), [2]);
 }
@@ -378,7 +394,7 @@
     // the time per token of very short answers is used as the best one.
     let mut bench = bench_of(&[target("a", "d", 16_000)]);
     for request in 0..20 {
-        let tag = with_cost(ask(2 * request, 1, "a"), 250, 3);
+        let tag = with_cost(permit_request(2 * request, 1, "a"), 250, 3);
         let permit = bench.granted(&tag);
         bench.release(&permit, finished(tag.cost, 300));
         run_once(&mut bench, 2 * request + 1, 50);
@@ -396,12 +412,12 @@
     let mut failed = 0;
     let mut back_offs = 0;
     for request in 0..600 {
-        let ask = ask(request, 1, "a");
-        let permit = bench.granted(&ask);
+        let permit_request = permit_request(request, 1, "a");
+        let permit = bench.granted(&permit_request);
         bench.tick_after(100);
         let outcome = match permit.target.as_str() {
             "a" => ReleaseOutcome::Unreachable,
-            _ => finished(ask.cost, 100),
+            _ => finished(permit_request.cost, 100),
         };
         failed += usize::from(outcome == ReleaseOutcome::Unreachable);
         back_offs += backed_off(&bench.release(&permit, outcome));
@@ -410,11 +426,11 @@
     assert!((3..=9).contains(&failed), "{failed} of 600 in a minute");
     let mut recovered = false;
     for request in 1_000..1_400 {
-        let ask = ask(request, 1, "a");
-        let permit = bench.granted(&ask);
+        let permit_request = permit_request(request, 1, "a");
+        let permit = bench.granted(&permit_request);
         bench.tick_after(100);
         recovered |= permit.target.as_str() == "a";
-        bench.release(&permit, finished(ask.cost, 100));
+        bench.release(&permit, finished(permit_request.cost, 100));
     }
     assert!(recovered, "no probe found that the target has recovered");
     assert!(!bench.target_view("a").backed_off);
@@ -428,7 +444,7 @@
     let targets = names.map(|name| target(name, "d", 10_000));
     let mut bench = bench_of(&targets);
     for request in 0..40 {
-        let permit = bench.granted(&ask(request, 1, "bad"));
+        let permit = bench.granted(&permit_request(request, 1, "bad"));
         bench.release(&permit, ReleaseOutcome::Failed(Usage::default()));
     }
     let views = bench.view().targets;
@@ -439,7 +455,9 @@
 #[test]
 fn full_target() {
     let mut bench = bench_of(&[target("a", "d", 10_000), target("b", "d", 10_000)]);
-    let held: Vec<Permit> = (0..20).map(|n| bench.granted(&ask(n, 1, "a"))).collect();
+    let held: Vec<Permit> = (0..20)
+        .map(|n| bench.granted(&permit_request(n, 1, "a")))
+        .collect();
     let on_a = held.iter().filter(|permit| permit.target.as_str() == "a");
     let mut on_a = on_a.cloned().collect::<Vec<Permit>>();
     let refused = on_a.pop().expect("a permit for a");
@@ -447,7 +465,10 @@
     assert_eq!(backed_off(&actions), 0);
     let view = bench.target_view("a");
     assert_eq!(view.limit, view.outstanding_tokens);
-    assert_eq!(bench.granted(&ask(50, 1, "a")).target.as_str(), "b");
+    assert_eq!(
+        bench.granted(&permit_request(50, 1, "a")).target.as_str(),
+        "b"
+    );
 }
 
 #[test]
@@ -455,10 +476,12 @@
     // Guards against requests queued inside a target that has capacity in tokens
     // but whose batch is full.
     let mut bench = bench_of(&[target("a", "d", 100_000)]);
-    let mut held: Vec<Permit> = (0..8).map(|n| bench.granted(&ask(n, 1, "a"))).collect();
+    let mut held: Vec<Permit> = (0..8)
+        .map(|n| bench.granted(&permit_request(n, 1, "a")))
+        .collect();
     let mut report = load_report(4, 4, 800, 0);
     bench.event(OwnerEvent::Load(named("a"), report));
-    assert!(permits(&bench.ask(&ask(10, 1, "a"))).is_empty());
+    assert!(permits(&bench.request_permit(&permit_request(10, 1, "a"))).is_empty());
     for _ in 0..3 {
         let permit = held.pop().expect("a permit");
         assert!(permits(&bench.release(&permit, ReleaseOutcome::Unused)).is_empty());
@@ -473,12 +496,12 @@
     report.waiting = 0;
     bench.event(OwnerEvent::Load(named("a"), report));
     assert_eq!(
-        permits(&bench.ask(&ask(11, 1, "a"))).len(),
+        permits(&bench.request_permit(&permit_request(11, 1, "a"))).len(),
         1,
         "the limit increases"
     );
     assert!(
-        permits(&bench.ask(&ask(12, 1, "a"))).is_empty(),
+        permits(&bench.request_permit(&permit_request(12, 1, "a"))).is_empty(),
         "by one only"
     );
 }
@@ -488,7 +511,7 @@
     // Guards against attributing requests that ended after a load report was made
     // to another owner: a report is compared with the load at its own time.
     let mut bench = bench_of(&[target("a", "d", 10_000)]);
-    let permit = bench.granted(&with_cost(ask(1, 1, "a"), 500, 500));
+    let permit = bench.granted(&with_cost(permit_request(1, 1, "a"), 500, 500));
     bench.tick_after(1_000);
     bench.release(&permit, ReleaseOutcome::Unused);
     bench.tick_after(1_000);
--- a/bergamotswitch-core/tests/queue_differential.rs
+++ b/bergamotswitch-core/tests/queue_differential.rs
@@ -29,7 +29,7 @@
 /// A `NaiveQueue` is the reference queue, a plain list.
 #[derive(Default)]
 struct NaiveQueue {
-    asks: Vec<QueuedRequest>,
+    requests: Vec<QueuedRequest>,
     clocks: BTreeMap<Tier, u128>,
     accounts: BTreeMap<(Tier, String), NaiveAccount>,
 }
@@ -46,17 +46,20 @@
 }
 
 fn account_of(queued: &QueuedRequest) -> (Tier, String) {
-    (queued.ask.tier, queued.ask.account.to_string())
+    (queued.request.tier, queued.request.account.to_string())
 }
 
 fn rank_of(queued: &QueuedRequest) -> (Moment, u64) {
-    (queued.plan.give_up_at, queued.ask.attempt.request.sequence)
+    (
+        queued.plan.give_up_at,
+        queued.request.attempt.request.sequence,
+    )
 }
 
 impl NaiveQueue {
     fn has_queued(&self, account: &(Tier, String)) -> bool {
-        let mut asks = self.asks.iter();
-        asks.any(|queued| account_of(queued) == *account)
+        let mut requests = self.requests.iter();
+        requests.any(|queued| account_of(queued) == *account)
     }
 
     fn push(&mut self, queued: QueuedRequest) {
@@ -67,48 +70,62 @@
         if !has_queued {
             account.start = account.start.max(clock);
         }
-        account.share = u128::from(queued.ask.share);
-        self.asks.push(queued);
+        account.share = u128::from(queued.request.share);
+        self.requests.push(queued);
     }
 
     fn next(&self, blocked: &BTreeSet<Arc<Placement>>) -> Option<AttemptId> {
-        let asks = self.asks.iter();
-        let open = asks.filter(|queued| !blocked.contains(&queued.placement));
+        let requests = self.requests.iter();
+        let open = requests.filter(|queued| !blocked.contains(&queued.placement));
         let first = open.min_by_key(|queued| {
             let key = account_of(queued);
             (key.0, self.accounts[&key].start, key.1, rank_of(queued))
         });
-        first.map(|queued| queued.ask.attempt)
+        first.map(|queued| queued.request.attempt)
     }
 
     fn worst(&self) -> Option<AttemptId> {
-        let lowest = self.asks.iter().map(|queued| queued.ask.tier).max()?;
-        let tier = self.asks.iter().filter(|queued| queued.ask.tier == lowest);
+        let lowest = self
+            .requests
+            .iter()
+            .map(|queued| queued.request.tier)
+            .max()?;
+        let tier = self
+            .requests
+            .iter()
+            .filter(|queued| queued.request.tier == lowest);
         let last = tier.max_by_key(|queued| {
             let key = account_of(queued);
-            let own = self.asks.iter().filter(|other| account_of(other) == key);
-            let tokens: u64 = own.map(|other| other.ask.cost.total()).sum();
+            let own = self
+                .requests
+                .iter()
+                .filter(|other| account_of(other) == key);
+            let tokens: u64 = own.map(|other| other.request.cost.total()).sum();
             let excess = u128::from(tokens) * SCALE / self.accounts[&key].share;
             (excess, key.1, rank_of(queued))
         });
-        last.map(|queued| queued.ask.attempt)
+        last.map(|queued| queued.request.attempt)
     }
 
     fn take(&mut self, attempt: &AttemptId, served: bool) {
-        let mut asks = self.asks.iter();
-        let position = asks.position(|queued| queued.ask.attempt == *attempt);
+        let mut requests = self.requests.iter();
+        let position = requests.position(|queued| queued.request.attempt == *attempt);
         let Some(position) = position else {
             return;
         };
-        let queued = self.asks.remove(position);
+        let queued = self.requests.remove(position);
         let key = account_of(&queued);
         let clock = self.clocks.entry(key.0).or_default();
         let account = self.accounts.get_mut(&key).expect("a known account");
         if served {
             *clock = (*clock).max(account.start);
-            account.start += u128::from(queued.ask.cost.total()) * SCALE / account.share;
+            account.start += u128::from(queued.request.cost.total()) * SCALE / account.share;
         }
-        if self.asks.iter().any(|queued| queued.ask.tier == key.0) {
+        if self
+            .requests
+            .iter()
+            .any(|queued| queued.request.tier == key.0)
+        {
             return;
         }
         // The tier's queue is empty, so its fair queuing state is reset.
@@ -150,15 +167,15 @@
             domain,
         } => {
             let account = ["a", "b", "c", "d"][usize::from(account % 4)];
-            let mut ask = ask(number, tier % 3, account);
-            ask.share = 1 + u32::from(share % 5);
-            ask.cost.prefill = u32::from(cost);
-            ask.domains = vec![named(DOMAINS[usize::from(domain % 3)])];
+            let mut permit_request = permit_request(number, tier % 3, account);
+            permit_request.share = 1 + u32::from(share % 5);
+            permit_request.cost.prefill = u32::from(cost);
+            permit_request.domains = vec![named(DOMAINS[usize::from(domain % 3)])];
             let queued = QueuedRequest {
                 host: named("entry"),
                 plan: plan_until(Moment::from_millis(u64::from(deadline))),
-                placement: Arc::new(Placement::of(&ask, false)),
-                ask,
+                placement: Arc::new(Placement::of(&permit_request, false)),
+                request: permit_request,
             };
             fast.push(Moment::START, queued.clone());
             naive.push(queued);
@@ -188,7 +205,7 @@
                 naive.take(&attempt, false);
             }
             let late = naive
-                .asks
+                .requests
                 .iter()
                 .filter(|queued| queued.plan.give_up_at <= now);
             assert_eq!(late.count(), 0);
@@ -197,12 +214,12 @@
 }
 
 fn placement_in(domain: u8) -> Arc<Placement> {
-    let ask = with_domain(ask(0, 0, "a"), DOMAINS[usize::from(domain % 3)]);
-    Arc::new(Placement::of(&ask, false))
+    let permit_request = with_domain(permit_request(0, 0, "a"), DOMAINS[usize::from(domain % 3)]);
+    Arc::new(Placement::of(&permit_request, false))
 }
 
 fn serve_both(fast: &mut RequestQueue, naive: &mut NaiveQueue, blocked: &BTreeSet<Arc<Placement>>) {
-    let next = fast.next(blocked).map(|queued| queued.ask.attempt);
+    let next = fast.next(blocked).map(|queued| queued.request.attempt);
     assert_eq!(next, naive.next(blocked));
     if let Some(attempt) = next {
         fast.serve(&attempt);
@@ -218,14 +235,17 @@
         let mut naive = NaiveQueue::default();
         for (number, step) in steps.iter().enumerate() {
             step_both(&mut fast, &mut naive, number as u64, *step);
-            assert_eq!(fast.len(), naive.asks.len());
-            let tokens = naive.asks.iter().map(|queued| queued.ask.cost.total());
+            assert_eq!(fast.len(), naive.requests.len());
+            let tokens = naive
+                .requests
+                .iter()
+                .map(|queued| queued.request.cost.total());
             assert_eq!(fast.tokens(), tokens.sum::<u64>());
         }
         while !fast.is_empty() {
             serve_both(&mut fast, &mut naive, &BTreeSet::new());
         }
-        assert!(naive.asks.is_empty());
+        assert!(naive.requests.is_empty());
     });
 }
 
@@ -376,18 +396,18 @@
             *now = now.plus(Duration::from_millis(u64::from(millis)));
         }
         TargetStep::Choose(draw) => {
-            let mut ask: Ask = ask(number, 1, "a");
-            ask.domains = match draw.domain % 3 {
+            let mut permit_request: PermitRequest = permit_request(number, 1, "a");
+            permit_request.domains = match draw.domain % 3 {
                 2 => Vec::new(),
                 drawn => vec![named(DOMAINS[usize::from(drawn)])],
             };
-            ask.avoid = vec![name(draw.avoid)];
+            permit_request.avoid = vec![name(draw.avoid)];
             let warm = [WarmTarget {
                 target: name(draw.warm),
                 blocks: 1 + usize::from(draw.warm % 4),
             }];
             let query = RouteQuery {
-                placement: &Placement::of(&ask, draw.long),
+                placement: &Placement::of(&permit_request, draw.long),
                 cost: cost_of(u32::from(draw.prefill), 50),
                 blocks: 4,
                 warm: &warm,
@@ -425,9 +445,13 @@
 fn grant_time(waiting: u64) -> Duration {
     let opts = OwnerOptions::default().with_max_wait(Duration::from_secs(1_000_000));
     let mut bench = OwnerBench::with_targets(opts, &[target("t", "d", 100)]);
-    let mut permit = bench.granted(&ask(0, 1, "a"));
+    let mut permit = bench.granted(&permit_request(0, 1, "a"));
     for request in 1..=waiting {
-        bench.ask(&ask(request, 1, ["a", "b", "c", "d"][request as usize % 4]));
+        bench.request_permit(&permit_request(
+            request,
+            1,
+            ["a", "b", "c", "d"][request as usize % 4],
+        ));
     }
     let mut request = waiting;
     let mut shortest = Duration::MAX;
@@ -435,7 +459,7 @@
         let started = Instant::now();
         for _ in 0..200 {
             request += 1;
-            bench.ask(&ask(request, 1, "a"));
+            bench.request_permit(&permit_request(request, 1, "a"));
             let actions = bench.release(&permit, ReleaseOutcome::Unused);
             permit = permits(&actions)[0].clone();
         }
--- a/bergamotswitch-core/tests/queue_order.rs
+++ b/bergamotswitch-core/tests/queue_order.rs
@@ -8,7 +8,7 @@
 /// the permit of request 0, which runs on it.
 fn busy_bench(opts: OwnerOptions) -> (OwnerBench, Permit) {
     let mut bench = OwnerBench::with_targets(opts, &[target("t", "d", 100)]);
-    let permit = bench.granted(&ask(0, 0, "filler"));
+    let permit = bench.granted(&permit_request(0, 0, "filler"));
     (bench, permit)
 }
 
@@ -30,7 +30,7 @@
 fn strict_tiers() {
     let (mut bench, first) = busy_bench(OwnerOptions::default());
     for (request, tier) in [(1, 2), (2, 0), (3, 1), (4, 0)] {
-        bench.ask(&ask(request, tier, "a"));
+        bench.request_permit(&permit_request(request, tier, "a"));
     }
     assert_eq!(order_of(&mut bench, first), [2, 4, 3, 1]);
 }
@@ -39,7 +39,7 @@
 fn earliest_deadline() {
     let (mut bench, first) = busy_bench(OwnerOptions::default());
     for (request, deadline_ms) in [(1, 30_000), (2, 10_000), (3, 20_000)] {
-        bench.ask(&with_deadline(ask(request, 1, "a"), deadline_ms));
+        bench.request_permit(&with_deadline(permit_request(request, 1, "a"), deadline_ms));
     }
     assert_eq!(order_of(&mut bench, first), [2, 3, 1]);
 }
@@ -50,9 +50,9 @@
     // one in the same tier.
     let (mut bench, first) = busy_bench(OwnerOptions::default());
     for request in 1..=50 {
-        bench.ask(&ask(request, 1, "large"));
+        bench.request_permit(&permit_request(request, 1, "large"));
     }
-    bench.ask(&ask(99, 1, "small"));
+    bench.request_permit(&permit_request(99, 1, "small"));
     let order = order_of(&mut bench, first);
     let position = order.iter().position(|request| *request == 99);
     assert!(position.is_some_and(|position| position <= 1), "{order:?}");
@@ -62,10 +62,10 @@
 fn weighted_shares() {
     let (mut bench, first) = busy_bench(OwnerOptions::default());
     for request in 0..40 {
-        let mut heavy = ask(100 + request, 1, "heavy");
+        let mut heavy = permit_request(100 + request, 1, "heavy");
         heavy.share = 3;
-        bench.ask(&heavy);
-        bench.ask(&ask(200 + request, 1, "light"));
+        bench.request_permit(&heavy);
+        bench.request_permit(&permit_request(200 + request, 1, "light"));
     }
     let order = order_of(&mut bench, first);
     let heavy = order[..40].iter().filter(|request| **request < 200);
@@ -78,20 +78,20 @@
 }
 
 #[test]
-fn repeated_ask() {
+fn repeated_permit_request() {
     let (mut bench, first) = busy_bench(OwnerOptions::default());
-    bench.ask(&ask(1, 1, "a"));
-    assert!(bench.ask(&ask(1, 1, "a")).is_empty());
-    assert_eq!(bench.view().queued[0].asks, 1);
-    let again = permits(&bench.ask(&ask(0, 0, "filler")));
+    bench.request_permit(&permit_request(1, 1, "a"));
+    assert!(bench.request_permit(&permit_request(1, 1, "a")).is_empty());
+    assert_eq!(bench.view().queued[0].requests, 1);
+    let again = permits(&bench.request_permit(&permit_request(0, 0, "filler")));
     assert_eq!(again, [first]);
     assert_eq!(bench.view().in_flight, 1);
 }
 
 #[test]
-fn withdrawn_ask() {
+fn withdrawn_permit_request() {
     let (mut bench, first) = busy_bench(OwnerOptions::default());
-    bench.ask(&ask(1, 1, "a"));
+    bench.request_permit(&permit_request(1, 1, "a"));
     bench.message(withdrawal(attempt_of(ENTRY_INCARNATION, 1)));
     assert!(order_of(&mut bench, first).is_empty());
     assert!(bench.view().queued.is_empty());
@@ -100,7 +100,7 @@
 #[test]
 fn deadline_passed() {
     let (mut bench, _first) = busy_bench(OwnerOptions::default());
-    bench.ask(&with_deadline(ask(1, 1, "a"), 500));
+    bench.request_permit(&with_deadline(permit_request(1, 1, "a"), 500));
     let wake = bench.owner.next_wake();
     assert!(wake <= bench.now.plus(Duration::from_millis(500)));
     assert!(refusals(&bench.tick_after(499)).is_empty());
@@ -116,23 +116,23 @@
     let opts = OwnerOptions::default().with_max_requests(3);
     let (mut bench, _first) = busy_bench(opts);
     for request in 1..=3 {
-        assert!(refusals(&bench.ask(&ask(request, 2, "bulk"))).is_empty());
+        assert!(refusals(&bench.request_permit(&permit_request(request, 2, "bulk"))).is_empty());
     }
-    let refused = refusals(&bench.ask(&ask(4, 2, "bulk")));
+    let refused = refusals(&bench.request_permit(&permit_request(4, 2, "bulk")));
     assert_eq!(refused[0].reason, RefusalReason::Overloaded);
     for request in 5..=7 {
-        let refused = refusals(&bench.ask(&ask(request, 0, "dawn")));
+        let refused = refusals(&bench.request_permit(&permit_request(request, 0, "dawn")));
         assert_eq!(refused.len(), 1);
         assert_eq!(refused[0].reason, RefusalReason::ShedForHigherTier);
         assert!(refused[0].request < 5);
     }
-    let refused = refusals(&bench.ask(&ask(8, 1, "other")));
+    let refused = refusals(&bench.request_permit(&permit_request(8, 1, "other")));
     assert_eq!(refused.len(), 1);
     assert_eq!(refused[0].request, 8);
     assert_eq!(refused[0].reason, RefusalReason::Overloaded);
     let waiting = bench.view().queued;
     assert_eq!(waiting.len(), 1);
-    assert_eq!(waiting[0].asks, 3);
+    assert_eq!(waiting[0].requests, 3);
 }
 
 #[test]
@@ -140,12 +140,12 @@
     let opts = OwnerOptions::default().with_max_requests(4);
     let (mut bench, _first) = busy_bench(opts);
     for request in 1..=4 {
-        bench.ask(&with_deadline(
-            ask(request, 1, "large"),
+        bench.request_permit(&with_deadline(
+            permit_request(request, 1, "large"),
             10_000 + request as u32,
         ));
     }
-    let refused = refusals(&bench.ask(&ask(5, 1, "small")));
+    let refused = refusals(&bench.request_permit(&permit_request(5, 1, "small")));
     assert_eq!(refused.len(), 1);
     assert_eq!(
         refused[0].request, 4,
@@ -159,9 +159,9 @@
     let opts = OwnerOptions::default().with_max_wait(Duration::from_secs(1));
     let (mut bench, _first) = busy_bench(opts);
     for request in 1..=10 {
-        assert!(refusals(&bench.ask(&ask(request, 1, "a"))).is_empty());
+        assert!(refusals(&bench.request_permit(&permit_request(request, 1, "a"))).is_empty());
     }
-    let refused = refusals(&bench.ask(&ask(11, 1, "a")));
+    let refused = refusals(&bench.request_permit(&permit_request(11, 1, "a")));
     assert_eq!(refused.len(), 1);
     let seconds = f64::from(refused[0].retry_after_ms) / 1000.0;
     assert!((1.0..=1.3).contains(&seconds), "{refused:?}");
@@ -172,13 +172,16 @@
     // Guards against shedding requests that may wait for hours: the queue limit must
     // depend on the deadlines.
     let mut bench = OwnerBench::with_targets(OwnerOptions::default(), &[target("t", "d", 100)]);
-    bench.granted(&ask(0, 5, "a"));
+    bench.granted(&permit_request(0, 5, "a"));
     for request in 1..=40 {
-        let log = with_deadline(with_cost(ask(request, 5, "a"), 500, 500), 4 * 3_600_000);
-        assert!(refusals(&bench.ask(&log)).is_empty());
+        let log = with_deadline(
+            with_cost(permit_request(request, 5, "a"), 500, 500),
+            4 * 3_600_000,
+        );
+        assert!(refusals(&bench.request_permit(&log)).is_empty());
     }
-    let brief = with_deadline(ask(41, 6, "a"), 5_000);
-    let refused = refusals(&bench.ask(&brief));
+    let brief = with_deadline(permit_request(41, 6, "a"), 5_000);
+    let refused = refusals(&bench.request_permit(&brief));
     let numbers: Vec<u64> = refused.iter().map(|refusal| refusal.request).collect();
     assert_eq!(numbers, [41]);
 }
@@ -189,14 +192,16 @@
     // wastes the capacity of the tier.
     let opts = OwnerOptions::default();
     let mut bench = OwnerBench::with_targets(opts, &[target("t", "d", 100)]);
-    let finished = |ask: &Ask| ReleaseOutcome::Finished(usage(ask.cost, 1_000));
-    let first = ask(1, 1, "a");
+    let finished = |permit_request: &PermitRequest| {
+        ReleaseOutcome::Finished(usage(permit_request.cost, 1_000))
+    };
+    let first = permit_request(1, 1, "a");
     let permit = bench.granted(&first);
     bench.release(&permit, finished(&first));
-    let running = ask(2, 1, "a");
+    let running = permit_request(2, 1, "a");
     let permit = bench.granted(&running);
     for (request, tier) in [(3, 1), (4, 0)] {
-        bench.ask(&with_deadline(ask(request, tier, "a"), 500));
+        bench.request_permit(&with_deadline(permit_request(request, tier, "a"), 500));
     }
     let actions = bench.release(&permit, finished(&running));
     assert_eq!(
@@ -217,15 +222,15 @@
     // requests of lower tiers, since targets don't support priorities.
     let targets = [target("a", "d", 10_000), target("b", "d", 10_000)];
     let mut bench = OwnerBench::with_targets(OwnerOptions::default(), &targets);
-    let mut bulk = with_cost(ask(1, 2, "bulk"), 5_000, 5_000);
+    let mut bulk = with_cost(permit_request(1, 2, "bulk"), 5_000, 5_000);
     bulk.preemptible = true;
     let low = bench.granted(&bulk);
-    let mut firm = with_cost(ask(2, 1, "firm"), 5_000, 5_000);
+    let mut firm = with_cost(permit_request(2, 1, "firm"), 5_000, 5_000);
     firm.preemptible = true;
     bench.granted(&firm);
     bench.tick_after(100);
-    let report = with_deadline(ask(3, 0, "dawn"), 2_000);
-    let actions = bench.ask(&report);
+    let report = with_deadline(permit_request(3, 0, "dawn"), 2_000);
+    let actions = bench.request_permit(&report);
     assert_eq!(
         preempted(&actions),
         [low.id],
@@ -242,10 +247,12 @@
     // Guards against a large request of the top tier that never fits because small
     // ones of a lower tier take the capacity as it is released.
     let mut bench = OwnerBench::with_targets(OwnerOptions::default(), &[target("t", "d", 300)]);
-    let held: Vec<Permit> = (0..3).map(|n| bench.granted(&ask(n, 1, "a"))).collect();
-    let small = with_domain(ask(4, 2, "b"), "d");
-    bench.ask(&small);
-    bench.ask(&with_cost(ask(3, 0, "dawn"), 150, 50));
+    let held: Vec<Permit> = (0..3)
+        .map(|n| bench.granted(&permit_request(n, 1, "a")))
+        .collect();
+    let small = with_domain(permit_request(4, 2, "b"), "d");
+    bench.request_permit(&small);
+    bench.request_permit(&with_cost(permit_request(3, 0, "dawn"), 150, 50));
     let actions = bench.release(&held[0], ReleaseOutcome::Unused);
     assert!(
         granted_requests(&actions).is_empty(),
@@ -259,10 +266,10 @@
 fn no_needless_preemption() {
     let targets = [target("a", "d", 10_000)];
     let mut bench = OwnerBench::with_targets(OwnerOptions::default(), &targets);
-    let mut bulk = with_cost(ask(1, 2, "bulk"), 5_000, 5_000);
+    let mut bulk = with_cost(permit_request(1, 2, "bulk"), 5_000, 5_000);
     bulk.preemptible = true;
     bench.granted(&bulk);
     // The request has twenty seconds left, and the running one ends in ten.
-    let report = with_deadline(ask(3, 0, "dawn"), 20_000);
-    assert!(preempted(&bench.ask(&report)).is_empty());
+    let report = with_deadline(permit_request(3, 0, "dawn"), 20_000);
+    assert!(preempted(&bench.request_permit(&report)).is_empty());
 }
--- a/bergamotswitch-core/tests/slot_routing.rs
+++ b/bergamotswitch-core/tests/slot_routing.rs
@@ -12,11 +12,11 @@
     target
 }
 
-fn limited_ask(sequence: u64, output: u32) -> Ask {
-    let mut ask = with_cost(ask(sequence, 1, "a"), 500, output);
-    ask.first_answer_ms = Some(FIRST_TOKEN_LIMIT_MS);
-    ask.deadline_ms = 10_000;
-    ask
+fn limited_permit_request(sequence: u64, output: u32) -> PermitRequest {
+    let mut permit_request = with_cost(permit_request(sequence, 1, "a"), 500, output);
+    permit_request.first_answer_ms = Some(FIRST_TOKEN_LIMIT_MS);
+    permit_request.deadline_ms = 10_000;
+    permit_request
 }
 
 fn at(millis: u64) -> Moment {
@@ -41,14 +41,14 @@
         replies(self.owner.handle(now, event))
     }
 
-    fn ask(&mut self, now: Moment, ask: Ask) -> Vec<OwnerReply> {
-        self.send(now, OwnerMessage::Ask(Box::new(ask)))
+    fn request_permit(&mut self, now: Moment, permit_request: PermitRequest) -> Vec<OwnerReply> {
+        self.send(now, OwnerMessage::PermitRequest(Box::new(permit_request)))
     }
 
     /// Run a request on the target that is chosen, with these times to the first
     /// token and per output token.
     fn run_request(&mut self, now: Moment, number: u64, first_ms: u32, token_ms: u32) -> String {
-        let granted = self.ask(now, limited_ask(number, 10));
+        let granted = self.request_permit(now, limited_permit_request(number, 10));
         let [OwnerReply::Granted { permit, .. }] = granted.as_slice() else {
             panic!("not granted: {granted:?}");
         };
@@ -61,7 +61,7 @@
     fn measure_targets(&mut self, fast: &str) {
         for number in 1_000..1_012 {
             // The targets are used in turn until each has completed some runs.
-            let granted = self.ask(at(1), limited_ask(number, 10));
+            let granted = self.request_permit(at(1), limited_permit_request(number, 10));
             let [OwnerReply::Granted { permit, .. }] = granted.as_slice() else {
                 panic!("not granted: {granted:?}");
             };
@@ -107,7 +107,9 @@
     let mut bench = SlotBench::new(&[slot_target("one", 10), slot_target("two", 10)]);
     let mut granted = Vec::new();
     for number in 0..8 {
-        granted.extend(targets(&bench.ask(at(1), limited_ask(number, 10))));
+        granted.extend(targets(
+            &bench.request_permit(at(1), limited_permit_request(number, 10)),
+        ));
     }
     assert_eq!(granted.len(), 4, "{granted:?}");
 }
@@ -118,11 +120,11 @@
 fn waits_for_fast() {
     let mut bench = SlotBench::new(&[slot_target("fast", 2), slot_target("slow", 2)]);
     bench.measure_targets("fast");
-    let first = bench.ask(at(10), limited_ask(1, 10));
-    let second = bench.ask(at(10), limited_ask(2, 10));
+    let first = bench.request_permit(at(10), limited_permit_request(1, 10));
+    let second = bench.request_permit(at(10), limited_permit_request(2, 10));
     assert_eq!(targets(&first), ["fast"]);
     assert_eq!(targets(&second), ["fast"]);
-    let third = bench.ask(at(10), limited_ask(3, 10));
+    let third = bench.request_permit(at(10), limited_permit_request(3, 10));
     assert_eq!(third, []);
     // A slot of the fast target is released while the request can be on time.
     let [OwnerReply::Granted { permit, .. }] = first.as_slice() else {
@@ -131,7 +133,10 @@
     let release = released(permit, ReleaseOutcome::Unused);
     assert_eq!(targets(&bench.send(at(50), release)), ["fast"]);
     // No slot is released for the next one, which takes the slow target once late.
-    assert_eq!(bench.ask(at(60), limited_ask(4, 10)), []);
+    assert_eq!(
+        bench.request_permit(at(60), limited_permit_request(4, 10)),
+        []
+    );
     let ticked = replies(bench.owner.handle(at(500), OwnerEvent::Tick));
     assert_eq!(targets(&ticked), ["slow"]);
 }
@@ -141,12 +146,18 @@
 fn on_time_first() {
     let mut bench = SlotBench::new(&[slot_target("only", 1)]);
     bench.run_request(at(1), 100, 60, 4);
-    let running = bench.ask(at(10), limited_ask(1, 10));
+    let running = bench.request_permit(at(10), limited_permit_request(1, 10));
     let [OwnerReply::Granted { permit, .. }] = running.as_slice() else {
         panic!("not granted");
     };
-    assert_eq!(bench.ask(at(20), limited_ask(2, 10)), []);
-    assert_eq!(bench.ask(at(500), limited_ask(3, 10)), []);
+    assert_eq!(
+        bench.request_permit(at(20), limited_permit_request(2, 10)),
+        []
+    );
+    assert_eq!(
+        bench.request_permit(at(500), limited_permit_request(3, 10)),
+        []
+    );
     let release = released(permit, ReleaseOutcome::Unused);
     let [OwnerReply::Granted { permit, .. }] = &bench.send(at(510), release)[..] else {
         panic!("no request was granted");
@@ -160,14 +171,14 @@
 fn unfinishable_request() {
     let mut bench = SlotBench::new(&[slot_target("only", 1)]);
     bench.run_request(at(1), 100, 60, 4);
-    let running = bench.ask(at(10), limited_ask(1, 10));
+    let running = bench.request_permit(at(10), limited_permit_request(1, 10));
     let [OwnerReply::Granted { permit, .. }] = running.as_slice() else {
         panic!("not granted");
     };
     // 2,400 tokens at 4 ms each take just under the deadline of ten seconds, too
     // close for the accuracy of the estimates.
-    bench.ask(at(11), limited_ask(2, 2_400));
-    bench.ask(at(12), limited_ask(3, 10));
+    bench.request_permit(at(11), limited_permit_request(2, 2_400));
+    bench.request_permit(at(12), limited_permit_request(3, 10));
     let release = released(permit, ReleaseOutcome::Unused);
     let next = bench.send(at(20), release);
     let refused = next.iter().any(|reply| {
@@ -184,11 +195,11 @@
 fn retry_after_spread() {
     let mut bench = SlotBench::new(&[slot_target("only", 1)]);
     bench.run_request(at(1), 100, 60, 4);
-    bench.ask(at(10), limited_ask(1, 10));
+    bench.request_permit(at(10), limited_permit_request(1, 10));
     let mut delays = Vec::new();
     let mut refused = Vec::new();
     for number in 2..40 {
-        refused.extend(bench.ask(at(20), limited_ask(number, 10)));
+        refused.extend(bench.request_permit(at(20), limited_permit_request(number, 10)));
     }
     refused.extend(replies(bench.owner.handle(at(3_000), OwnerEvent::Tick)));
     for reply in refused {
--- a/bergamotswitch-core/tests/target_restart.rs
+++ b/bergamotswitch-core/tests/target_restart.rs
@@ -22,7 +22,7 @@
 fn fill(bench: &mut OwnerBench, from: u64) -> Vec<Permit> {
     let numbers = from..from + u64::from(SLOTS);
     numbers
-        .map(|number| bench.granted(&ask(number, 1, "a")))
+        .map(|number| bench.granted(&permit_request(number, 1, "a")))
         .collect()
 }
 
@@ -36,7 +36,7 @@
 fn slots_freed() {
     let mut bench = bench();
     let permits = fill(&mut bench, 1);
-    assert!(granted_requests(&bench.ask(&ask(9, 1, "a"))).is_empty());
+    assert!(granted_requests(&bench.request_permit(&permit_request(9, 1, "a"))).is_empty());
     // A registration with the same start time has no effect.
     assert!(granted_requests(&restart(&mut bench, 100)).is_empty());
     assert_eq!(granted_requests(&restart(&mut bench, 200)), [9]);
@@ -53,9 +53,9 @@
 #[test]
 fn back_off_cleared() {
     let mut bench = bench();
-    let permit = bench.granted(&ask(1, 1, "a"));
+    let permit = bench.granted(&permit_request(1, 1, "a"));
     bench.release(&permit, ReleaseOutcome::Unreachable);
-    assert!(granted_requests(&bench.ask(&ask(2, 1, "a"))).is_empty());
+    assert!(granted_requests(&bench.request_permit(&permit_request(2, 1, "a"))).is_empty());
     assert_eq!(granted_requests(&restart(&mut bench, 200)), [2]);
 }
 
@@ -64,11 +64,21 @@
 #[test]
 fn key_claim_kept() {
     let mut bench = bench();
-    let call = with_claim(ask(1, 1, "a"), 77, incarnation_of("entry", 7), false);
+    let call = with_claim(
+        permit_request(1, 1, "a"),
+        77,
+        incarnation_of("entry", 7),
+        false,
+    );
     bench.granted(&call);
     restart(&mut bench, 200);
-    let copy = with_claim(ask(2, 1, "a"), 77, incarnation_of("other", 8), false);
-    let actions = bench.ask(&copy);
+    let copy = with_claim(
+        permit_request(2, 1, "a"),
+        77,
+        incarnation_of("other", 8),
+        false,
+    );
+    let actions = bench.request_permit(&copy);
     assert!(granted_requests(&actions).is_empty(), "{actions:?}");
     assert!(matches!(
         actions[..],
@@ -81,7 +91,7 @@
 fn older_start() {
     let mut bench = bench();
     fill(&mut bench, 1);
-    bench.ask(&ask(9, 1, "a"));
+    bench.request_permit(&permit_request(9, 1, "a"));
     assert!(granted_requests(&restart(&mut bench, 50)).is_empty());
     let without_start = PoolTarget {
         started_at_ms: None,
--- a/bergamotswitch-net/src/link/counters.rs
+++ b/bergamotswitch-net/src/link/counters.rs
@@ -39,7 +39,7 @@
     /// A heartbeat.
     Heartbeat = "heartbeat", LinkMessage::Heartbeat(_),
     /// A request for a slot.
-    Ask = "ask", LinkMessage::ToOwner(OwnerMessage::Ask(_)),
+    Ask = "ask", LinkMessage::ToOwner(OwnerMessage::PermitRequest(_)),
     /// A withdrawal of a slot request.
     Withdraw = "withdraw", LinkMessage::ToOwner(OwnerMessage::Withdraw { .. }),
     /// A released permit.
--- a/bergamotswitch-net/src/metrics/owner_totals.rs
+++ b/bergamotswitch-net/src/metrics/owner_totals.rs
@@ -87,6 +87,6 @@
             tier: u32::from(queued.tier.0),
         };
         let gauge = metrics.shard_queue.get_or_create(&labels);
-        gauge.set(gauge_value(queued.asks));
+        gauge.set(gauge_value(queued.requests));
     }
 }
--- a/bergamotswitch-net/tests/link_codec.rs
+++ b/bergamotswitch-net/tests/link_codec.rs
@@ -3,8 +3,8 @@
 use bergamotswitch_core::host::{HostIncarnation, Incarnation};
 use bergamotswitch_core::link::{Heartbeat, LinkMessage, MAX_MESSAGE_LEN};
 use bergamotswitch_core::permit::{
-    Ask, FailedTarget, KeyClaim, OwnerMessage, OwnerReply, Permit, PermitId, QuotaLevel, Release,
-    ReleaseOutcome, Usage,
+    FailedTarget, KeyClaim, OwnerMessage, OwnerReply, Permit, PermitId, PermitRequest, QuotaLevel,
+    Release, ReleaseOutcome, Usage,
 };
 use bergamotswitch_core::pool::PoolShard;
 use bergamotswitch_core::request::{AttemptId, PrefixHash, RequestId, TokenCost};
@@ -62,7 +62,7 @@
         },
         resubmission: false,
     });
-    LinkMessage::ToOwner(OwnerMessage::Ask(Box::new(Ask {
+    LinkMessage::ToOwner(OwnerMessage::PermitRequest(Box::new(PermitRequest {
         quota_units: 0,
         first_answer_ms: None,
         attempt: attempt(),
--- a/bergamotswitch/examples/slopes/entry.rs
+++ b/bergamotswitch/examples/slopes/entry.rs
@@ -62,7 +62,7 @@
             panic!("an accepted request, not {reception:?}");
         };
         let asked = actions.iter().find_map(|action| match action {
-            EntryAction::Send(_, OwnerMessage::Ask(ask)) => Some(ask.attempt),
+            EntryAction::Send(_, OwnerMessage::PermitRequest(ask)) => Some(ask.attempt),
             _ => None,
         });
         (id, asked.expect("an ask"))
--- a/bergamotswitch/examples/slopes/frames.rs
+++ b/bergamotswitch/examples/slopes/frames.rs
@@ -66,13 +66,13 @@
         let mut ask = ask(LATE, 17);
         ask.shard = home();
         ask.prefixes = prefixes(LATE, count);
-        to_owner(OwnerMessage::Ask(Box::new(ask)))
+        to_owner(OwnerMessage::PermitRequest(Box::new(ask)))
     });
     sheet.slope("ask, by prefix hashes", &points);
     let mut keyed = ask(LATE, 17);
     keyed.shard = home();
     keyed.claim = Some(claim(LATE));
-    let keyed = to_owner(OwnerMessage::Ask(Box::new(keyed)));
+    let keyed = to_owner(OwnerMessage::PermitRequest(Box::new(keyed)));
     sheet.figure("ask, 4 prefix hashes and a key", keyed);
     let granted = from_owner(OwnerReply::Granted {
         shard: home(),
--- a/bergamotswitch/examples/slopes/links.rs
+++ b/bergamotswitch/examples/slopes/links.rs
@@ -125,7 +125,7 @@
 }
 
 fn message(sequence: u64) -> LinkMessage {
-    LinkMessage::ToOwner(OwnerMessage::Ask(Box::new(ask(sequence, 17))))
+    LinkMessage::ToOwner(OwnerMessage::PermitRequest(Box::new(ask(sequence, 17))))
 }
 
 async fn receive(end: &mut LinkEnd, count: usize) {
--- a/bergamotswitch/examples/slopes/owner.rs
+++ b/bergamotswitch/examples/slopes/owner.rs
@@ -5,7 +5,7 @@
 use bergamotswitch_core::clock::Moment;
 use bergamotswitch_core::host::HostName;
 use bergamotswitch_core::permit::{
-    Ask, OwnerMessage, OwnerReply, Permit, Release, ReleaseOutcome, Usage,
+    OwnerMessage, OwnerReply, Permit, PermitRequest, Release, ReleaseOutcome, Usage,
 };
 use bergamotswitch_core::pool_owner::key_table::KeyTable;
 use bergamotswitch_core::pool_owner::{OwnerAction, OwnerEvent, OwnerOptions, ShardOwner};
@@ -51,15 +51,15 @@
         self.event(OwnerEvent::Message(self.entry.clone(), message))
     }
 
-    fn next_ask(&mut self, accounts: usize) -> Ask {
+    fn next_ask(&mut self, accounts: usize) -> PermitRequest {
         self.sequence += 1;
         let mut ask = ask(self.sequence, self.sequence as usize % accounts);
         ask.deadline_ms = u32::MAX;
         ask
     }
 
-    fn put(&mut self, ask: Ask) -> Vec<Permit> {
-        permits(self.message(OwnerMessage::Ask(Box::new(ask))))
+    fn put(&mut self, ask: PermitRequest) -> Vec<Permit> {
+        permits(self.message(OwnerMessage::PermitRequest(Box::new(ask))))
     }
 
     fn release(&mut self, permit: &Permit) -> Vec<Permit> {
--- a/bergamotswitch/examples/slopes/world.rs
+++ b/bergamotswitch/examples/slopes/world.rs
@@ -3,7 +3,7 @@
 use bergamotswitch_core::client_account::KeyHash;
 use bergamotswitch_core::entry::Submission;
 use bergamotswitch_core::host::{HostIncarnation, HostName, Incarnation};
-use bergamotswitch_core::permit::{Ask, KeyClaim};
+use bergamotswitch_core::permit::{KeyClaim, PermitRequest};
 use bergamotswitch_core::pool::{PoolKind, PoolShard, TargetPool};
 use bergamotswitch_core::publication::Publication;
 use bergamotswitch_core::request::{AttemptId, PrefixHash, RequestId, TokenCost};
@@ -221,8 +221,8 @@
 }
 
 /// Get an ask of a prompt of 4 KB, for 424 tokens of output.
-pub fn ask(sequence: u64, account_index: usize) -> Ask {
-    Ask {
+pub fn ask(sequence: u64, account_index: usize) -> PermitRequest {
+    PermitRequest {
         quota_units: 0,
         first_answer_ms: None,
         attempt: attempt(run_of(1).incarnation, sequence),
