--- a/bergamotswitch-core/src/address.rs
+++ b/bergamotswitch-core/src/address.rs
@@ -109,17 +109,17 @@
     score: Reverse<u64>,
 }
 
-/// An `AddressBook` chooses the hosts for callers under the published values.
+/// An `AddressSelector` chooses the hosts for callers under the published values.
 #[derive(Clone, Copy, Debug)]
-pub struct AddressBook<'p> {
+pub struct AddressSelector<'p> {
     domains: &'p DomainList,
     limits: &'p FleetLimits,
 }
 
-impl<'p> AddressBook<'p> {
+impl<'p> AddressSelector<'p> {
     /// Get the address book for a set of published values.
     pub fn new(publication: &'p Publication) -> Self {
-        AddressBook {
+        AddressSelector {
             domains: &publication.domains,
             limits: &publication.limits,
         }
--- a/bergamotswitch-core/src/entry/dispatcher/mod.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/mod.rs
@@ -122,11 +122,11 @@
     pub fn handle(&mut self, now: Moment, event: EntryEvent) -> Vec<EntryAction> {
         let mut actions = Vec::new();
         match event {
-            EntryEvent::ProcessPaused(_) => self.renew_permit_requests(now, &mut actions),
+            EntryEvent::ProcessResumed(_) => self.renew_permit_requests(now, &mut actions),
             _ => self.detect_pause(now, &mut actions),
         }
         match event {
-            EntryEvent::CallerLeft(id) => self.caller_left(now, id, &mut actions),
+            EntryEvent::CallerDisconnected(id) => self.caller_left(now, id, &mut actions),
             EntryEvent::Reply(host, reply) => self.owner_replied(now, host, reply, &mut actions),
             EntryEvent::OwnerChanged(shard, host) => {
                 self.owner_changed(now, shard, host, &mut actions)
@@ -144,13 +144,13 @@
             EntryEvent::AnswerTooLong(id) => self.abort_overlong(now, id, &mut actions),
             EntryEvent::AnswerSize(id, bytes) => self.answers.set_bytes(id, bytes),
             EntryEvent::Stop => self.stopping = true,
-            EntryEvent::FinishBy(at) => self.set_finish_by(now, at, &mut actions),
+            EntryEvent::AnswerDeadline(at) => self.set_answer_deadline(now, at, &mut actions),
             EntryEvent::AdmissionClosed => self.bound.is_closed = true,
             EntryEvent::HostsAvailableAt(at) => self.bound.hosts_available_at = at,
             EntryEvent::Hosts(count) => self.set_host_count(count),
             EntryEvent::Quotas(rates) => self.quota_use.set_rates(now, rates),
             EntryEvent::GraceExpired => self.terminate(now, &mut actions),
-            EntryEvent::Tick | EntryEvent::ProcessPaused(_) => {
+            EntryEvent::Tick | EntryEvent::ProcessResumed(_) => {
                 self.refuse_unfinishable(now, &mut actions)
             }
         }
--- a/bergamotswitch-core/src/entry/dispatcher/stopping.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/stopping.rs
@@ -37,7 +37,7 @@
 pub(super) struct StopBound {
     /// The time by which answers must be complete; `NEVER` without a grace
     /// period.
-    finish_by: Moment,
+    answer_deadline: Moment,
     /// Whether new requests are refused.
     pub(super) is_closed: bool,
     /// The time at which enough other hosts accept requests again, if too few
@@ -50,7 +50,7 @@
 impl Default for StopBound {
     fn default() -> Self {
         StopBound {
-            finish_by: Moment::NEVER,
+            answer_deadline: Moment::NEVER,
             is_closed: false,
             hosts_available_at: None,
             spread_position: 0,
@@ -76,13 +76,13 @@
 impl EntryDispatcher {
     /// Set the time by which answers must be complete, and refuse waiting
     /// requests that would not finish by then.
-    pub(super) fn set_finish_by(
+    pub(super) fn set_answer_deadline(
         &mut self,
         now: Moment,
         at: Moment,
         actions: &mut Vec<EntryAction>,
     ) {
-        self.bound.finish_by = at;
+        self.bound.answer_deadline = at;
         self.refuse_unfinishable(now, actions);
     }
 
@@ -90,14 +90,14 @@
     /// ends it before the grace period does, or its estimated duration fits.
     /// Work of unknown duration is not started.
     pub(super) fn may_start(&self, now: Moment, submission: &Submission, deadline: Moment) -> bool {
-        if self.bound.finish_by == Moment::NEVER {
+        if self.bound.answer_deadline == Moment::NEVER {
             return true;
         }
-        if submission.options.ends_at_deadline && deadline <= self.bound.finish_by {
+        if submission.options.ends_at_deadline && deadline <= self.bound.answer_deadline {
             return true;
         }
         let span = self.run_time_bound(now, submission);
-        span.is_some_and(|span| now.plus(span) <= self.bound.finish_by)
+        span.is_some_and(|span| now.plus(span) <= self.bound.answer_deadline)
     }
 
     /// Get whether an answer may still be proxied from another host. Its
@@ -127,7 +127,7 @@
     /// Refuse waiting requests that would not finish in time, while another
     /// host can still serve them.
     pub(super) fn refuse_unfinishable(&mut self, now: Moment, actions: &mut Vec<EntryAction>) {
-        if self.bound.finish_by == Moment::NEVER {
+        if self.bound.answer_deadline == Moment::NEVER {
             return;
         }
         for id in self.requests.waiting_ids() {
@@ -153,7 +153,7 @@
     /// complete.
     pub(super) fn terminate(&mut self, now: Moment, actions: &mut Vec<EntryAction>) {
         // Nothing may start from here on.
-        self.set_finish_by(now, Moment::START, actions);
+        self.set_answer_deadline(now, Moment::START, actions);
         for id in self.requests.ids() {
             let Some(entry) = self.requests.take(id) else {
                 continue;
--- a/bergamotswitch-core/src/entry/mod.rs
+++ b/bergamotswitch-core/src/entry/mod.rs
@@ -154,7 +154,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum EntryEvent {
     /// The last caller that followed a request disconnected.
-    CallerLeft(RequestId),
+    CallerDisconnected(RequestId),
     /// An owner sent a reply.
     Reply(HostName, OwnerReply),
     /// This host's view of the acting owner of a shard changed. If no candidate
@@ -174,7 +174,7 @@
     Stop,
     /// Answers have to be complete by this time, due to the grace period of a
     /// shutdown.
-    FinishBy(Moment),
+    AnswerDeadline(Moment),
     /// The address leases of callers have expired: new requests are refused.
     AdmissionClosed,
     /// The time at which enough hosts are expected to accept requests again,
@@ -190,7 +190,7 @@
     /// Time has passed.
     Tick,
     /// The process was paused for this duration, so its state may be outdated.
-    ProcessPaused(Duration),
+    ProcessResumed(Duration),
 }
 
 /// A `Conclusion` is the final outcome of a request.
--- a/bergamotswitch-core/src/explain.rs
+++ b/bergamotswitch-core/src/explain.rs
@@ -7,7 +7,7 @@
 
 use crate::failure_domain::DomainName;
 use crate::publication::Publication;
-use crate::rules::{RequestFacts, RuleTrace, Verdict};
+use crate::rules::{RequestAttributes, RuleTrace, Verdict};
 use crate::target::{PoolTarget, TargetName};
 
 /// An `Exclusion` is a reason why a target is not eligible for a request.
@@ -50,9 +50,9 @@
 
 impl RequestExplanation {
     /// Get the explanation of a request under the given publication.
-    pub fn of(publication: &Publication, facts: &RequestFacts<'_>) -> Self {
-        let verdict = publication.rules.decide(facts);
-        let pool = publication.pools.pool(facts.pool);
+    pub fn of(publication: &Publication, attributes: &RequestAttributes<'_>) -> Self {
+        let verdict = publication.rules.decide(attributes);
+        let pool = publication.pools.pool(attributes.pool);
         let targets = pool.map(|pool| pool.targets.as_slice()).unwrap_or_default();
         let eligibilities = targets
             .iter()
@@ -60,7 +60,7 @@
             .collect();
         RequestExplanation {
             pool_known: pool.is_some(),
-            trace: publication.rules.explain(facts),
+            trace: publication.rules.explain(attributes),
             verdict,
             targets: eligibilities,
         }
--- a/bergamotswitch-core/src/membership/machine.rs
+++ b/bergamotswitch-core/src/membership/machine.rs
@@ -109,7 +109,7 @@
                 self.begin_stop(now, &mut actions);
             }
             MembershipEvent::Tick => {}
-            MembershipEvent::Resumed(suspended) => {
+            MembershipEvent::ProcessResumed(suspended) => {
                 self.invalidate_after_suspension(now, suspended, &mut actions)
             }
         }
@@ -278,7 +278,10 @@
         self.changed |= peer.state() != before;
         let answer = peer.answer(heartbeat);
         if change == Some(PathChange::Reachable) {
-            actions.push(MembershipAction::Log(Incident::PeerReachable, host.clone()));
+            actions.push(MembershipAction::LogIncident(
+                Incident::PeerReachable,
+                host.clone(),
+            ));
         }
         if let Some(heard) = answer {
             let heartbeat = self.build_heartbeat(0, heard);
--- a/bergamotswitch-core/src/membership/mod.rs
+++ b/bergamotswitch-core/src/membership/mod.rs
@@ -64,8 +64,8 @@
     Stop,
     /// The timer fired.
     Tick,
-    /// The process was suspended for this long.
-    Resumed(Duration),
+    /// The process was paused for this long.
+    ProcessResumed(Duration),
 }
 
 /// A `MembershipAction` is an output of the membership state machine.
@@ -86,5 +86,5 @@
     /// host was removed from the host list and is unreachable.
     HostTerminated(HostName, Incarnation),
     /// Log an event about a host.
-    Log(Incident, HostName),
+    LogIncident(Incident, HostName),
 }
--- a/bergamotswitch-core/src/membership/reconcile.rs
+++ b/bergamotswitch-core/src/membership/reconcile.rs
@@ -37,7 +37,7 @@
         for (host, peer) in &mut self.peers {
             if peer.check_timeout(now, &self.opts) == Some(PathChange::Unreachable) {
                 self.changed = true;
-                actions.push(MembershipAction::Log(
+                actions.push(MembershipAction::LogIncident(
                     Incident::PeerUnreachable,
                     host.clone(),
                 ));
--- a/bergamotswitch-core/src/node/actions.rs
+++ b/bergamotswitch-core/src/node/actions.rs
@@ -108,7 +108,7 @@
                 self.queue_owner(actions);
                 self.exposure.record_run_end(now, &host);
             }
-            MembershipAction::Log(incident, host) => {
+            MembershipAction::LogIncident(incident, host) => {
                 let text = format!("peer={host}");
                 self.actions.push(NodeAction::LogIncident(incident, text));
             }
--- a/bergamotswitch-core/src/node/core.rs
+++ b/bergamotswitch-core/src/node/core.rs
@@ -191,7 +191,9 @@
     pub fn handle(&mut self, now: Moment, event: NodeEvent) -> Vec<NodeAction> {
         self.detect_pause(now);
         match event {
-            NodeEvent::CallerDisconnected(id) => self.notify_entry(now, EntryEvent::CallerLeft(id)),
+            NodeEvent::CallerDisconnected(id) => {
+                self.notify_entry(now, EntryEvent::CallerDisconnected(id))
+            }
             NodeEvent::Attempt(id, event) => self.notify_entry(now, EntryEvent::Attempt(id, event)),
             NodeEvent::AnswerTooLong(id) => self.notify_entry(now, EntryEvent::AnswerTooLong(id)),
             NodeEvent::AnswerSize(id, bytes) => {
@@ -259,10 +261,10 @@
         self.actions
             .push(NodeAction::LogIncident(Incident::PauseDetected, text));
         self.notify_roster_of_pause(now);
-        self.notify_membership(now, MembershipEvent::Resumed(gap));
+        self.notify_membership(now, MembershipEvent::ProcessResumed(gap));
         self.key_guards.reset(now);
-        self.notify_revisions(now, RevisionEvent::Resumed(gap));
-        self.notify_entry(now, EntryEvent::ProcessPaused(gap));
+        self.notify_revisions(now, RevisionEvent::ProcessResumed(gap));
+        self.notify_entry(now, EntryEvent::ProcessResumed(gap));
         self.run_queue(now);
     }
 
@@ -306,7 +308,7 @@
         // Update the expected return of other hosts first: the entry component refuses
         // waiting requests on the event below, and sets their retry time from it.
         self.review_host_returns(now);
-        self.notify_entry(now, EntryEvent::FinishBy(at));
+        self.notify_entry(now, EntryEvent::AnswerDeadline(at));
     }
 
     fn on_link(&mut self, now: Moment, event: LinkEvent) {
--- a/bergamotswitch-core/src/node/intake.rs
+++ b/bergamotswitch-core/src/node/intake.rs
@@ -2,7 +2,7 @@
 //! resolution and readiness.
 
 use super::{NodeAction, NodeCore};
-use crate::address::{AddressAnswer, AddressBook, AddressQuery, HostHealth};
+use crate::address::{AddressAnswer, AddressQuery, AddressSelector, HostHealth};
 use crate::clock::Moment;
 use crate::entry::{OutcomeQuery, OutcomeView, Submission, SubmitOutcome};
 use crate::host::EntryHost;
@@ -68,7 +68,7 @@
     /// Get the hosts that a caller should use.
     pub fn address(&self, query: &AddressQuery) -> AddressAnswer {
         let health: Vec<HostHealth> = self.host_health();
-        AddressBook::new(&self.publication).answer(query, &health)
+        AddressSelector::new(&self.publication).answer(query, &health)
     }
 
     fn host_health(&self) -> Vec<HostHealth> {
--- a/bergamotswitch-core/src/node/published.rs
+++ b/bergamotswitch-core/src/node/published.rs
@@ -23,7 +23,7 @@
             }
             RevisionAction::Validate(value) => self.on_offer(now, value),
             RevisionAction::Link(host) => self.actions.push(NodeAction::Connect(host)),
-            RevisionAction::Log(incident, name) => {
+            RevisionAction::LogIncident(incident, name) => {
                 let text = format!("value={name}");
                 self.actions.push(NodeAction::LogIncident(incident, text));
             }
--- a/bergamotswitch-core/src/node/view.rs
+++ b/bergamotswitch-core/src/node/view.rs
@@ -31,7 +31,8 @@
     /// Inconsistencies between values that are each valid.
     pub cross_findings: Vec<String>,
     /// The requests at this host.
-    pub desk: EntryView,
+    #[serde(rename = "desk")]
+    pub entry: EntryView,
     /// The shards that this host owns.
     pub owns: Vec<PoolShard>,
     /// The state of every shard for which this host acts as owner, including degraded
@@ -61,7 +62,7 @@
                 .iter()
                 .map(ToString::to_string)
                 .collect(),
-            desk: self.entry.view(),
+            entry: self.entry.view(),
             owns: self.membership.acting_shards(),
             shards: self.shards.views(),
             degraded: self.shards.degraded_count(),
--- a/bergamotswitch-core/src/publication/registered_pools.rs
+++ b/bergamotswitch-core/src/publication/registered_pools.rs
@@ -31,11 +31,11 @@
 pub(super) fn pools(list: &TargetList, routes: &RouteTable) -> PoolList {
     let mut pools: BTreeMap<&PoolName, Vec<PoolTarget>> = BTreeMap::new();
     for entry in &list.targets {
-        let Some(facts) = routes.pool(&entry.pool) else {
+        let Some(spec) = routes.pool(&entry.pool) else {
             continue;
         };
         let targets = pools.entry(&entry.pool).or_default();
-        targets.push(pool_target(entry, facts));
+        targets.push(pool_target(entry, spec));
     }
     let pools = pools.into_iter().map(|(name, targets)| TargetPool {
         name: name.clone(),
@@ -46,15 +46,15 @@
     PoolList::new(pools.collect())
 }
 
-fn pool_kind(facts: Option<&PoolSpec>) -> PoolKind {
-    match facts.and_then(|facts| facts.engine) {
+fn pool_kind(spec: Option<&PoolSpec>) -> PoolKind {
+    match spec.and_then(|spec| spec.engine) {
         Some(_) => PoolKind::Engine,
         None => PoolKind::Plain,
     }
 }
 
-fn pool_target(entry: &TargetEntry, facts: &PoolSpec) -> PoolTarget {
-    let engine = facts.engine;
+fn pool_target(entry: &TargetEntry, spec: &PoolSpec) -> PoolTarget {
+    let engine = spec.engine;
     PoolTarget {
         name: entry.name.clone(),
         domain: entry.domain.clone(),
--- a/bergamotswitch-core/src/revision/confirmation.rs
+++ b/bergamotswitch-core/src/revision/confirmation.rs
@@ -102,9 +102,9 @@
             return;
         };
         for host in self.links.keys() {
-            let message = RevisionMessage::AskConfirmed {
+            let message = RevisionMessage::QueryConfirmation {
                 name: name.clone(),
-                asked_at: now,
+                queried_at: now,
             };
             actions.push(RevisionAction::Send(host.clone(), message));
         }
@@ -116,7 +116,7 @@
         now: Moment,
         host: HostName,
         name: ValueName,
-        asked_at: Moment,
+        queried_at: Moment,
         actions: &mut Vec<RevisionAction>,
     ) {
         let Some(age) = self.confirmed_age(now, &name) else {
@@ -131,7 +131,7 @@
         let age_ms = u32::try_from(age.as_millis() + 1).unwrap_or(u32::MAX);
         let message = RevisionMessage::Confirmed {
             name,
-            asked_at,
+            queried_at,
             revision,
             age_ms,
         };
@@ -142,7 +142,7 @@
     pub(super) fn handle_confirmed(
         &mut self,
         name: &ValueName,
-        asked_at: Moment,
+        queried_at: Moment,
         revision: Revision,
         age_ms: u32,
     ) {
@@ -151,7 +151,7 @@
         if self.seen(name) < revision {
             return;
         }
-        let confirmed_at = ConfirmedAt::new(asked_at).before(age_ms);
+        let confirmed_at = ConfirmedAt::new(queried_at).before(age_ms);
         self.confirm(name, confirmed_at, revision);
     }
 
--- a/bergamotswitch-core/src/revision/mod.rs
+++ b/bergamotswitch-core/src/revision/mod.rs
@@ -90,18 +90,18 @@
     Whole(PublishedValue),
     /// A query for how long ago the receiver knew its revision of a value to be
     /// the newest.
-    AskConfirmed {
+    QueryConfirmation {
         /// The name of the value.
         name: ValueName,
         /// The sender's time of the query.
-        asked_at: Moment,
+        queried_at: Moment,
     },
-    /// The answer to `AskConfirmed`.
+    /// The answer to `QueryConfirmation`.
     Confirmed {
         /// The name of the value.
         name: ValueName,
         /// The time of the query, copied from it.
-        asked_at: Moment,
+        queried_at: Moment,
         /// The revision in force on the sender.
         revision: Revision,
         /// How long before the answer that revision was known to be the newest,
@@ -156,8 +156,8 @@
     Hosts(HostList),
     /// The timer fired.
     Tick,
-    /// The process was suspended for this long.
-    Resumed(Duration),
+    /// The process was paused for this long.
+    ProcessResumed(Duration),
 }
 
 /// A `RevisionAction` is an output of a [`RevisionReplica`].
@@ -177,5 +177,5 @@
     /// `RevisionReplica::wants_link` returns true.
     Link(EntryHost),
     /// Log an event about a value.
-    Log(Incident, ValueName),
+    LogIncident(Incident, ValueName),
 }
--- a/bergamotswitch-core/src/revision/propagation.rs
+++ b/bergamotswitch-core/src/revision/propagation.rs
@@ -62,17 +62,17 @@
                 }
             }
             RevisionMessage::Want(name) => self.send_whole(now, &host, &name, actions),
-            RevisionMessage::AskConfirmed { name, asked_at } => {
-                self.answer_confirmed(now, host, name, asked_at, actions);
+            RevisionMessage::QueryConfirmation { name, queried_at } => {
+                self.answer_confirmed(now, host, name, queried_at, actions);
             }
             RevisionMessage::Confirmed {
                 name,
-                asked_at,
+                queried_at,
                 revision,
                 age_ms,
             } => {
                 self.record_revision(now, &host, &name, revision);
-                self.handle_confirmed(&name, asked_at, revision, age_ms);
+                self.handle_confirmed(&name, queried_at, revision, age_ms);
             }
             RevisionMessage::Whole(value) => {
                 self.record_revision(now, &host, &value.name, value.revision);
--- a/bergamotswitch-core/src/revision/replica.rs
+++ b/bergamotswitch-core/src/revision/replica.rs
@@ -146,7 +146,7 @@
             }
             RevisionEvent::Hosts(list) => self.handle_hosts(list),
             RevisionEvent::Tick => {}
-            RevisionEvent::Resumed(_) => self.invalidate(now),
+            RevisionEvent::ProcessResumed(_) => self.invalidate(now),
         }
         self.reconcile(now, &mut actions);
         actions
@@ -170,7 +170,7 @@
             None => false,
         };
         if recorded {
-            actions.push(RevisionAction::Log(incident, name.clone()));
+            actions.push(RevisionAction::LogIncident(incident, name.clone()));
         }
         self.reconcile(now, &mut actions);
         actions
@@ -235,7 +235,10 @@
         // without a backoff would use up the read budget.
         if value.revision < call.beyond {
             if call.fail(now, &self.opts, &mut self.jitter) {
-                actions.push(RevisionAction::Log(Incident::RevisionStale, value.name));
+                actions.push(RevisionAction::LogIncident(
+                    Incident::RevisionStale,
+                    value.name,
+                ));
             }
             return;
         }
@@ -253,7 +256,10 @@
             None => return,
         };
         if call.fail(now, &self.opts, &mut self.jitter) {
-            actions.push(RevisionAction::Log(Incident::ServiceUnreachable, name));
+            actions.push(RevisionAction::LogIncident(
+                Incident::ServiceUnreachable,
+                name,
+            ));
         }
     }
 
@@ -365,7 +371,7 @@
         }
         self.alone_logged = true;
         if let Some(name) = self.opts.values.first() {
-            let log = RevisionAction::Log(Incident::StartedWithoutPeer, name.clone());
+            let log = RevisionAction::LogIncident(Incident::StartedWithoutPeer, name.clone());
             actions.push(log);
         }
     }
--- a/bergamotswitch-core/src/rules/mod.rs
+++ b/bergamotswitch-core/src/rules/mod.rs
@@ -74,9 +74,9 @@
     serializer.serialize_u64(span.as_millis() as u64)
 }
 
-/// A `RequestFacts` is the attributes of a request that rules can match.
+/// A `RequestAttributes` is the attributes of a request that rules can match.
 #[derive(Clone, Copy, Debug)]
-pub struct RequestFacts<'a> {
+pub struct RequestAttributes<'a> {
     /// The pool.
     pub pool: &'a crate::pool::PoolName,
     /// The client account.
@@ -111,18 +111,18 @@
     }
 
     /// Get the decision of the first matching rule; `None` if no rule matches.
-    pub fn decide(&self, facts: &RequestFacts<'_>) -> Option<Verdict> {
+    pub fn decide(&self, attributes: &RequestAttributes<'_>) -> Option<Verdict> {
         self.rules
             .iter()
-            .find(|rule| rule.when.first_failed_part(facts).is_none())
+            .find(|rule| rule.when.first_failed_part(attributes).is_none())
             .map(Rule::verdict)
     }
 
     /// Get the result of each rule for a request, up to and including the first match.
-    pub fn explain(&self, facts: &RequestFacts<'_>) -> RuleTrace {
+    pub fn explain(&self, attributes: &RequestAttributes<'_>) -> RuleTrace {
         let mut trace = RuleTrace::default();
         for rule in &self.rules {
-            let step = RuleStep::of(rule, facts);
+            let step = RuleStep::of(rule, attributes);
             let matched = step.failed.is_none();
             trace.steps.push(step);
             if matched {
--- a/bergamotswitch-core/src/rules/rule.rs
+++ b/bergamotswitch-core/src/rules/rule.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use super::{RequestFacts, RuleName, Tier, Verdict, WorkKind};
+use super::{RequestAttributes, RuleName, Tier, Verdict, WorkKind};
 use crate::client_account::AccountName;
 use crate::failure_domain::DomainName;
 use crate::pool::PoolName;
@@ -93,26 +93,29 @@
     }
 
     /// Get the first part that does not match a request; `None` if all match.
-    pub(super) fn first_failed_part(&self, facts: &RequestFacts<'_>) -> Option<ConditionPart> {
+    pub(super) fn first_failed_part(
+        &self,
+        attributes: &RequestAttributes<'_>,
+    ) -> Option<ConditionPart> {
         ConditionPart::ALL
             .into_iter()
-            .find(|part| !self.part_holds(*part, facts))
+            .find(|part| !self.part_holds(*part, attributes))
     }
 
-    fn part_holds(&self, part: ConditionPart, facts: &RequestFacts<'_>) -> bool {
-        let tokens = facts.prompt_tokens;
+    fn part_holds(&self, part: ConditionPart, attributes: &RequestAttributes<'_>) -> bool {
+        let tokens = attributes.prompt_tokens;
         match part {
-            ConditionPart::Pools => matches_list(&self.pools, Some(facts.pool)),
-            ConditionPart::Accounts => matches_list(&self.accounts, Some(facts.account)),
-            ConditionPart::Work => matches_list(&self.work, facts.work),
+            ConditionPart::Pools => matches_list(&self.pools, Some(attributes.pool)),
+            ConditionPart::Accounts => matches_list(&self.accounts, Some(attributes.account)),
+            ConditionPart::Work => matches_list(&self.work, attributes.work),
             ConditionPart::Paths => match &self.paths {
-                Some(paths) => paths.iter().any(|path| facts.path.starts_with(path)),
+                Some(paths) => paths.iter().any(|path| attributes.path.starts_with(path)),
                 None => true,
             },
-            ConditionPart::Domains => matches_list(&self.domains, Some(facts.domain)),
+            ConditionPart::Domains => matches_list(&self.domains, Some(attributes.domain)),
             ConditionPart::MinPromptTokens => self.min_prompt_tokens.is_none_or(|n| tokens >= n),
             ConditionPart::MaxPromptTokens => self.max_prompt_tokens.is_none_or(|n| tokens <= n),
-            ConditionPart::Streaming => self.streaming.is_none_or(|s| s == facts.streaming),
+            ConditionPart::Streaming => self.streaming.is_none_or(|s| s == attributes.streaming),
         }
     }
 }
--- a/bergamotswitch-core/src/rules/trace.rs
+++ b/bergamotswitch-core/src/rules/trace.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use super::rule::{ConditionPart, Rule};
-use super::{RequestFacts, RuleCondition, RuleName};
+use super::{RequestAttributes, RuleCondition, RuleName};
 
 /// A `RuleTrace` is the result of each evaluated rule, up to and including the first
 /// match.
@@ -48,43 +48,45 @@
 }
 
 impl RuleStep {
-    pub(super) fn of(rule: &Rule, facts: &RequestFacts<'_>) -> Self {
-        let failed = rule.when.first_failed_part(facts);
+    pub(super) fn of(rule: &Rule, attributes: &RequestAttributes<'_>) -> Self {
+        let failed = rule.when.first_failed_part(attributes);
         RuleStep {
             rule: rule.name.clone(),
-            failed: failed.map(|part| FailedCondition::of(part, &rule.when, facts)),
+            failed: failed.map(|part| FailedCondition::of(part, &rule.when, attributes)),
         }
     }
 }
 
 impl FailedCondition {
-    fn of(part: ConditionPart, when: &RuleCondition, facts: &RequestFacts<'_>) -> Self {
+    fn of(part: ConditionPart, when: &RuleCondition, attributes: &RequestAttributes<'_>) -> Self {
         match part {
-            ConditionPart::Pools => failed_condition("pools", facts.pool, any_of(&when.pools)),
+            ConditionPart::Pools => failed_condition("pools", attributes.pool, any_of(&when.pools)),
             ConditionPart::Accounts => {
-                failed_condition("accounts", facts.account, any_of(&when.accounts))
+                failed_condition("accounts", attributes.account, any_of(&when.accounts))
             }
-            ConditionPart::Work => match facts.work {
+            ConditionPart::Work => match attributes.work {
                 Some(work) => failed_condition("work", work, any_of(&when.work)),
                 None => failed_condition("work", &"nothing", any_of(&when.work)),
             },
-            ConditionPart::Paths => failed_condition("paths", &facts.path, any_of(&when.paths)),
+            ConditionPart::Paths => {
+                failed_condition("paths", &attributes.path, any_of(&when.paths))
+            }
             ConditionPart::Domains => {
-                failed_condition("domains", facts.domain, any_of(&when.domains))
+                failed_condition("domains", attributes.domain, any_of(&when.domains))
             }
             ConditionPart::MinPromptTokens => failed_condition(
                 "min_prompt_tokens",
-                &facts.prompt_tokens,
+                &attributes.prompt_tokens,
                 bound("at least", when.min_prompt_tokens),
             ),
             ConditionPart::MaxPromptTokens => failed_condition(
                 "max_prompt_tokens",
-                &facts.prompt_tokens,
+                &attributes.prompt_tokens,
                 bound("at most", when.max_prompt_tokens),
             ),
             ConditionPart::Streaming => {
-                let wanted = !facts.streaming;
-                failed_condition("streaming", &facts.streaming, wanted.to_string())
+                let wanted = !attributes.streaming;
+                failed_condition("streaming", &attributes.streaming, wanted.to_string())
             }
         }
     }
--- a/bergamotswitch-core/tests/address_answers.rs
+++ b/bergamotswitch-core/tests/address_answers.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashSet};
 
-use bergamotswitch_core::address::{AddressBook, AddressQuery, CallerHash, HostHealth};
+use bergamotswitch_core::address::{AddressQuery, AddressSelector, CallerHash, HostHealth};
 use bergamotswitch_core::client_account::AccountName;
 use bergamotswitch_core::failure_domain::DomainName;
 use bergamotswitch_core::host::{EntryHost, HostName, Incarnation, Standing};
@@ -54,7 +54,7 @@
 
 fn names(query: &AddressQuery, hosts: &[HostHealth]) -> Vec<String> {
     let publication = publication();
-    let answer = AddressBook::new(&publication).answer(query, hosts);
+    let answer = AddressSelector::new(&publication).answer(query, hosts);
     answer.hosts.into_iter().map(|host| host.host).collect()
 }
 
@@ -203,7 +203,7 @@
     let mut publication = publication();
     let mut hosts = vec![host(0), host(1)];
     hosts[1].incarnation = None;
-    let answer = AddressBook::new(&publication).answer(&query(1, Some("north")), &hosts);
+    let answer = AddressSelector::new(&publication).answer(&query(1, Some("north")), &hosts);
     assert_eq!(answer.lifetime_ms, 10_000);
     let run = format!("h0~{:032x}", 0);
     assert_eq!(answer.hosts[0].incarnation, Some(run));
@@ -211,10 +211,10 @@
     assert_eq!(answer.hosts[1].incarnation, None);
     publication.limits.address_choices = 1;
     publication.limits.address_lifetime_ms = 5_000;
-    let book = AddressBook::new(&publication);
-    let answer = book.answer(&query(1, None), &hosts);
+    let selector = AddressSelector::new(&publication);
+    let answer = selector.answer(&query(1, None), &hosts);
     assert_eq!((answer.hosts.len(), answer.lifetime_ms), (1, 5_000));
-    let empty = book.answer(&query(1, None), &[]);
+    let empty = selector.answer(&query(1, None), &[]);
     assert_eq!((empty.hosts.len(), empty.lifetime_ms), (0, 1_000));
 }
 
--- a/bergamotswitch-core/tests/deployment_files.rs
+++ b/bergamotswitch-core/tests/deployment_files.rs
@@ -6,7 +6,7 @@
 use bergamotswitch_core::pool::PoolName;
 use bergamotswitch_core::publication::{Publication, check_consistency};
 use bergamotswitch_core::revision::{PublishedValue, Revision, ValueName};
-use bergamotswitch_core::rules::{RequestFacts, Tier, Verdict, WorkKind};
+use bergamotswitch_core::rules::{RequestAttributes, Tier, Verdict, WorkKind};
 use bergamotswitch_core::settings::HostSettings;
 
 const VALUES: [&str; 6] = ["rules", "accounts", "pools", "domains", "limits", "hosts"];
@@ -37,7 +37,7 @@
     let pool = PoolName::try_from(pool).unwrap();
     let work = WorkKind::try_from(work).unwrap();
     let domain: &DomainName = &publication.domains.domains()[0].name;
-    let facts = RequestFacts {
+    let attributes = RequestAttributes {
         pool: &pool,
         account: &publication.accounts.accounts()[2].name,
         work: Some(&work),
@@ -46,7 +46,7 @@
         prompt_tokens: 100,
         streaming: true,
     };
-    publication.rules.decide(&facts).unwrap()
+    publication.rules.decide(&attributes).unwrap()
 }
 
 fn check_deployment(deployment: &str, engine: &str, plain: &str) {
--- a/bergamotswitch-core/tests/entry_grace.rs
+++ b/bergamotswitch-core/tests/entry_grace.rs
@@ -29,8 +29,8 @@
 }
 
 fn stop(dispatcher: &mut TestDispatcher, left: Duration) -> Vec<EntryAction> {
-    let whole_by = dispatcher.now.plus(left);
-    let mut actions = dispatcher.event(EntryEvent::FinishBy(whole_by));
+    let answer_deadline = dispatcher.now.plus(left);
+    let mut actions = dispatcher.event(EntryEvent::AnswerDeadline(answer_deadline));
     actions.extend(dispatcher.event(EntryEvent::Stop));
     actions
 }
@@ -331,7 +331,9 @@
     // The maximum output still limits the call.
     let mut bounded = with_estimate(400);
     bounded.options.max_output_tokens = Some(401);
-    dispatcher.event(EntryEvent::FinishBy(dispatcher.now.plus(GRACE_LEFT * 2)));
+    dispatcher.event(EntryEvent::AnswerDeadline(
+        dispatcher.now.plus(GRACE_LEFT * 2),
+    ));
     dispatcher.begin(bounded, "t0");
 }
 
@@ -410,7 +412,7 @@
         // again.
         stop(&mut dispatcher, Duration::from_secs(5));
         refused_while_stopping(&mut dispatcher, with_estimate(400));
-        dispatcher.event(EntryEvent::FinishBy(dispatcher.now.plus(GRACE_LEFT)));
+        dispatcher.event(EntryEvent::AnswerDeadline(dispatcher.now.plus(GRACE_LEFT)));
         dispatcher.begin(with_estimate(400), "t0");
     }
 }
@@ -425,13 +427,13 @@
         let id = dispatcher.accept(submission());
         dispatcher.start(first_attempt(id), "t0");
         dispatcher.pass(Duration::from_millis(1));
-        dispatcher.event(EntryEvent::CallerLeft(id));
+        dispatcher.event(EntryEvent::CallerDisconnected(id));
     }
     for _ in 0..64 {
         let id = dispatcher.accept(submission());
         dispatcher.start(first_attempt(id), "t0");
         dispatcher.attempt(first_attempt(id), AttemptEvent::Failed);
-        dispatcher.event(EntryEvent::CallerLeft(id));
+        dispatcher.event(EntryEvent::CallerDisconnected(id));
     }
     stop(&mut dispatcher, Duration::from_secs(2));
     assert!(!is_accepted(&mut dispatcher));
@@ -504,7 +506,7 @@
 #[test]
 fn no_grace_period() {
     let mut dispatcher = TestDispatcher::new(EntryOptions::default());
-    dispatcher.event(EntryEvent::FinishBy(Moment::NEVER));
+    dispatcher.event(EntryEvent::AnswerDeadline(Moment::NEVER));
     dispatcher.event(EntryEvent::Stop);
     dispatcher.begin(submission(), "t0");
     assert_eq!(dispatcher.pass(Duration::from_secs(20)), vec![]);
--- a/bergamotswitch-core/tests/entry_lifecycle.rs
+++ b/bergamotswitch-core/tests/entry_lifecycle.rs
@@ -131,7 +131,7 @@
         dispatcher.now = dispatcher.now.plus(Duration::from_secs(10));
         let mut actions = Vec::new();
         if reported {
-            actions.extend(dispatcher.event(EntryEvent::ProcessPaused(Duration::from_secs(10))));
+            actions.extend(dispatcher.event(EntryEvent::ProcessResumed(Duration::from_secs(10))));
         }
         actions.extend(dispatcher.grant(&permit));
         assert_eq!(starts(&actions), vec![]);
@@ -381,12 +381,12 @@
 fn caller_left() {
     let mut dispatcher = TestDispatcher::new(EntryOptions::default());
     let waiting = dispatcher.accept(submission());
-    let actions = dispatcher.event(EntryEvent::CallerLeft(waiting));
+    let actions = dispatcher.event(EntryEvent::CallerDisconnected(waiting));
     let left_caller = (RefusalReason::CallerLeft, RunClaim::NotRun);
     assert_eq!(refusals(&actions), vec![left_caller]);
 
     let attempt = dispatcher.begin(submission(), "t0");
-    let actions = dispatcher.event(EntryEvent::CallerLeft(attempt.request));
+    let actions = dispatcher.event(EntryEvent::CallerDisconnected(attempt.request));
     let cancel = EntryAction::Abort {
         attempt,
         cancel: true,
@@ -396,7 +396,7 @@
     assert!(actions.contains(&waste));
 
     let attempt = dispatcher.begin(keyed_submission("k"), "t0");
-    let left = dispatcher.event(EntryEvent::CallerLeft(attempt.request));
+    let left = dispatcher.event(EntryEvent::CallerDisconnected(attempt.request));
     assert_eq!(left, vec![]);
     let actions = dispatcher.attempt(attempt, AttemptEvent::Finished(usage()));
     assert_eq!(conclusions(&actions), vec![Conclusion::Answered]);
@@ -412,7 +412,7 @@
     let mut keyed = submission();
     keyed.key = Some(name("k"));
     let left = dispatcher.begin(keyed, "t0");
-    dispatcher.event(EntryEvent::CallerLeft(left.request));
+    dispatcher.event(EntryEvent::CallerDisconnected(left.request));
     let actions = dispatcher.pass(DEADLINE);
     let not_run = (RefusalReason::DeadlinePassed, RunClaim::NotRun);
     let unknown = (RefusalReason::DeadlinePassed, RunClaim::Unknown);
@@ -462,7 +462,7 @@
     dispatcher.event(EntryEvent::Pools(vec![pool(true)]));
     let id = dispatcher.accept(submission());
     assert_eq!(dispatcher.dispatcher.used_shards(), vec![shard_in("south")]);
-    dispatcher.event(EntryEvent::CallerLeft(id));
+    dispatcher.event(EntryEvent::CallerDisconnected(id));
     let mut northern = submission();
     northern.verdict.domains = vec![name("north")];
     dispatcher.accept(northern.clone());
--- a/bergamotswitch-core/tests/entry_simulation/faults.rs
+++ b/bergamotswitch-core/tests/entry_simulation/faults.rs
@@ -43,7 +43,7 @@
                     _ => pick(&running_requests, c),
                 };
                 if let Some(id) = disconnected {
-                    self.handle(host, EntryEvent::CallerLeft(id));
+                    self.handle(host, EntryEvent::CallerDisconnected(id));
                 }
             }
             3..=5 => {
@@ -106,12 +106,12 @@
                 let span = Duration::from_millis(u64::from(c) * 20);
                 self.now = self.now.plus(span);
                 self.hosts[host].resumed_at = self.step;
-                self.handle(host, EntryEvent::ProcessPaused(span));
+                self.handle(host, EntryEvent::ProcessResumed(span));
             }
             6 if self.hosts[host].stopping => {
                 let time_left = Duration::from_millis(u64::from(c) * 100);
-                let finish_by = self.now.plus(time_left);
-                self.handle(host, EntryEvent::FinishBy(finish_by));
+                let answer_deadline = self.now.plus(time_left);
+                self.handle(host, EntryEvent::AnswerDeadline(answer_deadline));
             }
             // The grace period of the stop has expired.
             7 if self.hosts[host].stopping => {
--- a/bergamotswitch-core/tests/entry_stop.rs
+++ b/bergamotswitch-core/tests/entry_stop.rs
@@ -36,6 +36,6 @@
             .event(EntryEvent::Tick)
             .contains(&EntryAction::Stopped)
     );
-    let actions = dispatcher.event(EntryEvent::CallerLeft(last));
+    let actions = dispatcher.event(EntryEvent::CallerDisconnected(last));
     assert!(actions.contains(&EntryAction::Stopped));
 }
--- a/bergamotswitch-core/tests/explain_request.rs
+++ b/bergamotswitch-core/tests/explain_request.rs
@@ -5,7 +5,7 @@
 use bergamotswitch_core::failure_domain::DomainName;
 use bergamotswitch_core::pool::PoolName;
 use bergamotswitch_core::publication::{PoolList, Publication};
-use bergamotswitch_core::rules::{RequestFacts, RuleSet};
+use bergamotswitch_core::rules::{RequestAttributes, RuleSet};
 use serde_json::{Value, json};
 
 fn publication(rules: Value) -> Publication {
@@ -26,7 +26,7 @@
 }
 
 fn explain(publication: &Publication, pool: &str) -> RequestExplanation {
-    let facts = RequestFacts {
+    let attributes = RequestAttributes {
         pool: &PoolName::try_from(pool).unwrap(),
         account: &AccountName::try_from("a").unwrap(),
         work: None,
@@ -35,7 +35,7 @@
         prompt_tokens: 1,
         streaming: false,
     };
-    RequestExplanation::of(publication, &facts)
+    RequestExplanation::of(publication, &attributes)
 }
 
 /// Get the reasons for exclusion of each target.
--- a/bergamotswitch-core/tests/fleet/mod.rs
+++ b/bergamotswitch-core/tests/fleet/mod.rs
@@ -143,7 +143,7 @@
                 MembershipAction::OwnerChanged(..) => node.owner_changes += 1,
                 MembershipAction::Act(..) => node.acting_changes += 1,
                 MembershipAction::HostTerminated(host, _) => node.terminated.push(host),
-                action @ MembershipAction::Log(..) => node.log_actions.push(action),
+                action @ MembershipAction::LogIncident(..) => node.log_actions.push(action),
             }
         }
         self.schedule_wake(name);
@@ -186,7 +186,7 @@
 
     pub fn resume(&mut self, name: &HostName, slept: Duration) {
         self.nodes.get_mut(name).unwrap().paused = false;
-        self.handle(name, MembershipEvent::Resumed(slept));
+        self.handle(name, MembershipEvent::ProcessResumed(slept));
     }
 
     pub fn cut(&mut self, from: &HostName, to: &HostName) {
--- a/bergamotswitch-core/tests/key_trust.rs
+++ b/bergamotswitch-core/tests/key_trust.rs
@@ -22,10 +22,10 @@
     Moment::from_millis(millis)
 }
 
-fn confirmed(asked_at: Moment, revision: u64, age_ms: u32) -> RevisionEvent {
+fn confirmed(queried_at: Moment, revision: u64, age_ms: u32) -> RevisionEvent {
     let message = RevisionMessage::Confirmed {
         name: name(ROUTES_VALUE),
-        asked_at,
+        queried_at,
         revision: Revision(revision),
         age_ms,
     };
--- a/bergamotswitch-core/tests/membership_faults.rs
+++ b/bergamotswitch-core/tests/membership_faults.rs
@@ -99,7 +99,10 @@
     assert_eq!(fleet.owners_of(&shard(0)), vec![order[0].clone()]);
     assert_viewed(&fleet, &order, &order[0]);
     let unreachable = |note: &MembershipAction| {
-        matches!(note, MembershipAction::Log(Incident::PeerUnreachable, _))
+        matches!(
+            note,
+            MembershipAction::LogIncident(Incident::PeerUnreachable, _)
+        )
     };
     assert!(!fleet.nodes[&order[1]].log_actions.iter().any(unreachable));
 }
--- a/bergamotswitch-core/tests/replica_net/mod.rs
+++ b/bergamotswitch-core/tests/replica_net/mod.rs
@@ -223,7 +223,7 @@
                 RevisionAction::Link(entry) => {
                     node.wanted_links.insert(entry.name);
                 }
-                RevisionAction::Log(incident, value) => node.logs.push((incident, value)),
+                RevisionAction::LogIncident(incident, value) => node.logs.push((incident, value)),
             }
         }
     }
@@ -309,7 +309,7 @@
 
     pub fn resume(&mut self, me: &HostName, suspended: Duration) {
         self.nodes.get_mut(me).unwrap().paused = false;
-        self.handle(me, RevisionEvent::Resumed(suspended));
+        self.handle(me, RevisionEvent::ProcessResumed(suspended));
     }
 
     fn is_cut(&self, a: &HostName, b: &HostName) -> bool {
--- a/bergamotswitch-core/tests/revision_adoption.rs
+++ b/bergamotswitch-core/tests/revision_adoption.rs
@@ -247,7 +247,7 @@
                     let mark = mark(RULES_VALUE, revision);
                     RevisionEvent::Peer(host(1), RevisionMessage::Marks(vec![mark]))
                 }
-                3 => RevisionEvent::Resumed(secs(5)),
+                3 => RevisionEvent::ProcessResumed(secs(5)),
                 4 => RevisionEvent::ReadFailed(name(RULES_VALUE)),
                 _ => RevisionEvent::Tick,
             };
--- a/bergamotswitch-core/tests/rule_match.rs
+++ b/bergamotswitch-core/tests/rule_match.rs
@@ -3,32 +3,32 @@
 use bergamotswitch_core::client_account::AccountName;
 use bergamotswitch_core::failure_domain::DomainName;
 use bergamotswitch_core::pool::PoolName;
-use bergamotswitch_core::rules::{RequestFacts, RuleSet, WorkKind};
+use bergamotswitch_core::rules::{RequestAttributes, RuleSet, WorkKind};
 use serde_json::{Value, json};
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
 const PATHS: [&str; 3] = ["/v1/", "/v1/chat", "/"];
 
-fn naive_match(when: &Value, facts: &RequestFacts<'_>) -> bool {
+fn naive_match(when: &Value, attributes: &RequestAttributes<'_>) -> bool {
     let listed = |field: &str, found: Option<&str>| match when[field].as_array() {
         Some(list) => list.iter().any(|item| item.as_str() == found),
         None => true,
     };
-    let tokens = u64::from(facts.prompt_tokens);
+    let tokens = u64::from(attributes.prompt_tokens);
     let number = |field: &str| when[field].as_u64();
     let streaming = when["streaming"].as_bool();
     let paths = when["paths"].as_array();
-    listed("pools", Some(facts.pool.as_str()))
-        && listed("accounts", Some(facts.account.as_str()))
-        && listed("work", facts.work.map(WorkKind::as_str))
-        && listed("domains", Some(facts.domain.as_str()))
+    listed("pools", Some(attributes.pool.as_str()))
+        && listed("accounts", Some(attributes.account.as_str()))
+        && listed("work", attributes.work.map(WorkKind::as_str))
+        && listed("domains", Some(attributes.domain.as_str()))
         && paths.is_none_or(|list| {
             list.iter()
-                .any(|path| facts.path.starts_with(path.as_str().unwrap()))
+                .any(|path| attributes.path.starts_with(path.as_str().unwrap()))
         })
         && number("min_prompt_tokens").is_none_or(|min| min <= tokens)
         && number("max_prompt_tokens").is_none_or(|max| max >= tokens)
-        && streaming.is_none_or(|wanted| wanted == facts.streaming)
+        && streaming.is_none_or(|wanted| wanted == attributes.streaming)
 }
 
 /// Get a condition in which each part is present if its bit is set.
@@ -72,7 +72,7 @@
         let rule_set = RuleSet::try_from(&json!({ "rules": rules })).unwrap();
         let name = |index: usize| NAMES[draw[index] as usize % 3];
         let work = WorkKind::try_from(name(2)).unwrap();
-        let facts = RequestFacts {
+        let attributes = RequestAttributes {
             pool: &PoolName::try_from(name(0)).unwrap(),
             account: &AccountName::try_from(name(1)).unwrap(),
             work: (draw[2] < 128).then_some(&work),
@@ -81,21 +81,23 @@
             prompt_tokens: u32::from(draw[5] % 10),
             streaming: draw[6].is_multiple_of(2),
         };
-        let expected = conditions.iter().position(|when| naive_match(when, &facts));
+        let expected = conditions
+            .iter()
+            .position(|when| naive_match(when, &attributes));
         let found = rule_set
-            .decide(&facts)
+            .decide(&attributes)
             .map(|verdict| verdict.rule.to_string());
         assert_eq!(found, expected.map(|index| format!("r{index}")));
         // The trace agrees with the decision.
-        let trace = rule_set.explain(&facts);
+        let trace = rule_set.explain(&attributes);
         assert_eq!(trace.matched().map(ToString::to_string), found);
         let seen = expected.map_or(conditions.len(), |index| index + 1);
         assert_eq!(trace.steps.len(), seen);
     });
 }
 
-fn with_facts<T>(evaluate: impl FnOnce(&RequestFacts<'_>) -> T) -> T {
-    evaluate(&RequestFacts {
+fn with_attributes<T>(evaluate: impl FnOnce(&RequestAttributes<'_>) -> T) -> T {
+    evaluate(&RequestAttributes {
         pool: &PoolName::try_from("p").unwrap(),
         account: &AccountName::try_from("a").unwrap(),
         work: None,
@@ -111,7 +113,7 @@
     // Guards against defaults that allow a request to run twice.
     let rule_set =
         RuleSet::try_from(&json!({"rules": [{"name": "r", "then": {"tier": 2}}]})).unwrap();
-    let verdict = with_facts(|facts| rule_set.decide(facts)).unwrap();
+    let verdict = with_attributes(|attributes| rule_set.decide(attributes)).unwrap();
     assert!(!verdict.idempotent && !verdict.preemptible && !verdict.dispatch_once);
     assert_eq!((verdict.share, verdict.deadline.as_millis()), (1, 60_000));
 }
@@ -124,13 +126,16 @@
         {"name": "stream", "when": {"streaming": true}, "then": {"tier": 6}},
     ]}))
     .unwrap();
-    assert_eq!(with_facts(|facts| rule_set.decide(facts)), None);
+    assert_eq!(
+        with_attributes(|attributes| rule_set.decide(attributes)),
+        None
+    );
     let displayed = "work: work is nothing, wanted dawn-report or status\n\
         long: min_prompt_tokens is 20, wanted at least 500\n\
         stream: streaming is false, wanted true\n\
         no rule matches\n";
     assert_eq!(
-        with_facts(|facts| rule_set.explain(facts)).to_string(),
+        with_attributes(|attributes| rule_set.explain(attributes)).to_string(),
         displayed
     );
 }
--- a/bergamotswitch-core/tests/stop_returns.rs
+++ b/bergamotswitch-core/tests/stop_returns.rs
@@ -220,9 +220,9 @@
 
     fn stop(&mut self) {
         self.core.handle(self.now, NodeEvent::Stop);
-        let whole_by = self.now.plus(GRACE_LEFT);
+        let answer_deadline = self.now.plus(GRACE_LEFT);
         self.core
-            .handle(self.now, NodeEvent::AnswerDeadline(whole_by));
+            .handle(self.now, NodeEvent::AnswerDeadline(answer_deadline));
     }
 
     /// Get the retry delay of a caller that is refused now.
@@ -327,9 +327,9 @@
     host.pass(Duration::from_secs(1));
     host.stop();
     let span = Duration::from_secs(4);
-    let whole_by = host.now.plus(span);
+    let answer_deadline = host.now.plus(span);
     host.core
-        .handle(host.now, NodeEvent::AnswerDeadline(whole_by));
+        .handle(host.now, NodeEvent::AnswerDeadline(answer_deadline));
     host.assert_retry_at(stopped_at.plus(span + START_MARGIN));
 }
 
--- a/bergamotswitch-net/src/caller/engine_check.rs
+++ b/bergamotswitch-net/src/caller/engine_check.rs
@@ -5,7 +5,7 @@
 use bergamotswitch_core::pool::{PoolKind, PoolName};
 use bergamotswitch_core::publication::Publication;
 use bergamotswitch_core::refusal::RefusalReason;
-use bergamotswitch_core::rules::RequestFacts;
+use bergamotswitch_core::rules::RequestAttributes;
 use bytes::Bytes;
 use http::Method;
 use salvo::Request;
@@ -46,7 +46,7 @@
     let (fields, body) = read_request(form, req, &text)?;
     check_deadline(&fields)?;
     check_pool(&publication, &body.model, PoolKind::Engine, "body:/model")?;
-    let facts = RequestFacts {
+    let facts = RequestAttributes {
         pool: &body.model,
         account: &account,
         work: fields.work.as_ref(),
--- a/bergamotswitch-net/src/caller/service_call.rs
+++ b/bergamotswitch-net/src/caller/service_call.rs
@@ -7,7 +7,7 @@
 use bergamotswitch_core::pool::{PoolKind, PoolName};
 use bergamotswitch_core::refusal::RefusalReason;
 use bergamotswitch_core::request::TokenCost;
-use bergamotswitch_core::rules::RequestFacts;
+use bergamotswitch_core::rules::RequestAttributes;
 use http::header;
 use salvo::{Depot, FlowCtrl, Handler, Request, Response, async_trait};
 
@@ -97,7 +97,7 @@
         };
         check_deadline(&fields)?;
         check_pool(&publication, &path.pool, PoolKind::Plain, "path:")?;
-        let facts = RequestFacts {
+        let facts = RequestAttributes {
             pool: &path.pool,
             account: &account,
             work: fields.work.as_ref(),
--- a/bergamotswitch-net/src/link/counters.rs
+++ b/bergamotswitch-net/src/link/counters.rs
@@ -79,7 +79,7 @@
     /// A complete published value.
     Whole = "whole", LinkMessage::Revision(RevisionMessage::Whole(_)),
     /// A query how long ago a revision was known to be the latest.
-    AskConfirmed = "ask-confirmed", LinkMessage::Revision(RevisionMessage::AskConfirmed { .. }),
+    AskConfirmed = "ask-confirmed", LinkMessage::Revision(RevisionMessage::QueryConfirmation { .. }),
     /// The answer to that query.
     Confirmed = "confirmed", LinkMessage::Revision(RevisionMessage::Confirmed { .. }),
 }
--- a/bergamotswitch-net/src/node/drive/reports.rs
+++ b/bergamotswitch-net/src/node/drive/reports.rs
@@ -57,9 +57,9 @@
     pub(super) fn note_stop(&self, incident: Incident, times: &StopTimes) {
         self.metrics.incident(incident);
         let now = self.now();
-        let desk = self.core.view(now).desk;
-        let waiting: u32 = desk.waiting.iter().sum();
-        let running: u32 = desk.running.iter().sum();
+        let entry = self.core.view(now).entry;
+        let waiting: u32 = entry.waiting.iter().sum();
+        let running: u32 = entry.running.iter().sum();
         let stopped = now.since(times.begun_at).as_millis();
         let door = times.door_until().since(now).as_millis();
         let grace = match times.killed_at() {
@@ -113,7 +113,7 @@
         self.gauges_due = now.plus(GAUGE_INTERVAL);
         self.note_keys();
         let view = self.core.view(now);
-        let load = self.load.measure(now, &view.desk);
+        let load = self.load.measure(now, &view.entry);
         gauges::refresh(&self.metrics, &view);
         self.owner_totals.refresh(&self.metrics, &view.shards);
         self.metrics.set_service_reads(self.platform.calls());
--- a/bergamotswitch-net/src/node/gauges.rs
+++ b/bergamotswitch-net/src/node/gauges.rs
@@ -7,10 +7,10 @@
 
 /// Bring the gauges up to date.
 pub(super) fn refresh(metrics: &NodeMetrics, view: &NodeView) {
-    for (tier, waiting) in view.desk.waiting.iter().enumerate() {
+    for (tier, waiting) in view.entry.waiting.iter().enumerate() {
         metrics.set_queued(Tier(tier as u8), *waiting as usize);
     }
-    let running: u32 = view.desk.running.iter().sum();
+    let running: u32 = view.entry.running.iter().sum();
     metrics.set_running(running as usize);
     for value in &view.revisions.values {
         metrics.set_revision(&value.name, value.in_force.unwrap_or_default());
--- a/bergamotswitch/examples/policies/traffic.rs
+++ b/bergamotswitch/examples/policies/traffic.rs
@@ -8,7 +8,7 @@
 use bergamotswitch_core::publication::Publication;
 use bergamotswitch_core::request::{MAX_PREFIX_HASHES, PrefixHash, TokenCost};
 use bergamotswitch_core::revision::{PublishedValue, Revision};
-use bergamotswitch_core::rules::RequestFacts;
+use bergamotswitch_core::rules::RequestAttributes;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
@@ -450,7 +450,7 @@
         verdict: deployment
             .publication
             .rules
-            .decide(&RequestFacts {
+            .decide(&RequestAttributes {
                 pool: &pool_name,
                 account: &account,
                 work: Some(&work),
--- a/bergamotswitch/examples/slopes/values.rs
+++ b/bergamotswitch/examples/slopes/values.rs
@@ -1,8 +1,8 @@
 //! Measures published values and address answers.
 
-use bergamotswitch_core::address::{AddressBook, AddressQuery, CallerHash, HostHealth};
+use bergamotswitch_core::address::{AddressQuery, AddressSelector, CallerHash, HostHealth};
 use bergamotswitch_core::publication::{Publication, check_consistency};
-use bergamotswitch_core::rules::RequestFacts;
+use bergamotswitch_core::rules::RequestAttributes;
 
 use crate::probe::{growth, micros_each};
 use crate::sheet::{SlopeSheet, at_sizes};
@@ -72,7 +72,7 @@
     sheet.part("a request's way in, processor time in microseconds");
     let points = at_sizes(&sizes_of("rules"), |size| {
         let publication = sized("rules", size).publication();
-        let facts = RequestFacts {
+        let facts = RequestAttributes {
             pool: &name("drafting-lm-1"),
             account: &name(account(7)),
             work: Some(&name("clause-check")),
@@ -91,7 +91,7 @@
     sheet.slope("authentication, by accounts", &points);
     let points = at_sizes(&sizes_of("hosts"), |size| {
         let publication = sized("hosts", size).publication();
-        let book = AddressBook::new(&publication);
+        let book = AddressSelector::new(&publication);
         let query = AddressQuery {
             account: name(account(7)),
             caller: CallerHash::default(),
--- a/bergamotswitch/src/command/explain.rs
+++ b/bergamotswitch/src/command/explain.rs
@@ -8,7 +8,7 @@
 use bergamotswitch_core::name::NameError;
 use bergamotswitch_core::pool::PoolName;
 use bergamotswitch_core::publication::Publication;
-use bergamotswitch_core::rules::{RequestFacts, WorkKind};
+use bergamotswitch_core::rules::{RequestAttributes, WorkKind};
 
 use super::args::ExplainArgs;
 use super::error::CommandError;
@@ -28,7 +28,7 @@
     let work = args.work.as_deref().map(WorkKind::try_from).transpose();
     let work = work.map_err(|error| named("--work", error))?;
     let domain = domain(args, &publication)?;
-    let facts = RequestFacts {
+    let facts = RequestAttributes {
         pool: &pool,
         account: &account,
         work: work.as_ref(),
