--- a/bergamotswitch-core/src/entry/dispatcher/aborting.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/aborting.rs
@@ -52,7 +52,7 @@
     }
 
     /// Handle the disconnect of the last caller that followed a request.
-    pub(super) fn caller_left(
+    pub(super) fn on_caller_disconnected(
         &mut self,
         now: Moment,
         id: RequestId,
--- a/bergamotswitch-core/src/entry/dispatcher/mod.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/mod.rs
@@ -37,7 +37,7 @@
 /// accepted, from submission to their final outcome.
 #[derive(Debug)]
 pub struct EntryDispatcher {
-    me: HostIncarnation,
+    identity: HostIncarnation,
     options: EntryOptions,
     requests: RequestTable,
     keys: KeyStore,
@@ -65,9 +65,9 @@
 
 impl EntryDispatcher {
     /// Get a dispatcher without requests for this incarnation of the host.
-    pub fn new(me: HostIncarnation, opts: EntryOptions) -> Self {
+    pub fn new(identity: HostIncarnation, opts: EntryOptions) -> Self {
         EntryDispatcher {
-            me,
+            identity,
             requests: RequestTable::new(opts.permit_resend_interval),
             keys: KeyStore::new(opts.key_retention, opts.max_keys),
             answers: AnswerCache::default(),
@@ -126,7 +126,9 @@
             _ => self.detect_pause(now, &mut actions),
         }
         match event {
-            EntryEvent::CallerDisconnected(id) => self.caller_left(now, id, &mut actions),
+            EntryEvent::CallerDisconnected(id) => {
+                self.on_caller_disconnected(now, id, &mut actions)
+            }
             EntryEvent::Reply(host, reply) => self.owner_replied(now, host, reply, &mut actions),
             EntryEvent::OwnerChanged(shard, host) => {
                 self.owner_changed(now, shard, host, &mut actions)
@@ -175,7 +177,7 @@
     /// `lost`, so query the live peers' incarnations first.
     pub fn outcome(&self, query: &OutcomeQuery) -> OutcomeView {
         match query {
-            OutcomeQuery::Id(id) if id.incarnation != self.me.incarnation => {
+            OutcomeQuery::Id(id) if id.incarnation != self.identity.incarnation => {
                 OutcomeView::Unknown(RefusalReason::Lost)
             }
             OutcomeQuery::Id(id) => self.outcome_of(*id),
--- a/bergamotswitch-core/src/entry/dispatcher/permit_requests.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/permit_requests.rs
@@ -116,7 +116,7 @@
             true => None,
             false => Some(KeyClaim {
                 key: key.hash(),
-                holder: self.me.clone(),
+                holder: self.identity.clone(),
                 resubmission: record.submission.resubmission,
             }),
         }
--- a/bergamotswitch-core/src/entry/dispatcher/replies.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/replies.rs
@@ -36,14 +36,14 @@
                 self.owner_refused(now, &host, attempt, reason, retry_after, actions);
             }
             OwnerReply::KeyHeld { attempt, holder } => {
-                self.key_known(now, attempt, holder, actions);
+                self.on_key_held(now, attempt, holder, actions);
             }
             OwnerReply::Preempt { permit, attempt } => {
                 self.preempt(now, permit, attempt, actions);
             }
             OwnerReply::Audit { shard, permits } => self.audit(host, shard, permits, actions),
             OwnerReply::ConfirmOwner { shard, round } => {
-                self.confirm_following(host, shard, round, actions);
+                self.confirm_owner(host, shard, round, actions);
             }
             // The membership module looks for the next owner.
             OwnerReply::NotOwner { .. } => {}
@@ -52,7 +52,7 @@
 
     /// Confirm to an owner that this host follows it. An owner that is not
     /// followed gets no answer.
-    fn confirm_following(
+    fn confirm_owner(
         &self,
         host: HostName,
         shard: PoolShard,
@@ -200,21 +200,21 @@
 
     /// Handle the reply that another host incarnation holds the key. The
     /// request does not run here.
-    fn key_known(
+    fn on_key_held(
         &mut self,
         now: Moment,
         attempt: AttemptId,
         holder: HostIncarnation,
         actions: &mut Vec<EntryAction>,
     ) {
-        if holder == self.me {
+        if holder == self.identity {
             return;
         }
         let Some(entry) = self.requests.take_attempt(attempt) else {
             return;
         };
         match entry.stage {
-            AttemptStage::Waiting(waiting) if holder.host == self.me.host => {
+            AttemptStage::Waiting(waiting) if holder.host == self.identity.host => {
                 actions.push(EntryAction::LogIncident(
                     Incident::RequestLost,
                     entry.record.id,
--- a/bergamotswitch-core/src/entry/dispatcher/submission.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/submission.rs
@@ -34,7 +34,7 @@
         // An incarnation named by the caller takes precedence, as only that one
         // knows the request.
         if let Some(holder) = &submission.holder
-            && *holder != self.me
+            && *holder != self.identity
         {
             return match self.may_forward(now, &submission) {
                 true => self.receive_foreign(holder, actions),
@@ -92,7 +92,7 @@
         holder: &HostIncarnation,
         actions: &mut Vec<EntryAction>,
     ) -> SubmitOutcome {
-        if holder.host != self.me.host {
+        if holder.host != self.identity.host {
             return SubmitOutcome::Forward(holder.clone());
         }
         let id = RequestId {
@@ -140,7 +140,7 @@
         };
         self.counts.accepted = sequence;
         let id = RequestId {
-            incarnation: self.me.incarnation,
+            incarnation: self.identity.incarnation,
             sequence,
         };
         if let Some(key) = &key {
--- a/bergamotswitch-core/src/entry/dispatcher/takeover.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/takeover.rs
@@ -86,7 +86,7 @@
             .into_iter()
             .map(|key| KeyClaim {
                 key,
-                holder: self.me.clone(),
+                holder: self.identity.clone(),
                 resubmission: false,
             })
             .collect();
--- a/bergamotswitch-core/src/membership/machine.rs
+++ b/bergamotswitch-core/src/membership/machine.rs
@@ -17,7 +17,7 @@
 /// A `Membership` is one host's view of its peers and of the owners of shards.
 #[derive(Debug)]
 pub struct Membership {
-    pub(super) me: HostIncarnation,
+    pub(super) identity: HostIncarnation,
     pub(super) opts: MembershipOptions,
     pub(super) hosts: BTreeMap<HostName, EntryHost>,
     pub(super) live_count: usize,
@@ -44,9 +44,9 @@
 
 impl Membership {
     /// Create the view of a host that has just started.
-    pub fn new(me: HostIncarnation, opts: MembershipOptions, _now: Moment) -> Self {
+    pub fn new(identity: HostIncarnation, opts: MembershipOptions, _now: Moment) -> Self {
         Membership {
-            me,
+            identity,
             opts,
             hosts: BTreeMap::new(),
             live_count: 0,
@@ -139,7 +139,7 @@
     /// Get the acting owner of a shard that this host uses or acts for.
     pub fn owner_of(&self, shard: &PoolShard) -> Option<&HostName> {
         if self.acting.contains(shard) && !self.used_shards.contains(shard) {
-            return Some(&self.me.host);
+            return Some(&self.identity.host);
         }
         self.owners.get(shard).and_then(OwnerView::host)
     }
@@ -193,7 +193,7 @@
             .map(|host| (host.name.clone(), host))
             .collect();
         self.live_count = self.live_hosts().count();
-        let leaving = match self.hosts.get(&self.me.host) {
+        let leaving = match self.hosts.get(&self.identity.host) {
             Some(host) => host.standing == Standing::Leaving,
             None => false,
         };
@@ -224,7 +224,7 @@
         run: HostIncarnation,
         actions: &mut Vec<MembershipAction>,
     ) {
-        if run.host == self.me.host {
+        if run.host == self.identity.host {
             return;
         }
         let peer = self.peers.entry(run.host.clone()).or_default();
@@ -342,10 +342,10 @@
             self.unconfirmed.clone_from(&self.acting);
             return;
         }
-        let (candidates, me) = (&self.candidates, &self.me.host);
+        let (candidates, own_name) = (&self.candidates, &self.identity.host);
         self.acting.retain(|shard| {
             let first = candidates.get(shard).and_then(|hosts| hosts.first());
-            let keeps = first == Some(me);
+            let keeps = first == Some(own_name);
             if !keeps {
                 actions.push(MembershipAction::Act(shard.clone(), false));
             }
@@ -362,7 +362,7 @@
     fn rank(&self, shard: &PoolShard) -> Vec<HostName> {
         let mut ranked = candidates(shard, self.live_hosts());
         if self.stopping_since.is_some() {
-            ranked.retain(|host| *host != self.me.host);
+            ranked.retain(|host| *host != self.identity.host);
         }
         ranked
     }
--- a/bergamotswitch-core/src/membership/reconcile.rs
+++ b/bergamotswitch-core/src/membership/reconcile.rs
@@ -68,7 +68,7 @@
     }
 
     fn state_of(&self, now: Moment, shard: &PoolShard, host: &HostName) -> CandidateState {
-        if *host == self.me.host {
+        if *host == self.identity.host {
             return match self.acting.contains(shard) {
                 true => CandidateState::Stable,
                 false => CandidateState::Unavailable,
@@ -155,7 +155,7 @@
         shard: &PoolShard,
     ) -> impl Iterator<Item = CandidateState> {
         let hosts = self.candidates.get(shard).into_iter().flatten();
-        let earlier = hosts.take_while(|host| **host != self.me.host);
+        let earlier = hosts.take_while(|host| **host != self.identity.host);
         earlier.map(move |host| self.state_of(now, shard, host))
     }
 
@@ -165,7 +165,7 @@
             return acting && now < since.plus(self.opts.handover);
         }
         let hosts = self.candidates.get(shard);
-        if !hosts.is_some_and(|hosts| hosts.contains(&self.me.host)) {
+        if !hosts.is_some_and(|hosts| hosts.contains(&self.identity.host)) {
             return false;
         }
         let mut earlier = self.earlier_states(now, shard);
@@ -204,7 +204,7 @@
         let after = shard_view::choose(&self.view(now, shard, hosts), before);
         // This host knows that it does not act, so it need not keep that view
         // until the state of the next candidate is known.
-        match after.host() == Some(&self.me.host) && !self.acting.contains(shard) {
+        match after.host() == Some(&self.identity.host) && !self.acting.contains(shard) {
             true => OwnerView::NoHost,
             false => after,
         }
@@ -264,14 +264,14 @@
         }
         for shard in &self.shards {
             let hosts = match self.candidates.get(shard) {
-                Some(hosts) if hosts.contains(&self.me.host) => hosts,
+                Some(hosts) if hosts.contains(&self.identity.host) => hosts,
                 _ => continue,
             };
             for host in hosts {
                 wanted.insert(host.clone(), WatchRate::Candidate);
             }
         }
-        wanted.remove(&self.me.host);
+        wanted.remove(&self.identity.host);
         wanted
     }
 
--- a/bergamotswitch-core/src/node/actions.rs
+++ b/bergamotswitch-core/src/node/actions.rs
@@ -18,7 +18,7 @@
 impl NodeCore {
     pub(super) fn perform_entry_action(&mut self, now: Moment, action: EntryAction) {
         match action {
-            EntryAction::Send(host, message) if host == self.me.host => {
+            EntryAction::Send(host, message) if host == self.identity.host => {
                 self.on_owner_message(now, host, message);
             }
             EntryAction::Send(host, message) => self.send_to_owner(&host, message),
@@ -61,10 +61,10 @@
 
     fn start_attempt(&mut self, now: Moment, attempt: AttemptId, permit: &Permit) {
         match self.publication.pools.target_with_pool(&permit.target) {
-            Some(placed) => self.actions.push(NodeAction::Start {
+            Some(entry) => self.actions.push(NodeAction::Start {
                 attempt,
-                target: Box::new(placed.target.clone()),
-                kind: placed.pool.kind,
+                target: Box::new(entry.target.clone()),
+                kind: entry.pool.kind,
             }),
             // The owner and this host may use different revisions of the target list.
             // Nothing was sent, so the request keeps waiting.
@@ -95,8 +95,8 @@
             // Keep a link that the distribution of published values still needs.
             MembershipAction::Disconnect(host) if self.revisions.wants_link(&host) => {}
             MembershipAction::Disconnect(host) => self.actions.push(NodeAction::Disconnect(host)),
-            MembershipAction::Send(host, beat) => {
-                let message = LinkMessage::Heartbeat(beat);
+            MembershipAction::Send(host, heartbeat) => {
+                let message = LinkMessage::Heartbeat(heartbeat);
                 self.actions.push(NodeAction::Send(host, message));
             }
             MembershipAction::OwnerChanged(shard, owner) => self.on_owner_change(now, shard, owner),
@@ -141,7 +141,7 @@
         }
         self.shards
             .set_degraded(now, &shard, degraded, &self.publication);
-        let owner = owner.unwrap_or_else(|| self.me.host.clone());
+        let owner = owner.unwrap_or_else(|| self.identity.host.clone());
         self.exposure.record_owner(now, &shard, &owner);
         self.notify_entry(now, EntryEvent::OwnerChanged(shard, owner));
         self.watch_targets();
--- a/bergamotswitch-core/src/node/core.rs
+++ b/bergamotswitch-core/src/node/core.rs
@@ -105,7 +105,7 @@
 /// A `NodeCore` is the decision logic of one host, without I/O: it takes events and
 /// returns actions.
 pub struct NodeCore {
-    pub(super) me: HostIncarnation,
+    pub(super) identity: HostIncarnation,
     pub(super) domain: DomainName,
     pub(super) publication: Publication,
     pub(super) entry: EntryDispatcher,
@@ -132,22 +132,32 @@
 
 impl NodeCore {
     /// Get a host without any published values or peers.
-    pub fn new(me: HostIncarnation, domain: DomainName, opts: NodeOptions, now: Moment) -> Self {
+    pub fn new(
+        identity: HostIncarnation,
+        domain: DomainName,
+        opts: NodeOptions,
+        now: Moment,
+    ) -> Self {
         let opts = NodeOptions {
             entry: opts.entry.with_domain(domain.clone()),
             ..opts
         };
         NodeCore {
-            entry: EntryDispatcher::new(me.clone(), opts.entry.clone()),
-            shards: ShardSet::new(me.clone(), opts.owner.clone()),
-            membership: Membership::new(me.clone(), opts.membership.clone(), now),
-            revisions: RevisionReplica::new(me.clone(), domain.clone(), opts.revision.clone(), now),
+            entry: EntryDispatcher::new(identity.clone(), opts.entry.clone()),
+            shards: ShardSet::new(identity.clone(), opts.owner.clone()),
+            membership: Membership::new(identity.clone(), opts.membership.clone(), now),
+            revisions: RevisionReplica::new(
+                identity.clone(),
+                domain.clone(),
+                opts.revision.clone(),
+                now,
+            ),
             publication: match opts.roster {
                 Some(_) => Publication::with_routes(opts.limits.clone().unwrap_or_default()),
                 None => Publication::default(),
             },
             roster: opts.roster.clone().map(|setup| {
-                let seed = me.incarnation.0 as u64;
+                let seed = identity.incarnation.0 as u64;
                 Roster::new(setup.host, setup.seeds, setup.started_at_ms, seed)
                     .with_options(setup.options)
             }),
@@ -164,7 +174,7 @@
             last_event_at: now,
             queue: VecDeque::new(),
             actions: Vec::new(),
-            me,
+            identity,
             domain,
         }
     }
@@ -331,8 +341,8 @@
 
     fn on_message(&mut self, now: Moment, host: HostName, message: LinkMessage) {
         match message {
-            LinkMessage::Heartbeat(beat) => {
-                self.notify_membership(now, MembershipEvent::Heartbeat(host, beat));
+            LinkMessage::Heartbeat(heartbeat) => {
+                self.notify_membership(now, MembershipEvent::Heartbeat(host, heartbeat));
                 return;
             }
             LinkMessage::ToOwner(message) => self.on_owner_message(now, host.clone(), message),
@@ -353,7 +363,7 @@
         let shard = message.shard().clone();
         // Only this host's own requests may use a degraded owner, which has only this
         // host's fraction of the capacity.
-        if self.shards.serves(&shard, host == self.me.host) {
+        if self.shards.serves(&shard, host == self.identity.host) {
             let Some(message) = self.guard_message(now, &host, message) else {
                 return;
             };
@@ -372,7 +382,7 @@
     }
 
     pub(super) fn send_reply(&mut self, now: Moment, host: HostName, reply: OwnerReply) {
-        if host != self.me.host {
+        if host != self.identity.host {
             let message = LinkMessage::FromOwner(reply);
             self.actions.push(NodeAction::Send(host, message));
             return;
--- a/bergamotswitch-core/src/node/handover.rs
+++ b/bergamotswitch-core/src/node/handover.rs
@@ -75,7 +75,7 @@
     /// which look idle to it.
     pub(super) fn hand_over(&mut self, now: Moment, shard: &PoolShard, fraction: f64) {
         let next = self.membership.owner_of(shard).cloned();
-        let Some(next) = next.filter(|next| *next != self.me.host) else {
+        let Some(next) = next.filter(|next| *next != self.identity.host) else {
             return;
         };
         self.send_failed_targets(now, shard.clone(), &next);
@@ -102,7 +102,7 @@
             shard: shard.clone(),
             targets,
         };
-        let event = OwnerEvent::Message(self.me.host.clone(), message);
+        let event = OwnerEvent::Message(self.identity.host.clone(), message);
         let actions = self.shards.notify_shard(now, shard, event);
         self.queue_owner(actions);
     }
--- a/bergamotswitch-core/src/node/host_returns.rs
+++ b/bergamotswitch-core/src/node/host_returns.rs
@@ -69,7 +69,7 @@
             .filter(|stop| stop.answers_due != Moment::NEVER)?;
         let roster = self.roster.as_ref()?;
         let hosts = roster.ready_hosts(now);
-        let others = hosts.iter().filter(|host| host.name != self.me.host);
+        let others = hosts.iter().filter(|host| host.name != self.identity.host);
         let ready = others.count();
         let stopped = roster.leave_times().filter(|at| stop.is_expected(now, *at));
         let mut returns: Vec<Moment> = stopped.map(|at| stop.expected_return(at)).collect();
--- a/bergamotswitch-core/src/node/intake.rs
+++ b/bergamotswitch-core/src/node/intake.rs
@@ -38,12 +38,12 @@
             return (SubmitOutcome::Refused(refusal), self.finish(now));
         }
         let exposed = self.is_exposed(now, &submission);
-        let (reception, actions) = self.entry.submit(now, submission);
-        if exposed && matches!(reception, SubmitOutcome::Accepted(_)) {
+        let (outcome, actions) = self.entry.submit(now, submission);
+        if exposed && matches!(outcome, SubmitOutcome::Accepted(_)) {
             self.exposure.counts.unmarked_exposure += 1;
         }
         self.queue_entry(actions);
-        (reception, self.finish(now))
+        (outcome, self.finish(now))
     }
 
     /// Get whether the host is ready to serve: all required values are in force and
@@ -75,7 +75,7 @@
         let peers = self.membership.peers();
         let hosts = self.publication.hosts.hosts.iter();
         hosts
-            .map(|host| match host.name == self.me.host {
+            .map(|host| match host.name == self.identity.host {
                 true => self.own_health(host),
                 false => {
                     let peer = peers.iter().find(|peer| peer.host == host.name);
@@ -88,7 +88,7 @@
     fn own_health(&self, host: &EntryHost) -> HostHealth {
         HostHealth {
             host: host.clone(),
-            incarnation: Some(self.me.incarnation),
+            incarnation: Some(self.identity.incarnation),
             reachable: Some(true),
             stopping: self.stopping,
             load_permille: self.load_permille,
--- a/bergamotswitch-core/src/node/key_guard.rs
+++ b/bergamotswitch-core/src/node/key_guard.rs
@@ -23,16 +23,16 @@
 
 /// How long a follower's answer is valid, in heartbeat intervals. This tolerates two
 /// lost or late polls.
-const ANSWER_VALID_BEATS: u32 = 4;
+const ANSWER_VALID_HEARTBEATS: u32 = 4;
 
 /// How long a majority has to follow without interruption, in heartbeat intervals. By
 /// then, answers given to a previous owner have expired.
-const QUORUM_STABLE_BEATS: u32 = ANSWER_VALID_BEATS + 1;
+const QUORUM_STABLE_HEARTBEATS: u32 = ANSWER_VALID_HEARTBEATS + 1;
 
 /// How long the owner waits for the key report of a host that does not count as
 /// unreachable, in heartbeat intervals. A previous temporary owner steps down within
 /// ten intervals; the rest is left for the report.
-const KEY_REPORT_TIMEOUT_BEATS: u32 = 14;
+const KEY_REPORT_TIMEOUT_HEARTBEATS: u32 = 14;
 
 /// A `HeldRequest` is a permit request that is held until the owner has a stable
 /// quorum.
@@ -94,10 +94,10 @@
     }
 
     /// Start the next poll if it is due, and get its number.
-    fn next_round(&mut self, now: Moment, beat: Duration) -> Option<u64> {
+    fn next_round(&mut self, now: Moment, heartbeat_interval: Duration) -> Option<u64> {
         let is_due = self
             .round_started_at
-            .is_none_or(|started_at| now >= started_at.plus(beat));
+            .is_none_or(|started_at| now >= started_at.plus(heartbeat_interval));
         if !is_due {
             return None;
         }
@@ -107,14 +107,23 @@
     }
 
     /// Expire outdated answers and update the quorum.
-    fn review(&mut self, now: Moment, beat: Duration, me: &HostName, witnesses: &KeyQuorum) {
-        let valid = beat * ANSWER_VALID_BEATS;
+    fn review(
+        &mut self,
+        now: Moment,
+        heartbeat_interval: Duration,
+        own_name: &HostName,
+        quorum: &KeyQuorum,
+    ) {
+        let valid = heartbeat_interval * ANSWER_VALID_HEARTBEATS;
         self.followers.retain(|_, at| now < at.plus(valid));
-        let follows = |host: &&HostName| *host == me || self.followers.contains_key(*host);
-        let following = witnesses.candidates.iter().filter(follows).count();
-        let majority = following * 2 > witnesses.candidates.len();
-        let timed_out = now >= self.created_at.plus(beat * KEY_REPORT_TIMEOUT_BEATS);
-        let mut others = witnesses.awaited.iter().filter(|host| *host != me);
+        let follows = |host: &&HostName| *host == own_name || self.followers.contains_key(*host);
+        let follower_count = quorum.candidates.iter().filter(follows).count();
+        let majority = follower_count * 2 > quorum.candidates.len();
+        let timed_out = now
+            >= self
+                .created_at
+                .plus(heartbeat_interval * KEY_REPORT_TIMEOUT_HEARTBEATS);
+        let mut others = quorum.awaited.iter().filter(|host| *host != own_name);
         let reported = timed_out || others.all(|host| self.reported.contains(host));
         match majority && reported {
             true => {
@@ -124,10 +133,10 @@
         }
     }
 
-    fn has_stable_quorum(&self, now: Moment, beat: Duration) -> bool {
+    fn has_stable_quorum(&self, now: Moment, heartbeat_interval: Duration) -> bool {
         let settled = self
             .quorum_since
-            .map(|since| since.plus(beat * QUORUM_STABLE_BEATS));
+            .map(|since| since.plus(heartbeat_interval * QUORUM_STABLE_HEARTBEATS));
         settled.is_some_and(|settled| now >= settled)
     }
 
@@ -191,14 +200,14 @@
         now: Moment,
         host: &HostName,
         message: OwnerMessage,
-        beat: Duration,
+        heartbeat_interval: Duration,
     ) -> Option<OwnerMessage> {
         let Some(guard) = self.guards.get_mut(message.shard()) else {
             return Some(message);
         };
         match message {
             OwnerMessage::PermitRequest(request)
-                if request.claim.is_some() && !guard.has_stable_quorum(now, beat) =>
+                if request.claim.is_some() && !guard.has_stable_quorum(now, heartbeat_interval) =>
             {
                 let held = HeldRequest {
                     host: host.clone(),
@@ -241,8 +250,9 @@
         if guarded && self.shards.is_degraded_shard(message.shard()) {
             return None;
         }
-        let beat = self.membership.heartbeat_interval();
-        self.key_guards.filter(now, host, message, beat)
+        let heartbeat_interval = self.membership.heartbeat_interval();
+        self.key_guards
+            .filter(now, host, message, heartbeat_interval)
     }
 
     /// Get whether keyed requests of a shard are held until the owner has a quorum.
@@ -270,33 +280,37 @@
     /// Poll the candidates for the owner they follow where a poll is due, and release
     /// the held permit requests of owners with a stable quorum.
     pub(super) fn review_guards(&mut self, now: Moment) {
-        let beat = self.membership.heartbeat_interval();
+        let heartbeat_interval = self.membership.heartbeat_interval();
         let shards: Vec<PoolShard> = self.key_guards.guards.keys().cloned().collect();
         for shard in shards {
-            let witnesses = self.membership.key_quorum(&shard);
+            let quorum = self.membership.key_quorum(&shard);
             let Some(guard) = self.key_guards.guards.get_mut(&shard) else {
                 continue;
             };
-            guard.review(now, beat, &self.me.host, &witnesses);
-            if let Some(round) = guard.next_round(now, beat) {
-                self.poll_followers(now, &shard, round, witnesses);
+            guard.review(now, heartbeat_interval, &self.identity.host, &quorum);
+            if let Some(round) = guard.next_round(now, heartbeat_interval) {
+                self.poll_followers(now, &shard, round, quorum);
             }
-            self.release_held(now, &shard, beat);
+            self.release_held(now, &shard, heartbeat_interval);
         }
     }
 
-    fn poll_followers(&mut self, now: Moment, shard: &PoolShard, round: u64, witnesses: KeyQuorum) {
-        let me = self.me.host.clone();
-        let asked = witnesses.candidates.into_iter().filter(|host| *host != me);
-        for host in asked {
+    fn poll_followers(&mut self, now: Moment, shard: &PoolShard, round: u64, quorum: KeyQuorum) {
+        let own_name = self.identity.host.clone();
+        let candidates = quorum
+            .candidates
+            .into_iter()
+            .filter(|host| *host != own_name);
+        for host in candidates {
             let shard = shard.clone();
             self.send_reply(now, host, OwnerReply::ConfirmOwner { shard, round });
         }
     }
 
-    fn release_held(&mut self, now: Moment, shard: &PoolShard, beat: Duration) {
+    fn release_held(&mut self, now: Moment, shard: &PoolShard, heartbeat_interval: Duration) {
         let guard = self.key_guards.guards.get_mut(shard);
-        let Some(guard) = guard.filter(|guard| guard.has_stable_quorum(now, beat)) else {
+        let Some(guard) = guard.filter(|guard| guard.has_stable_quorum(now, heartbeat_interval))
+        else {
             return;
         };
         for (host, request) in guard.release(now) {
--- a/bergamotswitch-core/src/node/shards.rs
+++ b/bergamotswitch-core/src/node/shards.rs
@@ -24,16 +24,16 @@
 
 /// A `ShardSet` is the set of shards for which this host acts as owner.
 pub(super) struct ShardSet {
-    me: HostIncarnation,
+    identity: HostIncarnation,
     opts: OwnerOptions,
     owned: Vec<OwnedShard>,
     watched: Vec<PoolTarget>,
 }
 
 impl ShardSet {
-    pub(super) fn new(me: HostIncarnation, opts: OwnerOptions) -> Self {
+    pub(super) fn new(identity: HostIncarnation, opts: OwnerOptions) -> Self {
         ShardSet {
-            me,
+            identity,
             opts,
             owned: Vec::new(),
             watched: Vec::new(),
@@ -176,8 +176,8 @@
     }
 
     fn start(&mut self, now: Moment, shard: &PoolShard, degraded: bool, publication: &Publication) {
-        let me = self.me.clone();
-        let mut owner = ShardOwner::new(me, shard.clone(), self.opts.clone(), now);
+        let identity = self.identity.clone();
+        let mut owner = ShardOwner::new(identity, shard.clone(), self.opts.clone(), now);
         let targets = shard_targets(shard, degraded, publication);
         // A new owner has an empty queue, so no actions result.
         owner.handle(now, OwnerEvent::Targets(targets));
--- a/bergamotswitch-core/src/node/view.rs
+++ b/bergamotswitch-core/src/node/view.rs
@@ -51,7 +51,7 @@
     pub fn view(&self, now: Moment) -> NodeView {
         let missing = self.publication.missing();
         NodeView {
-            run: self.me.to_string(),
+            run: self.identity.to_string(),
             domain: self.domain.to_string(),
             ready: self.is_ready(now),
             stopping: self.stopping,
--- a/bergamotswitch-core/src/pool_owner/attached_hosts.rs
+++ b/bergamotswitch-core/src/pool_owner/attached_hosts.rs
@@ -36,17 +36,19 @@
 
 impl AttachedHosts {
     /// Set the hosts of the fleet that aren't stopping. New ones may use
-    /// another owner, except for `me`.
+    /// another owner, except for `own_name`.
     pub(super) fn set_hosts(
         &mut self,
         now: Moment,
-        me: &HostName,
+        own_name: &HostName,
         hosts: Vec<HostName>,
         overlap: Duration,
     ) {
         let hosts: BTreeSet<HostName> = hosts.into_iter().collect();
         self.detached.retain(|host, _| hosts.contains(host));
-        let added = hosts.difference(&self.hosts).filter(|host| *host != me);
+        let added = hosts
+            .difference(&self.hosts)
+            .filter(|host| *host != own_name);
         let until = now.plus(overlap);
         self.detached
             .extend(added.map(|host| (host.clone(), until)));
@@ -73,9 +75,9 @@
     }
 
     /// Record that every host except this one may use another owner.
-    pub(super) fn detach_others(&mut self, now: Moment, me: &HostName, overlap: Duration) {
+    pub(super) fn detach_others(&mut self, now: Moment, own_name: &HostName, overlap: Duration) {
         let until = now.plus(overlap);
-        let others = self.hosts.iter().filter(|host| *host != me);
+        let others = self.hosts.iter().filter(|host| *host != own_name);
         self.detached = others.map(|host| (host.clone(), until)).collect();
         self.stale_until = now.plus(STALE_MESSAGE_TIME);
         self.update_first_expiry();
--- a/bergamotswitch-core/src/pool_owner/dispatch.rs
+++ b/bergamotswitch-core/src/pool_owner/dispatch.rs
@@ -85,7 +85,7 @@
             return;
         };
         if self.is_key_taken(now, queued) {
-            self.answer_key_known(now, attempt, actions);
+            self.refuse_held_key(now, attempt, actions);
             return;
         }
         if late {
@@ -118,7 +118,7 @@
         matches!(verdict, Some(KeyVerdict::HeldBy(_)))
     }
 
-    fn answer_key_known(
+    fn refuse_held_key(
         &mut self,
         now: Moment,
         attempt: &AttemptId,
@@ -198,7 +198,7 @@
         self.queue.record_outcome(now, queued.request.tier, true);
         self.sequence += 1;
         let id = PermitId {
-            owner: self.me.incarnation,
+            owner: self.identity.incarnation,
             sequence: self.sequence,
         };
         let request = queued.request;
--- a/bergamotswitch-core/src/pool_owner/owner.rs
+++ b/bergamotswitch-core/src/pool_owner/owner.rs
@@ -49,7 +49,7 @@
 /// hosts and grants permits.
 #[derive(Debug)]
 pub struct ShardOwner {
-    pub(super) me: HostIncarnation,
+    pub(super) identity: HostIncarnation,
     pub(super) shard: PoolShard,
     pub(super) opts: OwnerOptions,
     pub(super) now: Moment,
@@ -73,9 +73,14 @@
 
 impl ShardOwner {
     /// Get the owner of `shard` that takes over now.
-    pub fn new(me: HostIncarnation, shard: PoolShard, opts: OwnerOptions, now: Moment) -> Self {
+    pub fn new(
+        identity: HostIncarnation,
+        shard: PoolShard,
+        opts: OwnerOptions,
+        now: Moment,
+    ) -> Self {
         ShardOwner {
-            me,
+            identity,
             shard,
             now,
             queue: RequestQueue::default(),
@@ -142,7 +147,7 @@
             OwnerEvent::Hosts(hosts) => {
                 let overlap = self.opts.owner_overlap;
                 self.attached_hosts
-                    .set_hosts(now, &self.me.host, hosts, overlap);
+                    .set_hosts(now, &self.identity.host, hosts, overlap);
             }
             OwnerEvent::HostTerminated(host, run) => {
                 self.attached_hosts
@@ -176,7 +181,7 @@
         self.quotas.exclude_suspension(suspension);
         let overlap = self.opts.owner_overlap;
         self.attached_hosts
-            .detach_others(now, &self.me.host, overlap);
+            .detach_others(now, &self.identity.host, overlap);
     }
 
     /// Withdraw this fraction of the tokens left in the quotas' buckets, to
@@ -232,7 +237,7 @@
             }
             OwnerMessage::Release { release, .. } => self.on_release(now, &release, actions),
             OwnerMessage::Resync { held, claims, .. } => {
-                self.on_retell(now, host, held, &claims, actions);
+                self.on_resync(now, host, held, &claims, actions);
             }
             OwnerMessage::NotHeld { permits, .. } => {
                 self.on_not_held(now, &host, &permits, actions);
@@ -276,7 +281,7 @@
             match self.keys.check(now, claim) {
                 KeyVerdict::Clear => {}
                 KeyVerdict::HeldBy(holder) => {
-                    return self.reply_key_known(host, request.attempt, holder, actions);
+                    return self.reply_key_held(host, request.attempt, holder, actions);
                 }
                 KeyVerdict::Unknown(span) => {
                     let reason = RefusalReason::OutcomeUnknown;
--- a/bergamotswitch-core/src/pool_owner/refusals.rs
+++ b/bergamotswitch-core/src/pool_owner/refusals.rs
@@ -65,7 +65,7 @@
     }
 
     /// Reply that another run holds the request's key.
-    pub(super) fn reply_key_known(
+    pub(super) fn reply_key_held(
         &mut self,
         host: HostName,
         attempt: AttemptId,
--- a/bergamotswitch-core/src/pool_owner/release.rs
+++ b/bergamotswitch-core/src/pool_owner/release.rs
@@ -55,7 +55,7 @@
 
     /// Take over the work that an entry host holds under permits of previous
     /// owners.
-    pub(super) fn on_retell(
+    pub(super) fn on_resync(
         &mut self,
         now: Moment,
         host: HostName,
@@ -88,7 +88,7 @@
         for attempt in duplicates {
             if let Some(queued) = self.queue.remove(&attempt) {
                 self.release_unused(&queued.request);
-                self.reply_key_known(queued.host, attempt, reported.holder.clone(), actions);
+                self.reply_key_held(queued.host, attempt, reported.holder.clone(), actions);
             }
         }
     }
--- a/bergamotswitch-core/src/pool_owner/wait_plan.rs
+++ b/bergamotswitch-core/src/pool_owner/wait_plan.rs
@@ -19,7 +19,7 @@
 
 /// The multiple of its time-to-first-token limit for which a request waits at
 /// most.
-const MAX_PATIENCE_FACTOR: u32 = 3;
+const MAX_WAIT_FACTOR: u32 = 3;
 
 /// A `WaitPlan` is how long a request waits, and its sort key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -66,19 +66,19 @@
                 sort_key: run_until,
             };
         };
-        let patience = Duration::from_millis(u64::from(first_answer_ms));
+        let first_token_limit = Duration::from_millis(u64::from(first_answer_ms));
         let waited = Duration::from_millis(u64::from(request.waited_ms));
         // A request that is sent again, to another owner or after an
         // interruption, keeps its original limits.
-        let patience_left = patience.saturating_sub(waited);
-        let max_wait_left = (patience * MAX_PATIENCE_FACTOR).saturating_sub(waited);
+        let first_token_limit_left = first_token_limit.saturating_sub(waited);
+        let max_wait_left = (first_token_limit * MAX_WAIT_FACTOR).saturating_sub(waited);
         let last_start = left.saturating_sub(run);
         WaitPlan {
-            on_time_until: now.plus(patience_left.saturating_sub(first + NETWORK_DELAY)),
-            first_token_due: now.plus(patience_left.saturating_sub(NETWORK_DELAY)),
+            on_time_until: now.plus(first_token_limit_left.saturating_sub(first + NETWORK_DELAY)),
+            first_token_due: now.plus(first_token_limit_left.saturating_sub(NETWORK_DELAY)),
             give_up_at: now.plus(last_start.min(max_wait_left)),
             run_until,
-            sort_key: now.plus(patience_left),
+            sort_key: now.plus(first_token_limit_left),
         }
     }
 
--- a/bergamotswitch-core/src/revision/relay.rs
+++ b/bergamotswitch-core/src/revision/relay.rs
@@ -23,17 +23,20 @@
 }
 
 impl RelayPlan {
-    /// Create the plan of `me`. A host that is not in the host list yet gets
+    /// Create the plan of `own_name`. A host that is not in the host list yet gets
     /// the position that it will have there.
     pub(super) fn new(
-        me: &HostName,
+        own_name: &HostName,
         domain: &DomainName,
         hosts: &BTreeMap<HostName, EntryHost>,
         opts: &RevisionOptions,
     ) -> Self {
-        let domains = ranked_domains(me, domain, hosts);
+        let domains = ranked_domains(own_name, domain, hosts);
         let own = domains.get(domain).map(Vec::as_slice).unwrap_or_default();
-        let position = own.iter().position(|host| host == me).unwrap_or_default();
+        let position = own
+            .iter()
+            .position(|host| host == own_name)
+            .unwrap_or_default();
         if position >= opts.readers_per_domain {
             return RelayPlan {
                 is_reader: false,
@@ -48,21 +51,21 @@
             .flat_map(|hosts| hosts.iter().take(opts.readers_per_domain));
         RelayPlan {
             is_reader: true,
-            relays: readers.filter(|host| *host != me).cloned().collect(),
+            relays: readers.filter(|host| *host != own_name).cloned().collect(),
         }
     }
 }
 
 fn ranked_domains(
-    me: &HostName,
+    own_name: &HostName,
     domain: &DomainName,
     hosts: &BTreeMap<HostName, EntryHost>,
 ) -> BTreeMap<DomainName, Vec<HostName>> {
     let mut members: BTreeMap<DomainName, BTreeSet<&HostName>> = BTreeMap::new();
-    members.entry(domain.clone()).or_default().insert(me);
+    members.entry(domain.clone()).or_default().insert(own_name);
     let live = hosts
         .values()
-        .filter(|host| host.standing == Standing::Live && host.name != *me);
+        .filter(|host| host.standing == Standing::Live && host.name != *own_name);
     for host in live {
         let members = members.entry(host.domain.clone()).or_default();
         members.insert(&host.name);
--- a/bergamotswitch-core/src/revision/replica.rs
+++ b/bergamotswitch-core/src/revision/replica.rs
@@ -40,7 +40,7 @@
 /// A `RevisionReplica` is one host's replica of the published values.
 #[derive(Debug)]
 pub struct RevisionReplica {
-    pub(super) me: HostName,
+    pub(super) own_name: HostName,
     pub(super) domain: DomainName,
     pub(super) opts: RevisionOptions,
     pub(super) values: BTreeMap<ValueName, ValueReplica>,
@@ -75,12 +75,12 @@
 impl RevisionReplica {
     /// Create the replica of a host that has just started.
     pub fn new(
-        me: HostIncarnation,
+        identity: HostIncarnation,
         domain: DomainName,
         opts: RevisionOptions,
         now: Moment,
     ) -> Self {
-        let mut jitter = Jitter::new(me.incarnation);
+        let mut jitter = Jitter::new(identity.incarnation);
         let delay = opts.read_fallback + jitter.part_of(opts.read_fallback);
         let values = opts
             .values
@@ -91,7 +91,7 @@
             .iter()
             .map(|name| (name.clone(), ServiceCall::default()));
         RevisionReplica {
-            me: me.host,
+            own_name: identity.host,
             domain,
             values: values.collect(),
             calls: calls.collect(),
@@ -269,7 +269,7 @@
             .into_iter()
             .map(|host| (host.name.clone(), host))
             .collect();
-        self.plan = RelayPlan::new(&self.me, &self.domain, &self.hosts, &self.opts);
+        self.plan = RelayPlan::new(&self.own_name, &self.domain, &self.hosts, &self.opts);
         // A host that has left the list must not serve as a backup relay.
         let hosts = &self.hosts;
         self.backups.retain(|host| hosts.contains_key(host));
@@ -339,8 +339,8 @@
     }
 
     fn next_backups(&mut self) -> Vec<HostName> {
-        let others = self.hosts.keys().filter(|host| **host != self.me);
-        let ranked = crate::rendezvous::rank_by_key(self.me.as_str().as_bytes(), others);
+        let others = self.hosts.keys().filter(|host| **host != self.own_name);
+        let ranked = crate::rendezvous::rank_by_key(self.own_name.as_str().as_bytes(), others);
         if ranked.is_empty() {
             return Vec::new();
         }
--- a/bergamotswitch-core/src/roster/machine.rs
+++ b/bergamotswitch-core/src/roster/machine.rs
@@ -25,7 +25,7 @@
 /// A `Roster` is the set of hosts in the fleet as known to this host by gossip.
 #[derive(Debug)]
 pub struct Roster {
-    me: EntryHost,
+    own_host: EntryHost,
     flags: MemberFlags,
     opts: RosterOptions,
     seeds: Vec<SocketAddr>,
@@ -44,9 +44,9 @@
     /// Create the roster of a host that has just started. `stamp_base` is the
     /// time of day in milliseconds at the process's start; `seed` seeds the
     /// random choice of recipients.
-    pub fn new(me: EntryHost, seeds: Vec<SocketAddr>, stamp_base: u64, seed: u64) -> Self {
+    pub fn new(own_host: EntryHost, seeds: Vec<SocketAddr>, stamp_base: u64, seed: u64) -> Self {
         Roster {
-            me,
+            own_host,
             flags: MemberFlags::default(),
             opts: RosterOptions::default(),
             seeds,
@@ -243,7 +243,7 @@
 
     fn own_record(&self, now: Moment) -> MemberRecord {
         MemberRecord {
-            host: self.me.clone(),
+            host: self.own_host.clone(),
             stamp: self.own_stamp(now),
             flags: self.flags,
         }
@@ -286,7 +286,7 @@
 
     /// Merge a mark. Get whether its host is known.
     fn merge_mark(&mut self, now: Moment, sender_stamp: u64, mark: MemberMark) -> bool {
-        if mark.id == MemberMark::id_of(&self.me.name) {
+        if mark.id == MemberMark::id_of(&self.own_host.name) {
             self.raise_stamp(now, sender_stamp.wrapping_sub(mark.behind as u64));
             return true;
         }
@@ -307,7 +307,7 @@
     }
 
     fn merge_record(&mut self, now: Moment, record: MemberRecord) {
-        if record.host.name == self.me.name {
+        if record.host.name == self.own_host.name {
             self.raise_stamp(now, record.stamp);
             return;
         }
@@ -365,7 +365,9 @@
 
     fn other_seeds(&self) -> Vec<SocketAddr> {
         let seeds = self.seeds.iter().copied();
-        seeds.filter(|seed| *seed != self.me.link_address).collect()
+        seeds
+            .filter(|seed| *seed != self.own_host.link_address)
+            .collect()
     }
 
     fn pick(&mut self, addresses: Vec<SocketAddr>) -> Option<SocketAddr> {
--- a/bergamotswitch-core/tests/entry_fuzz.rs
+++ b/bergamotswitch-core/tests/entry_fuzz.rs
@@ -34,45 +34,45 @@
 #[test]
 fn any_order() {
     let mut count = 0;
-    let mut reach = Coverage::default();
+    let mut coverage = Coverage::default();
     for run in 0..RUNS {
         let events = generate_events(run);
         match run_events(EntryOptions::default(), &events) {
-            Ok(simulation) => add_counts(&mut reach, &simulation.reach),
-            Err(breach) => panic!("run {run}: {breach:?}"),
+            Ok(simulation) => add_counts(&mut coverage, &simulation.coverage),
+            Err(violation) => panic!("run {run}: {violation:?}"),
         }
         count += events.len();
     }
-    println!("{RUNS} runs, {count} events, {reach:?}");
+    println!("{RUNS} runs, {count} events, {coverage:?}");
     let often = [
         "aborts", "retries", "attached", "forwards", "lost", "crashes",
     ];
-    let counts = often.map(|what| reach.get(what).copied().unwrap_or_default());
+    let counts = often.map(|what| coverage.get(what).copied().unwrap_or_default());
     assert!(counts.iter().all(|count| *count > RUNS));
 }
 
 /// Run with an injected fault until the oracle detects it.
-fn find_breach(fault: Fault) -> Option<Violation> {
+fn find_violation(fault: Fault) -> Option<Violation> {
     let options = EntryOptions::default().with_fault(fault);
-    let breach = |run| {
-        let breach = run_events(options.clone(), &generate_events(run)).err()?;
-        println!("{fault:?}: run {run}, {breach:?}");
-        Some(breach)
+    let violation = |run| {
+        let violation = run_events(options.clone(), &generate_events(run)).err()?;
+        println!("{fault:?}: run {run}, {violation:?}");
+        Some(violation)
     };
-    (0..RUNS).find_map(breach)
+    (0..RUNS).find_map(violation)
 }
 
 #[test]
 fn retry_after_dispatch() {
-    let breach = find_breach(Fault::RetryAfterDispatch);
+    let violation = find_violation(Fault::RetryAfterDispatch);
     let expected = [Violation::DispatchOnce, Violation::RunOnce];
-    assert!(breach.is_some_and(|breach| expected.contains(&breach)));
+    assert!(violation.is_some_and(|violation| expected.contains(&violation)));
 }
 
 #[test]
 fn claim_after_write() {
     assert_eq!(
-        find_breach(Fault::NotRunAfterWrite),
+        find_violation(Fault::NotRunAfterWrite),
         Some(Violation::NotRun)
     );
 }
@@ -80,7 +80,7 @@
 #[test]
 fn key_without_account() {
     assert_eq!(
-        find_breach(Fault::KeyWithoutAccount),
+        find_violation(Fault::KeyWithoutAccount),
         Some(Violation::ForeignAnswer)
     );
 }
@@ -88,7 +88,7 @@
 #[test]
 fn permit_after_pause() {
     assert_eq!(
-        find_breach(Fault::PermitAfterPause),
+        find_violation(Fault::PermitAfterPause),
         Some(Violation::StalePermit)
     );
 }
--- a/bergamotswitch-core/tests/entry_simulation/mod.rs
+++ b/bergamotswitch-core/tests/entry_simulation/mod.rs
@@ -66,7 +66,7 @@
     grant_steps: BTreeMap<PermitId, u64>,
     in_transit: Vec<Message>,
     pub oracle: Oracle,
-    pub reach: Coverage,
+    pub coverage: Coverage,
     now: Moment,
     pub step: u64,
     runs: u128,
@@ -105,7 +105,7 @@
     }
 
     fn count(&mut self, what: &'static str) {
-        *self.reach.entry(what).or_default() += 1;
+        *self.coverage.entry(what).or_default() += 1;
     }
 
     /// Apply one step and check every invariant.
--- a/bergamotswitch-core/tests/fleet_fuzz.rs
+++ b/bergamotswitch-core/tests/fleet_fuzz.rs
@@ -43,40 +43,40 @@
 }
 
 /// Simulate runs without a breach and get the counts of what occurred in them.
-fn collect_reach(runs: u64, events: impl Fn(u64) -> Vec<FleetEvent>) -> Coverage {
+fn collect_coverage(runs: u64, events: impl Fn(u64) -> Vec<FleetEvent>) -> Coverage {
     let mut count = 0;
-    let mut reach = Coverage::new();
+    let mut coverage = Coverage::new();
     for run in 0..runs {
         let events = events(run);
         match run_events(FleetOptions::default(), &events) {
-            Ok(simulation) => add_counts(&mut reach, &simulation.reach),
-            Err(breach) => panic!("run {run}: {breach:?}"),
+            Ok(simulation) => add_counts(&mut coverage, &simulation.coverage),
+            Err(violation) => panic!("run {run}: {violation:?}"),
         }
         count += events.len();
     }
-    println!("{runs} runs, {count} events, {reach:?}");
-    reach
+    println!("{runs} runs, {count} events, {coverage:?}");
+    coverage
 }
 
 /// Get the number of duplicate runs that known gaps of the design account for.
-fn excused(reach: &Coverage) -> u64 {
-    let gaps = reach.iter().filter(|(what, _)| what.starts_with("gap"));
+fn known_gap_count(coverage: &Coverage) -> u64 {
+    let gaps = coverage.iter().filter(|(what, _)| what.starts_with("gap"));
     gaps.map(|(_, count)| count).sum()
 }
 
 #[test]
 fn any_faults() {
-    let reach = collect_reach(RUNS, generate_events);
+    let coverage = collect_coverage(RUNS, generate_events);
     let often = "aborts, answered, attached, crashes, degraded, forwards, in force, late news, \
         letters disturbed, links lost, one-way cuts, outages, partitions, \
         past a leaving target, pauses noticed, retries, revisions refused, shed, \
         stale reads, stops ended, takeovers, two faults";
     for what in often.split(", ") {
-        let count = reach.get(what).copied().unwrap_or_default();
+        let count = coverage.get(what).copied().unwrap_or_default();
         assert!(count >= RUNS / 5, "{what}: {count}");
     }
     // Duplicate runs by known gaps of the design stay rare, each kind by itself.
-    let gap = |what: &str| reach.get(what).copied().unwrap_or_default();
+    let gap = |what: &str| coverage.get(what).copied().unwrap_or_default();
     assert!(gap("gap: partition") < RUNS * 2 / 5);
     assert!(gap("gap: double death") < RUNS / 8);
     assert!(gap("gap: two owners") + gap("gap: takeover") < RUNS / 50);
@@ -95,11 +95,11 @@
         }
         events
     };
-    let reach = collect_reach(RUNS / 4, events);
-    assert!(reach["crashes"] > RUNS && reach["takeovers"] > RUNS);
-    assert!(!reach.contains_key("gap: partition"));
-    assert!(reach["gap: double death"] < RUNS / 8);
-    assert!(excused(&reach) < RUNS / 8);
+    let coverage = collect_coverage(RUNS / 4, events);
+    assert!(coverage["crashes"] > RUNS && coverage["takeovers"] > RUNS);
+    assert!(!coverage.contains_key("gap: partition"));
+    assert!(coverage["gap: double death"] < RUNS / 8);
+    assert!(known_gap_count(&coverage) < RUNS / 8);
 }
 
 // Guards against duplicate runs that retries mask: the key of a request that is not
@@ -117,8 +117,8 @@
         ..FleetOptions::default()
     };
     for run in KEPT_RUNS.into_iter().chain(0..RUNS / 10) {
-        let breach = run_events(opts.clone(), &generate_events(run)).err();
-        assert_eq!(breach, None, "run {run}");
+        let violation = run_events(opts.clone(), &generate_events(run)).err();
+        assert_eq!(violation, None, "run {run}");
     }
 }
 
@@ -139,62 +139,65 @@
         wait,
     ];
     let simulation = run_events(FleetOptions::default(), &events);
-    let reach = simulation.map(|simulation| simulation.reach);
-    assert!(reach.is_ok_and(|reach| excused(&reach) == 0));
+    let coverage = simulation.map(|simulation| simulation.coverage);
+    assert!(coverage.is_ok_and(|coverage| known_gap_count(&coverage) == 0));
 }
 
 /// Simulate a fleet with an injected defect until the oracle detects a breach.
-fn find_breach(opts: &FleetOptions) -> Option<Violation> {
-    let breach = |run| {
-        let breach = run_events(opts.clone(), &generate_events(run)).err()?;
-        println!("run {run}: {breach:?}");
-        Some(breach)
+fn find_violation(opts: &FleetOptions) -> Option<Violation> {
+    let violation = |run| {
+        let violation = run_events(opts.clone(), &generate_events(run)).err()?;
+        println!("run {run}: {violation:?}");
+        Some(violation)
     };
-    (0..RUNS).find_map(breach)
+    (0..RUNS).find_map(violation)
 }
 
-fn find_breach_of_fault(fault: Fault) -> Option<Violation> {
-    find_breach(&FleetOptions {
+fn find_violation_of_fault(fault: Fault) -> Option<Violation> {
+    find_violation(&FleetOptions {
         entry: EntryOptions::default().with_fault(fault),
         ..FleetOptions::default()
     })
 }
 
-fn is_duplicate_run(breach: Option<Violation>) -> bool {
-    matches!(breach, Some(Violation::DispatchOnce | Violation::RunOnce))
+fn is_duplicate_run(violation: Option<Violation>) -> bool {
+    matches!(
+        violation,
+        Some(Violation::DispatchOnce | Violation::RunOnce)
+    )
 }
 
 #[test]
 fn retry_after_dispatch() {
-    assert!(is_duplicate_run(find_breach_of_fault(
+    assert!(is_duplicate_run(find_violation_of_fault(
         Fault::RetryAfterDispatch
     )));
 }
 
 #[test]
 fn claim_after_write() {
-    let breach = find_breach_of_fault(Fault::NotRunAfterWrite);
-    assert_eq!(breach, Some(Violation::NotRun));
+    let violation = find_violation_of_fault(Fault::NotRunAfterWrite);
+    assert_eq!(violation, Some(Violation::NotRun));
 }
 
 #[test]
 fn key_without_account() {
     assert_eq!(
-        find_breach_of_fault(Fault::KeyWithoutAccount),
+        find_violation_of_fault(Fault::KeyWithoutAccount),
         Some(Violation::ForeignAnswer)
     );
 }
 
 #[test]
 fn permit_after_pause() {
-    let breach = find_breach_of_fault(Fault::PermitAfterPause);
-    assert_eq!(breach, Some(Violation::StalePermit));
+    let violation = find_violation_of_fault(Fault::PermitAfterPause);
+    assert_eq!(violation, Some(Violation::StalePermit));
 }
 
 #[test]
 fn claims_dropped() {
     // Permit requests from other hosts reach the owner without their key claims.
-    assert!(is_duplicate_run(find_breach(&FleetOptions {
+    assert!(is_duplicate_run(find_violation(&FleetOptions {
         drop_claims: true,
         ..FleetOptions::default()
     })));
@@ -202,20 +205,20 @@
 
 #[test]
 fn flipped_tiers() {
-    let breach = find_breach(&FleetOptions {
+    let violation = find_violation(&FleetOptions {
         flip_tiers: true,
         ..FleetOptions::default()
     });
-    assert_eq!(breach, Some(Violation::ShedOrder));
+    assert_eq!(violation, Some(Violation::ShedOrder));
 }
 
 #[test]
 fn late_reads() {
     // Hosts back off for a minute before they read again.
     let minute = Duration::from_secs(60);
-    let breach = find_breach(&FleetOptions {
+    let violation = find_violation(&FleetOptions {
         revision: RevisionOptions::default().with_backoff(minute, minute),
         ..FleetOptions::default()
     });
-    assert_eq!(breach, Some(Violation::RevisionLate));
+    assert_eq!(violation, Some(Violation::RevisionLate));
 }
--- a/bergamotswitch-core/tests/fleet_simulation/mod.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/mod.rs
@@ -141,7 +141,7 @@
     modes: [TargetMode; 4],
     callers: Callers,
     pub oracle: Oracle,
-    pub reach: Coverage,
+    pub coverage: Coverage,
     tasks: BTreeMap<(Moment, u64), ScheduledTask>,
     counter: u64,
     runs: u128,
@@ -194,7 +194,7 @@
     }
 
     fn count(&mut self, what: &'static str) {
-        *self.reach.entry(what).or_default() += 1;
+        *self.coverage.entry(what).or_default() += 1;
     }
 
     fn post(&mut self, after: Duration, task: ScheduledTask) {
--- a/bergamotswitch-core/tests/fleet_simulation/platform.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/platform.rs
@@ -269,7 +269,7 @@
                 if self.now <= since.plus(IN_FORCE_WITHIN) {
                     continue;
                 }
-                *self.reach.entry("in force").or_default() += 1;
+                *self.coverage.entry("in force").or_default() += 1;
                 if host_state.in_force.get(value) != Some(&newest.value.revision) {
                     self.oracle.record_violation(Violation::RevisionLate);
                 }
--- a/bergamotswitch-core/tests/key_trust.rs
+++ b/bergamotswitch-core/tests/key_trust.rs
@@ -6,7 +6,7 @@
 use replica_net::*;
 
 fn routes_replica() -> RevisionReplica {
-    let me = HostIncarnation {
+    let identity = HostIncarnation {
         host: host(0),
         incarnation: Incarnation(1),
     };
@@ -15,7 +15,7 @@
         .with_read_fallback(Duration::ZERO)
         .with_confirm_interval(Duration::from_millis(500));
     let domain = "domain-0".to_owned().try_into().unwrap();
-    RevisionReplica::new(me, domain, opts, Moment::START)
+    RevisionReplica::new(identity, domain, opts, Moment::START)
 }
 
 fn at(millis: u64) -> Moment {
--- a/bergamotswitch-core/tests/node_cold_path.rs
+++ b/bergamotswitch-core/tests/node_cold_path.rs
@@ -48,10 +48,13 @@
 fn answer(node: &mut TestNode) -> Vec<HostName> {
     let mut peers = Vec::new();
     for action in std::mem::take(&mut node.actions) {
-        if let NodeAction::Send(host, LinkMessage::Heartbeat(beat)) = action
-            && beat.sequence > 0
+        if let NodeAction::Send(host, LinkMessage::Heartbeat(heartbeat)) = action
+            && heartbeat.sequence > 0
         {
-            node.message(host.as_str(), LinkMessage::Heartbeat(reply(beat.sequence)));
+            node.message(
+                host.as_str(),
+                LinkMessage::Heartbeat(reply(heartbeat.sequence)),
+            );
             peers.push(host);
         }
     }
@@ -113,25 +116,25 @@
 // Guards against a delay after a start, when two candidates answer heartbeats only by
 // their own next heartbeat.
 #[test]
-fn first_beat_answered() {
+fn first_heartbeat_answered() {
     let mut node = TestNode::serving(&["me", "peer"], json!({}));
     node.link_up("peer");
-    let beats = |node: &TestNode, heard: u64| {
+    let heartbeats = |node: &TestNode, heard: u64| {
         node.count(|action| {
-            matches!(action, NodeAction::Send(_, LinkMessage::Heartbeat(beat)) if beat.heard == heard)
+            matches!(action, NodeAction::Send(_, LinkMessage::Heartbeat(heartbeat)) if heartbeat.heard == heard)
         })
     };
-    assert_eq!(beats(&node, 0), 1, "one is sent at once");
+    assert_eq!(heartbeats(&node, 0), 1, "one is sent at once");
     for sequence in [1, 2] {
-        let beat = Heartbeat {
+        let heartbeat = Heartbeat {
             sequence,
             ..reply(0)
         };
-        node.message("peer", LinkMessage::Heartbeat(beat));
+        node.message("peer", LinkMessage::Heartbeat(heartbeat));
     }
-    assert_eq!(beats(&node, 1), 1, "the first is answered at once");
+    assert_eq!(heartbeats(&node, 1), 1, "the first is answered at once");
     assert_eq!(
-        beats(&node, 2),
+        heartbeats(&node, 2),
         0,
         "the second is answered by the next heartbeat"
     );
--- a/bergamotswitch-core/tests/node_handover.rs
+++ b/bergamotswitch-core/tests/node_handover.rs
@@ -53,32 +53,35 @@
 fn ceasing_owner_notifies() {
     let hosts: Vec<HostName> = HOSTS.iter().map(|host| name(host)).collect();
     let ranked = rendezvous::rank(&shard(), hosts.iter());
-    let [first, asking, me] = ranked.as_slice() else {
+    let [first, requester, acting] = ranked.as_slice() else {
         panic!("{ranked:?}");
     };
-    let mut node = node_with_hosts(me.as_str(), HOSTS, json!({"token_limit": 1}));
+    let mut node = node_with_hosts(acting.as_str(), HOSTS, json!({"token_limit": 1}));
     node.advance(Duration::from_secs(8));
     assert_eq!(node.core.view(node.now).owns, [shard()]);
-    for host in [first, asking] {
+    for host in [first, requester] {
         node.link_up(host.as_str());
     }
     for _ in 0..6 {
         node.submit(submission());
     }
-    let permit_request =
-        OwnerMessage::PermitRequest(Box::new(node_support::permit_request_of(asking.as_str())));
-    node.message(asking.as_str(), LinkMessage::ToOwner(permit_request));
+    let permit_request = OwnerMessage::PermitRequest(Box::new(node_support::permit_request_of(
+        requester.as_str(),
+    )));
+    node.message(requester.as_str(), LinkMessage::ToOwner(permit_request));
     let mut notified = Vec::new();
     let owns = |node: &TestNode| !node.core.view(node.now).owns.is_empty();
     for _ in 0..100 {
         for action in std::mem::take(&mut node.actions) {
             match action {
-                NodeAction::Send(host, LinkMessage::Heartbeat(beat)) if beat.sequence > 0 => {
-                    let heard = beat.sequence;
+                NodeAction::Send(host, LinkMessage::Heartbeat(heartbeat))
+                    if heartbeat.sequence > 0 =>
+                {
+                    let heard = heartbeat.sequence;
                     let reply = Heartbeat {
                         sequence: 0,
                         heard,
-                        ..beat
+                        ..heartbeat
                     };
                     node.message(host.as_str(), LinkMessage::Heartbeat(reply));
                 }
@@ -91,7 +94,7 @@
         node.advance(Duration::from_millis(100));
     }
     assert!(!owns(&node), "an earlier candidate has returned");
-    assert!(notified.iter().eq([asking]), "{notified:?}");
+    assert!(notified.iter().eq([requester]), "{notified:?}");
 }
 
 // Guards against a host that is overloaded but named first to callers, because its load
@@ -100,7 +103,7 @@
 fn loaded_host_last() {
     let mut node = TestNode::serving(&["me", "h1"], json!({}));
     node.link_up("h1");
-    node.beat("h1", 0);
+    node.send_heartbeat("h1", 0);
     node.event(NodeEvent::HostLoad(950));
     for number in 0..20 {
         let query = AddressQuery {
@@ -113,7 +116,7 @@
     node.actions.clear();
     node.advance(Duration::from_secs(1));
     let loads = |action: &NodeAction| match action {
-        NodeAction::Send(_, LinkMessage::Heartbeat(beat)) => beat.load_permille == 950,
+        NodeAction::Send(_, LinkMessage::Heartbeat(heartbeat)) => heartbeat.load_permille == 950,
         _ => false,
     };
     assert!(node.count(loads) > 0);
--- a/bergamotswitch-core/tests/node_limits.rs
+++ b/bergamotswitch-core/tests/node_limits.rs
@@ -75,7 +75,7 @@
 fn choices(limits: &Value) -> u64 {
     let mut node = bound(limits, PAIR, json!({}));
     node.link_up("peer");
-    node.beat("peer", 0);
+    node.send_heartbeat("peer", 0);
     node.core.address(&query("crew")).hosts.len() as u64
 }
 
@@ -83,7 +83,7 @@
 fn peer_first(limits: &Value) -> u64 {
     let mut node = bound(limits, PAIR, json!({}));
     node.link_up("peer");
-    node.beat("peer", 500);
+    node.send_heartbeat("peer", 500);
     let accounts = (0..20).map(|number| format!("account-{number}"));
     let first = accounts.map(|account| node.core.address(&query(&account)).hosts[0].host.clone());
     first.filter(|host| host == "peer").count() as u64
@@ -99,7 +99,7 @@
 fn suspicions(limits: &Value) -> u64 {
     let mut node = bound(limits, PAIR, json!({}));
     node.link_up("peer");
-    node.beat("peer", 0);
+    node.send_heartbeat("peer", 0);
     node.advance(Duration::from_secs(5));
     node.count(|action| {
         matches!(
--- a/bergamotswitch-core/tests/node_support/mod.rs
+++ b/bergamotswitch-core/tests/node_support/mod.rs
@@ -50,14 +50,14 @@
 }
 
 /// Get a host that has just adopted the fleet's published values.
-pub fn node_with_hosts(me: &str, hosts: &[&str], target: Value) -> TestNode {
-    node_with_pool_kind(me, hosts, target, "engine")
+pub fn node_with_hosts(host: &str, hosts: &[&str], target: Value) -> TestNode {
+    node_with_pool_kind(host, hosts, target, "engine")
 }
 
 /// Get a host that has just adopted the published values of a fleet with a pool of this
 /// kind.
-pub fn node_with_pool_kind(me: &str, hosts: &[&str], target: Value, kind: &str) -> TestNode {
-    let mut node = TestNode::new(me);
+pub fn node_with_pool_kind(host: &str, hosts: &[&str], target: Value, kind: &str) -> TestNode {
+    let mut node = TestNode::new(host);
     node.adopt(hosts, &target, kind);
     node
 }
@@ -92,7 +92,7 @@
 }
 
 impl TestNode {
-    /// Get a ready host `me` with the default limits.
+    /// Get a ready host named `me` with the default limits.
     pub fn serving(hosts: &[&str], target: Value) -> Self {
         let mut node = node_with_hosts("me", hosts, target);
         node.advance(START);
@@ -101,9 +101,9 @@
         node
     }
 
-    fn new(me: &str) -> Self {
+    fn new(host: &str) -> Self {
         let domain = "north".to_owned().try_into().expect("name");
-        let core = NodeCore::new(run(me), domain, NodeOptions::default(), Moment::START);
+        let core = NodeCore::new(run(host), domain, NodeOptions::default(), Moment::START);
         TestNode {
             core,
             now: Moment::START,
@@ -161,14 +161,14 @@
         self.event(NodeEvent::Link(LinkEvent::Message(run(peer), message)));
     }
 
-    pub fn beat(&mut self, peer: &str, load_permille: u16) {
-        let beat = Heartbeat {
+    pub fn send_heartbeat(&mut self, peer: &str, load_permille: u16) {
+        let heartbeat = Heartbeat {
             sequence: 1,
             heard: 1,
             stopping: false,
             load_permille,
         };
-        self.message(peer, LinkMessage::Heartbeat(beat));
+        self.message(peer, LinkMessage::Heartbeat(heartbeat));
     }
 
     pub fn advance(&mut self, span: Duration) {
@@ -182,9 +182,9 @@
     }
 
     pub fn submit(&mut self, submission: Submission) -> RequestId {
-        let (reception, actions) = self.core.submit(self.now, submission);
+        let (outcome, actions) = self.core.submit(self.now, submission);
         self.actions.extend(actions);
-        match reception {
+        match outcome {
             SubmitOutcome::Accepted(id) => id,
             other => panic!("not accepted: {other:?}"),
         }
--- a/bergamotswitch-core/tests/node_support/net.rs
+++ b/bergamotswitch-core/tests/node_support/net.rs
@@ -32,7 +32,7 @@
         // Each target has one token, so it runs one request at a time.
         let target = json!({"token_limit": 1});
         let nodes = HOSTS.iter();
-        let nodes = nodes.map(|me| node_with_pool_kind(me, HOSTS, target.clone(), kind));
+        let nodes = nodes.map(|host| node_with_pool_kind(host, HOSTS, target.clone(), kind));
         let mut net = NodeNet {
             nodes: nodes.collect(),
             links: BTreeSet::new(),
--- a/bergamotswitch-core/tests/replica_net/mod.rs
+++ b/bergamotswitch-core/tests/replica_net/mod.rs
@@ -198,28 +198,28 @@
         self.schedule_wake(to);
     }
 
-    fn schedule_wake(&mut self, me: &HostName) {
-        let node = self.nodes.get_mut(me).unwrap();
-        self.wakes.remove(&(node.wake_at, me.clone()));
+    fn schedule_wake(&mut self, host_name: &HostName) {
+        let node = self.nodes.get_mut(host_name).unwrap();
+        self.wakes.remove(&(node.wake_at, host_name.clone()));
         node.wake_at = node.replica.next_wake();
         if !node.paused {
-            self.wakes.insert((node.wake_at, me.clone()));
+            self.wakes.insert((node.wake_at, host_name.clone()));
         }
     }
 
-    fn execute(&mut self, me: &HostName, actions: Vec<RevisionAction>) {
+    fn execute(&mut self, host_name: &HostName, actions: Vec<RevisionAction>) {
         for action in actions {
-            let node = self.nodes.get_mut(me).unwrap();
+            let node = self.nodes.get_mut(host_name).unwrap();
             match action {
-                RevisionAction::Read(value) => self.call(me, value, None),
-                RevisionAction::Watch(value, beyond) => self.call(me, value, Some(beyond)),
+                RevisionAction::Read(value) => self.call(host_name, value, None),
+                RevisionAction::Watch(value, beyond) => self.call(host_name, value, Some(beyond)),
                 RevisionAction::Send(to, message) => {
                     node.messages += 1;
                     node.bytes += serde_json::to_string(&message).unwrap().len();
                     let at = self.now.plus(LATENCY);
-                    self.schedule(at, Packet::Message(me.clone(), to, message));
+                    self.schedule(at, Packet::Message(host_name.clone(), to, message));
                 }
-                RevisionAction::Validate(value) => self.validate(me, value),
+                RevisionAction::Validate(value) => self.validate(host_name, value),
                 RevisionAction::Link(entry) => {
                     node.wanted_links.insert(entry.name);
                 }
@@ -228,29 +228,34 @@
         }
     }
 
-    fn call(&mut self, me: &HostName, value: ValueName, beyond: Option<Revision>) {
+    fn call(&mut self, host_name: &HostName, value: ValueName, beyond: Option<Revision>) {
         self.counter += 1;
         let call = self.counter;
-        let node = self.nodes.get_mut(me).unwrap();
+        let node = self.nodes.get_mut(host_name).unwrap();
         node.reads += 1;
         node.calls.insert(value.clone(), call);
         let current = self.service.get(&value).map(|v| v.revision);
         let wait = match beyond {
-            Some(beyond) if self.reaches_service(me) && current == Some(beyond) => WATCH_TIMEOUT,
+            Some(beyond) if self.reaches_service(host_name) && current == Some(beyond) => {
+                WATCH_TIMEOUT
+            }
             _ => SERVICE_TIME,
         };
         let ready = wait == SERVICE_TIME;
         let at = self.now.plus(wait);
-        self.schedule(at, Packet::Answer(me.clone(), call, value, beyond, ready));
+        self.schedule(
+            at,
+            Packet::Answer(host_name.clone(), call, value, beyond, ready),
+        );
     }
 
-    fn reaches_service(&self, me: &HostName) -> bool {
-        self.service_up && !self.no_service.contains(me)
+    fn reaches_service(&self, host_name: &HostName) -> bool {
+        self.service_up && !self.no_service.contains(host_name)
     }
 
     /// Validate a value; one marked bad is refused.
-    fn validate(&mut self, me: &HostName, value: PublishedValue) {
-        let node = self.nodes.get_mut(me).unwrap();
+    fn validate(&mut self, host_name: &HostName, value: PublishedValue) {
+        let node = self.nodes.get_mut(host_name).unwrap();
         node.validations.push((value.name.clone(), value.revision));
         let mut findings = Findings::new();
         if value.body.contains("\"bad\":true") {
@@ -266,16 +271,16 @@
         let good = verdict.is_ok();
         let replica = &mut node.replica;
         let actions = replica.record_verdict(self.now, &value.name, value.revision, verdict);
-        self.execute(me, actions);
+        self.execute(host_name, actions);
         if good && value.name.as_str() == HOSTS_VALUE {
             let list = serde_json::from_str(&value.body).unwrap();
-            self.handle(me, RevisionEvent::Hosts(list));
+            self.handle(host_name, RevisionEvent::Hosts(list));
         }
     }
 
-    fn answer(&mut self, me: HostName, call: u64, value: ValueName, ready: bool) {
-        let reaches = self.reaches_service(&me);
-        let node = match self.nodes.get_mut(&me) {
+    fn answer(&mut self, host_name: HostName, call: u64, value: ValueName, ready: bool) {
+        let reaches = self.reaches_service(&host_name);
+        let node = match self.nodes.get_mut(&host_name) {
             Some(node) if node.calls.get(&value) == Some(&call) => node,
             _ => return,
         };
@@ -285,31 +290,31 @@
             (true, false, _) => RevisionEvent::Unchanged(value),
             _ => RevisionEvent::ReadFailed(value),
         };
-        self.handle(&me, event);
+        self.handle(&host_name, event);
     }
 
-    pub fn kill(&mut self, me: &HostName) {
-        if let Some(node) = self.nodes.remove(me) {
-            self.wakes.remove(&(node.wake_at, me.clone()));
+    pub fn kill(&mut self, host_name: &HostName) {
+        if let Some(node) = self.nodes.remove(host_name) {
+            self.wakes.remove(&(node.wake_at, host_name.clone()));
         }
         for (a, b) in self.links.clone() {
-            if a != *me && b != *me {
+            if a != *host_name && b != *host_name {
                 continue;
             }
             self.links.remove(&(a.clone(), b.clone()));
-            let other = if a == *me { b } else { a };
-            self.handle(&other, RevisionEvent::PeerDown(me.clone()));
+            let other = if a == *host_name { b } else { a };
+            self.handle(&other, RevisionEvent::PeerDown(host_name.clone()));
         }
     }
 
-    pub fn pause(&mut self, me: &HostName) {
-        self.nodes.get_mut(me).unwrap().paused = true;
-        self.schedule_wake(me);
+    pub fn pause(&mut self, host_name: &HostName) {
+        self.nodes.get_mut(host_name).unwrap().paused = true;
+        self.schedule_wake(host_name);
     }
 
-    pub fn resume(&mut self, me: &HostName, suspended: Duration) {
-        self.nodes.get_mut(me).unwrap().paused = false;
-        self.handle(me, RevisionEvent::ProcessResumed(suspended));
+    pub fn resume(&mut self, host_name: &HostName, suspended: Duration) {
+        self.nodes.get_mut(host_name).unwrap().paused = false;
+        self.handle(host_name, RevisionEvent::ProcessResumed(suspended));
     }
 
     fn is_cut(&self, a: &HostName, b: &HostName) -> bool {
@@ -356,7 +361,9 @@
                     self.handle(&to, RevisionEvent::Peer(from, message));
                 }
             }
-            Packet::Answer(me, call, value, _, ready) => self.answer(me, call, value, ready),
+            Packet::Answer(host_name, call, value, _, ready) => {
+                self.answer(host_name, call, value, ready)
+            }
         }
     }
 
@@ -377,15 +384,15 @@
             } else if packet_at == at {
                 let packet = self.packets.pop_first().unwrap().1;
                 self.deliver(packet);
-            } else if let Some((_, me)) = wake {
-                self.handle(&me, RevisionEvent::Tick);
+            } else if let Some((_, host_name)) = wake {
+                self.handle(&host_name, RevisionEvent::Tick);
             }
         }
         self.now = end;
     }
 
-    pub fn in_force(&self, me: &HostName, value: &str) -> u64 {
-        let held = self.nodes[me].in_force.get(&name(value));
+    pub fn in_force(&self, host_name: &HostName, value: &str) -> u64 {
+        let held = self.nodes[host_name].in_force.get(&name(value));
         held.map_or(0, |held| held.0.0)
     }
 
@@ -394,7 +401,7 @@
         let all: Vec<_> = self
             .nodes
             .keys()
-            .map(|me| self.in_force(me, value))
+            .map(|host_name| self.in_force(host_name, value))
             .collect();
         (*all.iter().min().unwrap(), *all.iter().max().unwrap())
     }
@@ -408,7 +415,7 @@
     pub fn readers(&self) -> Vec<HostName> {
         let reads = |node: &Node| node.replica.status().is_reader;
         let readers = self.nodes.iter().filter(|(_, node)| reads(node));
-        readers.map(|(me, _)| me.clone()).collect()
+        readers.map(|(host_name, _)| host_name.clone()).collect()
     }
 
     pub fn reset_counts(&mut self) {
--- a/bergamotswitch-core/tests/revision_lag.rs
+++ b/bergamotswitch-core/tests/revision_lag.rs
@@ -46,13 +46,13 @@
 #[test]
 fn announced_before_change() {
     let mut net = Net::converged(8, 2);
-    let me = non_reader(&net);
+    let host = non_reader(&net);
     for revision in 2..2 + CHANGES {
         net.publish_rules(revision, Duration::ZERO);
-        announce(&mut net, &me, revision);
+        announce(&mut net, &host, revision);
         let until = net.now.plus(CHANGE_INTERVAL);
         while net.now < until {
-            assert!(caught_up(&net, &me), "revision {revision}");
+            assert!(caught_up(&net, &host), "revision {revision}");
             net.run(STEP);
         }
     }
@@ -66,16 +66,16 @@
 #[test]
 fn long_lag() {
     let mut net = Net::converged(8, 2);
-    let me = non_reader(&net);
+    let host = non_reader(&net);
     let tolerated = Duration::from_millis(900);
     let begun = net.now;
     while net.now < begun.plus(secs(2)) {
-        announce(&mut net, &me, UNSENT);
+        announce(&mut net, &host, UNSENT);
         net.run(STEP);
         let waited = net.now.since(begun);
-        assert!(caught_up(&net, &me) || waited > tolerated, "{waited:?}");
+        assert!(caught_up(&net, &host) || waited > tolerated, "{waited:?}");
     }
-    assert!(!caught_up(&net, &me));
+    assert!(!caught_up(&net, &host));
 }
 
 // Guards against a suspended host that serves on resuming because it was caught
@@ -83,10 +83,10 @@
 #[test]
 fn lag_after_suspension() {
     let mut net = Net::converged(8, 2);
-    let me = non_reader(&net);
-    net.pause(&me);
+    let host = non_reader(&net);
+    net.pause(&host);
     net.run(secs(5));
-    net.resume(&me, secs(5));
-    announce(&mut net, &me, UNSENT);
-    assert!(!caught_up(&net, &me));
+    net.resume(&host, secs(5));
+    announce(&mut net, &host, UNSENT);
+    assert!(!caught_up(&net, &host));
 }
--- a/bergamotswitch-core/tests/revision_readers.rs
+++ b/bergamotswitch-core/tests/revision_readers.rs
@@ -66,7 +66,7 @@
     for hosts in [8, 32, 128] {
         let mut net = Net::converged(hosts, 3);
         let last = net.readers()[0].clone();
-        let cut = net.nodes.keys().filter(|me| **me != last);
+        let cut = net.nodes.keys().filter(|host| **host != last);
         net.no_service.extend(cut.cloned());
         let begun = net.now;
         net.publish_rules(2, BOUND);
@@ -108,9 +108,9 @@
         net.pause(reader);
     }
     net.publish_rules(2, BOUND);
-    let awake = net.nodes.keys().filter(|me| !readers.contains(me));
-    for me in awake {
-        assert_eq!(net.in_force(me, RULES_VALUE), 2);
+    let awake = net.nodes.keys().filter(|host| !readers.contains(host));
+    for host in awake {
+        assert_eq!(net.in_force(host, RULES_VALUE), 2);
     }
 }
 
--- a/bergamotswitch-core/tests/stop_returns.rs
+++ b/bergamotswitch-core/tests/stop_returns.rs
@@ -153,7 +153,7 @@
     /// Get the host in a fleet where all others accept requests.
     fn new() -> Self {
         let now = Moment::START;
-        let me = HostIncarnation {
+        let identity = HostIncarnation {
             host: name("host-0"),
             incarnation: Incarnation(1),
         };
@@ -169,7 +169,7 @@
             ..NodeOptions::default()
         };
         let mut host = StoppingHost {
-            core: NodeCore::new(me, name("domain"), options, now),
+            core: NodeCore::new(identity, name("domain"), options, now),
             now,
             others: [Some(READY); HOSTS],
         };
