--- a/bergamotswitch-core/src/entry/dispatcher/mod.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/mod.rs
@@ -247,7 +247,7 @@
         }
     }
 
-    /// Process expired timers and cache entries, and report when a shutdown is
+    /// Process expired timers and cache entries, and report when a planned stop is
     /// complete.
     fn run_due(&mut self, now: Moment, actions: &mut Vec<EntryAction>) {
         self.last_event_at = now;
--- a/bergamotswitch-core/src/entry/dispatcher/stopping.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/stopping.rs
@@ -1,4 +1,4 @@
-//! Provides the part of a graceful shutdown that is limited by a grace period.
+//! Provides the part of a planned stop that is limited by a grace period.
 //!
 //! The process is killed at the end of the grace period, which truncates every
 //! answer that is still in progress. A stopping host therefore starts only work
@@ -32,7 +32,7 @@
 /// distributed.
 const SPREAD_STEP: u16 = 40_503;
 
-/// A `StopBound` is the limit that a graceful shutdown puts on new work.
+/// A `StopBound` is the limit that a planned stop puts on new work.
 #[derive(Debug)]
 pub(super) struct StopBound {
     /// The time by which answers must be complete; `NEVER` without a grace
--- a/bergamotswitch-core/src/entry/mod.rs
+++ b/bergamotswitch-core/src/entry/mod.rs
@@ -82,7 +82,7 @@
         self.resubmission && (self.holder.is_none() || self.may_rerun())
     }
 
-    /// Get the refusal of a submission that arrives during a shutdown.
+    /// Get the refusal of a submission that arrives during a planned stop.
     pub fn stopping_refusal(&self) -> Refusal {
         self.refuse(RefusalReason::Stopping)
             .with_retry_after(STOPPING_RETRY_AFTER)
@@ -170,22 +170,22 @@
     Pools(Vec<TargetPool>),
     /// A target started or stopped draining, in this host's own view.
     TargetDraining(TargetName, bool),
-    /// A graceful shutdown begins.
+    /// A planned stop begins.
     Stop,
     /// Answers have to be complete by this time, due to the grace period of a
-    /// shutdown.
+    /// planned stop.
     AnswerDeadline(Moment),
     /// The address leases of callers have expired: new requests are refused.
     AdmissionClosed,
     /// The time at which enough hosts are expected to accept requests again,
-    /// during a shutdown. `None` if enough hosts accept requests now, or if the
+    /// during a planned stop. `None` if enough hosts accept requests now, or if the
     /// time is unknown.
     HostsAvailableAt(Option<Moment>),
     /// The number of hosts, including this one, changed.
     Hosts(usize),
     /// The quotas of client accounts changed.
     Quotas(Vec<(AccountName, QuotaRate)>),
-    /// The grace period of the shutdown is over: all requests end now.
+    /// The grace period of the planned stop is over: all requests end now.
     GraceExpired,
     /// Time has passed.
     Tick,
@@ -248,7 +248,7 @@
         /// The time from acceptance to the first token.
         first_token: Option<Duration>,
     },
-    /// The shutdown is complete: no request waits or runs.
+    /// The planned stop is complete: no request waits or runs.
     Stopped,
 }
 
--- a/bergamotswitch-core/src/entry/run_durations.rs
+++ b/bergamotswitch-core/src/entry/run_durations.rs
@@ -164,7 +164,7 @@
 /// chunks at the largest recent chunk interval. Unlike durations, chunk
 /// intervals and the errors of estimates vary little within a rule. If too few
 /// runs had a similar estimate, the maximum output is used instead, as errors
-/// of small estimates don't apply to large ones.
+/// of small estimates do not apply to large ones.
 fn chunk_bound(
     runs: &VecDeque<RunTiming>,
     in_flight: &[RunTiming],
--- a/bergamotswitch-core/src/entry/view.rs
+++ b/bergamotswitch-core/src/entry/view.rs
@@ -23,7 +23,7 @@
     pub dispatched: u64,
     /// Attempts that followed another one, since the start.
     pub retried: u64,
-    /// Whether a graceful shutdown is in progress.
+    /// Whether a planned stop is in progress.
     pub stopping: bool,
 }
 
--- a/bergamotswitch-core/src/membership/machine.rs
+++ b/bergamotswitch-core/src/membership/machine.rs
@@ -29,7 +29,7 @@
     pub(super) denials: Vec<Denial>,
     pub(super) acting: BTreeSet<PoolShard>,
     /// The shards in `acting` that an earlier candidate may have taken over
-    /// while this process was suspended.
+    /// while this process was paused.
     pub(super) unconfirmed: BTreeSet<PoolShard>,
     pub(super) owners: BTreeMap<PoolShard, OwnerView>,
     pub(super) load_permille: u16,
@@ -78,10 +78,10 @@
     /// Handle one event and get the resulting actions.
     pub fn handle(&mut self, now: Moment, event: MembershipEvent) -> Vec<MembershipAction> {
         let mut actions = Vec::new();
-        // Detect a suspension of this process at its first event afterwards.
+        // Detect a pause of this process at its first event afterwards.
         // Otherwise the next tick would find every peer unreachable, and this
         // host would take over shards that others own.
-        self.invalidate_after_suspension(now, now.since(self.wake_at), &mut actions);
+        self.invalidate_after_pause(now, now.since(self.wake_at), &mut actions);
         // Most heartbeats and ticks change nothing.
         self.changed |= !matches!(
             event,
@@ -94,8 +94,8 @@
                 self.rank_candidates();
             }
             MembershipEvent::Using(shard, used) => self.handle_use(shard, used),
-            MembershipEvent::LinkUp(run) => self.handle_link_up(now, run, &mut actions),
-            MembershipEvent::LinkDown(run) => self.handle_link_down(now, &run),
+            MembershipEvent::LinkUp(remote) => self.handle_link_up(now, remote, &mut actions),
+            MembershipEvent::LinkDown(remote) => self.handle_link_down(now, &remote),
             MembershipEvent::Heartbeat(host, heartbeat) => {
                 self.handle_heartbeat(now, host, &heartbeat, &mut actions)
             }
@@ -109,8 +109,8 @@
                 self.begin_stop(now, &mut actions);
             }
             MembershipEvent::Tick => {}
-            MembershipEvent::ProcessResumed(suspended) => {
-                self.invalidate_after_suspension(now, suspended, &mut actions)
+            MembershipEvent::ProcessResumed(paused_for) => {
+                self.invalidate_after_pause(now, paused_for, &mut actions)
             }
         }
         self.reconcile(now, &mut actions);
@@ -221,25 +221,25 @@
     fn handle_link_up(
         &mut self,
         now: Moment,
-        run: HostIncarnation,
+        remote: HostIncarnation,
         actions: &mut Vec<MembershipAction>,
     ) {
-        if run.host == self.identity.host {
+        if remote.host == self.identity.host {
             return;
         }
-        let peer = self.peers.entry(run.host.clone()).or_default();
+        let peer = self.peers.entry(remote.host.clone()).or_default();
         // An incarnation that has been replaced may resume after a pause and
         // connect again. If it were taken for the newer one, the live
         // incarnation would be reported as terminated, and the slots it uses
         // would be granted twice.
-        if peer.is_retired(run.incarnation) {
+        if peer.is_retired(remote.incarnation) {
             return;
         }
-        let replaced = peer.link_up(now, run.incarnation);
+        let replaced = peer.link_up(now, remote.incarnation);
         if let Some(replaced) = replaced {
-            self.denials.retain(|denial| denial.host != run.host);
-            self.clear_owner(&run.host);
-            actions.push(MembershipAction::HostTerminated(run.host, replaced));
+            self.denials.retain(|denial| denial.host != remote.host);
+            self.clear_owner(&remote.host);
+            actions.push(MembershipAction::HostTerminated(remote.host, replaced));
         }
     }
 
@@ -255,9 +255,9 @@
         }
     }
 
-    fn handle_link_down(&mut self, now: Moment, run: &HostIncarnation) {
-        match self.peers.get_mut(&run.host) {
-            Some(peer) if peer.incarnation == Some(run.incarnation) => peer.link_down(now),
+    fn handle_link_down(&mut self, now: Moment, remote: &HostIncarnation) {
+        match self.peers.get_mut(&remote.host) {
+            Some(peer) if peer.incarnation == Some(remote.incarnation) => peer.link_down(now),
             _ => {}
         }
     }
@@ -314,31 +314,31 @@
         }
     }
 
-    /// Invalidate the view after a suspension long enough for others to suspect
+    /// Invalidate the view after a pause long enough for others to suspect
     /// this host.
     ///
-    /// A suspended owner would otherwise still act for shards that another
+    /// A paused owner would otherwise still act for shards that another
     /// candidate took over, or find all peers unreachable and take over their
     /// shards; two owners would grant the same slots. Each path has to be
     /// confirmed again, and this host ceases to act wherever it is not the
-    /// first candidate. After a suspension shorter than the suspicion timeout
+    /// first candidate. After a pause shorter than the suspicion timeout
     /// nobody can have taken over, so it keeps acting until an earlier
     /// candidate answers; otherwise its shards would have no owner until all
     /// earlier candidates are known again.
-    fn invalidate_after_suspension(
+    fn invalidate_after_pause(
         &mut self,
         now: Moment,
-        suspended: Duration,
+        paused_for: Duration,
         actions: &mut Vec<MembershipAction>,
     ) {
-        if suspended < self.opts.suspect_after / 2 {
+        if paused_for < self.opts.suspect_after / 2 {
             return;
         }
         self.changed = true;
         for peer in self.peers.values_mut() {
             peer.reset_path(now);
         }
-        if suspended < self.opts.suspect_after {
+        if paused_for < self.opts.suspect_after {
             self.unconfirmed.clone_from(&self.acting);
             return;
         }
--- a/bergamotswitch-core/src/membership/mod.rs
+++ b/bergamotswitch-core/src/membership/mod.rs
@@ -85,6 +85,6 @@
     /// This incarnation of a host has terminated: a newer one connected, or the
     /// host was removed from the host list and is unreachable.
     HostTerminated(HostName, Incarnation),
-    /// Log an event about a host.
+    /// Log an incident of a host.
     LogIncident(Incident, HostName),
 }
--- a/bergamotswitch-core/src/membership/peer.rs
+++ b/bergamotswitch-core/src/membership/peer.rs
@@ -108,25 +108,25 @@
         self.unanswered_since = Some(now);
         self.sent_at = None;
         // Heartbeats that were queued in a socket while this process was
-        // suspended acknowledge old sequences; only an acknowledgement of a
+        // paused acknowledge old sequences; only an acknowledgement of a
         // later one counts.
         self.answered = self.sequence;
     }
 
     /// Get whether an incarnation has already been replaced.
-    pub(super) fn is_retired(&self, run: Incarnation) -> bool {
-        self.retired.contains(&run)
+    pub(super) fn is_retired(&self, incarnation: Incarnation) -> bool {
+        self.retired.contains(&incarnation)
     }
 
     /// Record that a link came up. Get the incarnation that was replaced, if
     /// there was another one.
-    pub(super) fn link_up(&mut self, now: Moment, run: Incarnation) -> Option<Incarnation> {
+    pub(super) fn link_up(&mut self, now: Moment, incarnation: Incarnation) -> Option<Incarnation> {
         self.connected = true;
         self.awaiting_first = true;
         self.sent_at = None;
-        let earlier = self.incarnation.replace(run);
+        let earlier = self.incarnation.replace(incarnation);
         let replaced = match earlier {
-            Some(earlier) if earlier != run => earlier,
+            Some(earlier) if earlier != incarnation => earlier,
             _ => return None,
         };
         // The counters belong to the previous incarnation.
--- a/bergamotswitch-core/src/membership/reconcile.rs
+++ b/bergamotswitch-core/src/membership/reconcile.rs
@@ -57,8 +57,8 @@
                 return true;
             }
             match peer.incarnation {
-                Some(run) if peer.has_been(false, now, termination_after) => {
-                    actions.push(MembershipAction::HostTerminated(name.clone(), run));
+                Some(incarnation) if peer.has_been(false, now, termination_after) => {
+                    actions.push(MembershipAction::HostTerminated(name.clone(), incarnation));
                     false
                 }
                 Some(_) => true,
--- a/bergamotswitch-core/src/name.rs
+++ b/bergamotswitch-core/src/name.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The maximum length of a name in bytes. Every slot request carries names, so
+/// The maximum length of a name in bytes. Every permit request carries names, so
 /// this also bounds the size of the control traffic.
 pub const MAX_NAME_LEN: usize = 64;
 
--- a/bergamotswitch-core/src/node/actions.rs
+++ b/bergamotswitch-core/src/node/actions.rs
@@ -101,10 +101,10 @@
             }
             MembershipAction::OwnerChanged(shard, owner) => self.on_owner_change(now, shard, owner),
             MembershipAction::Act(shard, act) => self.on_acting_change(now, shard, act),
-            MembershipAction::HostTerminated(host, run) => {
-                let actions = self
-                    .shards
-                    .notify_all(now, |_| OwnerEvent::HostTerminated(host.clone(), run));
+            MembershipAction::HostTerminated(host, incarnation) => {
+                let actions = self.shards.notify_all(now, |_| {
+                    OwnerEvent::HostTerminated(host.clone(), incarnation)
+                });
                 self.queue_owner(actions);
                 self.exposure.record_run_end(now, &host);
             }
--- a/bergamotswitch-core/src/node/core.rs
+++ b/bergamotswitch-core/src/node/core.rs
@@ -42,7 +42,7 @@
 /// A `NodeOptions` holds the options of a host's state machines.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NodeOptions {
-    /// The options of the entry component, which accepts requests.
+    /// The options of the entry side, which accepts requests.
     pub entry: EntryOptions,
     /// The options of shard owners.
     pub owner: OwnerOptions,
@@ -115,7 +115,7 @@
     pub(super) stopping: bool,
     pub(super) planned_stop: Option<PlannedStop>,
     /// When enough hosts are expected to accept requests again, as last reported to the
-    /// entry component.
+    /// entry side.
     pub(super) hosts_back_at: Option<Moment>,
     pub(super) load_permille: u16,
     pub(super) opts: NodeOptions,
@@ -315,7 +315,7 @@
             started_at,
             answers_due: at,
         });
-        // Update the expected return of other hosts first: the entry component refuses
+        // Update the expected return of other hosts first: the entry side refuses
         // waiting requests on the event below, and sets their retry time from it.
         self.review_host_returns(now);
         self.notify_entry(now, EntryEvent::AnswerDeadline(at));
@@ -323,19 +323,19 @@
 
     fn on_link(&mut self, now: Moment, event: LinkEvent) {
         match event {
-            LinkEvent::Up(run) => {
-                let host = run.host.clone();
-                self.notify_membership(now, MembershipEvent::LinkUp(run));
+            LinkEvent::Up(remote) => {
+                let host = remote.host.clone();
+                self.notify_membership(now, MembershipEvent::LinkUp(remote));
                 self.resync_linked(now, &host);
                 self.send_all_failed_targets(now, &host);
                 self.notify_revisions(now, RevisionEvent::PeerUp(host));
             }
-            LinkEvent::Down(run) => {
-                let host = run.host.clone();
-                self.notify_membership(now, MembershipEvent::LinkDown(run));
+            LinkEvent::Down(remote) => {
+                let host = remote.host.clone();
+                self.notify_membership(now, MembershipEvent::LinkDown(remote));
                 self.notify_revisions(now, RevisionEvent::PeerDown(host));
             }
-            LinkEvent::Message(run, message) => self.on_message(now, run.host, message),
+            LinkEvent::Message(remote, message) => self.on_message(now, remote.host, message),
         }
     }
 
--- a/bergamotswitch-core/src/node/host_returns.rs
+++ b/bergamotswitch-core/src/node/host_returns.rs
@@ -52,7 +52,7 @@
 
 impl NodeCore {
     /// Update the estimate of when enough hosts accept requests again, and report
-    /// changes to the entry component.
+    /// changes to the entry side.
     pub(super) fn review_host_returns(&mut self, now: Moment) {
         let hosts_back_at = self.enough_hosts_at(now);
         if hosts_back_at != self.hosts_back_at {
--- a/bergamotswitch-core/src/node/intake.rs
+++ b/bergamotswitch-core/src/node/intake.rs
@@ -9,7 +9,7 @@
 use crate::membership::PeerView;
 use crate::refusal::{Refusal, RefusalReason};
 
-/// The retry time for callers whose API key can't be confirmed. The store or an
+/// The retry time for callers whose API key cannot be confirmed. The store or an
 /// informed peer is polled about once a second.
 const KEY_RETRY_AFTER: std::time::Duration = std::time::Duration::from_secs(1);
 
@@ -22,7 +22,7 @@
     ) -> (SubmitOutcome, Vec<NodeAction>) {
         self.detect_pause(now);
         if !self.is_ready(now) {
-            // The entry component was not consulted: after a pause it may still hold
+            // The entry side was not consulted: after a pause it may still hold
             // the request that is resubmitted or forwarded here.
             let may_be_held = submission.resubmission || submission.holder.is_some();
             let refusal = match may_be_held {
--- a/bergamotswitch-core/src/node/key_guard.rs
+++ b/bergamotswitch-core/src/node/key_guard.rs
@@ -245,7 +245,7 @@
         let guarded = matches!(&message, OwnerMessage::PermitRequest(request) if request.claim.is_some())
             && self.is_guarded(message.shard());
         // A host in degraded mode knows only its own keys, and several hosts may be
-        // degraded at once. The permit request is dropped: the entry component repeats
+        // degraded at once. The permit request is dropped: the entry side repeats
         // it, or refuses the request as not run at its deadline.
         if guarded && self.shards.is_degraded_shard(message.shard()) {
             return None;
@@ -257,7 +257,7 @@
 
     /// Get whether keyed requests of a shard are held until the owner has a quorum.
     ///
-    /// This holds for plain services, whose effects can't be undone. Requests to
+    /// This holds for plain services, whose effects cannot be undone. Requests to
     /// engines continue in every part of a partitioned fleet, and are deduplicated by
     /// key within the part. Callers of a gateway have no idempotency keys.
     fn is_guarded(&self, shard: &PoolShard) -> bool {
--- a/bergamotswitch-core/src/node/mod.rs
+++ b/bergamotswitch-core/src/node/mod.rs
@@ -123,7 +123,7 @@
     DropAnswer(RequestId),
     /// Forward a request to the host incarnation that holds its key.
     Forward(RequestId, HostIncarnation),
-    /// Log a numbered event; the text names its subject.
+    /// Log an incident; the text names its subject.
     LogIncident(Incident, String),
     /// Count a refusal of an accepted request.
     CountRefusal(Tier, RefusalReason),
--- a/bergamotswitch-core/src/permit.rs
+++ b/bergamotswitch-core/src/permit.rs
@@ -181,7 +181,7 @@
 pub enum OwnerMessage {
     /// Requests a slot.
     PermitRequest(Box<PermitRequest>),
-    /// Cancels a slot request, because the caller disconnected or the deadline
+    /// Cancels a permit request, because the caller disconnected or the deadline
     /// passed.
     Withdraw {
         /// The shard.
@@ -197,7 +197,7 @@
         release: Release,
     },
     /// Reports the entry host's permits and keys to a new owner, before the first
-    /// slot request.
+    /// permit request.
     Resync {
         /// The shard.
         shard: PoolShard,
@@ -237,7 +237,7 @@
         /// The targets.
         targets: Vec<FailedTarget>,
     },
-    /// Reports to a new owner, before the first slot request, the quota units that
+    /// Reports to a new owner, before the first permit request, the quota units that
     /// requests at the sender have used and that have not been refilled since.
     QuotaUse {
         /// The shard.
@@ -260,7 +260,7 @@
         /// The permit.
         permit: Permit,
     },
-    /// Refuses the slot request for good.
+    /// Refuses the permit request for good.
     Refused {
         /// The attempt that requested the slot.
         attempt: AttemptId,
@@ -269,7 +269,7 @@
         /// The time after which the caller may retry, in milliseconds.
         retry_after_ms: u32,
     },
-    /// Redirects a slot request whose idempotency key is held by another host
+    /// Redirects a permit request whose idempotency key is held by another host
     /// incarnation.
     KeyHeld {
         /// The attempt that requested the slot.
--- a/bergamotswitch-core/src/pool_owner/attached_hosts.rs
+++ b/bergamotswitch-core/src/pool_owner/attached_hosts.rs
@@ -25,17 +25,17 @@
     /// When the first of these hosts is counted even if it sends nothing.
     first_expiry: Moment,
     /// Until when received messages may have been sent before this process was
-    /// suspended.
+    /// paused.
     stale_until: Moment,
     stopping: bool,
 }
 
-/// How long after a suspension the messages that queued up during it may
+/// How long after a pause the messages that queued up during it may
 /// arrive.
 const STALE_MESSAGE_TIME: Duration = Duration::from_millis(200);
 
 impl AttachedHosts {
-    /// Set the hosts of the fleet that aren't stopping. New ones may use
+    /// Set the hosts of the fleet that are not stopping. New ones may use
     /// another owner, except for `own_name`.
     pub(super) fn set_hosts(
         &mut self,
@@ -57,7 +57,7 @@
     }
 
     /// Record that a host uses this owner. Messages that queued up while this
-    /// process was suspended are ignored, since the host may use another owner
+    /// process was paused are ignored, since the host may use another owner
     /// by now.
     pub(super) fn attach(&mut self, now: Moment, host: &HostName) {
         if !self.detached.is_empty() && now >= self.stale_until {
@@ -90,7 +90,7 @@
     }
 
     /// Count all hosts as users of this owner at once: the previous owner stops
-    /// or doesn't respond, so all of them use this one.
+    /// or does not respond, so all of them use this one.
     pub(super) fn attach_all(&mut self) {
         self.detached.clear();
         self.update_first_expiry();
--- a/bergamotswitch-core/src/pool_owner/back_off.rs
+++ b/bergamotswitch-core/src/pool_owner/back_off.rs
@@ -17,7 +17,7 @@
 /// current backoff state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeAdmission {
-    /// All requests: the target isn't backed off.
+    /// All requests: the target is not backed off.
     Unrestricted,
     /// One request that is eligible as a probe.
     EligibleProbe,
--- a/bergamotswitch-core/src/pool_owner/dispatch.rs
+++ b/bergamotswitch-core/src/pool_owner/dispatch.rs
@@ -71,7 +71,7 @@
     }
 
     /// Grant the selected request its target, or answer it without a run if its
-    /// key is held elsewhere or `late` says that its deadline can't be met.
+    /// key is held elsewhere or `late` says that its deadline cannot be met.
     pub(super) fn grant_or_refuse(
         &mut self,
         now: Moment,
@@ -138,8 +138,8 @@
         }
     }
 
-    /// Reserve targets for a request that doesn't fit now, so that requests
-    /// behind it don't take the capacity that it waits for.
+    /// Reserve targets for a request that does not fit now, so that requests
+    /// behind it do not take the capacity that it waits for.
     fn reserve_capacity(
         &self,
         now: Moment,
@@ -393,7 +393,7 @@
         cost: queued.request.cost,
         blocks: queued.request.prefixes.len(),
         warm,
-        // Top-tier requests and requests that must not run twice aren't used as
+        // Top-tier requests and requests that must not run twice are not used as
         // probes.
         probe_eligible: queued.request.claim.is_none() && queued.request.tier > Tier(0),
         // Targets that fail together become due for a probe together. Probing
--- a/bergamotswitch-core/src/pool_owner/fair_queue.rs
+++ b/bergamotswitch-core/src/pool_owner/fair_queue.rs
@@ -100,7 +100,7 @@
         let account = self.accounts.entry(entry.account.clone()).or_default();
         if account.ranks.is_empty() {
             // An account that was idle starts at the current virtual time:
-            // unused service isn't credited, since it would let the account
+            // unused service is not credited, since it would let the account
             // starve others later.
             account.start = account.start.max(self.virtual_time);
             let key = (account.start, entry.account.clone());
@@ -119,7 +119,7 @@
         self.tokens += entry.tokens;
     }
 
-    /// Get the next request in order whose placement isn't blocked.
+    /// Get the next request in order whose placement is not blocked.
     pub(super) fn next(&self, blocked: &BTreeSet<Arc<Placement>>) -> Option<AttemptId> {
         let accounts = self.by_start.iter().filter_map(|(_, name)| {
             let account = self.accounts.get(name)?;
--- a/bergamotswitch-core/src/pool_owner/key_table.rs
+++ b/bergamotswitch-core/src/pool_owner/key_table.rs
@@ -37,7 +37,7 @@
     capacity: usize,
     entries: HashMap<u128, KeyEntry>,
     expiries: BTreeSet<(Moment, u128)>,
-    /// Until when a key that isn't in the table may still have been used.
+    /// Until when a key that is not in the table may still have been used.
     incomplete_until: Moment,
 }
 
--- a/bergamotswitch-core/src/pool_owner/load_history.rs
+++ b/bergamotswitch-core/src/pool_owner/load_history.rs
@@ -1,4 +1,4 @@
-//! Provides the part of a target's reported load that isn't from this owner's
+//! Provides the part of a target's reported load that is not from this owner's
 //! permits.
 
 use std::collections::VecDeque;
@@ -70,12 +70,12 @@
             return;
         }
         self.measured_at = at;
-        // Reports aren't validated; an absurd value must not cause an overflow.
+        // Reports are not validated; an absurd value must not cause an overflow.
         let reported = report.outstanding_tokens.min(u64::from(u32::MAX));
         self.foreign_tokens = reported.saturating_sub(self.count_at(at));
     }
 
-    /// Get the tokens at the target that aren't from this owner's permits,
+    /// Get the tokens at the target that are not from this owner's permits,
     /// weighted by the report's age.
     pub fn foreign_tokens(&self, now: Moment) -> u64 {
         if self.foreign_tokens == 0 {
--- a/bergamotswitch-core/src/pool_owner/mod.rs
+++ b/bergamotswitch-core/src/pool_owner/mod.rs
@@ -55,18 +55,18 @@
     Targets(Vec<PoolTarget>),
     /// The quota rates that this owner enforces have changed.
     Quotas(Vec<(AccountName, QuotaRate)>),
-    /// The hosts of the fleet that aren't stopping have changed.
+    /// The hosts of the fleet that are not stopping have changed.
     Hosts(Vec<HostName>),
     /// A target's load report arrived, possibly delayed.
     Load(TargetName, LoadReport),
     /// A target reported that it holds (`true`) or evicted (`false`) a prefix;
     /// such reports are delayed and incomplete.
     Prefix(TargetName, PrefixHash, bool),
-    /// This run of an entry host has terminated.
+    /// This incarnation of an entry host has terminated.
     HostTerminated(HostName, Incarnation),
     /// The previous owner stops and handed over to this one.
     HandedOver,
-    /// The previous owner doesn't respond, and this one takes over.
+    /// The previous owner does not respond, and this one takes over.
     FailedOver,
     /// This host stops, and another one takes over.
     Stopping,
@@ -80,6 +80,6 @@
 pub enum OwnerAction {
     /// Send a reply to an entry host (which may be this host).
     Reply(HostName, OwnerReply),
-    /// Log a numbered event about a target of the shard.
+    /// Log an incident of the shard and, if given, of one of its targets.
     LogIncident(Incident, PoolShard, Option<TargetName>),
 }
--- a/bergamotswitch-core/src/pool_owner/owner.rs
+++ b/bergamotswitch-core/src/pool_owner/owner.rs
@@ -149,10 +149,10 @@
                 self.attached_hosts
                     .set_hosts(now, &self.identity.host, hosts, overlap);
             }
-            OwnerEvent::HostTerminated(host, run) => {
+            OwnerEvent::HostTerminated(host, incarnation) => {
                 self.attached_hosts
                     .detach(now, &host, self.opts.owner_overlap);
-                self.drop_run(now, run);
+                self.drop_incarnation(now, incarnation);
             }
             OwnerEvent::HandedOver => {
                 self.recovery = None;
@@ -175,10 +175,10 @@
         actions
     }
 
-    /// Record that this process was suspended. Another owner may have admitted
+    /// Record that this process was paused. Another owner may have admitted
     /// requests meanwhile, and entry hosts may use that one now.
-    pub fn on_resumed(&mut self, now: Moment, suspension: Duration) {
-        self.quotas.exclude_suspension(suspension);
+    pub fn on_resumed(&mut self, now: Moment, paused_for: Duration) {
+        self.quotas.exclude_pause(paused_for);
         let overlap = self.opts.owner_overlap;
         self.attached_hosts
             .detach_others(now, &self.identity.host, overlap);
@@ -203,7 +203,7 @@
     }
 
     /// Record that a host uses this owner if it requests a permit or reports
-    /// what it holds. Other messages don't show it: a release may be sent long
+    /// what it holds. Other messages do not show it: a release may be sent long
     /// after its host has switched owners.
     fn record_attached_host(&mut self, now: Moment, host: &HostName, message: &OwnerMessage) {
         if matches!(
@@ -307,7 +307,7 @@
         let placement = Placement::of(&request, long);
         // Fail closed: a request that no target may serve is refused now, and
         // never sent to a failure domain outside its rule. Before the first
-        // list of targets that can't be decided.
+        // list of targets that cannot be decided.
         if self.targets_known && allowed(&self.targets, &placement).is_empty() {
             let reason = RefusalReason::NoTarget;
             self.refuse(host, request.attempt, reason, NO_TARGET_RETRY, actions);
--- a/bergamotswitch-core/src/pool_owner/permit_table.rs
+++ b/bergamotswitch-core/src/pool_owner/permit_table.rs
@@ -1,4 +1,4 @@
-//! Provides the table of granted permits that haven't been released.
+//! Provides the table of granted permits that have not been released.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -110,9 +110,9 @@
     }
 
     /// Get the ids of the permits of one run of an entry host.
-    pub fn of_run(&self, run: Incarnation) -> Vec<PermitId> {
+    pub fn of_incarnation(&self, incarnation: Incarnation) -> Vec<PermitId> {
         let permits = self.permits.values();
-        let held = permits.filter(|permit| permit.attempt.request.incarnation == run);
+        let held = permits.filter(|permit| permit.attempt.request.incarnation == incarnation);
         held.map(|permit| permit.id).collect()
     }
 
--- a/bergamotswitch-core/src/pool_owner/preemption.rs
+++ b/bergamotswitch-core/src/pool_owner/preemption.rs
@@ -99,7 +99,7 @@
     /// Get the predicted time until a request of `tokens` fits a target.
     fn time_until_fits(&self, now: Moment, load: &TargetLoad, tokens: u64) -> Duration {
         // A queued request that fits is held back for another reason, which
-        // preemption wouldn't change.
+        // preemption would not change.
         if load.fits(now, tokens) {
             return Duration::ZERO;
         }
--- a/bergamotswitch-core/src/pool_owner/prefix_table.rs
+++ b/bergamotswitch-core/src/pool_owner/prefix_table.rs
@@ -9,7 +9,7 @@
 use crate::target::TargetName;
 
 /// The maximum number of targets kept per prefix. Routing needs one warm target
-/// with capacity; a prefix that is cached on every target doesn't influence the
+/// with capacity; a prefix that is cached on every target does not influence the
 /// choice.
 const MAX_HINTS: usize = 4;
 
--- a/bergamotswitch-core/src/pool_owner/queue.rs
+++ b/bergamotswitch-core/src/pool_owner/queue.rs
@@ -18,7 +18,7 @@
 
 /// A `Placement` is the constraints on where a request may be sent. Requests of
 /// the same placement are blocked together, so that a full failure domain
-/// doesn't block requests for others.
+/// does not block requests for others.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Placement {
     /// The allowed failure domains; all if empty.
@@ -164,8 +164,8 @@
     }
 
     /// Get the queued attempts of one run of an entry host.
-    pub fn of_run(&self, run: Incarnation) -> Vec<AttemptId> {
-        self.find(|queued| queued.request.attempt.request.incarnation == run)
+    pub fn of_incarnation(&self, incarnation: Incarnation) -> Vec<AttemptId> {
+        self.find(|queued| queued.request.attempt.request.incarnation == incarnation)
     }
 
     /// Add a request; nothing changes if its attempt is queued already.
@@ -232,7 +232,7 @@
         self.on_time_ends.first().map(|(end, _)| *end)
     }
 
-    /// Get the next request in order whose placement isn't blocked.
+    /// Get the next request in order whose placement is not blocked.
     pub fn next(&self, blocked: &BTreeSet<Arc<Placement>>) -> Option<&QueuedRequest> {
         // Avoid iterating over all accounts on every event while the shard is
         // full.
@@ -297,7 +297,7 @@
         self.take(attempt, true)
     }
 
-    /// Remove a request that isn't served.
+    /// Remove a request that is not served.
     pub fn remove(&mut self, attempt: &AttemptId) -> Option<QueuedRequest> {
         self.take(attempt, false)
     }
--- a/bergamotswitch-core/src/pool_owner/quota.rs
+++ b/bergamotswitch-core/src/pool_owner/quota.rs
@@ -71,7 +71,7 @@
 
 /// A `QuotaBuckets` is a token bucket for each account with a quota.
 ///
-/// A bucket starts empty. A new owner doesn't know what the previous one
+/// A bucket starts empty. A new owner does not know what the previous one
 /// admitted unless that one hands its buckets over; with an empty bucket, the
 /// usage in any window around the change stays within one burst plus the rate
 /// over the window.
@@ -144,7 +144,7 @@
     }
 
     /// Try to take the units of a request. It is admitted while the bucket's
-    /// level isn't negative, and may take the level below zero: requests differ
+    /// level is not negative, and may take the level below zero: requests differ
     /// by orders of magnitude in units, and requiring the full amount would
     /// exclude long ones.
     ///
@@ -244,11 +244,11 @@
         }
     }
 
-    /// Exclude the time of a suspension of this process: no units accrue for
+    /// Exclude the time of a pause of this process: no units accrue for
     /// it.
-    pub fn exclude_suspension(&mut self, suspension: Duration) {
+    pub fn exclude_pause(&mut self, paused_for: Duration) {
         for bucket in self.buckets.values_mut() {
-            bucket.filled_at = bucket.filled_at.plus(suspension);
+            bucket.filled_at = bucket.filled_at.plus(paused_for);
         }
     }
 
@@ -263,7 +263,7 @@
     /// Refund the units of a queued request that was not run.
     ///
     /// The bucket may have refilled while the request was queued. The refund is
-    /// limited so that the level and the units of queued requests don't exceed
+    /// limited so that the level and the units of queued requests do not exceed
     /// the bucket's capacity; otherwise an account could get more than one
     /// burst by queueing requests and cancelling them.
     pub fn refund(&mut self, now: Moment, account: &AccountName, units: u32) {
--- a/bergamotswitch-core/src/pool_owner/release.rs
+++ b/bergamotswitch-core/src/pool_owner/release.rs
@@ -126,7 +126,7 @@
         });
     }
 
-    /// Reclaim the permits that a host, asked by an audit, doesn't hold.
+    /// Reclaim the permits that a host, asked by an audit, does not hold.
     pub(super) fn on_not_held(
         &mut self,
         now: Moment,
@@ -151,12 +151,12 @@
 
     /// Drop the queued requests and free the permits of a run of an entry host
     /// that has terminated. Its keys stay claimed, since the outcome of its
-    /// requests isn't known.
-    pub(super) fn drop_run(&mut self, now: Moment, run: Incarnation) {
-        for attempt in self.queue.of_run(run) {
+    /// requests is not known.
+    pub(super) fn drop_incarnation(&mut self, now: Moment, incarnation: Incarnation) {
+        for attempt in self.queue.of_incarnation(incarnation) {
             self.drop_queued(&attempt);
         }
-        for id in self.permits.of_run(run) {
+        for id in self.permits.of_incarnation(incarnation) {
             if let Some(permit) = self.release_permit(now, &id) {
                 self.clear_probe(&permit);
                 self.remove_if_drained(&permit.target);
--- a/bergamotswitch-core/src/pool_owner/routing.rs
+++ b/bergamotswitch-core/src/pool_owner/routing.rs
@@ -29,7 +29,7 @@
     pub warm: &'a [WarmTarget],
     /// Whether the request may be the probe of a target that is backed off.
     pub probe_eligible: bool,
-    /// Whether the request has failed on a target before; if so, it isn't used
+    /// Whether the request has failed on a target before; if so, it is not used
     /// as a probe while other targets work.
     pub failed_before: bool,
 }
@@ -140,7 +140,7 @@
     let own = query.cost.total() - saved;
     if load.target().slots.is_some() {
         // Such a target serves all its slots concurrently, so its backlog
-        // doesn't delay a new request; recent run times show its speed.
+        // does not delay a new request; recent run times show its speed.
         return (load.run_ms(query.cost) * 1_000.0) as u64;
     }
     let tokens = load.backlog(now) + own;
--- a/bergamotswitch-core/src/pool_owner/slot_limit.rs
+++ b/bergamotswitch-core/src/pool_owner/slot_limit.rs
@@ -11,8 +11,8 @@
 /// A `SlotLimit` is the number of requests that a target serves concurrently,
 /// as estimated from its load reports.
 ///
-/// The token limit doesn't determine the batch size. Requests beyond the batch
-/// wait inside the target, which doesn't know priorities, so top-tier requests
+/// The token limit does not determine the batch size. Requests beyond the batch
+/// wait inside the target, which does not know priorities, so top-tier requests
 /// would be delayed by earlier lower-tier ones.
 #[derive(Debug, Default)]
 pub struct SlotLimit {
--- a/bergamotswitch-core/src/pool_owner/slot_routing.rs
+++ b/bergamotswitch-core/src/pool_owner/slot_routing.rs
@@ -201,7 +201,7 @@
     }
 
     /// Get whether an allowed target, open or not, meets the condition and
-    /// isn't backed off.
+    /// is not backed off.
     fn any_usable(&self, placement: &Placement, condition: impl Fn(&TargetLoad) -> bool) -> bool {
         let excludes_avoided = self.excludes_avoided(placement);
         in_domains(self.targets, placement).any(|load| {
--- a/bergamotswitch-core/src/pool_owner/target_change.rs
+++ b/bergamotswitch-core/src/pool_owner/target_change.rs
@@ -91,7 +91,7 @@
 }
 
 /// Get whether `start` is later than `known`. If either is missing, a restart
-/// can't be detected.
+/// cannot be detected.
 pub(super) fn is_later(start: Option<u64>, known: Option<u64>) -> bool {
     match (start, known) {
         (Some(start), Some(known)) => start > known,
--- a/bergamotswitch-core/src/pool_owner/target_load.rs
+++ b/bergamotswitch-core/src/pool_owner/target_load.rs
@@ -26,12 +26,12 @@
 const CACHE_HIT_WEIGHT: f64 = 0.5;
 
 /// The minimum cache hit ratio assumed for warm-prefix hints: some engines
-/// don't report cached tokens, and there a hint is still better than none.
+/// do not report cached tokens, and there a hint is still better than none.
 const MIN_CACHE_HIT_RATIO: f64 = 0.25;
 
 /// The time from the release of a slot to the arrival of the next request, in
 /// milliseconds. Requests for this much of a target's work may wait there
-/// beyond its batch, so that slots of short runs don't stay idle. With long
+/// beyond its batch, so that slots of short runs do not stay idle. With long
 /// runs this gives none: they would wait at a slow target longer than in the
 /// queue.
 const REFILL_MS: f64 = 6.0;
--- a/bergamotswitch-core/src/pool_owner/wait_plan.rs
+++ b/bergamotswitch-core/src/pool_owner/wait_plan.rs
@@ -48,7 +48,7 @@
 const SPREAD_STEP: u64 = 17;
 
 /// The maximum reduction of the retry-after time, in percent, so that callers
-/// of one burst don't return together.
+/// of one burst do not return together.
 const SPREAD_PERCENT: u64 = 40;
 
 impl WaitPlan {
--- a/bergamotswitch-core/src/revision/mod.rs
+++ b/bergamotswitch-core/src/revision/mod.rs
@@ -176,6 +176,6 @@
     /// Open a link to this peer for propagating values, and keep it as long as
     /// `RevisionReplica::wants_link` returns true.
     Link(EntryHost),
-    /// Log an event about a value.
+    /// Log an incident of a value.
     LogIncident(Incident, ValueName),
 }
--- a/bergamotswitch-core/src/revision/peer.rs
+++ b/bergamotswitch-core/src/revision/peer.rs
@@ -88,7 +88,7 @@
         is_new
     }
 
-    /// Invalidate the state after a suspension.
+    /// Invalidate the state after a pause.
     pub(super) fn invalidate(&mut self, now: Moment) {
         self.heard_at = None;
         self.poll_at = now;
--- a/bergamotswitch-core/src/revision/replica.rs
+++ b/bergamotswitch-core/src/revision/replica.rs
@@ -52,7 +52,7 @@
     pub(super) announce_at: Moment,
     pub(super) peer_confirmed: bool,
     /// Whether the host has been caught up since its start or its last
-    /// suspension.
+    /// pause.
     was_caught_up: bool,
     pub(super) jitter: Jitter,
     hosts: BTreeMap<HostName, EntryHost>,
@@ -275,7 +275,7 @@
         self.backups.retain(|host| hosts.contains_key(host));
     }
 
-    /// Invalidate the state after a suspension: the peers may be ahead, and
+    /// Invalidate the state after a pause: the peers may be ahead, and
     /// pending calls may be lost with their connections.
     fn invalidate(&mut self, now: Moment) {
         self.peer_confirmed = false;
--- a/bergamotswitch-core/src/revision/service_reader.rs
+++ b/bergamotswitch-core/src/revision/service_reader.rs
@@ -25,9 +25,9 @@
 
 impl Jitter {
     /// Create the source for an incarnation.
-    pub(super) fn new(run: Incarnation) -> Self {
+    pub(super) fn new(incarnation: Incarnation) -> Self {
         Jitter {
-            seed: run.0,
+            seed: incarnation.0,
             counter: 0,
         }
     }
--- a/bergamotswitch-core/src/revision/status.rs
+++ b/bergamotswitch-core/src/revision/status.rs
@@ -33,7 +33,7 @@
     /// The status of each value.
     pub values: Vec<ValueStatus>,
     /// Whether no peer has confirmed the revisions since the start or the last
-    /// suspension, in which case they may be stale.
+    /// pause, in which case they may be stale.
     pub alone: bool,
     /// The number of reads and watches since the start.
     pub reads_issued: u64,
--- a/bergamotswitch-core/src/revision/value_replica.rs
+++ b/bergamotswitch-core/src/revision/value_replica.rs
@@ -61,7 +61,7 @@
 
     /// Store a value if its revision is higher. Get whether it was stored.
     pub(super) fn take(&mut self, value: PublishedValue, kept_bases: usize) -> bool {
-        // A stale service replica, or a host that was suspended or has just
+        // A stale service replica, or a host that was paused or has just
         // started, may offer a lower revision. Accepting it would put withdrawn
         // rules back in force.
         if value.revision <= self.seen() {
--- a/bergamotswitch-core/src/roster/known_member.rs
+++ b/bergamotswitch-core/src/roster/known_member.rs
@@ -11,7 +11,7 @@
     pub(super) record: MemberRecord,
     /// When the last update about the host arrived.
     pub(super) heard_at: Moment,
-    /// How much of this host's own suspensions has been discounted since then.
+    /// How much of this host's own pauses has been discounted since then.
     pub(super) discounted: Duration,
     /// When the host was first reported as leaving; absent once it accepts
     /// callers again.
@@ -36,10 +36,10 @@
         self.discounted = Duration::ZERO;
     }
 
-    /// Exclude a suspension of this host from the time without an update, up to
+    /// Exclude a pause of this host from the time without an update, up to
     /// `limit` in total.
-    pub(super) fn discount(&mut self, now: Moment, suspended: Duration, limit: Duration) {
-        let discounted = suspended.min(limit.saturating_sub(self.discounted));
+    pub(super) fn discount(&mut self, now: Moment, paused_for: Duration, limit: Duration) {
+        let discounted = paused_for.min(limit.saturating_sub(self.discounted));
         self.discounted += discounted;
         self.heard_at = self.heard_at.plus(discounted).min(now);
     }
--- a/bergamotswitch-core/src/roster/machine.rs
+++ b/bergamotswitch-core/src/roster/machine.rs
@@ -76,7 +76,7 @@
     /// directed to a stopping host.
     pub fn set_flags(&mut self, now: Moment, flags: MemberFlags) {
         if flags != self.flags {
-            self.discount_suspension(now);
+            self.discount_pause(now);
             self.flags = flags;
             self.round_at = now;
         }
@@ -97,25 +97,25 @@
     /// interval is excluded. A host whose rounds are always late, for lack of
     /// CPU time, detects failures of others later, after at most twice the
     /// timeout.
-    fn discount_suspension(&mut self, now: Moment) {
-        let suspended = now.since(self.next_round_deadline());
-        if suspended.is_zero() {
+    fn discount_pause(&mut self, now: Moment) {
+        let paused_for = now.since(self.next_round_deadline());
+        if paused_for.is_zero() {
             return;
         }
         let silent_after = self.silent_after();
         for member in self.members.values_mut() {
-            member.discount(now, suspended, silent_after);
+            member.discount(now, paused_for, silent_after);
         }
         self.round_at = now;
     }
 
     /// Get the time by which the next round should have run; past it, this host
-    /// counts as suspended.
+    /// counts as paused.
     fn next_round_deadline(&self) -> Moment {
         self.round_at.plus(self.opts.round_interval)
     }
 
-    /// Reset the silence of all other hosts after a suspension of this process,
+    /// Reset the silence of all other hosts after a pause of this process,
     /// which is no evidence against them.
     pub fn resume(&mut self, now: Moment) {
         for member in self.members.values_mut() {
@@ -129,7 +129,7 @@
         if now < self.round_at {
             return Vec::new();
         }
-        self.discount_suspension(now);
+        self.discount_pause(now);
         self.round_at = now.plus(self.opts.round_interval);
         self.rounds += 1;
         let forget_after = self.opts.forget_after;
@@ -148,7 +148,7 @@
 
     /// Handle a message and get the answer, if one is needed.
     pub fn handle(&mut self, now: Moment, message: RosterMessage) -> Vec<RosterAction> {
-        self.discount_suspension(now);
+        self.discount_pause(now);
         let sender = message.sender;
         let to = sender.host.link_address;
         let sender_stamp = sender.stamp;
--- a/bergamotswitch-core/tests/entry_grace.rs
+++ b/bergamotswitch-core/tests/entry_grace.rs
@@ -1,11 +1,11 @@
-//! Tests of a graceful shutdown that is limited by a grace period.
+//! Tests of a planned stop that is limited by a grace period.
 
 mod entry_support;
 
 use bergamotswitch_core::refusal::RunClaim;
 use entry_support::*;
 
-/// The part of the grace period that is left when a shutdown begins.
+/// The part of the grace period that is left when a planned stop begins.
 const GRACE_LEFT: Duration = Duration::from_secs(7);
 /// The interval between ticks.
 const STEP: Duration = Duration::from_millis(100);
@@ -93,7 +93,7 @@
 }
 
 /// Get the run claim and the retry delay of a submission that is refused
-/// because of the shutdown.
+/// because of the planned stop.
 fn refused_while_stopping(
     dispatcher: &mut TestDispatcher,
     submission: Submission,
@@ -134,7 +134,7 @@
     dispatcher.begin(bounded(Duration::from_secs(3)), "t0");
 }
 
-// Guards against starting a run of unknown duration during a shutdown.
+// Guards against starting a run of unknown duration during a planned stop.
 #[test]
 fn unknown_length() {
     let mut dispatcher = TestDispatcher::new(EntryOptions::default());
@@ -154,7 +154,7 @@
 }
 
 // Guards against truncated answers of requests that were already waiting when
-// the shutdown began and get a permit late.
+// the planned stop began and get a permit late.
 #[test]
 fn late_permit() {
     let mut dispatcher = TestDispatcher::new(EntryOptions::default());
@@ -440,7 +440,7 @@
 }
 
 // Guards against a bound from ended runs alone when all targets have become
-// slow just before the shutdown.
+// slow just before the planned stop.
 #[test]
 fn runs_in_flight() {
     let mut dispatcher = TestDispatcher::new(EntryOptions::default());
@@ -489,7 +489,7 @@
     }
 }
 
-// Guards against a shutdown that never ends because callers keep submitting
+// Guards against a planned stop that never ends because callers keep submitting
 // short calls after their address lease has expired.
 #[test]
 fn admission_closed() {
@@ -501,7 +501,7 @@
     dispatcher.start(waiting, "t0");
 }
 
-// Guards against refusing or aborting requests in a shutdown without a grace
+// Guards against refusing or aborting requests in a planned stop without a grace
 // period.
 #[test]
 fn no_grace_period() {
--- a/bergamotswitch-core/tests/entry_stop.rs
+++ b/bergamotswitch-core/tests/entry_stop.rs
@@ -1,4 +1,4 @@
-//! Tests of a graceful shutdown without a grace period.
+//! Tests of a planned stop without a grace period.
 
 mod entry_support;
 
@@ -12,7 +12,7 @@
     assert_eq!(dispatcher.event(EntryEvent::Tick), vec![]);
 }
 
-// Guards against a shutdown that ends running or waiting requests, or refuses
+// Guards against a planned stop that ends running or waiting requests, or refuses
 // those of callers with an old address answer.
 #[test]
 fn stop_under_work() {
@@ -29,7 +29,7 @@
         let stopped = actions.contains(&EntryAction::Stopped);
         assert_eq!(stopped, attempt == late);
     }
-    // Another request makes the shutdown incomplete again.
+    // Another request makes the planned stop incomplete again.
     let last = dispatcher.accept(submission());
     assert!(
         !dispatcher
--- a/bergamotswitch-core/tests/fleet_fuzz.rs
+++ b/bergamotswitch-core/tests/fleet_fuzz.rs
@@ -85,7 +85,7 @@
 #[test]
 fn crashes_only() {
     // Replaces network faults, pauses, outages and double faults by crashes, so that
-    // they can't mask the effects of crashes.
+    // they cannot mask the effects of crashes.
     let events = |run| {
         let mut events = generate_events(run);
         for [what, _, b, _] in &mut events {
--- a/bergamotswitch-core/tests/fleet_simulation/engines.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/engines.rs
@@ -1,4 +1,4 @@
-//! Provides the simulated targets, which run, refuse, fail or don't answer attempts,
+//! Provides the simulated targets, which run, refuse, fail or do not answer attempts,
 //! and the checks made at each dispatch.
 
 use bergamotswitch_core::entry::NotSentReason;
--- a/bergamotswitch-core/tests/host_pauses.rs
+++ b/bergamotswitch-core/tests/host_pauses.rs
@@ -15,7 +15,7 @@
 /// The milliseconds between calls of the `calm` account, at half of its quota.
 const CALM_INTERVAL_MS: u64 = 20;
 
-/// Pauses that peers don't detect, that cause an owner change, and that the process
+/// Pauses that peers do not detect, that cause an owner change, and that the process
 /// itself detects.
 const PAUSES_MS: [u64; 5] = [500, 900, 1_400, 1_900, 3_000];
 
--- a/bergamotswitch-core/tests/key_guard.rs
+++ b/bergamotswitch-core/tests/key_guard.rs
@@ -23,7 +23,7 @@
     net.cuts.insert((a.min(b), a.max(b)));
 }
 
-// Guards against a second run of keyed requests while two candidates that can't reach
+// Guards against a second run of keyed requests while two candidates that cannot reach
 // each other both act as owner.
 #[test]
 fn two_owners() {
--- a/bergamotswitch-core/tests/membership_faults.rs
+++ b/bergamotswitch-core/tests/membership_faults.rs
@@ -1,4 +1,4 @@
-//! Tests of membership when hosts fail, are suspended, are partitioned and are
+//! Tests of membership when hosts fail, are paused, are partitioned and are
 //! replaced.
 
 mod fleet;
@@ -61,7 +61,7 @@
 #[test]
 fn owner_paused() {
     // Guards against an open link that counts as a live owner: the owner of a
-    // large fleet is suspended while its links stay open, and resumes later as
+    // large fleet is paused while its links stay open, and resumes later as
     // the first candidate.
     let (mut fleet, order) = converged(128);
     fleet.pause(&order[0]);
@@ -81,8 +81,8 @@
 
 #[test]
 fn second_paused() {
-    // Guards against a host that counts its own suspension as silence of its
-    // peers: the acting second candidate is suspended while the first one
+    // Guards against a host that counts its own pause as silence of its
+    // peers: the acting second candidate is paused while the first one
     // returns.
     let (mut fleet, order) = converged(8);
     fleet.kill(&order[0]);
@@ -108,7 +108,7 @@
 }
 
 // Guards against an owner that keeps acting, or ceases without an action, after
-// a suspension during which another host took over.
+// a pause during which another host took over.
 #[test]
 fn resumed_owner_ceases() {
     let (mut fleet, order) = converged(8);
@@ -122,10 +122,10 @@
     assert_eq!(fleet.nodes[&order[1]].acting_changes, changes + 1);
 }
 
-// Guards against a shard without an owner after a suspension too short to be
+// Guards against a shard without an owner after a pause too short to be
 // detected.
 #[test]
-fn short_suspension() {
+fn short_pause() {
     let (mut fleet, order) = converged(8);
     fleet.kill(&order[0]);
     fleet.run(secs(4));
@@ -141,8 +141,8 @@
 }
 
 #[test]
-fn suspension_without_event() {
-    // Guards against peers reported as unreachable after a suspension that is
+fn pause_without_event() {
+    // Guards against peers reported as unreachable after a pause that is
     // not announced by an event.
     let (mut fleet, order) = converged(8);
     fleet.pause(&order[2]);
--- a/bergamotswitch-core/tests/node_support/net.rs
+++ b/bergamotswitch-core/tests/node_support/net.rs
@@ -10,7 +10,7 @@
 pub struct NodeNet {
     pub nodes: Vec<TestNode>,
     links: BTreeSet<(usize, usize)>,
-    /// Pairs of hosts that can't reach each other.
+    /// Pairs of hosts that cannot reach each other.
     pub cuts: BTreeSet<(usize, usize)>,
     /// The paused host.
     frozen: Option<usize>,
--- a/bergamotswitch-core/tests/owner_choice.rs
+++ b/bergamotswitch-core/tests/owner_choice.rs
@@ -81,7 +81,7 @@
 #[test]
 fn not_owner_reply() {
     // Guards against permit requests sent to a reachable candidate that has replied
-    // that it isn't the owner, because its host list is older.
+    // that it is not the owner, because its host list is older.
     let shards = [shard(0)];
     let mut fleet = Fleet::start(8, &shards);
     let order = ranked(8, 0);
--- a/bergamotswitch-core/tests/owner_failover.rs
+++ b/bergamotswitch-core/tests/owner_failover.rs
@@ -62,7 +62,7 @@
 
 #[test]
 fn refused_key() {
-    // A key is freed if its only permit request was shed, because it hasn't run.
+    // A key is freed if its only permit request was shed, because it has not run.
     let opts = OwnerOptions::default().with_max_requests(1);
     let mut bench = OwnerBench::with_targets(opts, &[target("a", "d", 100)]);
     let permit = bench.granted(&permit_request(0, 0, "a"));
@@ -110,7 +110,7 @@
 #[test]
 fn incomplete_key_table() {
     // Guards against a second run after the owner and the key's holder have failed:
-    // a new owner's empty key table doesn't mean that the key is new.
+    // a new owner's empty key table does not mean that the key is new.
     let mut bench = keyed_bench();
     let resubmitted = with_claim(
         permit_request(1, 0, "a"),
--- a/bergamotswitch-core/tests/owner_routing.rs
+++ b/bergamotswitch-core/tests/owner_routing.rs
@@ -126,7 +126,7 @@
 #[test]
 fn slow_recovery() {
     // Guards against a recovered target that stays idle: without requests its speed
-    // isn't measured, so the estimate must recover with time.
+    // is not measured, so the estimate must recover with time.
     let mut bench = bench_of(&[target("a", "d", 100_000)]);
     run_each(&mut bench, 0..4, 100);
     let before = bench.target_view("a").speed;
--- a/bergamotswitch-core/tests/queue_order.rs
+++ b/bergamotswitch-core/tests/queue_order.rs
@@ -188,7 +188,7 @@
 
 #[test]
 fn too_late_to_finish() {
-    // Guards against running requests that can't finish before their deadline, which
+    // Guards against running requests that cannot finish before their deadline, which
     // wastes the capacity of the tier.
     let opts = OwnerOptions::default();
     let mut bench = OwnerBench::with_targets(opts, &[target("t", "d", 100)]);
@@ -219,7 +219,7 @@
 #[test]
 fn lower_tier_preemption() {
     // Guards against a request of the top tier missing its deadline behind long
-    // requests of lower tiers, since targets don't support priorities.
+    // requests of lower tiers, since targets do not support priorities.
     let targets = [target("a", "d", 10_000), target("b", "d", 10_000)];
     let mut bench = OwnerBench::with_targets(OwnerOptions::default(), &targets);
     let mut bulk = with_cost(permit_request(1, 2, "bulk"), 5_000, 5_000);
--- a/bergamotswitch-core/tests/replica_net/mod.rs
+++ b/bergamotswitch-core/tests/replica_net/mod.rs
@@ -312,9 +312,9 @@
         self.schedule_wake(host_name);
     }
 
-    pub fn resume(&mut self, host_name: &HostName, suspended: Duration) {
+    pub fn resume(&mut self, host_name: &HostName, paused_for: Duration) {
         self.nodes.get_mut(host_name).unwrap().paused = false;
-        self.handle(host_name, RevisionEvent::ProcessResumed(suspended));
+        self.handle(host_name, RevisionEvent::ProcessResumed(paused_for));
     }
 
     fn is_cut(&self, a: &HostName, b: &HostName) -> bool {
--- a/bergamotswitch-core/tests/retry_budgets.rs
+++ b/bergamotswitch-core/tests/retry_budgets.rs
@@ -83,7 +83,7 @@
     }
 }
 
-// Guards against savings per host that don't depend on the slack and the number
+// Guards against savings per host that do not depend on the slack and the number
 // of hosts: after a healthy period, all targets fail while hosts are restarted
 // in turn.
 #[test]
--- a/bergamotswitch-core/tests/revision_adoption.rs
+++ b/bergamotswitch-core/tests/revision_adoption.rs
@@ -41,14 +41,14 @@
 #[test]
 fn service_stale() {
     // Guards against withdrawn rules in force again after the service returns
-    // to an old revision, also on hosts that were suspended.
+    // to an old revision, also on hosts that were paused.
     let mut net = Net::converged(8, 2);
     net.publish_rules(7, secs(5));
     net.publish_rules(3, secs(120));
-    let suspended = net.readers()[0].clone();
-    net.pause(&suspended);
+    let paused = net.readers()[0].clone();
+    net.pause(&paused);
     net.run(secs(60));
-    net.resume(&suspended, secs(60));
+    net.resume(&paused, secs(60));
     net.run(secs(20));
     assert_eq!(net.in_force_range(RULES_VALUE), (7, 7));
     assert!(net.log_count(Incident::RevisionStale) >= 1);
--- a/bergamotswitch-core/tests/revision_lag.rs
+++ b/bergamotswitch-core/tests/revision_lag.rs
@@ -78,10 +78,10 @@
     assert!(!caught_up(&net, &host));
 }
 
-// Guards against a suspended host that serves on resuming because it was caught
+// Guards against a paused host that serves on resuming because it was caught
 // up before.
 #[test]
-fn lag_after_suspension() {
+fn lag_after_pause() {
     let mut net = Net::converged(8, 2);
     let host = non_reader(&net);
     net.pause(&host);
--- a/bergamotswitch-core/tests/revision_readers.rs
+++ b/bergamotswitch-core/tests/revision_readers.rs
@@ -101,7 +101,7 @@
 #[test]
 fn readers_silent() {
     // Guards against an open link that counts as a live reader when all readers
-    // are suspended.
+    // are paused.
     let mut net = Net::converged(32, 2);
     let readers = net.readers();
     for reader in &readers {
--- a/bergamotswitch-core/tests/roster_rounds.rs
+++ b/bergamotswitch-core/tests/roster_rounds.rs
@@ -31,8 +31,8 @@
 struct Fleet {
     rosters: BTreeMap<usize, Roster>,
     cut: Box<dyn Fn(usize, usize) -> bool>,
-    /// The host whose process is suspended; messages to it are queued.
-    suspended: Option<usize>,
+    /// The host whose process is paused; messages to it are queued.
+    paused: Option<usize>,
     queued: Vec<RosterMessage>,
     now_ms: u64,
     messages: usize,
@@ -43,7 +43,7 @@
         let mut fleet = Fleet {
             rosters: BTreeMap::new(),
             cut: Box::new(|_, _| false),
-            suspended: None,
+            paused: None,
             queued: Vec::new(),
             now_ms: 0,
             messages: 0,
@@ -76,9 +76,9 @@
             self.now_ms += STEP_MS;
             let now = self.now();
             let mut sent: Vec<(usize, SocketAddr, RosterMessage)> = Vec::new();
-            let suspended = self.suspended;
+            let paused = self.paused;
             let awake = self.rosters.iter_mut();
-            for (index, roster) in awake.filter(|(index, _)| Some(**index) != suspended) {
+            for (index, roster) in awake.filter(|(index, _)| Some(**index) != paused) {
                 for action in roster.tick(now) {
                     sent.push((*index, action.to, action.message));
                 }
@@ -90,7 +90,7 @@
                 else {
                     continue;
                 };
-                if Some(recipient) == suspended {
+                if Some(recipient) == paused {
                     self.queued.push(message);
                     continue;
                 }
@@ -102,11 +102,11 @@
         }
     }
 
-    /// Resume the suspended host, and get how many hosts it knows before it
+    /// Resume the paused host, and get how many hosts it knows before it
     /// reads its socket: its timer fires first.
     fn resume(&mut self) -> usize {
         let now = self.now();
-        let index = self.suspended.take().expect("a suspended host");
+        let index = self.paused.take().expect("a paused host");
         let roster = self.rosters.get_mut(&index).expect("listed");
         roster.tick(now);
         let known = roster.hosts(now).hosts.len();
@@ -206,16 +206,16 @@
     }
 }
 
-// Guards against a briefly suspended host that counts its own suspension as
+// Guards against a briefly paused host that counts its own pause as
 // silence of the others and considers itself alone.
 #[test]
-fn short_suspension() {
+fn short_pause() {
     for count in [2, 4, 8] {
         let mut fleet = Fleet::new(count);
         fleet.run(Duration::from_secs(3));
-        fleet.suspended = Some(1);
+        fleet.paused = Some(1);
         fleet.run(Duration::from_millis(1_800));
-        assert_eq!(fleet.known(1), count, "while it is suspended");
+        assert_eq!(fleet.known(1), count, "while it is paused");
         assert_eq!(fleet.resume(), count, "after it has resumed");
     }
 }
@@ -233,7 +233,7 @@
         fleet.rosters.remove(&2);
         let rounds = DETECTED_WITHIN.as_millis().div_ceil(late.as_millis()) + 1;
         for _ in 0..rounds {
-            fleet.suspended = Some(1);
+            fleet.paused = Some(1);
             fleet.run(late);
             fleet.resume();
             fleet.run(Duration::from_millis(20));
@@ -250,7 +250,7 @@
     fleet.run(Duration::from_secs(3));
     fleet.rosters.remove(&2);
     for _ in 0..10 {
-        fleet.suspended = Some(1);
+        fleet.paused = Some(1);
         fleet.run(Duration::from_millis(800));
         fleet.resume();
         fleet.run(Duration::from_millis(20));
--- a/bergamotswitch-core/tests/slot_routing.rs
+++ b/bergamotswitch-core/tests/slot_routing.rs
@@ -165,7 +165,7 @@
     assert_eq!(permit.attempt.request.sequence, 3);
 }
 
-// Guards against starting requests that can't finish before their deadline while
+// Guards against starting requests that cannot finish before their deadline while
 // others are queued.
 #[test]
 fn unfinishable_request() {
--- a/bergamotswitch-draw/src/lib.rs
+++ b/bergamotswitch-draw/src/lib.rs
@@ -35,7 +35,7 @@
 ///
 /// # Panics
 ///
-/// Panics if `generator` can't generate a value.
+/// Panics if `generator` cannot generate a value.
 pub fn draw<G: ValueGenerator>(generator: &G, run: u64) -> G::Output {
     let mut bytes = vec![0u8; BYTES_PER_RUN];
     StdRng::seed_from_u64(run).fill(&mut bytes[..]);
