--- a/bergamotswitch-core/src/entry/dispatcher/aborting.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/aborting.rs
@@ -95,7 +95,7 @@
     /// never stops generating would otherwise exhaust the memory of the
     /// process. There is no retry, as another run would exceed the limit as
     /// well.
-    pub(super) fn abort_overlong(
+    pub(super) fn abort_too_long(
         &mut self,
         now: Moment,
         id: RequestId,
--- a/bergamotswitch-core/src/entry/dispatcher/mod.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/mod.rs
@@ -143,7 +143,7 @@
             EntryEvent::TargetDraining(target, draining) => {
                 self.pools.set_draining(target, draining)
             }
-            EntryEvent::AnswerTooLong(id) => self.abort_overlong(now, id, &mut actions),
+            EntryEvent::AnswerTooLong(id) => self.abort_too_long(now, id, &mut actions),
             EntryEvent::AnswerSize(id, bytes) => self.answers.set_bytes(id, bytes),
             EntryEvent::Stop => self.stopping = true,
             EntryEvent::AnswerDeadline(at) => self.set_answer_deadline(now, at, &mut actions),
--- a/bergamotswitch-core/src/entry/run_durations.rs
+++ b/bergamotswitch-core/src/entry/run_durations.rs
@@ -40,10 +40,10 @@
 
 /// The minimum number of chunks of a run from which a chunk interval is
 /// derived. Fewer chunks arrive in one burst.
-const MIN_PACE_CHUNKS: u32 = 4;
+const MIN_INTERVAL_CHUNKS: u32 = 4;
 
 /// The minimum number of runs with a chunk interval for an estimate by chunks.
-const MIN_PACE_RUNS: usize = 4;
+const MIN_INTERVAL_RUNS: usize = 4;
 
 /// The maximum age of the chunk count of a current run; it matches the interval
 /// at which progress is reported.
@@ -65,7 +65,7 @@
     /// Get the mean interval between chunks, or `None` for too few chunks.
     fn chunk_interval(&self) -> Option<Duration> {
         let rest = self.elapsed.saturating_sub(self.first_chunk);
-        (self.chunks >= MIN_PACE_CHUNKS).then(|| rest / (self.chunks - 1))
+        (self.chunks >= MIN_INTERVAL_CHUNKS).then(|| rest / (self.chunks - 1))
     }
 
     /// Get a lower bound for the chunk interval of a current run, whose chunk
@@ -172,7 +172,7 @@
     most: u32,
 ) -> Option<Duration> {
     let ended: Vec<Duration> = runs.iter().filter_map(RunTiming::chunk_interval).collect();
-    if ended.len() < MIN_PACE_RUNS {
+    if ended.len() < MIN_INTERVAL_RUNS {
         return None;
     }
     let current = in_flight.iter().map(RunTiming::min_chunk_interval);
--- a/bergamotswitch-core/src/incident.rs
+++ b/bergamotswitch-core/src/incident.rs
@@ -1,5 +1,5 @@
 //! Provides incidents: the numbered events that a host logs. A test compares
-//! them with the catalogue in `docs/EVENTS.md`.
+//! them with the catalog in `docs/EVENTS.md`.
 
 macro_rules! incidents {
     ($($(#[$doc:meta])* $variant:ident = $number:literal, $level:ident, $text:literal;)*) => {
--- a/bergamotswitch-core/src/membership/machine.rs
+++ b/bergamotswitch-core/src/membership/machine.rs
@@ -322,7 +322,7 @@
     /// shards; two owners would grant the same slots. Each path has to be
     /// confirmed again, and this host ceases to act wherever it is not the
     /// first candidate. After a pause shorter than the suspicion timeout
-    /// nobody can have taken over, so it keeps acting until an earlier
+    /// no other host can have taken over, so it keeps acting until an earlier
     /// candidate answers; otherwise its shards would have no owner until all
     /// earlier candidates are known again.
     fn invalidate_after_pause(
--- a/bergamotswitch-core/src/membership/options.rs
+++ b/bergamotswitch-core/src/membership/options.rs
@@ -8,19 +8,27 @@
 /// candidate is lost with its failure domain and another one is restarting.
 pub const CANDIDATE_COUNT: usize = 3;
 
-/// Four heartbeats fit into the suspicion timeout, so that the loss of one
-/// heartbeat never moves ownership.
-const HEARTBEAT: Duration = Duration::from_millis(500);
+/// The default interval between two heartbeats. Four of them fit into the
+/// suspicion timeout, so that the loss of one heartbeat never moves ownership.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+
+/// The default suspicion timeout.
 const SUSPECT_AFTER: Duration = Duration::from_secs(2);
-/// Longer than the suspicion timeout, so that a link that flaps at that
-/// interval never counts as stable.
+
+/// The default time for which an earlier candidate has to be reachable before
+/// ownership fails back to it. It is longer than the suspicion timeout, so that
+/// a link that flaps at that interval never counts as stable.
 const FAILBACK_AFTER: Duration = Duration::from_secs(5);
-/// Longer than a process stopped in a debugger or a slow live migration stays
-/// unreachable.
+
+/// The default time for which a host removed from the host list has to be
+/// unreachable before its incarnation counts as terminated. It is longer than a
+/// pause in a debugger or a slow live migration.
 const TERMINATION_AFTER: Duration = Duration::from_secs(60);
-/// Long enough for a heartbeat to reach the next candidate and the users of the
-/// shard.
+
+/// The default time for which a stopping owner keeps acting. A heartbeat reaches
+/// the next candidate and the users of the shard in that time.
 const HANDOVER: Duration = Duration::from_secs(1);
+
 /// The number of watching hosts from which on users send heartbeats at longer
 /// intervals.
 const WATCHERS_AT_FULL_RATE: usize = 32;
@@ -39,7 +47,7 @@
 impl Default for MembershipOptions {
     fn default() -> Self {
         MembershipOptions {
-            heartbeat: HEARTBEAT,
+            heartbeat: HEARTBEAT_INTERVAL,
             suspect_after: SUSPECT_AFTER,
             failback_after: FAILBACK_AFTER,
             termination_after: TERMINATION_AFTER,
--- a/bergamotswitch-core/src/membership/peer.rs
+++ b/bergamotswitch-core/src/membership/peer.rs
@@ -13,7 +13,7 @@
 
 /// The number of earlier incarnations that are remembered, so that a delayed
 /// link of one of them is not taken for a newer incarnation.
-const RETIRED_RUNS: usize = 4;
+const RETIRED_INCARNATIONS: usize = 4;
 
 /// A `PeerView` is the state of one peer as reported to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
@@ -136,7 +136,7 @@
         self.stopping = false;
         self.reset_path(now);
         self.retired.push_back(replaced);
-        if self.retired.len() > RETIRED_RUNS {
+        if self.retired.len() > RETIRED_INCARNATIONS {
             self.retired.pop_front();
         }
         Some(replaced)
--- a/bergamotswitch-core/src/node/actions.rs
+++ b/bergamotswitch-core/src/node/actions.rs
@@ -106,7 +106,7 @@
                     OwnerEvent::HostTerminated(host.clone(), incarnation)
                 });
                 self.queue_owner(actions);
-                self.exposure.record_run_end(now, &host);
+                self.exposure.record_termination(now, &host);
             }
             MembershipAction::LogIncident(incident, host) => {
                 let text = format!("peer={host}");
--- a/bergamotswitch-core/src/node/exposure.rs
+++ b/bergamotswitch-core/src/node/exposure.rs
@@ -65,7 +65,7 @@
 
     /// Record that a host's process has ended. A restarted owner has lost its keys,
     /// which counts as a takeover of its shards.
-    pub(super) fn record_run_end(&mut self, now: Moment, host: &HostName) {
+    pub(super) fn record_termination(&mut self, now: Moment, host: &HostName) {
         let owned = self.shards.values_mut().filter(|seen| seen.owner == *host);
         for seen in owned {
             seen.taken_over_at = Some(now);
--- a/bergamotswitch-core/src/node/key_guard.rs
+++ b/bergamotswitch-core/src/node/key_guard.rs
@@ -143,7 +143,9 @@
     /// Take the held permit requests, with their remaining times as of now.
     fn release(&mut self, now: Moment) -> Vec<(HostName, PermitRequest)> {
         let held = std::mem::take(&mut self.held);
-        let fresh = held.into_values().filter_map(|held| held.aged(now));
+        let fresh = held
+            .into_values()
+            .filter_map(|held| held.with_elapsed_time(now));
         fresh.collect()
     }
 }
@@ -152,7 +154,7 @@
     /// Get the permit request with its holding time subtracted from the deadline;
     /// `None` if the deadline has passed, which its entry host has reported to the
     /// caller.
-    fn aged(self, now: Moment) -> Option<(HostName, PermitRequest)> {
+    fn with_elapsed_time(self, now: Moment) -> Option<(HostName, PermitRequest)> {
         let waited = u32::try_from(now.since(self.since).as_millis()).unwrap_or(u32::MAX);
         let left = self.request.deadline_ms.checked_sub(waited)?;
         let request = PermitRequest {
--- a/bergamotswitch-core/src/node/mod.rs
+++ b/bergamotswitch-core/src/node/mod.rs
@@ -1,5 +1,5 @@
 //! Provides the decision logic of a whole host, without I/O or a clock: the entry
-//! component that accepts requests, the shards that the host owns, membership and
+//! side that accepts requests, the shards that the host owns, membership and
 //! published values.
 
 mod actions;
--- a/bergamotswitch-core/src/permit.rs
+++ b/bergamotswitch-core/src/permit.rs
@@ -277,7 +277,7 @@
         /// The host incarnation that holds the key.
         holder: HostIncarnation,
     },
-    /// Stops an attempt in favour of a request of a higher tier.
+    /// Stops an attempt in favor of a request of a higher tier.
     Preempt {
         /// The permit.
         permit: PermitId,
