--- a/bergamotswitch-core/src/entry/call_options.rs
+++ b/bergamotswitch-core/src/entry/call_options.rs
@@ -11,7 +11,7 @@
     pub max_runs: Option<u16>,
     /// The time from acceptance within which the answer should begin, or `None`
     /// if only the deadline applies.
-    pub first_answer_goal: Option<Duration>,
+    pub first_token_limit: Option<Duration>,
     /// Whether the stream may continue at another target after events were
     /// passed on.
     pub resumable: bool,
--- a/bergamotswitch-core/src/entry/dispatcher/permit_requests.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/permit_requests.rs
@@ -19,9 +19,9 @@
 /// milliseconds, or `None` if only the deadline limits the wait. It does not
 /// apply to a request that was dispatched before: its retry waits until the
 /// deadline.
-fn first_answer_goal_ms(record: &RequestRecord) -> Option<u32> {
-    let goal = record.submission.options.first_answer_goal?;
-    (record.dispatches == 0).then(|| to_millis(goal))
+fn first_token_limit_ms(record: &RequestRecord) -> Option<u32> {
+    let first_token_limit = record.submission.options.first_token_limit?;
+    (record.dispatches == 0).then(|| to_millis(first_token_limit))
 }
 
 impl EntryDispatcher {
@@ -92,7 +92,7 @@
             avoid: record.avoid.clone(),
             preemptible: self.is_preemptible(record),
             claim: self.key_claim(record),
-            first_answer_ms: first_answer_goal_ms(record),
+            first_answer_ms: first_token_limit_ms(record),
             quota_units: match record.dispatches {
                 0 => submission.options.quota_units,
                 // The quota was charged at the first dispatch.
--- a/bergamotswitch-core/tests/quota_fleet/values.rs
+++ b/bergamotswitch-core/tests/quota_fleet/values.rs
@@ -118,7 +118,7 @@
         streaming: false,
         options: CallOptions {
             max_runs: Some(2),
-            first_answer_goal: Some(Duration::from_millis(800)),
+            first_token_limit: Some(Duration::from_millis(800)),
             ends_at_deadline: true,
             quota_units: UNITS,
             key_authenticated: true,
--- a/bergamotswitch-net/src/gateway/call.rs
+++ b/bergamotswitch-net/src/gateway/call.rs
@@ -213,7 +213,7 @@
                 max_runs: Some(self.route.max_runs),
                 // Beyond, its answer would be late, and every place in the
                 // queue that it holds makes the next one late as well.
-                first_answer_goal: Some(first_answer),
+                first_token_limit: Some(first_answer),
                 resumable: work == CallSemantics::ResumableStream,
                 ends_at_deadline: true,
                 ends_with_caller: work != CallSemantics::NonIdempotent,
--- a/bergamotswitch-net/src/node/request_label.rs
+++ b/bergamotswitch-net/src/node/request_label.rs
@@ -47,7 +47,7 @@
             caller_id: routed.map(|routed| routed.request_id.clone()),
             rule: submission.verdict.rule.clone(),
             account: submission.account.clone(),
-            aim: submission.options.first_answer_goal,
+            aim: submission.options.first_token_limit,
             tier: submission.verdict.tier,
             prompt: submission.cost.prefill,
             output: submission.cost.decode,
