--- a/bergamotswitch-core/src/address.rs
+++ b/bergamotswitch-core/src/address.rs
@@ -117,7 +117,7 @@
 }
 
 impl<'p> AddressSelector<'p> {
-    /// Get the selector for a set of published values.
+    /// Create the selector for a set of published values.
     pub fn new(publication: &'p Publication) -> Self {
         AddressSelector {
             domains: &publication.domains,
--- a/bergamotswitch-core/src/entry/dispatcher/mod.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/mod.rs
@@ -64,7 +64,7 @@
 }
 
 impl EntryDispatcher {
-    /// Get a dispatcher without requests for this incarnation of the host.
+    /// Create a dispatcher without requests for this incarnation of the host.
     pub fn new(identity: HostIncarnation, opts: EntryOptions) -> Self {
         EntryDispatcher {
             identity,
--- a/bergamotswitch-core/src/entry/key_store.rs
+++ b/bergamotswitch-core/src/entry/key_store.rs
@@ -85,7 +85,7 @@
 }
 
 impl KeyStore {
-    /// Get an empty store that keeps the keys of ended requests for
+    /// Create an empty store that keeps the keys of ended requests for
     /// `retention`, up to `max_keys` of them.
     pub(super) fn new(retention: Duration, max_keys: usize) -> Self {
         KeyStore {
--- a/bergamotswitch-core/src/entry/placement.rs
+++ b/bergamotswitch-core/src/entry/placement.rs
@@ -31,7 +31,7 @@
 }
 
 impl PoolMap {
-    /// Get an empty view for a host in this failure domain.
+    /// Create an empty view for a host in this failure domain.
     pub(super) fn new(domain: Option<DomainName>) -> Self {
         PoolMap {
             domain,
--- a/bergamotswitch-core/src/error.rs
+++ b/bergamotswitch-core/src/error.rs
@@ -30,7 +30,7 @@
 pub struct Findings(Vec<Finding>);
 
 impl Findings {
-    /// Get an empty list.
+    /// Create an empty list.
     pub fn new() -> Self {
         Findings::default()
     }
--- a/bergamotswitch-core/src/node/core.rs
+++ b/bergamotswitch-core/src/node/core.rs
@@ -131,7 +131,7 @@
 }
 
 impl NodeCore {
-    /// Get a host without any published values or peers.
+    /// Create a host without any published values or peers.
     pub fn new(
         identity: HostIncarnation,
         domain: DomainName,
--- a/bergamotswitch-core/src/pool_owner/back_off.rs
+++ b/bergamotswitch-core/src/pool_owner/back_off.rs
@@ -44,7 +44,7 @@
 }
 
 impl BackOff {
-    /// Get the state of a target that works.
+    /// Create the state of a target that works.
     pub fn new(base: Duration, max: Duration) -> Self {
         BackOff {
             base,
--- a/bergamotswitch-core/src/pool_owner/dispatch.rs
+++ b/bergamotswitch-core/src/pool_owner/dispatch.rs
@@ -21,7 +21,7 @@
 use super::run_time_estimator::as_millis;
 use super::target_load::TargetLoad;
 
-/// The bounds of the retry-after time of refusals: clients should neither retry
+/// The bounds of the retry-after time of refusals: callers should neither retry
 /// immediately nor wait long after the overload has ended.
 const RETRY_MIN: Duration = Duration::from_millis(100);
 const RETRY_MAX: Duration = Duration::from_secs(60);
@@ -320,7 +320,7 @@
         true
     }
 
-    /// Get the predicted queueing time of a new request of `tier` from the
+    /// Get the predicted queuing time of a new request of `tier` from the
     /// number of permits to be released before it and the release rate; `None`
     /// unless all targets publish their slots.
     fn predicted_slot_wait(&self, now: Moment, tier: Tier) -> Option<Duration> {
--- a/bergamotswitch-core/src/pool_owner/fair_queue.rs
+++ b/bergamotswitch-core/src/pool_owner/fair_queue.rs
@@ -1,4 +1,4 @@
-//! Provides the queue of one tier: start-time fair queueing over client
+//! Provides the queue of one tier: start-time fair queuing over client
 //! accounts by token cost, and earliest deadline first within an account.
 
 use std::collections::{BTreeMap, BTreeSet};
--- a/bergamotswitch-core/src/pool_owner/key_table.rs
+++ b/bergamotswitch-core/src/pool_owner/key_table.rs
@@ -42,7 +42,7 @@
 }
 
 impl KeyTable {
-    /// Get the table of an owner that has just taken over: for one retention
+    /// Create the table of an owner that has just taken over: for one retention
     /// time there may be keys that only the previous owner recorded.
     pub fn new(now: Moment, retention: Duration, capacity: usize) -> Self {
         KeyTable {
--- a/bergamotswitch-core/src/pool_owner/options.rs
+++ b/bergamotswitch-core/src/pool_owner/options.rs
@@ -11,8 +11,8 @@
 /// owner yields to it.
 const OWNER_OVERLAP: Duration = Duration::from_secs(10);
 
-/// The same in multiples of the failure detector's suspicion timeout, for long
-/// timeouts.
+/// The same minimum in multiples of the suspicion timeout, which applies if that
+/// timeout is long.
 const OVERLAP_SUSPICION_TIMEOUTS: u32 = 5;
 
 /// An `OwnerOptions` is the options of a shard owner.
--- a/bergamotswitch-core/src/pool_owner/owner.rs
+++ b/bergamotswitch-core/src/pool_owner/owner.rs
@@ -72,7 +72,7 @@
 }
 
 impl ShardOwner {
-    /// Get the owner of `shard` that takes over now.
+    /// Create the owner of `shard` that takes over now.
     pub fn new(
         identity: HostIncarnation,
         shard: PoolShard,
--- a/bergamotswitch-core/src/pool_owner/permit_table.rs
+++ b/bergamotswitch-core/src/pool_owner/permit_table.rs
@@ -109,7 +109,7 @@
         self.permits.get(self.attempts.get(attempt)?)
     }
 
-    /// Get the ids of the permits of one run of an entry host.
+    /// Get the ids of the permits of one incarnation of an entry host.
     pub fn of_incarnation(&self, incarnation: Incarnation) -> Vec<PermitId> {
         let permits = self.permits.values();
         let held = permits.filter(|permit| permit.attempt.request.incarnation == incarnation);
--- a/bergamotswitch-core/src/pool_owner/prefix_table.rs
+++ b/bergamotswitch-core/src/pool_owner/prefix_table.rs
@@ -48,7 +48,7 @@
 }
 
 impl PrefixTable {
-    /// Get an empty table.
+    /// Create an empty table.
     pub fn new(capacity: usize, lifetime: Duration) -> Self {
         PrefixTable {
             capacity,
--- a/bergamotswitch-core/src/pool_owner/queue.rs
+++ b/bergamotswitch-core/src/pool_owner/queue.rs
@@ -1,4 +1,4 @@
-//! Provides the queue of permit requests: strict tiers, fair queueing within
+//! Provides the queue of permit requests: strict tiers, fair queuing within
 //! each tier, and indexes for deadlines, shedding and withdrawal.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -163,7 +163,7 @@
         attempts
     }
 
-    /// Get the queued attempts of one run of an entry host.
+    /// Get the queued attempts of one incarnation of an entry host.
     pub fn of_incarnation(&self, incarnation: Incarnation) -> Vec<AttemptId> {
         self.find(|queued| queued.request.attempt.request.incarnation == incarnation)
     }
--- a/bergamotswitch-core/src/pool_owner/quota.rs
+++ b/bergamotswitch-core/src/pool_owner/quota.rs
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Credit an entry host's share of the buckets, less what its clients have
+    /// Credit an entry host's share of the buckets, less what its callers have
     /// used. An empty bucket treats all shares as used; part of this one has
     /// accrued again in the elapsed time.
     pub fn recover_share(
@@ -265,7 +265,7 @@
     /// The bucket may have refilled while the request was queued. The refund is
     /// limited so that the level and the units of queued requests do not exceed
     /// the bucket's capacity; otherwise an account could get more than one
-    /// burst by queueing requests and cancelling them.
+    /// burst by queuing requests and cancelling them.
     pub fn refund(&mut self, now: Moment, account: &AccountName, units: u32) {
         let (Some(rate), Some(bucket)) = (self.rates.get(account), self.buckets.get_mut(account))
         else {
--- a/bergamotswitch-core/src/pool_owner/quota_recovery.rs
+++ b/bergamotswitch-core/src/pool_owner/quota_recovery.rs
@@ -36,7 +36,7 @@
 }
 
 impl ShardOwner {
-    /// Apply the quota usage of an entry host's clients, once for each host.
+    /// Apply the quota usage of an entry host's callers, once for each host.
     pub(super) fn on_quota_use(
         &mut self,
         now: Moment,
--- a/bergamotswitch-core/src/pool_owner/release.rs
+++ b/bergamotswitch-core/src/pool_owner/release.rs
@@ -149,8 +149,8 @@
         }
     }
 
-    /// Drop the queued requests and free the permits of a run of an entry host
-    /// that has terminated. Its keys stay claimed, since the outcome of its
+    /// Drop the queued requests and free the permits of an incarnation of an
+    /// entry host that has terminated. Its keys stay claimed, since the outcome of its
     /// requests is not known.
     pub(super) fn drop_incarnation(&mut self, now: Moment, incarnation: Incarnation) {
         for attempt in self.queue.of_incarnation(incarnation) {
--- a/bergamotswitch-core/src/pool_owner/slot_routing.rs
+++ b/bergamotswitch-core/src/pool_owner/slot_routing.rs
@@ -68,7 +68,7 @@
 }
 
 impl<'a> SlotView<'a> {
-    /// Get the view of `targets`, without those in `reserved`, which are kept
+    /// Create the view of `targets`, without those in `reserved`, which are kept
     /// for earlier requests.
     pub(super) fn new(now: Moment, targets: &'a TargetSet, reserved: &ReservedTargets) -> Self {
         let live = targets.values().filter(|load| !load.is_draining());
--- a/bergamotswitch-core/src/pool_owner/speed_estimator.rs
+++ b/bergamotswitch-core/src/pool_owner/speed_estimator.rs
@@ -50,7 +50,7 @@
 }
 
 impl SpeedEstimator {
-    /// Get the estimator of a target with this published speed in tokens per
+    /// Create the estimator of a target with this published speed in tokens per
     /// second.
     pub fn new(published: u32) -> Self {
         let published = f64::from(published.max(1));
--- a/bergamotswitch-core/src/pool_owner/target_load.rs
+++ b/bergamotswitch-core/src/pool_owner/target_load.rs
@@ -61,7 +61,7 @@
 }
 
 impl TargetLoad {
-    /// Get the state of a target without samples.
+    /// Create the state of a target without samples.
     pub fn new(target: PoolTarget, back_off: BackOff) -> Self {
         let mut load = TargetLoad {
             extra_slots: 0,
--- a/bergamotswitch-core/src/pool_owner/token_limit.rs
+++ b/bergamotswitch-core/src/pool_owner/token_limit.rs
@@ -38,7 +38,7 @@
 }
 
 impl TokenLimit {
-    /// Get the limit of a target with a configured limit of `ceiling`.
+    /// Create the limit of a target with a configured limit of `ceiling`.
     pub fn new(ceiling: u32) -> Self {
         TokenLimit {
             ceiling: u64::from(ceiling),
--- a/bergamotswitch-core/src/pool_owner/wait_plan.rs
+++ b/bergamotswitch-core/src/pool_owner/wait_plan.rs
@@ -52,7 +52,7 @@
 const SPREAD_PERCENT: u64 = 40;
 
 impl WaitPlan {
-    /// Get the plan of a request that arrives now, with its predicted time to
+    /// Create the plan of a request that arrives now, with its predicted time to
     /// first token `first` and its predicted run time `run`.
     pub fn new(now: Moment, request: &PermitRequest, first: Duration, run: Duration) -> Self {
         let left = Duration::from_millis(u64::from(request.deadline_ms));
--- a/bergamotswitch-core/src/publication/pool_list.rs
+++ b/bergamotswitch-core/src/publication/pool_list.rs
@@ -39,7 +39,7 @@
 }
 
 impl PoolList {
-    /// Get a list of these pools.
+    /// Create a list of these pools.
     pub fn new(pools: Vec<TargetPool>) -> Self {
         PoolList { pools }
     }
--- a/bergamotswitch-core/src/retry.rs
+++ b/bergamotswitch-core/src/retry.rs
@@ -107,7 +107,7 @@
 }
 
 impl RetryBudget {
-    /// Get the budget of one of `hosts` hosts.
+    /// Create the budget of one of `hosts` hosts.
     pub fn new(rate: RetryRate, hosts: usize, now: Moment) -> Self {
         let mut budget = RetryBudget {
             rate,
--- a/bergamotswitch-core/src/revision/options.rs
+++ b/bergamotswitch-core/src/revision/options.rs
@@ -9,26 +9,45 @@
     value_name,
 };
 
-/// Two, so that the failure of one reader does not delay changes.
+/// The number of readers in each failure domain; two, so that the failure of one
+/// reader does not delay changes.
 const READERS_PER_DOMAIN: usize = 2;
-/// With eight, 48 hosts of a domain are at most three hops from its readers,
-/// and no host serves more than sixteen others.
+
+/// The factor by which the number of hosts grows with each hop from the readers.
+/// At eight, 48 hosts of a domain are at most three hops from its readers, and
+/// no host serves more than sixteen others.
 const RELAY_FANOUT: usize = 8;
-/// Well below the nine seconds within which a change has to be in force.
+
+/// The default interval between two polls of a relay. It is well below the nine
+/// seconds within which a change has to be in force.
 const KEEPALIVE: Duration = Duration::from_secs(2);
+
+/// The default time without an answer after which a relay counts as silent.
 const SILENT_AFTER: Duration = Duration::from_secs(5);
+
+/// The default time for which a host without a relay waits before it reads the
+/// service itself.
 const READ_FALLBACK: Duration = Duration::from_secs(2);
-/// The longest delay between failed reads, so that a recovered service is read
-/// within the nine seconds.
+
+/// The default maximum delay between failed reads, so that a recovered service
+/// is read within the nine seconds.
 const MAX_BACKOFF: Duration = Duration::from_secs(6);
+
+/// The default minimum delay between failed reads.
 const MIN_BACKOFF: Duration = Duration::from_millis(500);
-/// Enough for a starting host to read and then watch each value.
+
+/// The default burst of the read budget, enough for a starting host to read and
+/// then watch each value.
 const READ_BURST: u32 = 12;
+
 const MINUTE: Duration = Duration::from_secs(60);
-/// Longer than any watch waits.
+
+/// The default time after which a call without an answer counts as lost. It is
+/// longer than any watch waits.
 const CALL_TIMEOUT: Duration = Duration::from_secs(90);
-/// The number of earlier revisions kept, as bases of patches for peers that are
-/// a few revisions behind.
+
+/// The default number of earlier revisions kept, as bases of patches for peers
+/// that are a few revisions behind.
 const KEPT_BASES: usize = 4;
 
 /// A `RevisionOptions` is the set of timeouts and limits of a revision replica.
--- a/bergamotswitch-core/src/roster/options.rs
+++ b/bergamotswitch-core/src/roster/options.rs
@@ -16,7 +16,7 @@
 const SILENT_PER_DOUBLING: Duration = Duration::from_millis(500);
 
 /// The time after which a silent host is forgotten. Until then it is contacted
-/// now and then, so that two halves of a fleet find each other after a
+/// occasionally, so that two halves of a fleet find each other after a
 /// partition even if all seeds are down.
 const FORGET_AFTER: Duration = Duration::from_secs(600);
 
--- a/bergamotswitch-core/src/route/table.rs
+++ b/bergamotswitch-core/src/route/table.rs
@@ -18,7 +18,7 @@
 }
 
 impl RouteTable {
-    /// Get the table of a configuration.
+    /// Create the table of a configuration.
     pub fn new(config: RouteConfig) -> Self {
         let mut by_host: HashMap<String, HashMap<String, usize>> = HashMap::new();
         for (index, route) in config.routes.iter().enumerate() {
@@ -42,7 +42,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the faults of the text.
+    /// Returns the errors in the text.
     pub fn try_from_json(text: &str) -> Result<Self, Findings> {
         match serde_json::from_str::<RouteConfig>(text) {
             Ok(config) => Ok(RouteTable::new(config)),
--- a/bergamotswitch-core/src/rules/mod.rs
+++ b/bergamotswitch-core/src/rules/mod.rs
@@ -94,7 +94,7 @@
 }
 
 /// A `RuleSet` is the ordered list of published rules. It is parsed from the published
-/// JSON by `TryFrom`, which reports every fault.
+/// JSON by `TryFrom`, which reports every error.
 ///
 /// Defaults are safe for requests that must not run twice: a request is idempotent or
 /// preemptible only if its rule says so. Any other request is retried only if it
--- a/bergamotswitch-core/tests/slot_routing.rs
+++ b/bergamotswitch-core/tests/slot_routing.rs
@@ -1,4 +1,4 @@
-//! Tests routing and queueing for targets that publish their number of slots.
+//! Tests routing and queuing for targets that publish their number of slots.
 
 mod owner_bench;
 
--- a/bergamotswitch-core/tests/stop_returns.rs
+++ b/bergamotswitch-core/tests/stop_returns.rs
@@ -150,7 +150,7 @@
 }
 
 impl StoppingHost {
-    /// Get the host in a fleet where all others accept requests.
+    /// Create the host in a fleet where all others accept requests.
     fn new() -> Self {
         let now = Moment::START;
         let identity = HostIncarnation {
