--- a/bergamotswitch-core/src/node/core.rs
+++ b/bergamotswitch-core/src/node/core.rs
@@ -262,7 +262,7 @@
         // The length of the pause is known only to within one tick: a gap one tick
         // short of the suspicion time counts as well.
         if gap + TICK_INTERVAL >= self.membership.suspect_after() {
-            self.shards.on_pause(now, gap);
+            self.shards.on_resumed(now, gap);
         }
         if gap <= PAUSE_THRESHOLD {
             return;
--- a/bergamotswitch-core/src/node/shards.rs
+++ b/bergamotswitch-core/src/node/shards.rs
@@ -98,9 +98,9 @@
     }
 
     /// Notify all owners, except degraded ones, that the process was paused.
-    pub(super) fn on_pause(&mut self, now: Moment, pause: Duration) {
+    pub(super) fn on_resumed(&mut self, now: Moment, paused_for: Duration) {
         for owned in self.owned.iter_mut().filter(|owned| !owned.degraded) {
-            owned.owner.on_resumed(now, pause);
+            owned.owner.on_resumed(now, paused_for);
         }
     }
 
--- a/bergamotswitch-core/src/revision/confirmation.rs
+++ b/bergamotswitch-core/src/revision/confirmation.rs
@@ -111,7 +111,7 @@
     }
 
     /// Answer a peer's query with this host's own confirmation, if it has one.
-    pub(super) fn answer_confirmed(
+    pub(super) fn answer_confirmation_query(
         &self,
         now: Moment,
         host: HostName,
@@ -139,7 +139,7 @@
     }
 
     /// Record a peer's answer.
-    pub(super) fn handle_confirmed(
+    pub(super) fn handle_confirmation(
         &mut self,
         name: &ValueName,
         queried_at: Moment,
--- a/bergamotswitch-core/src/revision/propagation.rs
+++ b/bergamotswitch-core/src/revision/propagation.rs
@@ -63,7 +63,7 @@
             }
             RevisionMessage::Want(name) => self.send_whole(now, &host, &name, actions),
             RevisionMessage::QueryConfirmation { name, queried_at } => {
-                self.answer_confirmed(now, host, name, queried_at, actions);
+                self.answer_confirmation_query(now, host, name, queried_at, actions);
             }
             RevisionMessage::Confirmed {
                 name,
@@ -72,7 +72,7 @@
                 age_ms,
             } => {
                 self.record_revision(now, &host, &name, revision);
-                self.handle_confirmed(&name, queried_at, revision, age_ms);
+                self.handle_confirmation(&name, queried_at, revision, age_ms);
             }
             RevisionMessage::Whole(value) => {
                 self.record_revision(now, &host, &value.name, value.revision);
--- a/bergamotswitch-core/tests/entry_lifecycle.rs
+++ b/bergamotswitch-core/tests/entry_lifecycle.rs
@@ -294,7 +294,7 @@
 }
 
 // Guards against a second run after the answer was evicted and its key
-// forgotten.
+// dropped.
 #[test]
 fn dropped_answer() {
     let mut dispatcher = TestDispatcher::new(EntryOptions::default().with_max_kept_answers(1));
--- a/bergamotswitch-core/tests/fleet_fuzz.rs
+++ b/bergamotswitch-core/tests/fleet_fuzz.rs
@@ -42,7 +42,7 @@
     [0, host, 7, 4]
 }
 
-/// Simulate runs without a breach and get the counts of what occurred in them.
+/// Simulate runs without a violation and get the counts of what occurred in them.
 fn collect_coverage(runs: u64, events: impl Fn(u64) -> Vec<FleetEvent>) -> Coverage {
     let mut count = 0;
     let mut coverage = Coverage::new();
@@ -67,8 +67,8 @@
 #[test]
 fn any_faults() {
     let coverage = collect_coverage(RUNS, generate_events);
-    let often = "aborts, answered, attached, crashes, degraded, forwards, in force, late news, \
-        letters disturbed, links lost, one-way cuts, outages, partitions, \
+    let often = "aborts, answered, attached, crashes, degraded, forwards, in force, late events, \
+        messages disturbed, links lost, one-way cuts, outages, partitions, \
         past a leaving target, pauses noticed, retries, revisions refused, shed, \
         stale reads, stops ended, takeovers, two faults";
     for what in often.split(", ") {
@@ -143,7 +143,7 @@
     assert!(coverage.is_ok_and(|coverage| known_gap_count(&coverage) == 0));
 }
 
-/// Simulate a fleet with an injected defect until the oracle detects a breach.
+/// Simulate a fleet with an injected defect until the oracle detects a violation.
 fn find_violation(opts: &FleetOptions) -> Option<Violation> {
     let violation = |run| {
         let violation = run_events(opts.clone(), &generate_events(run)).err()?;
--- a/bergamotswitch-core/tests/fleet_simulation/engines.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/engines.rs
@@ -110,7 +110,7 @@
             false => self.hosts[host].running.remove(&attempt),
         };
         if !known {
-            self.count("late news");
+            self.count("late events");
         }
         if known && matches!(event, AttemptEvent::Finished(_)) {
             self.oracle.finished(attempt.request);
--- a/bergamotswitch-core/tests/fleet_simulation/faults.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/faults.rs
@@ -86,7 +86,7 @@
         let Some(key) = pick(&keys, a) else {
             return self.tick_all();
         };
-        self.count("letters disturbed");
+        self.count("messages disturbed");
         self.last_network_fault_at = self.now;
         let Some(task) = self.tasks.remove(&key) else {
             return;
--- a/bergamotswitch-core/tests/membership_faults.rs
+++ b/bergamotswitch-core/tests/membership_faults.rs
@@ -294,7 +294,7 @@
 #[test]
 fn quick_restart() {
     // Guards against users that do not register their requests and keys with
-    // the new incarnation of an owner that restarts before anyone suspects it.
+    // the new incarnation of an owner that restarts before any host suspects it.
     let (mut fleet, order) = converged(4);
     let changes = |fleet: &Fleet| -> Vec<usize> {
         let users = order[1..].iter();
--- a/bergamotswitch-core/tests/node_handover.rs
+++ b/bergamotswitch-core/tests/node_handover.rs
@@ -11,7 +11,7 @@
 use node_support::*;
 
 // Guards against requests that wait for seconds because the next candidate or the
-// asking host learns too late that the owner stops.
+// requesting host learns too late that the owner stops.
 #[test]
 fn stopping_owner() {
     let mut net = NodeNet::start();
--- a/bergamotswitch-core/tests/owner_invariants.rs
+++ b/bergamotswitch-core/tests/owner_invariants.rs
@@ -12,7 +12,7 @@
 const DOMAINS: [&str; 2] = ["north", "south"];
 const TARGETS: [&str; 4] = ["p", "q", "r", "s"];
 
-/// An `PermitRequestDraw` is the random part of a permit request.
+/// A `PermitRequestDraw` is the random part of a permit request.
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 struct PermitRequestDraw {
     run: u8,
