--- a/bergamotswitch-core/tests/entry_simulation/engines.rs
+++ b/bergamotswitch-core/tests/entry_simulation/engines.rs
@@ -33,7 +33,6 @@
     }
 
     /// Record a run at the oracle unless it is `recorded` already.
-
     pub(super) fn record_run(&mut self, id: RequestId, recorded: bool) {
         if !recorded {
             self.oracle.ran(id);
@@ -50,7 +49,6 @@
     }
 
     /// Report an event of one of the host's running attempts.
-
     pub(super) fn advance_attempt(&mut self, host: usize, b: u8, c: u8) {
         let running: Vec<AttemptId> = self.hosts[host].running.keys().copied().collect();
         let Some(attempt) = pick(&running, b) else {
--- a/bergamotswitch-core/tests/entry_simulation/faults.rs
+++ b/bergamotswitch-core/tests/entry_simulation/faults.rs
@@ -24,7 +24,6 @@
 
     /// Inject a caller disconnect, a preemption, a change of a target's draining
     /// state, a late attempt event or a permit audit.
-
     pub(super) fn inject_event(&mut self, host: usize, b: u8, c: u8) {
         let running: Vec<AttemptId> = self.hosts[host].running.keys().copied().collect();
         match b % 8 {
@@ -87,7 +86,6 @@
     }
 
     /// Inject a crash, a planned stop, an owner change or a process pause.
-
     pub(super) fn inject_rare_event(&mut self, host: usize, b: u8, c: u8) {
         match b % 8 {
             0 => self.crash(host),
--- a/bergamotswitch-core/tests/fleet_simulation/calls.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/calls.rs
@@ -104,7 +104,6 @@
     }
 
     /// Begin the planned stop of a host.
-
     pub(super) fn stop(&mut self, host: usize) {
         let host_state = &self.hosts[host];
         let running = host_state.core.is_some() && host_state.paused_queue.is_none();
