--- a/bergamotswitch-core/tests/fleet_simulation/engines.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/engines.rs
@@ -45,7 +45,7 @@
         let index = index.expect("a target of this simulation");
         self.check_leaving(index);
         let grant = self.check_permit(host, attempt, cause);
-        self.excuse_known_gap(attempt.request, grant);
+        self.exempt_known_gap(attempt.request, grant);
         self.grants.insert(attempt.request, grant);
         self.oracle.dispatched(attempt.request);
         if !self.hosts[host].running.insert(attempt) {
@@ -162,11 +162,11 @@
         request.map_or("", |request| request.submission.pool.as_str())
     }
 
-    /// Excuse a duplicate run of a key where it is a known gap of the design: a
+    /// Exempt a duplicate run of a key where it is a known gap of the design: a
     /// resubmission that is not marked as one and does not name the incarnation
     /// that ran the request before, after a partition, a takeover or a crash of
     /// both holder and owner.
-    fn excuse_known_gap(&mut self, id: RequestId, grant: Grant) {
+    fn exempt_known_gap(&mut self, id: RequestId, grant: Grant) {
         let Some(request) = self.oracle.requests.get(&id) else {
             return;
         };
