--- a/bergamotswitch-core/src/entry/dispatcher/aborting.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/aborting.rs
@@ -52,7 +52,7 @@
     }
 
     /// Handle the disconnect of the last caller that followed a request.
-    pub(super) fn caller_left(
+    pub(super) fn on_caller_disconnected(
         &mut self,
         now: Moment,
         id: RequestId,
@@ -95,7 +95,7 @@
     /// never stops generating would otherwise exhaust the memory of the
     /// process. There is no retry, as another run would exceed the limit as
     /// well.
-    pub(super) fn abort_overlong(
+    pub(super) fn abort_too_long(
         &mut self,
         now: Moment,
         id: RequestId,
--- a/bergamotswitch-core/src/entry/dispatcher/mod.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/mod.rs
@@ -37,7 +37,7 @@
 /// accepted, from submission to their final outcome.
 #[derive(Debug)]
 pub struct EntryDispatcher {
-    me: HostIncarnation,
+    identity: HostIncarnation,
     options: EntryOptions,
     requests: RequestTable,
     keys: KeyStore,
@@ -64,10 +64,10 @@
 }
 
 impl EntryDispatcher {
-    /// Get a dispatcher without requests for this incarnation of the host.
-    pub fn new(me: HostIncarnation, opts: EntryOptions) -> Self {
+    /// Create a dispatcher without requests for this incarnation of the host.
+    pub fn new(identity: HostIncarnation, opts: EntryOptions) -> Self {
         EntryDispatcher {
-            me,
+            identity,
             requests: RequestTable::new(opts.permit_resend_interval),
             keys: KeyStore::new(opts.key_retention, opts.max_keys),
             answers: AnswerCache::default(),
@@ -122,11 +122,13 @@
     pub fn handle(&mut self, now: Moment, event: EntryEvent) -> Vec<EntryAction> {
         let mut actions = Vec::new();
         match event {
-            EntryEvent::ProcessPaused(_) => self.renew_permit_requests(now, &mut actions),
+            EntryEvent::ProcessResumed(_) => self.renew_permit_requests(now, &mut actions),
             _ => self.detect_pause(now, &mut actions),
         }
         match event {
-            EntryEvent::CallerLeft(id) => self.caller_left(now, id, &mut actions),
+            EntryEvent::CallerDisconnected(id) => {
+                self.on_caller_disconnected(now, id, &mut actions)
+            }
             EntryEvent::Reply(host, reply) => self.owner_replied(now, host, reply, &mut actions),
             EntryEvent::OwnerChanged(shard, host) => {
                 self.owner_changed(now, shard, host, &mut actions)
@@ -141,16 +143,16 @@
             EntryEvent::TargetDraining(target, draining) => {
                 self.pools.set_draining(target, draining)
             }
-            EntryEvent::AnswerTooLong(id) => self.abort_overlong(now, id, &mut actions),
+            EntryEvent::AnswerTooLong(id) => self.abort_too_long(now, id, &mut actions),
             EntryEvent::AnswerSize(id, bytes) => self.answers.set_bytes(id, bytes),
             EntryEvent::Stop => self.stopping = true,
-            EntryEvent::FinishBy(at) => self.set_finish_by(now, at, &mut actions),
+            EntryEvent::AnswerDeadline(at) => self.set_answer_deadline(now, at, &mut actions),
             EntryEvent::AdmissionClosed => self.bound.is_closed = true,
             EntryEvent::HostsAvailableAt(at) => self.bound.hosts_available_at = at,
             EntryEvent::Hosts(count) => self.set_host_count(count),
             EntryEvent::Quotas(rates) => self.quota_use.set_rates(now, rates),
             EntryEvent::GraceExpired => self.terminate(now, &mut actions),
-            EntryEvent::Tick | EntryEvent::ProcessPaused(_) => {
+            EntryEvent::Tick | EntryEvent::ProcessResumed(_) => {
                 self.refuse_unfinishable(now, &mut actions)
             }
         }
@@ -175,7 +177,7 @@
     /// `lost`, so query the live peers' incarnations first.
     pub fn outcome(&self, query: &OutcomeQuery) -> OutcomeView {
         match query {
-            OutcomeQuery::Id(id) if id.incarnation != self.me.incarnation => {
+            OutcomeQuery::Id(id) if id.incarnation != self.identity.incarnation => {
                 OutcomeView::Unknown(RefusalReason::Lost)
             }
             OutcomeQuery::Id(id) => self.outcome_of(*id),
@@ -245,7 +247,7 @@
         }
     }
 
-    /// Process expired timers and cache entries, and report when a shutdown is
+    /// Process expired timers and cache entries, and report when a planned stop is
     /// complete.
     fn run_due(&mut self, now: Moment, actions: &mut Vec<EntryAction>) {
         self.last_event_at = now;
--- a/bergamotswitch-core/src/entry/dispatcher/permit_requests.rs
+++ b/bergamotswitch-core/src/entry/dispatcher/permit_requests.rs
@@ -7,7 +7,7 @@
 use crate::entry::request_table::{LiveEntry, RequestRecord};
 use crate::host::HostName;
 use crate::incident::Incident;
-use crate::permit::{Ask, KeyClaim, OwnerMessage};
+use crate::permit::{KeyClaim, OwnerMessage, PermitRequest};
 use crate::refusal::{RefusalReason, RetryReason};
 use crate::retry::RetryBudget;
 
@@ -19,9 +19,9 @@
 /// milliseconds, or `None` if only the deadline limits the wait. It does not
 /// apply to a request that was dispatched before: its retry waits until the
 /// deadline.
-fn first_answer_goal_ms(record: &RequestRecord) -> Option<u32> {
-    let goal = record.submission.options.first_answer_goal?;
-    (record.dispatches == 0).then(|| to_millis(goal))
+fn first_token_limit_ms(record: &RequestRecord) -> Option<u32> {
+    let first_token_limit = record.submission.options.first_token_limit?;
+    (record.dispatches == 0).then(|| to_millis(first_token_limit))
 }
 
 impl EntryDispatcher {
@@ -36,8 +36,8 @@
     ) {
         let requested_from = self.owners.get(&record.shard).cloned();
         if let Some(owner) = &requested_from {
-            let ask = self.permit_request(now, &record);
-            let message = OwnerMessage::Ask(Box::new(ask));
+            let request = self.permit_request(now, &record);
+            let message = OwnerMessage::PermitRequest(Box::new(request));
             actions.push(EntryAction::Send(owner.clone(), message));
         }
         let waiting = WaitingAttempt {
@@ -62,7 +62,7 @@
         actions: &mut Vec<EntryAction>,
     ) {
         if let Some(owner) = &waiting.requested_from {
-            let message = OwnerMessage::Ask(Box::new(self.permit_request(now, &record)));
+            let message = OwnerMessage::PermitRequest(Box::new(self.permit_request(now, &record)));
             actions.push(EntryAction::Send(owner.clone(), message));
         }
         let waiting = WaitingAttempt {
@@ -76,9 +76,9 @@
         });
     }
 
-    fn permit_request(&self, now: Moment, record: &RequestRecord) -> Ask {
+    fn permit_request(&self, now: Moment, record: &RequestRecord) -> PermitRequest {
         let submission = &record.submission;
-        Ask {
+        PermitRequest {
             attempt: record.attempt_id(),
             shard: record.shard.clone(),
             tier: submission.verdict.tier,
@@ -92,7 +92,7 @@
             avoid: record.avoid.clone(),
             preemptible: self.is_preemptible(record),
             claim: self.key_claim(record),
-            first_answer_ms: first_answer_goal_ms(record),
+            first_answer_ms: first_token_limit_ms(record),
             quota_units: match record.dispatches {
                 0 => submission.options.quota_units,
                 // The quota was charged at the first dispatch.
@@ -116,7 +116,7 @@
             true => None,
             false => Some(KeyClaim {
                 key: key.hash(),
-                holder: self.me.clone(),
+                holder: self.identity.clone(),
                 resubmission: record.submission.resubmission,
             }),
         }
--- a/bergamotswitch-core/src/membership/machine.rs
+++ b/bergamotswitch-core/src/membership/machine.rs
@@ -17,7 +17,7 @@
 /// A `Membership` is one host's view of its peers and of the owners of shards.
 #[derive(Debug)]
 pub struct Membership {
-    pub(super) me: HostIncarnation,
+    pub(super) identity: HostIncarnation,
     pub(super) opts: MembershipOptions,
     pub(super) hosts: BTreeMap<HostName, EntryHost>,
     pub(super) live_count: usize,
@@ -29,7 +29,7 @@
     pub(super) denials: Vec<Denial>,
     pub(super) acting: BTreeSet<PoolShard>,
     /// The shards in `acting` that an earlier candidate may have taken over
-    /// while this process was suspended.
+    /// while this process was paused.
     pub(super) unconfirmed: BTreeSet<PoolShard>,
     pub(super) owners: BTreeMap<PoolShard, OwnerView>,
     pub(super) load_permille: u16,
@@ -44,9 +44,9 @@
 
 impl Membership {
     /// Create the view of a host that has just started.
-    pub fn new(me: HostIncarnation, opts: MembershipOptions, _now: Moment) -> Self {
+    pub fn new(identity: HostIncarnation, opts: MembershipOptions, _now: Moment) -> Self {
         Membership {
-            me,
+            identity,
             opts,
             hosts: BTreeMap::new(),
             live_count: 0,
@@ -78,10 +78,10 @@
     /// Handle one event and get the resulting actions.
     pub fn handle(&mut self, now: Moment, event: MembershipEvent) -> Vec<MembershipAction> {
         let mut actions = Vec::new();
-        // Detect a suspension of this process at its first event afterwards.
+        // Detect a pause of this process at its first event afterwards.
         // Otherwise the next tick would find every peer unreachable, and this
         // host would take over shards that others own.
-        self.invalidate_after_suspension(now, now.since(self.wake_at), &mut actions);
+        self.invalidate_after_pause(now, now.since(self.wake_at), &mut actions);
         // Most heartbeats and ticks change nothing.
         self.changed |= !matches!(
             event,
@@ -94,8 +94,8 @@
                 self.rank_candidates();
             }
             MembershipEvent::Using(shard, used) => self.handle_use(shard, used),
-            MembershipEvent::LinkUp(run) => self.handle_link_up(now, run, &mut actions),
-            MembershipEvent::LinkDown(run) => self.handle_link_down(now, &run),
+            MembershipEvent::LinkUp(remote) => self.handle_link_up(now, remote, &mut actions),
+            MembershipEvent::LinkDown(remote) => self.handle_link_down(now, &remote),
             MembershipEvent::Heartbeat(host, heartbeat) => {
                 self.handle_heartbeat(now, host, &heartbeat, &mut actions)
             }
@@ -109,8 +109,8 @@
                 self.begin_stop(now, &mut actions);
             }
             MembershipEvent::Tick => {}
-            MembershipEvent::Resumed(suspended) => {
-                self.invalidate_after_suspension(now, suspended, &mut actions)
+            MembershipEvent::ProcessResumed(paused_for) => {
+                self.invalidate_after_pause(now, paused_for, &mut actions)
             }
         }
         self.reconcile(now, &mut actions);
@@ -139,7 +139,7 @@
     /// Get the acting owner of a shard that this host uses or acts for.
     pub fn owner_of(&self, shard: &PoolShard) -> Option<&HostName> {
         if self.acting.contains(shard) && !self.used_shards.contains(shard) {
-            return Some(&self.me.host);
+            return Some(&self.identity.host);
         }
         self.owners.get(shard).and_then(OwnerView::host)
     }
@@ -193,7 +193,7 @@
             .map(|host| (host.name.clone(), host))
             .collect();
         self.live_count = self.live_hosts().count();
-        let leaving = match self.hosts.get(&self.me.host) {
+        let leaving = match self.hosts.get(&self.identity.host) {
             Some(host) => host.standing == Standing::Leaving,
             None => false,
         };
@@ -221,25 +221,25 @@
     fn handle_link_up(
         &mut self,
         now: Moment,
-        run: HostIncarnation,
+        remote: HostIncarnation,
         actions: &mut Vec<MembershipAction>,
     ) {
-        if run.host == self.me.host {
+        if remote.host == self.identity.host {
             return;
         }
-        let peer = self.peers.entry(run.host.clone()).or_default();
+        let peer = self.peers.entry(remote.host.clone()).or_default();
         // An incarnation that has been replaced may resume after a pause and
         // connect again. If it were taken for the newer one, the live
         // incarnation would be reported as terminated, and the slots it uses
         // would be granted twice.
-        if peer.is_retired(run.incarnation) {
+        if peer.is_retired(remote.incarnation) {
             return;
         }
-        let replaced = peer.link_up(now, run.incarnation);
+        let replaced = peer.link_up(now, remote.incarnation);
         if let Some(replaced) = replaced {
-            self.denials.retain(|denial| denial.host != run.host);
-            self.clear_owner(&run.host);
-            actions.push(MembershipAction::HostTerminated(run.host, replaced));
+            self.denials.retain(|denial| denial.host != remote.host);
+            self.clear_owner(&remote.host);
+            actions.push(MembershipAction::HostTerminated(remote.host, replaced));
         }
     }
 
@@ -255,9 +255,9 @@
         }
     }
 
-    fn handle_link_down(&mut self, now: Moment, run: &HostIncarnation) {
-        match self.peers.get_mut(&run.host) {
-            Some(peer) if peer.incarnation == Some(run.incarnation) => peer.link_down(now),
+    fn handle_link_down(&mut self, now: Moment, remote: &HostIncarnation) {
+        match self.peers.get_mut(&remote.host) {
+            Some(peer) if peer.incarnation == Some(remote.incarnation) => peer.link_down(now),
             _ => {}
         }
     }
@@ -278,7 +278,10 @@
         self.changed |= peer.state() != before;
         let answer = peer.answer(heartbeat);
         if change == Some(PathChange::Reachable) {
-            actions.push(MembershipAction::Log(Incident::PeerReachable, host.clone()));
+            actions.push(MembershipAction::LogIncident(
+                Incident::PeerReachable,
+                host.clone(),
+            ));
         }
         if let Some(heard) = answer {
             let heartbeat = self.build_heartbeat(0, heard);
@@ -311,38 +314,38 @@
         }
     }
 
-    /// Invalidate the view after a suspension long enough for others to suspect
+    /// Invalidate the view after a pause long enough for others to suspect
     /// this host.
     ///
-    /// A suspended owner would otherwise still act for shards that another
+    /// A paused owner would otherwise still act for shards that another
     /// candidate took over, or find all peers unreachable and take over their
     /// shards; two owners would grant the same slots. Each path has to be
     /// confirmed again, and this host ceases to act wherever it is not the
-    /// first candidate. After a suspension shorter than the suspicion timeout
-    /// nobody can have taken over, so it keeps acting until an earlier
+    /// first candidate. After a pause shorter than the suspicion timeout
+    /// no other host can have taken over, so it keeps acting until an earlier
     /// candidate answers; otherwise its shards would have no owner until all
     /// earlier candidates are known again.
-    fn invalidate_after_suspension(
+    fn invalidate_after_pause(
         &mut self,
         now: Moment,
-        suspended: Duration,
+        paused_for: Duration,
         actions: &mut Vec<MembershipAction>,
     ) {
-        if suspended < self.opts.suspect_after / 2 {
+        if paused_for < self.opts.suspect_after / 2 {
             return;
         }
         self.changed = true;
         for peer in self.peers.values_mut() {
             peer.reset_path(now);
         }
-        if suspended < self.opts.suspect_after {
+        if paused_for < self.opts.suspect_after {
             self.unconfirmed.clone_from(&self.acting);
             return;
         }
-        let (candidates, me) = (&self.candidates, &self.me.host);
+        let (candidates, own_name) = (&self.candidates, &self.identity.host);
         self.acting.retain(|shard| {
             let first = candidates.get(shard).and_then(|hosts| hosts.first());
-            let keeps = first == Some(me);
+            let keeps = first == Some(own_name);
             if !keeps {
                 actions.push(MembershipAction::Act(shard.clone(), false));
             }
@@ -359,7 +362,7 @@
     fn rank(&self, shard: &PoolShard) -> Vec<HostName> {
         let mut ranked = candidates(shard, self.live_hosts());
         if self.stopping_since.is_some() {
-            ranked.retain(|host| *host != self.me.host);
+            ranked.retain(|host| *host != self.identity.host);
         }
         ranked
     }
--- a/bergamotswitch-core/src/membership/mod.rs
+++ b/bergamotswitch-core/src/membership/mod.rs
@@ -64,8 +64,8 @@
     Stop,
     /// The timer fired.
     Tick,
-    /// The process was suspended for this long.
-    Resumed(Duration),
+    /// The process was paused for this long.
+    ProcessResumed(Duration),
 }
 
 /// A `MembershipAction` is an output of the membership state machine.
@@ -85,6 +85,6 @@
     /// This incarnation of a host has terminated: a newer one connected, or the
     /// host was removed from the host list and is unreachable.
     HostTerminated(HostName, Incarnation),
-    /// Log an event about a host.
-    Log(Incident, HostName),
+    /// Log an incident of a host.
+    LogIncident(Incident, HostName),
 }
--- a/bergamotswitch-core/src/node/core.rs
+++ b/bergamotswitch-core/src/node/core.rs
@@ -42,7 +42,7 @@
 /// A `NodeOptions` holds the options of a host's state machines.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NodeOptions {
-    /// The options of the entry component, which accepts requests.
+    /// The options of the entry side, which accepts requests.
     pub entry: EntryOptions,
     /// The options of shard owners.
     pub owner: OwnerOptions,
@@ -105,7 +105,7 @@
 /// A `NodeCore` is the decision logic of one host, without I/O: it takes events and
 /// returns actions.
 pub struct NodeCore {
-    pub(super) me: HostIncarnation,
+    pub(super) identity: HostIncarnation,
     pub(super) domain: DomainName,
     pub(super) publication: Publication,
     pub(super) entry: EntryDispatcher,
@@ -115,7 +115,7 @@
     pub(super) stopping: bool,
     pub(super) planned_stop: Option<PlannedStop>,
     /// When enough hosts are expected to accept requests again, as last reported to the
-    /// entry component.
+    /// entry side.
     pub(super) hosts_back_at: Option<Moment>,
     pub(super) load_permille: u16,
     pub(super) opts: NodeOptions,
@@ -131,23 +131,33 @@
 }
 
 impl NodeCore {
-    /// Get a host without any published values or peers.
-    pub fn new(me: HostIncarnation, domain: DomainName, opts: NodeOptions, now: Moment) -> Self {
+    /// Create a host without any published values or peers.
+    pub fn new(
+        identity: HostIncarnation,
+        domain: DomainName,
+        opts: NodeOptions,
+        now: Moment,
+    ) -> Self {
         let opts = NodeOptions {
             entry: opts.entry.with_domain(domain.clone()),
             ..opts
         };
         NodeCore {
-            entry: EntryDispatcher::new(me.clone(), opts.entry.clone()),
-            shards: ShardSet::new(me.clone(), opts.owner.clone()),
-            membership: Membership::new(me.clone(), opts.membership.clone(), now),
-            revisions: RevisionReplica::new(me.clone(), domain.clone(), opts.revision.clone(), now),
+            entry: EntryDispatcher::new(identity.clone(), opts.entry.clone()),
+            shards: ShardSet::new(identity.clone(), opts.owner.clone()),
+            membership: Membership::new(identity.clone(), opts.membership.clone(), now),
+            revisions: RevisionReplica::new(
+                identity.clone(),
+                domain.clone(),
+                opts.revision.clone(),
+                now,
+            ),
             publication: match opts.roster {
                 Some(_) => Publication::with_routes(opts.limits.clone().unwrap_or_default()),
                 None => Publication::default(),
             },
             roster: opts.roster.clone().map(|setup| {
-                let seed = me.incarnation.0 as u64;
+                let seed = identity.incarnation.0 as u64;
                 Roster::new(setup.host, setup.seeds, setup.started_at_ms, seed)
                     .with_options(setup.options)
             }),
@@ -164,7 +174,7 @@
             last_event_at: now,
             queue: VecDeque::new(),
             actions: Vec::new(),
-            me,
+            identity,
             domain,
         }
     }
@@ -191,7 +201,9 @@
     pub fn handle(&mut self, now: Moment, event: NodeEvent) -> Vec<NodeAction> {
         self.detect_pause(now);
         match event {
-            NodeEvent::CallerDisconnected(id) => self.notify_entry(now, EntryEvent::CallerLeft(id)),
+            NodeEvent::CallerDisconnected(id) => {
+                self.notify_entry(now, EntryEvent::CallerDisconnected(id))
+            }
             NodeEvent::Attempt(id, event) => self.notify_entry(now, EntryEvent::Attempt(id, event)),
             NodeEvent::AnswerTooLong(id) => self.notify_entry(now, EntryEvent::AnswerTooLong(id)),
             NodeEvent::AnswerSize(id, bytes) => {
@@ -250,7 +262,7 @@
         // The length of the pause is known only to within one tick: a gap one tick
         // short of the suspicion time counts as well.
         if gap + TICK_INTERVAL >= self.membership.suspect_after() {
-            self.shards.on_pause(now, gap);
+            self.shards.on_resumed(now, gap);
         }
         if gap <= PAUSE_THRESHOLD {
             return;
@@ -259,10 +271,10 @@
         self.actions
             .push(NodeAction::LogIncident(Incident::PauseDetected, text));
         self.notify_roster_of_pause(now);
-        self.notify_membership(now, MembershipEvent::Resumed(gap));
+        self.notify_membership(now, MembershipEvent::ProcessResumed(gap));
         self.key_guards.reset(now);
-        self.notify_revisions(now, RevisionEvent::Resumed(gap));
-        self.notify_entry(now, EntryEvent::ProcessPaused(gap));
+        self.notify_revisions(now, RevisionEvent::ProcessResumed(gap));
+        self.notify_entry(now, EntryEvent::ProcessResumed(gap));
         self.run_queue(now);
     }
 
@@ -303,34 +315,34 @@
             started_at,
             answers_due: at,
         });
-        // Update the expected return of other hosts first: the entry component refuses
+        // Update the expected return of other hosts first: the entry side refuses
         // waiting requests on the event below, and sets their retry time from it.
         self.review_host_returns(now);
-        self.notify_entry(now, EntryEvent::FinishBy(at));
+        self.notify_entry(now, EntryEvent::AnswerDeadline(at));
     }
 
     fn on_link(&mut self, now: Moment, event: LinkEvent) {
         match event {
-            LinkEvent::Up(run) => {
-                let host = run.host.clone();
-                self.notify_membership(now, MembershipEvent::LinkUp(run));
+            LinkEvent::Up(remote) => {
+                let host = remote.host.clone();
+                self.notify_membership(now, MembershipEvent::LinkUp(remote));
                 self.resync_linked(now, &host);
                 self.send_all_failed_targets(now, &host);
                 self.notify_revisions(now, RevisionEvent::PeerUp(host));
             }
-            LinkEvent::Down(run) => {
-                let host = run.host.clone();
-                self.notify_membership(now, MembershipEvent::LinkDown(run));
+            LinkEvent::Down(remote) => {
+                let host = remote.host.clone();
+                self.notify_membership(now, MembershipEvent::LinkDown(remote));
                 self.notify_revisions(now, RevisionEvent::PeerDown(host));
             }
-            LinkEvent::Message(run, message) => self.on_message(now, run.host, message),
+            LinkEvent::Message(remote, message) => self.on_message(now, remote.host, message),
         }
     }
 
     fn on_message(&mut self, now: Moment, host: HostName, message: LinkMessage) {
         match message {
-            LinkMessage::Heartbeat(beat) => {
-                self.notify_membership(now, MembershipEvent::Heartbeat(host, beat));
+            LinkMessage::Heartbeat(heartbeat) => {
+                self.notify_membership(now, MembershipEvent::Heartbeat(host, heartbeat));
                 return;
             }
             LinkMessage::ToOwner(message) => self.on_owner_message(now, host.clone(), message),
@@ -351,7 +363,7 @@
         let shard = message.shard().clone();
         // Only this host's own requests may use a degraded owner, which has only this
         // host's fraction of the capacity.
-        if self.shards.serves(&shard, host == self.me.host) {
+        if self.shards.serves(&shard, host == self.identity.host) {
             let Some(message) = self.guard_message(now, &host, message) else {
                 return;
             };
@@ -370,7 +382,7 @@
     }
 
     pub(super) fn send_reply(&mut self, now: Moment, host: HostName, reply: OwnerReply) {
-        if host != self.me.host {
+        if host != self.identity.host {
             let message = LinkMessage::FromOwner(reply);
             self.actions.push(NodeAction::Send(host, message));
             return;
--- a/bergamotswitch-core/src/node/intake.rs
+++ b/bergamotswitch-core/src/node/intake.rs
@@ -2,14 +2,14 @@
 //! resolution and readiness.
 
 use super::{NodeAction, NodeCore};
-use crate::address::{AddressAnswer, AddressBook, AddressQuery, HostHealth};
+use crate::address::{AddressAnswer, AddressQuery, AddressSelector, HostHealth};
 use crate::clock::Moment;
 use crate::entry::{OutcomeQuery, OutcomeView, Submission, SubmitOutcome};
 use crate::host::EntryHost;
 use crate::membership::PeerView;
 use crate::refusal::{Refusal, RefusalReason};
 
-/// The retry time for callers whose API key can't be confirmed. The store or an
+/// The retry time for callers whose API key cannot be confirmed. The store or an
 /// informed peer is polled about once a second.
 const KEY_RETRY_AFTER: std::time::Duration = std::time::Duration::from_secs(1);
 
@@ -22,7 +22,7 @@
     ) -> (SubmitOutcome, Vec<NodeAction>) {
         self.detect_pause(now);
         if !self.is_ready(now) {
-            // The entry component was not consulted: after a pause it may still hold
+            // The entry side was not consulted: after a pause it may still hold
             // the request that is resubmitted or forwarded here.
             let may_be_held = submission.resubmission || submission.holder.is_some();
             let refusal = match may_be_held {
@@ -38,12 +38,12 @@
             return (SubmitOutcome::Refused(refusal), self.finish(now));
         }
         let exposed = self.is_exposed(now, &submission);
-        let (reception, actions) = self.entry.submit(now, submission);
-        if exposed && matches!(reception, SubmitOutcome::Accepted(_)) {
+        let (outcome, actions) = self.entry.submit(now, submission);
+        if exposed && matches!(outcome, SubmitOutcome::Accepted(_)) {
             self.exposure.counts.unmarked_exposure += 1;
         }
         self.queue_entry(actions);
-        (reception, self.finish(now))
+        (outcome, self.finish(now))
     }
 
     /// Get whether the host is ready to serve: all required values are in force and
@@ -68,14 +68,14 @@
     /// Get the hosts that a caller should use.
     pub fn address(&self, query: &AddressQuery) -> AddressAnswer {
         let health: Vec<HostHealth> = self.host_health();
-        AddressBook::new(&self.publication).answer(query, &health)
+        AddressSelector::new(&self.publication).answer(query, &health)
     }
 
     fn host_health(&self) -> Vec<HostHealth> {
         let peers = self.membership.peers();
         let hosts = self.publication.hosts.hosts.iter();
         hosts
-            .map(|host| match host.name == self.me.host {
+            .map(|host| match host.name == self.identity.host {
                 true => self.own_health(host),
                 false => {
                     let peer = peers.iter().find(|peer| peer.host == host.name);
@@ -88,7 +88,7 @@
     fn own_health(&self, host: &EntryHost) -> HostHealth {
         HostHealth {
             host: host.clone(),
-            incarnation: Some(self.me.incarnation),
+            incarnation: Some(self.identity.incarnation),
             reachable: Some(true),
             stopping: self.stopping,
             load_permille: self.load_permille,
--- a/bergamotswitch-core/src/node/view.rs
+++ b/bergamotswitch-core/src/node/view.rs
@@ -31,7 +31,8 @@
     /// Inconsistencies between values that are each valid.
     pub cross_findings: Vec<String>,
     /// The requests at this host.
-    pub desk: EntryView,
+    #[serde(rename = "desk")]
+    pub entry: EntryView,
     /// The shards that this host owns.
     pub owns: Vec<PoolShard>,
     /// The state of every shard for which this host acts as owner, including degraded
@@ -50,7 +51,7 @@
     pub fn view(&self, now: Moment) -> NodeView {
         let missing = self.publication.missing();
         NodeView {
-            run: self.me.to_string(),
+            run: self.identity.to_string(),
             domain: self.domain.to_string(),
             ready: self.is_ready(now),
             stopping: self.stopping,
@@ -61,7 +62,7 @@
                 .iter()
                 .map(ToString::to_string)
                 .collect(),
-            desk: self.entry.view(),
+            entry: self.entry.view(),
             owns: self.membership.acting_shards(),
             shards: self.shards.views(),
             degraded: self.shards.degraded_count(),
--- a/bergamotswitch-core/src/permit.rs
+++ b/bergamotswitch-core/src/permit.rs
@@ -1,5 +1,5 @@
 //! Provides the messages between entry hosts and the owner of a pool's shard:
-//! requests for slots (asks), permits and releases.
+//! permit requests, permits and releases.
 //!
 //! A permit grants capacity only. A duplicated, late or lost permit can waste a
 //! slot but cannot run a request twice, because a dispatch depends only on the
@@ -28,10 +28,10 @@
     pub resubmission: bool,
 }
 
-/// An `Ask` is an entry host's request for one slot of a pool shard. It may be
+/// A `PermitRequest` is an entry host's request for one slot of a pool shard. It may be
 /// sent repeatedly, because the owner identifies it by its attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct PermitRequest {
     /// The attempt that needs the slot.
     pub attempt: AttemptId,
     /// The shard.
@@ -180,8 +180,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OwnerMessage {
     /// Requests a slot.
-    Ask(Box<Ask>),
-    /// Cancels a slot request, because the caller disconnected or the deadline
+    PermitRequest(Box<PermitRequest>),
+    /// Cancels a permit request, because the caller disconnected or the deadline
     /// passed.
     Withdraw {
         /// The shard.
@@ -197,7 +197,7 @@
         release: Release,
     },
     /// Reports the entry host's permits and keys to a new owner, before the first
-    /// slot request.
+    /// permit request.
     Resync {
         /// The shard.
         shard: PoolShard,
@@ -237,7 +237,7 @@
         /// The targets.
         targets: Vec<FailedTarget>,
     },
-    /// Reports to a new owner, before the first slot request, the quota units that
+    /// Reports to a new owner, before the first permit request, the quota units that
     /// requests at the sender have used and that have not been refilled since.
     QuotaUse {
         /// The shard.
@@ -260,7 +260,7 @@
         /// The permit.
         permit: Permit,
     },
-    /// Refuses the slot request for good.
+    /// Refuses the permit request for good.
     Refused {
         /// The attempt that requested the slot.
         attempt: AttemptId,
@@ -269,7 +269,7 @@
         /// The time after which the caller may retry, in milliseconds.
         retry_after_ms: u32,
     },
-    /// Redirects a slot request whose idempotency key is held by another host
+    /// Redirects a permit request whose idempotency key is held by another host
     /// incarnation.
     KeyHeld {
         /// The attempt that requested the slot.
@@ -277,7 +277,7 @@
         /// The host incarnation that holds the key.
         holder: HostIncarnation,
     },
-    /// Stops an attempt in favour of a request of a higher tier.
+    /// Stops an attempt in favor of a request of a higher tier.
     Preempt {
         /// The permit.
         permit: PermitId,
@@ -310,7 +310,7 @@
     /// Get the shard to which the message refers.
     pub fn shard(&self) -> &PoolShard {
         match self {
-            OwnerMessage::Ask(ask) => &ask.shard,
+            OwnerMessage::PermitRequest(request) => &request.shard,
             OwnerMessage::Withdraw { shard, .. }
             | OwnerMessage::Release { shard, .. }
             | OwnerMessage::Resync { shard, .. }
--- a/bergamotswitch-core/src/pool_owner/attached_hosts.rs
+++ b/bergamotswitch-core/src/pool_owner/attached_hosts.rs
@@ -25,28 +25,30 @@
     /// When the first of these hosts is counted even if it sends nothing.
     first_expiry: Moment,
     /// Until when received messages may have been sent before this process was
-    /// suspended.
+    /// paused.
     stale_until: Moment,
     stopping: bool,
 }
 
-/// How long after a suspension the messages that queued up during it may
+/// How long after a pause the messages that queued up during it may
 /// arrive.
 const STALE_MESSAGE_TIME: Duration = Duration::from_millis(200);
 
 impl AttachedHosts {
-    /// Set the hosts of the fleet that aren't stopping. New ones may use
-    /// another owner, except for `me`.
+    /// Set the hosts of the fleet that are not stopping. New ones may use
+    /// another owner, except for `own_name`.
     pub(super) fn set_hosts(
         &mut self,
         now: Moment,
-        me: &HostName,
+        own_name: &HostName,
         hosts: Vec<HostName>,
         overlap: Duration,
     ) {
         let hosts: BTreeSet<HostName> = hosts.into_iter().collect();
         self.detached.retain(|host, _| hosts.contains(host));
-        let added = hosts.difference(&self.hosts).filter(|host| *host != me);
+        let added = hosts
+            .difference(&self.hosts)
+            .filter(|host| *host != own_name);
         let until = now.plus(overlap);
         self.detached
             .extend(added.map(|host| (host.clone(), until)));
@@ -55,7 +57,7 @@
     }
 
     /// Record that a host uses this owner. Messages that queued up while this
-    /// process was suspended are ignored, since the host may use another owner
+    /// process was paused are ignored, since the host may use another owner
     /// by now.
     pub(super) fn attach(&mut self, now: Moment, host: &HostName) {
         if !self.detached.is_empty() && now >= self.stale_until {
@@ -73,9 +75,9 @@
     }
 
     /// Record that every host except this one may use another owner.
-    pub(super) fn detach_others(&mut self, now: Moment, me: &HostName, overlap: Duration) {
+    pub(super) fn detach_others(&mut self, now: Moment, own_name: &HostName, overlap: Duration) {
         let until = now.plus(overlap);
-        let others = self.hosts.iter().filter(|host| *host != me);
+        let others = self.hosts.iter().filter(|host| *host != own_name);
         self.detached = others.map(|host| (host.clone(), until)).collect();
         self.stale_until = now.plus(STALE_MESSAGE_TIME);
         self.update_first_expiry();
@@ -88,7 +90,7 @@
     }
 
     /// Count all hosts as users of this owner at once: the previous owner stops
-    /// or doesn't respond, so all of them use this one.
+    /// or does not respond, so all of them use this one.
     pub(super) fn attach_all(&mut self) {
         self.detached.clear();
         self.update_first_expiry();
--- a/bergamotswitch-core/src/pool_owner/key_table.rs
+++ b/bergamotswitch-core/src/pool_owner/key_table.rs
@@ -37,12 +37,12 @@
     capacity: usize,
     entries: HashMap<u128, KeyEntry>,
     expiries: BTreeSet<(Moment, u128)>,
-    /// Until when a key that isn't in the table may still have been used.
+    /// Until when a key that is not in the table may still have been used.
     incomplete_until: Moment,
 }
 
 impl KeyTable {
-    /// Get the table of an owner that has just taken over: for one retention
+    /// Create the table of an owner that has just taken over: for one retention
     /// time there may be keys that only the previous owner recorded.
     pub fn new(now: Moment, retention: Duration, capacity: usize) -> Self {
         KeyTable {
--- a/bergamotswitch-core/src/pool_owner/release.rs
+++ b/bergamotswitch-core/src/pool_owner/release.rs
@@ -55,7 +55,7 @@
 
     /// Take over the work that an entry host holds under permits of previous
     /// owners.
-    pub(super) fn on_retell(
+    pub(super) fn on_resync(
         &mut self,
         now: Moment,
         host: HostName,
@@ -84,11 +84,11 @@
             |claim: &KeyClaim| claim.key == reported.key && claim.holder != reported.holder;
         let duplicates = self
             .queue
-            .find(|queued| queued.ask.claim.as_ref().is_some_and(is_duplicate));
+            .find(|queued| queued.request.claim.as_ref().is_some_and(is_duplicate));
         for attempt in duplicates {
             if let Some(queued) = self.queue.remove(&attempt) {
-                self.release_unused(&queued.ask);
-                self.reply_key_known(queued.host, attempt, reported.holder.clone(), actions);
+                self.release_unused(&queued.request);
+                self.reply_key_held(queued.host, attempt, reported.holder.clone(), actions);
             }
         }
     }
@@ -126,7 +126,7 @@
         });
     }
 
-    /// Reclaim the permits that a host, asked by an audit, doesn't hold.
+    /// Reclaim the permits that a host, asked by an audit, does not hold.
     pub(super) fn on_not_held(
         &mut self,
         now: Moment,
@@ -149,14 +149,14 @@
         }
     }
 
-    /// Drop the queued requests and free the permits of a run of an entry host
-    /// that has terminated. Its keys stay claimed, since the outcome of its
-    /// requests isn't known.
-    pub(super) fn drop_run(&mut self, now: Moment, run: Incarnation) {
-        for attempt in self.queue.of_run(run) {
+    /// Drop the queued requests and free the permits of an incarnation of an
+    /// entry host that has terminated. Its keys stay claimed, since the outcome of its
+    /// requests is not known.
+    pub(super) fn drop_incarnation(&mut self, now: Moment, incarnation: Incarnation) {
+        for attempt in self.queue.of_incarnation(incarnation) {
             self.drop_queued(&attempt);
         }
-        for id in self.permits.of_run(run) {
+        for id in self.permits.of_incarnation(incarnation) {
             if let Some(permit) = self.release_permit(now, &id) {
                 self.clear_probe(&permit);
                 self.remove_if_drained(&permit.target);
@@ -167,8 +167,8 @@
     /// Drop a queued request that may have run elsewhere.
     fn drop_queued(&mut self, attempt: &AttemptId) {
         if let Some(queued) = self.queue.remove(attempt) {
-            let ask = queued.ask;
-            self.quotas.commit(&ask.account, ask.quota_units);
+            let request = queued.request;
+            self.quotas.commit(&request.account, request.quota_units);
         }
     }
 
--- a/bergamotswitch-core/src/pool_owner/slot_routing.rs
+++ b/bergamotswitch-core/src/pool_owner/slot_routing.rs
@@ -68,7 +68,7 @@
 }
 
 impl<'a> SlotView<'a> {
-    /// Get the view of `targets`, without those in `reserved`, which are kept
+    /// Create the view of `targets`, without those in `reserved`, which are kept
     /// for earlier requests.
     pub(super) fn new(now: Moment, targets: &'a TargetSet, reserved: &ReservedTargets) -> Self {
         let live = targets.values().filter(|load| !load.is_draining());
@@ -201,7 +201,7 @@
     }
 
     /// Get whether an allowed target, open or not, meets the condition and
-    /// isn't backed off.
+    /// is not backed off.
     fn any_usable(&self, placement: &Placement, condition: impl Fn(&TargetLoad) -> bool) -> bool {
         let excludes_avoided = self.excludes_avoided(placement);
         in_domains(self.targets, placement).any(|load| {
--- a/bergamotswitch-core/src/pool_owner/wait_plan.rs
+++ b/bergamotswitch-core/src/pool_owner/wait_plan.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use crate::clock::Moment;
-use crate::permit::Ask;
+use crate::permit::PermitRequest;
 use crate::request::AttemptId;
 
 /// The network delay from a permit to the arrival of its request at the target,
@@ -19,7 +19,7 @@
 
 /// The multiple of its time-to-first-token limit for which a request waits at
 /// most.
-const MAX_PATIENCE_FACTOR: u32 = 3;
+const MAX_WAIT_FACTOR: u32 = 3;
 
 /// A `WaitPlan` is how long a request waits, and its sort key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,16 +48,16 @@
 const SPREAD_STEP: u64 = 17;
 
 /// The maximum reduction of the retry-after time, in percent, so that callers
-/// of one burst don't return together.
+/// of one burst do not return together.
 const SPREAD_PERCENT: u64 = 40;
 
 impl WaitPlan {
-    /// Get the plan of a request that arrives now, with its predicted time to
+    /// Create the plan of a request that arrives now, with its predicted time to
     /// first token `first` and its predicted run time `run`.
-    pub fn new(now: Moment, ask: &Ask, first: Duration, run: Duration) -> Self {
-        let left = Duration::from_millis(u64::from(ask.deadline_ms));
+    pub fn new(now: Moment, request: &PermitRequest, first: Duration, run: Duration) -> Self {
+        let left = Duration::from_millis(u64::from(request.deadline_ms));
         let run_until = now.plus(left);
-        let Some(first_answer_ms) = ask.first_answer_ms else {
+        let Some(first_answer_ms) = request.first_answer_ms else {
             return WaitPlan {
                 on_time_until: Moment::NEVER,
                 first_token_due: Moment::NEVER,
@@ -66,19 +66,19 @@
                 sort_key: run_until,
             };
         };
-        let patience = Duration::from_millis(u64::from(first_answer_ms));
-        let waited = Duration::from_millis(u64::from(ask.waited_ms));
+        let first_token_limit = Duration::from_millis(u64::from(first_answer_ms));
+        let waited = Duration::from_millis(u64::from(request.waited_ms));
         // A request that is sent again, to another owner or after an
         // interruption, keeps its original limits.
-        let patience_left = patience.saturating_sub(waited);
-        let max_wait_left = (patience * MAX_PATIENCE_FACTOR).saturating_sub(waited);
+        let first_token_limit_left = first_token_limit.saturating_sub(waited);
+        let max_wait_left = (first_token_limit * MAX_WAIT_FACTOR).saturating_sub(waited);
         let last_start = left.saturating_sub(run);
         WaitPlan {
-            on_time_until: now.plus(patience_left.saturating_sub(first + NETWORK_DELAY)),
-            first_token_due: now.plus(patience_left.saturating_sub(NETWORK_DELAY)),
+            on_time_until: now.plus(first_token_limit_left.saturating_sub(first + NETWORK_DELAY)),
+            first_token_due: now.plus(first_token_limit_left.saturating_sub(NETWORK_DELAY)),
             give_up_at: now.plus(last_start.min(max_wait_left)),
             run_until,
-            sort_key: now.plus(patience_left),
+            sort_key: now.plus(first_token_limit_left),
         }
     }
 
--- a/bergamotswitch-core/src/revision/confirmation.rs
+++ b/bergamotswitch-core/src/revision/confirmation.rs
@@ -102,21 +102,21 @@
             return;
         };
         for host in self.links.keys() {
-            let message = RevisionMessage::AskConfirmed {
+            let message = RevisionMessage::QueryConfirmation {
                 name: name.clone(),
-                asked_at: now,
+                queried_at: now,
             };
             actions.push(RevisionAction::Send(host.clone(), message));
         }
     }
 
     /// Answer a peer's query with this host's own confirmation, if it has one.
-    pub(super) fn answer_confirmed(
+    pub(super) fn answer_confirmation_query(
         &self,
         now: Moment,
         host: HostName,
         name: ValueName,
-        asked_at: Moment,
+        queried_at: Moment,
         actions: &mut Vec<RevisionAction>,
     ) {
         let Some(age) = self.confirmed_age(now, &name) else {
@@ -131,7 +131,7 @@
         let age_ms = u32::try_from(age.as_millis() + 1).unwrap_or(u32::MAX);
         let message = RevisionMessage::Confirmed {
             name,
-            asked_at,
+            queried_at,
             revision,
             age_ms,
         };
@@ -139,10 +139,10 @@
     }
 
     /// Record a peer's answer.
-    pub(super) fn handle_confirmed(
+    pub(super) fn handle_confirmation(
         &mut self,
         name: &ValueName,
-        asked_at: Moment,
+        queried_at: Moment,
         revision: Revision,
         age_ms: u32,
     ) {
@@ -151,7 +151,7 @@
         if self.seen(name) < revision {
             return;
         }
-        let confirmed_at = ConfirmedAt::new(asked_at).before(age_ms);
+        let confirmed_at = ConfirmedAt::new(queried_at).before(age_ms);
         self.confirm(name, confirmed_at, revision);
     }
 
--- a/bergamotswitch-core/src/revision/replica.rs
+++ b/bergamotswitch-core/src/revision/replica.rs
@@ -40,7 +40,7 @@
 /// A `RevisionReplica` is one host's replica of the published values.
 #[derive(Debug)]
 pub struct RevisionReplica {
-    pub(super) me: HostName,
+    pub(super) own_name: HostName,
     pub(super) domain: DomainName,
     pub(super) opts: RevisionOptions,
     pub(super) values: BTreeMap<ValueName, ValueReplica>,
@@ -52,7 +52,7 @@
     pub(super) announce_at: Moment,
     pub(super) peer_confirmed: bool,
     /// Whether the host has been caught up since its start or its last
-    /// suspension.
+    /// pause.
     was_caught_up: bool,
     pub(super) jitter: Jitter,
     hosts: BTreeMap<HostName, EntryHost>,
@@ -75,12 +75,12 @@
 impl RevisionReplica {
     /// Create the replica of a host that has just started.
     pub fn new(
-        me: HostIncarnation,
+        identity: HostIncarnation,
         domain: DomainName,
         opts: RevisionOptions,
         now: Moment,
     ) -> Self {
-        let mut jitter = Jitter::new(me.incarnation);
+        let mut jitter = Jitter::new(identity.incarnation);
         let delay = opts.read_fallback + jitter.part_of(opts.read_fallback);
         let values = opts
             .values
@@ -91,7 +91,7 @@
             .iter()
             .map(|name| (name.clone(), ServiceCall::default()));
         RevisionReplica {
-            me: me.host,
+            own_name: identity.host,
             domain,
             values: values.collect(),
             calls: calls.collect(),
@@ -146,7 +146,7 @@
             }
             RevisionEvent::Hosts(list) => self.handle_hosts(list),
             RevisionEvent::Tick => {}
-            RevisionEvent::Resumed(_) => self.invalidate(now),
+            RevisionEvent::ProcessResumed(_) => self.invalidate(now),
         }
         self.reconcile(now, &mut actions);
         actions
@@ -170,7 +170,7 @@
             None => false,
         };
         if recorded {
-            actions.push(RevisionAction::Log(incident, name.clone()));
+            actions.push(RevisionAction::LogIncident(incident, name.clone()));
         }
         self.reconcile(now, &mut actions);
         actions
@@ -235,7 +235,10 @@
         // without a backoff would use up the read budget.
         if value.revision < call.beyond {
             if call.fail(now, &self.opts, &mut self.jitter) {
-                actions.push(RevisionAction::Log(Incident::RevisionStale, value.name));
+                actions.push(RevisionAction::LogIncident(
+                    Incident::RevisionStale,
+                    value.name,
+                ));
             }
             return;
         }
@@ -253,7 +256,10 @@
             None => return,
         };
         if call.fail(now, &self.opts, &mut self.jitter) {
-            actions.push(RevisionAction::Log(Incident::ServiceUnreachable, name));
+            actions.push(RevisionAction::LogIncident(
+                Incident::ServiceUnreachable,
+                name,
+            ));
         }
     }
 
@@ -263,13 +269,13 @@
             .into_iter()
             .map(|host| (host.name.clone(), host))
             .collect();
-        self.plan = RelayPlan::new(&self.me, &self.domain, &self.hosts, &self.opts);
+        self.plan = RelayPlan::new(&self.own_name, &self.domain, &self.hosts, &self.opts);
         // A host that has left the list must not serve as a backup relay.
         let hosts = &self.hosts;
         self.backups.retain(|host| hosts.contains_key(host));
     }
 
-    /// Invalidate the state after a suspension: the peers may be ahead, and
+    /// Invalidate the state after a pause: the peers may be ahead, and
     /// pending calls may be lost with their connections.
     fn invalidate(&mut self, now: Moment) {
         self.peer_confirmed = false;
@@ -333,8 +339,8 @@
     }
 
     fn next_backups(&mut self) -> Vec<HostName> {
-        let others = self.hosts.keys().filter(|host| **host != self.me);
-        let ranked = crate::rendezvous::rank_by_key(self.me.as_str().as_bytes(), others);
+        let others = self.hosts.keys().filter(|host| **host != self.own_name);
+        let ranked = crate::rendezvous::rank_by_key(self.own_name.as_str().as_bytes(), others);
         if ranked.is_empty() {
             return Vec::new();
         }
@@ -365,7 +371,7 @@
         }
         self.alone_logged = true;
         if let Some(name) = self.opts.values.first() {
-            let log = RevisionAction::Log(Incident::StartedWithoutPeer, name.clone());
+            let log = RevisionAction::LogIncident(Incident::StartedWithoutPeer, name.clone());
             actions.push(log);
         }
     }
--- a/bergamotswitch-core/src/roster/machine.rs
+++ b/bergamotswitch-core/src/roster/machine.rs
@@ -25,7 +25,7 @@
 /// A `Roster` is the set of hosts in the fleet as known to this host by gossip.
 #[derive(Debug)]
 pub struct Roster {
-    me: EntryHost,
+    own_host: EntryHost,
     flags: MemberFlags,
     opts: RosterOptions,
     seeds: Vec<SocketAddr>,
@@ -44,9 +44,9 @@
     /// Create the roster of a host that has just started. `stamp_base` is the
     /// time of day in milliseconds at the process's start; `seed` seeds the
     /// random choice of recipients.
-    pub fn new(me: EntryHost, seeds: Vec<SocketAddr>, stamp_base: u64, seed: u64) -> Self {
+    pub fn new(own_host: EntryHost, seeds: Vec<SocketAddr>, stamp_base: u64, seed: u64) -> Self {
         Roster {
-            me,
+            own_host,
             flags: MemberFlags::default(),
             opts: RosterOptions::default(),
             seeds,
@@ -76,7 +76,7 @@
     /// directed to a stopping host.
     pub fn set_flags(&mut self, now: Moment, flags: MemberFlags) {
         if flags != self.flags {
-            self.discount_suspension(now);
+            self.discount_pause(now);
             self.flags = flags;
             self.round_at = now;
         }
@@ -97,25 +97,25 @@
     /// interval is excluded. A host whose rounds are always late, for lack of
     /// CPU time, detects failures of others later, after at most twice the
     /// timeout.
-    fn discount_suspension(&mut self, now: Moment) {
-        let suspended = now.since(self.next_round_deadline());
-        if suspended.is_zero() {
+    fn discount_pause(&mut self, now: Moment) {
+        let paused_for = now.since(self.next_round_deadline());
+        if paused_for.is_zero() {
             return;
         }
         let silent_after = self.silent_after();
         for member in self.members.values_mut() {
-            member.discount(now, suspended, silent_after);
+            member.discount(now, paused_for, silent_after);
         }
         self.round_at = now;
     }
 
     /// Get the time by which the next round should have run; past it, this host
-    /// counts as suspended.
+    /// counts as paused.
     fn next_round_deadline(&self) -> Moment {
         self.round_at.plus(self.opts.round_interval)
     }
 
-    /// Reset the silence of all other hosts after a suspension of this process,
+    /// Reset the silence of all other hosts after a pause of this process,
     /// which is no evidence against them.
     pub fn resume(&mut self, now: Moment) {
         for member in self.members.values_mut() {
@@ -129,7 +129,7 @@
         if now < self.round_at {
             return Vec::new();
         }
-        self.discount_suspension(now);
+        self.discount_pause(now);
         self.round_at = now.plus(self.opts.round_interval);
         self.rounds += 1;
         let forget_after = self.opts.forget_after;
@@ -148,7 +148,7 @@
 
     /// Handle a message and get the answer, if one is needed.
     pub fn handle(&mut self, now: Moment, message: RosterMessage) -> Vec<RosterAction> {
-        self.discount_suspension(now);
+        self.discount_pause(now);
         let sender = message.sender;
         let to = sender.host.link_address;
         let sender_stamp = sender.stamp;
@@ -243,7 +243,7 @@
 
     fn own_record(&self, now: Moment) -> MemberRecord {
         MemberRecord {
-            host: self.me.clone(),
+            host: self.own_host.clone(),
             stamp: self.own_stamp(now),
             flags: self.flags,
         }
@@ -286,7 +286,7 @@
 
     /// Merge a mark. Get whether its host is known.
     fn merge_mark(&mut self, now: Moment, sender_stamp: u64, mark: MemberMark) -> bool {
-        if mark.id == MemberMark::id_of(&self.me.name) {
+        if mark.id == MemberMark::id_of(&self.own_host.name) {
             self.raise_stamp(now, sender_stamp.wrapping_sub(mark.behind as u64));
             return true;
         }
@@ -307,7 +307,7 @@
     }
 
     fn merge_record(&mut self, now: Moment, record: MemberRecord) {
-        if record.host.name == self.me.name {
+        if record.host.name == self.own_host.name {
             self.raise_stamp(now, record.stamp);
             return;
         }
@@ -365,7 +365,9 @@
 
     fn other_seeds(&self) -> Vec<SocketAddr> {
         let seeds = self.seeds.iter().copied();
-        seeds.filter(|seed| *seed != self.me.link_address).collect()
+        seeds
+            .filter(|seed| *seed != self.own_host.link_address)
+            .collect()
     }
 
     fn pick(&mut self, addresses: Vec<SocketAddr>) -> Option<SocketAddr> {
--- a/bergamotswitch-core/tests/entry_grace.rs
+++ b/bergamotswitch-core/tests/entry_grace.rs
@@ -1,11 +1,11 @@
-//! Tests of a graceful shutdown that is limited by a grace period.
+//! Tests of a planned stop that is limited by a grace period.
 
 mod entry_support;
 
 use bergamotswitch_core::refusal::RunClaim;
 use entry_support::*;
 
-/// The part of the grace period that is left when a shutdown begins.
+/// The part of the grace period that is left when a planned stop begins.
 const GRACE_LEFT: Duration = Duration::from_secs(7);
 /// The interval between ticks.
 const STEP: Duration = Duration::from_millis(100);
@@ -29,8 +29,8 @@
 }
 
 fn stop(dispatcher: &mut TestDispatcher, left: Duration) -> Vec<EntryAction> {
-    let whole_by = dispatcher.now.plus(left);
-    let mut actions = dispatcher.event(EntryEvent::FinishBy(whole_by));
+    let answer_deadline = dispatcher.now.plus(left);
+    let mut actions = dispatcher.event(EntryEvent::AnswerDeadline(answer_deadline));
     actions.extend(dispatcher.event(EntryEvent::Stop));
     actions
 }
@@ -93,7 +93,7 @@
 }
 
 /// Get the run claim and the retry delay of a submission that is refused
-/// because of the shutdown.
+/// because of the planned stop.
 fn refused_while_stopping(
     dispatcher: &mut TestDispatcher,
     submission: Submission,
@@ -134,7 +134,7 @@
     dispatcher.begin(bounded(Duration::from_secs(3)), "t0");
 }
 
-// Guards against starting a run of unknown duration during a shutdown.
+// Guards against starting a run of unknown duration during a planned stop.
 #[test]
 fn unknown_length() {
     let mut dispatcher = TestDispatcher::new(EntryOptions::default());
@@ -154,7 +154,7 @@
 }
 
 // Guards against truncated answers of requests that were already waiting when
-// the shutdown began and get a permit late.
+// the planned stop began and get a permit late.
 #[test]
 fn late_permit() {
     let mut dispatcher = TestDispatcher::new(EntryOptions::default());
@@ -331,7 +331,9 @@
     // The maximum output still limits the call.
     let mut bounded = with_estimate(400);
     bounded.options.max_output_tokens = Some(401);
-    dispatcher.event(EntryEvent::FinishBy(dispatcher.now.plus(GRACE_LEFT * 2)));
+    dispatcher.event(EntryEvent::AnswerDeadline(
+        dispatcher.now.plus(GRACE_LEFT * 2),
+    ));
     dispatcher.begin(bounded, "t0");
 }
 
@@ -410,7 +412,7 @@
         // again.
         stop(&mut dispatcher, Duration::from_secs(5));
         refused_while_stopping(&mut dispatcher, with_estimate(400));
-        dispatcher.event(EntryEvent::FinishBy(dispatcher.now.plus(GRACE_LEFT)));
+        dispatcher.event(EntryEvent::AnswerDeadline(dispatcher.now.plus(GRACE_LEFT)));
         dispatcher.begin(with_estimate(400), "t0");
     }
 }
@@ -425,20 +427,20 @@
         let id = dispatcher.accept(submission());
         dispatcher.start(first_attempt(id), "t0");
         dispatcher.pass(Duration::from_millis(1));
-        dispatcher.event(EntryEvent::CallerLeft(id));
+        dispatcher.event(EntryEvent::CallerDisconnected(id));
     }
     for _ in 0..64 {
         let id = dispatcher.accept(submission());
         dispatcher.start(first_attempt(id), "t0");
         dispatcher.attempt(first_attempt(id), AttemptEvent::Failed);
-        dispatcher.event(EntryEvent::CallerLeft(id));
+        dispatcher.event(EntryEvent::CallerDisconnected(id));
     }
     stop(&mut dispatcher, Duration::from_secs(2));
     assert!(!is_accepted(&mut dispatcher));
 }
 
 // Guards against a bound from ended runs alone when all targets have become
-// slow just before the shutdown.
+// slow just before the planned stop.
 #[test]
 fn runs_in_flight() {
     let mut dispatcher = TestDispatcher::new(EntryOptions::default());
@@ -487,7 +489,7 @@
     }
 }
 
-// Guards against a shutdown that never ends because callers keep submitting
+// Guards against a planned stop that never ends because callers keep submitting
 // short calls after their address lease has expired.
 #[test]
 fn admission_closed() {
@@ -499,12 +501,12 @@
     dispatcher.start(waiting, "t0");
 }
 
-// Guards against refusing or aborting requests in a shutdown without a grace
+// Guards against refusing or aborting requests in a planned stop without a grace
 // period.
 #[test]
 fn no_grace_period() {
     let mut dispatcher = TestDispatcher::new(EntryOptions::default());
-    dispatcher.event(EntryEvent::FinishBy(Moment::NEVER));
+    dispatcher.event(EntryEvent::AnswerDeadline(Moment::NEVER));
     dispatcher.event(EntryEvent::Stop);
     dispatcher.begin(submission(), "t0");
     assert_eq!(dispatcher.pass(Duration::from_secs(20)), vec![]);
--- a/bergamotswitch-core/tests/fleet_simulation/mod.rs
+++ b/bergamotswitch-core/tests/fleet_simulation/mod.rs
@@ -141,7 +141,7 @@
     modes: [TargetMode; 4],
     callers: Callers,
     pub oracle: Oracle,
-    pub reach: Coverage,
+    pub coverage: Coverage,
     tasks: BTreeMap<(Moment, u64), ScheduledTask>,
     counter: u64,
     runs: u128,
@@ -194,7 +194,7 @@
     }
 
     fn count(&mut self, what: &'static str) {
-        *self.reach.entry(what).or_default() += 1;
+        *self.coverage.entry(what).or_default() += 1;
     }
 
     fn post(&mut self, after: Duration, task: ScheduledTask) {
@@ -392,7 +392,7 @@
         let shards = core.view(self.now).shards;
         let own = shards.iter().filter(|view| view.shard.pool == *pool);
         let mut queued = own.flat_map(|view| &view.queued);
-        if queued.any(|kept| kept.tier > tier && kept.asks > 0) {
+        if queued.any(|kept| kept.tier > tier && kept.requests > 0) {
             self.oracle.record_violation(Violation::ShedOrder);
         }
     }
--- a/bergamotswitch-core/tests/node_support/net.rs
+++ b/bergamotswitch-core/tests/node_support/net.rs
@@ -10,7 +10,7 @@
 pub struct NodeNet {
     pub nodes: Vec<TestNode>,
     links: BTreeSet<(usize, usize)>,
-    /// Pairs of hosts that can't reach each other.
+    /// Pairs of hosts that cannot reach each other.
     pub cuts: BTreeSet<(usize, usize)>,
     /// The paused host.
     frozen: Option<usize>,
@@ -32,7 +32,7 @@
         // Each target has one token, so it runs one request at a time.
         let target = json!({"token_limit": 1});
         let nodes = HOSTS.iter();
-        let nodes = nodes.map(|me| node_with_pool_kind(me, HOSTS, target.clone(), kind));
+        let nodes = nodes.map(|host| node_with_pool_kind(host, HOSTS, target.clone(), kind));
         let mut net = NodeNet {
             nodes: nodes.collect(),
             links: BTreeSet::new(),
@@ -93,7 +93,7 @@
     }
 
     fn send(&mut self, from: usize, to: &HostName, message: LinkMessage) {
-        if let LinkMessage::ToOwner(OwnerMessage::Ask(_)) = &message {
+        if let LinkMessage::ToOwner(OwnerMessage::PermitRequest(_)) = &message {
             self.asked.push(to.clone());
         }
         let to = index(to);
--- a/bergamotswitch-net/src/gateway/call.rs
+++ b/bergamotswitch-net/src/gateway/call.rs
@@ -220,7 +220,7 @@
                 max_runs: Some(self.route.max_runs),
                 // A request queued for longer than this would be answered late,
                 // and would delay those behind it.
-                first_answer_goal: Some(first_answer),
+                first_token_limit: Some(first_answer),
                 resumable: semantics == CallSemantics::ResumableStream,
                 ends_at_deadline: true,
                 ends_with_caller: semantics != CallSemantics::NonIdempotent,
--- a/bergamotswitch-net/src/link/counters.rs
+++ b/bergamotswitch-net/src/link/counters.rs
@@ -39,7 +39,7 @@
     /// A heartbeat.
     Heartbeat = "heartbeat", LinkMessage::Heartbeat(_),
     /// A request for a permit.
-    Ask = "ask", LinkMessage::ToOwner(OwnerMessage::Ask(_)),
+    Ask = "ask", LinkMessage::ToOwner(OwnerMessage::PermitRequest(_)),
     /// A withdrawal of a permit request.
     Withdraw = "withdraw", LinkMessage::ToOwner(OwnerMessage::Withdraw { .. }),
     /// A released permit.
@@ -79,7 +79,7 @@
     /// A complete published value.
     Whole = "whole", LinkMessage::Revision(RevisionMessage::Whole(_)),
     /// A query how long ago a revision was known to be the latest.
-    AskConfirmed = "ask-confirmed", LinkMessage::Revision(RevisionMessage::AskConfirmed { .. }),
+    AskConfirmed = "ask-confirmed", LinkMessage::Revision(RevisionMessage::QueryConfirmation { .. }),
     /// The answer to that query.
     Confirmed = "confirmed", LinkMessage::Revision(RevisionMessage::Confirmed { .. }),
 }
--- a/bergamotswitch-net/src/node/event_loop/reports.rs
+++ b/bergamotswitch-net/src/node/event_loop/reports.rs
@@ -57,7 +57,7 @@
     pub(super) fn log_stop_progress(&self, incident: Incident, schedule: &StopSchedule) {
         self.metrics.count_incident(incident);
         let now = self.now();
-        let view = self.core.view(now).desk;
+        let view = self.core.view(now).entry;
         let waiting: u32 = view.waiting.iter().sum();
         let running: u32 = view.running.iter().sum();
         let stopped = now.since(schedule.started_at).as_millis();
@@ -113,7 +113,7 @@
         self.gauges_due = now.plus(GAUGE_INTERVAL);
         self.log_key_trust();
         let view = self.core.view(now);
-        let load = self.load.measure(now, &view.desk);
+        let load = self.load.measure(now, &view.entry);
         gauges::refresh(&self.metrics, &view);
         self.owner_totals.refresh(&self.metrics, &view.shards);
         self.metrics.set_service_reads(self.platform.calls());
--- a/bergamotswitch-net/src/node/request_log.rs
+++ b/bergamotswitch-net/src/node/request_log.rs
@@ -46,7 +46,7 @@
             caller_id: routed.map(|routed| routed.request_id.clone()),
             rule: submission.verdict.rule.clone(),
             account: submission.account.clone(),
-            first_answer_goal: submission.options.first_answer_goal,
+            first_answer_goal: submission.options.first_token_limit,
             tier: submission.verdict.tier,
             prompt_tokens: submission.cost.prefill,
             output_tokens: submission.cost.decode,
--- a/bergamotswitch/examples/slopes/entry.rs
+++ b/bergamotswitch/examples/slopes/entry.rs
@@ -65,7 +65,7 @@
             panic!("request not accepted: {outcome:?}");
         };
         let attempt = actions.iter().find_map(|action| match action {
-            EntryAction::Send(_, OwnerMessage::Ask(ask)) => Some(ask.attempt),
+            EntryAction::Send(_, OwnerMessage::PermitRequest(ask)) => Some(ask.attempt),
             _ => None,
         });
         (id, attempt.expect("no permit asked for"))
--- a/bergamotswitch/examples/slopes/frames.rs
+++ b/bergamotswitch/examples/slopes/frames.rs
@@ -67,13 +67,13 @@
         let mut ask = ask(BASE_SEQUENCE, 17);
         ask.shard = domain_shard();
         ask.prefixes = prefixes(BASE_SEQUENCE, count);
-        to_owner_len(OwnerMessage::Ask(Box::new(ask)))
+        to_owner_len(OwnerMessage::PermitRequest(Box::new(ask)))
     });
     report.slope("ask, by prefix hashes", &points);
     let mut keyed = ask(BASE_SEQUENCE, 17);
     keyed.shard = domain_shard();
     keyed.claim = Some(claim(BASE_SEQUENCE));
-    let keyed = to_owner_len(OwnerMessage::Ask(Box::new(keyed)));
+    let keyed = to_owner_len(OwnerMessage::PermitRequest(Box::new(keyed)));
     report.figure("ask, 4 prefix hashes and an idempotency key", keyed);
     let granted = from_owner_len(OwnerReply::Granted {
         shard: domain_shard(),
--- a/bergamotswitch/examples/slopes/links.rs
+++ b/bergamotswitch/examples/slopes/links.rs
@@ -134,7 +134,7 @@
 }
 
 fn message(sequence: u64) -> LinkMessage {
-    LinkMessage::ToOwner(OwnerMessage::Ask(Box::new(ask(sequence, 17))))
+    LinkMessage::ToOwner(OwnerMessage::PermitRequest(Box::new(ask(sequence, 17))))
 }
 
 async fn receive(end: &mut LinkEnd, count: usize) {
--- a/bergamotswitch/examples/slopes/values.rs
+++ b/bergamotswitch/examples/slopes/values.rs
@@ -1,8 +1,8 @@
 //! Measures published values, address queries and the admission of requests.
 
-use bergamotswitch_core::address::{AddressBook, AddressQuery, CallerHash, HostHealth};
+use bergamotswitch_core::address::{AddressQuery, AddressSelector, CallerHash, HostHealth};
 use bergamotswitch_core::publication::{Publication, check_consistency};
-use bergamotswitch_core::rules::RequestFacts;
+use bergamotswitch_core::rules::RequestAttributes;
 
 use crate::fixtures::{DESIGN_SIZE, FleetSize, account, domain_of, name, published};
 use crate::probe::{cpu_micros_per_call, memory_growth};
@@ -70,7 +70,7 @@
     report.section("admission of a request, CPU time in microseconds");
     let points = measure_at_sizes(&sizes_of("rules"), |size| {
         let publication = size_with("rules", size).publication();
-        let facts = RequestFacts {
+        let facts = RequestAttributes {
             pool: &name("drafting-lm-1"),
             account: &name(account(7)),
             work: Some(&name("clause-check")),
@@ -89,7 +89,7 @@
     report.slope("authentication, by accounts", &points);
     let points = measure_at_sizes(&sizes_of("hosts"), |size| {
         let publication = size_with("hosts", size).publication();
-        let book = AddressBook::new(&publication);
+        let book = AddressSelector::new(&publication);
         let query = AddressQuery {
             account: name(account(7)),
             caller: CallerHash::default(),
