--- a/bergamotswitch/tests/soak.rs
+++ b/bergamotswitch/tests/soak.rs
@@ -12,13 +12,13 @@
 use std::sync::Mutex;
 use std::thread;
 
-use soak_world::play;
+use soak_world::run_seed;
 
 /// The hosts of a short run, and of one by hand.
-const FEW_HOSTS: usize = 3;
-const HOSTS_BY_HAND: usize = 5;
+const SHORT_RUN_HOSTS: usize = 3;
+const FULL_RUN_HOSTS: usize = 5;
 /// The runs by hand that go on at the same time.
-const WORKERS: usize = 3;
+const DEFAULT_WORKERS: usize = 3;
 
 /// Play seeds, some at a time; get those that broke a promise.
 fn failed_seeds(
@@ -34,7 +34,7 @@
         for _ in 0..workers {
             scope.spawn(|| {
                 while let Some(seed) = next() {
-                    if !is_kept(seed, hosts) {
+                    if !passes(seed, hosts) {
                         failed.lock().expect("no panic").push(seed);
                     }
                 }
@@ -45,15 +45,18 @@
 }
 
 /// Play a seed and tell what it showed; get whether all promises were kept.
-fn is_kept(seed: u64, hosts: usize) -> bool {
-    let outcome = play(seed, hosts);
+fn passes(seed: u64, hosts: usize) -> bool {
+    let outcome = run_seed(seed, hosts);
     let (calls, served) = (outcome.calls, outcome.served);
     let count = outcome.problems.len();
     println!("seed {seed}: {served} of {calls} calls served, {count} problems");
-    let (calls, served) = (outcome.at_stops, outcome.served_at_stops);
+    let (calls, served) = (outcome.sent_while_stopping, outcome.served_while_stopping);
     println!("  {served} of {calls} served that were sent to stopping hosts");
     if count > 0 {
-        println!("  the test stood still for up to {:?}", outcome.stood_still);
+        println!(
+            "  the test stood still for up to {:?}",
+            outcome.longest_stall
+        );
         println!("  faults: {:#?}", outcome.faults);
         for problem in outcome.problems.iter().take(10) {
             println!("  {problem}");
@@ -68,8 +71,11 @@
 
 #[test]
 fn short_seeds() {
-    assert_eq!(failed_seeds(4..6, FEW_HOSTS, 2), Vec::<u64>::new());
-    assert_eq!(failed_seeds(1_001..1_003, FEW_HOSTS, 2), Vec::<u64>::new());
+    assert_eq!(failed_seeds(4..6, SHORT_RUN_HOSTS, 2), Vec::<u64>::new());
+    assert_eq!(
+        failed_seeds(1_001..1_003, SHORT_RUN_HOSTS, 2),
+        Vec::<u64>::new()
+    );
 }
 
 // Seeds that failed once, each with its cause. With five hosts:
@@ -77,13 +83,16 @@
 //    took its peers' old word of the routes for a young one (`key_trust`).
 #[test]
 fn kept_seeds() {
-    assert_eq!(failed_seeds(1..2, HOSTS_BY_HAND, 1), Vec::<u64>::new());
+    assert_eq!(failed_seeds(1..2, FULL_RUN_HOSTS, 1), Vec::<u64>::new());
 }
 
 // Every host stopped in turn or two at once, with long work.
 #[test]
 fn short_stops() {
-    assert_eq!(failed_seeds(2_000..2_004, FEW_HOSTS, 2), Vec::<u64>::new());
+    assert_eq!(
+        failed_seeds(2_000..2_004, SHORT_RUN_HOSTS, 2),
+        Vec::<u64>::new()
+    );
 }
 
 // Symptom: connections close without a whole answer at the end of a stopping
@@ -97,7 +106,7 @@
 #[test]
 fn kept_stops() {
     let seeds = [2_000, 2_002, 2_010];
-    assert_eq!(failed_seeds(seeds, HOSTS_BY_HAND, 3), Vec::<u64>::new());
+    assert_eq!(failed_seeds(seeds, FULL_RUN_HOSTS, 3), Vec::<u64>::new());
 }
 
 // Symptom: a stopping host ends an answer itself, 0.2 s before the end of its
@@ -111,7 +120,7 @@
 #[test]
 fn kept_lengths() {
     let seeds = [2_100, 2_106, 2_126, 2_208, 2_238, 2_334];
-    assert_eq!(failed_seeds(seeds, HOSTS_BY_HAND, 3), Vec::<u64>::new());
+    assert_eq!(failed_seeds(seeds, FULL_RUN_HOSTS, 3), Vec::<u64>::new());
 }
 
 // Symptom: as above. Sequence, with five hosts: all stop within four seconds; 1.1 s
@@ -120,7 +129,7 @@
 // were, nearly all of short calls with a right estimate.
 #[test]
 fn kept_guesses() {
-    assert_eq!(failed_seeds([2_316], HOSTS_BY_HAND, 1), Vec::<u64>::new());
+    assert_eq!(failed_seeds([2_316], FULL_RUN_HOSTS, 1), Vec::<u64>::new());
 }
 
 // Symptom: a stream looks whole and ends in half an event. Sequence, with five
@@ -128,9 +137,9 @@
 // their bodies end as whole ones do. Cause: the end of the body was taken for the
 // end of the stream.
 #[test]
-fn kept_halves() {
+fn kept_partial_events() {
     assert_eq!(
-        failed_seeds([2_123, 2_317], HOSTS_BY_HAND, 2),
+        failed_seeds([2_123, 2_317], FULL_RUN_HOSTS, 2),
         Vec::<u64>::new()
     );
 }
@@ -141,8 +150,9 @@
     let seeds = std::env::var("SOAK_SEEDS").unwrap_or("1..51".to_owned());
     let (start, end) = seeds.split_once("..").expect("a range");
     let hosts =
-        std::env::var("SOAK_HOSTS").map_or(HOSTS_BY_HAND, |text| env_number(&text) as usize);
-    let workers = std::env::var("SOAK_WORKERS").map_or(WORKERS, |text| env_number(&text) as usize);
+        std::env::var("SOAK_HOSTS").map_or(FULL_RUN_HOSTS, |text| env_number(&text) as usize);
+    let workers =
+        std::env::var("SOAK_WORKERS").map_or(DEFAULT_WORKERS, |text| env_number(&text) as usize);
     let seeds = env_number(start)..env_number(end);
     assert_eq!(failed_seeds(seeds, hosts, workers), Vec::<u64>::new());
 }
--- a/bergamotswitch/tests/soak_world/callers.rs
+++ b/bergamotswitch/tests/soak_world/callers.rs
@@ -22,13 +22,13 @@
 /// How long a caller waits for an answer that takes no time.
 pub const DEADLINE: Duration = Duration::from_millis(2_500);
 /// How much longer an answer may be under way.
-pub const LATE: Duration = Duration::from_millis(1_500);
+pub const TIMEOUT_MARGIN: Duration = Duration::from_millis(1_500);
 /// The key that is taken away at times.
 pub const SECOND_KEY: &str = "second-key-of-the-account";
 /// The mean pause between two calls of a caller.
-const PAUSE_MS: std::ops::Range<u64> = 5..60;
+const CALL_INTERVAL_MS: std::ops::Range<u64> = 5..60;
 /// How long a caller stays away that was refused.
-const REFUSED_PAUSE: Duration = Duration::from_millis(800);
+const REJECTION_BACKOFF: Duration = Duration::from_millis(800);
 
 /// The kinds of calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -63,19 +63,19 @@
     /// The connection ended before the head of an answer.
     Closed,
     /// No end of the answer in time.
-    Overdue,
+    TimedOut,
     /// An answer, whole or cut.
-    Answered(SeenAnswer),
+    Answered(ObservedResponse),
 }
 
 /// What a caller saw of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SeenAnswer {
+pub struct ObservedResponse {
     pub status: StatusCode,
     pub id: String,
     pub seal: String,
     pub body: String,
-    pub whole: bool,
+    pub complete: bool,
 }
 
 /// A `CallRecord` is one call and what came of it.
@@ -92,7 +92,7 @@
     pub end: CallEnd,
 }
 
-struct OpenDoor {
+struct CallerConnection {
     host: usize,
     sender: SendRequest<Full<Bytes>>,
 }
@@ -100,14 +100,14 @@
 /// Send calls until the world's callers are told to end.
 pub async fn run_caller(world: Rc<SoakWorld>, number: u64) {
     let mut rng = StdRng::seed_from_u64(world.seed ^ (number << 32));
-    let mut open: Option<OpenDoor> = None;
+    let mut idle: Option<CallerConnection> = None;
     let mut count = 0;
-    while !world.callers_end.get() {
+    while !world.callers_stopped.get() {
         count += 1;
         let id = format!("c{number}-{count}");
-        let again = send_one(&world, &mut rng, &mut open, number, id).await;
-        let pause = Duration::from_millis(rng.random_range(PAUSE_MS));
-        sleep(pause.max(again)).await;
+        let backoff = send_one(&world, &mut rng, &mut idle, number, id).await;
+        let pause = Duration::from_millis(rng.random_range(CALL_INTERVAL_MS));
+        sleep(pause.max(backoff)).await;
     }
 }
 
@@ -115,7 +115,7 @@
 async fn send_one(
     world: &Rc<SoakWorld>,
     rng: &mut StdRng,
-    open: &mut Option<OpenDoor>,
+    idle: &mut Option<CallerConnection>,
     number: u64,
     id: String,
 ) -> Duration {
@@ -136,28 +136,32 @@
         false => CallWork::SHORT,
     };
     let path = format!("{prefix}{id}{}", work.query());
-    let door = match open.take() {
-        Some(door) => Some(door),
+    let connection = match idle.take() {
+        Some(connection) => Some(connection),
         None => connect(world, rng).await,
     };
-    let Some(mut door) = door else {
+    let Some(mut connection) = connection else {
         return Duration::ZERO;
     };
     let request = request(kind, &path, &id, work, second_key);
     let sent = Instant::now();
-    let answered = timeout(work.deadline + LATE, exchange(&mut door.sender, request)).await;
-    let end = answered.unwrap_or(CallEnd::Overdue);
-    let mut again = Duration::ZERO;
-    let host = door.host;
-    if let CallEnd::Answered(answer) = &end {
-        if answer.whole && !door.sender.is_closed() {
-            *open = Some(door);
+    let answered = timeout(
+        work.deadline + TIMEOUT_MARGIN,
+        exchange(&mut connection.sender, request),
+    )
+    .await;
+    let end = answered.unwrap_or(CallEnd::TimedOut);
+    let mut backoff = Duration::ZERO;
+    let host = connection.host;
+    if let CallEnd::Answered(response) = &end {
+        if response.complete && !connection.sender.is_closed() {
+            *idle = Some(connection);
         }
-        if answer.status == StatusCode::SERVICE_UNAVAILABLE {
-            again = REFUSED_PAUSE;
+        if response.status == StatusCode::SERVICE_UNAVAILABLE {
+            backoff = REJECTION_BACKOFF;
         }
     }
-    world.note_call(CallRecord {
+    world.record_call(CallRecord {
         id,
         kind,
         path,
@@ -168,7 +172,7 @@
         ended: Instant::now(),
         end,
     });
-    again
+    backoff
 }
 
 fn prefix_of(world: &SoakWorld, rng: &mut StdRng, kind: CallKind) -> Option<String> {
@@ -185,14 +189,14 @@
     })
 }
 
-async fn connect(world: &SoakWorld, rng: &mut StdRng) -> Option<OpenDoor> {
-    let host = rng.random_range(0..world.doors.len());
-    let address: SocketAddr = world.doors[host];
+async fn connect(world: &SoakWorld, rng: &mut StdRng) -> Option<CallerConnection> {
+    let host = rng.random_range(0..world.caller_addresses.len());
+    let address: SocketAddr = world.caller_addresses[host];
     let stream = timeout(Duration::from_secs(1), TcpStream::connect(address)).await;
     let stream = stream.ok()?.ok()?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     tokio::task::spawn_local(connection);
-    Some(OpenDoor { host, sender })
+    Some(CallerConnection { host, sender })
 }
 
 /// Get the body of a call.
@@ -221,7 +225,7 @@
     if kind.is_stream() {
         builder = builder
             .header("model", "m")
-            .header("token-count", format!("100,{}", work.most_tokens))
+            .header("token-count", format!("100,{}", work.max_tokens))
             .header("length-hint", work.hinted_tokens.to_string());
     }
     let body = Full::new(Bytes::from(body_of(id)));
@@ -242,18 +246,18 @@
         text.unwrap_or_default().to_owned()
     };
     let mut bytes = Vec::new();
-    let whole = loop {
+    let complete = loop {
         match body.frame().await {
             None => break true,
             Some(Err(_)) => break false,
             Some(Ok(frame)) => bytes.extend(frame.into_data().unwrap_or_default()),
         }
     };
-    CallEnd::Answered(SeenAnswer {
+    CallEnd::Answered(ObservedResponse {
         status: head.status,
         id: field("request-id"),
         seal: field("response-seal"),
         body: String::from_utf8_lossy(&bytes).into_owned(),
-        whole,
+        complete,
     })
 }
--- a/bergamotswitch/tests/soak_world/mod.rs
+++ b/bergamotswitch/tests/soak_world/mod.rs
@@ -2,9 +2,9 @@
 //! targets, on which faults come in series and overlap.
 
 mod callers;
-mod judge;
+mod checks;
 mod plan;
-mod standstill;
+mod stall;
 mod stops;
 mod work;
 
@@ -22,7 +22,7 @@
 use crate::users::{self, HostProcess, KEY, SiteOptions, start_host_with};
 use callers::{CallRecord, SECOND_KEY, run_caller};
 use plan::{RunPlan, SiteFault, TimedFault};
-use standstill::StandstillWatch;
+use stall::StallMonitor;
 use stops::HostStop;
 
 /// The targets of a run: two of each service. A stream has so many events, one
@@ -34,18 +34,18 @@
 const CALLERS_PER_HOST: u64 = 4;
 /// How long a draining target stays registered, and then is away.
 const DRAIN_TIME: Duration = Duration::from_secs(3);
-const AWAY_TIME: Duration = Duration::from_secs(1);
+const ABSENT_TIME: Duration = Duration::from_secs(1);
 /// How long after its start a target registers.
 const REGISTER_TIME: Duration = Duration::from_millis(100);
 /// The longest time from SIGTERM to the end of the process: the grace in the
 /// hosts' settings, and a second for a busy machine.
-const STOP_BOUND: Duration = Duration::from_secs(9);
+const STOP_TIMEOUT: Duration = Duration::from_secs(9);
 /// How long a process that has ended stays away.
 const DOWN_TIME: Duration = Duration::from_millis(400);
 /// The time after the last fault in which everything has to be back, and that
 /// in which callers then are served.
-const RECOVERY: Duration = Duration::from_secs(6);
-const SERVED_TIME: Duration = Duration::from_secs(2);
+const RECOVERY_TIME: Duration = Duration::from_secs(6);
+const SERVED_CHECK_TIME: Duration = Duration::from_secs(2);
 
 /// A `FaultSpan` is a span in which a host, a target or the store was disturbed,
 /// or a key was taken away; without an end while it goes on.
@@ -63,7 +63,7 @@
 
 /// A `TargetLeave` is a target's leaving, and its return.
 #[derive(Clone, Copy, Debug)]
-struct TargetLeave {
+struct TargetDeparture {
     target: usize,
     from: Instant,
     until: Option<Instant>,
@@ -71,10 +71,10 @@
 
 struct WorldHost {
     process: RefCell<HostProcess>,
-    store_way: Relay,
+    store_relay: Relay,
     /// Whether the next end of its process is wanted.
-    ends: Cell<bool>,
-    disturbed: RefCell<Vec<FaultSpan>>,
+    expects_exit: Cell<bool>,
+    disturbances: RefCell<Vec<FaultSpan>>,
 }
 
 struct WorldTarget {
@@ -82,7 +82,7 @@
     service: &'static str,
     relay: Relay,
     address: SocketAddr,
-    disturbed: RefCell<Vec<FaultSpan>>,
+    disturbances: RefCell<Vec<FaultSpan>>,
 }
 
 /// A `SoakWorld` is a site under faults.
@@ -91,25 +91,25 @@
     planned: bool,
     /// The time from SIGTERM to SIGKILL, in runs with long work.
     grace: Option<Duration>,
-    times: SiteOptions,
+    options: SiteOptions,
     /// Whether callers ask for long work now.
     has_long_work: Cell<bool>,
     stops: RefCell<Vec<HostStop>>,
     store: KvStoreStandin,
     hosts: Vec<WorldHost>,
-    doors: Vec<SocketAddr>,
+    caller_addresses: Vec<SocketAddr>,
     targets: Vec<WorldTarget>,
     version: Cell<u64>,
     has_second_key: Cell<bool>,
     routes: RefCell<Vec<AddedRoute>>,
     revocations: RefCell<Vec<FaultSpan>>,
-    leavings: RefCell<Vec<TargetLeave>>,
-    store_disturbed: RefCell<Vec<FaultSpan>>,
+    departures: RefCell<Vec<TargetDeparture>>,
+    store_disturbances: RefCell<Vec<FaultSpan>>,
     calls: RefCell<Vec<CallRecord>>,
     problems: RefCell<Vec<String>>,
-    callers_end: Cell<bool>,
-    keepers_end: Cell<bool>,
-    calm_from: Cell<Option<Instant>>,
+    callers_stopped: Cell<bool>,
+    supervisors_stopped: Cell<bool>,
+    recovered_at: Cell<Option<Instant>>,
 }
 
 /// What a run showed.
@@ -117,16 +117,16 @@
     pub calls: usize,
     pub served: usize,
     /// The calls that reached a host after its SIGTERM, and those served.
-    pub at_stops: usize,
-    pub served_at_stops: usize,
+    pub sent_while_stopping: usize,
+    pub served_while_stopping: usize,
     pub problems: Vec<String>,
     /// The longest time for which the test got no processor.
-    pub stood_still: Duration,
+    pub longest_stall: Duration,
     pub faults: Vec<String>,
 }
 
 /// Play a seed with so many hosts.
-pub fn play(seed: u64, hosts: usize) -> RunOutcome {
+pub fn run_seed(seed: u64, hosts: usize) -> RunOutcome {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
@@ -156,45 +156,45 @@
                 target,
                 service,
                 address,
-                disturbed: RefCell::default(),
+                disturbances: RefCell::default(),
             });
         }
         let mut hosts: Vec<WorldHost> = Vec::new();
-        let times = plan.grace.map(work::site_times).unwrap_or_default();
+        let options = plan.grace.map(work::site_options).unwrap_or_default();
         for number in 0..count {
-            let (store_way, way) = Relay::start_anywhere(store.address());
+            let (store_relay, store_address) = Relay::start_anywhere(store.address());
             let seed = hosts.first().map(|host| host.process.borrow().link);
             hosts.push(WorldHost {
-                process: RefCell::new(start_host_with(number, seed, way, times.grace)),
-                store_way,
-                ends: Cell::new(false),
-                disturbed: RefCell::default(),
+                process: RefCell::new(start_host_with(number, seed, store_address, options.grace)),
+                store_relay,
+                expects_exit: Cell::new(false),
+                disturbances: RefCell::default(),
             });
         }
-        let doors = hosts.iter().map(|host| host.process.borrow().callers);
-        let doors = doors.collect();
+        let caller_addresses = hosts.iter().map(|host| host.process.borrow().callers);
+        let caller_addresses = caller_addresses.collect();
         let world = Rc::new(SoakWorld {
             seed,
             planned: plan.planned,
             grace: plan.grace,
-            times,
+            options,
             has_long_work: Cell::new(plan.grace.is_some()),
             stops: RefCell::default(),
             store,
             hosts,
-            doors,
+            caller_addresses,
             targets,
             version: Cell::new(0),
             has_second_key: Cell::new(true),
             routes: RefCell::default(),
             revocations: RefCell::default(),
-            leavings: RefCell::default(),
-            store_disturbed: RefCell::default(),
+            departures: RefCell::default(),
+            store_disturbances: RefCell::default(),
             calls: RefCell::default(),
             problems: RefCell::default(),
-            callers_end: Cell::new(false),
-            keepers_end: Cell::new(false),
-            calm_from: Cell::new(None),
+            callers_stopped: Cell::new(false),
+            supervisors_stopped: Cell::new(false),
+            recovered_at: Cell::new(None),
         });
         world.publish();
         for target in &world.targets {
@@ -204,63 +204,63 @@
     }
 
     async fn run(self: Rc<Self>, faults: Vec<TimedFault>) -> RunOutcome {
-        self.all_ready("at the start").await;
-        let watch = StandstillWatch::begin();
+        self.wait_all_ready("at the start").await;
+        let watch = StallMonitor::start();
         let texts = faults.iter().map(|fault| format!("{fault:?}")).collect();
         let callers: Vec<_> = (0..CALLERS_PER_HOST * self.hosts.len() as u64)
             .map(|number| spawn_local(run_caller(Rc::clone(&self), number)))
             .collect();
-        let keepers: Vec<_> = (0..self.hosts.len())
-            .map(|host| spawn_local(Rc::clone(&self).keep(host)))
+        let supervisors: Vec<_> = (0..self.hosts.len())
+            .map(|host| spawn_local(Rc::clone(&self).supervise(host)))
             .collect();
-        let played: Vec<_> = faults
+        let injected: Vec<_> = faults
             .into_iter()
-            .map(|fault| spawn_local(Rc::clone(&self).strike(fault)))
+            .map(|fault| spawn_local(Rc::clone(&self).inject_fault(fault)))
             .collect();
-        for task in played {
+        for task in injected {
             task.await.expect("a fault is played");
         }
         self.has_long_work.set(false);
-        self.all_ready("after the faults").await;
-        sleep(RECOVERY).await;
-        self.calm_from.set(Some(Instant::now()));
-        sleep(SERVED_TIME).await;
-        self.callers_end.set(true);
+        self.wait_all_ready("after the faults").await;
+        sleep(RECOVERY_TIME).await;
+        self.recovered_at.set(Some(Instant::now()));
+        sleep(SERVED_CHECK_TIME).await;
+        self.callers_stopped.set(true);
         for task in callers {
             task.await.expect("a caller ends");
         }
-        self.keepers_end.set(true);
-        for task in keepers {
+        self.supervisors_stopped.set(true);
+        for task in supervisors {
             task.await.expect("a keeper ends");
         }
-        let problems = judge::problems(&self);
+        let problems = checks::find_problems(&self);
         let calls = self.calls.borrow();
         let served = |calls: &[&CallRecord]| {
-            let served = calls.iter().filter(|call| judge::is_served(call));
+            let served = calls.iter().filter(|call| checks::is_served(call));
             served.count()
         };
-        let at_stops = self.calls_at_stops(&calls);
+        let sent_while_stopping = self.calls_while_stopping(&calls);
         RunOutcome {
             calls: calls.len(),
             served: served(&calls.iter().collect::<Vec<_>>()),
-            at_stops: at_stops.len(),
-            served_at_stops: served(&at_stops),
+            sent_while_stopping: sent_while_stopping.len(),
+            served_while_stopping: served(&sent_while_stopping),
             problems,
-            stood_still: watch.longest(),
+            longest_stall: watch.longest(),
             faults: texts,
         }
     }
 
-    fn note_call(&self, call: CallRecord) {
+    fn record_call(&self, call: CallRecord) {
         self.calls.borrow_mut().push(call);
     }
 
-    fn problem(&self, text: String) {
+    fn record_problem(&self, text: String) {
         self.problems.borrow_mut().push(text);
     }
 
     /// Wait until all hosts are ready and know each other.
-    async fn all_ready(&self, when: &str) {
+    async fn wait_all_ready(&self, when: &str) {
         let until = Instant::now() + users::PATIENCE;
         loop {
             let mut ready = true;
@@ -272,7 +272,7 @@
                 return;
             }
             if Instant::now() > until {
-                self.problem(format!("RECOVER: not all hosts are ready {when}"));
+                self.record_problem(format!("RECOVER: not all hosts are ready {when}"));
                 return;
             }
             sleep(Duration::from_millis(50)).await;
@@ -288,7 +288,7 @@
         let routes = self.routes.borrow();
         let more: Vec<&str> = routes.iter().map(|route| route.prefix.as_str()).collect();
         let (store, version) = (&self.store, self.version.get());
-        users::publish_with(store, version, keys, &more, &self.times);
+        users::publish_with(store, version, keys, &more, &self.options);
     }
 
     fn register(&self, target: &WorldTarget, state: &str) {
@@ -297,70 +297,78 @@
     }
 
     /// Let a fault happen, and heal it.
-    async fn strike(self: Rc<Self>, timed: TimedFault) {
+    async fn inject_fault(self: Rc<Self>, timed: TimedFault) {
         sleep(timed.at).await;
         match timed.fault {
             SiteFault::Kill { host } => {
-                let _guard = DisturbanceGuard::new(&self.hosts[host].disturbed);
-                self.hosts[host].ends.set(true);
+                let _guard = DisturbanceGuard::new(&self.hosts[host].disturbances);
+                self.hosts[host].expects_exit.set(true);
                 self.signal(host, "KILL");
                 sleep(DOWN_TIME * 2).await;
             }
-            SiteFault::Pause { host, span } => {
-                let _guard = DisturbanceGuard::new(&self.hosts[host].disturbed);
+            SiteFault::Pause { host, duration } => {
+                let _guard = DisturbanceGuard::new(&self.hosts[host].disturbances);
                 self.signal(host, "STOP");
-                sleep(span).await;
+                sleep(duration).await;
                 self.signal(host, "CONT");
             }
             SiteFault::Stop { host } => match self.grace {
-                Some(grace) => self.stop_within(host, grace).await,
+                Some(grace) => self.stop_with_grace(host, grace).await,
                 None => self.stop(host).await,
             },
             SiteFault::Reload { host } => self.signal(host, "HUP"),
-            SiteFault::Store { mood, span } => {
-                let _guard = DisturbanceGuard::new(&self.store_disturbed);
-                self.store.set_mode(mood);
-                sleep(span).await;
+            SiteFault::Store { mode, duration } => {
+                let _guard = DisturbanceGuard::new(&self.store_disturbances);
+                self.store.set_mode(mode);
+                sleep(duration).await;
                 self.store.set_mode(StoreMode::Normal);
             }
             SiteFault::Compact => {
-                let _guard = DisturbanceGuard::new(&self.store_disturbed);
+                let _guard = DisturbanceGuard::new(&self.store_disturbances);
                 self.store.compact();
             }
-            SiteFault::StoreWay { host, flow, span } => {
-                let _guard = DisturbanceGuard::new(&self.hosts[host].disturbed);
-                self.hosts[host].store_way.set(flow);
-                sleep(span).await;
-                self.hosts[host].store_way.set(Flow::Both);
+            SiteFault::StoreLink {
+                host,
+                flow,
+                duration,
+            } => {
+                let _guard = DisturbanceGuard::new(&self.hosts[host].disturbances);
+                self.hosts[host].store_relay.set(flow);
+                sleep(duration).await;
+                self.hosts[host].store_relay.set(Flow::Both);
             }
-            SiteFault::TargetWay { target, flow, span } => {
-                let _guard = DisturbanceGuard::new(&self.targets[target].disturbed);
+            SiteFault::TargetLink {
+                target,
+                flow,
+                duration,
+            } => {
+                let _guard = DisturbanceGuard::new(&self.targets[target].disturbances);
                 self.targets[target].relay.set(flow);
-                sleep(span).await;
+                sleep(duration).await;
                 self.targets[target].relay.set(Flow::Both);
             }
             SiteFault::Target {
                 target,
-                mood,
+                mode,
                 calls,
             } => {
-                let _guard = DisturbanceGuard::new(&self.targets[target].disturbed);
+                let _guard = DisturbanceGuard::new(&self.targets[target].disturbances);
                 self.targets[target]
                     .target
-                    .queue_responses(&vec![mood; calls]);
+                    .queue_responses(&vec![mode; calls]);
                 sleep(Duration::from_secs(1)).await;
             }
-            SiteFault::Revoke { span } => self.revoke(span).await,
-            SiteFault::RevokeUnseen { span } => {
-                let _guard = DisturbanceGuard::new(&self.store_disturbed);
+            SiteFault::Revoke { duration } => self.revoke(duration).await,
+            SiteFault::RevokeDuringOutage { duration } => {
+                let _guard = DisturbanceGuard::new(&self.store_disturbances);
                 self.store.set_mode(StoreMode::NoResponse);
-                self.revoke(span).await;
+                self.revoke(duration).await;
                 self.store.set_mode(StoreMode::Normal);
             }
-            SiteFault::Route => self.add_route(),
+            SiteFault::AddRoute => self.add_route(),
             SiteFault::Drain { target } => self.drain(target).await,
             SiteFault::Restart { target } => self.restart(target).await,
-            SiteFault::Foreign { target, bytes } => self.overwrite(target, bytes).await,
+            SiteFault::OverwriteEntry { target, bytes } => self.overwrite(target, bytes).await,
         }
     }
 
@@ -372,24 +380,24 @@
 
     async fn stop(&self, host: usize) {
         let began = Instant::now();
-        let calm = !self.is_disturbed(host, began, began);
-        self.hosts[host].ends.set(true);
+        let undisturbed = !self.is_disturbed(host, began, began);
+        self.hosts[host].expects_exit.set(true);
         self.signal(host, "TERM");
-        let _guard = DisturbanceGuard::new(&self.hosts[host].disturbed);
-        while self.hosts[host].ends.get() {
+        let _guard = DisturbanceGuard::new(&self.hosts[host].disturbances);
+        while self.hosts[host].expects_exit.get() {
             sleep(Duration::from_millis(20)).await;
             let now = Instant::now();
-            if now > began + STOP_BOUND {
+            if now > began + STOP_TIMEOUT {
                 // One that was paused meanwhile takes longer.
-                if calm && self.planned {
-                    self.problem(format!("LOST: host {host} does not end its stop"));
+                if undisturbed && self.planned {
+                    self.record_problem(format!("LOST: host {host} does not end its stop"));
                 }
                 self.signal(host, "KILL");
             }
         }
     }
 
-    async fn revoke(&self, span: Duration) {
+    async fn revoke(&self, duration: Duration) {
         if !self.has_second_key.replace(false) {
             return;
         }
@@ -400,7 +408,7 @@
         self.revocations
             .borrow_mut()
             .push(FaultSpan { from, until });
-        sleep(span + Duration::from_millis(users::REVOKE_MS)).await;
+        sleep(duration + Duration::from_millis(users::REVOKE_MS)).await;
         self.has_second_key.set(true);
         self.revocations.borrow_mut()[index].until = Some(Instant::now());
         self.publish();
@@ -415,34 +423,36 @@
     }
 
     /// Get whether a target may leave: the last one of a service stays.
-    fn may_leave(&self, target: &WorldTarget) -> bool {
-        let leavings = self.leavings.borrow();
-        let mut gone = leavings.iter().filter(|leaving| leaving.until.is_none());
-        gone.all(|leaving| self.targets[leaving.target].service != target.service)
+    fn can_depart(&self, target: &WorldTarget) -> bool {
+        let departures = self.departures.borrow();
+        let mut departed = departures
+            .iter()
+            .filter(|departure| departure.until.is_none());
+        departed.all(|departure| self.targets[departure.target].service != target.service)
     }
 
     async fn drain(&self, index: usize) {
         let target = &self.targets[index];
-        if !self.may_leave(target) {
+        if !self.can_depart(target) {
             return;
         }
         self.register(target, "draining");
-        let place = self.note_leave(index);
+        let departure_index = self.record_departure(index);
         sleep(DRAIN_TIME).await;
         let key = format!("servers/{}", target.target.name());
         self.store.remove(&key);
-        sleep(AWAY_TIME).await;
-        self.leavings.borrow_mut()[place].until = Some(Instant::now());
+        sleep(ABSENT_TIME).await;
+        self.departures.borrow_mut()[departure_index].until = Some(Instant::now());
         self.register(target, "ready");
     }
 
     /// Let a target start again under its name; it registers a little later.
     async fn restart(&self, index: usize) {
         let target = &self.targets[index];
-        let _guard = DisturbanceGuard::new(&target.disturbed);
+        let _guard = DisturbanceGuard::new(&target.disturbances);
         target.target.restart();
         sleep(REGISTER_TIME).await;
-        if !self.is_away(index) {
+        if !self.is_absent(index) {
             self.register(target, "ready");
         }
     }
@@ -450,45 +460,47 @@
     /// Let another writer write over a target's entry, which then names none.
     async fn overwrite(&self, index: usize, bytes: &'static str) {
         let target = &self.targets[index];
-        if !self.may_leave(target) {
+        if !self.can_depart(target) {
             return;
         }
         let key = format!("servers/{}", target.target.name());
         self.store.put_bytes(&key, bytes.into());
-        let place = self.note_leave(index);
-        sleep(DRAIN_TIME + AWAY_TIME).await;
-        self.leavings.borrow_mut()[place].until = Some(Instant::now());
+        let departure_index = self.record_departure(index);
+        sleep(DRAIN_TIME + ABSENT_TIME).await;
+        self.departures.borrow_mut()[departure_index].until = Some(Instant::now());
         self.register(target, "ready");
     }
 
     /// Get whether a target is leaving or away.
-    fn is_away(&self, index: usize) -> bool {
-        let leavings = self.leavings.borrow();
-        let mut open = leavings.iter().filter(|leaving| leaving.until.is_none());
-        open.any(|leaving| leaving.target == index)
+    fn is_absent(&self, index: usize) -> bool {
+        let departures = self.departures.borrow();
+        let mut absences = departures
+            .iter()
+            .filter(|departure| departure.until.is_none());
+        absences.any(|departure| departure.target == index)
     }
 
-    fn note_leave(&self, index: usize) -> usize {
-        let mut leavings = self.leavings.borrow_mut();
-        leavings.push(TargetLeave {
+    fn record_departure(&self, index: usize) -> usize {
+        let mut departures = self.departures.borrow_mut();
+        departures.push(TargetDeparture {
             target: index,
             from: Instant::now(),
             until: None,
         });
-        leavings.len() - 1
+        departures.len() - 1
     }
 
     /// Start a host again whenever its process ends.
-    async fn keep(self: Rc<Self>, index: usize) {
+    async fn supervise(self: Rc<Self>, index: usize) {
         let host = &self.hosts[index];
-        while !self.keepers_end.get() {
+        while !self.supervisors_stopped.get() {
             sleep(Duration::from_millis(20)).await;
             let Some(status) = host.process.borrow_mut().child.end() else {
                 continue;
             };
-            let _guard = DisturbanceGuard::new(&host.disturbed);
-            if !host.ends.replace(false) {
-                self.problem(format!("host {index} ended by itself: {status}"));
+            let _guard = DisturbanceGuard::new(&host.disturbances);
+            if !host.expects_exit.replace(false) {
+                self.record_problem(format!("host {index} ended by itself: {status}"));
             }
             sleep(DOWN_TIME).await;
             host.process.borrow_mut().child.restart();
@@ -497,7 +509,7 @@
 
     /// Get whether a host was disturbed in a span.
     fn is_disturbed(&self, host: usize, from: Instant, until: Instant) -> bool {
-        overlaps(&self.hosts[host].disturbed.borrow(), from, until)
+        overlaps(&self.hosts[host].disturbances.borrow(), from, until)
     }
 }
 
--- a/bergamotswitch/tests/soak_world/plan.rs
+++ b/bergamotswitch/tests/soak_world/plan.rs
@@ -11,35 +11,35 @@
 use crate::relay::Flow;
 
 /// The time in which faults begin; each ends some seconds later at the latest.
-pub const FAULT_TIME: Duration = Duration::from_secs(7);
+pub const FAULT_WINDOW: Duration = Duration::from_secs(7);
 /// How many faults a run has: enough for some to overlap.
-const FAULTS: std::ops::Range<usize> = 5..12;
+const FAULT_COUNT: std::ops::Range<usize> = 5..12;
 /// One run in so many has planned work alone.
-const PLANNED_PARTS: u64 = 4;
+const PLANNED_ONE_IN: u64 = 4;
 
 /// The first seed whose hosts are stopped as the platform does it, all of them,
 /// with callers that ask for long work. Seeds below it draw what they drew.
 const FIRST_STOP_SEED: u64 = 2_000;
 /// As [`PLANNED_PARTS`], from that seed on.
-const STOP_PLANNED_PARTS: u64 = 2;
+const STOP_PLANNED_ONE_IN: u64 = 2;
 /// The times from SIGTERM to SIGKILL: shorter than callers keep an address,
 /// that of the known deployments, and longer than any answer.
-const GRACES_S: [u64; 3] = [3, 8, 20];
+const GRACE_PERIODS_S: [u64; 3] = [3, 8, 20];
 /// When the first host is stopped, and the time to the next one.
-const FIRST_STOP: Duration = Duration::from_secs(1);
-const STOP_STEPS_MS: std::ops::Range<u64> = 500..3_000;
+const FIRST_STOP_DELAY: Duration = Duration::from_secs(1);
+const STOP_INTERVAL_MS: std::ops::Range<u64> = 500..3_000;
 /// How many hosts are stopped at once at most, and how often all are.
-const STOPS_AT_ONCE: usize = 2;
-const STOP_ROUNDS: usize = 2;
+const MAX_CONCURRENT_STOPS: usize = 2;
+const MAX_STOP_ROUNDS: usize = 2;
 
 /// The first seed that draws from all kinds of faults. Seeds below it draw what
 /// they drew when they were kept.
-const FIRST_WIDE_SEED: u64 = 1_000;
+const FIRST_ALL_KINDS_SEED: u64 = 1_000;
 /// The kinds of faults that the seeds below it draw from.
-const NARROW_KINDS: u32 = 13;
-const KINDS: u32 = 17;
+const EARLY_KINDS: u32 = 13;
+const ALL_KINDS: u32 = 17;
 /// What another writer leaves under a target's key.
-const FOREIGN: [&str; 3] = [
+const FOREIGN_ENTRIES: [&str; 3] = [
     "\u{fffd}\u{0}no registration",
     r#"{"service":"desk","address":"127.0.0.1:9"}"#,
     r#"{"service":"desk","address":"127.0.0.1:9","zone":"hall-1","version":"v1","slots":4,
@@ -52,45 +52,45 @@
     /// SIGKILL.
     Kill { host: usize },
     /// SIGSTOP, and SIGCONT later.
-    Pause { host: usize, span: Duration },
+    Pause { host: usize, duration: Duration },
     /// SIGTERM.
     Stop { host: usize },
     /// SIGHUP.
     Reload { host: usize },
     /// The store answers otherwise.
-    Store { mood: StoreMode, span: Duration },
+    Store { mode: StoreMode, duration: Duration },
     /// The store drops its history.
     Compact,
     /// The way from one host to the store.
-    StoreWay {
+    StoreLink {
         host: usize,
         flow: Flow,
-        span: Duration,
+        duration: Duration,
     },
     /// The way from all hosts to a target.
-    TargetWay {
+    TargetLink {
         target: usize,
         flow: Flow,
-        span: Duration,
+        duration: Duration,
     },
     /// A target answers its next calls otherwise.
     Target {
         target: usize,
-        mood: ResponseMode,
+        mode: ResponseMode,
         calls: usize,
     },
     /// The second key is taken away, and given again later.
-    Revoke { span: Duration },
+    Revoke { duration: Duration },
     /// The store falls silent, and the second key is taken away meanwhile.
-    RevokeUnseen { span: Duration },
+    RevokeDuringOutage { duration: Duration },
     /// A route more.
-    Route,
+    AddRoute,
     /// A target drains, leaves, and registers again.
     Drain { target: usize },
     /// A target starts again under its name.
     Restart { target: usize },
     /// Another writer writes over a target's entry.
-    Foreign { target: usize, bytes: &'static str },
+    OverwriteEntry { target: usize, bytes: &'static str },
 }
 
 impl SiteFault {
@@ -100,7 +100,7 @@
             self,
             SiteFault::Stop { .. }
                 | SiteFault::Reload { .. }
-                | SiteFault::Route
+                | SiteFault::AddRoute
                 | SiteFault::Drain { .. }
         )
     }
@@ -129,16 +129,16 @@
         return plan_stops(seed, hosts, targets);
     }
     let mut rng = StdRng::seed_from_u64(seed);
-    let planned = seed.is_multiple_of(PLANNED_PARTS);
-    let kinds = match seed < FIRST_WIDE_SEED {
-        true => NARROW_KINDS,
-        false => KINDS,
+    let planned = seed.is_multiple_of(PLANNED_ONE_IN);
+    let kinds = match seed < FIRST_ALL_KINDS_SEED {
+        true => EARLY_KINDS,
+        false => ALL_KINDS,
     };
-    let count = rng.random_range(FAULTS);
+    let count = rng.random_range(FAULT_COUNT);
     let mut faults = Vec::new();
     while faults.len() < count {
         let fault = draw_fault(&mut rng, hosts, targets, kinds);
-        faults.extend(draw_time(&mut rng, fault, FAULT_TIME, planned));
+        faults.extend(draw_time(&mut rng, fault, FAULT_WINDOW, planned));
     }
     faults.sort_by_key(|fault| fault.at);
     RunPlan {
@@ -151,13 +151,13 @@
 /// Get a run in which every host is stopped, with further faults meanwhile.
 fn plan_stops(seed: u64, hosts: usize, targets: usize) -> RunPlan {
     let mut rng = StdRng::seed_from_u64(seed);
-    let planned = seed.is_multiple_of(STOP_PLANNED_PARTS);
-    let grace = GRACES_S[rng.random_range(0..GRACES_S.len())];
+    let planned = seed.is_multiple_of(STOP_PLANNED_ONE_IN);
+    let grace = GRACE_PERIODS_S[rng.random_range(0..GRACE_PERIODS_S.len())];
     let mut faults = draw_stops(&mut rng, hosts);
-    let last = faults.last().map_or(FAULT_TIME, |fault| fault.at);
-    let count = faults.len() + rng.random_range(FAULTS);
+    let last = faults.last().map_or(FAULT_WINDOW, |fault| fault.at);
+    let count = faults.len() + rng.random_range(FAULT_COUNT);
     while faults.len() < count {
-        let fault = draw_fault(&mut rng, hosts, targets, KINDS);
+        let fault = draw_fault(&mut rng, hosts, targets, ALL_KINDS);
         faults.extend(draw_time(&mut rng, fault, last, planned));
     }
     faults.sort_by_key(|fault| fault.at);
@@ -183,11 +183,11 @@
 
 /// Draw stops of all hosts, some at once, in an order of each round's own.
 fn draw_stops(rng: &mut StdRng, hosts: usize) -> Vec<TimedFault> {
-    let step = Duration::from_millis(rng.random_range(STOP_STEPS_MS));
-    let at_once = rng.random_range(1..=STOPS_AT_ONCE);
-    let mut at = FIRST_STOP;
+    let step = Duration::from_millis(rng.random_range(STOP_INTERVAL_MS));
+    let at_once = rng.random_range(1..=MAX_CONCURRENT_STOPS);
+    let mut at = FIRST_STOP_DELAY;
     let mut stops = Vec::new();
-    for _ in 0..rng.random_range(1..=STOP_ROUNDS) {
+    for _ in 0..rng.random_range(1..=MAX_STOP_ROUNDS) {
         let mut order: Vec<usize> = (0..hosts).collect();
         order.shuffle(rng);
         for group in order.chunks(at_once) {
@@ -202,46 +202,48 @@
 fn draw_fault(rng: &mut StdRng, hosts: usize, targets: usize, kinds: u32) -> SiteFault {
     let host = rng.random_range(0..hosts);
     let target = rng.random_range(0..targets);
-    let span = Duration::from_millis(rng.random_range(100..3_500));
+    let duration = Duration::from_millis(rng.random_range(100..3_500));
     match rng.random_range(0..kinds) {
         0 => SiteFault::Kill { host },
-        1 => SiteFault::Pause { host, span },
+        1 => SiteFault::Pause { host, duration },
         2 => SiteFault::Stop { host },
         3 => SiteFault::Reload { host },
         4 => SiteFault::Store {
-            mood: match rng.random_bool(0.5) {
+            mode: match rng.random_bool(0.5) {
                 true => StoreMode::Unavailable,
                 false => StoreMode::NoResponse,
             },
-            span,
+            duration,
         },
         5 => SiteFault::Compact,
-        6 => SiteFault::StoreWay {
+        6 => SiteFault::StoreLink {
             host,
             flow: draw_flow(rng),
-            span,
+            duration,
         },
-        7 => SiteFault::TargetWay {
+        7 => SiteFault::TargetLink {
             target,
             flow: draw_flow(rng),
-            span,
+            duration,
         },
         8 => SiteFault::Target {
             target,
-            mood: draw_mood(rng),
+            mode: draw_mode(rng),
             calls: rng.random_range(1..6),
         },
-        9 => SiteFault::Revoke { span: span * 2 },
-        10 => SiteFault::Route,
+        9 => SiteFault::Revoke {
+            duration: duration * 2,
+        },
+        10 => SiteFault::AddRoute,
         // Long enough for a host to rely on what it knew for too long.
-        11 => SiteFault::RevokeUnseen {
-            span: Duration::from_millis(4_000) + span / 2,
+        11 => SiteFault::RevokeDuringOutage {
+            duration: Duration::from_millis(4_000) + duration / 2,
         },
         12 => SiteFault::Drain { target },
         13 | 14 => SiteFault::Restart { target },
-        _ => SiteFault::Foreign {
+        _ => SiteFault::OverwriteEntry {
             target,
-            bytes: FOREIGN[rng.random_range(0..FOREIGN.len())],
+            bytes: FOREIGN_ENTRIES[rng.random_range(0..FOREIGN_ENTRIES.len())],
         },
     }
 }
@@ -251,7 +253,7 @@
     flows[rng.random_range(0..flows.len())]
 }
 
-fn draw_mood(rng: &mut StdRng) -> ResponseMode {
+fn draw_mode(rng: &mut StdRng) -> ResponseMode {
     match rng.random_range(0..7) {
         0 => ResponseMode::Full,
         1 => ResponseMode::ServerError,
--- a/bergamotswitch/tests/soak_world/standstill.rs
+++ b/bergamotswitch/tests/soak_world/stall.rs
@@ -8,25 +8,25 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::sleep;
 
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A `StandstillWatch` looks at the clock while it is kept.
-pub struct StandstillWatch {
+pub struct StallMonitor {
     longest: Rc<Cell<Duration>>,
     task: JoinHandle<()>,
 }
 
-impl Drop for StandstillWatch {
+impl Drop for StallMonitor {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-impl StandstillWatch {
-    pub fn begin() -> Self {
+impl StallMonitor {
+    pub fn start() -> Self {
         let longest = Rc::new(Cell::new(Duration::ZERO));
         let task = spawn_local(watch(Rc::clone(&longest)));
-        StandstillWatch { longest, task }
+        StallMonitor { longest, task }
     }
 
     /// Get the longest standstill so far.
@@ -37,9 +37,9 @@
 
 async fn watch(longest: Rc<Cell<Duration>>) {
     loop {
-        let begun = Instant::now();
-        sleep(LOOK_INTERVAL).await;
-        let late = begun.elapsed().saturating_sub(LOOK_INTERVAL);
+        let started = Instant::now();
+        sleep(SAMPLE_INTERVAL).await;
+        let late = started.elapsed().saturating_sub(SAMPLE_INTERVAL);
         longest.set(longest.get().max(late));
     }
 }
--- a/bergamotswitch/tests/soak_world/work.rs
+++ b/bergamotswitch/tests/soak_world/work.rs
@@ -14,20 +14,20 @@
 const ROUTE_TIMEOUT: Duration = Duration::from_secs(30);
 /// One caller in so many asks for long streams alone; the other ones find
 /// places at the targets beside them.
-const LONG_CALLERS: u64 = 4;
+const LONG_CALLER_ONE_IN: u64 = 4;
 /// How long a long stream takes.
-const LONG_MS: std::ops::Range<u64> = 1_000..7_000;
+const LONG_STREAM_MS: std::ops::Range<u64> = 1_000..7_000;
 /// How much more time its caller has: with the longest, it waits beyond the
 /// grace of a host that is stopped meanwhile.
-const SPARE_S: [u64; 3] = [1, 5, 20];
+const DEADLINE_SLACK_S: [u64; 3] = [1, 5, 20];
 /// The tokens in an event, and the bound and the estimate that a caller names,
 /// in percent of what is made: the estimate is right at the median alone.
 const EVENT_TOKENS: u32 = 5;
-const MOST_PERCENT: std::ops::Range<u32> = 100..300;
+const TOKEN_LIMIT_PERCENT: std::ops::Range<u32> = 100..300;
 const HINT_PERCENT: std::ops::Range<u32> = 30..170;
 
 /// Get the times of a site with long work.
-pub fn site_times(grace: Duration) -> SiteOptions {
+pub fn site_options(grace: Duration) -> SiteOptions {
     SiteOptions {
         timeout: ROUTE_TIMEOUT,
         grace,
@@ -41,7 +41,7 @@
     /// The events of its stream.
     pub events: u32,
     /// The tokens that it may make, and its caller's estimate.
-    pub most_tokens: u32,
+    pub max_tokens: u32,
     pub hinted_tokens: u32,
     pub deadline: Duration,
 }
@@ -50,25 +50,25 @@
     /// A short call, or one that is no stream.
     pub const SHORT: CallWork = CallWork {
         events: EVENTS,
-        most_tokens: 80,
+        max_tokens: 80,
         hinted_tokens: 40,
         deadline: DEADLINE,
     };
 
     /// Draw what a caller asks for.
     pub fn draw(rng: &mut StdRng, caller: u64) -> Self {
-        if !caller.is_multiple_of(LONG_CALLERS) {
+        if !caller.is_multiple_of(LONG_CALLER_ONE_IN) {
             return CallWork::SHORT;
         }
-        let length = Duration::from_millis(rng.random_range(LONG_MS));
+        let length = Duration::from_millis(rng.random_range(LONG_STREAM_MS));
         let events = (length.as_millis() / EVENT_GAP.as_millis()) as u32;
         let tokens = events * EVENT_TOKENS;
-        let spare = SPARE_S[rng.random_range(0..SPARE_S.len())];
+        let slack = DEADLINE_SLACK_S[rng.random_range(0..DEADLINE_SLACK_S.len())];
         CallWork {
             events,
-            most_tokens: tokens * rng.random_range(MOST_PERCENT) / 100,
+            max_tokens: tokens * rng.random_range(TOKEN_LIMIT_PERCENT) / 100,
             hinted_tokens: tokens * rng.random_range(HINT_PERCENT) / 100,
-            deadline: length + Duration::from_secs(spare),
+            deadline: length + Duration::from_secs(slack),
         }
     }
 
