--- a/bergamotswitch/tests/soak_world/callers.rs
+++ b/bergamotswitch/tests/soak_world/callers.rs
@@ -1,5 +1,5 @@
-//! Callers that send all kinds of calls all the time, on connections that they
-//! keep until these end, and note what came of each.
+//! Provides simulated callers that continuously send calls of all kinds over
+//! keep-alive connections and record the outcome of each.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,29 +19,29 @@
 use super::work::CallWork;
 use crate::users::{HOST, KEY};
 
-/// How long a caller waits for an answer that takes no time.
+/// The deadline of a short call.
 pub const DEADLINE: Duration = Duration::from_millis(2_500);
-/// How much longer an answer may be under way.
+/// How long after a call's deadline its caller stops waiting for the response.
 pub const TIMEOUT_MARGIN: Duration = Duration::from_millis(1_500);
-/// The key that is taken away at times.
+/// The API key that some faults revoke.
 pub const SECOND_KEY: &str = "second-key-of-the-account";
-/// The mean pause between two calls of a caller.
+/// The range of the pause between two calls of a caller.
 const CALL_INTERVAL_MS: std::ops::Range<u64> = 5..60;
-/// How long a caller stays away that was refused.
+/// The least pause of a caller after a 503 response.
 const REJECTION_BACKOFF: Duration = Duration::from_millis(800);
 
-/// The kinds of calls.
+/// A `CallKind` is the kind of route that a call is sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// A stream that may be carried on.
+    /// A stream that may be resumed on another target.
     Draft,
-    /// A stream that may run once.
+    /// A stream that may run at most once.
     Once,
-    /// A call that may be repeated.
+    /// An idempotent call without a stream.
     Status,
-    /// A call that may run once.
+    /// A call without a stream that may run at most once.
     Receipt,
-    /// A call on a route that was added in the run.
+    /// A call on a route that was published during the run.
     Added,
 }
 
@@ -55,30 +55,30 @@
     }
 }
 
-/// How a call ended for its caller.
+/// A `CallEnd` is how a call ended from its caller's point of view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallEnd {
-    /// No connection: nothing was sent.
+    /// There was no usable connection, so nothing was sent.
     NoConnection,
-    /// The connection ended before the head of an answer.
+    /// The connection closed before a response head arrived.
     Closed,
-    /// No end of the answer in time.
+    /// The response did not end within the deadline and [`TIMEOUT_MARGIN`].
     TimedOut,
-    /// An answer, whole or cut.
+    /// A response arrived, complete or truncated.
     Answered(ObservedResponse),
 }
 
-/// What a caller saw of an answer.
+/// An `ObservedResponse` is a response as its caller received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ObservedResponse {
     pub status: StatusCode,
     pub id: String,
     pub seal: String,
     pub body: String,
-    pub complete: bool,
+    pub whole: bool,
 }
 
-/// A `CallRecord` is one call and what came of it.
+/// A `CallRecord` is one call and its outcome.
 #[derive(Clone, Debug)]
 pub struct CallRecord {
     pub id: String,
@@ -92,12 +92,13 @@
     pub end: CallEnd,
 }
 
+/// A `CallerConnection` is a keep-alive connection from a caller to a host.
 struct CallerConnection {
     host: usize,
     sender: SendRequest<Full<Bytes>>,
 }
 
-/// Send calls until the world's callers are told to end.
+/// Send calls until `callers_stopped` is set.
 pub async fn run_caller(world: Rc<SoakWorld>, number: u64) {
     let mut rng = StdRng::seed_from_u64(world.seed ^ (number << 32));
     let mut idle: Option<CallerConnection> = None;
@@ -111,7 +112,7 @@
     }
 }
 
-/// Send a call; get after how long to come back.
+/// Send a call, record its outcome and get the least pause before the next one.
 async fn send_one(
     world: &Rc<SoakWorld>,
     rng: &mut StdRng,
@@ -154,7 +155,7 @@
     let mut backoff = Duration::ZERO;
     let host = connection.host;
     if let CallEnd::Answered(response) = &end {
-        if response.complete && !connection.sender.is_closed() {
+        if response.whole && !connection.sender.is_closed() {
             *idle = Some(connection);
         }
         if response.status == StatusCode::SERVICE_UNAVAILABLE {
@@ -199,7 +200,7 @@
     Some(CallerConnection { host, sender })
 }
 
-/// Get the body of a call.
+/// Get the request body of a call.
 pub fn body_of(id: &str) -> String {
     format!("prompt of {id}")
 }
@@ -219,7 +220,7 @@
         .header("request-id", id)
         .header("deadline-ms", work.deadline.as_millis().to_string())
         .header("authorization", format!("Bearer {key}"))
-        // Fields that only the system may set.
+        // Forged headers that the system must replace or strip.
         .header("tenant", "forged")
         .header("hold", "forged");
     if kind.is_stream() {
@@ -229,7 +230,7 @@
             .header("length-hint", work.hinted_tokens.to_string());
     }
     let body = Full::new(Bytes::from(body_of(id)));
-    builder.body(body).expect("a request")
+    builder.body(body).expect("valid request")
 }
 
 async fn exchange(sender: &mut SendRequest<Full<Bytes>>, request: Request<Full<Bytes>>) -> CallEnd {
@@ -246,7 +247,7 @@
         text.unwrap_or_default().to_owned()
     };
     let mut bytes = Vec::new();
-    let complete = loop {
+    let whole = loop {
         match body.frame().await {
             None => break true,
             Some(Err(_)) => break false,
@@ -258,6 +259,6 @@
         id: field("request-id"),
         seal: field("response-seal"),
         body: String::from_utf8_lossy(&bytes).into_owned(),
-        complete,
+        whole,
     })
 }
--- a/bergamotswitch/tests/soak_world/checks.rs
+++ b/bergamotswitch/tests/soak_world/checks.rs
@@ -1,4 +1,5 @@
-//! The promises, checked from what callers and targets saw.
+//! Provides the checks of the service guarantees, based on what callers and
+//! targets observed.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -11,31 +12,33 @@
 use super::{SoakWorld, overlaps};
 use crate::users::REVOKE_MS;
 
-/// How long a host and the store have to be in health before a bound holds.
+/// How long a host and the store must have been free of faults before a time
+/// bound applies.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
-/// The time until a configuration is in force, and until a leaving target gets
-/// no more, and what the test's own ways take at most.
+/// The longest time until a published configuration takes effect.
 const APPLY_BOUND: Duration = Duration::from_secs(2);
+/// The longest time until a draining target gets no new calls.
 const DRAIN_BOUND: Duration = Duration::from_secs(2);
+/// The allowance for delays in the test itself.
 pub const SLACK: Duration = Duration::from_millis(400);
-/// The part of the calls that has to be served once all is over.
+/// The percentage of calls that must be served after recovery.
 const MIN_SERVED_PERCENT: usize = 90;
 
-/// A `SeenRun` is a call that a target began to work on.
+/// A `TargetRun` is one execution of a call, started by a target.
 pub struct TargetRun {
     target: usize,
     pub call: RecordedCall,
 }
 
-/// Get whether a caller got what it asked for.
+/// Get whether a caller received a complete response with status 200.
 pub fn is_served(call: &CallRecord) -> bool {
     match &call.end {
-        CallEnd::Answered(response) => response.status == StatusCode::OK && response.complete,
+        CallEnd::Answered(response) => response.status == StatusCode::OK && response.whole,
         CallEnd::NoConnection | CallEnd::Closed | CallEnd::TimedOut => false,
     }
 }
 
-/// Get all promises that were broken.
+/// Get a description of each violated guarantee.
 pub fn find_problems(world: &SoakWorld) -> Vec<String> {
     let mut problems = world.problems.borrow().clone();
     let calls = world.calls.borrow();
@@ -63,7 +66,7 @@
                     revoked_key_used(world, call, run),
                     sent_after_drain(world, call, run),
                 ],
-                None => [Some(format!("UNASKED: nobody sent {id}")), None, None],
+                None => [Some(format!("UNASKED: no caller sent {id}")), None, None],
             };
             problems.extend(found.into_iter().flatten());
         }
@@ -72,6 +75,7 @@
     problems
 }
 
+/// Get the executions at all targets by request id.
 fn target_runs(world: &SoakWorld) -> HashMap<String, Vec<TargetRun>> {
     let mut runs: HashMap<String, Vec<TargetRun>> = HashMap::new();
     for (target, each) in world.targets.iter().enumerate() {
@@ -84,12 +88,14 @@
     runs
 }
 
+/// Check that a call ran no more often than its kind allows.
 fn excess_runs(call: &CallRecord, runs: &[TargetRun]) -> Option<String> {
     let bound = if call.kind.is_idempotent() { 2 } else { 1 };
     let count = runs.len();
     (count > bound).then(|| format!("TWICE or BUDGET: {count} runs of {call:?}"))
 }
 
+/// Check that a call rejected by the system itself never ran at a target.
 fn rejected_but_run(call: &CallRecord, runs: &[TargetRun]) -> Option<String> {
     let CallEnd::Answered(response) = &call.end else {
         return None;
@@ -99,13 +105,13 @@
     broken.then(|| format!("REFUSED: {call:?} ran"))
 }
 
-/// Check an answer against what its target sends.
+/// Check that a response belongs to its call and matches what the target sends.
 fn wrong_response(call: &CallRecord) -> Option<String> {
     let CallEnd::Answered(response) = &call.end else {
         return None;
     };
     if !response.id.is_empty() && response.id != call.id {
-        return Some(format!("MIXED: another call's answer: {call:?}"));
+        return Some(format!("MIXED: response to another call: {call:?}"));
     }
     if !response.status.is_success() {
         return None;
@@ -119,9 +125,9 @@
 
 fn is_expected_stream(response: &ObservedResponse, events: u32) -> bool {
     let expected: String = (1..=events).map(event_text).collect();
-    let right = match response.complete {
+    let right = match response.whole {
         true => response.body == expected,
-        // A stream may be cut before its first event, too.
+        // The truncated body may be empty.
         false => expected.starts_with(&response.body),
     };
     right && response.seal.starts_with("seal-of-drafting")
@@ -130,13 +136,13 @@
 fn is_expected_text(response: &ObservedResponse) -> bool {
     let name = response.seal.strip_prefix("seal-of-").unwrap_or("nobody");
     let text = format!("from {name}");
-    match response.complete {
+    match response.whole {
         true => response.body == text,
         false => text.starts_with(&response.body),
     }
 }
 
-/// Check that no call is denied that is allowed.
+/// Check that an allowed call is not denied with 401 or 404.
 fn wrongly_denied(world: &SoakWorld, call: &CallRecord) -> Option<String> {
     let CallEnd::Answered(response) = &call.end else {
         return None;
@@ -160,13 +166,14 @@
     broken.then(|| format!("DENIED or CONFIG: {call:?}"))
 }
 
+/// Check that an undisturbed host ends a call by its deadline.
 fn past_deadline(world: &SoakWorld, call: &CallRecord) -> Option<String> {
     let late = call.ended.duration_since(call.sent) > call.work.deadline + SLACK;
     let undisturbed = !world.is_disturbed(call.host, settle_start(call.sent), call.ended);
-    (late && undisturbed).then(|| format!("CONFIG: held beyond its time: {call:?}"))
+    (late && undisturbed).then(|| format!("CONFIG: held beyond its deadline: {call:?}"))
 }
 
-/// Check that a target got a call as its caller sent it.
+/// Check that a target received a call as its caller sent it.
 fn altered_request(call: &CallRecord, run: &TargetRun) -> Option<String> {
     let seen = &run.call;
     let deadline: u128 = seen.field("deadline-ms").parse().unwrap_or(u128::MAX);
@@ -184,12 +191,12 @@
     usize::from(!call.kind.is_stream())
 }
 
-/// Targets of the two services take turns.
+/// Get the index of a target's service: services alternate over the targets.
 fn service_of_run(run: &TargetRun) -> usize {
     run.target % 2
 }
 
-/// Check that a key that was taken away works no longer, at any host.
+/// Check that a revoked key is no longer accepted at any host.
 fn revoked_key_used(world: &SoakWorld, call: &CallRecord, run: &TargetRun) -> Option<String> {
     if !call.second_key {
         return None;
@@ -203,7 +210,7 @@
     broken.then(|| format!("CONFIG: a revoked key works: {call:?}"))
 }
 
-/// Check that a target that leaves gets no new work.
+/// Check that a departing target gets no new calls.
 fn sent_after_drain(world: &SoakWorld, call: &CallRecord, run: &TargetRun) -> Option<String> {
     let at = run.call.received_at;
     let departures = world.departures.borrow();
@@ -215,7 +222,8 @@
     undisturbed.then(|| format!("DRAIN: {call:?} at target {}", run.target))
 }
 
-/// Get whether a host and its store were in health over a span.
+/// Get whether a host and the store were free of faults from [`SETTLE_TIME`]
+/// before `from` until `until`.
 fn is_settled(world: &SoakWorld, host: usize, from: Instant, until: Instant) -> bool {
     let from = settle_start(from);
     let store = overlaps(&world.store_disturbances.borrow(), from, until);
@@ -226,7 +234,7 @@
     at.checked_sub(SETTLE_TIME).unwrap_or(at)
 }
 
-/// Check that callers are served once all is over.
+/// Check that callers are served again after all faults have ended.
 fn not_recovered(world: &SoakWorld, calls: &[CallRecord]) -> Option<String> {
     let from = world.recovered_at.get()?;
     let late = calls.iter().filter(|call| call.sent > from);
@@ -234,5 +242,5 @@
     let served = late.iter().filter(|call| is_served(call)).count();
     let enough = !late.is_empty() && served * 100 >= late.len() * MIN_SERVED_PERCENT;
     let count = late.len();
-    (!enough).then(|| format!("RECOVER: {served} of {count} served after all was over"))
+    (!enough).then(|| format!("RECOVER: {served} of {count} served after recovery"))
 }
--- a/bergamotswitch/tests/soak_world/mod.rs
+++ b/bergamotswitch/tests/soak_world/mod.rs
@@ -1,5 +1,5 @@
-//! A site whose hosts are real processes, with relays before the store and the
-//! targets, on which faults come in series and overlap.
+//! Provides a test site for soak runs: hosts are real processes, relays stand in
+//! front of the store and the targets, and overlapping faults are injected.
 
 mod callers;
 mod checks;
@@ -25,43 +25,44 @@
 use stall::StallMonitor;
 use stops::HostStop;
 
-/// The targets of a run: two of each service. A stream has so many events, one
-/// each 15 ms.
+/// The number of targets in a run, two for each service.
 const TARGETS: usize = 4;
+/// The number of events in a short stream, sent at intervals of [`EVENT_GAP`].
 const EVENTS: u32 = 8;
 const EVENT_GAP: Duration = Duration::from_millis(15);
-/// The callers for each host.
+/// The number of callers for each host.
 const CALLERS_PER_HOST: u64 = 4;
-/// How long a draining target stays registered, and then is away.
+/// How long a draining target stays registered.
 const DRAIN_TIME: Duration = Duration::from_secs(3);
+/// How long a drained target stays unregistered.
 const ABSENT_TIME: Duration = Duration::from_secs(1);
-/// How long after its start a target registers.
+/// How long after a restart a target registers.
 const REGISTER_TIME: Duration = Duration::from_millis(100);
-/// The longest time from SIGTERM to the end of the process: the grace in the
-/// hosts' settings, and a second for a busy machine.
+/// The longest time from SIGTERM to process exit: the grace period in the hosts'
+/// settings, plus a second for a loaded machine.
 const STOP_TIMEOUT: Duration = Duration::from_secs(9);
-/// How long a process that has ended stays away.
+/// How long a host stays down after its process has exited.
 const DOWN_TIME: Duration = Duration::from_millis(400);
-/// The time after the last fault in which everything has to be back, and that
-/// in which callers then are served.
+/// How long the site has to recover after the last fault.
 const RECOVERY_TIME: Duration = Duration::from_secs(6);
+/// How long calls are sent after recovery to check that they are served.
 const SERVED_CHECK_TIME: Duration = Duration::from_secs(2);
 
-/// A `FaultSpan` is a span in which a host, a target or the store was disturbed,
-/// or a key was taken away; without an end while it goes on.
+/// A `FaultSpan` is an interval in which a host, a target or the store was
+/// disturbed, or a key was revoked. It has no end while it lasts.
 #[derive(Clone, Copy, Debug)]
 struct FaultSpan {
     from: Instant,
     until: Option<Instant>,
 }
 
-/// An `AddedRoute` is a route that was published in the run.
+/// An `AddedRoute` is a route that was published during the run.
 pub struct AddedRoute {
     prefix: String,
     published: Instant,
 }
 
-/// A `TargetLeave` is a target's leaving, and its return.
+/// A `TargetDeparture` is an interval in which a target drains or is unregistered.
 #[derive(Clone, Copy, Debug)]
 struct TargetDeparture {
     target: usize,
@@ -72,7 +73,7 @@
 struct WorldHost {
     process: RefCell<HostProcess>,
     store_relay: Relay,
-    /// Whether the next end of its process is wanted.
+    /// Whether the next exit of the process is intended by the test.
     expects_exit: Cell<bool>,
     disturbances: RefCell<Vec<FaultSpan>>,
 }
@@ -85,14 +86,14 @@
     disturbances: RefCell<Vec<FaultSpan>>,
 }
 
-/// A `SoakWorld` is a site under faults.
+/// A `SoakWorld` is the test site of one run and what was recorded there.
 pub struct SoakWorld {
     pub seed: u64,
     planned: bool,
-    /// The time from SIGTERM to SIGKILL, in runs with long work.
+    /// The time from SIGTERM to SIGKILL, in runs with long streams.
     grace: Option<Duration>,
     options: SiteOptions,
-    /// Whether callers ask for long work now.
+    /// Whether callers currently ask for long streams.
     has_long_work: Cell<bool>,
     stops: RefCell<Vec<HostStop>>,
     store: KvStoreStandin,
@@ -112,20 +113,21 @@
     recovered_at: Cell<Option<Instant>>,
 }
 
-/// What a run showed.
+/// A `RunOutcome` is the result of a run.
 pub struct RunOutcome {
     pub calls: usize,
     pub served: usize,
-    /// The calls that reached a host after its SIGTERM, and those served.
+    /// The number of calls that were sent to a host after its SIGTERM.
     pub sent_while_stopping: usize,
+    /// The number of those calls that were served.
     pub served_while_stopping: usize,
     pub problems: Vec<String>,
-    /// The longest time for which the test got no processor.
+    /// The longest time for which the test process was not scheduled.
     pub longest_stall: Duration,
     pub faults: Vec<String>,
 }
 
-/// Play a seed with so many hosts.
+/// Run a seed with a number of hosts.
 pub fn run_seed(seed: u64, hosts: usize) -> RunOutcome {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -205,7 +207,7 @@
 
     async fn run(self: Rc<Self>, faults: Vec<TimedFault>) -> RunOutcome {
         self.wait_all_ready("at the start").await;
-        let watch = StallMonitor::start();
+        let monitor = StallMonitor::start();
         let texts = faults.iter().map(|fault| format!("{fault:?}")).collect();
         let callers: Vec<_> = (0..CALLERS_PER_HOST * self.hosts.len() as u64)
             .map(|number| spawn_local(run_caller(Rc::clone(&self), number)))
@@ -218,7 +220,7 @@
             .map(|fault| spawn_local(Rc::clone(&self).inject_fault(fault)))
             .collect();
         for task in injected {
-            task.await.expect("a fault is played");
+            task.await.expect("fault injection task");
         }
         self.has_long_work.set(false);
         self.wait_all_ready("after the faults").await;
@@ -227,11 +229,11 @@
         sleep(SERVED_CHECK_TIME).await;
         self.callers_stopped.set(true);
         for task in callers {
-            task.await.expect("a caller ends");
+            task.await.expect("caller task");
         }
         self.supervisors_stopped.set(true);
         for task in supervisors {
-            task.await.expect("a keeper ends");
+            task.await.expect("supervisor task");
         }
         let problems = checks::find_problems(&self);
         let calls = self.calls.borrow();
@@ -246,7 +248,7 @@
             sent_while_stopping: sent_while_stopping.len(),
             served_while_stopping: served(&sent_while_stopping),
             problems,
-            longest_stall: watch.longest(),
+            longest_stall: monitor.longest(),
             faults: texts,
         }
     }
@@ -259,7 +261,7 @@
         self.problems.borrow_mut().push(text);
     }
 
-    /// Wait until all hosts are ready and know each other.
+    /// Wait until all hosts report readiness; record a problem on timeout.
     async fn wait_all_ready(&self, when: &str) {
         let until = Instant::now() + users::PATIENCE;
         loop {
@@ -296,7 +298,7 @@
         users::register(&self.store, service, &target.target, address, state);
     }
 
-    /// Let a fault happen, and heal it.
+    /// Inject a fault at its time, and end it.
     async fn inject_fault(self: Rc<Self>, timed: TimedFault) {
         sleep(timed.at).await;
         match timed.fault {
@@ -372,8 +374,7 @@
         }
     }
 
-    /// Signal a host's process. One that has ended meanwhile takes no signal,
-    /// and needs none.
+    /// Send a signal to a host's process, if it has not exited already.
     fn signal(&self, host: usize, name: &str) {
         let _ = self.hosts[host].process.borrow().child.try_signal(name);
     }
@@ -388,9 +389,11 @@
             sleep(Duration::from_millis(20)).await;
             let now = Instant::now();
             if now > began + STOP_TIMEOUT {
-                // One that was paused meanwhile takes longer.
+                // A process that another fault disturbed may take longer.
                 if undisturbed && self.planned {
-                    self.record_problem(format!("LOST: host {host} does not end its stop"));
+                    self.record_problem(format!(
+                        "LOST: host {host} did not exit in time after SIGTERM"
+                    ));
                 }
                 self.signal(host, "KILL");
             }
@@ -422,7 +425,7 @@
         self.publish();
     }
 
-    /// Get whether a target may leave: the last one of a service stays.
+    /// Get whether a target may depart: the last one of a service may not.
     fn can_depart(&self, target: &WorldTarget) -> bool {
         let departures = self.departures.borrow();
         let mut departed = departures
@@ -446,7 +449,7 @@
         self.register(target, "ready");
     }
 
-    /// Let a target start again under its name; it registers a little later.
+    /// Restart a target under its name; it registers after [`REGISTER_TIME`].
     async fn restart(&self, index: usize) {
         let target = &self.targets[index];
         let _guard = DisturbanceGuard::new(&target.disturbances);
@@ -457,7 +460,7 @@
         }
     }
 
-    /// Let another writer write over a target's entry, which then names none.
+    /// Overwrite a target's store entry with bytes that are no valid registration.
     async fn overwrite(&self, index: usize, bytes: &'static str) {
         let target = &self.targets[index];
         if !self.can_depart(target) {
@@ -471,7 +474,7 @@
         self.register(target, "ready");
     }
 
-    /// Get whether a target is leaving or away.
+    /// Get whether a target is draining or unregistered.
     fn is_absent(&self, index: usize) -> bool {
         let departures = self.departures.borrow();
         let mut absences = departures
@@ -490,7 +493,7 @@
         departures.len() - 1
     }
 
-    /// Start a host again whenever its process ends.
+    /// Restart a host whenever its process exits.
     async fn supervise(self: Rc<Self>, index: usize) {
         let host = &self.hosts[index];
         while !self.supervisors_stopped.get() {
@@ -500,20 +503,20 @@
             };
             let _guard = DisturbanceGuard::new(&host.disturbances);
             if !host.expects_exit.replace(false) {
-                self.record_problem(format!("host {index} ended by itself: {status}"));
+                self.record_problem(format!("host {index} exited unexpectedly: {status}"));
             }
             sleep(DOWN_TIME).await;
             host.process.borrow_mut().child.restart();
         }
     }
 
-    /// Get whether a host was disturbed in a span.
+    /// Get whether a host was disturbed at any time in an interval.
     fn is_disturbed(&self, host: usize, from: Instant, until: Instant) -> bool {
         overlaps(&self.hosts[host].disturbances.borrow(), from, until)
     }
 }
 
-/// A `DisturbanceGuard` is a span that goes on until it is dropped.
+/// A `DisturbanceGuard` is a recorded [`FaultSpan`] that ends when it is dropped.
 struct DisturbanceGuard<'a> {
     list: &'a RefCell<Vec<FaultSpan>>,
     index: usize,
--- a/bergamotswitch/tests/soak_world/plan.rs
+++ b/bergamotswitch/tests/soak_world/plan.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a run, drawn from its seed.
+//! Provides the fault schedule of a run, drawn from its seed.
 
 use std::time::Duration;
 
@@ -10,35 +10,38 @@
 
 use crate::relay::Flow;
 
-/// The time in which faults begin; each ends some seconds later at the latest.
+/// The time in which faults start. Each ends within a few seconds.
 pub const FAULT_WINDOW: Duration = Duration::from_secs(7);
-/// How many faults a run has: enough for some to overlap.
+/// The number of faults in a run, enough for some to overlap.
 const FAULT_COUNT: std::ops::Range<usize> = 5..12;
-/// One run in so many has planned work alone.
+/// One run in this many has planned maintenance only.
 const PLANNED_ONE_IN: u64 = 4;
 
-/// The first seed whose hosts are stopped as the platform does it, all of them,
-/// with callers that ask for long work. Seeds below it draw what they drew.
+/// The first seed that stops all hosts as the platform does, with callers that ask
+/// for long streams. Lower seeds must keep drawing the same faults.
 const FIRST_STOP_SEED: u64 = 2_000;
-/// As [`PLANNED_PARTS`], from that seed on.
+/// The same as [`PLANNED_ONE_IN`], from [`FIRST_STOP_SEED`] on.
 const STOP_PLANNED_ONE_IN: u64 = 2;
-/// The times from SIGTERM to SIGKILL: shorter than callers keep an address,
-/// that of the known deployments, and longer than any answer.
+/// The times from SIGTERM to SIGKILL, in seconds: shorter than callers cache an
+/// address, as in common deployments, and longer than any response.
 const GRACE_PERIODS_S: [u64; 3] = [3, 8, 20];
-/// When the first host is stopped, and the time to the next one.
+/// When the first host is stopped.
 const FIRST_STOP_DELAY: Duration = Duration::from_secs(1);
+/// The interval between stops, in milliseconds.
 const STOP_INTERVAL_MS: std::ops::Range<u64> = 500..3_000;
-/// How many hosts are stopped at once at most, and how often all are.
+/// The most hosts that are stopped at once.
 const MAX_CONCURRENT_STOPS: usize = 2;
+/// The most times that every host is stopped.
 const MAX_STOP_ROUNDS: usize = 2;
 
-/// The first seed that draws from all kinds of faults. Seeds below it draw what
-/// they drew when they were kept.
+/// The first seed that draws from all kinds of faults. Lower seeds must keep
+/// drawing the same faults.
 const FIRST_ALL_KINDS_SEED: u64 = 1_000;
-/// The kinds of faults that the seeds below it draw from.
+/// The number of fault kinds that seeds below [`FIRST_ALL_KINDS_SEED`] draw from.
 const EARLY_KINDS: u32 = 13;
+/// The number of all fault kinds.
 const ALL_KINDS: u32 = 17;
-/// What another writer leaves under a target's key.
+/// The invalid entries that another writer stores under a target's key.
 const FOREIGN_ENTRIES: [&str; 3] = [
     "\u{fffd}\u{0}no registration",
     r#"{"service":"desk","address":"127.0.0.1:9"}"#,
@@ -46,55 +49,55 @@
         "state":"warming","coldRemainingMs":0,"sequence":1,"born":9999999999999}"#,
 ];
 
-/// A `SiteFault` is one thing that goes wrong or changes.
+/// A `SiteFault` is a fault or a planned change at the site.
 #[derive(Clone, Debug)]
 pub enum SiteFault {
-    /// SIGKILL.
+    /// A host's process gets SIGKILL.
     Kill { host: usize },
-    /// SIGSTOP, and SIGCONT later.
+    /// A host's process gets SIGSTOP, and SIGCONT later.
     Pause { host: usize, duration: Duration },
-    /// SIGTERM.
+    /// A host's process gets SIGTERM.
     Stop { host: usize },
-    /// SIGHUP.
+    /// A host's process gets SIGHUP.
     Reload { host: usize },
-    /// The store answers otherwise.
+    /// The store fails its requests or does not answer.
     Store { mode: StoreMode, duration: Duration },
-    /// The store drops its history.
+    /// The store compacts its revision history.
     Compact,
-    /// The way from one host to the store.
+    /// The connection from one host to the store is impaired.
     StoreLink {
         host: usize,
         flow: Flow,
         duration: Duration,
     },
-    /// The way from all hosts to a target.
+    /// The connections from all hosts to a target are impaired.
     TargetLink {
         target: usize,
         flow: Flow,
         duration: Duration,
     },
-    /// A target answers its next calls otherwise.
+    /// A target misbehaves on its next calls.
     Target {
         target: usize,
         mode: ResponseMode,
         calls: usize,
     },
-    /// The second key is taken away, and given again later.
+    /// The second key is revoked, and restored later.
     Revoke { duration: Duration },
-    /// The store falls silent, and the second key is taken away meanwhile.
+    /// The second key is revoked while the store does not answer.
     RevokeDuringOutage { duration: Duration },
-    /// A route more.
+    /// A route is added.
     AddRoute,
-    /// A target drains, leaves, and registers again.
+    /// A target drains, is unregistered, and registers again.
     Drain { target: usize },
-    /// A target starts again under its name.
+    /// A target restarts under its name.
     Restart { target: usize },
-    /// Another writer writes over a target's entry.
+    /// Another writer overwrites a target's store entry.
     OverwriteEntry { target: usize, bytes: &'static str },
 }
 
 impl SiteFault {
-    /// Get whether it is work that operators plan.
+    /// Get whether the change is planned maintenance.
     pub fn is_planned(&self) -> bool {
         matches!(
             self,
@@ -106,24 +109,24 @@
     }
 }
 
-/// A `TimedFault` is a fault and when it begins.
+/// A `TimedFault` is a fault and its start time.
 #[derive(Clone, Debug)]
 pub struct TimedFault {
     pub at: Duration,
     pub fault: SiteFault,
 }
 
-/// A `RunPlan` is what happens in a run.
+/// A `RunPlan` is the fault schedule of a run.
 pub struct RunPlan {
     pub faults: Vec<TimedFault>,
-    /// Whether all of it is planned work.
+    /// Whether all faults are planned maintenance.
     pub planned: bool,
-    /// The time from SIGTERM to SIGKILL; none where a stop has no such end and
-    /// all work is short.
+    /// The time from SIGTERM to SIGKILL, or `None` in runs without a forced end of
+    /// stops and with short calls only.
     pub grace: Option<Duration>,
 }
 
-/// Get what happens in a run.
+/// Draw the plan of a run from its seed.
 pub fn plan(seed: u64, hosts: usize, targets: usize) -> RunPlan {
     if seed >= FIRST_STOP_SEED {
         return plan_stops(seed, hosts, targets);
@@ -148,7 +151,7 @@
     }
 }
 
-/// Get a run in which every host is stopped, with further faults meanwhile.
+/// Draw the plan of a run in which every host is stopped during other faults.
 fn plan_stops(seed: u64, hosts: usize, targets: usize) -> RunPlan {
     let mut rng = StdRng::seed_from_u64(seed);
     let planned = seed.is_multiple_of(STOP_PLANNED_ONE_IN);
@@ -168,8 +171,8 @@
     }
 }
 
-/// Draw when a fault begins; it is left out where all are to be planned work and
-/// it is none.
+/// Draw the start time of a fault, or get `None` for an unplanned fault in a run
+/// of planned maintenance.
 fn draw_time(
     rng: &mut StdRng,
     fault: SiteFault,
@@ -181,7 +184,7 @@
     fits.then_some(TimedFault { at, fault })
 }
 
-/// Draw stops of all hosts, some at once, in an order of each round's own.
+/// Draw one or more rounds of stops of all hosts, each in its own random order.
 fn draw_stops(rng: &mut StdRng, hosts: usize) -> Vec<TimedFault> {
     let step = Duration::from_millis(rng.random_range(STOP_INTERVAL_MS));
     let at_once = rng.random_range(1..=MAX_CONCURRENT_STOPS);
@@ -235,7 +238,7 @@
             duration: duration * 2,
         },
         10 => SiteFault::AddRoute,
-        // Long enough for a host to rely on what it knew for too long.
+        // Long enough for a host's cached keys to become too stale to be trusted.
         11 => SiteFault::RevokeDuringOutage {
             duration: Duration::from_millis(4_000) + duration / 2,
         },
--- a/bergamotswitch/tests/soak_world/stall.rs
+++ b/bergamotswitch/tests/soak_world/stall.rs
@@ -1,5 +1,5 @@
-//! The time for which the test itself, with its callers, targets and store, got no
-//! processor: what hosts seem to be late may be that.
+//! Provides a monitor of scheduling stalls of the test process, which runs the
+//! callers, targets and store: such a stall can look like a slow host.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,7 +10,7 @@
 
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A `StandstillWatch` looks at the clock while it is kept.
+/// A `StallMonitor` measures how late a periodic timer fires, until it is dropped.
 pub struct StallMonitor {
     longest: Rc<Cell<Duration>>,
     task: JoinHandle<()>,
@@ -25,17 +25,17 @@
 impl StallMonitor {
     pub fn start() -> Self {
         let longest = Rc::new(Cell::new(Duration::ZERO));
-        let task = spawn_local(watch(Rc::clone(&longest)));
+        let task = spawn_local(measure_stalls(Rc::clone(&longest)));
         StallMonitor { longest, task }
     }
 
-    /// Get the longest standstill so far.
+    /// Get the longest stall so far.
     pub fn longest(&self) -> Duration {
         self.longest.get()
     }
 }
 
-async fn watch(longest: Rc<Cell<Duration>>) {
+async fn measure_stalls(longest: Rc<Cell<Duration>>) {
     loop {
         let started = Instant::now();
         sleep(SAMPLE_INTERVAL).await;
--- a/bergamotswitch/tests/soak_world/stops.rs
+++ b/bergamotswitch/tests/soak_world/stops.rs
@@ -1,4 +1,5 @@
-//! Planned stops as the platform carries them out, and the calls they cut.
+//! Provides planned stops as the platform performs them, and the check of the
+//! calls that they truncate.
 
 use std::time::{Duration, Instant};
 
@@ -8,46 +9,48 @@
 use super::checks::{SLACK, TargetRun};
 use super::{DisturbanceGuard, SoakWorld};
 
-/// How often the world looks whether a stopping process has ended.
+/// The interval of checks whether a stopping process has exited.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How long after its last byte a call may be closed that was not read.
+/// How long after it was sent an unread call may be closed.
 const UNREAD_CLOSE_SLACK: Duration = Duration::from_millis(200);
-/// How long after the end of the grace a cut counts as the stop's.
+/// How long after the end of the grace period a truncated call is still attributed
+/// to the stop.
 const STOP_MARGIN: Duration = Duration::from_secs(1);
-/// How long after the signal the rules excuse the cut of a call that is still
-/// worked on in the last sixth of the grace.
+/// How long after SIGTERM a call may be sent for its truncation to be reported as
+/// CUT, not LOST, if a target still runs it in the last sixth of the grace period.
 const EXCUSED_WINDOW: Duration = Duration::from_secs(3);
 
-/// A `HostStop` is a SIGTERM that a host got.
+/// A `HostStop` is a SIGTERM that was sent to a host.
 #[derive(Clone, Copy, Debug)]
 pub struct HostStop {
     host: usize,
     from: Instant,
     grace: Duration,
-    /// When its process was gone.
+    /// When the process exited.
     until: Option<Instant>,
 }
 
 impl HostStop {
-    /// Get whether a cut of this call may be this stop's.
+    /// Get whether this stop may have truncated a call.
     fn may_affect(&self, call: &CallRecord) -> bool {
         let until = self.from + self.grace + STOP_MARGIN;
         self.host == call.host && call.ended >= self.from && call.sent <= until
     }
 
-    /// Get whether a target still worked on a call in the last sixth of the
-    /// grace, and the call was cut no sooner.
+    /// Get whether a target still ran a stream in the last sixth of the grace
+    /// period, and the stream was truncated no sooner.
     fn is_in_progress(&self, call: &CallRecord, runs: &[TargetRun]) -> bool {
         let last_sixth = self.from + self.grace * 5 / 6;
-        let works = |run: &TargetRun| run.call.ended_at.is_none_or(|ended| ended >= last_sixth);
+        let is_running =
+            |run: &TargetRun| run.call.ended_at.is_none_or(|ended| ended >= last_sixth);
         let is_stream = call.kind.is_stream();
-        is_stream && call.ended >= last_sixth && runs.iter().any(works)
+        is_stream && call.ended >= last_sixth && runs.iter().any(is_running)
     }
 }
 
 impl SoakWorld {
-    /// Stop a host: SIGTERM, and SIGKILL at the end of the grace. One that is
-    /// stopped already, or away, is left alone.
+    /// Stop a host with SIGTERM, and SIGKILL at the end of the grace period. A host
+    /// that is already stopping or down gets no signal.
     pub(super) async fn stop_with_grace(&self, host: usize, grace: Duration) {
         let from = Instant::now();
         let expects_exit = &self.hosts[host].expects_exit;
@@ -77,8 +80,8 @@
         self.stops.borrow_mut()[index].until = Some(Instant::now());
     }
 
-    /// Get the calls that a stopping host took or turned away: sent after its
-    /// signal, and before its process was gone.
+    /// Get the calls that were sent to a host after its SIGTERM and before its
+    /// process exited.
     pub(super) fn calls_while_stopping<'a>(&self, calls: &'a [CallRecord]) -> Vec<&'a CallRecord> {
         let stopping = |call: &&CallRecord| {
             let stops = self.stops.borrow();
@@ -90,6 +93,7 @@
         calls.iter().filter(stopping).collect()
     }
 
+    /// Get the latest stop that may have truncated a call.
     fn stop_of(&self, call: &CallRecord) -> Option<HostStop> {
         let stops = self.stops.borrow();
         let latest = stops.iter().rev().find(|stop| stop.may_affect(call));
@@ -97,10 +101,9 @@
     }
 }
 
-/// In a run of planned work alone no call is lost. Where work may be longer than
-/// the grace, one that was sent before the signal may be cut if a target still
-/// works on it at the end of the grace. One that was sent after it may not: the
-/// host knew how much time was left and could turn it away.
+/// Check that planned maintenance loses no call. A call sent before SIGTERM may be
+/// truncated if a target still runs it at the end of the grace period. A call sent
+/// later may not: the host knew the remaining time and could reject the call.
 pub fn lost_at_stop(world: &SoakWorld, call: &CallRecord, runs: &[TargetRun]) -> Option<String> {
     if !world.planned || !is_cut(call) {
         return None;
@@ -135,12 +138,12 @@
 fn is_cut(call: &CallRecord) -> bool {
     match &call.end {
         CallEnd::Closed => true,
-        CallEnd::Answered(response) => !response.complete,
+        CallEnd::Answered(response) => !response.whole,
         CallEnd::NoConnection | CallEnd::TimedOut => false,
     }
 }
 
-/// Get the seconds from a stop's signal, negative before it.
+/// Get the seconds since a stop's SIGTERM, negative before it.
 fn since(at: Instant, stop: &HostStop) -> f64 {
     let after = at.saturating_duration_since(stop.from).as_secs_f64();
     after - stop.from.saturating_duration_since(at).as_secs_f64()
--- a/bergamotswitch/tests/soak_world/work.rs
+++ b/bergamotswitch/tests/soak_world/work.rs
@@ -1,4 +1,4 @@
-//! How long callers' work takes, as a target's stream makes it.
+//! Provides the sizes, token estimates and deadlines of calls.
 
 use std::time::Duration;
 
@@ -9,24 +9,24 @@
 use super::{EVENT_GAP, EVENTS};
 use crate::users::SiteOptions;
 
-/// The longest time that routes let a call take in runs with long work: no
-/// deadline of a caller is later.
+/// The route timeout in runs with long streams, which no caller's deadline exceeds.
 const ROUTE_TIMEOUT: Duration = Duration::from_secs(30);
-/// One caller in so many asks for long streams alone; the other ones find
-/// places at the targets beside them.
+/// One caller in this many asks only for long streams. It must be few enough to
+/// leave free slots at the targets for the others.
 const LONG_CALLER_ONE_IN: u64 = 4;
-/// How long a long stream takes.
+/// The duration of a long stream, in milliseconds.
 const LONG_STREAM_MS: std::ops::Range<u64> = 1_000..7_000;
-/// How much more time its caller has: with the longest, it waits beyond the
-/// grace of a host that is stopped meanwhile.
+/// The time from the end of a long stream to its deadline, in seconds. With the
+/// longest, the deadline is after the grace period of a stopping host.
 const DEADLINE_SLACK_S: [u64; 3] = [1, 5, 20];
-/// The tokens in an event, and the bound and the estimate that a caller names,
-/// in percent of what is made: the estimate is right at the median alone.
+/// The number of tokens in an event.
 const EVENT_TOKENS: u32 = 5;
+/// The token limit that a caller sends, in percent of the actual token count.
 const TOKEN_LIMIT_PERCENT: std::ops::Range<u32> = 100..300;
+/// The token estimate that a caller sends, in percent of the actual token count.
 const HINT_PERCENT: std::ops::Range<u32> = 30..170;
 
-/// Get the times of a site with long work.
+/// Get the options of a site with long streams.
 pub fn site_options(grace: Duration) -> SiteOptions {
     SiteOptions {
         timeout: ROUTE_TIMEOUT,
@@ -35,19 +35,20 @@
     }
 }
 
-/// A `CallWork` is how much a call asks for, and how long its caller waits.
+/// A `CallWork` is the size of a call and its deadline.
 #[derive(Clone, Copy, Debug)]
 pub struct CallWork {
-    /// The events of its stream.
+    /// The number of events in the stream.
     pub events: u32,
-    /// The tokens that it may make, and its caller's estimate.
+    /// The token limit that the caller sends.
     pub max_tokens: u32,
+    /// The token estimate that the caller sends.
     pub hinted_tokens: u32,
     pub deadline: Duration,
 }
 
 impl CallWork {
-    /// A short call, or one that is no stream.
+    /// The work of a short stream, or of a call without a stream.
     pub const SHORT: CallWork = CallWork {
         events: EVENTS,
         max_tokens: 80,
@@ -55,7 +56,7 @@
         deadline: DEADLINE,
     };
 
-    /// Draw what a caller asks for.
+    /// Draw the work of a stream, always short for most callers.
     pub fn draw(rng: &mut StdRng, caller: u64) -> Self {
         if !caller.is_multiple_of(LONG_CALLER_ONE_IN) {
             return CallWork::SHORT;
@@ -72,8 +73,8 @@
         }
     }
 
-    /// Get what a call's path asks its target for: nothing, where the target
-    /// makes so many events anyway.
+    /// Get the query string that asks the target for a number of events, empty for
+    /// the target's default.
     pub fn query(&self) -> String {
         match self.events {
             EVENTS => String::new(),
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Get the least time that a target works on it.
+    /// Get the least time that a target takes to send the stream.
     pub fn length(&self) -> Duration {
         EVENT_GAP * self.events
     }
