--- a/bergamotswitch/tests/soak_world/callers.rs
+++ b/bergamotswitch/tests/soak_world/callers.rs
@@ -1,5 +1,5 @@
-//! Callers that send all kinds of calls all the time, on connections that they
-//! keep until these end, and note what came of each.
+//! Provides simulated callers that continuously send calls of all kinds over
+//! keep-alive connections and record the outcome of each.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,29 +19,29 @@
 use super::work::CallWork;
 use crate::users::{HOST, KEY};
 
-/// How long a caller waits for an answer that takes no time.
+/// The deadline of a short call.
 pub const DEADLINE: Duration = Duration::from_millis(2_500);
-/// How much longer an answer may be under way.
-pub const LATE: Duration = Duration::from_millis(1_500);
-/// The key that is taken away at times.
+/// How long after a call's deadline its caller stops waiting for the response.
+pub const TIMEOUT_MARGIN: Duration = Duration::from_millis(1_500);
+/// The API key that some faults revoke.
 pub const SECOND_KEY: &str = "second-key-of-the-account";
-/// The mean pause between two calls of a caller.
-const PAUSE_MS: std::ops::Range<u64> = 5..60;
-/// How long a caller stays away that was refused.
-const REFUSED_PAUSE: Duration = Duration::from_millis(800);
+/// The range of the pause between two calls of a caller.
+const CALL_INTERVAL_MS: std::ops::Range<u64> = 5..60;
+/// The least pause of a caller after a 503 response.
+const REJECTION_BACKOFF: Duration = Duration::from_millis(800);
 
-/// The kinds of calls.
+/// A `CallKind` is the kind of route that a call is sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// A stream that may be carried on.
+    /// A stream that may be resumed on another target.
     Draft,
-    /// A stream that may run once.
+    /// A stream that may run at most once.
     Once,
-    /// A call that may be repeated.
+    /// An idempotent call without a stream.
     Status,
-    /// A call that may run once.
+    /// A call without a stream that may run at most once.
     Receipt,
-    /// A call on a route that was added in the run.
+    /// A call on a route that was published during the run.
     Added,
 }
 
@@ -55,22 +55,22 @@
     }
 }
 
-/// How a call ended for its caller.
+/// A `CallEnd` is how a call ended from its caller's point of view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallEnd {
-    /// No connection: nothing was sent.
+    /// There was no usable connection, so nothing was sent.
     NoConnection,
-    /// The connection ended before the head of an answer.
+    /// The connection closed before a response head arrived.
     Closed,
-    /// No end of the answer in time.
-    Overdue,
-    /// An answer, whole or cut.
-    Answered(SeenAnswer),
+    /// The response did not end within the deadline and [`TIMEOUT_MARGIN`].
+    TimedOut,
+    /// A response arrived, complete or truncated.
+    Answered(ObservedResponse),
 }
 
-/// What a caller saw of an answer.
+/// An `ObservedResponse` is a response as its caller received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SeenAnswer {
+pub struct ObservedResponse {
     pub status: StatusCode,
     pub id: String,
     pub seal: String,
@@ -78,7 +78,7 @@
     pub whole: bool,
 }
 
-/// A `CallRecord` is one call and what came of it.
+/// A `CallRecord` is one call and its outcome.
 #[derive(Clone, Debug)]
 pub struct CallRecord {
     pub id: String,
@@ -92,30 +92,31 @@
     pub end: CallEnd,
 }
 
-struct OpenDoor {
+/// A `CallerConnection` is a keep-alive connection from a caller to a host.
+struct CallerConnection {
     host: usize,
     sender: SendRequest<Full<Bytes>>,
 }
 
-/// Send calls until the world's callers are told to end.
+/// Send calls until `callers_stopped` is set.
 pub async fn run_caller(world: Rc<SoakWorld>, number: u64) {
     let mut rng = StdRng::seed_from_u64(world.seed ^ (number << 32));
-    let mut open: Option<OpenDoor> = None;
+    let mut idle: Option<CallerConnection> = None;
     let mut count = 0;
-    while !world.callers_end.get() {
+    while !world.callers_stopped.get() {
         count += 1;
         let id = format!("c{number}-{count}");
-        let again = send_one(&world, &mut rng, &mut open, number, id).await;
-        let pause = Duration::from_millis(rng.random_range(PAUSE_MS));
-        sleep(pause.max(again)).await;
+        let backoff = send_one(&world, &mut rng, &mut idle, number, id).await;
+        let pause = Duration::from_millis(rng.random_range(CALL_INTERVAL_MS));
+        sleep(pause.max(backoff)).await;
     }
 }
 
-/// Send a call; get after how long to come back.
+/// Send a call, record its outcome and get the least pause before the next one.
 async fn send_one(
     world: &Rc<SoakWorld>,
     rng: &mut StdRng,
-    open: &mut Option<OpenDoor>,
+    idle: &mut Option<CallerConnection>,
     number: u64,
     id: String,
 ) -> Duration {
@@ -136,28 +137,32 @@
         false => CallWork::SHORT,
     };
     let path = format!("{prefix}{id}{}", work.query());
-    let door = match open.take() {
-        Some(door) => Some(door),
+    let connection = match idle.take() {
+        Some(connection) => Some(connection),
         None => connect(world, rng).await,
     };
-    let Some(mut door) = door else {
+    let Some(mut connection) = connection else {
         return Duration::ZERO;
     };
     let request = request(kind, &path, &id, work, second_key);
     let sent = Instant::now();
-    let answered = timeout(work.deadline + LATE, exchange(&mut door.sender, request)).await;
-    let end = answered.unwrap_or(CallEnd::Overdue);
-    let mut again = Duration::ZERO;
-    let host = door.host;
-    if let CallEnd::Answered(answer) = &end {
-        if answer.whole && !door.sender.is_closed() {
-            *open = Some(door);
+    let answered = timeout(
+        work.deadline + TIMEOUT_MARGIN,
+        exchange(&mut connection.sender, request),
+    )
+    .await;
+    let end = answered.unwrap_or(CallEnd::TimedOut);
+    let mut backoff = Duration::ZERO;
+    let host = connection.host;
+    if let CallEnd::Answered(response) = &end {
+        if response.whole && !connection.sender.is_closed() {
+            *idle = Some(connection);
         }
-        if answer.status == StatusCode::SERVICE_UNAVAILABLE {
-            again = REFUSED_PAUSE;
+        if response.status == StatusCode::SERVICE_UNAVAILABLE {
+            backoff = REJECTION_BACKOFF;
         }
     }
-    world.note_call(CallRecord {
+    world.record_call(CallRecord {
         id,
         kind,
         path,
@@ -168,7 +173,7 @@
         ended: Instant::now(),
         end,
     });
-    again
+    backoff
 }
 
 fn prefix_of(world: &SoakWorld, rng: &mut StdRng, kind: CallKind) -> Option<String> {
@@ -185,17 +190,17 @@
     })
 }
 
-async fn connect(world: &SoakWorld, rng: &mut StdRng) -> Option<OpenDoor> {
-    let host = rng.random_range(0..world.doors.len());
-    let address: SocketAddr = world.doors[host];
+async fn connect(world: &SoakWorld, rng: &mut StdRng) -> Option<CallerConnection> {
+    let host = rng.random_range(0..world.caller_addresses.len());
+    let address: SocketAddr = world.caller_addresses[host];
     let stream = timeout(Duration::from_secs(1), TcpStream::connect(address)).await;
     let stream = stream.ok()?.ok()?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     tokio::task::spawn_local(connection);
-    Some(OpenDoor { host, sender })
+    Some(CallerConnection { host, sender })
 }
 
-/// Get the body of a call.
+/// Get the request body of a call.
 pub fn body_of(id: &str) -> String {
     format!("prompt of {id}")
 }
@@ -215,17 +220,17 @@
         .header("request-id", id)
         .header("deadline-ms", work.deadline.as_millis().to_string())
         .header("authorization", format!("Bearer {key}"))
-        // Fields that only the system may set.
+        // Forged headers that the system must replace or strip.
         .header("tenant", "forged")
         .header("hold", "forged");
     if kind.is_stream() {
         builder = builder
             .header("model", "m")
-            .header("token-count", format!("100,{}", work.most_tokens))
+            .header("token-count", format!("100,{}", work.max_tokens))
             .header("length-hint", work.hinted_tokens.to_string());
     }
     let body = Full::new(Bytes::from(body_of(id)));
-    builder.body(body).expect("a request")
+    builder.body(body).expect("valid request")
 }
 
 async fn exchange(sender: &mut SendRequest<Full<Bytes>>, request: Request<Full<Bytes>>) -> CallEnd {
@@ -249,7 +254,7 @@
             Some(Ok(frame)) => bytes.extend(frame.into_data().unwrap_or_default()),
         }
     };
-    CallEnd::Answered(SeenAnswer {
+    CallEnd::Answered(ObservedResponse {
         status: head.status,
         id: field("request-id"),
         seal: field("response-seal"),
--- a/bergamotswitch/tests/soak_world/plan.rs
+++ b/bergamotswitch/tests/soak_world/plan.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a run, drawn from its seed.
+//! Provides the fault schedule of a run, drawn from its seed.
 
 use std::time::Duration;
 
@@ -10,135 +10,138 @@
 
 use crate::relay::Flow;
 
-/// The time in which faults begin; each ends some seconds later at the latest.
-pub const FAULT_TIME: Duration = Duration::from_secs(7);
-/// How many faults a run has: enough for some to overlap.
-const FAULTS: std::ops::Range<usize> = 5..12;
-/// One run in so many has planned work alone.
-const PLANNED_PARTS: u64 = 4;
+/// The time in which faults start. Each ends within a few seconds.
+pub const FAULT_WINDOW: Duration = Duration::from_secs(7);
+/// The number of faults in a run, enough for some to overlap.
+const FAULT_COUNT: std::ops::Range<usize> = 5..12;
+/// One run in this many has planned maintenance only.
+const PLANNED_ONE_IN: u64 = 4;
 
-/// The first seed whose hosts are stopped as the platform does it, all of them,
-/// with callers that ask for long work. Seeds below it draw what they drew.
+/// The first seed that stops all hosts as the platform does, with callers that ask
+/// for long streams. Lower seeds must keep drawing the same faults.
 const FIRST_STOP_SEED: u64 = 2_000;
-/// As [`PLANNED_PARTS`], from that seed on.
-const STOP_PLANNED_PARTS: u64 = 2;
-/// The times from SIGTERM to SIGKILL: shorter than callers keep an address,
-/// that of the known deployments, and longer than any answer.
-const GRACES_S: [u64; 3] = [3, 8, 20];
-/// When the first host is stopped, and the time to the next one.
-const FIRST_STOP: Duration = Duration::from_secs(1);
-const STOP_STEPS_MS: std::ops::Range<u64> = 500..3_000;
-/// How many hosts are stopped at once at most, and how often all are.
-const STOPS_AT_ONCE: usize = 2;
-const STOP_ROUNDS: usize = 2;
+/// The same as [`PLANNED_ONE_IN`], from [`FIRST_STOP_SEED`] on.
+const STOP_PLANNED_ONE_IN: u64 = 2;
+/// The times from SIGTERM to SIGKILL, in seconds: shorter than callers cache an
+/// address, as in common deployments, and longer than any response.
+const GRACE_PERIODS_S: [u64; 3] = [3, 8, 20];
+/// When the first host is stopped.
+const FIRST_STOP_DELAY: Duration = Duration::from_secs(1);
+/// The interval between stops, in milliseconds.
+const STOP_INTERVAL_MS: std::ops::Range<u64> = 500..3_000;
+/// The most hosts that are stopped at once.
+const MAX_CONCURRENT_STOPS: usize = 2;
+/// The most times that every host is stopped.
+const MAX_STOP_ROUNDS: usize = 2;
 
-/// The first seed that draws from all kinds of faults. Seeds below it draw what
-/// they drew when they were kept.
-const FIRST_WIDE_SEED: u64 = 1_000;
-/// The kinds of faults that the seeds below it draw from.
-const NARROW_KINDS: u32 = 13;
-const KINDS: u32 = 17;
-/// What another writer leaves under a target's key.
-const FOREIGN: [&str; 3] = [
+/// The first seed that draws from all kinds of faults. Lower seeds must keep
+/// drawing the same faults.
+const FIRST_ALL_KINDS_SEED: u64 = 1_000;
+/// The number of fault kinds that seeds below [`FIRST_ALL_KINDS_SEED`] draw from.
+const EARLY_KINDS: u32 = 13;
+/// The number of all fault kinds.
+const ALL_KINDS: u32 = 17;
+/// The invalid entries that another writer stores under a target's key.
+const FOREIGN_ENTRIES: [&str; 3] = [
     "\u{fffd}\u{0}no registration",
     r#"{"service":"desk","address":"127.0.0.1:9"}"#,
     r#"{"service":"desk","address":"127.0.0.1:9","zone":"hall-1","version":"v1","slots":4,
         "state":"warming","coldRemainingMs":0,"sequence":1,"born":9999999999999}"#,
 ];
 
-/// A `SiteFault` is one thing that goes wrong or changes.
+/// A `SiteFault` is a fault or a planned change at the site.
 #[derive(Clone, Debug)]
 pub enum SiteFault {
-    /// SIGKILL.
+    /// A host's process gets SIGKILL.
     Kill { host: usize },
-    /// SIGSTOP, and SIGCONT later.
-    Pause { host: usize, span: Duration },
-    /// SIGTERM.
+    /// A host's process gets SIGSTOP, and SIGCONT later.
+    Pause { host: usize, duration: Duration },
+    /// A host's process gets SIGTERM.
     Stop { host: usize },
-    /// SIGHUP.
+    /// A host's process gets SIGHUP.
     Reload { host: usize },
-    /// The store answers otherwise.
-    Store { mood: StoreMode, span: Duration },
-    /// The store drops its history.
+    /// The store fails its requests or does not answer.
+    Store { mode: StoreMode, duration: Duration },
+    /// The store compacts its revision history.
     Compact,
-    /// The way from one host to the store.
-    StoreWay {
+    /// The connection from one host to the store is impaired.
+    StoreLink {
         host: usize,
         flow: Flow,
-        span: Duration,
+        duration: Duration,
     },
-    /// The way from all hosts to a target.
-    TargetWay {
+    /// The connections from all hosts to a target are impaired.
+    TargetLink {
         target: usize,
         flow: Flow,
-        span: Duration,
+        duration: Duration,
     },
-    /// A target answers its next calls otherwise.
+    /// A target misbehaves on its next calls.
     Target {
         target: usize,
-        mood: ResponseMode,
+        mode: ResponseMode,
         calls: usize,
     },
-    /// The second key is taken away, and given again later.
-    Revoke { span: Duration },
-    /// The store falls silent, and the second key is taken away meanwhile.
-    RevokeUnseen { span: Duration },
-    /// A route more.
-    Route,
-    /// A target drains, leaves, and registers again.
+    /// The second key is revoked, and restored later.
+    Revoke { duration: Duration },
+    /// The second key is revoked while the store does not answer.
+    RevokeDuringOutage { duration: Duration },
+    /// A route is added.
+    AddRoute,
+    /// A target drains, is unregistered, and registers again.
     Drain { target: usize },
-    /// A target starts again under its name.
+    /// A target restarts under its name.
     Restart { target: usize },
-    /// Another writer writes over a target's entry.
-    Foreign { target: usize, bytes: &'static str },
+    /// Another writer overwrites a target's store entry.
+    OverwriteEntry { target: usize, bytes: &'static str },
 }
 
 impl SiteFault {
-    /// Get whether it is work that operators plan.
+    /// Get whether the change is planned maintenance.
     pub fn is_planned(&self) -> bool {
         matches!(
             self,
             SiteFault::Stop { .. }
                 | SiteFault::Reload { .. }
-                | SiteFault::Route
+                | SiteFault::AddRoute
                 | SiteFault::Drain { .. }
         )
     }
 }
 
-/// A `TimedFault` is a fault and when it begins.
+/// A `TimedFault` is a fault and its start time.
 #[derive(Clone, Debug)]
 pub struct TimedFault {
     pub at: Duration,
     pub fault: SiteFault,
 }
 
-/// A `RunPlan` is what happens in a run.
+/// A `RunPlan` is the fault schedule of a run.
 pub struct RunPlan {
     pub faults: Vec<TimedFault>,
-    /// Whether all of it is planned work.
+    /// Whether all faults are planned maintenance.
     pub planned: bool,
-    /// The time from SIGTERM to SIGKILL; none where a stop has no such end and
-    /// all work is short.
+    /// The time from SIGTERM to SIGKILL, or `None` in runs without a forced end of
+    /// stops and with short calls only.
     pub grace: Option<Duration>,
 }
 
-/// Get what happens in a run.
+/// Draw the plan of a run from its seed.
 pub fn plan(seed: u64, hosts: usize, targets: usize) -> RunPlan {
     if seed >= FIRST_STOP_SEED {
         return plan_stops(seed, hosts, targets);
     }
     let mut rng = StdRng::seed_from_u64(seed);
-    let planned = seed.is_multiple_of(PLANNED_PARTS);
-    let kinds = match seed < FIRST_WIDE_SEED {
-        true => NARROW_KINDS,
-        false => KINDS,
+    let planned = seed.is_multiple_of(PLANNED_ONE_IN);
+    let kinds = match seed < FIRST_ALL_KINDS_SEED {
+        true => EARLY_KINDS,
+        false => ALL_KINDS,
     };
-    let count = rng.random_range(FAULTS);
+    let count = rng.random_range(FAULT_COUNT);
     let mut faults = Vec::new();
     while faults.len() < count {
         let fault = draw_fault(&mut rng, hosts, targets, kinds);
-        faults.extend(draw_time(&mut rng, fault, FAULT_TIME, planned));
+        faults.extend(draw_time(&mut rng, fault, FAULT_WINDOW, planned));
     }
     faults.sort_by_key(|fault| fault.at);
     RunPlan {
@@ -148,16 +151,16 @@
     }
 }
 
-/// Get a run in which every host is stopped, with further faults meanwhile.
+/// Draw the plan of a run in which every host is stopped during other faults.
 fn plan_stops(seed: u64, hosts: usize, targets: usize) -> RunPlan {
     let mut rng = StdRng::seed_from_u64(seed);
-    let planned = seed.is_multiple_of(STOP_PLANNED_PARTS);
-    let grace = GRACES_S[rng.random_range(0..GRACES_S.len())];
+    let planned = seed.is_multiple_of(STOP_PLANNED_ONE_IN);
+    let grace = GRACE_PERIODS_S[rng.random_range(0..GRACE_PERIODS_S.len())];
     let mut faults = draw_stops(&mut rng, hosts);
-    let last = faults.last().map_or(FAULT_TIME, |fault| fault.at);
-    let count = faults.len() + rng.random_range(FAULTS);
+    let last = faults.last().map_or(FAULT_WINDOW, |fault| fault.at);
+    let count = faults.len() + rng.random_range(FAULT_COUNT);
     while faults.len() < count {
-        let fault = draw_fault(&mut rng, hosts, targets, KINDS);
+        let fault = draw_fault(&mut rng, hosts, targets, ALL_KINDS);
         faults.extend(draw_time(&mut rng, fault, last, planned));
     }
     faults.sort_by_key(|fault| fault.at);
@@ -168,8 +171,8 @@
     }
 }
 
-/// Draw when a fault begins; it is left out where all are to be planned work and
-/// it is none.
+/// Draw the start time of a fault, or get `None` for an unplanned fault in a run
+/// of planned maintenance.
 fn draw_time(
     rng: &mut StdRng,
     fault: SiteFault,
@@ -181,13 +184,13 @@
     fits.then_some(TimedFault { at, fault })
 }
 
-/// Draw stops of all hosts, some at once, in an order of each round's own.
+/// Draw one or more rounds of stops of all hosts, each in its own random order.
 fn draw_stops(rng: &mut StdRng, hosts: usize) -> Vec<TimedFault> {
-    let step = Duration::from_millis(rng.random_range(STOP_STEPS_MS));
-    let at_once = rng.random_range(1..=STOPS_AT_ONCE);
-    let mut at = FIRST_STOP;
+    let step = Duration::from_millis(rng.random_range(STOP_INTERVAL_MS));
+    let at_once = rng.random_range(1..=MAX_CONCURRENT_STOPS);
+    let mut at = FIRST_STOP_DELAY;
     let mut stops = Vec::new();
-    for _ in 0..rng.random_range(1..=STOP_ROUNDS) {
+    for _ in 0..rng.random_range(1..=MAX_STOP_ROUNDS) {
         let mut order: Vec<usize> = (0..hosts).collect();
         order.shuffle(rng);
         for group in order.chunks(at_once) {
@@ -202,46 +205,48 @@
 fn draw_fault(rng: &mut StdRng, hosts: usize, targets: usize, kinds: u32) -> SiteFault {
     let host = rng.random_range(0..hosts);
     let target = rng.random_range(0..targets);
-    let span = Duration::from_millis(rng.random_range(100..3_500));
+    let duration = Duration::from_millis(rng.random_range(100..3_500));
     match rng.random_range(0..kinds) {
         0 => SiteFault::Kill { host },
-        1 => SiteFault::Pause { host, span },
+        1 => SiteFault::Pause { host, duration },
         2 => SiteFault::Stop { host },
         3 => SiteFault::Reload { host },
         4 => SiteFault::Store {
-            mood: match rng.random_bool(0.5) {
+            mode: match rng.random_bool(0.5) {
                 true => StoreMode::Unavailable,
                 false => StoreMode::NoResponse,
             },
-            span,
+            duration,
         },
         5 => SiteFault::Compact,
-        6 => SiteFault::StoreWay {
+        6 => SiteFault::StoreLink {
             host,
             flow: draw_flow(rng),
-            span,
+            duration,
         },
-        7 => SiteFault::TargetWay {
+        7 => SiteFault::TargetLink {
             target,
             flow: draw_flow(rng),
-            span,
+            duration,
         },
         8 => SiteFault::Target {
             target,
-            mood: draw_mood(rng),
+            mode: draw_mode(rng),
             calls: rng.random_range(1..6),
         },
-        9 => SiteFault::Revoke { span: span * 2 },
-        10 => SiteFault::Route,
-        // Long enough for a host to rely on what it knew for too long.
-        11 => SiteFault::RevokeUnseen {
-            span: Duration::from_millis(4_000) + span / 2,
+        9 => SiteFault::Revoke {
+            duration: duration * 2,
+        },
+        10 => SiteFault::AddRoute,
+        // Long enough for a host's cached keys to become too stale to be trusted.
+        11 => SiteFault::RevokeDuringOutage {
+            duration: Duration::from_millis(4_000) + duration / 2,
         },
         12 => SiteFault::Drain { target },
         13 | 14 => SiteFault::Restart { target },
-        _ => SiteFault::Foreign {
+        _ => SiteFault::OverwriteEntry {
             target,
-            bytes: FOREIGN[rng.random_range(0..FOREIGN.len())],
+            bytes: FOREIGN_ENTRIES[rng.random_range(0..FOREIGN_ENTRIES.len())],
         },
     }
 }
@@ -251,7 +256,7 @@
     flows[rng.random_range(0..flows.len())]
 }
 
-fn draw_mood(rng: &mut StdRng) -> ResponseMode {
+fn draw_mode(rng: &mut StdRng) -> ResponseMode {
     match rng.random_range(0..7) {
         0 => ResponseMode::Full,
         1 => ResponseMode::ServerError,
