--- a/bergamotswitch/tests/fleet/caller.rs
+++ b/bergamotswitch/tests/fleet/caller.rs
@@ -14,7 +14,7 @@
 use tokio::time::timeout;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::{PATIENCE, Run};
+use super::{Run, WAIT_TIMEOUT};
 
 /// A call; the constants below are the kinds of work.
 #[derive(Clone, Debug)]
@@ -84,7 +84,7 @@
         self
     }
 
-    pub fn again(&self) -> Self {
+    pub fn as_resubmission(&self) -> Self {
         let mut call = self.clone();
         call.resubmission = true;
         call
@@ -156,7 +156,7 @@
     /// before the answer's head.
     pub async fn try_send(&self, host: SocketAddr) -> Option<Answer> {
         let whole = async { Some(self.begin(host).await?.finish().await) };
-        let answer = timeout(PATIENCE, whole).await;
+        let answer = timeout(WAIT_TIMEOUT, whole).await;
         answer.unwrap_or_else(|_| panic!("{}: no end of the answer", self.key))
     }
 }
@@ -183,7 +183,7 @@
     }
 
     async fn read_more(&mut self) -> bool {
-        match timeout(PATIENCE, self.body.frame()).await {
+        match timeout(WAIT_TIMEOUT, self.body.frame()).await {
             Ok(Some(Ok(frame))) => {
                 let data = frame.into_data().unwrap_or_default();
                 self.answer.text.push_str(&String::from_utf8_lossy(&data));
--- a/bergamotswitch/tests/fleet/mod.rs
+++ b/bergamotswitch/tests/fleet/mod.rs
@@ -29,7 +29,7 @@
 /// The port of the control address, besides those of the deployments.
 const CONTROL_PORT: u16 = 7900;
 /// Long enough for a busy machine; no test waits this long in good health.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The pool of engines of Red Austral.
 pub const ENGINES: &str = "bolido-llm";
@@ -76,13 +76,13 @@
     }
 
     pub fn has_ended(&mut self) -> bool {
-        self.child.end().is_some()
+        self.child.exit_status().is_some()
     }
 
     pub fn wait_end(&mut self, patience: Duration) -> Option<ExitStatus> {
         let until = Instant::now() + patience;
         while Instant::now() < until {
-            if let Some(status) = self.child.end() {
+            if let Some(status) = self.child.exit_status() {
                 return Some(status);
             }
             std::thread::sleep(Duration::from_millis(20));
@@ -216,7 +216,7 @@
 
     /// Wait until one host alone among `hosts` acts as the owner of a pool.
     pub async fn wait_owner(&self, pool: &str, hosts: &[usize]) -> usize {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         let mut owners = Vec::new();
         while Instant::now() < until {
             owners.clear();
@@ -403,7 +403,7 @@
 
 /// Wait until `check` holds of a host's view.
 pub async fn wait_view(host: SocketAddr, check: impl Fn(&Value) -> bool) -> Option<Value> {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_TIMEOUT;
     while Instant::now() < until {
         if let Ok(answer) = client::get(host, "/status").await
             && let Ok(view) = serde_json::from_slice::<Value>(&answer.body)
--- a/bergamotswitch/tests/fleet/relay.rs
+++ b/bergamotswitch/tests/fleet/relay.rs
@@ -18,10 +18,10 @@
 pub enum Flow {
     Both,
     /// Only from those who connect to the target.
-    Forth,
+    ToTarget,
     /// Only from the target to those who connect.
-    Back,
-    Cut,
+    FromTarget,
+    Blocked,
     /// Both ways, each piece of bytes after [`SLOW_WAY`].
     Slow,
     /// Every connection is closed, new ones too.
@@ -30,11 +30,14 @@
 
 impl Flow {
     fn passes_forth(self) -> bool {
-        matches!(self, Flow::Both | Flow::Forth | Flow::Slow | Flow::Reset)
+        matches!(self, Flow::Both | Flow::ToTarget | Flow::Slow | Flow::Reset)
     }
 
     fn passes_back(self) -> bool {
-        matches!(self, Flow::Both | Flow::Back | Flow::Slow | Flow::Reset)
+        matches!(
+            self,
+            Flow::Both | Flow::FromTarget | Flow::Slow | Flow::Reset
+        )
     }
 }
 
@@ -71,7 +74,7 @@
 
     /// Start a relay on a port that the system picks; get its address too. A
     /// port that was looked up first may be taken by another test meanwhile.
-    pub fn start_anywhere(target: SocketAddr) -> (Self, SocketAddr) {
+    pub fn start_on_free_port(target: SocketAddr) -> (Self, SocketAddr) {
         let listener = std::net::TcpListener::bind(("127.0.0.1", 0)).expect("free port");
         let address = listener.local_addr().expect("address");
         (Relay::serve(listener, target), address)
@@ -108,7 +111,11 @@
 
 async fn relay(near: TcpStream, target: SocketAddr, mut way: Way) {
     // A connect through a cut does not get anywhere until the cut heals.
-    let open = way.flow.wait_for(|flow| *flow != Flow::Cut).await.is_ok();
+    let open = way
+        .flow
+        .wait_for(|flow| *flow != Flow::Blocked)
+        .await
+        .is_ok();
     let (true, Ok(far)) = (open, TcpStream::connect(target).await) else {
         return;
     };
--- a/bergamotswitch/tests/gateway_news.rs
+++ b/bergamotswitch/tests/gateway_news.rs
@@ -161,7 +161,7 @@
     let site = Site::start(2).await;
     let desk = UsersTarget::start("desk-3", 0, Duration::ZERO).await;
     let desk = desk.expect("target");
-    let (relay, address) = Relay::start_anywhere(desk.address());
+    let (relay, address) = Relay::start_on_free_port(desk.address());
     let entry = desk.registration("desk", address, "ready");
     site.store.put("servers/desk-3", &entry);
     for name in ["servers/desk-1", "servers/desk-2"] {
--- a/bergamotswitch/tests/host_child/mod.rs
+++ b/bergamotswitch/tests/host_child/mod.rs
@@ -84,7 +84,7 @@
 
     /// Get the last lines that it wrote; all of them once it has ended.
     pub fn last_lines(&mut self) -> String {
-        if self.end().is_some()
+        if self.exit_status().is_some()
             && let Some(reader) = self.output.reader.take()
         {
             reader.join().expect("its lines are read");
@@ -95,7 +95,7 @@
     }
 
     /// Get how it ended, where it has.
-    pub fn end(&mut self) -> Option<ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().expect("child")
     }
 
@@ -170,7 +170,7 @@
 
 async fn watch_end(host: Arc<Mutex<HostChild>>, killed_at: Instant) -> StopEnd {
     while Instant::now() < killed_at {
-        if let Some(status) = lock(&host).end() {
+        if let Some(status) = lock(&host).exit_status() {
             return StopEnd::Ended(status);
         }
         tokio::time::sleep(LOOK_INTERVAL).await;
--- a/bergamotswitch/tests/host_killed.rs
+++ b/bergamotswitch/tests/host_killed.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use fleet::caller::{Answer, Call, pause, send_all};
-use fleet::{ALL_HOSTS, ENGINES, Fleet, PATIENCE, assert_ran_once};
+use fleet::{ALL_HOSTS, ENGINES, Fleet, WAIT_TIMEOUT, assert_ran_once};
 use serde_json::json;
 
 fn assert_lost(answer: &Answer) {
@@ -31,7 +31,7 @@
     let answer = open.finish().await;
     assert!(!answer.is_whole(), "{answer:?}");
 
-    let resent = call.again().with_incarnation(&run);
+    let resent = call.as_resubmission().with_incarnation(&run);
     for to in [other, owner] {
         assert_lost(&resent.send(fleet.hosts[to].address()).await);
         // Neither marked nor named: only the shard's owner knows the key.
@@ -45,7 +45,7 @@
     let ready = fleet::wait_view(host, |view| view["ready"] == true).await;
     assert!(ready.is_some());
     assert_lost(&resent.send(host).await);
-    let answer = call.again().send(host).await;
+    let answer = call.as_resubmission().send(host).await;
     assert!(
         !answer.is_whole() && answer.ran() == "unknown",
         "{answer:?}"
@@ -83,7 +83,10 @@
     let first = sent.await.expect("calls");
 
     let to = fleet.hosts[other].address();
-    let again = calls.iter().map(|call| (call.again(), to)).collect();
+    let again = calls
+        .iter()
+        .map(|call| (call.as_resubmission(), to))
+        .collect();
     let second = send_all(again).await;
     for (first, second) in first.iter().zip(&second) {
         let whole = first.as_ref().is_some_and(Answer::is_whole);
@@ -115,7 +118,7 @@
     fleet.hosts[owner].kill();
     let (killed, before) = (Instant::now(), fleet.runs().await.len());
     while fleet.runs().await.len() <= before {
-        assert!(killed.elapsed() < PATIENCE);
+        assert!(killed.elapsed() < WAIT_TIMEOUT);
         pause().await;
     }
     println!("owner killed: next dispatch after {:?}", killed.elapsed());
@@ -124,7 +127,7 @@
         assert!(answer.is_whole(), "{answer:?}");
         assert_eq!(answer.output().split_whitespace().count(), 300);
     }
-    assert!(killed.elapsed() < PATIENCE + Duration::from_secs(10));
+    assert!(killed.elapsed() < WAIT_TIMEOUT + Duration::from_secs(10));
     let runs = fleet.runs().await;
     assert_eq!(runs.len(), 60);
     assert_ran_once(&runs);
--- a/bergamotswitch/tests/metrics_updated.rs
+++ b/bergamotswitch/tests/metrics_updated.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use fleet::caller::{Call, pause, send_all};
-use fleet::{ALL_HOSTS, ENGINES, Fleet, PATIENCE};
+use fleet::{ALL_HOSTS, ENGINES, Fleet, WAIT_TIMEOUT};
 use serde_json::json;
 
 /// Metrics that a fleet of three hosts, all candidates for ownership, does not
@@ -60,7 +60,11 @@
     // request.
     let report = Call::report("fall", 50);
     let run = report.send(user).await.incarnation();
-    let again = report.again().with_incarnation(&run).send(other).await;
+    let again = report
+        .as_resubmission()
+        .with_incarnation(&run)
+        .send(other)
+        .await;
     assert!(again.is_whole(), "{again:?}");
     // Some engines fail, so requests are retried on other targets.
     for number in 1..=6 {
@@ -90,7 +94,7 @@
     // key.
     let started_at = Instant::now();
     let mut killed = false;
-    while !missing.is_empty() && started_at.elapsed() < PATIENCE {
+    while !missing.is_empty() && started_at.elapsed() < WAIT_TIMEOUT {
         for number in ALL_HOSTS {
             if killed && number == owner {
                 continue;
--- a/bergamotswitch/tests/overload.rs
+++ b/bergamotswitch/tests/overload.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use fleet::caller::{Call, pause, send_all};
-use fleet::{Fleet, PATIENCE, wait_view};
+use fleet::{Fleet, WAIT_TIMEOUT, wait_view};
 use serde_json::{Value, json};
 use tokio::task::JoinSet;
 
@@ -38,7 +38,7 @@
     };
     send_logs(&mut sent, 0..100);
     let mut refused = Vec::new();
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_TIMEOUT;
     while refused.len() < 5 && Instant::now() < until {
         if let Some(answer) = sent.join_next().await {
             refused.push(answer.expect("call").expect("answer"));
--- a/bergamotswitch/tests/partition.rs
+++ b/bergamotswitch/tests/partition.rs
@@ -54,7 +54,9 @@
     let call = Call::report("named", 400);
     let mut open = call.begin(fleet.hosts[0].address()).await.expect("head");
     open.read_output().await;
-    let again = call.again().with_incarnation(&open.answer.incarnation());
+    let again = call
+        .as_resubmission()
+        .with_incarnation(&open.answer.incarnation());
     let named = again.send(fleet.hosts[1].address()).await;
     let revision = fleet.publish("rules", |_| ()).await;
     for host in &fleet.hosts {
@@ -92,7 +94,7 @@
 #[tokio::test]
 async fn links_silent() {
     let (fleet, relays) = start().await;
-    part(&fleet, &relays, Flow::Cut).await;
+    part(&fleet, &relays, Flow::Blocked).await;
 }
 
 // Symptom: as above. Sequence: the links go silent in one direction only.
@@ -100,5 +102,5 @@
 #[tokio::test]
 async fn one_way() {
     let (fleet, relays) = start().await;
-    part(&fleet, &relays, Flow::Forth).await;
+    part(&fleet, &relays, Flow::ToTarget).await;
 }
--- a/bergamotswitch/tests/planned_stop.rs
+++ b/bergamotswitch/tests/planned_stop.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use fleet::caller::{Call, pause, send_all};
-use fleet::{ALL_HOSTS, ENGINES, Fleet, PATIENCE, assert_ran_once, wait_revision, wait_view};
+use fleet::{ALL_HOSTS, ENGINES, Fleet, WAIT_TIMEOUT, assert_ran_once, wait_revision, wait_view};
 use serde_json::Value;
 
 /// By when a caller has been turned away that is turned away at once: it is
@@ -52,7 +52,7 @@
         let answer = answer.expect("answer");
         assert!(answer.is_whole(), "{answer:?}");
     }
-    let status = fleet.hosts[stopping].wait_end(PATIENCE).expect("ends");
+    let status = fleet.hosts[stopping].wait_end(WAIT_TIMEOUT).expect("ends");
     assert_eq!(status.code(), Some(0));
     let runs = fleet.runs().await;
     assert_eq!(runs.len(), 62);
--- a/bergamotswitch/tests/resubmission.rs
+++ b/bergamotswitch/tests/resubmission.rs
@@ -18,7 +18,7 @@
     open.read_output().await;
     let run = open.answer.incarnation();
     drop(open);
-    let again = call.again().with_incarnation(&run);
+    let again = call.as_resubmission().with_incarnation(&run);
     let resent = fleet.hosts.iter().flat_map(|host| {
         let calls = [again.clone(), again.clone(), call.clone()];
         calls.map(|call| (call, host.address()))
--- a/bergamotswitch/tests/rule_change.rs
+++ b/bergamotswitch/tests/rule_change.rs
@@ -115,7 +115,7 @@
             relay.set(if number == reader {
                 Flow::Both
             } else {
-                Flow::Cut
+                Flow::Blocked
             });
         }
         let published = Instant::now();
--- a/bergamotswitch/tests/silent_targets.rs
+++ b/bergamotswitch/tests/silent_targets.rs
@@ -99,7 +99,9 @@
         let call = Call::alert(&format!("alert-{number}"));
         let first = call.send(fleet.hosts[0].address()).await;
         assert!(!first.is_whole(), "{first:?}");
-        let again = call.again().with_incarnation(&first.incarnation());
+        let again = call
+            .as_resubmission()
+            .with_incarnation(&first.incarnation());
         for service in services {
             fleet
                 .set(service, json!({ "drop": null, "error": false }))
--- a/bergamotswitch/tests/slow_callers.rs
+++ b/bergamotswitch/tests/slow_callers.rs
@@ -80,7 +80,7 @@
         }
     }
     let mut answer = String::new();
-    let read = timeout(fleet::PATIENCE, slow.read_to_string(&mut answer));
+    let read = timeout(fleet::WAIT_TIMEOUT, slow.read_to_string(&mut answer));
     read.await.expect("in time").expect("an answer");
     assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("paddock 7"));
 }
@@ -104,7 +104,7 @@
     assert!(first.starts_with(b"HTTP/1.1 200"));
     assert_others_answered(host, "unread", &BOTH_POOLS).await;
     let mut rest = Vec::new();
-    let read = timeout(fleet::PATIENCE, slow.read_to_end(&mut rest));
+    let read = timeout(fleet::WAIT_TIMEOUT, slow.read_to_end(&mut rest));
     read.await.expect("in time").expect("the rest");
     let length = first.len() + rest.len();
     assert!(length > 2 * LARGE_BODY, "whole: {length}");
@@ -176,7 +176,7 @@
         let text = format!("{head}{body}");
         caller.write_all(text.as_bytes()).await.expect("written");
         let mut answer = String::new();
-        let read = timeout(fleet::PATIENCE, caller.read_to_string(&mut answer));
+        let read = timeout(fleet::WAIT_TIMEOUT, caller.read_to_string(&mut answer));
         read.await.expect("in time").expect("an answer");
         assert!(answer.starts_with(&format!("HTTP/1.1 {status}")));
         let body = answer.split("\r\n\r\n").nth(1).expect("a body");
--- a/bergamotswitch/tests/soak_world/mod.rs
+++ b/bergamotswitch/tests/soak_world/mod.rs
@@ -150,7 +150,7 @@
             let name = format!("{service}-{number}");
             let target = UsersTarget::start(&name, events, EVENT_GAP).await;
             let target = target.expect("target");
-            let (relay, address) = Relay::start_anywhere(target.address());
+            let (relay, address) = Relay::start_on_free_port(target.address());
             targets.push(WorldTarget {
                 relay,
                 target,
@@ -162,7 +162,7 @@
         let mut hosts: Vec<WorldHost> = Vec::new();
         let times = plan.grace.map(work::site_times).unwrap_or_default();
         for number in 0..count {
-            let (store_way, way) = Relay::start_anywhere(store.address());
+            let (store_way, way) = Relay::start_on_free_port(store.address());
             let seed = hosts.first().map(|host| host.process.borrow().link);
             hosts.push(WorldHost {
                 process: RefCell::new(start_host_with(number, seed, way, times.grace)),
@@ -261,7 +261,7 @@
 
     /// Wait until all hosts are ready and know each other.
     async fn all_ready(&self, when: &str) {
-        let until = Instant::now() + users::PATIENCE;
+        let until = Instant::now() + users::WAIT_TIMEOUT;
         loop {
             let mut ready = true;
             for host in &self.hosts {
@@ -481,7 +481,7 @@
         let host = &self.hosts[index];
         while !self.keepers_end.get() {
             sleep(Duration::from_millis(20)).await;
-            let Some(status) = host.process.borrow_mut().child.end() else {
+            let Some(status) = host.process.borrow_mut().child.exit_status() else {
                 continue;
             };
             let _guard = DisturbanceGuard::new(&host.disturbed);
--- a/bergamotswitch/tests/soak_world/plan.rs
+++ b/bergamotswitch/tests/soak_world/plan.rs
@@ -247,7 +247,13 @@
 }
 
 fn draw_flow(rng: &mut StdRng) -> Flow {
-    let flows = [Flow::Forth, Flow::Back, Flow::Cut, Flow::Slow, Flow::Reset];
+    let flows = [
+        Flow::ToTarget,
+        Flow::FromTarget,
+        Flow::Blocked,
+        Flow::Slow,
+        Flow::Reset,
+    ];
     flows[rng.random_range(0..flows.len())]
 }
 
--- a/bergamotswitch/tests/stop_bodies.rs
+++ b/bergamotswitch/tests/stop_bodies.rs
@@ -11,7 +11,7 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::time::{Instant, sleep, timeout};
 use users::host_child::PlannedStop;
-use users::{HOST, KEY, PATIENCE, Site, SiteOptions, until};
+use users::{HOST, KEY, Site, SiteOptions, WAIT_TIMEOUT, until};
 
 /// The grace, and how long after the signal callers are taken.
 const GRACE: Duration = Duration::from_secs(8);
@@ -43,7 +43,7 @@
     // A host that has closed the connection takes no more of it.
     let _ = caller.write_all(b"67890").await;
     let mut answer = String::new();
-    let read = timeout(PATIENCE, caller.read_to_string(&mut answer)).await;
+    let read = timeout(WAIT_TIMEOUT, caller.read_to_string(&mut answer)).await;
     assert!(read.is_ok(), "no end of the answer");
     assert!(site.desks.iter().all(|desk| desk.seen().is_empty()));
     answer
--- a/bergamotswitch/tests/users/mod.rs
+++ b/bergamotswitch/tests/users/mod.rs
@@ -30,7 +30,7 @@
 pub use self::ports::free_address;
 
 /// Long enough for a busy machine; no test waits this long in good health.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 /// The host name that callers send.
 pub const HOST: &str = "notices.example";
 /// The key of the one account.
@@ -88,9 +88,9 @@
 
 impl HostProcess {
     pub async fn ended(&mut self) -> ExitStatus {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
-            if let Some(status) = self.child.end() {
+            if let Some(status) = self.child.exit_status() {
                 return status;
             }
             assert!(Instant::now() < until, "the host does not end");
@@ -106,7 +106,7 @@
     /// it, one that has ended, one that is not ready and one that lacks another
     /// look alike.
     async fn standing(&mut self) -> String {
-        let process = match self.child.end() {
+        let process = match self.child.exit_status() {
             Some(status) => format!("ended with {status}"),
             None => format!("process {} runs", self.child.id()),
         };
@@ -224,7 +224,7 @@
                 }
             }
         };
-        if timeout(PATIENCE, ready).await.is_ok() {
+        if timeout(WAIT_TIMEOUT, ready).await.is_ok() {
             return;
         }
         let mut standings = Vec::new();
@@ -424,10 +424,10 @@
         child: HostChild::start(path.clone()),
         settings: path,
     };
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_TIMEOUT;
     // Its own word: on a port that it did not get somebody else answers.
     while !host.child.has_started() {
-        if host.child.end().is_some() {
+        if host.child.exit_status().is_some() {
             return Err(host.child.last_lines());
         }
         assert!(Instant::now() < until, "the host does not start");
@@ -468,7 +468,7 @@
 
 /// Wait until something holds.
 pub async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !holds().await {
         assert!(Instant::now() < end, "never: {what}");
         pause().await;
