--- a/bergamotswitch/tests/fleet/mod.rs
+++ b/bergamotswitch/tests/fleet/mod.rs
@@ -188,7 +188,7 @@
 
     /// Publish token limits so small that a target runs one request of some
     /// hundred tokens at a time, and wait until `hosts` act by them.
-    pub async fn publish_small_targets(&self, tokens: u64) {
+    pub async fn publish_token_limit(&self, tokens: u64) {
         let revision = self
             .publish("pools", |pools| {
                 let targets = pools["pools"][0]["targets"].as_array_mut();
--- a/bergamotswitch/tests/given_up.rs
+++ b/bergamotswitch/tests/given_up.rs
@@ -23,7 +23,7 @@
 #[tokio::test]
 async fn passed_deadline() {
     let fleet = Fleet::start("red-austral").await;
-    fleet.publish_small_targets(600).await;
+    fleet.publish_token_limit(600).await;
     fleet.set_engines(json!({ "slow": 50 })).await;
     let long = (0..36).map(|n| {
         let host = fleet.hosts[n % 3].address();
--- a/bergamotswitch/tests/host_frozen.rs
+++ b/bergamotswitch/tests/host_frozen.rs
@@ -13,7 +13,7 @@
 
 /// Freeze a host in the middle of a burst to all hosts and let it wake up.
 async fn freeze(fleet: &Fleet, frozen: usize) {
-    fleet.publish_small_targets(600).await;
+    fleet.publish_token_limit(600).await;
     let send = |numbers: std::ops::Range<usize>, hosts: &[usize]| {
         let call = |n: usize| {
             let host = fleet.hosts[hosts[n % hosts.len()]].address();
--- a/bergamotswitch/tests/host_killed.rs
+++ b/bergamotswitch/tests/host_killed.rs
@@ -65,7 +65,7 @@
     let owner = fleet.wait_owner(ENGINES, &ALL_HOSTS).await;
     let (dying, other) = (fleet.others(owner)[0], fleet.others(owner)[1]);
     let host = fleet.hosts[dying].address();
-    fleet.publish_small_targets(600).await;
+    fleet.publish_token_limit(600).await;
     fleet.set_engines(json!({ "slow": 20 })).await;
     let run = fleet::view(host).await["run"]
         .as_str()
@@ -104,7 +104,7 @@
     let mut fleet = Fleet::start("red-austral").await;
     let owner = fleet.wait_owner(ENGINES, &ALL_HOSTS).await;
     let living = fleet.others(owner);
-    fleet.publish_small_targets(600).await;
+    fleet.publish_token_limit(600).await;
     let calls: Vec<_> = (0..60)
         .map(|n| {
             let host = fleet.hosts[living[n % 2]].address();
--- a/bergamotswitch/tests/metrics_updated.rs
+++ b/bergamotswitch/tests/metrics_updated.rs
@@ -76,7 +76,7 @@
     fleet.set_engines(json!({ "error": false })).await;
     // A truncated answer wastes its prompt tokens. Requests above the targets'
     // capacity are queued, and shed above the queue limit.
-    fleet.publish_small_targets(600).await;
+    fleet.publish_token_limit(600).await;
     let revision = fleet
         .publish("limits", |limits| {
             limits["queue_limit_requests"] = 20.into();
--- a/bergamotswitch/tests/overload.rs
+++ b/bergamotswitch/tests/overload.rs
@@ -27,7 +27,7 @@
     fleet.publish_queue_limit(QUEUE_MILLIS).await;
     // An engine has room for one dawn report, so that dawn reports wait too
     // and stand in the queue while more sky logs come.
-    fleet.publish_small_targets(700).await;
+    fleet.publish_token_limit(700).await;
     let mut sent = JoinSet::new();
     let send_logs = |sent: &mut JoinSet<_>, numbers: std::ops::Range<usize>| {
         for n in numbers {
--- a/bergamotswitch/tests/partition.rs
+++ b/bergamotswitch/tests/partition.rs
@@ -28,7 +28,7 @@
 async fn part(fleet: &Fleet, relays: &[Relay], flow: Flow) {
     let watch = RevisionWatch::start(fleet, "rules");
     let owner = fleet.wait_owner(ENGINES, &ALL_HOSTS).await;
-    fleet.publish_small_targets(1_200).await;
+    fleet.publish_token_limit(1_200).await;
     let send = |prefix: &str| {
         let call = |n: usize| {
             let host = fleet.hosts[n % 3].address();
--- a/bergamotswitch/tests/planned_stop.rs
+++ b/bergamotswitch/tests/planned_stop.rs
@@ -18,7 +18,7 @@
 
 /// Stop a host with streams in flight and work that waits in it.
 async fn stop(fleet: &mut Fleet, stopping: usize) {
-    fleet.publish_small_targets(600).await;
+    fleet.publish_token_limit(600).await;
     // Addresses lapse long before the work ends: after that nothing but the
     // work itself keeps the process up.
     let lapse = |limits: &mut Value| limits["address_lifetime_ms"] = 3_000.into();
