--- a/bergamotswitch/tests/answer_bound.rs
+++ b/bergamotswitch/tests/answer_bound.rs
@@ -6,7 +6,7 @@
 use fleet::{Fleet, view, wait_revision};
 use serde_json::Value;
 
-const LIMIT: u64 = 65_536;
+const MAX_ANSWER_BYTES: u64 = 65_536;
 
 fn cancelled_runs(ledger: &Value) -> usize {
     let text = ledger.to_string();
@@ -28,7 +28,9 @@
     assert!(kept_bytes.is_some_and(|bytes| bytes > 100), "{before}");
 
     let revision = fleet
-        .publish("limits", |limits| limits["max_answer_bytes"] = LIMIT.into())
+        .publish("limits", |limits| {
+            limits["max_answer_bytes"] = MAX_ANSWER_BYTES.into()
+        })
         .await;
     wait_revision(host, "limits", revision).await;
 
@@ -36,10 +38,17 @@
         max_tokens: 100_000,
         ..plain
     };
-    let cut = endless.send(host, "endless").await.expect("answer");
-    assert_eq!(cut.refusal.as_deref(), Some("answer-truncated"), "{cut:?}");
+    let truncated = endless.send(host, "endless").await.expect("answer");
+    assert_eq!(
+        truncated.refusal.as_deref(),
+        Some("answer-truncated"),
+        "{truncated:?}"
+    );
     let after = view(host).await;
     let kept_bytes = after["desk"]["kept_answer_bytes"].as_u64();
-    assert!(kept_bytes.is_some_and(|bytes| bytes < 2 * LIMIT), "{after}");
+    assert!(
+        kept_bytes.is_some_and(|bytes| bytes < 2 * MAX_ANSWER_BYTES),
+        "{after}"
+    );
     assert!(cancelled_runs(&fleet.ledger().await) > 0, "still running");
 }
--- a/bergamotswitch/tests/fleet/caller.rs
+++ b/bergamotswitch/tests/fleet/caller.rs
@@ -245,7 +245,7 @@
 
     /// Check that the output is the whole one of one run of this very
     /// request, by what the stand-ins' engines make of its body.
-    pub fn assert_own(&self, runs: &[Run], max_tokens: u32) {
+    pub fn assert_own_output(&self, runs: &[Run], max_tokens: u32) {
         assert!(self.is_whole(), "{self:?}");
         let id = format!("{}-", self.request().expect("request"));
         let own = runs.iter().filter(|run| run.request.starts_with(&id));
@@ -255,7 +255,7 @@
     }
 
     /// Check that the output is the whole one of this run.
-    pub fn assert_of(&self, run: &Run, max_tokens: u32) {
+    pub fn assert_output_of(&self, run: &Run, max_tokens: u32) {
         assert!(self.is_whole(), "{self:?}");
         assert_eq!(self.output(), engine_output(run, max_tokens), "{self:?}");
     }
--- a/bergamotswitch/tests/fleet/mod.rs
+++ b/bergamotswitch/tests/fleet/mod.rs
@@ -79,9 +79,9 @@
         self.child.exit_status().is_some()
     }
 
-    pub fn wait_end(&mut self, patience: Duration) -> Option<ExitStatus> {
-        let until = Instant::now() + patience;
-        while Instant::now() < until {
+    pub fn wait_end(&mut self, limit: Duration) -> Option<ExitStatus> {
+        let deadline = Instant::now() + limit;
+        while Instant::now() < deadline {
             if let Some(status) = self.child.exit_status() {
                 return Some(status);
             }
@@ -197,7 +197,7 @@
                 }
             })
             .await;
-        self.wait_adopted("pools", revision).await;
+        self.wait_applied("pools", revision).await;
     }
 
     /// Publish a bound on the drain time of a shard's queue, and wait until
@@ -205,10 +205,10 @@
     pub async fn publish_queue_limit(&self, millis: u64) {
         let change = |limits: &mut Value| limits["queue_limit_ms"] = millis.into();
         let revision = self.publish("limits", change).await;
-        self.wait_adopted("limits", revision).await;
+        self.wait_applied("limits", revision).await;
     }
 
-    async fn wait_adopted(&self, name: &str, revision: u64) {
+    async fn wait_applied(&self, name: &str, revision: u64) {
         for host in &self.hosts {
             wait_revision(host.address(), name, revision).await;
         }
@@ -216,9 +216,9 @@
 
     /// Wait until one host alone among `hosts` acts as the owner of a pool.
     pub async fn wait_owner(&self, pool: &str, hosts: &[usize]) -> usize {
-        let until = Instant::now() + WAIT_TIMEOUT;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         let mut owners = Vec::new();
-        while Instant::now() < until {
+        while Instant::now() < deadline {
             owners.clear();
             for number in hosts {
                 if owns(&view(self.hosts[*number].address()).await, pool) {
@@ -357,7 +357,7 @@
             loop {
                 for (host, highest) in hosts.iter().zip(&mut highest) {
                     // A dead host says nothing; one that starts has none yet.
-                    let view = wait_answer(*host).await.unwrap_or_default();
+                    let view = try_view(*host).await.unwrap_or_default();
                     if view["ready"] == true {
                         let revision = in_force(&view, name);
                         assert!(revision >= *highest, "{host}: {highest} to {revision}");
@@ -371,13 +371,13 @@
 
     /// Check that nothing went back so far.
     pub async fn check(self) {
-        let went_back = self.0.is_finished();
+        let has_failed = self.0.is_finished();
         self.0.abort();
-        assert!(!went_back, "{:?}", self.0.await);
+        assert!(!has_failed, "{:?}", self.0.await);
     }
 }
 
-async fn wait_answer(host: SocketAddr) -> Option<Value> {
+async fn try_view(host: SocketAddr) -> Option<Value> {
     let answer = client::get(host, "/status").await.ok()?;
     serde_json::from_slice(&answer.body).ok()
 }
@@ -403,8 +403,8 @@
 
 /// Wait until `check` holds of a host's view.
 pub async fn wait_view(host: SocketAddr, check: impl Fn(&Value) -> bool) -> Option<Value> {
-    let until = Instant::now() + WAIT_TIMEOUT;
-    while Instant::now() < until {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while Instant::now() < deadline {
         if let Ok(answer) = client::get(host, "/status").await
             && let Ok(view) = serde_json::from_slice::<Value>(&answer.body)
             && check(&view)
--- a/bergamotswitch/tests/fleet/relay.rs
+++ b/bergamotswitch/tests/fleet/relay.rs
@@ -29,11 +29,11 @@
 }
 
 impl Flow {
-    fn passes_forth(self) -> bool {
+    fn passes_to_target(self) -> bool {
         matches!(self, Flow::Both | Flow::ToTarget | Flow::Slow | Flow::Reset)
     }
 
-    fn passes_back(self) -> bool {
+    fn passes_from_target(self) -> bool {
         matches!(
             self,
             Flow::Both | Flow::FromTarget | Flow::Slow | Flow::Reset
@@ -42,27 +42,27 @@
 }
 
 /// How long a slow relay holds each piece of bytes.
-const SLOW_WAY: Duration = Duration::from_millis(150);
+const SLOW_DELAY: Duration = Duration::from_millis(150);
 
 /// A relay before one address. It lives as long as the test's runtime.
 pub struct Relay {
     flow: watch::Sender<Flow>,
     /// How often the open connections were silenced.
-    silences: watch::Sender<u32>,
+    stalls: watch::Sender<u32>,
 }
 
 /// What a connection through a relay goes by.
 #[derive(Clone)]
-struct Way {
+struct ConnectionState {
     flow: watch::Receiver<Flow>,
-    silences: watch::Receiver<u32>,
+    stalls: watch::Receiver<u32>,
     /// The silences before it was opened.
-    opened_after: u32,
+    stalls_at_open: u32,
 }
 
-impl Way {
-    fn is_silenced(&self) -> bool {
-        *self.silences.borrow() != self.opened_after
+impl ConnectionState {
+    fn is_stalled(&self) -> bool {
+        *self.stalls.borrow() != self.stalls_at_open
     }
 }
 
@@ -81,22 +81,22 @@
     }
 
     fn serve(listener: std::net::TcpListener, target: SocketAddr) -> Self {
-        let (flow, seen) = watch::channel(Flow::Both);
-        let (silences, silenced) = watch::channel(0);
+        let (flow, flow_seen) = watch::channel(Flow::Both);
+        let (stalls, stalls_seen) = watch::channel(0);
         listener.set_nonblocking(true).expect("listener");
         let listener = TcpListener::from_std(listener).expect("listener");
         tokio::spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                let opened_after = *silenced.borrow();
-                let way = Way {
-                    flow: seen.clone(),
-                    silences: silenced.clone(),
-                    opened_after,
+            while let Ok((client, _)) = listener.accept().await {
+                let stalls_at_open = *stalls_seen.borrow();
+                let state = ConnectionState {
+                    flow: flow_seen.clone(),
+                    stalls: stalls_seen.clone(),
+                    stalls_at_open,
                 };
-                tokio::spawn(relay(near, target, way));
+                tokio::spawn(relay(client, target, state));
             }
         });
-        Relay { flow, silences }
+        Relay { flow, stalls }
     }
 
     pub fn set(&self, flow: Flow) {
@@ -104,29 +104,34 @@
     }
 
     /// Let the open connections go silent for good; new ones work.
-    pub fn silence_open(&self) {
-        self.silences.send_modify(|count| *count += 1);
+    pub fn stall_open_connections(&self) {
+        self.stalls.send_modify(|count| *count += 1);
     }
 }
 
-async fn relay(near: TcpStream, target: SocketAddr, mut way: Way) {
+async fn relay(client: TcpStream, target: SocketAddr, mut state: ConnectionState) {
     // A connect through a cut does not get anywhere until the cut heals.
-    let open = way
+    let open = state
         .flow
         .wait_for(|flow| *flow != Flow::Blocked)
         .await
         .is_ok();
-    let (true, Ok(far)) = (open, TcpStream::connect(target).await) else {
+    let (true, Ok(server)) = (open, TcpStream::connect(target).await) else {
         return;
     };
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    let mut reset = way.flow.clone();
-    let back = copy(far_read, near_write, way.clone(), Flow::passes_back);
-    let forth = copy(near_read, far_write, way, Flow::passes_forth);
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
+    let mut reset = state.flow.clone();
+    let from_target = copy(
+        server_read,
+        client_write,
+        state.clone(),
+        Flow::passes_from_target,
+    );
+    let to_target = copy(client_read, server_write, state, Flow::passes_to_target);
     tokio::select! {
-        () = back => {}
-        () = forth => {}
+        () = from_target => {}
+        () = to_target => {}
         _ = reset.wait_for(|flow| *flow == Flow::Reset) => {}
     }
 }
@@ -134,21 +139,21 @@
 async fn copy(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut way: Way,
+    mut state: ConnectionState,
     passes: fn(Flow) -> bool,
 ) {
     let mut bytes = vec![0; 16_384];
     loop {
         let read = from.read(&mut bytes).await;
         // The end of a connection does not pass a cut either.
-        if way.flow.wait_for(|flow| passes(*flow)).await.is_err() {
+        if state.flow.wait_for(|flow| passes(*flow)).await.is_err() {
             return;
         }
-        if way.is_silenced() {
+        if state.is_stalled() {
             std::future::pending::<()>().await;
         }
-        if *way.flow.borrow() == Flow::Slow {
-            tokio::time::sleep(SLOW_WAY).await;
+        if *state.flow.borrow() == Flow::Slow {
+            tokio::time::sleep(SLOW_DELAY).await;
         }
         match read {
             Ok(0) | Err(_) => return,
--- a/bergamotswitch/tests/gateway_calls.rs
+++ b/bergamotswitch/tests/gateway_calls.rs
@@ -21,7 +21,7 @@
         .with("target-instance", "engine-1")
         .with("x-own", "kept")
         .body("receipt");
-    let answer = call.send(site.door()).await.expect("answer");
+    let answer = call.send(site.address()).await.expect("answer");
     assert_eq!(answer.status, StatusCode::OK);
     assert!(answer.field("response-seal").starts_with("seal-of-desk"));
     assert_eq!(answer.field("request-id"), "r-1");
@@ -59,12 +59,12 @@
         ),
     ];
     for (call, status) in cases {
-        let answer = call.send(site.door()).await.expect("answer");
+        let answer = call.send(site.address()).await.expect("answer");
         assert_eq!(answer.status, status);
         assert_eq!(answer.field("response-seal"), "");
     }
     let public = Call::new("GET", "/open/1", "r-5").without("authorization");
-    let answer = public.send(site.door()).await.expect("answer");
+    let answer = public.send(site.address()).await.expect("answer");
     assert_eq!(answer.status, StatusCode::OK);
     assert_eq!(seen(&site).len(), 1);
 }
@@ -95,7 +95,7 @@
             "POST /receipt/1 HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: outer\r\n\
              Authorization: Bearer {KEY}\r\nDeadline-Ms: 2000\r\n{framing}\r\n\r\n{body}"
         );
-        let mut stream = TcpStream::connect(site.door()).await.expect("door");
+        let mut stream = TcpStream::connect(site.address()).await.expect("door");
         stream.write_all(text.as_bytes()).await.expect("sent");
         let mut answer = Vec::new();
         // A reset after the answer is as good as its end.
@@ -111,7 +111,7 @@
 // Sequence: a target answers without its signature, or with another call's id.
 // Cause: whatever came over the connection was passed on.
 #[tokio::test]
-async fn wrong_answers() {
+async fn invalid_answers() {
     let site = Site::start(1).await;
     for (number, mood) in [
         TargetMood::Unsigned,
@@ -129,7 +129,7 @@
         let before = seen(&site).len();
         let id = format!("unsafe-{number}");
         let answer = Call::new("POST", "/receipt/1", &id)
-            .send(site.door())
+            .send(site.address())
             .await
             .expect("answer");
         // It may have run, and a second run would do harm.
@@ -139,7 +139,7 @@
         // there is sent to the next one.
         let id = format!("safe-{number}");
         let answer = Call::new("GET", "/status/1", &id)
-            .send(site.door())
+            .send(site.address())
             .await
             .expect("answer");
         assert_eq!(answer.status, StatusCode::OK, "{mood:?}");
@@ -159,7 +159,7 @@
     for number in 0..3 {
         let id = format!("r-{number}");
         let call = Call::new("POST", "/receipt/1", &id);
-        statuses.push(call.send(site.door()).await.expect("answer").status);
+        statuses.push(call.send(site.address()).await.expect("answer").status);
     }
     assert!(statuses.contains(&StatusCode::OK), "{statuses:?}");
     for status in statuses {
@@ -177,7 +177,7 @@
         desk.expect(&[TargetMood::Failing]);
     }
     let answer = Call::new("GET", "/status/1", "r-1")
-        .send(site.door())
+        .send(site.address())
         .await
         .expect("answer");
     assert_eq!(answer.status, StatusCode::INTERNAL_SERVER_ERROR);
@@ -189,7 +189,7 @@
 // Symptom: a call is held beyond the time that its caller waits. Sequence: its
 // target never answers. Cause: no timer of its own.
 #[tokio::test]
-async fn mute_target() {
+async fn unresponsive_target() {
     let site = Site::start(1).await;
     for desk in &site.desks {
         desk.expect(&[TargetMood::Mute, TargetMood::Mute]);
@@ -197,7 +197,7 @@
     let began = std::time::Instant::now();
     let answer = Call::new("POST", "/receipt/1", "r-1")
         .with("deadline-ms", "700")
-        .send(site.door())
+        .send(site.address())
         .await
         .expect("answer");
     assert_eq!(answer.status, StatusCode::GATEWAY_TIMEOUT);
--- a/bergamotswitch/tests/gateway_news.rs
+++ b/bergamotswitch/tests/gateway_news.rs
@@ -15,22 +15,22 @@
 
 async fn status(site: &Site, path: &str, id: &str, key: &str) -> StatusCode {
     let call = Call::new("GET", path, id).with("authorization", &format!("Bearer {key}"));
-    call.send(site.door()).await.expect("answer").status
+    call.send(site.address()).await.expect("answer").status
 }
 
 #[tokio::test]
-async fn found_members() {
+async fn membership_changes() {
     let mut site = Site::start(3).await;
     // One that dies is not named any more, and one that stops at once.
     site.hosts[2].child.kill();
     until("the dead host is dropped", async || {
-        site.hosts[0].named().await.len() == 2
+        site.hosts[0].resolved_addresses().await.len() == 2
     })
     .await;
     site.hosts[1].child.signal("TERM");
     until("the stopping host is not named", async || {
         let own = site.hosts[0].callers.to_string();
-        site.hosts[0].named().await == [own]
+        site.hosts[0].resolved_addresses().await == [own]
     })
     .await;
     assert!(!site.hosts[1].is_ready().await);
@@ -69,7 +69,7 @@
 // silent, the key is revoked, and the host hears nothing of it. Cause: what was
 // last heard was relied on for ever.
 #[tokio::test]
-async fn silent_store() {
+async fn unresponsive_store() {
     let site = Site::start(2).await;
     site.store.set_mood(StoreMood::Silent);
     tokio::time::sleep(Duration::from_millis(REVOKE_MS + 100)).await;
@@ -78,7 +78,7 @@
         assert_eq!(found, StatusCode::SERVICE_UNAVAILABLE, "{path}");
     }
     let public = Call::new("GET", "/open/1", "r-2").without("authorization");
-    let answer = public.send(site.door()).await.expect("answer");
+    let answer = public.send(site.address()).await.expect("answer");
     assert_eq!(answer.status, StatusCode::OK);
     site.store.set_mood(StoreMood::Well);
     until("keys are relied on again", async || {
@@ -90,7 +90,7 @@
 // Symptom: hosts act by old routes for good. Sequence: the store drops its
 // history while routes change. Cause: a watch from before the gap was repeated.
 #[tokio::test]
-async fn lost_history() {
+async fn compacted_history() {
     let mut site = Site::start(1).await;
     site.store.set_mood(StoreMood::Busy);
     site.publish(&[KEY], &["/new/"]);
@@ -105,7 +105,7 @@
 // Symptom: a target that leaves still gets work. Sequence: it registers as
 // draining, then its entry goes. Cause: the change was not followed.
 #[tokio::test]
-async fn leaving_target() {
+async fn draining_target() {
     let site = Site::start(2).await;
     site.register("desk", &site.desks[0], "draining");
     tokio::time::sleep(Duration::from_millis(1_000)).await;
@@ -176,8 +176,8 @@
 }
 
 /// Let the target die behind a cut and start again under its name.
-async fn start_again(site: &Site, desk: &UsersTarget, relay: &Relay, address: SocketAddr) {
-    relay.silence_open();
+async fn restart_target(site: &Site, desk: &UsersTarget, relay: &Relay, address: SocketAddr) {
+    relay.stall_open_connections();
     desk.expect_only(&[]);
     desk.restart();
     let entry = desk.registration("desk", address, "ready");
@@ -185,7 +185,7 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
 }
 
-async fn assert_quick(site: &Site) {
+async fn assert_answered_quickly(site: &Site) {
     for number in 0..4 {
         let id = format!("r-{number}");
         let begun = Instant::now();
@@ -198,20 +198,20 @@
 // target dies behind a cut with its places taken and starts again under its
 // name. Cause: the places of the former run stood taken.
 #[tokio::test]
-async fn born_again() {
+async fn restarted_target() {
     let (site, desk, relay, address) = site_behind_relay().await;
     // Calls that nobody answers fill its places.
     desk.expect(&vec![TargetMood::Mute; 16]);
-    let door = site.door();
+    let site_address = site.address();
     let stuck: Vec<_> = (0..16)
         .map(|number| {
             let call = Call::new("GET", "/status/1", &format!("stuck-{number}"));
-            tokio::spawn(async move { call.send(door).await })
+            tokio::spawn(async move { call.send(site_address).await })
         })
         .collect();
     tokio::time::sleep(Duration::from_millis(300)).await;
-    start_again(&site, &desk, &relay, address).await;
-    assert_quick(&site).await;
+    restart_target(&site, &desk, &relay, address).await;
+    assert_answered_quickly(&site).await;
     for call in stuck {
         call.abort();
     }
@@ -225,13 +225,13 @@
     let (site, desk, relay, address) = site_behind_relay().await;
     let calls = (0..4).map(|number| {
         let call = Call::new("GET", "/status/1", &format!("idle-{number}"));
-        let door = site.door();
-        tokio::spawn(async move { call.send(door).await })
+        let site_address = site.address();
+        tokio::spawn(async move { call.send(site_address).await })
     });
     for call in calls.collect::<Vec<_>>() {
         let answer = call.await.expect("no panic").expect("answer");
         assert_eq!(answer.status, StatusCode::OK);
     }
-    start_again(&site, &desk, &relay, address).await;
-    assert_quick(&site).await;
+    restart_target(&site, &desk, &relay, address).await;
+    assert_answered_quickly(&site).await;
 }
--- a/bergamotswitch/tests/gateway_streams.rs
+++ b/bergamotswitch/tests/gateway_streams.rs
@@ -14,7 +14,7 @@
 }
 
 /// A stopping host's grace: 8 s, less a second for a busy machine.
-const STOP_TIME: Duration = Duration::from_secs(7);
+const STOP_TIMEOUT: Duration = Duration::from_secs(7);
 /// The callers: enough for a call to be under way at each moment.
 const STOP_CALLERS: usize = 12;
 /// The calls that each caller sends one after the other: more than fit in the
@@ -22,8 +22,8 @@
 const STOP_CALLS: usize = 2_000;
 
 /// Stop the host in the middle of a stream, which goes on to its end.
-async fn stop_midway(site: &mut Site) {
-    let response = Call::stream("/draft/1", "r-1").open(site.door()).await;
+async fn stop_mid_stream(site: &mut Site) {
+    let response = Call::stream("/draft/1", "r-1").open(site.address()).await;
     let mut body = response.expect("answer").into_body();
     let first = body.frame().await.expect("piece").expect("piece");
     let mut bytes = first.into_data().unwrap_or_default().to_vec();
@@ -33,14 +33,14 @@
         bytes.extend(frame.into_data().unwrap_or_default());
     }
     assert_eq!(String::from_utf8_lossy(&bytes), whole_stream());
-    assert!(site.hosts[0].ended().await.success());
+    assert!(site.hosts[0].wait_end().await.success());
 }
 
 #[tokio::test]
 async fn whole_events() {
     let site = Site::start(1).await;
     let answer = Call::stream("/draft/1", "r-1")
-        .send(site.door())
+        .send(site.address())
         .await
         .expect("answer");
     assert_eq!(answer.status, StatusCode::OK);
@@ -53,7 +53,7 @@
 // closes the connection in the middle of the fourth event. Cause: what had
 // come was passed on as it came, and nothing carried the stream on.
 #[tokio::test]
-async fn carried_on() {
+async fn resumed_stream() {
     let site = Site::start(1).await;
     for engine in &site.engines {
         engine.expect(&[TargetMood::BreakAfter(3)]);
@@ -61,7 +61,7 @@
     // The first engine breaks off after three events, the second one after
     // three more; two runs are allowed, so the stream ends there.
     let answer = Call::stream("/draft/1", "r-1")
-        .send(site.door())
+        .send(site.address())
         .await
         .expect("answer");
     assert!(!answer.whole);
@@ -69,7 +69,7 @@
     assert_eq!(answer.text(), six);
     // Now one engine breaks off and the other one carries on.
     let answer = Call::stream("/draft/1", "r-2")
-        .send(site.door())
+        .send(site.address())
         .await
         .expect("answer");
     assert!(answer.whole);
@@ -88,13 +88,13 @@
 // broke off. Sequence: the connection closes after two events. Cause: the end
 // of the connection was taken for the end of the answer.
 #[tokio::test]
-async fn cut_short() {
+async fn truncated_stream() {
     let site = Site::start(1).await;
     for engine in &site.engines {
         engine.expect(&[TargetMood::BreakAfter(2)]);
     }
     let answer = Call::stream("/once/1", "r-1")
-        .send(site.door())
+        .send(site.address())
         .await
         .expect("answer");
     assert!(!answer.whole);
@@ -117,14 +117,14 @@
         }
     };
     break_all();
-    let answer = Call::stream("/once/1", "r-1").send(site.door()).await;
+    let answer = Call::stream("/once/1", "r-1").send(site.address()).await;
     let answer = answer.expect("answer");
     assert!(!answer.whole, "{answer:?}");
     let seven: String = (1..=7).map(event_text).collect();
     assert_eq!(answer.text(), seven);
     // Another target makes the last event of a stream that may be carried on.
     break_all();
-    let answer = Call::stream("/draft/1", "r-2").send(site.door()).await;
+    let answer = Call::stream("/draft/1", "r-2").send(site.address()).await;
     let answer = answer.expect("answer");
     assert!(answer.whole, "{answer:?}");
     assert_eq!(answer.text(), whole_stream());
@@ -145,26 +145,26 @@
     for engine in &site.engines {
         engine.expect(&[TargetMood::PauseAfter(3, LONG_PAUSE)]);
     }
-    stop_midway(&mut site).await;
+    stop_mid_stream(&mut site).await;
 }
 
 // Symptom: a stream hangs behind a target that makes nothing any more. Sequence:
 // its target stands still in the middle; another one could carry the stream on.
 // Cause guarded against: waiting for a silent target where another run may follow.
 #[tokio::test]
-async fn pause_carried_on() {
+async fn stalled_stream_resumed() {
     let site = Site::start(1).await;
     for engine in &site.engines {
         engine.expect(&[TargetMood::PauseAfter(3, Duration::from_secs(3_600))]);
     }
-    let answer = Call::stream("/draft/1", "r-1").send(site.door()).await;
+    let answer = Call::stream("/draft/1", "r-1").send(site.address()).await;
     let answer = answer.expect("answer");
     // The second engine stands still after three more, and no third run may
     // follow: its caller's deadline ends the stream.
     assert!(!answer.whole);
     let six: String = (1..=6).map(event_text).collect();
     assert_eq!(answer.text(), six);
-    let answer = Call::stream("/draft/1", "r-2").send(site.door()).await;
+    let answer = Call::stream("/draft/1", "r-2").send(site.address()).await;
     assert_eq!(answer.expect("answer").text(), whole_stream());
 }
 
@@ -175,7 +175,7 @@
 #[tokio::test]
 async fn stop_in_stream() {
     let mut site = Site::start(1).await;
-    stop_midway(&mut site).await;
+    stop_mid_stream(&mut site).await;
 }
 
 // Symptom: a host is still there at the end of its grace, is killed and cuts the
@@ -185,13 +185,13 @@
 #[tokio::test]
 async fn stop_under_load() {
     let mut site = Site::start(1).await;
-    let door = site.door();
+    let address = site.address();
     let callers = (0..STOP_CALLERS).map(|caller| {
         tokio::spawn(async move {
             let mut answered = 0;
             for call in 0..STOP_CALLS {
                 let id = format!("r-{caller}-{call}");
-                match Call::stream("/draft/1", &id).send(door).await {
+                match Call::stream("/draft/1", &id).send(address).await {
                     Ok(_) => answered += 1,
                     Err(_) => break,
                 }
@@ -202,7 +202,7 @@
     let callers: Vec<_> = callers.collect();
     tokio::time::sleep(Duration::from_millis(300)).await;
     site.hosts[0].child.signal("TERM");
-    let ended = tokio::time::timeout(STOP_TIME, site.hosts[0].ended()).await;
+    let ended = tokio::time::timeout(STOP_TIMEOUT, site.hosts[0].wait_end()).await;
     assert!(ended.expect("an end within the grace").success());
     for caller in callers {
         assert!(caller.await.expect("task") > 1);
@@ -212,9 +212,9 @@
 // Symptom: an engine works on for a caller that left. Sequence: the caller
 // closes its connection after the first event. Cause: nobody told the loop.
 #[tokio::test]
-async fn caller_leaves() {
+async fn caller_disconnects() {
     let site = Site::start(1).await;
-    let response = Call::stream("/draft/1", "r-1").open(site.door()).await;
+    let response = Call::stream("/draft/1", "r-1").open(site.address()).await;
     let mut body = response.expect("answer").into_body();
     body.frame().await.expect("piece").expect("piece");
     drop(body);
@@ -223,7 +223,7 @@
     tokio::time::sleep(Duration::from_millis(100)).await;
     let calls = (0..8).map(|number| {
         let id = format!("r-{}", number + 2);
-        tokio::spawn(Call::stream("/draft/1", &id).send(site.door()))
+        tokio::spawn(Call::stream("/draft/1", &id).send(site.address()))
     });
     for call in calls.collect::<Vec<_>>() {
         let answer = call.await.expect("task").expect("answer");
@@ -252,9 +252,9 @@
         ..SiteOptions::default()
     })
     .await;
-    let door = site.door();
+    let address = site.address();
     let held = Call::stream("/draft/1", "held").with("deadline-ms", "15000");
-    let held = tokio::spawn(async move { held.send(door).await });
+    let held = tokio::spawn(async move { held.send(address).await });
     let is_busy = |engine: &UsersTarget| engine.seen().iter().any(|call| call.ran);
     until("a target runs the stream", async || {
         site.engines.iter().any(is_busy)
@@ -263,7 +263,7 @@
     let free = site.engines.iter().find(|engine| !is_busy(engine));
     free.expect("one runs nothing")
         .expect(&[TargetMood::Failing]);
-    let mut connection = KeptConnection::open(door).await.expect("connection");
+    let mut connection = KeptConnection::open(address).await.expect("connection");
     let call = Call::stream("/draft/1", "refused").with("deadline-ms", "2000");
     let answer = connection.send(call).await.expect("an answer");
     assert!(answer.whole, "{answer:?}");
@@ -289,7 +289,7 @@
             engine.expect_only(&[TargetMood::BreakAfter(1)]);
         }
         let call = Call::stream("/once/1", &format!("early-{number}"));
-        let answer = call.send(site.door()).await.expect("head");
+        let answer = call.send(site.address()).await.expect("head");
         assert!(!answer.whole, "{answer:?}");
         assert_eq!(answer.text(), event_text(1));
     }
--- a/bergamotswitch/tests/given_up.rs
+++ b/bergamotswitch/tests/given_up.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 
 /// Far below the time that the work ahead would take.
-const AT_ONCE: Duration = Duration::from_secs(5);
+const IMMEDIATE: Duration = Duration::from_secs(5);
 
 fn assert_not_run(answer: &Answer, runs: &[Run]) {
     assert_eq!(answer.ran(), "no", "{answer:?}");
@@ -40,7 +40,7 @@
         (call, fleet.hosts[n % 3].address())
     });
     let answers = send_all(hasty.collect()).await;
-    assert!(sent.elapsed() < AT_ONCE, "{:?}", sent.elapsed());
+    assert!(sent.elapsed() < IMMEDIATE, "{:?}", sent.elapsed());
     let runs = fleet.runs().await;
     for answer in answers {
         let answer = answer.expect("answer");
@@ -54,7 +54,7 @@
 // connect. Sequence: all engines close their listeners. Cause: attempts
 // without a bound.
 #[tokio::test]
-async fn no_connection() {
+async fn refused_connections() {
     let fleet = Fleet::start("red-austral").await;
     fleet.set_engines(json!({ "reject": true })).await;
     let sent = Instant::now();
--- a/bergamotswitch/tests/host_child/mod.rs
+++ b/bergamotswitch/tests/host_child/mod.rs
@@ -15,10 +15,10 @@
 use tokio::time::Instant;
 
 /// How often a stopping process is looked at.
-const LOOK_INTERVAL: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// How the line begins that a host writes once it listens on all its addresses.
-const STARTED: &str = "ready callers=";
+const READY_PREFIX: &str = "ready callers=";
 
 /// The lines that are shown of what a host wrote.
 const LAST_LINES: usize = 5;
@@ -138,7 +138,7 @@
     }
 
     /// Wait until so long after the signal.
-    pub async fn at(&self, after: Duration) {
+    pub async fn wait_until(&self, after: Duration) {
         tokio::time::sleep_until(self.begun + after).await;
     }
 
@@ -173,7 +173,7 @@
         if let Some(status) = lock(&host).exit_status() {
             return StopEnd::Ended(status);
         }
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     lock(&host).kill();
     StopEnd::Killed
@@ -226,7 +226,7 @@
             writeln!(file, "{text}").expect("log file");
         }
         let mut seen = lock(seen);
-        seen.started |= text.starts_with(STARTED);
+        seen.started |= text.starts_with(READY_PREFIX);
         seen.last.push_back(text);
         if seen.last.len() > LAST_LINES {
             seen.last.pop_front();
--- a/bergamotswitch/tests/host_frozen.rs
+++ b/bergamotswitch/tests/host_frozen.rs
@@ -9,10 +9,10 @@
 use serde_json::Value;
 
 /// Longer than the suspicion time and a permit's life together.
-const SLEEP: Duration = Duration::from_secs(6);
+const PAUSE: Duration = Duration::from_secs(6);
 
 /// Freeze a host in the middle of a burst to all hosts and let it wake up.
-async fn freeze(fleet: &Fleet, frozen: usize) {
+async fn suspend(fleet: &Fleet, suspended: usize) {
     fleet.publish_token_limit(600).await;
     let send = |numbers: std::ops::Range<usize>, hosts: &[usize]| {
         let call = |n: usize| {
@@ -25,13 +25,13 @@
     while fleet.runs().await.len() < 20 {
         pause().await;
     }
-    fleet.hosts[frozen].signal("STOP");
-    let awake = fleet.others(frozen);
-    let meanwhile = send(90..120, &awake);
+    fleet.hosts[suspended].signal("STOP");
+    let running = fleet.others(suspended);
+    let meanwhile = send(90..120, &running);
     // The sleep is the fault itself: nothing can be polled of a stopped
     // process, and what others do meanwhile is looked at below.
-    tokio::time::sleep(SLEEP).await;
-    fleet.hosts[frozen].signal("CONT");
+    tokio::time::sleep(PAUSE).await;
+    fleet.hosts[suspended].signal("CONT");
     for sent in [burst, meanwhile] {
         for answer in sent.await.expect("calls") {
             let answer = answer.expect("answer");
@@ -44,7 +44,7 @@
     assert_eq!(runs.len(), 120);
 }
 
-fn noticed_pause(metrics: &str) -> bool {
+fn has_logged_pause(metrics: &str) -> bool {
     let count = metrics
         .lines()
         .find_map(|line| line.strip_prefix("bergamot_incidents_total{number=\"104\"} "));
@@ -59,9 +59,9 @@
 async fn owner_frozen() {
     let fleet = Fleet::start("red-austral").await;
     let owner = fleet.wait_owner(ENGINES, &ALL_HOSTS).await;
-    freeze(&fleet, owner).await;
+    suspend(&fleet, owner).await;
     let host = fleet.hosts[owner].address();
-    assert!(noticed_pause(&fleet::metrics(host).await));
+    assert!(has_logged_pause(&fleet::metrics(host).await));
     // The first candidate gets its shard back, and nobody else keeps it.
     let back = wait_view(host, |view: &Value| owns(view, ENGINES)).await;
     assert!(back.is_some());
@@ -79,10 +79,10 @@
 async fn entry_frozen() {
     let fleet = Fleet::start("red-austral").await;
     let owner = fleet.wait_owner(ENGINES, &ALL_HOSTS).await;
-    let frozen = fleet.others(owner)[0];
-    freeze(&fleet, frozen).await;
-    assert!(noticed_pause(
-        &fleet::metrics(fleet.hosts[frozen].address()).await
+    let suspended = fleet.others(owner)[0];
+    suspend(&fleet, suspended).await;
+    assert!(has_logged_pause(
+        &fleet::metrics(fleet.hosts[suspended].address()).await
     ));
     // No slot stays taken by a permit that was never used.
     let owner = fleet.hosts[owner].address();
@@ -99,13 +99,13 @@
 // while it slept was dropped, or the stream was taken for broken and run
 // again.
 #[tokio::test]
-async fn stream_frozen() {
+async fn stream_suspended() {
     let fleet = Fleet::start("red-austral").await;
     let host = &fleet.hosts[0];
     let mut open = Call::report("fall-1", 1_500).begin(host.address()).await;
     open.as_mut().expect("head").read_output().await;
     host.signal("STOP");
-    tokio::time::sleep(SLEEP).await;
+    tokio::time::sleep(PAUSE).await;
     host.signal("CONT");
     let answer = open.expect("head").finish().await;
     assert!(answer.is_whole());
--- a/bergamotswitch/tests/host_killed.rs
+++ b/bergamotswitch/tests/host_killed.rs
@@ -21,13 +21,13 @@
 async fn stream_lost() {
     let mut fleet = Fleet::start("red-austral").await;
     let owner = fleet.wait_owner(ENGINES, &ALL_HOSTS).await;
-    let (dying, other) = (fleet.others(owner)[0], fleet.others(owner)[1]);
-    let host = fleet.hosts[dying].address();
+    let (victim, other) = (fleet.others(owner)[0], fleet.others(owner)[1]);
+    let host = fleet.hosts[victim].address();
     let call = Call::report("fall-1", 2_000);
     let mut open = call.begin(host).await.expect("head");
     open.read_output().await;
     let run = open.answer.incarnation();
-    fleet.hosts[dying].kill();
+    fleet.hosts[victim].kill();
     let answer = open.finish().await;
     assert!(!answer.is_whole(), "{answer:?}");
 
@@ -41,7 +41,7 @@
             "{answer:?}"
         );
     }
-    fleet.hosts[dying].restart();
+    fleet.hosts[victim].restart();
     let ready = fleet::wait_view(host, |view| view["ready"] == true).await;
     assert!(ready.is_some());
     assert_lost(&resent.send(host).await);
@@ -63,8 +63,8 @@
 async fn waiting_lost() {
     let mut fleet = Fleet::start("red-austral").await;
     let owner = fleet.wait_owner(ENGINES, &ALL_HOSTS).await;
-    let (dying, other) = (fleet.others(owner)[0], fleet.others(owner)[1]);
-    let host = fleet.hosts[dying].address();
+    let (victim, other) = (fleet.others(owner)[0], fleet.others(owner)[1]);
+    let host = fleet.hosts[victim].address();
     fleet.publish_token_limit(600).await;
     fleet.set_engines(json!({ "slow": 20 })).await;
     let run = fleet::view(host).await["run"]
@@ -79,7 +79,7 @@
     let sent = tokio::spawn(send_all(sent));
 
     assert!(fleet::wait_view(host, waiting).await.is_some());
-    fleet.hosts[dying].kill();
+    fleet.hosts[victim].kill();
     let first = sent.await.expect("calls");
 
     let to = fleet.hosts[other].address();
--- a/bergamotswitch/tests/host_late.rs
+++ b/bergamotswitch/tests/host_late.rs
@@ -11,18 +11,18 @@
 
 /// Longer than half of the time after which a host is suspected, and longer than
 /// all of it.
-const STANDSTILLS: [Duration; 2] = [Duration::from_millis(1_200), Duration::from_millis(2_200)];
+const PAUSES: [Duration; 2] = [Duration::from_millis(1_200), Duration::from_millis(2_200)];
 /// More than the engines run at once, so that most of them wait.
 const CALLS_PER_HOST: usize = 20;
 /// Longer than all of them take.
-const NO_HURRY: Duration = Duration::from_secs(60);
+const ROUTE_TIMEOUT: Duration = Duration::from_secs(60);
 
 async fn busy_site() -> Site {
     Site::start_with(SiteOptions {
         hosts: 3,
         gap: Duration::from_millis(50),
-        aim: Duration::from_secs(10),
-        timeout: NO_HURRY,
+        target_latency: Duration::from_secs(10),
+        timeout: ROUTE_TIMEOUT,
         ..SiteOptions::default()
     })
     .await
@@ -31,12 +31,12 @@
 /// Send calls to each host that an account within its quota may send.
 fn send_calls(site: &Site, name: &str) -> JoinSet<(String, StatusCode)> {
     let mut calls = JoinSet::new();
-    for (at, host) in site.hosts.iter().enumerate() {
+    for (index, host) in site.hosts.iter().enumerate() {
         for number in 0..CALLS_PER_HOST {
-            let (id, door) = (format!("{name}-{at}-{number}"), host.callers);
+            let (id, address) = (format!("{name}-{index}-{number}"), host.callers);
             let call = Call::stream("/draft/1", &id).with("deadline-ms", "30000");
             calls.spawn(async move {
-                let answer = call.send(door).await.expect("answer");
+                let answer = call.send(address).await.expect("answer");
                 (id, answer.status)
             });
         }
@@ -53,15 +53,15 @@
 #[tokio::test]
 async fn within_quota() {
     let site = busy_site().await;
-    for late in 0..site.hosts.len() {
-        for span in STANDSTILLS {
+    for paused in 0..site.hosts.len() {
+        for pause in PAUSES {
             let before = runs_at(&site);
-            let name = format!("late-{late}-{}", span.as_millis());
+            let name = format!("late-{paused}-{}", pause.as_millis());
             let calls = send_calls(&site, &name);
             until("engines run", async || runs_at(&site) > before).await;
-            site.hosts[late].child.signal("STOP");
-            tokio::time::sleep(span).await;
-            site.hosts[late].child.signal("CONT");
+            site.hosts[paused].child.signal("STOP");
+            tokio::time::sleep(pause).await;
+            site.hosts[paused].child.signal("CONT");
             for (id, status) in calls.join_all().await {
                 assert_ne!(status, StatusCode::TOO_MANY_REQUESTS, "{id}");
             }
--- a/bergamotswitch/tests/host_start.rs
+++ b/bergamotswitch/tests/host_start.rs
@@ -41,7 +41,7 @@
 // Guards against hosts that end at their restart because another test program took
 // their port while they were down.
 #[test]
-fn claimed_ports() {
+fn reserved_ports() {
     const DRAWS: usize = 300;
     let mut pools = [PortPool::new(), PortPool::new()];
     let [first, second] = pools.each_mut().map(|pool| {
--- a/bergamotswitch/tests/overload.rs
+++ b/bergamotswitch/tests/overload.rs
@@ -15,7 +15,7 @@
 
 /// Tokens of a long sky log: a hundred of them are more than the engines do
 /// in the longest time that a shard's queue may take to drain.
-const LONG: u32 = 30_000;
+const LONG_LOG_TOKENS: u32 = 30_000;
 
 // Symptom: a dawn report was refused while sky logs were kept, or a request
 // that was refused as not run had run. Sequence: far more sky logs than the
@@ -32,14 +32,14 @@
     let send_logs = |sent: &mut JoinSet<_>, numbers: std::ops::Range<usize>| {
         for n in numbers {
             let host = fleet.hosts[n % 3].address();
-            let call = Call::sky_log(&format!("night-{n}"), LONG);
+            let call = Call::sky_log(&format!("night-{n}"), LONG_LOG_TOKENS);
             sent.spawn(async move { call.try_send(host).await });
         }
     };
     send_logs(&mut sent, 0..100);
     let mut refused = Vec::new();
-    let until = Instant::now() + WAIT_TIMEOUT;
-    while refused.len() < 5 && Instant::now() < until {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while refused.len() < 5 && Instant::now() < deadline {
         if let Some(answer) = sent.join_next().await {
             refused.push(answer.expect("call").expect("answer"));
         }
@@ -59,7 +59,7 @@
     let answers = dawn.await.expect("calls");
     let runs = fleet.runs().await;
     for answer in answers {
-        answer.expect("answer").assert_own(&runs, 400);
+        answer.expect("answer").assert_own_output(&runs, 400);
     }
     while let Ok(Some(answer)) =
         tokio::time::timeout(Duration::from_millis(200), sent.join_next()).await
--- a/bergamotswitch/tests/partition.rs
+++ b/bergamotswitch/tests/partition.rs
@@ -25,7 +25,7 @@
     .await
 }
 
-async fn part(fleet: &Fleet, relays: &[Relay], flow: Flow) {
+async fn partition(fleet: &Fleet, relays: &[Relay], flow: Flow) {
     let watch = RevisionWatch::start(fleet, "rules");
     let owner = fleet.wait_owner(ENGINES, &ALL_HOSTS).await;
     fleet.publish_token_limit(1_200).await;
@@ -49,7 +49,7 @@
         let alone = |view: &Value| owns(view, ENGINES) || view["degraded"].as_u64() > Some(0);
         assert!(wait_view(host, alone).await.is_some(), "host {number}");
     }
-    let parted = send("parted");
+    let partitioned = send("parted");
     // A caller that names the holder is served through any host.
     let call = Call::report("named", 400);
     let mut open = call.begin(fleet.hosts[0].address()).await.expect("head");
@@ -68,14 +68,14 @@
     let healed = fleet.wait_owner(ENGINES, &ALL_HOSTS).await;
     assert_eq!(healed, owner);
     let after = send("after");
-    for sent in [burst, parted, after] {
+    for sent in [burst, partitioned, after] {
         for answer in sent.await.expect("calls") {
             let answer = answer.expect("answer");
             assert!(answer.is_whole(), "{answer:?}");
         }
     }
     let runs = fleet.runs().await;
-    open.finish().await.assert_own(&runs, 400);
+    open.finish().await.assert_own_output(&runs, 400);
     assert!(named.is_whole());
     assert_eq!(runs.len(), 181);
     assert_ran_once(&runs);
@@ -92,15 +92,15 @@
 // come back. Cause: asks and permits on their way at the cut, owners on both
 // sides of it, and values that only links would spread.
 #[tokio::test]
-async fn links_silent() {
+async fn links_blocked() {
     let (fleet, relays) = start().await;
-    part(&fleet, &relays, Flow::Blocked).await;
+    partition(&fleet, &relays, Flow::Blocked).await;
 }
 
 // Symptom: as above. Sequence: the links go silent in one direction only.
 // Cause: a host that hears its peer takes the path for whole.
 #[tokio::test]
-async fn one_way() {
+async fn one_way_links() {
     let (fleet, relays) = start().await;
-    part(&fleet, &relays, Flow::ToTarget).await;
+    partition(&fleet, &relays, Flow::ToTarget).await;
 }
--- a/bergamotswitch/tests/planned_stop.rs
+++ b/bergamotswitch/tests/planned_stop.rs
@@ -12,7 +12,7 @@
 
 /// By when a caller has been turned away that is turned away at once: it is
 /// told without waiting for anything, so this allows for a busy machine alone.
-const AT_ONCE: Duration = Duration::from_secs(1);
+const IMMEDIATE: Duration = Duration::from_secs(1);
 /// The tokens of a report that an engine of Red Austral writes in some 6 s.
 const REPORT_TOKENS: u32 = 2_000;
 
@@ -21,8 +21,8 @@
     fleet.publish_token_limit(600).await;
     // Addresses lapse long before the work ends: after that nothing but the
     // work itself keeps the process up.
-    let lapse = |limits: &mut Value| limits["address_lifetime_ms"] = 3_000.into();
-    let revision = fleet.publish("limits", lapse).await;
+    let set_lifetime = |limits: &mut Value| limits["address_lifetime_ms"] = 3_000.into();
+    let revision = fleet.publish("limits", set_lifetime).await;
     wait_revision(fleet.hosts[stopping].address(), "limits", revision).await;
     let host = fleet.hosts[stopping].address();
     let mut open = Call::report("long", 3_000).begin(host).await.expect("head");
@@ -101,14 +101,14 @@
     let before = Call::report("before", REPORT_TOKENS);
     assert!(before.send(stopping).await.is_whole());
     let stop = fleet.hosts.remove(others[0]).stop(grace);
-    stop.at(Duration::from_millis(3_500)).await;
+    stop.wait_until(Duration::from_millis(3_500)).await;
 
-    let asked_at = Instant::now();
+    let sent_at = Instant::now();
     let late = Call::report("late", REPORT_TOKENS);
     let answer = late.send(stopping).await;
     assert_eq!(answer.code(), "stopping", "{answer:?}");
     assert_eq!(answer.ran(), "no", "{answer:?}");
-    assert!(asked_at.elapsed() < AT_ONCE, "{answer:?}");
+    assert!(sent_at.elapsed() < IMMEDIATE, "{answer:?}");
     // It was told that it has not run, so it is sent anew and not marked as a
     // copy: of a marked one another host cannot know what became.
     let answer = Call::report("late", REPORT_TOKENS).send(other).await;
@@ -121,7 +121,7 @@
 
 /// Ask a stopping host for a report that fits in the grace that it was started
 /// with, and not in the one that its settings file names since.
-async fn ask_reloaded(during: bool) {
+async fn send_after_reload(during: bool) {
     let (started_with, reloaded_to) = (Duration::from_secs(20), Duration::from_secs(8));
     let (mut fleet, paths) = Fleet::start_with("red-austral", |stage| {
         fleet::set_grace(stage, started_with);
@@ -137,19 +137,19 @@
     write_grace(&paths[others[0]], reloaded_to);
     if !during {
         host.signal("HUP");
-        reloaded(address).await;
+        wait_reloaded(address).await;
     }
     let stop = host.stop(reloaded_to);
     if during {
         stop.signal("HUP");
-        reloaded(address).await;
+        wait_reloaded(address).await;
     }
-    stop.at(Duration::from_millis(3_500)).await;
-    let asked_at = Instant::now();
+    stop.wait_until(Duration::from_millis(3_500)).await;
+    let sent_at = Instant::now();
     let late = Call::report("late", REPORT_TOKENS).send(address).await;
     assert_eq!(late.code(), "stopping", "{late:?}");
     assert_eq!(late.ran(), "no", "{late:?}");
-    assert!(asked_at.elapsed() < AT_ONCE, "{late:?}");
+    assert!(sent_at.elapsed() < IMMEDIATE, "{late:?}");
     assert!(stop.end().await.is_clean());
     assert_eq!(fleet.runs().await.len(), 1);
 }
@@ -166,7 +166,7 @@
 }
 
 /// Wait until a host has read its changed settings.
-async fn reloaded(host: SocketAddr) {
+async fn wait_reloaded(host: SocketAddr) {
     while !fleet::metrics(host).await.contains("{number=\"105\"} 1") {
         pause().await;
     }
@@ -178,13 +178,13 @@
 // looked at.
 #[tokio::test]
 async fn reload_before_stop() {
-    ask_reloaded(false).await;
+    send_after_reload(false).await;
 }
 
 // Symptom, sequence and cause: as above, where SIGTERM comes first.
 #[tokio::test]
 async fn reload_during_stop() {
-    ask_reloaded(true).await;
+    send_after_reload(true).await;
 }
 
 // Symptom: requests at other hosts wait or fail while one host is stopped.
--- a/bergamotswitch/tests/refusal_counters.rs
+++ b/bergamotswitch/tests/refusal_counters.rs
@@ -57,7 +57,7 @@
         .expect("head");
     open.read_output().await;
     let stop = fleet.hosts.remove(others[0]).stop(grace);
-    stop.at(Duration::from_millis(3_500)).await;
+    stop.wait_until(Duration::from_millis(3_500)).await;
     let late = Call::report("late", REPORT_TOKENS).send(host).await;
     assert_eq!(late.code(), "stopping", "{late:?}");
     let page = fleet::metrics(host).await;
--- a/bergamotswitch/tests/resubmission.rs
+++ b/bergamotswitch/tests/resubmission.rs
@@ -27,13 +27,13 @@
     let runs = fleet.runs().await;
     for answer in answers {
         let answer = answer.expect("answer");
-        answer.assert_of(&runs[0], 1_500);
+        answer.assert_output_of(&runs[0], 1_500);
         assert_eq!(answer.incarnation(), run);
     }
     assert_eq!(runs.len(), 1, "{runs:?}");
     // The answer is kept: it comes again when all is over.
     let kept = again.send(fleet.hosts[1].address()).await;
-    kept.assert_of(&runs[0], 1_500);
+    kept.assert_output_of(&runs[0], 1_500);
     assert_eq!(fleet.runs().await.len(), 1);
 }
 
@@ -41,7 +41,7 @@
 // the same alert to all hosts at the same time. Cause: each host takes it for
 // new.
 #[tokio::test]
-async fn same_moment() {
+async fn concurrent_submissions() {
     let fleet = Fleet::start("red-austral").await;
     for round in 0..10 {
         let calls = fleet.hosts.iter().flat_map(|host| {
@@ -71,7 +71,7 @@
     let call = Call::report("fall-1", 50);
     let first = call.send(fleet.hosts[others[0]].address()).await;
     let runs = fleet.runs().await;
-    first.assert_of(&runs[0], 50);
+    first.assert_output_of(&runs[0], 50);
     fleet.hosts[owner].kill();
     // The next owner knows the key once the holder has told it.
     let knows = |view: &Value| {
@@ -80,9 +80,9 @@
         engines.is_some_and(|shard| shard["keys"] == 1)
     };
     let next = fleet.wait_owner(ENGINES, &others).await;
-    let told = wait_view(fleet.hosts[next].address(), knows).await;
-    assert!(told.is_some());
+    let reported = wait_view(fleet.hosts[next].address(), knows).await;
+    assert!(reported.is_some());
     let second = call.send(fleet.hosts[others[1]].address()).await;
     assert_eq!(fleet.runs().await.len(), 1, "{second:?}");
-    second.assert_of(&runs[0], 50);
+    second.assert_output_of(&runs[0], 50);
 }
--- a/bergamotswitch/tests/rule_change.rs
+++ b/bergamotswitch/tests/rule_change.rs
@@ -15,7 +15,7 @@
 const CHANGE_BOUND: Duration = Duration::from_secs(9);
 
 /// Leave out the last rule, which matches anything else.
-fn without_rest(rules: &mut Value) {
+fn remove_fallback(rules: &mut Value) {
     rules["rules"].as_array_mut().expect("rules").pop();
 }
 
@@ -34,9 +34,9 @@
 async fn two_publications() {
     let fleet = Fleet::start("red-austral").await;
     let watch = RevisionWatch::start(&fleet, "rules");
-    fleet.publish("rules", without_rest).await;
+    fleet.publish("rules", remove_fallback).await;
     let second = fleet.publish("rules", |_| ()).await;
-    let third = fleet.publish("rules", without_rest).await;
+    let third = fleet.publish("rules", remove_fallback).await;
     assert!(third > second);
     for host in &fleet.hosts {
         wait_revision(host.address(), "rules", third).await;
@@ -52,12 +52,12 @@
 // and then a good one. Cause: hosts that judge alone and differently, or that
 // stop at what they refused.
 #[tokio::test]
-async fn bad_revision() {
+async fn invalid_revision() {
     let fleet = Fleet::start("red-austral").await;
     let watch = RevisionWatch::start(&fleet, "rules");
     let bad = fleet
         .publish("rules", |rules| {
-            without_rest(rules);
+            remove_fallback(rules);
             rules["rules"][0]["then"]["tier"] = json!(99);
             rules["rules"][1]["when"]["moon"] = json!("full");
         })
@@ -77,7 +77,7 @@
         "{findings:?}"
     );
     assert!(findings.iter().all(|found| *found == findings[0]));
-    let good = fleet.publish("rules", without_rest).await;
+    let good = fleet.publish("rules", remove_fallback).await;
     for host in &fleet.hosts {
         wait_revision(host.address(), "rules", good).await;
         assert!(refused(&view(host.address()).await).is_null());
@@ -119,7 +119,7 @@
             });
         }
         let published = Instant::now();
-        let revision = fleet.publish("rules", without_rest).await;
+        let revision = fleet.publish("rules", remove_fallback).await;
         for host in &fleet.hosts {
             wait_revision(host.address(), "rules", revision).await;
         }
--- a/bergamotswitch/tests/silent_targets.rs
+++ b/bergamotswitch/tests/silent_targets.rs
@@ -8,7 +8,11 @@
 
 /// Begin reports at all hosts, change switches of every engine while the streams
 /// run, and read them to their ends.
-async fn disturb(fleet: &Fleet, max_tokens: u32, switches: serde_json::Value) -> Vec<Answer> {
+async fn run_with_faults(
+    fleet: &Fleet,
+    max_tokens: u32,
+    switches: serde_json::Value,
+) -> Vec<Answer> {
     let mut open = Vec::new();
     for n in 0..12 {
         let host = fleet.hosts[n % 3].address();
@@ -30,7 +34,7 @@
 
 fn assert_resumed(answers: &[Answer], runs: &[Run], max_tokens: u32) {
     for answer in answers {
-        answer.assert_own(runs, max_tokens);
+        answer.assert_own_output(runs, max_tokens);
     }
     assert_eq!(runs.len(), answers.len());
     assert_ran_once(runs);
@@ -41,9 +45,9 @@
 // work. Cause: silence taken for slowness, or a new submission in place of a
 // resumption.
 #[tokio::test]
-async fn silent_streams() {
+async fn stalled_streams() {
     let fleet = Fleet::start("red-austral").await;
-    let answers = disturb(&fleet, 1_500, json!([{ "silent": "open" }])).await;
+    let answers = run_with_faults(&fleet, 1_500, json!([{ "silent": "open" }])).await;
     assert_resumed(&answers, &fleet.runs().await, 1_500);
 }
 
@@ -51,7 +55,7 @@
 #[tokio::test]
 async fn broken_streams() {
     let fleet = Fleet::start("red-austral").await;
-    let answers = disturb(&fleet, 1_500, json!([{ "drop": 0 }, { "drop": null }])).await;
+    let answers = run_with_faults(&fleet, 1_500, json!([{ "drop": 0 }, { "drop": null }])).await;
     assert_resumed(&answers, &fleet.runs().await, 1_500);
 }
 
--- a/bergamotswitch/tests/slow_callers.rs
+++ b/bergamotswitch/tests/slow_callers.rs
@@ -15,7 +15,7 @@
 
 /// What the others may take: a hundred times what they do take, and less than
 /// any bound of a host after which it lets a slow one go.
-const OTHERS_BOUND: Duration = Duration::from_secs(10);
+const OTHERS_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Answers of this size fill all buffers between host and caller.
 const LARGE_BODY: usize = 4_000_000;
@@ -43,7 +43,7 @@
         let key = format!("{round}-{number}");
         (call(&key), host)
     });
-    let answers = timeout(OTHERS_BOUND, send_all(calls.collect())).await;
+    let answers = timeout(OTHERS_TIMEOUT, send_all(calls.collect())).await;
     for answer in answers.expect("others do not wait") {
         let answer = answer.expect("an answer");
         assert!(answer.is_whole(), "{answer:?}");
@@ -111,7 +111,7 @@
 }
 
 /// Get the engine that holds a permit, at whichever host orders the pool.
-async fn stuck_engine(fleet: &Fleet) -> Option<String> {
+async fn busy_engine(fleet: &Fleet) -> Option<String> {
     for host in &fleet.hosts {
         let view = view(host.address()).await;
         let shards = view["shards"].as_array().expect("shards").clone();
@@ -138,7 +138,7 @@
     fleet.set_engines(json!({ "silent": "all" })).await;
     let stuck = tokio::spawn(async move { report("stuck").send(host).await });
     let engine = loop {
-        match stuck_engine(&fleet).await {
+        match busy_engine(&fleet).await {
             Some(engine) => break engine,
             None => pause().await,
         }
--- a/bergamotswitch/tests/stop_bodies.rs
+++ b/bergamotswitch/tests/stop_bodies.rs
@@ -15,9 +15,9 @@
 
 /// The grace, and how long after the signal callers are taken.
 const GRACE: Duration = Duration::from_secs(8);
-const DOOR_TIME: Duration = Duration::from_secs(4);
+const ACCEPT_TIME: Duration = Duration::from_secs(4);
 
-async fn site() -> Site {
+async fn start_site() -> Site {
     Site::start_with(SiteOptions {
         // The operator's timeout would end the wait for a body before the host.
         timeout: Duration::from_secs(30),
@@ -29,9 +29,11 @@
 
 /// Send one half of a body before SIGTERM and the other one so long after it,
 /// and get the answer.
-async fn answer_to_half(after: Duration) -> String {
-    let site = site().await;
-    let mut caller = TcpStream::connect(site.door()).await.expect("connection");
+async fn answer_to_split_body(after: Duration) -> String {
+    let site = start_site().await;
+    let mut caller = TcpStream::connect(site.address())
+        .await
+        .expect("connection");
     let head = format!(
         "POST /receipt/1 HTTP/1.1\r\nhost: {HOST}\r\nrequest-id: half\r\n\
          deadline-ms: 25000\r\nauthorization: Bearer {KEY}\r\ncontent-length: 10\r\n\r\n12345"
@@ -57,14 +59,14 @@
 // left of the grace.
 #[tokio::test]
 async fn rest_while_closing() {
-    let answer = answer_to_half(DOOR_TIME + Duration::from_millis(500)).await;
+    let answer = answer_to_split_body(ACCEPT_TIME + Duration::from_millis(500)).await;
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
     assert!(answer.contains("retry-after"), "{answer}");
 }
 
 #[tokio::test]
 async fn rest_long_after() {
-    let answer = answer_to_half(DOOR_TIME + Duration::from_secs(2)).await;
+    let answer = answer_to_split_body(ACCEPT_TIME + Duration::from_secs(2)).await;
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
 }
 
@@ -79,14 +81,14 @@
 const SLOW_PAUSE: Duration = Duration::from_millis(100);
 
 /// Connect with a small window, so that an unread answer stays at its host.
-async fn connect_small(door: SocketAddr) -> TcpStream {
+async fn connect_small_window(address: SocketAddr) -> TcpStream {
     let socket = TcpSocket::new_v4().expect("socket");
     socket.set_recv_buffer_size(WINDOW_BYTES).expect("set");
-    socket.connect(door).await.expect("connection")
+    socket.connect(address).await.expect("connection")
 }
 
 /// Get the body of an answer in chunks; none where it is not whole.
-fn body_of_chunks(answer: &[u8]) -> Option<Vec<u8>> {
+fn chunked_body(answer: &[u8]) -> Option<Vec<u8>> {
     let blank = answer.windows(4).position(|part| part == b"\r\n\r\n")?;
     let mut rest = &answer[blank + 4..];
     let mut body = Vec::new();
@@ -110,8 +112,8 @@
 // shut, whatever was left.
 #[tokio::test]
 async fn slow_reader() {
-    let mut site = site().await;
-    let mut caller = connect_small(site.door()).await;
+    let mut site = start_site().await;
+    let mut caller = connect_small_window(site.address()).await;
     let head = format!(
         "POST /once/1?events={LARGE_EVENTS}&padding={LARGE_BYTES} HTTP/1.1\r\nhost: {HOST}\r\n\
          request-id: large\r\ndeadline-ms: 25000\r\nauthorization: Bearer {KEY}\r\n\
@@ -141,7 +143,7 @@
             sleep(SLOW_PAUSE).await;
         }
     }
-    let body = body_of_chunks(&answer);
+    let body = chunked_body(&answer);
     assert!(begun.elapsed() >= SLOW_UNTIL);
     assert!(body.is_some_and(|body| body == whole.as_bytes()));
     assert!(stop.end().await.is_clean());
--- a/bergamotswitch/tests/stop_connections.rs
+++ b/bergamotswitch/tests/stop_connections.rs
@@ -11,9 +11,9 @@
 use users::{KeptConnection, pause};
 
 /// Use connections, each as long as it lasts, until the host takes no more.
-async fn use_kept(door: SocketAddr, caller: usize) -> Vec<Asked> {
+async fn call_on_kept_connections(address: SocketAddr, caller: usize) -> Vec<CallResult> {
     let mut all = Vec::new();
-    while let Ok(mut connection) = KeptConnection::open(door).await {
+    while let Ok(mut connection) = KeptConnection::open(address).await {
         loop {
             let id = format!("kept-{caller}-{}", all.len());
             let call = match all.len() % 2 {
@@ -26,10 +26,10 @@
                 .as_ref()
                 .is_ok_and(|answer| answer.field("connection").eq_ignore_ascii_case("close"));
             let took = begun.elapsed();
-            let broke = answer.is_err();
-            all.push(Asked { id, answer, took });
+            let is_broken = answer.is_err();
+            all.push(CallResult { id, answer, took });
             pause().await;
-            if is_last || broke {
+            if is_last || is_broken {
                 break;
             }
         }
@@ -44,10 +44,10 @@
 #[tokio::test]
 async fn kept_connections() {
     let grace = seconds(8.0);
-    let mut site = site_of(8, grace).await;
-    run_before(&site, "/once/1", TELLING_RUNS).await;
-    let door = site.door();
-    let callers = (0..6).map(|caller| tokio::spawn(use_kept(door, caller)));
+    let mut site = start_site(8, grace).await;
+    warm_up(&site, "/once/1", WARM_UP_RUNS).await;
+    let address = site.address();
+    let callers = (0..6).map(|caller| tokio::spawn(call_on_kept_connections(address, caller)));
     let callers: Vec<_> = callers.collect();
     tokio::time::sleep(seconds(1.0)).await;
     let stop = PlannedStop::begin(site.hosts.remove(0).child, grace);
@@ -56,13 +56,13 @@
         all.extend(caller.await.expect("caller"));
     }
     assert!(stop.end().await.is_clean());
-    for asked in &all {
-        match asked.answer {
-            Ok(_) => asked.assert_true(&site),
+    for result in &all {
+        match result.answer {
+            Ok(_) => result.assert_served_or_refused(&site),
             // The call crossed the close of its connection.
-            Err(_) => assert_eq!(runs_of(&site, &asked.id), 0, "{asked:?}"),
+            Err(_) => assert_eq!(runs_of(&site, &result.id), 0, "{result:?}"),
         }
     }
-    let served = all.iter().filter(|asked| asked.is_served()).count();
+    let served = all.iter().filter(|result| result.is_served()).count();
     assert!(served > 12, "{served} served");
 }
--- a/bergamotswitch/tests/stop_counters.rs
+++ b/bergamotswitch/tests/stop_counters.rs
@@ -12,12 +12,12 @@
 
 /// The grace, and a moment after which no callers are taken any more.
 const GRACE: Duration = Duration::from_secs(8);
-const DOOR_SHUT: Duration = Duration::from_millis(4_500);
+const ACCEPT_ENDED: Duration = Duration::from_millis(4_500);
 /// How many callers are turned away.
-const TURNED: usize = 5;
+const REFUSED: usize = 5;
 
 /// Get a host's counters of refusals because of a stop, those at zero left out.
-async fn turned_by_stop(metrics: SocketAddr) -> Vec<String> {
+async fn stop_refusals(metrics: SocketAddr) -> Vec<String> {
     let page = Call::get("/metrics").send(metrics).await.expect("metrics");
     let series = "bergamot_refusals_total{reason=\"stopping\",";
     let lines = page
@@ -46,9 +46,9 @@
     for desk in &site.desks {
         desk.expect(&[TargetMood::Mute]);
     }
-    let door = site.door();
+    let address = site.address();
     let held = Call::new("POST", "/receipt/1", "held").with("deadline-ms", "25000");
-    let held = tokio::spawn(async move { drop(held.send(door).await) });
+    let held = tokio::spawn(async move { drop(held.send(address).await) });
     until("the call runs", async || {
         site.desks.iter().any(|desk| !desk.seen().is_empty())
     })
@@ -56,18 +56,18 @@
     let host = site.hosts.remove(0);
     let metrics = host.metrics;
     let stop = PlannedStop::begin(host.child, GRACE);
-    stop.at(Duration::from_millis(500)).await;
-    for number in 0..TURNED {
+    stop.wait_until(Duration::from_millis(500)).await;
+    for number in 0..REFUSED {
         // Nobody knows yet how long such a stream takes.
         let call = Call::stream("/once/1", &format!("turned-{number}"));
-        let answer = call.with("deadline-ms", "20000").send(door).await;
+        let answer = call.with("deadline-ms", "20000").send(address).await;
         let status = answer.expect("answer").status;
         assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
     }
-    let expected = [format!("tier=\"0\"}} {TURNED}")];
-    assert_eq!(turned_by_stop(metrics).await, expected);
-    stop.at(DOOR_SHUT).await;
-    assert_eq!(turned_by_stop(metrics).await, expected);
+    let expected = [format!("tier=\"0\"}} {REFUSED}")];
+    assert_eq!(stop_refusals(metrics).await, expected);
+    stop.wait_until(ACCEPT_ENDED).await;
+    assert_eq!(stop_refusals(metrics).await, expected);
     assert!(stop.end().await.is_clean());
     held.await.expect("call");
 }
--- a/bergamotswitch/tests/stop_grace.rs
+++ b/bergamotswitch/tests/stop_grace.rs
@@ -14,17 +14,17 @@
 
 /// Ask a stopping host for a stream that is longer than what is left of the
 /// grace by then, and check what became of it.
-async fn ask_late(grace: Duration, asked_after: Duration, events: u32) {
-    let mut site = site_of(events, grace).await;
-    run_before(&site, "/once/1", TELLING_RUNS).await;
-    let door = site.door();
+async fn call_late(grace: Duration, sent_after: Duration, events: u32) {
+    let mut site = start_site(events, grace).await;
+    warm_up(&site, "/once/1", WARM_UP_RUNS).await;
+    let address = site.address();
     let stop = PlannedStop::begin(site.hosts.remove(0).child, grace);
-    stop.at(asked_after).await;
+    stop.wait_until(sent_after).await;
     let call = stream_call("/once/1", EVENT_GAP * events + seconds(6.0));
-    let asked = ask(door, call, "late").await;
+    let result = send_call(address, call, "late").await;
     stop.end().await;
-    asked.assert_kept(&site, events);
-    assert!(asked.is_served() || asked.took < AT_ONCE, "{asked:?}");
+    result.assert_whole_or_refused(&site, events);
+    assert!(result.is_served() || result.took < IMMEDIATE, "{result:?}");
 }
 
 // Symptom: an answer stops in its middle and the connection closes, although
@@ -42,21 +42,21 @@
 // No line 206 or 103 follows.
 #[tokio::test]
 async fn taken_late() {
-    ask_late(seconds(8.0), seconds(3.5), 60).await;
+    call_late(seconds(8.0), seconds(3.5), 60).await;
 }
 
 // Symptom, sequence and cause: as above, where the grace is shorter than the
 // time for which the door stays open.
 #[tokio::test]
 async fn short_grace() {
-    ask_late(seconds(3.0), seconds(1.0), 40).await;
+    call_late(seconds(3.0), seconds(1.0), 40).await;
 }
 
 // Symptom, sequence and cause: as above, where the grace is long and the
 // stream longer.
 #[tokio::test]
 async fn long_grace() {
-    ask_late(seconds(12.0), seconds(3.5), 95).await;
+    call_late(seconds(12.0), seconds(3.5), 95).await;
 }
 
 // Symptom: callers are turned away whom a stopping host could have served.
@@ -64,13 +64,13 @@
 // within what is left of the grace. Cause: the door shut to all alike.
 #[tokio::test]
 async fn short_calls() {
-    for (grace, asked_after) in [(8.0, 3.5), (3.0, 1.0)] {
-        let mut site = site_of(8, seconds(grace)).await;
-        let door = site.door();
+    for (grace, sent_after) in [(8.0, 3.5), (3.0, 1.0)] {
+        let mut site = start_site(8, seconds(grace)).await;
+        let address = site.address();
         let stop = PlannedStop::begin(site.hosts.remove(0).child, seconds(grace));
-        stop.at(seconds(asked_after)).await;
-        let asked = ask(door, receipt_call(seconds(1.0)), "short").await;
-        assert!(asked.is_served(), "{asked:?}");
+        stop.wait_until(seconds(sent_after)).await;
+        let result = send_call(address, receipt_call(seconds(1.0)), "short").await;
+        assert!(result.is_served(), "{result:?}");
         assert_eq!(runs_of(&site, "short"), 1);
         stop.end().await;
     }
@@ -83,14 +83,14 @@
 #[tokio::test]
 async fn fitting_stream() {
     let grace = seconds(8.0);
-    let mut site = site_of(8, grace).await;
-    run_before(&site, "/once/1", TELLING_RUNS).await;
-    let door = site.door();
+    let mut site = start_site(8, grace).await;
+    warm_up(&site, "/once/1", WARM_UP_RUNS).await;
+    let address = site.address();
     let stop = PlannedStop::begin(site.hosts.remove(0).child, grace);
-    stop.at(seconds(1.0)).await;
-    let asked = ask(door, stream_call("/once/1", seconds(20.0)), "short").await;
-    assert!(asked.is_served(), "{asked:?}");
-    asked.assert_kept(&site, 8);
+    stop.wait_until(seconds(1.0)).await;
+    let result = send_call(address, stream_call("/once/1", seconds(20.0)), "short").await;
+    assert!(result.is_served(), "{result:?}");
+    result.assert_whole_or_refused(&site, 8);
     assert!(stop.end().await.is_clean());
 }
 
@@ -100,7 +100,7 @@
 #[tokio::test]
 async fn idle_end() {
     let grace = seconds(3.0);
-    let mut site = site_of(8, grace).await;
+    let mut site = start_site(8, grace).await;
     let stop = PlannedStop::begin(site.hosts.remove(0).child, grace);
     assert!(stop.end().await.is_clean());
 }
@@ -122,18 +122,18 @@
         for desk in &site.desks {
             desk.expect_only(&[TargetMood::Mute]);
         }
-        let asked = ask_and_reach(&site, receipt_call(seconds(12.0)), held).await;
+        let result = send_until_running(&site, receipt_call(seconds(12.0)), held).await;
         for desk in &site.desks {
             desk.expect_only(&[]);
         }
         let stop = PlannedStop::begin(site.hosts.remove(0).child, grace);
-        ask_others(&site, held, &asked).await;
+        call_others(&site, held, &result).await;
         stop.end().await;
     }
 }
 
 /// Ask all hosts of a site in turn until a call at another host has ended.
-async fn ask_others(site: &Site, name: &str, held: &JoinHandle<Asked>) {
+async fn call_others(site: &Site, name: &str, held: &JoinHandle<CallResult>) {
     let mut count = 0;
     while !held.is_finished() {
         for host in &site.hosts {
@@ -144,8 +144,8 @@
             ];
             for (number, call) in calls.into_iter().enumerate() {
                 let id = format!("{name}-{count}-{number}");
-                let asked = ask(host.callers, call, &id).await;
-                assert!(asked.is_served(), "{asked:?}");
+                let result = send_call(host.callers, call, &id).await;
+                assert!(result.is_served(), "{result:?}");
                 assert_eq!(runs_of(site, &id), 1);
             }
         }
@@ -159,17 +159,17 @@
 // 9 s when 7.5 s are left. Cause: work whose length nobody knows was taken for
 // short.
 #[tokio::test]
-async fn unknown_length() {
+async fn unknown_duration() {
     let grace = seconds(8.0);
-    let mut site = site_of(90, grace).await;
-    let door = site.door();
+    let mut site = start_site(90, grace).await;
+    let address = site.address();
     let stop = PlannedStop::begin(site.hosts.remove(0).child, grace);
-    stop.at(seconds(0.5)).await;
-    let asked = ask(door, stream_call("/once/1", seconds(12.0)), "first").await;
+    stop.wait_until(seconds(0.5)).await;
+    let result = send_call(address, stream_call("/once/1", seconds(12.0)), "first").await;
     stop.end().await;
-    assert!(asked.is_turned_away(), "{asked:?}");
-    assert!(asked.took < AT_ONCE, "{asked:?}");
-    asked.assert_refusal(&site);
+    assert!(result.is_refused(), "{result:?}");
+    assert!(result.took < IMMEDIATE, "{result:?}");
+    result.assert_refusal(&site);
 }
 
 // Symptom: callers of a stopping host wait out their deadline for nothing.
@@ -184,11 +184,11 @@
         ..SiteOptions::default()
     };
     let mut site = Site::start_with(options).await;
-    let door = site.door();
+    let address = site.address();
     let stop = PlannedStop::begin(site.hosts.remove(0).child, grace);
-    stop.at(seconds(1.0)).await;
-    let asked = ask(door, receipt_call(seconds(1.5)), "short").await;
+    stop.wait_until(seconds(1.0)).await;
+    let result = send_call(address, receipt_call(seconds(1.5)), "short").await;
     stop.end().await;
-    assert!(asked.took < AT_ONCE, "{asked:?}");
-    asked.assert_true(&site);
+    assert!(result.took < IMMEDIATE, "{result:?}");
+    result.assert_served_or_refused(&site);
 }
--- a/bergamotswitch/tests/stop_lines.rs
+++ b/bergamotswitch/tests/stop_lines.rs
@@ -19,13 +19,13 @@
 /// The requests that are open at the end of the grace: four times what the log
 /// takes in one interval.
 const OPEN: usize = 200;
-const OPEN_NAME: &str = "open-";
+const OPEN_PREFIX: &str = "open-";
 /// How long callers wait: much longer than the grace.
 const DEADLINE_MS: &str = "30000";
 
 /// The calls after which the targets are known.
-const KNOWN_ROUNDS: usize = 10;
-const KNOWN_AT_ONCE: usize = 8;
+const WARM_UP_ROUNDS: usize = 10;
+const WARM_UP_CONCURRENCY: usize = 8;
 
 const HOST_STOPPED: u64 = 103;
 const LINES_DROPPED: u64 = 107;
@@ -70,18 +70,18 @@
 fn requests(lines: &[(u64, Value)], number: u64) -> BTreeSet<String> {
     let lines = lines.iter().filter(|(found, _)| *found == number);
     let ids = lines.filter_map(|(_, line)| line["kv"]["request"].as_str());
-    let ids = ids.filter(|id| id.starts_with(OPEN_NAME));
+    let ids = ids.filter(|id| id.starts_with(OPEN_PREFIX));
     ids.map(str::to_owned).collect()
 }
 
 /// A site of one host whose standard output goes there, with places for all
 /// that is open.
-async fn site_to(output: impl FnOnce(&Path) -> Stdio) -> Site {
+async fn start_site_to(output: impl FnOnce(&Path) -> Stdio) -> Site {
     let options = SiteOptions {
         events: 400,
         gap: Duration::from_millis(100),
         slots: OPEN as u32,
-        aim: Duration::from_secs(5),
+        target_latency: Duration::from_secs(5),
         timeout: Duration::from_secs(60),
         grace: GRACE,
         ..SiteOptions::default()
@@ -91,44 +91,44 @@
     host.child.kill();
     let output = output(&host.settings);
     host.child = HostChild::start_to(host.settings.clone(), output);
-    site.all_ready().await;
+    site.wait_all_ready().await;
     site
 }
 
 /// Have requests run that do not end in the grace: half of them streams, half
 /// of them calls that get no answer.
-async fn open_requests(site: &Site) -> Vec<JoinHandle<()>> {
-    make_known(site).await;
+async fn start_open_requests(site: &Site) -> Vec<JoinHandle<()>> {
+    warm_up(site).await;
     for desk in &site.desks {
         desk.expect(&vec![TargetMood::Mute; OPEN]);
     }
-    let before = running(site);
-    let door = site.door();
-    let asks = (0..OPEN).map(|number| {
-        let id = format!("{OPEN_NAME}{number}");
+    let before = run_count(site);
+    let address = site.address();
+    let calls = (0..OPEN).map(|number| {
+        let id = format!("{OPEN_PREFIX}{number}");
         let call = match number % 2 {
             0 => Call::stream("/once/1", &id),
             _ => Call::new("POST", "/receipt/1", &id),
         };
         let call = call.with("deadline-ms", DEADLINE_MS);
         // What callers get is another test's.
-        tokio::spawn(async move { drop(call.send(door).await) })
+        tokio::spawn(async move { drop(call.send(address).await) })
     });
-    let asks = asks.collect();
-    until("all run", async || running(site) == before + OPEN).await;
-    asks
+    let calls = calls.collect();
+    until("all run", async || run_count(site) == before + OPEN).await;
+    calls
 }
 
 /// Run short calls, some at once: a target that nobody knows gets little.
-async fn make_known(site: &Site) {
-    for round in 0..KNOWN_ROUNDS {
-        let calls = (0..KNOWN_AT_ONCE).map(|number| {
+async fn warm_up(site: &Site) {
+    for round in 0..WARM_UP_ROUNDS {
+        let calls = (0..WARM_UP_CONCURRENCY).map(|number| {
             let id = format!("before-{round}-{number}");
             let call = match number % 2 {
                 0 => Call::stream("/once/1?events=1", &id),
                 _ => Call::new("POST", "/receipt/1", &id),
             };
-            tokio::spawn(call.send(site.door()))
+            tokio::spawn(call.send(site.address()))
         });
         for answer in calls.collect::<Vec<_>>() {
             let answer = answer.await.expect("call").expect("answer");
@@ -138,7 +138,7 @@
 }
 
 /// Count the calls that targets ran.
-fn running(site: &Site) -> usize {
+fn run_count(site: &Site) -> usize {
     let targets = site.engines.iter().chain(&site.desks);
     let seen = targets.flat_map(|target| target.seen());
     seen.filter(|call| call.ran).count()
@@ -152,34 +152,34 @@
 #[tokio::test]
 async fn all_told() {
     let mut log = None;
-    let mut site = site_to(|settings| {
+    let mut site = start_site_to(|settings| {
         let file = log.insert(LogFile::beside(settings));
         file.output()
     })
     .await;
     let log = log.expect("log file");
-    let asks = open_requests(&site).await;
+    let calls = start_open_requests(&site).await;
     let stop = PlannedStop::begin(site.hosts.remove(0).child, GRACE);
     assert!(stop.end().await.is_clean());
-    for ask in asks {
-        ask.await.expect("call");
+    for call in calls {
+        call.await.expect("call");
     }
     let lines = log.lines();
-    let told: Vec<u64> = lines.iter().map(|(number, _)| *number).collect();
-    assert_eq!(requests(&lines, REQUEST_OPEN).len(), OPEN, "{told:?}");
-    assert_eq!(requests(&lines, REQUEST_ENDED).len(), OPEN, "{told:?}");
-    assert!(told.contains(&GRACE_ENDING), "{told:?}");
-    assert!(!told.contains(&LINES_DROPPED), "{told:?}");
-    assert_eq!(told.last(), Some(&HOST_STOPPED), "{told:?}");
+    let numbers: Vec<u64> = lines.iter().map(|(number, _)| *number).collect();
+    assert_eq!(requests(&lines, REQUEST_OPEN).len(), OPEN, "{numbers:?}");
+    assert_eq!(requests(&lines, REQUEST_ENDED).len(), OPEN, "{numbers:?}");
+    assert!(numbers.contains(&GRACE_ENDING), "{numbers:?}");
+    assert!(!numbers.contains(&LINES_DROPPED), "{numbers:?}");
+    assert_eq!(numbers.last(), Some(&HOST_STOPPED), "{numbers:?}");
 }
 
 // Symptom: the log of a host that ended well looks like that of one that was
 // killed. Sequence: an idle host gets SIGTERM and ends. Cause: the lines since the
 // last interval, the one about its end among them, were not written.
 #[tokio::test]
-async fn end_told() {
+async fn exit_logged() {
     let mut log = None;
-    let mut site = site_to(|settings| {
+    let mut site = start_site_to(|settings| {
         let file = log.insert(LogFile::beside(settings));
         file.output()
     })
@@ -188,8 +188,8 @@
     let stop = PlannedStop::begin(site.hosts.remove(0).child, GRACE);
     assert!(stop.end().await.is_clean());
     let lines = log.lines();
-    let told: Vec<u64> = lines.iter().map(|(number, _)| *number).collect();
-    assert_eq!(told.last(), Some(&HOST_STOPPED), "{told:?}");
+    let numbers: Vec<u64> = lines.iter().map(|(number, _)| *number).collect();
+    assert_eq!(numbers.last(), Some(&HOST_STOPPED), "{numbers:?}");
 }
 
 // Symptom: a host is killed at the end of its grace although it had ended
@@ -197,11 +197,11 @@
 // last write that waits for its reader.
 #[tokio::test]
 async fn unread_log() {
-    let mut site = site_to(|_| Stdio::piped()).await;
-    let asks = open_requests(&site).await;
+    let mut site = start_site_to(|_| Stdio::piped()).await;
+    let calls = start_open_requests(&site).await;
     let stop = PlannedStop::begin(site.hosts.remove(0).child, GRACE);
     assert!(stop.end().await.is_clean());
-    for ask in asks {
-        ask.await.expect("call");
+    for call in calls {
+        call.await.expect("call");
     }
 }
--- a/bergamotswitch/tests/stop_overdue.rs
+++ b/bergamotswitch/tests/stop_overdue.rs
@@ -15,17 +15,17 @@
 // not answer in time. Cause: what was sent once more was not held against what
 // is left of the grace.
 #[tokio::test]
-async fn sent_again() {
+async fn late_retry() {
     let grace = seconds(3.0);
-    let mut site = site_of(8, grace).await;
+    let mut site = start_site(8, grace).await;
     for desk in &site.desks {
         desk.expect(&[TargetMood::CloseAfter(seconds(2.0)), TargetMood::Mute]);
     }
     let call = Call::new("GET", "/status/1", "").with("deadline-ms", "12000");
-    let asked = ask_and_reach(&site, call, "again").await;
+    let result = send_until_running(&site, call, "again").await;
     let stop = PlannedStop::begin(site.hosts.remove(0).child, grace);
-    let asked = asked.await.expect("call");
-    assert!(asked.is_failure(), "{asked:?}");
+    let result = result.await.expect("call");
+    assert!(result.is_failure(), "{result:?}");
     assert!(stop.end().await.is_clean());
     assert_eq!(runs_of(&site, "again"), 1);
 }
@@ -34,19 +34,19 @@
 // stream under way; 1 s before the end of the grace its target breaks off, and
 // another one is to make the 2 s that are missing. Cause: as above.
 #[tokio::test]
-async fn not_resumed() {
+async fn late_resumption() {
     let grace = seconds(3.0);
     let events = 40;
-    let mut site = site_of(events, grace).await;
-    run_before(&site, "/draft/1", TELLING_RUNS).await;
+    let mut site = start_site(events, grace).await;
+    warm_up(&site, "/draft/1", WARM_UP_RUNS).await;
     for engine in &site.engines {
         engine.expect(&[TargetMood::BreakAfter(20)]);
     }
     let call = stream_call("/draft/1", seconds(12.0));
-    let asked = ask_and_reach(&site, call, "broken").await;
+    let result = send_until_running(&site, call, "broken").await;
     let stop = PlannedStop::begin(site.hosts.remove(0).child, grace);
-    let asked = asked.await.expect("call");
-    asked.assert_cut(events);
+    let result = result.await.expect("call");
+    result.assert_cut(events);
     assert!(stop.end().await.is_clean());
     assert_eq!(runs_of(&site, "broken"), 1);
 }
@@ -59,13 +59,13 @@
 async fn overdue_told() {
     let grace = seconds(3.0);
     let events = 60;
-    let mut site = site_of(events, grace).await;
+    let mut site = start_site(events, grace).await;
     for desk in &site.desks {
         desk.expect(&[TargetMood::Mute]);
     }
     let stream = stream_call("/once/1", seconds(12.0));
-    let stream = ask_and_reach(&site, stream, "stream").await;
-    let call = ask_and_reach(&site, receipt_call(seconds(12.0)), "mute").await;
+    let stream = send_until_running(&site, stream, "stream").await;
+    let call = send_until_running(&site, receipt_call(seconds(12.0)), "mute").await;
     let stop = PlannedStop::begin(site.hosts.remove(0).child, grace);
     let (stream, call) = (stream.await.expect("call"), call.await.expect("call"));
     stream.assert_cut(events);
--- a/bergamotswitch/tests/stop_paused.rs
+++ b/bergamotswitch/tests/stop_paused.rs
@@ -23,7 +23,7 @@
 /// How many callers ask on new connections, and as many on open ones.
 const CALLERS: usize = 8;
 /// What a plain answer begins with.
-const RECEIPT: &str = "from desk-";
+const RECEIPT_PREFIX: &str = "from desk-";
 /// How long callers wait: longer than the grace.
 const DEADLINE_MS: &str = "20000";
 
@@ -35,11 +35,11 @@
     killed_at: Duration,
 }
 
-type Asked = JoinHandle<io::Result<Answer>>;
+type AnswerTask = JoinHandle<io::Result<Answer>>;
 
-fn ask(door: SocketAddr, call: Call) -> Asked {
+fn send(address: SocketAddr, call: Call) -> AnswerTask {
     let call = call.with("deadline-ms", DEADLINE_MS);
-    tokio::spawn(async move { call.send(door).await })
+    tokio::spawn(async move { call.send(address).await })
 }
 
 fn whole_stream() -> String {
@@ -67,12 +67,12 @@
 
 /// Check what a caller got that asked while the host was paused: its whole
 /// answer, a true refusal, or no answer where nothing ran.
-fn assert_true(site: &Site, id: &str, answer: &io::Result<Answer>) {
+fn assert_valid(site: &Site, id: &str, answer: &io::Result<Answer>) {
     let runs = runs_of(site, id);
     match answer {
         Ok(answer) if answer.status == StatusCode::OK => {
             let text = answer.text();
-            let is_all = text == whole_stream() || text.starts_with(RECEIPT);
+            let is_all = text == whole_stream() || text.starts_with(RECEIPT_PREFIX);
             assert!(answer.whole && is_all, "{id}: {answer:?}");
             assert_eq!(runs, 1, "{id}");
         }
@@ -98,34 +98,34 @@
         ..SiteOptions::default()
     })
     .await;
-    let door = site.door();
+    let address = site.address();
     // The host knows by this how long such work takes.
-    let before = ask(door, Call::stream("/once/1", "before"));
+    let before = send(address, Call::stream("/once/1", "before"));
     assert!(before.await.expect("call").expect("answer").whole);
-    let open = ask(door, Call::stream("/once/1", "open"));
+    let open = send(address, Call::stream("/once/1", "open"));
     until("the stream runs", async || runs_of(&site, "open") > 0).await;
 
     let mut kept = Vec::new();
     for _ in 0..CALLERS {
-        kept.push(KeptConnection::open(door).await.expect("connection"));
+        kept.push(KeptConnection::open(address).await.expect("connection"));
     }
 
     let stop = PlannedStop::begin(site.hosts.remove(0).child, pause.killed_at);
-    stop.at(PAUSED_AT).await;
+    stop.wait_until(PAUSED_AT).await;
     stop.signal("STOP");
-    let mut asked = Vec::new();
+    let mut answers = Vec::new();
     for (number, mut connection) in kept.into_iter().enumerate() {
         let (id, call) = call_of("new", number);
-        asked.push((id, ask(door, call)));
+        answers.push((id, send(address, call)));
         let (id, call) = call_of("kept", number);
         let call = tokio::spawn(async move { connection.send(call).await });
-        asked.push((id, call));
+        answers.push((id, call));
     }
-    stop.at(pause.ends_at).await;
+    stop.wait_until(pause.ends_at).await;
     stop.signal("CONT");
 
-    for (id, asked) in asked {
-        assert_true(&site, &id, &asked.await.expect("call"));
+    for (id, answer) in answers {
+        assert_valid(&site, &id, &answer.await.expect("call"));
     }
     // What was under way is whole, or seen as cut.
     let open = open.await.expect("call").expect("head");
@@ -134,7 +134,7 @@
     assert!(whole.starts_with(open.text()), "{open:?}");
     assert_eq!(runs_of(&site, "open"), 1);
     // The other host serves.
-    let next = ask(site.door(), Call::new("POST", "/receipt/1", "next"));
+    let next = send(site.address(), Call::new("POST", "/receipt/1", "next"));
     let next = next.await.expect("call").expect("answer");
     assert_eq!(next.status, StatusCode::OK);
     stop.end().await.is_clean()
@@ -145,7 +145,7 @@
 // of its grace are left. Cause: what has come meanwhile is taken by times that are
 // over.
 #[tokio::test]
-async fn beyond_door() {
+async fn paused_past_accepting() {
     let clean = pause_in_stop(Pause {
         ends_at: Duration::from_millis(5_500),
         killed_at: GRACE,
@@ -157,7 +157,7 @@
 // Symptom, sequence and cause: as above, where it goes on when it should have said
 // its last words, a moment before it is killed.
 #[tokio::test]
-async fn beyond_cut() {
+async fn paused_past_cutoff() {
     pause_in_stop(Pause {
         ends_at: Duration::from_millis(7_850),
         killed_at: GRACE,
@@ -168,7 +168,7 @@
 // Symptom: as above, or a process that stays. Sequence: it goes on behind the whole
 // grace, and nobody has killed it. Cause: a time that has passed is waited for.
 #[tokio::test]
-async fn beyond_grace() {
+async fn paused_past_grace() {
     let clean = pause_in_stop(Pause {
         ends_at: Duration::from_millis(9_000),
         killed_at: Duration::from_secs(12),
--- a/bergamotswitch/tests/stop_reload.rs
+++ b/bergamotswitch/tests/stop_reload.rs
@@ -23,30 +23,30 @@
 }
 
 /// Ask for a stream that is longer than what is left of the grace in force.
-async fn ask_reloaded(reload: Reload) {
+async fn call_after_reload(reload: Reload) {
     let events = 40;
-    let mut site = site_of(events, reload.started_with).await;
-    run_before(&site, "/once/1", TELLING_RUNS).await;
+    let mut site = start_site(events, reload.started_with).await;
+    warm_up(&site, "/once/1", WARM_UP_RUNS).await;
     let host = site.hosts.remove(0);
-    let (door, metrics) = (host.callers, host.metrics);
+    let (address, metrics) = (host.callers, host.metrics);
     if !reload.during {
         users::write_grace(&host.settings, reload.reloaded_to);
         host.child.signal("HUP");
-        users::noted(metrics, SETTINGS_RELOADED).await;
+        users::wait_logged(metrics, SETTINGS_RELOADED).await;
     }
     let stop = PlannedStop::begin(host.child, reload.killed_after);
     if reload.during {
         // The host looks at the file without a signal, too.
-        users::noted(metrics, STOP_BEGUN).await;
+        users::wait_logged(metrics, STOP_BEGUN).await;
         users::write_grace(&host.settings, reload.reloaded_to);
         stop.signal("HUP");
-        users::noted(metrics, SETTINGS_RELOADED).await;
+        users::wait_logged(metrics, SETTINGS_RELOADED).await;
     }
-    stop.at(seconds(1.0)).await;
-    let asked = ask(door, stream_call("/once/1", seconds(12.0)), "late").await;
+    stop.wait_until(seconds(1.0)).await;
+    let result = send_call(address, stream_call("/once/1", seconds(12.0)), "late").await;
     stop.end().await;
-    asked.assert_kept(&site, events);
-    assert!(asked.is_served() || asked.took < AT_ONCE, "{asked:?}");
+    result.assert_whole_or_refused(&site, events);
+    assert!(result.is_served() || result.took < IMMEDIATE, "{result:?}");
 }
 
 // Symptom: a stream is cut by a planned stop that is shorter than the host
@@ -55,7 +55,7 @@
 // start were looked at.
 #[tokio::test]
 async fn reload_before() {
-    ask_reloaded(Reload {
+    call_after_reload(Reload {
         started_with: seconds(8.0),
         reloaded_to: seconds(3.0),
         during: false,
@@ -67,7 +67,7 @@
 // Symptom, sequence and cause: as above, where SIGTERM comes first.
 #[tokio::test]
 async fn reload_during() {
-    ask_reloaded(Reload {
+    call_after_reload(Reload {
         started_with: seconds(8.0),
         reloaded_to: seconds(3.0),
         during: true,
@@ -81,8 +81,8 @@
 // the kill comes when it was due at the signal. Cause: a stop that was under way
 // took the longer grace for its own.
 #[tokio::test]
-async fn reload_later() {
-    ask_reloaded(Reload {
+async fn longer_grace() {
+    call_after_reload(Reload {
         started_with: seconds(3.0),
         reloaded_to: seconds(20.0),
         during: true,
--- a/bergamotswitch/tests/stop_support/mod.rs
+++ b/bergamotswitch/tests/stop_support/mod.rs
@@ -19,16 +19,16 @@
 pub const EVENT_GAP: Duration = Duration::from_millis(100);
 /// By when a caller has been turned away that is turned away at once: it is
 /// told without waiting for anything, so this allows for a busy machine alone.
-pub const AT_ONCE: Duration = Duration::from_secs(1);
+pub const IMMEDIATE: Duration = Duration::from_secs(1);
 /// The longest wait that a caller may be asked for: another host serves it.
 const MAX_RETRY_AFTER_S: f64 = 1.0;
 /// Enough runs for a host to tell from how long such work takes; they fit into
 /// the engines of a site at once.
-pub const TELLING_RUNS: usize = 20;
+pub const WARM_UP_RUNS: usize = 20;
 /// Longer than the runs before a stop take, on a busy machine too. They come in
 /// two rounds, since targets that nobody knows get a few runs each at first, and
 /// the second begins only where a run and half as much again still fits.
-const NO_HURRY: Duration = Duration::from_secs(60);
+const LONG_DEADLINE: Duration = Duration::from_secs(60);
 
 pub fn seconds(count: f64) -> Duration {
     Duration::from_secs_f64(count)
@@ -36,23 +36,23 @@
 
 /// What came of one call.
 #[derive(Debug)]
-pub struct Asked {
+pub struct CallResult {
     pub id: String,
     pub answer: io::Result<Answer>,
     pub took: Duration,
 }
 
-pub async fn ask(door: SocketAddr, call: Call, id: &str) -> Asked {
+pub async fn send_call(address: SocketAddr, call: Call, id: &str) -> CallResult {
     let begun = Instant::now();
-    let answer = call.with("request-id", id).send(door).await;
-    Asked {
+    let answer = call.with("request-id", id).send(address).await;
+    CallResult {
         id: id.to_owned(),
         answer,
         took: begun.elapsed(),
     }
 }
 
-impl Asked {
+impl CallResult {
     pub fn text(&self) -> &str {
         self.answer.as_ref().map_or("", Answer::text)
     }
@@ -64,9 +64,9 @@
     }
 
     /// Check that the caller was served, or turned away truly.
-    pub fn assert_true(&self, site: &Site) {
+    pub fn assert_served_or_refused(&self, site: &Site) {
         if !self.is_served() {
-            assert!(self.is_turned_away(), "{self:?}");
+            assert!(self.is_refused(), "{self:?}");
             self.assert_refusal(site);
         }
     }
@@ -80,7 +80,7 @@
         self.has_status(StatusCode::OK)
     }
 
-    pub fn is_turned_away(&self) -> bool {
+    pub fn is_refused(&self) -> bool {
         self.has_status(StatusCode::SERVICE_UNAVAILABLE)
     }
 
@@ -95,9 +95,9 @@
     }
 
     /// Check that the caller has the whole stream, or was turned away truly.
-    pub fn assert_kept(&self, site: &Site, events: u32) {
-        self.assert_true(site);
-        let refused = self.is_turned_away();
+    pub fn assert_whole_or_refused(&self, site: &Site, events: u32) {
+        self.assert_served_or_refused(site);
+        let refused = self.is_refused();
         assert!(refused || self.text() == whole_stream(events), "{self:?}");
     }
 
@@ -124,27 +124,27 @@
 
 /// A site of two hosts, of which one stops and one goes on, and whose streams
 /// have so many events.
-pub async fn site_of(events: u32, grace: Duration) -> Site {
+pub async fn start_site(events: u32, grace: Duration) -> Site {
     let options = SiteOptions {
         hosts: 2,
         slots: 16,
         events,
         gap: EVENT_GAP,
-        aim: seconds(5.0),
-        timeout: NO_HURRY,
+        target_latency: seconds(5.0),
+        timeout: LONG_DEADLINE,
         grace,
     };
     Site::start_with(options).await
 }
 
 /// A site as above whose engines run eight streams at once, all told.
-pub async fn small_site(events: u32, grace: Duration) -> Site {
+pub async fn start_small_site(events: u32, grace: Duration) -> Site {
     let options = SiteOptions {
         hosts: 2,
         events,
         gap: EVENT_GAP,
-        aim: seconds(5.0),
-        timeout: NO_HURRY,
+        target_latency: seconds(5.0),
+        timeout: LONG_DEADLINE,
         grace,
         ..SiteOptions::default()
     };
@@ -158,27 +158,32 @@
 }
 
 /// Send copies of a call together.
-pub fn ask_many(door: SocketAddr, call: &Call, name: &str, count: usize) -> Vec<JoinHandle<Asked>> {
-    let asks = (1..=count).map(|number| {
+pub fn send_many(
+    address: SocketAddr,
+    call: &Call,
+    name: &str,
+    count: usize,
+) -> Vec<JoinHandle<CallResult>> {
+    let calls = (1..=count).map(|number| {
         let (call, id) = (call.clone(), format!("{name}-{number}"));
-        tokio::spawn(async move { ask(door, call, &id).await })
+        tokio::spawn(async move { send_call(address, call, &id).await })
     });
-    asks.collect()
+    calls.collect()
 }
 
-pub async fn wait_all(asks: Vec<JoinHandle<Asked>>) -> Vec<Asked> {
+pub async fn join_results(calls: Vec<JoinHandle<CallResult>>) -> Vec<CallResult> {
     let mut all = Vec::new();
-    for asked in asks {
-        all.push(asked.await.expect("call"));
+    for result in calls {
+        all.push(result.await.expect("call"));
     }
     all
 }
 
 /// Run streams of a route before a stop, so that their length is known.
-pub async fn run_before(site: &Site, path: &str, count: usize) {
-    let call = stream_call(path, NO_HURRY);
-    for asked in wait_all(ask_many(site.door(), &call, "before", count)).await {
-        assert!(asked.is_served(), "{asked:?}");
+pub async fn warm_up(site: &Site, path: &str, count: usize) {
+    let call = stream_call(path, LONG_DEADLINE);
+    for result in join_results(send_many(site.address(), &call, "before", count)).await {
+        assert!(result.is_served(), "{result:?}");
     }
 }
 
@@ -190,16 +195,20 @@
 
 /// Send a call and wait until a target has it. An answer before that says why none
 /// will.
-pub async fn ask_and_reach(site: &Site, call: Call, id: &'static str) -> JoinHandle<Asked> {
-    let door = site.door();
-    let asked = tokio::spawn(async move { ask(door, call, id).await });
+pub async fn send_until_running(
+    site: &Site,
+    call: Call,
+    id: &'static str,
+) -> JoinHandle<CallResult> {
+    let address = site.address();
+    let result = tokio::spawn(async move { send_call(address, call, id).await });
     let ran = || runs_of(site, id) > 0;
     until("a target has the call", async || {
-        ran() || asked.is_finished()
+        ran() || result.is_finished()
     })
     .await;
     if !ran() {
-        panic!("no target has the call: {:?}", asked.await);
+        panic!("no target has the call: {:?}", result.await);
     }
-    asked
+    result
 }
--- a/bergamotswitch/tests/stop_waiting.rs
+++ b/bergamotswitch/tests/stop_waiting.rs
@@ -15,20 +15,25 @@
 async fn waiting_refused() {
     let grace = seconds(8.0);
     let events = 50;
-    let mut site = small_site(events, grace).await;
-    run_before(&site, "/draft/1", 3).await;
-    let door = site.door();
+    let mut site = start_small_site(events, grace).await;
+    warm_up(&site, "/draft/1", 3).await;
+    let address = site.address();
     // Eight run at once, so that the others would run from 5 s to 10 s.
-    let asks = ask_many(door, &stream_call("/once/1", seconds(12.0)), "waiting", 14);
+    let calls = send_many(
+        address,
+        &stream_call("/once/1", seconds(12.0)),
+        "waiting",
+        14,
+    );
     tokio::time::sleep(seconds(0.5)).await;
-    assert!(asks.iter().all(|ask| !ask.is_finished()));
+    assert!(calls.iter().all(|call| !call.is_finished()));
     let stop = PlannedStop::begin(site.hosts.remove(0).child, grace);
-    let all = wait_all(asks).await;
+    let all = join_results(calls).await;
     let end = stop.end().await;
-    for asked in &all {
-        asked.assert_kept(&site, events);
+    for result in &all {
+        result.assert_whole_or_refused(&site, events);
     }
-    let served = all.iter().filter(|asked| asked.is_served()).count();
+    let served = all.iter().filter(|result| result.is_served()).count();
     assert!(served >= 8, "{served} served");
     assert!(end.is_clean());
 }
@@ -40,25 +45,25 @@
 async fn waiting_expires() {
     let grace = seconds(6.0);
     let events = 5;
-    let mut site = small_site(events, grace).await;
-    run_before(&site, "/once/1", 16).await;
-    let asks = ask_many(
-        site.door(),
+    let mut site = start_small_site(events, grace).await;
+    warm_up(&site, "/once/1", 16).await;
+    let calls = send_many(
+        site.address(),
         &stream_call("/once/1", seconds(12.0)),
         "waiting",
         120,
     );
     tokio::time::sleep(seconds(0.2)).await;
     let stop = PlannedStop::begin(site.hosts.remove(0).child, grace);
-    let all = wait_all(asks).await;
+    let all = join_results(calls).await;
     assert!(stop.end().await.is_clean());
-    for asked in &all {
-        asked.assert_kept(&site, events);
+    for result in &all {
+        result.assert_whole_or_refused(&site, events);
         assert!(
-            asked.is_served() || asked.took < grace - seconds(1.0),
-            "{asked:?}"
+            result.is_served() || result.took < grace - seconds(1.0),
+            "{result:?}"
         );
     }
-    let served = all.iter().filter(|asked| asked.is_served()).count();
+    let served = all.iter().filter(|result| result.is_served()).count();
     assert!((16..all.len()).contains(&served), "{served} served");
 }
--- a/bergamotswitch/tests/target_leaving.rs
+++ b/bergamotswitch/tests/target_leaving.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 
 /// "After a few seconds" a leaving target gets nothing new.
-const LEAVING_BOUND: Duration = Duration::from_secs(3);
+const LEAVING_TIMEOUT: Duration = Duration::from_secs(3);
 
 // Symptom: a target that is being taken out still gets requests, or its
 // running ones are cut off. Sequence: a target is marked as leaving in the
@@ -44,9 +44,9 @@
     for host in &fleet.hosts {
         wait_revision(host.address(), "hosts", revision).await;
     }
-    assert!(marked.elapsed() < LEAVING_BOUND, "{:?}", marked.elapsed());
+    assert!(marked.elapsed() < LEAVING_TIMEOUT, "{:?}", marked.elapsed());
     // A permit given just before may still be on its way.
-    while marked.elapsed() < LEAVING_BOUND {
+    while marked.elapsed() < LEAVING_TIMEOUT {
         pause().await;
     }
     let at_target = |runs: &[fleet::Run]| runs.iter().filter(|run| run.target == target).count();
@@ -66,5 +66,5 @@
     let runs = fleet.runs().await;
     assert_eq!(at_target(&runs), known, "new work at {target}");
     assert_eq!(runs.len(), 161);
-    long.assert_own(&runs, 4_000);
+    long.assert_own_output(&runs, 4_000);
 }
--- a/bergamotswitch/tests/users/mod.rs
+++ b/bergamotswitch/tests/users/mod.rs
@@ -36,9 +36,9 @@
 /// The key of the one account.
 pub const KEY: &str = "key-of-the-account";
 /// The tries to start a host on free ports.
-const START_TRIES: usize = 5;
+const START_ATTEMPTS: usize = 5;
 /// How long a host that is looked at may take to answer.
-const LOOK_LIMIT: Duration = Duration::from_secs(2);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a revoked key may still work.
 pub const REVOKE_MS: u64 = 3_000;
 
@@ -54,7 +54,7 @@
     /// How many streams an engine runs at once.
     pub slots: u32,
     /// By when an answer should begin.
-    pub aim: Duration,
+    pub target_latency: Duration,
     /// How long the operator lets a call wait for the end of its answer.
     pub timeout: Duration,
     /// How long after SIGTERM a host is killed.
@@ -68,7 +68,7 @@
             events: 8,
             gap: Duration::from_millis(20),
             slots: 4,
-            aim: Duration::from_secs(1),
+            target_latency: Duration::from_secs(1),
             timeout: Duration::from_secs(5),
             grace: Duration::from_secs(8),
         }
@@ -87,13 +87,13 @@
 }
 
 impl HostProcess {
-    pub async fn ended(&mut self) -> ExitStatus {
-        let until = Instant::now() + WAIT_TIMEOUT;
+    pub async fn wait_end(&mut self) -> ExitStatus {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Some(status) = self.child.exit_status() {
                 return status;
             }
-            assert!(Instant::now() < until, "the host does not end");
+            assert!(Instant::now() < deadline, "the host does not end");
             pause().await;
         }
     }
@@ -105,26 +105,26 @@
     /// Get what can be seen of the host from outside. To a test that waits for
     /// it, one that has ended, one that is not ready and one that lacks another
     /// look alike.
-    async fn standing(&mut self) -> String {
+    async fn diagnostics(&mut self) -> String {
         let process = match self.child.exit_status() {
             Some(status) => format!("ended with {status}"),
             None => format!("process {} runs", self.child.id()),
         };
-        let ready = look(Call::get("/readyz"), self.readiness).await;
+        let ready = probe(Call::get("/readyz"), self.readiness).await;
         let ready = ready.map(|answer| answer.status);
-        let named = timeout(LOOK_LIMIT, self.named()).await.ok();
-        let noted = look(Call::get("/metrics"), self.metrics).await;
-        let noted = noted.map(|page| noted_counts(page.text()));
+        let resolved = timeout(PROBE_TIMEOUT, self.resolved_addresses()).await.ok();
+        let logged = probe(Call::get("/metrics"), self.metrics).await;
+        let logged = logged.map(|page| incident_counts(page.text()));
         let lines = self.child.last_lines();
         let (callers, link) = (self.callers, self.link);
         format!(
-            "callers {callers}, link {link}: {process}, ready {ready:?}, names {named:?}, \
-             log lines by number {noted:?}; it wrote last:\n{lines}"
+            "callers {callers}, link {link}: {process}, ready {ready:?}, resolves to {resolved:?}, \
+             log events by number {logged:?}; last output:\n{lines}"
         )
     }
 
     /// Get the addresses that the host names.
-    pub async fn named(&self) -> Vec<String> {
+    pub async fn resolved_addresses(&self) -> Vec<String> {
         let path = format!("/resolve?name={HOST}&region=r&zone=hall-1");
         let Ok(answer) = Call::get(&path).send(self.directory).await else {
             return Vec::new();
@@ -188,14 +188,20 @@
             site.register("desk", desk, "ready");
         }
         site.start_hosts();
-        site.all_ready().await;
+        site.wait_all_ready().await;
         site
     }
 
     /// Publish the routes with these keys, and further ones to the desk.
-    pub fn publish(&mut self, keys: &[&str], more: &[&str]) {
+    pub fn publish(&mut self, keys: &[&str], extra_prefixes: &[&str]) {
         self.version += 3;
-        publish_with(&self.store, self.version, keys, more, &self.options);
+        publish_with(
+            &self.store,
+            self.version,
+            keys,
+            extra_prefixes,
+            &self.options,
+        );
     }
 
     /// Register a target as it does itself.
@@ -216,10 +222,12 @@
     }
 
     /// Wait until every host is ready and knows all others.
-    pub async fn all_ready(&mut self) {
+    pub async fn wait_all_ready(&mut self) {
         let ready = async {
             for host in &self.hosts {
-                while !host.is_ready().await || host.named().await.len() != self.hosts.len() {
+                while !host.is_ready().await
+                    || host.resolved_addresses().await.len() != self.hosts.len()
+                {
                     pause().await;
                 }
             }
@@ -227,27 +235,27 @@
         if timeout(WAIT_TIMEOUT, ready).await.is_ok() {
             return;
         }
-        let mut standings = Vec::new();
+        let mut diagnostics = Vec::new();
         for host in &mut self.hosts {
-            standings.push(host.standing().await);
+            diagnostics.push(host.diagnostics().await);
         }
-        panic!("a host does not get ready:\n{}", standings.join("\n"));
+        panic!("a host does not get ready:\n{}", diagnostics.join("\n"));
     }
 
     /// Get the first host's address for callers.
-    pub fn door(&self) -> SocketAddr {
+    pub fn address(&self) -> SocketAddr {
         self.hosts[0].callers
     }
 }
 
 /// Ask a host that may not answer.
-async fn look(call: Call, address: SocketAddr) -> io::Result<Answer> {
-    let answer = timeout(LOOK_LIMIT, call.send(address)).await;
+async fn probe(call: Call, address: SocketAddr) -> io::Result<Answer> {
+    let answer = timeout(PROBE_TIMEOUT, call.send(address)).await;
     answer.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
 
 /// Get how often a host wrote each numbered line, from its metrics.
-fn noted_counts(page: &str) -> Vec<(u32, u64)> {
+fn incident_counts(page: &str) -> Vec<(u32, u64)> {
     let counts = page.lines().filter_map(|line| {
         let (series, count) = line.split_once("{number=\"")?;
         let (number, count) = count.split_once("\"} ")?;
@@ -265,8 +273,14 @@
 
 /// Publish a version of the routes with these keys, and further routes to the
 /// desk.
-pub fn publish(store: &UsersStore, version: u64, keys: &[&str], more: &[&str]) {
-    publish_with(store, version, keys, more, &SiteOptions::default());
+pub fn publish(store: &UsersStore, version: u64, keys: &[&str], extra_prefixes: &[&str]) {
+    publish_with(
+        store,
+        version,
+        keys,
+        extra_prefixes,
+        &SiteOptions::default(),
+    );
 }
 
 /// Publish a version of the routes with the times of a site.
@@ -274,15 +288,15 @@
     store: &UsersStore,
     version: u64,
     keys: &[&str],
-    more: &[&str],
+    extra_prefixes: &[&str],
     options: &SiteOptions,
 ) {
     let timeout = options.timeout.as_millis() as u64;
-    let aim = options.aim.as_millis() as u64;
+    let target_latency = options.target_latency.as_millis() as u64;
     let route = |name: &str, prefix: &str, kind: &str, service: &str| {
         json!({
             "name": name, "host": HOST, "pathPrefix": prefix, "kind": kind,
-            "timeoutMs": timeout, "targetLatencyMs": aim, "priority": 0,
+            "timeoutMs": timeout, "targetLatencyMs": target_latency, "priority": 0,
             "service": service, "maxAttempts": 2, "public": false,
             "resumable": name == "draft", "gapAimMs": 300,
         })
@@ -296,7 +310,7 @@
     let mut open = route("open", "/open/", "safe", "desk");
     open["public"] = json!(true);
     routes.push(open);
-    for prefix in more {
+    for prefix in extra_prefixes {
         routes.push(route("more", prefix, "safe", "desk"));
     }
     let config = json!({
@@ -344,14 +358,14 @@
     store: SocketAddr,
     grace: Duration,
 ) -> HostProcess {
-    let mut faults = Vec::new();
-    for _ in 0..START_TRIES {
+    let mut errors = Vec::new();
+    for _ in 0..START_ATTEMPTS {
         match try_start_at(HostAddresses::free(), number, seed, store, grace) {
             Ok(host) => return host,
-            Err(fault) => faults.push(fault),
+            Err(error) => errors.push(error),
         }
     }
-    panic!("no host finds its ports free: {faults:#?}");
+    panic!("no host started on free ports: {errors:#?}");
 }
 
 /// The addresses on which a host is to listen.
@@ -424,13 +438,13 @@
         child: HostChild::start(path.clone()),
         settings: path,
     };
-    let until = Instant::now() + WAIT_TIMEOUT;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     // Its own word: on a port that it did not get somebody else answers.
     while !host.child.has_started() {
         if host.child.exit_status().is_some() {
             return Err(host.child.last_lines());
         }
-        assert!(Instant::now() < until, "the host does not start");
+        assert!(Instant::now() < deadline, "the host does not start");
         std::thread::sleep(Duration::from_millis(20));
     }
     Ok(host)
@@ -445,7 +459,7 @@
 }
 
 /// Wait until the host with these metrics has written a numbered line.
-pub async fn noted(metrics: SocketAddr, number: u32) {
+pub async fn wait_logged(metrics: SocketAddr, number: u32) {
     let series = format!("{{number=\"{number}\"}} ");
     let counts = |line: &str| line.contains(&series) && !line.ends_with(" 0");
     until(&format!("log line {number}"), async || {
@@ -467,10 +481,10 @@
 }
 
 /// Wait until something holds.
-pub async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
-    let end = Instant::now() + WAIT_TIMEOUT;
-    while !holds().await {
-        assert!(Instant::now() < end, "never: {what}");
+pub async fn until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while !condition().await {
+        assert!(Instant::now() < deadline, "never: {what}");
         pause().await;
     }
 }
--- a/bergamotswitch/tests/users/ports.rs
+++ b/bergamotswitch/tests/users/ports.rs
@@ -11,7 +11,7 @@
 /// down for a moment would find its port taken by one of these.
 const PORTS: Range<u16> = 10_000..32_000;
 /// The ports that are claimed together.
-const BLOCK: u16 = 100;
+const BLOCK_SIZE: u16 = 100;
 /// The most blocks of one program; beyond, it goes through its own again, whose
 /// first hosts have ended by then.
 const MAX_BLOCKS: usize = 40;
@@ -19,7 +19,7 @@
 /// A `PortBlock` is ports that this program alone draws from until it ends. A host
 /// that is down for a moment finds them free when it starts again.
 struct PortBlock {
-    _claim: File,
+    _lock: File,
     first: u16,
 }
 
@@ -48,34 +48,31 @@
     }
 
     fn next_port(&mut self) -> u16 {
-        let block = usize::from(BLOCK);
+        let block = usize::from(BLOCK_SIZE);
         if self.drawn == self.blocks.len() * block {
             match self.blocks.len() < MAX_BLOCKS {
-                true => self.blocks.push(claim_block()),
+                true => self.blocks.push(reserve_block()),
                 false => self.drawn = 0,
             }
         }
-        let (at, offset) = (self.drawn / block, self.drawn % block);
+        let (index, offset) = (self.drawn / block, self.drawn % block);
         self.drawn += 1;
-        self.blocks[at].first + offset as u16
+        self.blocks[index].first + offset as u16
     }
 }
 
 /// Claim a block that no other program has.
-fn claim_block() -> PortBlock {
-    let mut firsts = PORTS.step_by(usize::from(BLOCK));
+fn reserve_block() -> PortBlock {
+    let mut firsts = PORTS.step_by(usize::from(BLOCK_SIZE));
     let block = firsts.find_map(|first| {
         let path = std::env::temp_dir().join(format!("bergamotswitch-ports-{first}"));
-        let claim = File::options()
+        let lock = File::options()
             .create(true)
             .append(true)
             .open(path)
             .expect("claim of ports");
-        match claim.try_lock() {
-            Ok(()) => Some(PortBlock {
-                _claim: claim,
-                first,
-            }),
+        match lock.try_lock() {
+            Ok(()) => Some(PortBlock { _lock: lock, first }),
             Err(TryLockError::WouldBlock) => None,
             Err(TryLockError::Error(error)) => panic!("claim of ports: {error}"),
         }
