--- a/bergamotswitch/tests/answer_bound.rs
+++ b/bergamotswitch/tests/answer_bound.rs
@@ -1,4 +1,5 @@
-//! An engine that does not end takes neither a host's memory nor its time.
+//! Tests that an engine with an endless answer exhausts neither a host's memory nor
+//! its time.
 
 mod fleet;
 
@@ -13,9 +14,8 @@
     text.matches("\"outcome\":\"cancelled\"").count()
 }
 
-// Symptom: a host's memory grows until its process dies.
-// Sequence: a caller asks an engine for far more tokens than anyone reads.
-// Cause: answers in flight and kept ones were bounded by count and time only.
+// Guards against unbounded memory for an answer that an engine produces without end,
+// both in flight and retained for resubmissions.
 #[tokio::test]
 async fn endless_engine() {
     let fleet = Fleet::start("red-austral").await;
--- a/bergamotswitch/tests/fleet/caller.rs
+++ b/bergamotswitch/tests/fleet/caller.rs
@@ -1,5 +1,5 @@
-//! Callers of a fleet: they read an answer bit by bit, and keep what they
-//! have when its host dies.
+//! Provides callers of a fleet. They read answers incrementally and keep what they
+//! have received when the host goes down.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,12 +16,12 @@
 
 use super::{Run, WAIT_TIMEOUT};
 
-/// A call; the constants below are the kinds of work.
+/// A `Call` is one request of a caller; its constructors are the kinds of work.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub work: &'static str,
     pub account: &'static str,
-    /// Pool and path of a plain service; an engine's call where absent.
+    /// The pool and path of a plain service; `None` for a call to an engine.
     pub service: Option<&'static str>,
     pub streaming: bool,
     pub max_tokens: u32,
@@ -32,7 +32,7 @@
 }
 
 impl Call {
-    /// A trajectory report: dispatched once, tier 1.
+    /// Get a trajectory report: not idempotent, tier 1.
     pub fn report(key: &str, max_tokens: u32) -> Self {
         Call {
             work: "trajectory-report",
@@ -47,7 +47,7 @@
         }
     }
 
-    /// A dawn report: idempotent, tier 0.
+    /// Get a dawn report: idempotent, tier 0.
     pub fn dawn(key: &str, max_tokens: u32) -> Self {
         let (work, account) = ("dawn-report", "red-austral-demo-observatorio-pampa");
         Call {
@@ -57,8 +57,8 @@
         }
     }
 
-    /// A sky log: idempotent, tier 5, not streamed, so that it may be stopped
-    /// for work of a higher tier.
+    /// Get a sky log: idempotent, tier 5, not streamed, so that more urgent work may
+    /// preempt it.
     pub fn sky_log(key: &str, max_tokens: u32) -> Self {
         let (work, account) = ("sky-log-summary", "red-austral-demo-observatorio-laguna");
         Call {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// A crew alert: not idempotent, tier 0.
+    /// Get a crew alert: not idempotent, tier 0.
     pub fn alert(key: &str) -> Self {
         Call {
             work: "crew-alert",
@@ -125,8 +125,8 @@
         request.body(body).expect("good request")
     }
 
-    /// Send the call and wait for the answer's head; none where there is no
-    /// connection or it breaks before.
+    /// Send the call and wait for the answer's head; `None` if the connection fails
+    /// before the head arrives.
     pub async fn begin(&self, host: SocketAddr) -> Option<OpenAnswer> {
         let stream = TcpStream::connect(host).await.ok()?;
         let handshake = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
@@ -145,15 +145,16 @@
         })
     }
 
-    /// Send the call and read its answer to the end. Panics where there is
-    /// none within the patience of the tests.
+    /// Send the call and read its answer to the end. Panics if there is none within
+    /// [`WAIT_TIMEOUT`].
     pub async fn send(&self, host: SocketAddr) -> Answer {
         let answer = self.try_send(host).await;
         answer.unwrap_or_else(|| panic!("{}: no answer", self.key))
     }
 
-    /// Send the call and read its answer; none where the connection breaks
-    /// before the answer's head.
+    /// Send the call and read its answer; `None` if the connection fails before the
+    /// answer's head arrives. Panics if the answer does not end within
+    /// [`WAIT_TIMEOUT`].
     pub async fn try_send(&self, host: SocketAddr) -> Option<Answer> {
         let whole = async { Some(self.begin(host).await?.finish().await) };
         let answer = timeout(WAIT_TIMEOUT, whole).await;
@@ -161,7 +162,7 @@
     }
 }
 
-/// An answer of which more may come.
+/// An `OpenAnswer` is an answer whose body has not been read to the end.
 #[derive(Debug)]
 pub struct OpenAnswer {
     body: Incoming,
@@ -169,14 +170,14 @@
 }
 
 impl OpenAnswer {
-    /// Read until the answer holds some output of the engine.
+    /// Read until the answer contains some output of the engine.
     pub async fn read_output(&mut self) {
         while self.answer.text.matches("\"content\"").count() < 3 {
             assert!(self.read_more().await, "{:?}", self.answer);
         }
     }
 
-    /// Read to the end, or to the break.
+    /// Read until the body ends or breaks off.
     pub async fn finish(mut self) -> Answer {
         while self.read_more().await {}
         self.answer
@@ -198,18 +199,18 @@
     }
 }
 
-/// What a caller has of an answer.
+/// An `Answer` is the part of an answer that a caller has received.
 #[derive(Clone, Debug)]
 pub struct Answer {
     pub status: StatusCode,
     pub fields: HeaderMap,
     pub text: String,
-    /// Whether the connection broke, or was silent for too long.
+    /// Whether the connection broke, or stalled beyond [`WAIT_TIMEOUT`].
     pub broke: bool,
 }
 
 impl Answer {
-    /// Get whether a caller takes the answer for whole.
+    /// Get whether a caller accepts the answer as complete.
     pub fn is_whole(&self) -> bool {
         let stream = !self.is_stream() || self.text.contains("data: [DONE]");
         self.status.is_success() && !self.broke && stream && self.error().is_null()
@@ -225,17 +226,17 @@
             .collect()
     }
 
-    /// Get the refusal's or failure's code.
+    /// Get the error code of a refusal or failure.
     pub fn code(&self) -> String {
         self.error()["code"].as_str().unwrap_or_default().to_owned()
     }
 
-    /// Get what a refusal says of the run.
+    /// Get whether the request has run, as stated by a refusal.
     pub fn ran(&self) -> String {
         self.error()["ran"].as_str().unwrap_or_default().to_owned()
     }
 
-    /// Get the request's id, where it was accepted.
+    /// Get the request's id, if the host accepted it.
     pub fn request(&self) -> Option<String> {
         let comment = |line: &str| Some(line.strip_prefix(": bergamot-request ")?.to_owned());
         let early = self.text.lines().find_map(comment);
@@ -243,24 +244,28 @@
         early.or_else(|| field().map(str::to_owned))
     }
 
-    /// Check that the output is the whole one of one run of this very
-    /// request, by what the stand-ins' engines make of its body.
+    /// Assert that the output is the complete output of a run of this request, which
+    /// the simulated engines derive from the request body.
     pub fn assert_own_output(&self, runs: &[Run], max_tokens: u32) {
         assert!(self.is_whole(), "{self:?}");
         let id = format!("{}-", self.request().expect("request"));
         let own = runs.iter().filter(|run| run.request.starts_with(&id));
         let output = self.output();
         let mut outputs = own.map(|run| engine_output(run, max_tokens));
-        assert!(outputs.any(|own| own == output), "not its own: {self:?}");
+        assert!(
+            outputs.any(|own| own == output),
+            "output of another request: {self:?}"
+        );
     }
 
-    /// Check that the output is the whole one of this run.
+    /// Assert that the output is the complete output of this run.
     pub fn assert_output_of(&self, run: &Run, max_tokens: u32) {
         assert!(self.is_whole(), "{self:?}");
         assert_eq!(self.output(), engine_output(run, max_tokens), "{self:?}");
     }
 
-    /// Get the run that holds the request, as the caller was told last.
+    /// Get the host incarnation that holds the request, as last reported to the
+    /// caller.
     pub fn incarnation(&self) -> String {
         let comment = |line: &str| Some(line.strip_prefix(": bergamot-incarnation ")?.to_owned());
         if let Some(run) = self.text.lines().rev().find_map(comment) {
@@ -293,7 +298,7 @@
     }
 }
 
-/// Get what an engine puts out in a run, as docs/STANDINS.md defines it.
+/// Get the output of an engine's run, as `docs/STANDINS.md` defines it.
 fn engine_output(run: &Run, max_tokens: u32) -> String {
     let digest = u64::from_str_radix(&run.body, 16).expect("hex");
     let token = |number: u32| {
@@ -304,7 +309,7 @@
     (1..=max_tokens).map(token).collect()
 }
 
-/// Send calls together and wait for all.
+/// Send calls concurrently and wait for all answers.
 pub async fn send_all(calls: Vec<(Call, SocketAddr)>) -> Vec<Option<Answer>> {
     let tasks: Vec<_> = calls
         .into_iter()
@@ -317,7 +322,7 @@
     answers
 }
 
-/// A moment to look again after.
+/// Sleep for one polling interval.
 pub async fn pause() {
     tokio::time::sleep(Duration::from_millis(50)).await;
 }
--- a/bergamotswitch/tests/fleet/mod.rs
+++ b/bergamotswitch/tests/fleet/mod.rs
@@ -1,7 +1,7 @@
-//! A fleet of separate processes on loopback: hosts and a platform of
-//! stand-ins, each a process of its own, ended with the fleet.
+//! Provides a fleet of separate processes on loopback: hosts and one simulated
+//! platform. All processes are ended when the fleet is dropped.
 
-// Each test file uses its own part of this module.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 pub mod caller;
@@ -26,17 +26,17 @@
 
 use self::host_child::{HostChild, PlannedStop};
 
-/// The port of the control address, besides those of the deployments.
+/// The port of the control address. The deployments do not use it.
 const CONTROL_PORT: u16 = 7900;
-/// Long enough for a busy machine; no test waits this long in good health.
+/// How long a test waits for a condition before it fails.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The pool of engines of Red Austral.
+/// The name of the engine pool of the deployment Red Austral.
 pub const ENGINES: &str = "bolido-llm";
-/// The numbers of a fleet's hosts.
+/// The indices of a fleet's hosts.
 pub const ALL_HOSTS: [usize; 3] = [0, 1, 2];
 
-/// One host's process.
+/// A `HostProcess` is a running host of a fleet, with its settings.
 pub struct HostProcess {
     pub settings: HostSettings,
     child: HostChild,
@@ -70,7 +70,7 @@
         self.child.signal(name);
     }
 
-    /// Stop it as the platform does.
+    /// Begin a planned stop of the host.
     pub fn stop(self, grace: Duration) -> PlannedStop {
         PlannedStop::begin(self.child, grace)
     }
@@ -91,7 +91,8 @@
     }
 }
 
-/// A whole fleet; dropping it ends its processes.
+/// A `Fleet` is a set of host processes and their platform. Its processes are
+/// ended when it is dropped.
 pub struct Fleet {
     pub hosts: Vec<HostProcess>,
     pub platform: Child,
@@ -100,12 +101,12 @@
 }
 
 impl Fleet {
-    /// Start the platform, then the hosts, and wait until all serve.
+    /// Start the platform, then the hosts, and wait until all hosts are ready.
     pub async fn start(deployment: &str) -> Self {
         Fleet::start_with(deployment, |_| ()).await.0
     }
 
-    /// Start the fleet with its staged files changed by `change`.
+    /// Start a fleet after `change` has edited its staged files.
     pub async fn start_with<T>(
         deployment: &str,
         change: impl FnOnce(&StagedDeployment) -> T,
@@ -149,7 +150,7 @@
         serde_json::from_slice(&answer.expect("ledger").body).expect("JSON")
     }
 
-    /// Get the numbers of the other hosts.
+    /// Get the indices of the other hosts.
     pub fn others(&self, host: usize) -> Vec<usize> {
         let others = ALL_HOSTS.into_iter().filter(|other| *other != host);
         others.collect()
@@ -167,7 +168,7 @@
         targets.iter().flat_map(runs_of).collect()
     }
 
-    /// Set switches of every engine.
+    /// Set fault switches of every engine.
     pub async fn set_engines(&self, switches: Value) {
         let pools = self.published("pools");
         for target in pools["pools"][0]["targets"].as_array().expect("targets") {
@@ -176,7 +177,8 @@
         }
     }
 
-    /// Publish a value as it is in the deployment, changed by `change`.
+    /// Publish the deployment's value of this name with the edits of `change`, and
+    /// get its revision.
     pub async fn publish(&self, name: &str, change: impl FnOnce(&mut Value)) -> u64 {
         let mut body = self.published(name);
         change(&mut body);
@@ -186,8 +188,8 @@
         answer["revision"].as_u64().expect("revision")
     }
 
-    /// Publish token limits so small that a target runs one request of some
-    /// hundred tokens at a time, and wait until `hosts` act by them.
+    /// Publish the token limit of each target, and wait until all hosts have applied
+    /// it. A low limit lets a target run only one or a few requests at a time.
     pub async fn publish_token_limit(&self, tokens: u64) {
         let revision = self
             .publish("pools", |pools| {
@@ -200,8 +202,8 @@
         self.wait_applied("pools", revision).await;
     }
 
-    /// Publish a bound on the drain time of a shard's queue, and wait until
-    /// all hosts act by it.
+    /// Publish the maximum drain time of a shard's queue, and wait until all hosts
+    /// have applied it.
     pub async fn publish_queue_limit(&self, millis: u64) {
         let change = |limits: &mut Value| limits["queue_limit_ms"] = millis.into();
         let revision = self.publish("limits", change).await;
@@ -214,7 +216,8 @@
         }
     }
 
-    /// Wait until one host alone among `hosts` acts as the owner of a pool.
+    /// Wait until exactly one of `hosts` acts as the owner of the pool's shard, and
+    /// get its index.
     pub async fn wait_owner(&self, pool: &str, hosts: &[usize]) -> usize {
         let deadline = Instant::now() + WAIT_TIMEOUT;
         let mut owners = Vec::new();
@@ -230,7 +233,7 @@
             }
             caller::pause().await;
         }
-        panic!("{pool}: owners {owners:?}");
+        panic!("{pool}: expected one owner, found {owners:?}");
     }
 
     pub fn published(&self, name: &str) -> Value {
@@ -242,14 +245,14 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        // The hosts end before what they read from.
+        // End the hosts before the platform that they read from.
         self.hosts.clear();
         let _ = self.platform.kill();
         let _ = self.platform.wait();
     }
 }
 
-/// Get the settings files of a stage, in the order of the hosts' numbers.
+/// Get the settings files of a staged deployment, in the order of the hosts.
 pub fn settings_paths(stage: &StagedDeployment) -> Vec<PathBuf> {
     let mut paths: Vec<PathBuf> = std::fs::read_dir(stage.settings_directory())
         .expect("settings")
@@ -259,7 +262,7 @@
     paths
 }
 
-/// Tell all hosts of a stage that they are killed so long after SIGTERM.
+/// Set the grace period of all hosts of a staged deployment.
 pub fn set_grace(stage: &StagedDeployment, grace: Duration) {
     for path in settings_paths(stage) {
         let text = std::fs::read_to_string(&path).expect("settings file");
@@ -269,7 +272,7 @@
     }
 }
 
-/// Put a text in the place of another one in a staged file.
+/// Replace a text in a staged file.
 pub fn rewrite(path: &Path, from: &str, to: &str) {
     let text = std::fs::read_to_string(path).expect("staged file");
     assert!(text.contains(from), "{path:?} has no {from}");
@@ -302,7 +305,7 @@
     child
 }
 
-/// One run at a target.
+/// A `Run` is one execution of a request at a target.
 #[derive(Clone, Debug)]
 pub struct Run {
     pub target: String,
@@ -323,7 +326,7 @@
     }
 }
 
-/// Check that no body ran twice, under whatever id.
+/// Assert that no request body ran twice, under the same or different ids.
 pub fn assert_ran_once(runs: &[Run]) {
     let mut by_body: BTreeMap<&str, Vec<&Run>> = BTreeMap::new();
     for run in runs {
@@ -333,20 +336,20 @@
     assert!(twice.is_empty(), "ran twice: {twice:?}");
 }
 
-/// Get a host's metrics.
+/// Get a host's metrics page.
 pub async fn metrics(host: SocketAddr) -> String {
     let page = client::get(host, "/metrics").await.expect("metrics");
     String::from_utf8_lossy(&page.body).into_owned()
 }
 
-/// Get whether a view says that its host acts as the owner of a pool.
+/// Get whether the host of this status view acts as the owner of the pool's shard.
 pub fn owns(view: &Value, pool: &str) -> bool {
     let owned = view["owns"].as_array().expect("owns");
     owned.iter().any(|shard| shard["pool"] == pool)
 }
 
-/// Watch that no host's value goes back, also not over a restart, until the
-/// watch is stopped by its drop.
+/// A `RevisionWatch` polls the hosts and panics if a published value of a ready host
+/// returns to an earlier revision, also across a restart.
 pub struct RevisionWatch(tokio::task::JoinHandle<()>);
 
 impl RevisionWatch {
@@ -356,7 +359,8 @@
             let mut highest = vec![0; hosts.len()];
             loop {
                 for (host, highest) in hosts.iter().zip(&mut highest) {
-                    // A dead host says nothing; one that starts has none yet.
+                    // A host that is down does not answer, and one that is starting
+                    // has no revision yet.
                     let view = try_view(*host).await.unwrap_or_default();
                     if view["ready"] == true {
                         let revision = in_force(&view, name);
@@ -369,7 +373,7 @@
         }))
     }
 
-    /// Check that nothing went back so far.
+    /// Stop the watch and assert that no revision went back.
     pub async fn check(self) {
         let has_failed = self.0.is_finished();
         self.0.abort();
@@ -382,26 +386,26 @@
     serde_json::from_slice(&answer.body).ok()
 }
 
-/// Get the revision of a value that is in force in a view.
+/// Get the revision of a value that is in force, from a host's status view.
 pub fn in_force(view: &Value, name: &str) -> u64 {
     let values = view["revisions"]["values"].as_array().expect("values");
     let value = values.iter().find(|value| value["name"] == name);
     value.and_then(|v| v["in_force"].as_u64()).unwrap_or(0)
 }
 
-/// Wait until a host acts by a revision or a higher one.
+/// Wait until a host has applied this revision of a value or a later one.
 pub async fn wait_revision(host: SocketAddr, name: &str, revision: u64) {
     let reached = wait_view(host, |view| in_force(view, name) >= revision).await;
     assert!(reached.is_some(), "{host}: {name} below {revision}");
 }
 
-/// Get a host's view.
+/// Get a host's status view.
 pub async fn view(host: SocketAddr) -> Value {
     let answer = client::get(host, "/status").await.expect("status");
     serde_json::from_slice(&answer.body).expect("JSON")
 }
 
-/// Wait until `check` holds of a host's view.
+/// Wait until `check` is true of a host's status view; `None` on timeout.
 pub async fn wait_view(host: SocketAddr, check: impl Fn(&Value) -> bool) -> Option<Value> {
     let deadline = Instant::now() + WAIT_TIMEOUT;
     while Instant::now() < deadline {
--- a/bergamotswitch/tests/fleet/relay.rs
+++ b/bergamotswitch/tests/fleet/relay.rs
@@ -1,8 +1,7 @@
-//! A TCP relay that a test may cut: connections stay open and go silent, as
-//! when something between two ends has lost track of them; or they are reset,
-//! or slow.
+//! Provides a TCP relay with injected faults: connections stay open but pass no
+//! bytes, are delayed, or are closed.
 
-// Each test file uses its own part of this module.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -13,18 +12,18 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Which way bytes go.
+/// A `Flow` is the direction in which a relay passes bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Flow {
     Both,
-    /// Only from those who connect to the target.
+    /// Only from the client to the target.
     ToTarget,
-    /// Only from the target to those who connect.
+    /// Only from the target to the client.
     FromTarget,
     Blocked,
-    /// Both ways, each piece of bytes after [`SLOW_WAY`].
+    /// In both directions, each read delayed by [`SLOW_DELAY`].
     Slow,
-    /// Every connection is closed, new ones too.
+    /// Every connection is closed, new ones as well.
     Reset,
 }
 
@@ -41,22 +40,23 @@
     }
 }
 
-/// How long a slow relay holds each piece of bytes.
+/// The delay of each read in a slow relay.
 const SLOW_DELAY: Duration = Duration::from_millis(150);
 
-/// A relay before one address. It lives as long as the test's runtime.
+/// A `Relay` forwards connections to one address. It runs as long as the test's
+/// runtime.
 pub struct Relay {
     flow: watch::Sender<Flow>,
-    /// How often the open connections were silenced.
+    /// How often the open connections were stalled.
     stalls: watch::Sender<u32>,
 }
 
-/// What a connection through a relay goes by.
+/// A `ConnectionState` is the fault state that a relayed connection observes.
 #[derive(Clone)]
 struct ConnectionState {
     flow: watch::Receiver<Flow>,
     stalls: watch::Receiver<u32>,
-    /// The silences before it was opened.
+    /// The number of stalls before the connection was opened.
     stalls_at_open: u32,
 }
 
@@ -72,8 +72,8 @@
         Relay::serve(listener, target)
     }
 
-    /// Start a relay on a port that the system picks; get its address too. A
-    /// port that was looked up first may be taken by another test meanwhile.
+    /// Start a relay on a port that the system picks, and get its address. Looking up
+    /// a free port first could lose it to another test.
     pub fn start_on_free_port(target: SocketAddr) -> (Self, SocketAddr) {
         let listener = std::net::TcpListener::bind(("127.0.0.1", 0)).expect("free port");
         let address = listener.local_addr().expect("address");
@@ -103,14 +103,14 @@
         self.flow.send_replace(flow);
     }
 
-    /// Let the open connections go silent for good; new ones work.
+    /// Stall the open connections permanently; new connections work.
     pub fn stall_open_connections(&self) {
         self.stalls.send_modify(|count| *count += 1);
     }
 }
 
 async fn relay(client: TcpStream, target: SocketAddr, mut state: ConnectionState) {
-    // A connect through a cut does not get anywhere until the cut heals.
+    // A connection through a blocked relay proceeds only once the relay is unblocked.
     let open = state
         .flow
         .wait_for(|flow| *flow != Flow::Blocked)
@@ -145,7 +145,7 @@
     let mut bytes = vec![0; 16_384];
     loop {
         let read = from.read(&mut bytes).await;
-        // The end of a connection does not pass a cut either.
+        // A blocked relay does not pass the end of a connection either.
         if state.flow.wait_for(|flow| passes(*flow)).await.is_err() {
             return;
         }
--- a/bergamotswitch/tests/gateway_calls.rs
+++ b/bergamotswitch/tests/gateway_calls.rs
@@ -1,4 +1,4 @@
-//! Plain calls through the gateway: what targets get, what callers get.
+//! Tests of plain calls through the gateway: what targets and callers receive.
 
 mod users;
 
@@ -69,9 +69,8 @@
     assert_eq!(seen(&site).len(), 1);
 }
 
-// Symptom: a target runs a request that no caller sent. Sequence: a call frames
-// its body by a length and in chunks; the chunks end early, and the rest of the
-// length holds another request. Cause: two readers see two ends.
+// Guards against request smuggling: a call with both a content length and chunked
+// encoding hides a second request behind the last chunk.
 #[tokio::test]
 async fn smuggled_request() {
     let site = Site::start(1).await;
@@ -95,10 +94,12 @@
             "POST /receipt/1 HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: outer\r\n\
              Authorization: Bearer {KEY}\r\nDeadline-Ms: 2000\r\n{framing}\r\n\r\n{body}"
         );
-        let mut stream = TcpStream::connect(site.address()).await.expect("door");
+        let mut stream = TcpStream::connect(site.address())
+            .await
+            .expect("connection");
         stream.write_all(text.as_bytes()).await.expect("sent");
         let mut answer = Vec::new();
-        // A reset after the answer is as good as its end.
+        // A reset after the answer is accepted as its end.
         let _ = stream.read_to_end(&mut answer).await;
     }
     let hidden = seen(&site)
@@ -107,9 +108,8 @@
     assert!(!hidden, "the hidden request ran");
 }
 
-// Symptom: a caller gets an answer that no target gave, or another caller's.
-// Sequence: a target answers without its signature, or with another call's id.
-// Cause: whatever came over the connection was passed on.
+// Guards against answers that are passed on although the target did not sign them,
+// or gave them to another call.
 #[tokio::test]
 async fn invalid_answers() {
     let site = Site::start(1).await;
@@ -121,8 +121,8 @@
     .into_iter()
     .enumerate()
     {
-        // A mood that the round before left at one desk would make both fail a
-        // call in this one, and no third attempt is allowed.
+        // Clear the fault that the previous round left at one desk. Otherwise both
+        // desks would fail a call, and no third attempt is allowed.
         for desk in &site.desks {
             desk.expect_only(std::slice::from_ref(&mood));
         }
@@ -132,11 +132,11 @@
             .send(site.address())
             .await
             .expect("answer");
-        // It may have run, and a second run would do harm.
+        // The call may have run and is not idempotent.
         assert_eq!(answer.status, StatusCode::BAD_GATEWAY, "{mood:?}");
         assert_eq!(seen(&site).len(), before + 1, "{mood:?}");
-        // The other desk still has the mood; a call that may run again and goes
-        // there is sent to the next one.
+        // The other desk still has the fault. An idempotent call that goes there is
+        // retried at the next desk.
         let id = format!("safe-{number}");
         let answer = Call::new("GET", "/status/1", &id)
             .send(site.address())
@@ -147,9 +147,8 @@
     }
 }
 
-// Symptom: a call that must not run twice is lost although its target said that
-// it did not run it. Sequence: the target is full. Cause: "full" was taken for
-// a failure.
+// Guards against the loss of a call that is not idempotent, although its target
+// refused it as full and did not run it.
 #[tokio::test]
 async fn full_target() {
     let site = Site::start(1).await;
@@ -168,8 +167,8 @@
     }
 }
 
-// A target's own error is its answer: it is passed on unchanged, after another
-// target was tried where that does no harm.
+// A target's own error is passed on unchanged, after a retry at another target if
+// the call is idempotent.
 #[tokio::test]
 async fn target_error() {
     let site = Site::start(1).await;
@@ -186,8 +185,8 @@
     assert_eq!(seen(&site).len(), 2);
 }
 
-// Symptom: a call is held beyond the time that its caller waits. Sequence: its
-// target never answers. Cause: no timer of its own.
+// Guards against a call that is held beyond its deadline because its target never
+// answers.
 #[tokio::test]
 async fn unresponsive_target() {
     let site = Site::start(1).await;
--- a/bergamotswitch/tests/gateway_streams.rs
+++ b/bergamotswitch/tests/gateway_streams.rs
@@ -1,4 +1,5 @@
-//! Streams through the gateway: whole, carried on, or cut, never mended.
+//! Tests of streams through the gateway: a caller gets a whole stream, one that is
+//! resumed at another target, or one that is visibly cut off.
 
 mod users;
 
@@ -13,15 +14,15 @@
     (1..=8).map(event_text).collect()
 }
 
-/// A stopping host's grace: 8 s, less a second for a busy machine.
+/// The time in which a stopping host has to end: its grace period less a margin.
 const STOP_TIMEOUT: Duration = Duration::from_secs(7);
-/// The callers: enough for a call to be under way at each moment.
+/// The number of callers, so that a call is in progress at any time.
 const STOP_CALLERS: usize = 12;
-/// The calls that each caller sends one after the other: more than fit in the
-/// grace.
+/// The maximum number of sequential calls of each caller: more than fit into the grace
+/// period.
 const STOP_CALLS: usize = 2_000;
 
-/// Stop the host in the middle of a stream, which goes on to its end.
+/// Stop the host in the middle of a stream, and assert that the stream is completed.
 async fn stop_mid_stream(site: &mut Site) {
     let response = Call::stream("/draft/1", "r-1").open(site.address()).await;
     let mut body = response.expect("answer").into_body();
@@ -29,7 +30,7 @@
     let mut bytes = first.into_data().unwrap_or_default().to_vec();
     site.hosts[0].child.signal("TERM");
     while let Some(frame) = body.frame().await {
-        let frame = frame.expect("the stream goes on to its end");
+        let frame = frame.expect("the stream continues to its end");
         bytes.extend(frame.into_data().unwrap_or_default());
     }
     assert_eq!(String::from_utf8_lossy(&bytes), whole_stream());
@@ -49,17 +50,16 @@
     assert!(answer.field("response-seal").starts_with("seal-of-engine"));
 }
 
-// Symptom: a draft breaks off, or has a piece twice. Sequence: its engine
-// closes the connection in the middle of the fourth event. Cause: what had
-// come was passed on as it came, and nothing carried the stream on.
+// Guards against a resumable stream that breaks off or repeats an event when its
+// engine closes the connection in the middle of an event.
 #[tokio::test]
 async fn resumed_stream() {
     let site = Site::start(1).await;
     for engine in &site.engines {
         engine.expect(&[TargetMood::BreakAfter(3)]);
     }
-    // The first engine breaks off after three events, the second one after
-    // three more; two runs are allowed, so the stream ends there.
+    // The first engine breaks off after three events, and the second one after three
+    // more. No third run is allowed, so the stream ends there.
     let answer = Call::stream("/draft/1", "r-1")
         .send(site.address())
         .await
@@ -67,7 +67,7 @@
     assert!(!answer.whole);
     let six: String = (1..=6).map(event_text).collect();
     assert_eq!(answer.text(), six);
-    // Now one engine breaks off and the other one carries on.
+    // One engine breaks off, and the stream is resumed at the other.
     let answer = Call::stream("/draft/1", "r-2")
         .send(site.address())
         .await
@@ -84,9 +84,8 @@
     assert_eq!(resumed, ["3"]);
 }
 
-// Symptom: a stream that must not run twice looks whole although its engine
-// broke off. Sequence: the connection closes after two events. Cause: the end
-// of the connection was taken for the end of the answer.
+// Guards against a truncated stream that looks whole to its caller. The stream must
+// not run twice, so it cannot be resumed.
 #[tokio::test]
 async fn truncated_stream() {
     let site = Site::start(1).await;
@@ -104,10 +103,8 @@
     assert_eq!(runs, 1);
 }
 
-// Symptom: a stream looks whole and ends in half an event. Sequence: its target
-// stops in the middle of the last event, and its body ends as a whole one does: that
-// of an answer without a length ends with its connection. Cause: the end of the body
-// was taken for the end of the stream, and the half event was passed on.
+// Guards against a stream that looks whole but ends with half an event: its target
+// stops in the last event, and the answer's body ends without an error.
 #[tokio::test]
 async fn half_last_event() {
     let site = Site::start(1).await;
@@ -122,7 +119,7 @@
     assert!(!answer.whole, "{answer:?}");
     let seven: String = (1..=7).map(event_text).collect();
     assert_eq!(answer.text(), seven);
-    // Another target makes the last event of a stream that may be carried on.
+    // The last event of a resumable stream comes from another target.
     break_all();
     let answer = Call::stream("/draft/1", "r-2").send(site.address()).await;
     let answer = answer.expect("answer");
@@ -130,15 +127,11 @@
     assert_eq!(answer.text(), whole_stream());
 }
 
-/// Longer than a stream may pause before its target is doubted, shorter than a
-/// host's grace.
+/// Longer than the stall timeout of a stream, and shorter than a host's grace period.
 const LONG_PAUSE: Duration = Duration::from_millis(2_500);
 
-// Symptom: a stream is cut at a stopping host while its target works on it.
-// Sequence: SIGTERM comes in the middle of the stream; its target makes nothing
-// for some seconds; no other run may begin in the time that is left. Cause: the
-// pause was taken for the end of the run before anybody asked whether another
-// one may follow.
+// Guards against a stream that is cut off at a stopping host because its target
+// pauses, while no other run could follow within the grace period.
 #[tokio::test]
 async fn pause_in_stop() {
     let mut site = Site::start(1).await;
@@ -148,9 +141,8 @@
     stop_mid_stream(&mut site).await;
 }
 
-// Symptom: a stream hangs behind a target that makes nothing any more. Sequence:
-// its target stands still in the middle; another one could carry the stream on.
-// Cause guarded against: waiting for a silent target where another run may follow.
+// Guards against a stream that waits for a stalled target although another one can
+// resume it.
 #[tokio::test]
 async fn stalled_stream_resumed() {
     let site = Site::start(1).await;
@@ -159,8 +151,8 @@
     }
     let answer = Call::stream("/draft/1", "r-1").send(site.address()).await;
     let answer = answer.expect("answer");
-    // The second engine stands still after three more, and no third run may
-    // follow: its caller's deadline ends the stream.
+    // The second engine stalls after three more events, and no third run is allowed,
+    // so the stream ends at the caller's deadline.
     assert!(!answer.whole);
     let six: String = (1..=6).map(event_text).collect();
     assert_eq!(answer.text(), six);
@@ -168,20 +160,16 @@
     assert_eq!(answer.expect("answer").text(), whole_stream());
 }
 
-// Symptom: the last bytes of a stream are missing after a planned stop.
-// Sequence: SIGTERM comes in the middle of a stream; the run ends, the loop is
-// idle, and the process ends before the bytes have left. Cause: the end of the
-// run was taken for the end of the answer.
+// Guards against the loss of a stream's last bytes when a stopping host is idle
+// before they have been sent.
 #[tokio::test]
 async fn stop_in_stream() {
     let mut site = Site::start(1).await;
     stop_mid_stream(&mut site).await;
 }
 
-// Symptom: a host is still there at the end of its grace, is killed and cuts the
-// streams that it took just before. Sequence: SIGTERM comes while callers that
-// keep its address go on sending; there is always a call under way. Cause: the
-// host took callers until it was idle.
+// Guards against a stopping host that is killed and cuts off streams because it
+// keeps accepting calls for as long as callers send them.
 #[tokio::test]
 async fn stop_under_load() {
     let mut site = Site::start(1).await;
@@ -203,14 +191,14 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
     site.hosts[0].child.signal("TERM");
     let ended = tokio::time::timeout(STOP_TIMEOUT, site.hosts[0].wait_end()).await;
-    assert!(ended.expect("an end within the grace").success());
+    assert!(ended.expect("an exit within the grace period").success());
     for caller in callers {
         assert!(caller.await.expect("task") > 1);
     }
 }
 
-// Symptom: an engine works on for a caller that left. Sequence: the caller
-// closes its connection after the first event. Cause: nobody told the loop.
+// Guards against an engine that keeps working for a caller that has closed its
+// connection.
 #[tokio::test]
 async fn caller_disconnects() {
     let site = Site::start(1).await;
@@ -218,8 +206,8 @@
     let mut body = response.expect("answer").into_body();
     body.frame().await.expect("piece").expect("piece");
     drop(body);
-    // The place of the run is free again: four more fit at once on each of
-    // the engines, and all are answered.
+    // The slot of the run is free again: each engine can run four streams
+    // concurrently, and all are answered.
     tokio::time::sleep(Duration::from_millis(100)).await;
     let calls = (0..8).map(|number| {
         let id = format!("r-{}", number + 2);
@@ -233,15 +221,9 @@
     assert_eq!(runs, 9);
 }
 
-// Symptom: a caller's kept connection closes without any answer, while the host
-// goes on. Sequence: the target of a stream answers with its own error; the call is
-// to be tried at another target, which has no place; it waits, and is given up. Cause:
-// whatever the answer's parts began with when it was over was passed on as the
-// beginning of a stream: the error's head, then a body that broke off, so that the
-// connection ended before the head had left.
-// Evidence: the host's line 206 of such a call has one piece, the outcome refused
-// and the reason deadline-passed, 2 ms after the target's error; the connection
-// closes at that moment.
+// Guards against a kept connection that closes without an answer: the target of a
+// stream answers with an error, the retry finds no free slot until the deadline, and
+// the error must not be sent as the beginning of a stream.
 #[tokio::test]
 async fn error_then_refused() {
     let site = Site::start_with(SiteOptions {
@@ -261,8 +243,7 @@
     })
     .await;
     let free = site.engines.iter().find(|engine| !is_busy(engine));
-    free.expect("one runs nothing")
-        .expect(&[TargetMood::Failing]);
+    free.expect("an idle engine").expect(&[TargetMood::Failing]);
     let mut connection = KeptConnection::open(address).await.expect("connection");
     let call = Call::stream("/draft/1", "refused").with("deadline-ms", "2000");
     let answer = connection.send(call).await.expect("an answer");
@@ -271,11 +252,8 @@
     held.await.expect("call").expect("answer");
 }
 
-// Symptom: a caller whose stream breaks off early gets no head and none of its
-// events, but a closed connection. Sequence: a target sends a head and an event and
-// breaks off at once, so that the caller's answer has begun and is over before any of
-// it is written. Cause: the error that cuts the connection took with it what was still
-// in its buffer.
+// Guards against the loss of a stream's head and first event when the target breaks
+// off before the host has written them to the caller.
 #[tokio::test]
 async fn early_break() {
     const CALLS: usize = 40;
--- a/bergamotswitch/tests/gateway_updates.rs
+++ b/bergamotswitch/tests/gateway_updates.rs
@@ -1,4 +1,4 @@
-//! What hosts hear of each other, of targets and of keys.
+//! Tests of updates at the gateway: members, routes, keys and target registrations.
 
 #[path = "fleet/relay.rs"]
 mod relay;
@@ -21,14 +21,14 @@
 #[tokio::test]
 async fn membership_changes() {
     let mut site = Site::start(3).await;
-    // One that dies is not named any more, and one that stops at once.
+    // A host that goes down is removed after a timeout, and one that stops at once.
     site.hosts[2].child.kill();
-    until("the dead host is dropped", async || {
+    until("the killed host is removed", async || {
         site.hosts[0].resolved_addresses().await.len() == 2
     })
     .await;
     site.hosts[1].child.signal("TERM");
-    until("the stopping host is not named", async || {
+    until("the stopping host is removed", async || {
         let own = site.hosts[0].callers.to_string();
         site.hosts[0].resolved_addresses().await == [own]
     })
@@ -65,9 +65,9 @@
     );
 }
 
-// Symptom: a key works that was taken away long ago. Sequence: the store falls
-// silent, the key is revoked, and the host hears nothing of it. Cause: what was
-// last heard was relied on for ever.
+// Guards against a revoked key that is accepted indefinitely: the store does not
+// answer, so the host cannot learn of a revocation and must not rely on the last
+// known keys.
 #[tokio::test]
 async fn unresponsive_store() {
     let site = Site::start(2).await;
@@ -81,14 +81,14 @@
     let answer = public.send(site.address()).await.expect("answer");
     assert_eq!(answer.status, StatusCode::OK);
     site.store.set_mood(StoreMood::Well);
-    until("keys are relied on again", async || {
+    until("keys are accepted again", async || {
         status(&site, "/status/1", "r-3", KEY).await == StatusCode::OK
     })
     .await;
 }
 
-// Symptom: hosts act by old routes for good. Sequence: the store drops its
-// history while routes change. Cause: a watch from before the gap was repeated.
+// Guards against hosts that keep old routes for good, because they repeat a watch
+// from a revision that the store has compacted away.
 #[tokio::test]
 async fn compacted_history() {
     let mut site = Site::start(1).await;
@@ -102,8 +102,8 @@
     .await;
 }
 
-// Symptom: a target that leaves still gets work. Sequence: it registers as
-// draining, then its entry goes. Cause: the change was not followed.
+// Guards against new calls for a target that registers as draining, or whose entry
+// is removed.
 #[tokio::test]
 async fn draining_target() {
     let site = Site::start(2).await;
@@ -122,9 +122,9 @@
     .await;
 }
 
-// Symptom: calls go to what is no target, or no target is known any more.
-// Sequence: another writer writes over the entry of one target and adds others.
-// Cause: half a registration was filled in, or the entry from before stayed.
+// Guards against calls to an address that is no valid target, after another writer
+// overwrites one target's entry and adds malformed ones, and against the loss of the
+// valid targets.
 #[tokio::test]
 async fn foreign_entries() {
     let site = Site::start(2).await;
@@ -149,14 +149,14 @@
     // Its own target writes again.
     site.register("desk", &site.desks[0], "ready");
     site.store.remove("servers/desk-2");
-    until("the first target is back", async || {
+    until("the first target is used again", async || {
         status(&site, "/status/1", "r-last", KEY).await == StatusCode::OK
             && site.desks[0].seen().len() > before
     })
     .await;
 }
 
-/// Start a site whose one desk stands behind a relay.
+/// Start a site whose only desk is behind a relay.
 async fn site_behind_relay() -> (Site, UsersTarget, Relay, SocketAddr) {
     let site = Site::start(2).await;
     let desk = UsersTarget::start("desk-3", 0, Duration::ZERO).await;
@@ -175,7 +175,7 @@
     (site, desk, relay, address)
 }
 
-/// Let the target die behind a cut and start again under its name.
+/// Restart the target under its name, with its open connections stalled.
 async fn restart_target(site: &Site, desk: &UsersTarget, relay: &Relay, address: SocketAddr) {
     relay.stall_open_connections();
     desk.expect_only(&[]);
@@ -194,13 +194,12 @@
     }
 }
 
-// Symptom: calls wait for seconds although their target is up. Sequence: a
-// target dies behind a cut with its places taken and starts again under its
-// name. Cause: the places of the former run stood taken.
+// Guards against calls that wait although their target is up: the slots of calls to
+// its previous run must be released when the target restarts behind a network fault.
 #[tokio::test]
 async fn restarted_target() {
     let (site, desk, relay, address) = site_behind_relay().await;
-    // Calls that nobody answers fill its places.
+    // Calls without an answer occupy all of its slots.
     desk.expect(&vec![TargetMood::Mute; 16]);
     let site_address = site.address();
     let stuck: Vec<_> = (0..16)
@@ -217,9 +216,8 @@
     }
 }
 
-// Symptom: the first calls to a target that has started again wait until it
-// counts as silent. Sequence: it dies behind a cut while connections to it are
-// idle. Cause: these never say that they are dead, and were used again.
+// Guards against the reuse of idle connections to a target that has restarted behind
+// a network fault. Nothing closes them, so that calls on them would time out.
 #[tokio::test]
 async fn idle_connections() {
     let (site, desk, relay, address) = site_behind_relay().await;
--- a/bergamotswitch/tests/given_up.rs
+++ b/bergamotswitch/tests/given_up.rs
@@ -1,4 +1,4 @@
-//! Requests that the system gives up: their callers are told at once.
+//! Tests that a caller is notified at once when the system gives up its request.
 
 mod fleet;
 
@@ -8,7 +8,7 @@
 use fleet::{Fleet, Run};
 use serde_json::json;
 
-/// Far below the time that the work ahead would take.
+/// Far below the time that the queued work takes.
 const IMMEDIATE: Duration = Duration::from_secs(5);
 
 fn assert_not_run(answer: &Answer, runs: &[Run]) {
@@ -17,9 +17,7 @@
     assert!(!runs.iter().any(|run| run.request.starts_with(&id)));
 }
 
-// Symptom: a caller waits for an answer that cannot come in time any more.
-// Sequence: all engines are taken by long work, and a report's own deadline
-// passes while it waits. Cause: deadlines looked at only when a slot is free.
+// Guards against a request that waits for a free slot beyond its own deadline.
 #[tokio::test]
 async fn passed_deadline() {
     let fleet = Fleet::start("red-austral").await;
@@ -50,9 +48,7 @@
     long.abort();
 }
 
-// Symptom: a caller waits until its deadline although every target refuses to
-// connect. Sequence: all engines close their listeners. Cause: attempts
-// without a bound.
+// Guards against retries without a limit while every target refuses connections.
 #[tokio::test]
 async fn refused_connections() {
     let fleet = Fleet::start("red-austral").await;
@@ -63,13 +59,13 @@
         (Call::report(&format!("fall-{n}"), 50), host)
     });
     let answers = send_all(calls.collect()).await;
-    println!("all engines closed: told after {:?}", sent.elapsed());
+    println!("all engines closed: refused after {:?}", sent.elapsed());
     let runs = fleet.runs().await;
     assert_eq!(runs.len(), 0);
     for answer in answers {
         assert_not_run(&answer.expect("answer"), &runs);
     }
-    // They come back, and so does the work.
+    // Calls are served again once the engines accept connections.
     fleet.set_engines(json!({ "reject": false })).await;
     let answer = Call::report("after", 50)
         .send(fleet.hosts[0].address())
--- a/bergamotswitch/tests/host_child/mod.rs
+++ b/bergamotswitch/tests/host_child/mod.rs
@@ -1,6 +1,6 @@
-//! A host's process, as tests start, signal and end it.
+//! Provides host processes that tests start, signal and stop.
 
-// Each test file uses its own part of this module.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 use std::collections::VecDeque;
@@ -14,16 +14,16 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-/// How often a stopping process is looked at.
+/// How often a stopping process is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How the line begins that a host writes once it listens on all its addresses.
+/// The start of the line that a host writes once it listens on all its addresses.
 const READY_PREFIX: &str = "ready callers=";
 
-/// The lines that are shown of what a host wrote.
+/// The number of last output lines that are kept for failure messages.
 const LAST_LINES: usize = 5;
 
-/// A `HostChild` is a running host; its drop ends it.
+/// A `HostChild` is a running host process. It is killed when dropped.
 pub struct HostChild {
     settings: PathBuf,
     child: Child,
@@ -32,8 +32,8 @@
 
 impl Drop for HostChild {
     fn drop(&mut self) {
-        // A process that has ended already needs no kill; one that is stopped
-        // takes no other signal.
+        // The process may have ended already. SIGKILL also ends a process that is
+        // suspended by SIGSTOP.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -50,8 +50,7 @@
         }
     }
 
-    /// Start a host whose standard output goes there, and nothing of it is seen
-    /// here.
+    /// Start a host whose standard output goes to `out` and is not read by the test.
     pub fn start_to(settings: PathBuf, out: Stdio) -> Self {
         let child = spawn_to(&settings, out, Stdio::null());
         HostChild {
@@ -61,50 +60,51 @@
         }
     }
 
-    /// Start it again, with the same settings.
+    /// Restart the host with the same settings.
     pub fn restart(&mut self) {
         (self.child, self.output) = spawn(&self.settings);
     }
 
-    /// Kill it and wait for its end.
+    /// Kill the process and wait for its exit.
     pub fn kill(&mut self) {
         self.child.kill().expect("host runs");
         self.child.wait().expect("host ends");
     }
 
-    /// Get the id of its process.
+    /// Get the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Get whether it said that it listens on all its addresses.
+    /// Get whether the host has reported that it listens on all its addresses.
     pub fn has_started(&self) -> bool {
         lock(&self.output.seen).started
     }
 
-    /// Get the last lines that it wrote; all of them once it has ended.
+    /// Get the last lines that the host has written. Once the process has ended, none
+    /// are missing.
     pub fn last_lines(&mut self) -> String {
         if self.exit_status().is_some()
             && let Some(reader) = self.output.reader.take()
         {
-            reader.join().expect("its lines are read");
+            reader.join().expect("output reader");
         }
         let seen = lock(&self.output.seen);
         let lines: Vec<&str> = seen.last.iter().map(String::as_str).collect();
         lines.join("\n")
     }
 
-    /// Get how it ended, where it has.
+    /// Get the exit status, if the process has ended.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().expect("child")
     }
 
-    /// Signal it; it runs.
+    /// Send a signal to the process, which must be running.
     pub fn signal(&self, name: &str) {
         assert!(self.try_signal(name), "no process to signal");
     }
 
-    /// Signal it; get whether it still runs.
+    /// Send a signal, and get whether the process was still running.
     pub fn try_signal(&self, name: &str) -> bool {
         let process = self.child.id().to_string();
         let mut kill = Command::new("kill");
@@ -114,8 +114,8 @@
     }
 }
 
-/// A planned stop as the platform does it: SIGTERM, and SIGKILL where the
-/// process is still there at the end of the grace.
+/// A `PlannedStop` is a planned stop as the platform does it: SIGTERM, and SIGKILL
+/// if the process is still running at the end of the grace period.
 pub struct PlannedStop {
     host: Arc<Mutex<HostChild>>,
     begun: Instant,
@@ -123,7 +123,7 @@
 }
 
 impl PlannedStop {
-    /// Stop a host.
+    /// Begin to stop a host.
     pub fn begin(host: HostChild, grace: Duration) -> Self {
         host.signal("TERM");
         let begun = Instant::now();
@@ -132,33 +132,33 @@
         PlannedStop { host, begun, task }
     }
 
-    /// Signal the host, which still runs.
+    /// Send a signal to the host, which must be running.
     pub fn signal(&self, name: &str) {
         lock(&self.host).signal(name);
     }
 
-    /// Wait until so long after the signal.
+    /// Wait until this time after SIGTERM.
     pub async fn wait_until(&self, after: Duration) {
         tokio::time::sleep_until(self.begun + after).await;
     }
 
-    /// Wait for its end.
+    /// Wait until the process has ended.
     pub async fn end(self) -> StopEnd {
         self.task.await.expect("stop")
     }
 }
 
-/// How a planned stop ended.
+/// A `StopEnd` is how a planned stop ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopEnd {
-    /// The process ended by itself.
+    /// The process exited.
     Ended(ExitStatus),
-    /// It was killed at the end of its grace.
+    /// The process was killed at the end of the grace period.
     Killed,
 }
 
 impl StopEnd {
-    /// Get whether the process ended by itself, and well.
+    /// Get whether the process exited successfully.
     pub fn is_clean(self) -> bool {
         matches!(self, StopEnd::Ended(status) if status.success())
     }
@@ -179,8 +179,8 @@
     StopEnd::Killed
 }
 
-/// What a host writes, read as it comes. It goes to no file unless a run is
-/// traced: a host that logs stands still for as long as a busy disk does.
+/// A `HostOutput` is a host's output, read through a pipe. It is written to a file
+/// only if a run is traced, since a busy disk would block a host that logs.
 #[derive(Default)]
 struct HostOutput {
     seen: Arc<Mutex<SeenOutput>>,
@@ -234,8 +234,8 @@
     }
 }
 
-/// Get where the lines of a run that is traced go: to a file of the folder that
-/// the environment names.
+/// Get the log file of a traced run, in the directory that the environment variable
+/// names; `None` if the run is not traced.
 fn log_file(settings: &Path) -> Option<File> {
     let directory = std::env::var_os("BERGAMOT_TEST_LOGS")?;
     let name = settings.with_extension("log");
--- a/bergamotswitch/tests/host_frozen.rs
+++ b/bergamotswitch/tests/host_frozen.rs
@@ -1,4 +1,5 @@
-//! Hosts whose processes sleep for seconds and wake up believing old facts.
+//! Tests of hosts whose process is suspended for seconds and resumes with outdated
+//! state.
 
 mod fleet;
 
@@ -8,10 +9,10 @@
 use fleet::{ALL_HOSTS, ENGINES, Fleet, assert_ran_once, owns, view, wait_view};
 use serde_json::Value;
 
-/// Longer than the suspicion time and a permit's life together.
+/// Longer than the suspicion timeout and the lifetime of a permit together.
 const PAUSE: Duration = Duration::from_secs(6);
 
-/// Freeze a host in the middle of a burst to all hosts and let it wake up.
+/// Suspend a host in the middle of a burst to all hosts, and resume it.
 async fn suspend(fleet: &Fleet, suspended: usize) {
     fleet.publish_token_limit(600).await;
     let send = |numbers: std::ops::Range<usize>, hosts: &[usize]| {
@@ -28,8 +29,7 @@
     fleet.hosts[suspended].signal("STOP");
     let running = fleet.others(suspended);
     let meanwhile = send(90..120, &running);
-    // The sleep is the fault itself: nothing can be polled of a stopped
-    // process, and what others do meanwhile is looked at below.
+    // The suspended process cannot be polled, so wait for the length of the pause.
     tokio::time::sleep(PAUSE).await;
     fleet.hosts[suspended].signal("CONT");
     for sent in [burst, meanwhile] {
@@ -51,10 +51,9 @@
     count.is_some_and(|count| count != "0")
 }
 
-// Symptom: a report ran twice, or waits for ever, after a pause of the owner.
-// Sequence: the shard's owner sleeps in the middle of a burst; the next
-// candidate takes over; the sleeper wakes, still owner in its own view, with
-// permits and asks of before. Cause: acting on facts as old as the pause.
+// Guards against reports that run twice or hang because a suspended owner resumes,
+// after the next candidate has taken over, and acts on outdated permits and permit
+// requests.
 #[tokio::test]
 async fn owner_frozen() {
     let fleet = Fleet::start("red-austral").await;
@@ -62,7 +61,7 @@
     suspend(&fleet, owner).await;
     let host = fleet.hosts[owner].address();
     assert!(has_logged_pause(&fleet::metrics(host).await));
-    // The first candidate gets its shard back, and nobody else keeps it.
+    // The first candidate takes its shard back, and no other host keeps it.
     let back = wait_view(host, |view: &Value| owns(view, ENGINES)).await;
     assert!(back.is_some());
     assert_eq!(fleet.wait_owner(ENGINES, &ALL_HOSTS).await, owner);
@@ -71,10 +70,8 @@
     }
 }
 
-// Symptom: a report ran twice after a pause of its entry host. Sequence: a
-// host that is no owner sleeps with asks under way and permits in its socket
-// buffers, and wakes when those permits are long void. Cause: a permit used
-// after its time, on a slot that others have by now.
+// Guards against a report that runs twice because a suspended entry host resumes and
+// uses permits that have expired, for slots that are now held by others.
 #[tokio::test]
 async fn entry_frozen() {
     let fleet = Fleet::start("red-austral").await;
@@ -84,7 +81,7 @@
     assert!(has_logged_pause(
         &fleet::metrics(fleet.hosts[suspended].address()).await
     ));
-    // No slot stays taken by a permit that was never used.
+    // No slot stays occupied by an unused permit.
     let owner = fleet.hosts[owner].address();
     let empty = |view: &Value| {
         let shards = view["shards"].as_array().expect("shards");
@@ -94,10 +91,8 @@
     assert!(wait_view(owner, empty).await.is_some());
 }
 
-// Symptom: a stream that its caller took for whole was not. Sequence: the
-// entry host sleeps in the middle of a stream and wakes. Cause: what came
-// while it slept was dropped, or the stream was taken for broken and run
-// again.
+// Guards against a stream that is truncated or run again because its entry host is
+// suspended in the middle.
 #[tokio::test]
 async fn stream_suspended() {
     let fleet = Fleet::start("red-austral").await;
--- a/bergamotswitch/tests/host_killed.rs
+++ b/bergamotswitch/tests/host_killed.rs
@@ -1,4 +1,4 @@
-//! Hosts that die with requests in them.
+//! Tests of hosts that are killed while they hold requests.
 
 mod fleet;
 
@@ -13,10 +13,9 @@
     assert_eq!(answer.ran(), "unknown", "{answer:?}");
 }
 
-// Symptom: a trajectory report was dispatched twice. Sequence: its entry host
-// dies in the middle of the stream; the caller sends it again, with the old
-// run, without it and unmarked, to the restarted host and to another one.
-// Cause: a host ran a request that another run of a host had taken on.
+// Guards against a second dispatch of a report whose entry host dies in the middle
+// of the stream. The caller resubmits it to all hosts, with and without the old
+// incarnation and the resubmission mark.
 #[tokio::test]
 async fn stream_lost() {
     let mut fleet = Fleet::start("red-austral").await;
@@ -34,7 +33,8 @@
     let resent = call.as_resubmission().with_incarnation(&run);
     for to in [other, owner] {
         assert_lost(&resent.send(fleet.hosts[to].address()).await);
-        // Neither marked nor named: only the shard's owner knows the key.
+        // Neither marked as a resubmission nor with an incarnation: only the shard's
+        // owner knows the key.
         let answer = call.send(fleet.hosts[to].address()).await;
         assert!(
             !answer.is_whole() && answer.ran() == "unknown",
@@ -55,10 +55,8 @@
     assert_eq!(runs.len(), 1, "{runs:?}");
 }
 
-// Symptom: a report that waited in a dead host was told "not run", or ran at
-// another host. Sequence: many reports wait at a host, which dies; their
-// callers send them again elsewhere. Cause: nobody else knows which of them
-// the dead run had dispatched.
+// Guards against a wrong "not run", or a second run, for reports that were queued at
+// a host that dies. No other host knows which of them had been dispatched.
 #[tokio::test]
 async fn waiting_lost() {
     let mut fleet = Fleet::start("red-austral").await;
@@ -96,9 +94,8 @@
     assert_ran_once(&fleet.runs().await);
 }
 
-// Symptom: requests at living hosts hang after a host died. Sequence: the
-// owner of a shard dies in the middle of a burst. Cause: their asks died with
-// the owner, and nobody asked the next candidate.
+// Guards against requests that hang at live hosts because their permit requests were
+// lost with a shard's owner and not sent to the next candidate.
 #[tokio::test]
 async fn owner_lost() {
     let mut fleet = Fleet::start("red-austral").await;
--- a/bergamotswitch/tests/host_paused.rs
+++ b/bergamotswitch/tests/host_paused.rs
@@ -1,5 +1,5 @@
-//! Hosts whose processes stand still for a second or two under calls: what
-//! callers within their quota are told.
+//! Tests of the answers to callers within their quota when a host's process is
+//! paused for one or two seconds.
 
 mod users;
 
@@ -9,12 +9,11 @@
 use tokio::task::JoinSet;
 use users::{Call, Site, SiteOptions, until};
 
-/// Longer than half of the time after which a host is suspected, and longer than
-/// all of it.
+/// Longer than half of the suspicion timeout, and longer than all of it.
 const PAUSES: [Duration; 2] = [Duration::from_millis(1_200), Duration::from_millis(2_200)];
-/// More than the engines run at once, so that most of them wait.
+/// More than the engines run concurrently, so that most calls wait.
 const CALLS_PER_HOST: usize = 20;
-/// Longer than all of them take.
+/// Longer than all calls take.
 const ROUTE_TIMEOUT: Duration = Duration::from_secs(60);
 
 async fn busy_site() -> Site {
@@ -28,7 +27,7 @@
     .await
 }
 
-/// Send calls to each host that an account within its quota may send.
+/// Send calls to each host, within the account's quota.
 fn send_calls(site: &Site, name: &str) -> JoinSet<(String, StatusCode)> {
     let mut calls = JoinSet::new();
     for (index, host) in site.hosts.iter().enumerate() {
@@ -48,8 +47,8 @@
     site.engines.iter().map(|engine| engine.seen().len()).sum()
 }
 
-// Guards against 429 for an account within its quota after its host, or the owner
-// of its calls' shard, stood still.
+// Guards against 429 for an account within its quota after a pause of its host, or
+// of the owner of its calls' shard.
 #[tokio::test]
 async fn within_quota() {
     let site = busy_site().await;
--- a/bergamotswitch/tests/overload.rs
+++ b/bergamotswitch/tests/overload.rs
@@ -1,4 +1,4 @@
-//! More work than the engines can do in time.
+//! Tests of overload: more work than the engines can complete in time.
 
 mod fleet;
 
@@ -9,24 +9,22 @@
 use serde_json::{Value, json};
 use tokio::task::JoinSet;
 
-/// The drain time that the queue of a shard may have here; the default of
-/// hours would keep every sky log of the test.
+/// The maximum drain time of a shard's queue. The default of hours would admit every
+/// sky log of the test.
 const QUEUE_MILLIS: u64 = 30_000;
 
-/// Tokens of a long sky log: a hundred of them are more than the engines do
-/// in the longest time that a shard's queue may take to drain.
+/// The tokens of a long sky log. A hundred of these logs exceed the maximum drain time
+/// of a shard's queue.
 const LONG_LOG_TOKENS: u32 = 30_000;
 
-// Symptom: a dawn report was refused while sky logs were kept, or a request
-// that was refused as not run had run. Sequence: far more sky logs than the
-// queue may hold come to all hosts, then dawn reports to each of them. Cause:
-// shedding without regard to the tier, or a claim without proof.
+// Guards against load shedding that refuses dawn reports while sky logs stay queued,
+// and against a request that is refused as not run although it has run.
 #[tokio::test]
 async fn tiers_and_claims() {
     let fleet = Fleet::start("red-austral").await;
     fleet.publish_queue_limit(QUEUE_MILLIS).await;
-    // An engine has room for one dawn report, so that dawn reports wait too
-    // and stand in the queue while more sky logs come.
+    // An engine can run one dawn report, so that dawn reports are queued as well while
+    // more sky logs arrive.
     fleet.publish_token_limit(700).await;
     let mut sent = JoinSet::new();
     let send_logs = |sent: &mut JoinSet<_>, numbers: std::ops::Range<usize>| {
@@ -47,7 +45,7 @@
     let dawn = (0..16).map(|n| {
         let host = fleet.hosts[n % 3].address();
         let mut call = Call::dawn(&format!("dawn-{n}"), 400);
-        // Sky logs are stopped for work that would miss its deadline.
+        // Sky logs are preempted for work that would miss its deadline.
         call.deadline_ms = Some(12_000);
         (call, host)
     });
@@ -70,7 +68,7 @@
     for answer in &refused {
         assert!(!answer.is_whole(), "{answer:?}");
         let id = format!("{}-", answer.request().expect("accepted"));
-        // One that was stopped for a dawn report and shed later had run.
+        // A log that was preempted for a dawn report and shed later has run.
         let ran = runs.iter().any(|run| run.request.starts_with(&id));
         assert_eq!(
             answer.ran(),
@@ -80,10 +78,8 @@
     }
 }
 
-// Symptom: a request that was refused as not run had run. Sequence: engines
-// refuse, some of them by contract before a run and some after; others break
-// their answers, in a burst. Cause: a refusal taken for a proof where the
-// contract does not make it one.
+// Guards against a request that is reported as not run because a target refused it,
+// although the target's contract allows a refusal after a run.
 #[tokio::test]
 async fn refusing_targets() {
     let fleet = Fleet::start("red-austral").await;
@@ -107,7 +103,7 @@
         }
         assert!(!(ran && answer.ran() == "no"), "{answer:?}");
     }
-    // Both kinds of engines were met.
+    // Both kinds of engines were used.
     assert!(claims.iter().all(|count| *count > 0), "{claims:?}");
     fleet::assert_ran_once(&runs);
 }
--- a/bergamotswitch/tests/partition.rs
+++ b/bergamotswitch/tests/partition.rs
@@ -1,4 +1,5 @@
-//! Hosts that lose each other while callers and targets still reach all.
+//! Tests of network partitions between hosts while callers and targets can reach all
+//! of them.
 
 mod fleet;
 
@@ -10,7 +11,7 @@
 };
 use serde_json::Value;
 
-/// Start a fleet whose links all go through relays.
+/// Start a fleet in which all links between hosts go through relays.
 async fn start() -> (Fleet, Vec<Relay>) {
     Fleet::start_with("red-austral", |stage| {
         let at = |port: u16| (stage.address(), port).into();
@@ -43,14 +44,14 @@
     for relay in relays {
         relay.set(flow);
     }
-    // Each host goes on alone, with a fraction of the targets or as owner.
+    // Each host continues on its own, in degraded mode or as owner.
     for number in fleet.others(owner) {
         let host = fleet.hosts[number].address();
         let alone = |view: &Value| owns(view, ENGINES) || view["degraded"].as_u64() > Some(0);
         assert!(wait_view(host, alone).await.is_some(), "host {number}");
     }
     let partitioned = send("parted");
-    // A caller that names the holder is served through any host.
+    // A caller that names the incarnation of the holder is served through any host.
     let call = Call::report("named", 400);
     let mut open = call.begin(fleet.hosts[0].address()).await.expect("head");
     open.read_output().await;
@@ -87,18 +88,16 @@
     watch.check().await;
 }
 
-// Symptom: requests hang, or run twice, when hosts lose each other. Sequence:
-// all links go silent in a burst, rules are published meanwhile, the links
-// come back. Cause: asks and permits on their way at the cut, owners on both
-// sides of it, and values that only links would spread.
+// Guards against requests that hang or run twice while all links between hosts are
+// blocked, and against published values that spread through links only.
 #[tokio::test]
 async fn links_blocked() {
     let (fleet, relays) = start().await;
     partition(&fleet, &relays, Flow::Blocked).await;
 }
 
-// Symptom: as above. Sequence: the links go silent in one direction only.
-// Cause: a host that hears its peer takes the path for whole.
+// Guards against the same failures when links are blocked in one direction only,
+// where a host still receives from its peer.
 #[tokio::test]
 async fn one_way_links() {
     let (fleet, relays) = start().await;
--- a/bergamotswitch/tests/planned_stop.rs
+++ b/bergamotswitch/tests/planned_stop.rs
@@ -1,4 +1,4 @@
-//! Planned stops.
+//! Tests of planned stops.
 
 mod fleet;
 
@@ -10,17 +10,16 @@
 use fleet::{ALL_HOSTS, ENGINES, Fleet, WAIT_TIMEOUT, assert_ran_once, wait_revision, wait_view};
 use serde_json::Value;
 
-/// By when a caller has been turned away that is turned away at once: it is
-/// told without waiting for anything, so this allows for a busy machine alone.
+/// The maximum time of an immediate refusal, which waits for nothing.
 const IMMEDIATE: Duration = Duration::from_secs(1);
-/// The tokens of a report that an engine of Red Austral writes in some 6 s.
+/// The tokens of a report that takes an engine of Red Austral about 6 s.
 const REPORT_TOKENS: u32 = 2_000;
 
-/// Stop a host with streams in flight and work that waits in it.
+/// Stop a host with streams in flight and requests in its queue.
 async fn stop(fleet: &mut Fleet, stopping: usize) {
     fleet.publish_token_limit(600).await;
-    // Addresses lapse long before the work ends: after that nothing but the
-    // work itself keeps the process up.
+    // Resolved addresses expire long before the work ends: after that only the work
+    // keeps the process running.
     let set_lifetime = |limits: &mut Value| limits["address_lifetime_ms"] = 3_000.into();
     let revision = fleet.publish("limits", set_lifetime).await;
     wait_revision(fleet.hosts[stopping].address(), "limits", revision).await;
@@ -42,7 +41,7 @@
     while !fleet::metrics(host).await.contains("{number=\"102\"} 1") {
         pause().await;
     }
-    // A caller that still holds an address answer is served as before.
+    // A caller that still uses a resolved address is served.
     let late = Call::report("late", 100).send(host).await;
     assert!(late.is_whole(), "{late:?}");
     let long = open.finish().await;
@@ -57,14 +56,13 @@
     let runs = fleet.runs().await;
     assert_eq!(runs.len(), 62);
     assert_ran_once(&runs);
-    // The others go on without it.
+    // The other hosts keep serving.
     let next = fleet.hosts[fleet.others(stopping)[0]].address();
     assert!(Call::report("after", 50).send(next).await.is_whole());
 }
 
-// Symptom: a planned stop cut answers off. Sequence: SIGTERM, and once more,
-// while streams run and requests wait. Cause: a timer that ends the process,
-// a second signal taken for "now", or waiting work dropped.
+// Guards against answers that are cut off, or queued requests that are dropped, in a
+// planned stop with a repeated SIGTERM.
 #[tokio::test]
 async fn entry_stops() {
     let mut fleet = Fleet::start("red-austral").await;
@@ -73,9 +71,8 @@
     stop(&mut fleet, entry).await;
 }
 
-// Symptom: requests hang while an owner stops. Sequence: SIGTERM to the host
-// that orders the shard of the very requests that wait. Cause: candidacy left
-// without telling the next candidate, or the queue dropped with it.
+// Guards against requests that hang because a stopping owner drops its queue or does
+// not notify the next candidate.
 #[tokio::test]
 async fn owner_stops() {
     let mut fleet = Fleet::start("red-austral").await;
@@ -85,10 +82,9 @@
     assert_ne!(fleet.wait_owner(ENGINES, &others).await, owner);
 }
 
-// Symptom: a long report is cut and its caller cannot know whether it ran.
-// Sequence: a host gets SIGTERM, takes a report of 6 s when 4.5 s of its grace
-// are left, and is killed at the end of the grace. Cause: a stopping host took
-// all work for as long as its address had been handed out for.
+// Guards against a report that is accepted by a stopping host although it cannot end
+// within the grace period. The caller must be refused at once and served by another
+// host.
 #[tokio::test]
 async fn report_moved() {
     let grace = Duration::from_secs(8);
@@ -109,8 +105,8 @@
     assert_eq!(answer.code(), "stopping", "{answer:?}");
     assert_eq!(answer.ran(), "no", "{answer:?}");
     assert!(sent_at.elapsed() < IMMEDIATE, "{answer:?}");
-    // It was told that it has not run, so it is sent anew and not marked as a
-    // copy: of a marked one another host cannot know what became.
+    // The report has not run, so it is sent without the resubmission mark. Another host
+    // could not tell whether a marked one has run.
     let answer = Call::report("late", REPORT_TOKENS).send(other).await;
     assert!(answer.is_whole(), "{answer:?}");
     stop.end().await;
@@ -119,8 +115,8 @@
     assert_ran_once(&runs);
 }
 
-/// Ask a stopping host for a report that fits in the grace that it was started
-/// with, and not in the one that its settings file names since.
+/// Send a report to a stopping host. The report fits into the grace period at the
+/// host's start, but not into that of the settings reloaded before or `during` the stop.
 async fn send_after_reload(during: bool) {
     let (started_with, reloaded_to) = (Duration::from_secs(20), Duration::from_secs(8));
     let (mut fleet, paths) = Fleet::start_with("red-austral", |stage| {
@@ -154,43 +150,39 @@
     assert_eq!(fleet.runs().await.len(), 1);
 }
 
-/// Change the grace in a host's settings file.
+/// Change the grace period in a host's settings file.
 fn write_grace(path: &Path, grace: Duration) {
     let text = std::fs::read_to_string(path).expect("settings file");
     let mut settings: Value = serde_json::from_str(&text).expect("JSON");
     settings["grace_s"] = grace.as_secs_f64().into();
-    // Whole at any moment for a host that watches it.
+    // Replace the file atomically, since the host may be watching it.
     let draft = path.with_extension("draft");
     std::fs::write(&draft, settings.to_string()).expect("settings file");
     std::fs::rename(&draft, path).expect("settings file");
 }
 
-/// Wait until a host has read its changed settings.
+/// Wait until a host has reloaded its settings.
 async fn wait_reloaded(host: SocketAddr) {
     while !fleet::metrics(host).await.contains("{number=\"105\"} 1") {
         pause().await;
     }
 }
 
-// Symptom: a report is cut by a planned stop that is shorter than the host thinks.
-// Sequence: the settings file names a shorter grace; SIGHUP, SIGTERM; a report that
-// fits in the old grace is taken. Cause: only the settings of the start were
-// looked at.
+// Guards against a report that is cut off because the host ignores a shorter grace
+// period that was reloaded before the stop.
 #[tokio::test]
 async fn reload_before_stop() {
     send_after_reload(false).await;
 }
 
-// Symptom, sequence and cause: as above, where SIGTERM comes first.
+// Guards against the same failure when the settings are reloaded after SIGTERM.
 #[tokio::test]
 async fn reload_during_stop() {
     send_after_reload(true).await;
 }
 
-// Symptom: requests at other hosts wait or fail while one host is stopped.
-// Sequence: the owner of the shard gets SIGTERM and stays until the end of its
-// grace with a report that is longer; the other hosts are asked all the while.
-// Cause: candidacy or permits kept by a host that grants nothing.
+// Guards against requests that wait or fail at other hosts while a stopping owner
+// stays until the end of its grace period.
 #[tokio::test]
 async fn owner_overdue() {
     let grace = Duration::from_secs(4);
--- a/bergamotswitch/tests/platform_outage.rs
+++ b/bergamotswitch/tests/platform_outage.rs
@@ -1,4 +1,5 @@
-//! A configuration service that is down, stale or flapping.
+//! Tests of a configuration service that is down, serves stale data, or alternates
+//! between old and new data.
 
 mod fleet;
 
@@ -21,10 +22,8 @@
     }
 }
 
-// Symptom: rules went back to an older revision. Sequence: the service
-// answers from an old copy, then from two copies in turn, while hosts die and
-// start again one after the other and more rules are published. Cause: a host
-// that starts believes the service without asking its peers.
+// Guards against rules that return to an earlier revision because a restarting host
+// trusts a stale configuration service without asking its peers.
 #[tokio::test]
 async fn stale_service() {
     let mut fleet = Fleet::start("red-austral").await;
@@ -62,10 +61,8 @@
     watch.check().await;
 }
 
-// Symptom: callers are turned away, or a change is lost, after an outage of
-// the platform. Sequence: service and host list refuse connects for a while,
-// in which rules are published and a host is killed. Cause: hosts that need
-// the platform to go on, or that do not read again.
+// Guards against refused callers during an outage of the configuration service and
+// the host list, and against a change that is lost after it.
 #[tokio::test]
 async fn platform_down() {
     let mut fleet = Fleet::start("red-austral").await;
--- a/bergamotswitch/tests/refusal_counters.rs
+++ b/bergamotswitch/tests/refusal_counters.rs
@@ -1,4 +1,4 @@
-//! Counters of refusals, by reason and tier.
+//! Tests of the refusal counters, by reason and tier.
 
 mod fleet;
 
@@ -10,9 +10,8 @@
 use fleet::{ALL_HOSTS, ENGINES, Fleet};
 use serde_json::json;
 
-// Symptom: urgent requests are refused, and the counters do not show it.
-// Sequence: a request is accepted under a rule and refused later on.
-// Cause: a refusal counted without the tier that the rule gave.
+// Guards against a refusal that is counted without the tier that the rule assigned
+// to the request.
 #[tokio::test]
 async fn tier_counted() {
     let fleet = Fleet::start("red-austral").await;
@@ -35,12 +34,10 @@
     assert_eq!(counted, [format!("\"{}\"}} 1", call.tier)]);
 }
 
-/// The tokens of a report that an engine of Red Austral writes in some 6 s.
+/// The tokens of a report that takes an engine of Red Austral about 6 s.
 const REPORT_TOKENS: u32 = 2_000;
 
-// Symptom: nobody can see how many callers a stopping host turns away. Sequence:
-// SIGTERM; a report that is longer than what is left of the grace is turned away,
-// while another one runs. Cause: a refusal that is not counted.
+// Guards against refusals of a stopping host that are not counted.
 #[tokio::test]
 async fn stop_counted() {
     let grace = Duration::from_secs(8);
--- a/bergamotswitch/tests/resubmission.rs
+++ b/bergamotswitch/tests/resubmission.rs
@@ -1,4 +1,4 @@
-//! Requests that callers send again.
+//! Tests of requests that callers submit again.
 
 mod fleet;
 
@@ -6,10 +6,9 @@
 use fleet::{ALL_HOSTS, ENGINES, Fleet, wait_view};
 use serde_json::Value;
 
-// Symptom: a report ran twice, or its caller never got the whole. Sequence:
-// the caller's connection breaks in the middle of the stream; it sends the
-// report again, at the same host, at others, several times at once. Cause:
-// hosts that know only their own requests.
+// Guards against a second run, or an incomplete answer, when a caller's connection
+// breaks in the middle of a stream and the caller resubmits the report to all hosts
+// concurrently.
 #[tokio::test]
 async fn broken_caller() {
     let fleet = Fleet::start("red-austral").await;
@@ -31,15 +30,14 @@
         assert_eq!(answer.incarnation(), run);
     }
     assert_eq!(runs.len(), 1, "{runs:?}");
-    // The answer is kept: it comes again when all is over.
+    // The answer is retained and sent again after the request has ended.
     let kept = again.send(fleet.hosts[1].address()).await;
     kept.assert_output_of(&runs[0], 1_500);
     assert_eq!(fleet.runs().await.len(), 1);
 }
 
-// Symptom: one alert, two crews. Sequence: a caller that knows no run sends
-// the same alert to all hosts at the same time. Cause: each host takes it for
-// new.
+// Guards against duplicate runs when a caller submits the same request to all hosts
+// concurrently, without naming an incarnation.
 #[tokio::test]
 async fn concurrent_submissions() {
     let fleet = Fleet::start("red-austral").await;
@@ -59,10 +57,8 @@
     fleet::assert_ran_once(&runs);
 }
 
-// Symptom: a report runs a second time after the shard's owner died. Sequence:
-// it is answered; the owner, which alone knew the key besides the holder,
-// dies; the caller sends it again at the third host, unmarked. Cause: a new
-// owner that was not told the keys.
+// Guards against a second run after the shard's owner dies: the new owner must learn
+// the request keys from the hosts that hold the requests.
 #[tokio::test]
 async fn owner_forgets() {
     let mut fleet = Fleet::start("red-austral").await;
@@ -73,7 +69,7 @@
     let runs = fleet.runs().await;
     first.assert_output_of(&runs[0], 50);
     fleet.hosts[owner].kill();
-    // The next owner knows the key once the holder has told it.
+    // The next owner knows the key once the holder has reported it.
     let knows = |view: &Value| {
         let shards = view["shards"].as_array().expect("shards");
         let engines = shards.iter().find(|s| s["shard"]["pool"] == ENGINES);
--- a/bergamotswitch/tests/rule_change.rs
+++ b/bergamotswitch/tests/rule_change.rs
@@ -1,4 +1,4 @@
-//! Rules that operators publish, in order, against each other, with faults.
+//! Tests of rules that operators publish, in sequence, concurrently and with faults.
 
 mod fleet;
 
@@ -11,10 +11,10 @@
 };
 use serde_json::{Value, json};
 
-/// The users' bound for a change to be in force everywhere.
+/// The required time until a change is in force at all hosts.
 const CHANGE_BOUND: Duration = Duration::from_secs(9);
 
-/// Leave out the last rule, which matches anything else.
+/// Remove the last rule, which matches all remaining requests.
 fn remove_fallback(rules: &mut Value) {
     rules["rules"].as_array_mut().expect("rules").pop();
 }
@@ -26,10 +26,8 @@
     }
 }
 
-// Symptom: hosts act by different rules after two operators published at
-// about the same time. Sequence: one publication follows another before the
-// first is in force everywhere. Cause: the one that arrived last won, not the
-// one with the higher revision.
+// Guards against hosts with different rules after two publications in quick
+// succession: the higher revision has to win, not the last one to arrive.
 #[tokio::test]
 async fn two_publications() {
     let fleet = Fleet::start("red-austral").await;
@@ -47,10 +45,8 @@
     watch.check().await;
 }
 
-// Symptom: some hosts act by a faulty revision, or one that was published
-// after it is never taken. Sequence: an operator publishes a faulty value,
-// and then a good one. Cause: hosts that judge alone and differently, or that
-// stop at what they refused.
+// Guards against hosts that apply an invalid revision, reject it with different
+// findings, or do not apply a valid one that follows it.
 #[tokio::test]
 async fn invalid_revision() {
     let fleet = Fleet::start("red-austral").await;
@@ -91,9 +87,8 @@
     rules.map_or(Value::Null, |rules| rules["refused"].clone())
 }
 
-// Symptom: a change is in force at some hosts only. Sequence: all hosts but
-// one lose the configuration service, their connections to it silent; rules
-// are published. Cause: each host relied on its own reads.
+// Guards against a change that is in force at some hosts only, when only one host
+// can reach the configuration service.
 #[tokio::test]
 async fn one_reader() {
     let (fleet, relays) = Fleet::start_with("red-austral", |stage| {
@@ -124,7 +119,7 @@
             wait_revision(host.address(), "rules", revision).await;
         }
         let taken = published.elapsed();
-        println!("reader {reader} alone: in force everywhere after {taken:?}");
+        println!("only host {reader} connected: in force everywhere after {taken:?}");
         assert!(taken < CHANGE_BOUND, "{taken:?}");
     }
     watch.check().await;
--- a/bergamotswitch/tests/silent_targets.rs
+++ b/bergamotswitch/tests/silent_targets.rs
@@ -1,4 +1,4 @@
-//! Targets whose connections go silent, break or carry wrong answers.
+//! Tests of targets whose connections stall, break or carry wrong answers.
 
 mod fleet;
 
@@ -6,8 +6,8 @@
 use fleet::{Fleet, Run, assert_ran_once};
 use serde_json::json;
 
-/// Begin reports at all hosts, change switches of every engine while the streams
-/// run, and read them to their ends.
+/// Begin reports at all hosts, set fault switches of every engine during the streams,
+/// and read the streams to their ends.
 async fn run_with_faults(
     fleet: &Fleet,
     max_tokens: u32,
@@ -40,10 +40,8 @@
     assert_ran_once(runs);
 }
 
-// Symptom: a report hangs for ever, or ran a second time. Sequence: the open
-// connections to all engines go silent in the middle of the streams; new ones
-// work. Cause: silence taken for slowness, or a new submission in place of a
-// resumption.
+// Guards against a report that hangs or runs twice when its connection stalls: the
+// stream has to be resumed, not submitted again.
 #[tokio::test]
 async fn stalled_streams() {
     let fleet = Fleet::start("red-austral").await;
@@ -51,7 +49,7 @@
     assert_resumed(&answers, &fleet.runs().await, 1_500);
 }
 
-// Symptom: as above. Sequence: the connections break instead.
+// Guards against the same failures when the connections break.
 #[tokio::test]
 async fn broken_streams() {
     let fleet = Fleet::start("red-austral").await;
@@ -59,10 +57,8 @@
     assert_resumed(&answers, &fleet.runs().await, 1_500);
 }
 
-// Symptom: a caller takes half an answer, or another caller's, for its own
-// whole one. Sequence: engines end streams in their middle, or answer with
-// another request's id and text. Cause: an answer passed on unmatched, or
-// ended by the end of the connection alone.
+// Guards against a truncated answer, or that of another request, that its caller
+// accepts as whole.
 #[tokio::test]
 async fn wrong_answers() {
     let fleet = Fleet::start("red-austral").await;
@@ -85,10 +81,8 @@
     }
 }
 
-// Symptom: a crew alert goes out twice. Sequence: the service cuts the
-// connection in the middle of its answer, answers 500, or goes silent with
-// the connection; the caller sends the alert again at all hosts. Cause: an
-// alert that may have run is sent again.
+// Guards against a crew alert that goes out twice when the service fails during its
+// answer and the caller resubmits the alert to all hosts.
 #[tokio::test]
 async fn broken_alerts() {
     let fleet = Fleet::start("red-austral").await;
--- a/bergamotswitch/tests/slow_callers.rs
+++ b/bergamotswitch/tests/slow_callers.rs
@@ -1,5 +1,5 @@
-//! Callers that are slow to send or to read, targets that are stuck, and
-//! malformed requests: what becomes of the others at the same host.
+//! Tests that slow callers, stuck targets and malformed requests do not affect other
+//! callers of the same host.
 
 mod fleet;
 
@@ -13,11 +13,11 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::time::timeout;
 
-/// What the others may take: a hundred times what they do take, and less than
-/// any bound of a host after which it lets a slow one go.
+/// The time in which other callers have to be answered. It is below any timeout after
+/// which a host drops a slow caller.
 const OTHERS_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Answers of this size fill all buffers between host and caller.
+/// The size of an answer that exceeds all buffers between host and caller.
 const LARGE_BODY: usize = 4_000_000;
 
 const KEY: &str = "red-austral-demo-grupo-litoral";
@@ -32,19 +32,19 @@
 
 async fn connect(host: SocketAddr) -> TcpStream {
     let socket = TcpSocket::new_v4().expect("a socket");
-    // A small window lets the host notice soon that nobody reads.
+    // With a small receive window the host soon cannot write any further.
     socket.set_recv_buffer_size(16_384).expect("set");
     socket.connect(host).await.expect("connected")
 }
 
-/// Send calls of both pools to one host, and let none wait beyond the bound.
+/// Send calls to one host, and assert that all are answered in time.
 async fn assert_others_answered(host: SocketAddr, round: &str, calls: &[fn(&str) -> Call]) {
     let calls = calls.iter().enumerate().map(|(number, call)| {
         let key = format!("{round}-{number}");
         (call(&key), host)
     });
     let answers = timeout(OTHERS_TIMEOUT, send_all(calls.collect())).await;
-    for answer in answers.expect("others do not wait") {
+    for answer in answers.expect("other callers are answered in time") {
         let answer = answer.expect("an answer");
         assert!(answer.is_whole(), "{answer:?}");
     }
@@ -62,9 +62,7 @@
 const ALERTS: [fn(&str) -> Call; 4] = [Call::alert; 4];
 const REPORTS: [fn(&str) -> Call; 4] = [dawn, report, dawn, report];
 
-// Symptom: all callers of a host wait because one sends its body slowly.
-// Sequence: a caller sends half its body; others come; it sends the rest.
-// Cause: a body that is read on the loop, or under something shared.
+// Guards against other callers that wait while one caller sends its body slowly.
 #[tokio::test]
 async fn slow_body() {
     let fleet = Fleet::start("red-austral").await;
@@ -85,9 +83,8 @@
     assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("paddock 7"));
 }
 
-// Symptom: all callers of a host wait because one does not read its answer.
-// Sequence: an answer larger than all buffers is not read; others come; then
-// it is read. Cause: a write on the loop, or an answer given up as too slow.
+// Guards against other callers that wait while one caller does not read its answer,
+// and against dropping that answer.
 #[tokio::test]
 async fn slow_reader() {
     let fleet = Fleet::start("red-austral").await;
@@ -95,7 +92,7 @@
     let mut slow = connect(host).await;
     let begin = head("/v1/services/red-app/status", LARGE_BODY);
     slow.write_all(begin.as_bytes()).await.expect("written");
-    // In the echo's JSON text each quote takes two bytes.
+    // In the JSON text of the echo, each quote is escaped and takes two bytes.
     slow.write_all(&vec![b'"'; LARGE_BODY])
         .await
         .expect("written");
@@ -110,7 +107,7 @@
     assert!(length > 2 * LARGE_BODY, "whole: {length}");
 }
 
-/// Get the engine that holds a permit, at whichever host orders the pool.
+/// Get the engine for which a permit is in use, from the view of the pool's owner.
 async fn busy_engine(fleet: &Fleet) -> Option<String> {
     for host in &fleet.hosts {
         let view = view(host.address()).await;
@@ -127,10 +124,8 @@
     None
 }
 
-// Symptom: a host answers nobody because one target is stuck.
-// Sequence: an engine takes a request and neither reads nor writes; others
-// come for its pool and another one; the engine goes on.
-// Cause: a wait for one target in the way of the others.
+// Guards against other requests that wait, in the same pool or another one, because
+// one target neither reads nor writes.
 #[tokio::test]
 async fn stuck_target() {
     let fleet = Fleet::start("red-austral").await;
@@ -152,9 +147,8 @@
     assert!(answer.is_whole(), "{answer:?}");
 }
 
-// Symptom: a malformed request harms those after it at the same host.
-// Sequence: each kind of malformed request, then good ones.
-// Cause: state that a refusal leaves behind.
+// Guards against state that a refused malformed request leaves behind for later
+// requests.
 #[tokio::test]
 async fn malformed_requests() {
     let fleet = Fleet::start("red-austral").await;
--- a/bergamotswitch/tests/stop_bodies.rs
+++ b/bergamotswitch/tests/stop_bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies of calls and of answers that are still being read when their host
+//! Tests of request and answer bodies that are still being read when their host
 //! stops.
 
 mod users;
@@ -13,13 +13,13 @@
 use users::host_child::PlannedStop;
 use users::{HOST, KEY, Site, SiteOptions, WAIT_TIMEOUT, until};
 
-/// The grace, and how long after the signal callers are taken.
+/// The grace period, and the part of it in which calls are still accepted.
 const GRACE: Duration = Duration::from_secs(8);
 const ACCEPT_TIME: Duration = Duration::from_secs(4);
 
 async fn start_site() -> Site {
     Site::start_with(SiteOptions {
-        // The operator's timeout would end the wait for a body before the host.
+        // A shorter timeout of the operator would end the wait for the body first.
         timeout: Duration::from_secs(30),
         grace: GRACE,
         ..SiteOptions::default()
@@ -27,8 +27,8 @@
     .await
 }
 
-/// Send one half of a body before SIGTERM and the other one so long after it,
-/// and get the answer.
+/// Send one half of a body before SIGTERM and the other half after it, and get the
+/// answer.
 async fn answer_to_split_body(after: Duration) -> String {
     let site = start_site().await;
     let mut caller = TcpStream::connect(site.address())
@@ -42,7 +42,7 @@
     sleep(Duration::from_millis(300)).await;
     site.hosts[0].child.signal("TERM");
     sleep(after).await;
-    // A host that has closed the connection takes no more of it.
+    // The write fails if the host has closed the connection.
     let _ = caller.write_all(b"67890").await;
     let mut answer = String::new();
     let read = timeout(WAIT_TIMEOUT, caller.read_to_string(&mut answer)).await;
@@ -51,12 +51,8 @@
     answer
 }
 
-// Symptom: a caller that may not send twice is told that its request may have
-// run, or nothing, though no target ever saw it. Sequence: half of its body has
-// come when the host gets SIGTERM; the door is shut after four seconds, nothing
-// runs, and the rest comes then. Cause: a host without runs counted as idle; what
-// came after that was dropped, and connections were cut 1.5 s later whatever was
-// left of the grace.
+// Guards against a call that is dropped, or reported as possibly run, because its
+// body was incomplete when its host stopped. No target has seen it, so it gets 503.
 #[tokio::test]
 async fn rest_while_closing() {
     let answer = answer_to_split_body(ACCEPT_TIME + Duration::from_millis(500)).await;
@@ -64,30 +60,32 @@
     assert!(answer.contains("retry-after"), "{answer}");
 }
 
+// Guards against the same failure when the rest of the body arrives later in the
+// grace period.
 #[tokio::test]
 async fn rest_long_after() {
     let answer = answer_to_split_body(ACCEPT_TIME + Duration::from_secs(2)).await;
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
 }
 
-/// The events of a large answer and their bytes: more than all buffers between
-/// host and caller take.
+/// The number of events of a large answer and their size, which exceed all buffers
+/// between host and caller.
 const LARGE_EVENTS: u32 = 75;
 const LARGE_BYTES: usize = 100_000;
 const WINDOW_BYTES: u32 = 16_384;
-/// How long after the signal the caller reads little, and its pause after each
-/// piece meanwhile.
+/// How long after the signal the caller reads slowly, and its pause between reads
+/// meanwhile.
 const SLOW_UNTIL: Duration = Duration::from_millis(6_500);
 const SLOW_PAUSE: Duration = Duration::from_millis(100);
 
-/// Connect with a small window, so that an unread answer stays at its host.
+/// Connect with a small receive window, so that an unread answer stays at its host.
 async fn connect_small_window(address: SocketAddr) -> TcpStream {
     let socket = TcpSocket::new_v4().expect("socket");
     socket.set_recv_buffer_size(WINDOW_BYTES).expect("set");
     socket.connect(address).await.expect("connection")
 }
 
-/// Get the body of an answer in chunks; none where it is not whole.
+/// Get the body of a chunked answer; `None` if it is incomplete.
 fn chunked_body(answer: &[u8]) -> Option<Vec<u8>> {
     let blank = answer.windows(4).position(|part| part == b"\r\n\r\n")?;
     let mut rest = &answer[blank + 4..];
@@ -105,11 +103,8 @@
     }
 }
 
-// Symptom: a caller that reads slowly loses the end of an answer that its host had
-// whole. Sequence: a target has given its whole answer of 7.5 MB when the host gets
-// SIGTERM; the caller reads little for 6.5 s, then the rest, and the grace is 8 s.
-// Cause: the host counted as idle, and connections were cut 1.5 s after its door was
-// shut, whatever was left.
+// Guards against the loss of the end of an answer that its caller reads slowly
+// during the grace period, although its target has completed it.
 #[tokio::test]
 async fn slow_reader() {
     let mut site = start_site().await;
@@ -120,7 +115,7 @@
          model: m\r\ntoken-count: 100,80\r\ncontent-length: 0\r\n\r\n"
     );
     caller.write_all(head.as_bytes()).await.expect("sent");
-    until("the target has given all", async || {
+    until("the target has sent its answer", async || {
         let mut seen = site.engines.iter().flat_map(|engine| engine.seen());
         seen.any(|call| call.ended.is_some())
     })
--- a/bergamotswitch/tests/stop_connections.rs
+++ b/bergamotswitch/tests/stop_connections.rs
@@ -1,4 +1,4 @@
-//! Callers that keep their connections through a planned stop.
+//! Tests of callers that keep their connections during a planned stop.
 
 mod stop_support;
 mod users;
@@ -10,7 +10,8 @@
 use users::host_child::PlannedStop;
 use users::{KeptConnection, pause};
 
-/// Use connections, each as long as it lasts, until the host takes no more.
+/// Send calls on a connection until it closes, then on a new one, until the host
+/// accepts no more connections.
 async fn call_on_kept_connections(address: SocketAddr, caller: usize) -> Vec<CallResult> {
     let mut all = Vec::new();
     while let Ok(mut connection) = KeptConnection::open(address).await {
@@ -37,10 +38,8 @@
     all
 }
 
-// Symptom: a caller that keeps its connection loses an answer in a planned stop.
-// Sequence: callers use their connections through the whole stop, and open new
-// ones while the door is open. Cause: a connection closed, or the process ended,
-// with a call on it that a target already ran.
+// Guards against the loss of an answer because a stopping host closes the
+// connection, or ends, after a target has run the call.
 #[tokio::test]
 async fn kept_connections() {
     let grace = seconds(8.0);
@@ -59,7 +58,7 @@
     for result in &all {
         match result.answer {
             Ok(_) => result.assert_served_or_refused(&site),
-            // The call crossed the close of its connection.
+            // The host closed the connection before it received the call.
             Err(_) => assert_eq!(runs_of(&site, &result.id), 0, "{result:?}"),
         }
     }
--- a/bergamotswitch/tests/stop_counters.rs
+++ b/bergamotswitch/tests/stop_counters.rs
@@ -1,4 +1,4 @@
-//! What a stopping host's counters tell of its stop.
+//! Tests of a stopping host's refusal counters.
 
 mod users;
 
@@ -10,13 +10,13 @@
 use users::host_child::PlannedStop;
 use users::{Call, Site, SiteOptions, until};
 
-/// The grace, and a moment after which no callers are taken any more.
+/// The grace period, and a time after which calls are no longer accepted.
 const GRACE: Duration = Duration::from_secs(8);
 const ACCEPT_ENDED: Duration = Duration::from_millis(4_500);
-/// How many callers are turned away.
+/// The number of refused calls.
 const REFUSED: usize = 5;
 
-/// Get a host's counters of refusals because of a stop, those at zero left out.
+/// Get a host's nonzero counters of refusals because of a stop.
 async fn stop_refusals(metrics: SocketAddr) -> Vec<String> {
     let page = Call::get("/metrics").send(metrics).await.expect("metrics");
     let series = "bergamot_refusals_total{reason=\"stopping\",";
@@ -28,10 +28,8 @@
     counted.map(str::to_owned).collect()
 }
 
-// Symptom: nobody can see how many callers a stopping host turns away. Sequence:
-// SIGTERM; callers are turned away; the door shuts while a call still runs, and the
-// metrics are asked for then. Cause: the listener of the metrics was closed with
-// that of the callers.
+// Guards against refusals of a stopping host that cannot be scraped, because the
+// metrics listener closes when the host stops accepting callers.
 #[tokio::test]
 async fn turned_counted() {
     let mut site = Site::start_with(SiteOptions {
@@ -58,7 +56,7 @@
     let stop = PlannedStop::begin(host.child, GRACE);
     stop.wait_until(Duration::from_millis(500)).await;
     for number in 0..REFUSED {
-        // Nobody knows yet how long such a stream takes.
+        // The duration of such a stream is not known yet.
         let call = Call::stream("/once/1", &format!("turned-{number}"));
         let answer = call.with("deadline-ms", "20000").send(address).await;
         let status = answer.expect("answer").status;
--- a/bergamotswitch/tests/stop_grace.rs
+++ b/bergamotswitch/tests/stop_grace.rs
@@ -1,5 +1,4 @@
-//! Planned stops whose grace ends before the work does: what callers and
-//! targets see of a host that is killed when its grace is over.
+//! Tests of planned stops in which the grace period ends before the work does.
 
 mod stop_support;
 mod users;
@@ -12,8 +11,8 @@
 use users::host_child::PlannedStop;
 use users::{Site, SiteOptions, pause};
 
-/// Ask a stopping host for a stream that is longer than what is left of the
-/// grace by then, and check what became of it.
+/// Call a stopping host for a stream that is longer than the rest of its grace period,
+/// and assert that the stream is whole or refused.
 async fn call_late(grace: Duration, sent_after: Duration, events: u32) {
     let mut site = start_site(events, grace).await;
     warm_up(&site, "/once/1", WARM_UP_RUNS).await;
@@ -27,41 +26,28 @@
     assert!(result.is_served() || result.took < IMMEDIATE, "{result:?}");
 }
 
-// Symptom: an answer stops in its middle and the connection closes, although
-// nothing failed: a host was stopped as planned.
-// Sequence: SIGTERM with a grace of 8 s; 3.5 s later the host takes a stream of
-// 6 s and sends it to a target; at the end of the grace the process is killed
-// with the stream open.
-// Cause: the door of a stopping host stayed open for four seconds for every
-// call, whatever time it needed.
-// Evidence: the host's log. Line 101 gives the door 4 s (`door_ms` 3999) and the
-// stop 8 s (`grace_ms` 7999); 108 shuts the door with one call running; 109 and
-// 207 find just this call still open 0.6 s before the end, `stage` running,
-// `stopping_ms` 3501, `ran_ms` 3899 and 38 of 60 pieces passed on: it went to its
-// target at once, so neither a wait nor an end that failed to be seen cut it.
-// No line 206 or 103 follows.
+// Guards against a stream that is cut off because a stopping host accepts it
+// although it cannot end within the grace period.
 #[tokio::test]
 async fn taken_late() {
     call_late(seconds(8.0), seconds(3.5), 60).await;
 }
 
-// Symptom, sequence and cause: as above, where the grace is shorter than the
-// time for which the door stays open.
+// Guards against the same failure when the grace period is shorter than the time in
+// which a stopping host accepts calls.
 #[tokio::test]
 async fn short_grace() {
     call_late(seconds(3.0), seconds(1.0), 40).await;
 }
 
-// Symptom, sequence and cause: as above, where the grace is long and the
-// stream longer.
+// Guards against the same failure with a long grace period and a longer stream.
 #[tokio::test]
 async fn long_grace() {
     call_late(seconds(12.0), seconds(3.5), 95).await;
 }
 
-// Symptom: callers are turned away whom a stopping host could have served.
-// Sequence: SIGTERM; short calls come late in the stop, each with a deadline
-// within what is left of the grace. Cause: the door shut to all alike.
+// Guards against refusals of calls whose deadline is within the rest of the grace
+// period.
 #[tokio::test]
 async fn short_calls() {
     for (grace, sent_after) in [(8.0, 3.5), (3.0, 1.0)] {
@@ -76,10 +62,8 @@
     }
 }
 
-// Symptom: callers are turned away whom a stopping host could have served.
-// Sequence: streams of a route take 0.8 s; SIGTERM with a grace of 8 s; 1 s later
-// a caller that would wait much longer asks for one. Cause: only the deadline was
-// held against what is left, not how long such work takes.
+// Guards against refusals of streams whose known duration fits into the rest of the
+// grace period, although their deadline does not.
 #[tokio::test]
 async fn fitting_stream() {
     let grace = seconds(8.0);
@@ -94,9 +78,8 @@
     assert!(stop.end().await.is_clean());
 }
 
-// Symptom: a host is killed although it holds nothing. Sequence: an idle host
-// gets SIGTERM with a grace that is shorter than the time for which it takes
-// callers. Cause: it waited for its door to shut, whatever the grace.
+// Guards against an idle host that is killed because it accepts calls for longer
+// than its grace period.
 #[tokio::test]
 async fn idle_end() {
     let grace = seconds(3.0);
@@ -105,10 +88,8 @@
     assert!(stop.end().await.is_clean());
 }
 
-// Symptom: callers of other hosts wait or fail while one host is stopped.
-// Sequence: hosts that own shards get SIGTERM one after the other and stay until
-// the end of their grace with a call that does not end; the others are asked all
-// the while. Cause: candidacy or permits kept by a host that grants nothing.
+// Guards against calls that wait or fail at other hosts while a stopping owner stays
+// until the end of its grace period.
 #[tokio::test]
 async fn others_served() {
     let grace = seconds(3.0);
@@ -132,7 +113,7 @@
     }
 }
 
-/// Ask all hosts of a site in turn until a call at another host has ended.
+/// Send calls to all hosts of a site in turn until a call at another host has ended.
 async fn call_others(site: &Site, name: &str, held: &JoinHandle<CallResult>) {
     let mut count = 0;
     while !held.is_finished() {
@@ -154,10 +135,8 @@
     assert!(count > 0);
 }
 
-// Symptom: a stream is cut on a host that was started a moment before.
-// Sequence: a host that has seen no run yet gets SIGTERM and takes a stream of
-// 9 s when 7.5 s are left. Cause: work whose length nobody knows was taken for
-// short.
+// Guards against a stream that is cut off because a stopping host accepts work of
+// unknown duration.
 #[tokio::test]
 async fn unknown_duration() {
     let grace = seconds(8.0);
@@ -172,10 +151,8 @@
     result.assert_refusal(&site);
 }
 
-// Symptom: callers of a stopping host wait out their deadline for nothing.
-// Sequence: the only host of a site gets SIGTERM; calls come while its door is
-// still open. Cause: it has left the candidacy for its shards and nobody else
-// can own them, so that what it takes waits for a permit that nobody grants.
+// Guards against calls that wait until their deadline at the only host of a site.
+// When it stops, no host can grant permits for its shards.
 #[tokio::test]
 async fn sole_host() {
     let grace = seconds(3.0);
--- a/bergamotswitch/tests/stop_lines.rs
+++ b/bergamotswitch/tests/stop_lines.rs
@@ -1,4 +1,5 @@
-//! What a stopping host's log tells of it and of the requests that it ends.
+//! Tests of the log lines of a stopping host, about itself and about the requests
+//! that it ends.
 
 mod users;
 
@@ -14,16 +15,16 @@
 use users::host_child::{HostChild, PlannedStop};
 use users::{Call, Site, SiteOptions, until};
 
-/// The grace of the host that stops.
+/// The grace period of the stopping host.
 const GRACE: Duration = Duration::from_secs(3);
-/// The requests that are open at the end of the grace: four times what the log
-/// takes in one interval.
+/// The number of requests that are open at the end of the grace period: four times
+/// the limit of log lines per interval.
 const OPEN: usize = 200;
 const OPEN_PREFIX: &str = "open-";
-/// How long callers wait: much longer than the grace.
+/// The deadline of the calls, much longer than the grace period.
 const DEADLINE_MS: &str = "30000";
 
-/// The calls after which the targets are known.
+/// The warm-up calls, after which a new target is given its full load.
 const WARM_UP_ROUNDS: usize = 10;
 const WARM_UP_CONCURRENCY: usize = 8;
 
@@ -33,18 +34,18 @@
 const REQUEST_ENDED: u64 = 206;
 const REQUEST_OPEN: u64 = 207;
 
-/// A file for a host's lines; its drop removes it.
+/// A `LogFile` is a file for a host's log lines. It is removed when dropped.
 struct LogFile(PathBuf);
 
 impl Drop for LogFile {
     fn drop(&mut self) {
-        // A file that is gone needs no removal.
+        // The file may have been removed already.
         let _ = std::fs::remove_file(&self.0);
     }
 }
 
 impl LogFile {
-    /// Get the file beside a host's settings.
+    /// Get the log file in the directory of a host's settings file.
     fn beside(settings: &Path) -> Self {
         LogFile(settings.with_extension("lines"))
     }
@@ -53,7 +54,7 @@
         File::create(&self.0).expect("log file").into()
     }
 
-    /// Get the numbered lines, each with its number.
+    /// Get the log lines in JSON, each with its event number.
     fn lines(&self) -> Vec<(u64, Value)> {
         let text = std::fs::read_to_string(&self.0).expect("log file");
         let lines = text.lines().filter(|line| line.starts_with('{'));
@@ -66,7 +67,7 @@
     }
 }
 
-/// Get the ids of the open calls in the lines of one number.
+/// Get the ids of the open requests in the log lines of one event number.
 fn requests(lines: &[(u64, Value)], number: u64) -> BTreeSet<String> {
     let lines = lines.iter().filter(|(found, _)| *found == number);
     let ids = lines.filter_map(|(_, line)| line["kv"]["request"].as_str());
@@ -74,8 +75,8 @@
     ids.map(str::to_owned).collect()
 }
 
-/// A site of one host whose standard output goes there, with places for all
-/// that is open.
+/// Start a site of one host whose standard output goes to `output`, with slots for all
+/// open requests.
 async fn start_site_to(output: impl FnOnce(&Path) -> Stdio) -> Site {
     let options = SiteOptions {
         events: 400,
@@ -95,8 +96,8 @@
     site
 }
 
-/// Have requests run that do not end in the grace: half of them streams, half
-/// of them calls that get no answer.
+/// Start requests that do not end within the grace period: one half are streams, the
+/// other half are calls without an answer.
 async fn start_open_requests(site: &Site) -> Vec<JoinHandle<()>> {
     warm_up(site).await;
     for desk in &site.desks {
@@ -111,15 +112,18 @@
             _ => Call::new("POST", "/receipt/1", &id),
         };
         let call = call.with("deadline-ms", DEADLINE_MS);
-        // What callers get is another test's.
+        // The answers are covered by other tests.
         tokio::spawn(async move { drop(call.send(address).await) })
     });
     let calls = calls.collect();
-    until("all run", async || run_count(site) == before + OPEN).await;
+    until("all requests run", async || {
+        run_count(site) == before + OPEN
+    })
+    .await;
     calls
 }
 
-/// Run short calls, some at once: a target that nobody knows gets little.
+/// Run short calls, since a new target gets only a few calls at first.
 async fn warm_up(site: &Site) {
     for round in 0..WARM_UP_ROUNDS {
         let calls = (0..WARM_UP_CONCURRENCY).map(|number| {
@@ -137,18 +141,16 @@
     }
 }
 
-/// Count the calls that targets ran.
+/// Count the calls that targets have run.
 fn run_count(site: &Site) -> usize {
     let targets = site.engines.iter().chain(&site.desks);
     let seen = targets.flat_map(|target| target.seen());
     seen.filter(|call| call.ran).count()
 }
 
-// Symptom: of the requests that a host cut, the log names some fifty, and the
-// line about the host's own end is missing. Sequence: 200 requests run; SIGTERM;
-// the host ends them all at the end of its grace. Cause: above 50 lines in a tenth
-// of a second all kinds were left out alike, and what had come since the last
-// interval was not written when the process ended.
+// Guards against missing log lines when a host ends many requests at once: each has
+// to be logged, and so has the host's own end, despite the limit of log lines per
+// interval.
 #[tokio::test]
 async fn all_told() {
     let mut log = None;
@@ -173,9 +175,7 @@
     assert_eq!(numbers.last(), Some(&HOST_STOPPED), "{numbers:?}");
 }
 
-// Symptom: the log of a host that ended well looks like that of one that was
-// killed. Sequence: an idle host gets SIGTERM and ends. Cause: the lines since the
-// last interval, the one about its end among them, were not written.
+// Guards against a host that exits before its last log lines have been written.
 #[tokio::test]
 async fn exit_logged() {
     let mut log = None;
@@ -192,9 +192,8 @@
     assert_eq!(numbers.last(), Some(&HOST_STOPPED), "{numbers:?}");
 }
 
-// Symptom: a host is killed at the end of its grace although it had ended
-// everything. Sequence: nobody reads its log, 200 requests run, SIGTERM. Cause: a
-// last write that waits for its reader.
+// Guards against a host that is killed because its last write to the log blocks
+// while nothing reads the log.
 #[tokio::test]
 async fn unread_log() {
     let mut site = start_site_to(|_| Stdio::piped()).await;
--- a/bergamotswitch/tests/stop_overdue.rs
+++ b/bergamotswitch/tests/stop_overdue.rs
@@ -1,4 +1,4 @@
-//! What callers are told of work that does not end in the grace.
+//! Tests of the answers to calls that do not end within the grace period.
 
 mod stop_support;
 mod users;
@@ -9,11 +9,8 @@
 use users::Call;
 use users::host_child::PlannedStop;
 
-// Symptom: a caller hangs until the host is killed, and gets no answer.
-// Sequence: SIGTERM with a call under way; 1 s before the end of the grace its
-// target closes the connection; the call goes to a second target, which does
-// not answer in time. Cause: what was sent once more was not held against what
-// is left of the grace.
+// Guards against a retry during a planned stop that cannot end within the rest of
+// the grace period.
 #[tokio::test]
 async fn late_retry() {
     let grace = seconds(3.0);
@@ -30,9 +27,8 @@
     assert_eq!(runs_of(&site, "again"), 1);
 }
 
-// Symptom: a stream hangs until the host is killed. Sequence: SIGTERM with a
-// stream under way; 1 s before the end of the grace its target breaks off, and
-// another one is to make the 2 s that are missing. Cause: as above.
+// Guards against a stream that is resumed during a planned stop although it cannot
+// end within the rest of the grace period.
 #[tokio::test]
 async fn late_resumption() {
     let grace = seconds(3.0);
@@ -51,10 +47,8 @@
     assert_eq!(runs_of(&site, "broken"), 1);
 }
 
-// Symptom: callers whose calls came before the signal get no answer at all when
-// the grace is over. Sequence: SIGTERM with a stream of 6 s and a call that its
-// target does not answer under way; the grace is 3 s. Cause: the process was
-// killed with both; nothing ended them while it could still tell the callers.
+// Guards against callers without an answer when the grace period ends during their
+// calls: the host has to end the calls before it is killed.
 #[tokio::test]
 async fn overdue_told() {
     let grace = seconds(3.0);
@@ -69,7 +63,7 @@
     let stop = PlannedStop::begin(site.hosts.remove(0).child, grace);
     let (stream, call) = (stream.await.expect("call"), call.await.expect("call"));
     stream.assert_cut(events);
-    // It may have run, which 503 would deny.
+    // The call may have run, so 503 would be wrong.
     assert!(call.has_status(StatusCode::BAD_GATEWAY), "{call:?}");
     assert!(stop.end().await.is_clean());
     assert_eq!(runs_of(&site, "mute"), 1);
--- a/bergamotswitch/tests/stop_paused.rs
+++ b/bergamotswitch/tests/stop_paused.rs
@@ -1,5 +1,5 @@
-//! A host that is paused in its planned stop and goes on when its door should
-//! have been shut long ago, or its last words said.
+//! Tests of a host that is suspended during its planned stop and resumes after it
+//! should have stopped accepting calls or ended them.
 
 mod users;
 
@@ -13,25 +13,25 @@
 use users::host_child::PlannedStop;
 use users::{Answer, Call, KeptConnection, Site, SiteOptions, until};
 
-/// The grace that the host knows.
+/// The grace period in the host's settings.
 const GRACE: Duration = Duration::from_secs(8);
-/// The events of a stream, some 6 s.
+/// The number of events of a stream of 6 s.
 const EVENTS: u32 = 60;
 const EVENT_GAP: Duration = Duration::from_millis(100);
-/// When the pause begins, after the signal.
+/// The time from SIGTERM to the pause.
 const PAUSED_AT: Duration = Duration::from_secs(1);
-/// How many callers ask on new connections, and as many on open ones.
+/// The number of callers on new connections, and of those on open ones.
 const CALLERS: usize = 8;
-/// What a plain answer begins with.
+/// The start of a plain answer.
 const RECEIPT_PREFIX: &str = "from desk-";
-/// How long callers wait: longer than the grace.
+/// The deadline of the calls, longer than the grace period.
 const DEADLINE_MS: &str = "20000";
 
-/// A pause in a planned stop.
+/// A `Pause` is a pause of the process during a planned stop.
 struct Pause {
-    /// When the host goes on, after the signal.
+    /// The time from SIGTERM until the host resumes.
     ends_at: Duration,
-    /// When it is killed.
+    /// The time from SIGTERM until the host is killed.
     killed_at: Duration,
 }
 
@@ -46,7 +46,7 @@
     (1..=EVENTS).map(event_text).collect()
 }
 
-/// Get a caller's call and its id: every second one's is a stream.
+/// Get a caller's call and its id. Every second call is a stream.
 fn call_of(name: &str, number: usize) -> (String, Call) {
     let id = format!("{name}-{number}");
     let call = match number % 2 {
@@ -65,8 +65,8 @@
         .count()
 }
 
-/// Check what a caller got that asked while the host was paused: its whole
-/// answer, a true refusal, or no answer where nothing ran.
+/// Assert the result of a call that was sent during the pause: a whole answer, or a
+/// refusal or no answer if the call has not run.
 fn assert_valid(site: &Site, id: &str, answer: &io::Result<Answer>) {
     let runs = runs_of(site, id);
     match answer {
@@ -85,8 +85,8 @@
     }
 }
 
-/// Pause a stopping host that has a stream open, ask it meanwhile, and check
-/// what callers and targets see. Get whether it ended by itself.
+/// Suspend a stopping host that has a stream open, send calls meanwhile, and assert
+/// their results. Get whether the host exited successfully.
 async fn pause_in_stop(pause: Pause) -> bool {
     let mut site = Site::start_with(SiteOptions {
         hosts: 2,
@@ -99,7 +99,7 @@
     })
     .await;
     let address = site.address();
-    // The host knows by this how long such work takes.
+    // The host learns the duration of such work from this call.
     let before = send(address, Call::stream("/once/1", "before"));
     assert!(before.await.expect("call").expect("answer").whole);
     let open = send(address, Call::stream("/once/1", "open"));
@@ -127,23 +127,21 @@
     for (id, answer) in answers {
         assert_valid(&site, &id, &answer.await.expect("call"));
     }
-    // What was under way is whole, or seen as cut.
+    // The open stream is whole, or visibly cut off.
     let open = open.await.expect("call").expect("head");
     let whole = whole_stream();
     assert_eq!(open.whole, open.text() == whole, "{open:?}");
     assert!(whole.starts_with(open.text()), "{open:?}");
     assert_eq!(runs_of(&site, "open"), 1);
-    // The other host serves.
+    // The other host still serves calls.
     let next = send(site.address(), Call::new("POST", "/receipt/1", "next"));
     let next = next.await.expect("call").expect("answer");
     assert_eq!(next.status, StatusCode::OK);
     stop.end().await.is_clean()
 }
 
-// Symptom: answers are cut that a host began after it had slept. Sequence: SIGTERM,
-// SIGSTOP; callers connect and ask; SIGCONT when its door should be shut and 2.5 s
-// of its grace are left. Cause: what has come meanwhile is taken by times that are
-// over.
+// Guards against answers that are cut off because a host, resumed after it should
+// have stopped accepting calls, accepts those that arrived during the pause.
 #[tokio::test]
 async fn paused_past_accepting() {
     let clean = pause_in_stop(Pause {
@@ -154,8 +152,8 @@
     assert!(clean);
 }
 
-// Symptom, sequence and cause: as above, where it goes on when it should have said
-// its last words, a moment before it is killed.
+// Guards against the same failure when the host resumes after it should have ended
+// all calls, shortly before it is killed.
 #[tokio::test]
 async fn paused_past_cutoff() {
     pause_in_stop(Pause {
@@ -165,8 +163,8 @@
     .await;
 }
 
-// Symptom: as above, or a process that stays. Sequence: it goes on behind the whole
-// grace, and nobody has killed it. Cause: a time that has passed is waited for.
+// Guards against the same failure, and against a process that does not end, when the
+// host resumes after its grace period and has not been killed.
 #[tokio::test]
 async fn paused_past_grace() {
     let clean = pause_in_stop(Pause {
--- a/bergamotswitch/tests/stop_reload.rs
+++ b/bergamotswitch/tests/stop_reload.rs
@@ -1,4 +1,4 @@
-//! Planned stops whose grace is changed in the settings file.
+//! Tests of planned stops whose grace period is changed in the settings file.
 
 mod stop_support;
 mod users;
@@ -8,21 +8,21 @@
 use stop_support::*;
 use users::host_child::PlannedStop;
 
-/// The numbers of the log lines about a planned stop and reloaded settings.
+/// The event numbers of the log lines about a planned stop and reloaded settings.
 const STOP_BEGUN: u32 = 101;
 const SETTINGS_RELOADED: u32 = 105;
 
-/// A host whose settings file is changed before or during its stop.
+/// A `Reload` is a change of a host's grace period before or during its stop.
 struct Reload {
     started_with: Duration,
     reloaded_to: Duration,
-    /// Whether the signal to stop comes first.
+    /// Whether SIGTERM comes first.
     during: bool,
-    /// When it is killed.
+    /// The time from SIGTERM until the host is killed.
     killed_after: Duration,
 }
 
-/// Ask for a stream that is longer than what is left of the grace in force.
+/// Call for a stream that is longer than the rest of the grace period in force.
 async fn call_after_reload(reload: Reload) {
     let events = 40;
     let mut site = start_site(events, reload.started_with).await;
@@ -36,7 +36,7 @@
     }
     let stop = PlannedStop::begin(host.child, reload.killed_after);
     if reload.during {
-        // The host looks at the file without a signal, too.
+        // The host also watches the file. Change it only once the stop has begun.
         users::wait_logged(metrics, STOP_BEGUN).await;
         users::write_grace(&host.settings, reload.reloaded_to);
         stop.signal("HUP");
@@ -49,10 +49,8 @@
     assert!(result.is_served() || result.took < IMMEDIATE, "{result:?}");
 }
 
-// Symptom: a stream is cut by a planned stop that is shorter than the host
-// thinks. Sequence: the settings file names a shorter grace; SIGHUP, SIGTERM; a
-// stream that fits in the old grace is taken. Cause: only the settings of the
-// start were looked at.
+// Guards against a stream that is cut off because the host ignores a shorter grace
+// period that was reloaded before the stop.
 #[tokio::test]
 async fn reload_before() {
     call_after_reload(Reload {
@@ -64,7 +62,7 @@
     .await;
 }
 
-// Symptom, sequence and cause: as above, where SIGTERM comes first.
+// Guards against the same failure when the settings are reloaded after SIGTERM.
 #[tokio::test]
 async fn reload_during() {
     call_after_reload(Reload {
@@ -76,10 +74,8 @@
     .await;
 }
 
-// Symptom: a stream is cut that was taken after the grace had been made longer.
-// Sequence: SIGTERM; the settings file names a longer grace, for the next start;
-// the kill comes when it was due at the signal. Cause: a stop that was under way
-// took the longer grace for its own.
+// Guards against a stream that is cut off because a stop in progress adopts a longer
+// grace period, which applies only from the next start.
 #[tokio::test]
 async fn longer_grace() {
     call_after_reload(Reload {
--- a/bergamotswitch/tests/stop_support/mod.rs
+++ b/bergamotswitch/tests/stop_support/mod.rs
@@ -1,7 +1,7 @@
-//! What tests of planned stops share: a site with a host that stops and one
-//! that goes on, and what came of a call.
+//! Provides helpers of the planned stop tests: sites in which one host stops while
+//! another one keeps serving, and the results of calls.
 
-// Each test file uses its own part of this module.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 use std::io;
@@ -17,24 +17,23 @@
 
 /// The pause before each event of a stream.
 pub const EVENT_GAP: Duration = Duration::from_millis(100);
-/// By when a caller has been turned away that is turned away at once: it is
-/// told without waiting for anything, so this allows for a busy machine alone.
+/// The maximum time of an immediate refusal, which waits for nothing.
 pub const IMMEDIATE: Duration = Duration::from_secs(1);
-/// The longest wait that a caller may be asked for: another host serves it.
+/// The maximum `retry-after` of a refusal: another host serves the caller.
 const MAX_RETRY_AFTER_S: f64 = 1.0;
-/// Enough runs for a host to tell from how long such work takes; they fit into
-/// the engines of a site at once.
+/// The number of runs after which a host can estimate the duration of such work. The
+/// engines of a site can run all of them concurrently.
 pub const WARM_UP_RUNS: usize = 20;
-/// Longer than the runs before a stop take, on a busy machine too. They come in
-/// two rounds, since targets that nobody knows get a few runs each at first, and
-/// the second begins only where a run and half as much again still fits.
+/// The deadline of the warm-up runs. It has to exceed two rounds of runs, since a
+/// new target gets only a few runs at first, and a run begins only if 1.5 times its
+/// duration is left.
 const LONG_DEADLINE: Duration = Duration::from_secs(60);
 
 pub fn seconds(count: f64) -> Duration {
     Duration::from_secs_f64(count)
 }
 
-/// What came of one call.
+/// A `CallResult` is the result of one call.
 #[derive(Debug)]
 pub struct CallResult {
     pub id: String,
@@ -57,13 +56,13 @@
         self.answer.as_ref().map_or("", Answer::text)
     }
 
-    /// Get whether the caller got an answer to its end that is no success.
+    /// Get whether the caller got a complete answer with a server error.
     pub fn is_failure(&self) -> bool {
         let answer = self.answer.as_ref();
         answer.is_ok_and(|answer| answer.whole && answer.status.is_server_error())
     }
 
-    /// Check that the caller was served, or turned away truly.
+    /// Assert that the caller was served, or refused without a run.
     pub fn assert_served_or_refused(&self, site: &Site) {
         if !self.is_served() {
             assert!(self.is_refused(), "{self:?}");
@@ -84,7 +83,8 @@
         self.has_status(StatusCode::SERVICE_UNAVAILABLE)
     }
 
-    /// Check that a refusal tells the caller what to do, and is true.
+    /// Assert that the refusal has a `retry-after`, closes the connection, and that
+    /// the call has not run.
     pub fn assert_refusal(&self, site: &Site) {
         let answer = self.answer.as_ref().expect("answer");
         let wait: f64 = answer.field("retry-after").parse().expect("seconds");
@@ -94,15 +94,15 @@
         assert_eq!(runs_of(site, &self.id), 0, "{self:?}");
     }
 
-    /// Check that the caller has the whole stream, or was turned away truly.
+    /// Assert that the caller got the whole stream, or was refused without a run.
     pub fn assert_whole_or_refused(&self, site: &Site, events: u32) {
         self.assert_served_or_refused(site);
         let refused = self.is_refused();
         assert!(refused || self.text() == whole_stream(events), "{self:?}");
     }
 
-    /// Check that a stream that was cut is so in what it has, and not seen as
-    /// whole.
+    /// Assert that the stream was cut off: the caller got a prefix of it and can tell
+    /// that it is incomplete.
     pub fn assert_cut(&self, events: u32) {
         let answer = self.answer.as_ref().expect("answer");
         assert!(!answer.whole, "{self:?}");
@@ -122,8 +122,7 @@
         .count()
 }
 
-/// A site of two hosts, of which one stops and one goes on, and whose streams
-/// have so many events.
+/// Start a site of two hosts, whose streams have this number of events.
 pub async fn start_site(events: u32, grace: Duration) -> Site {
     let options = SiteOptions {
         hosts: 2,
@@ -137,7 +136,7 @@
     Site::start_with(options).await
 }
 
-/// A site as above whose engines run eight streams at once, all told.
+/// Start a site like [`start_site`], whose engines run eight streams in total.
 pub async fn start_small_site(events: u32, grace: Duration) -> Site {
     let options = SiteOptions {
         hosts: 2,
@@ -151,13 +150,13 @@
     Site::start_with(options).await
 }
 
-/// Get a stream's call whose caller waits so long.
+/// Get the call of a stream with this deadline.
 pub fn stream_call(path: &str, deadline: Duration) -> Call {
     let millis = deadline.as_millis().to_string();
     Call::stream(path, "").with("deadline-ms", &millis)
 }
 
-/// Send copies of a call together.
+/// Send copies of a call concurrently.
 pub fn send_many(
     address: SocketAddr,
     call: &Call,
@@ -179,7 +178,8 @@
     all
 }
 
-/// Run streams of a route before a stop, so that their length is known.
+/// Run streams of a route before a stop, so that the host can estimate their
+/// duration.
 pub async fn warm_up(site: &Site, path: &str, count: usize) {
     let call = stream_call(path, LONG_DEADLINE);
     for result in join_results(send_many(site.address(), &call, "before", count)).await {
@@ -187,14 +187,14 @@
     }
 }
 
-/// Get a plain call that must run once, whose caller waits so long.
+/// Get a plain call with this deadline that is not idempotent.
 pub fn receipt_call(deadline: Duration) -> Call {
     let millis = deadline.as_millis().to_string();
     Call::new("POST", "/receipt/1", "").with("deadline-ms", &millis)
 }
 
-/// Send a call and wait until a target has it. An answer before that says why none
-/// will.
+/// Send a call and wait until a target runs it. Panics with the answer if that comes
+/// first.
 pub async fn send_until_running(
     site: &Site,
     call: Call,
@@ -203,12 +203,12 @@
     let address = site.address();
     let result = tokio::spawn(async move { send_call(address, call, id).await });
     let ran = || runs_of(site, id) > 0;
-    until("a target has the call", async || {
+    until("a target runs the call", async || {
         ran() || result.is_finished()
     })
     .await;
     if !ran() {
-        panic!("no target has the call: {:?}", result.await);
+        panic!("no target runs the call: {:?}", result.await);
     }
     result
 }
--- a/bergamotswitch/tests/stop_waiting.rs
+++ b/bergamotswitch/tests/stop_waiting.rs
@@ -1,4 +1,4 @@
-//! Planned stops with calls that wait for a target.
+//! Tests of planned stops with calls that wait for a target.
 
 mod stop_support;
 mod users;
@@ -6,11 +6,8 @@
 use stop_support::*;
 use users::host_child::PlannedStop;
 
-// Symptom: answers are cut although they were asked for long before the signal
-// or right after it. Sequence: all targets are full, calls wait in the host;
-// SIGTERM; a place gets free when less is left of the grace than a run takes;
-// the run begins and is cut. Cause: what waited was started whenever a place
-// got free.
+// Guards against streams that are cut off because a stopping host starts queued
+// calls that cannot end within the rest of the grace period.
 #[tokio::test]
 async fn waiting_refused() {
     let grace = seconds(8.0);
@@ -18,7 +15,7 @@
     let mut site = start_small_site(events, grace).await;
     warm_up(&site, "/draft/1", 3).await;
     let address = site.address();
-    // Eight run at once, so that the others would run from 5 s to 10 s.
+    // Eight streams run concurrently, so the others would run from 5 s to 10 s.
     let calls = send_many(
         address,
         &stream_call("/once/1", seconds(12.0)),
@@ -38,9 +35,8 @@
     assert!(end.is_clean());
 }
 
-// Symptom: as above. Sequence: streams take 0.5 s, a host that knows so has far
-// more of them than fit in its grace; SIGTERM; what waits is started as long as
-// it ends in time. Cause: as above, or calls told too late to go elsewhere.
+// Guards against the same failure with far more queued calls than fit into the grace
+// period, and against refusals that come too late for a retry elsewhere.
 #[tokio::test]
 async fn waiting_expires() {
     let grace = seconds(6.0);
--- a/bergamotswitch/tests/target_leaving.rs
+++ b/bergamotswitch/tests/target_leaving.rs
@@ -1,4 +1,4 @@
-//! Targets that leave.
+//! Tests of targets that are taken out of service.
 
 mod fleet;
 
@@ -8,14 +8,11 @@
 use fleet::{ALL_HOSTS, ENGINES, Fleet, wait_revision};
 use serde_json::json;
 
-/// "After a few seconds" a leaving target gets nothing new.
+/// The time after which a leaving target gets no new requests.
 const LEAVING_TIMEOUT: Duration = Duration::from_secs(3);
 
-// Symptom: a target that is being taken out still gets requests, or its
-// running ones are cut off. Sequence: a target is marked as leaving in the
-// host list while a stream runs there and requests wait for it; the shard's
-// owner dies. Cause: an owner, or an entry host with an older list, that
-// still counts on the target.
+// Guards against new requests for a target that is marked as leaving, also after the
+// shard's owner dies, and against running ones that are cut off.
 #[tokio::test]
 async fn no_new_work() {
     let mut fleet = Fleet::start("red-austral").await;
@@ -45,7 +42,7 @@
         wait_revision(host.address(), "hosts", revision).await;
     }
     assert!(marked.elapsed() < LEAVING_TIMEOUT, "{:?}", marked.elapsed());
-    // A permit given just before may still be on its way.
+    // A permit that was granted just before may still be in transit.
     while marked.elapsed() < LEAVING_TIMEOUT {
         pause().await;
     }
--- a/bergamotswitch/tests/users/mod.rs
+++ b/bergamotswitch/tests/users/mod.rs
@@ -1,7 +1,7 @@
-//! A site of the users' platform on loopback: the store and the targets as
-//! stand-ins inside the test, the hosts as processes of their own.
+//! Provides a site of the users' platform on loopback: the store and the targets are
+//! simulated inside the test, the hosts are separate processes.
 
-// Each test file uses its own part of this module.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 #[path = "../host_child/mod.rs"]
@@ -29,35 +29,35 @@
 use self::host_child::HostChild;
 pub use self::ports::free_address;
 
-/// Long enough for a busy machine; no test waits this long in good health.
+/// How long a test waits for a condition before it fails.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
-/// The host name that callers send.
+/// The value of the `host` header that callers send.
 pub const HOST: &str = "notices.example";
-/// The key of the one account.
+/// The API key of the only client account.
 pub const KEY: &str = "key-of-the-account";
-/// The tries to start a host on free ports.
+/// The number of attempts to start a host on free ports.
 const START_ATTEMPTS: usize = 5;
-/// How long a host that is looked at may take to answer.
+/// The timeout of a diagnostic request to a host.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a revoked key may still work.
+/// How long a revoked API key may still be accepted.
 pub const REVOKE_MS: u64 = 3_000;
 
-/// How a site is made.
+/// A `SiteOptions` is the configuration of a site.
 #[derive(Clone, Debug)]
 pub struct SiteOptions {
-    /// How many hosts it has.
+    /// The number of hosts.
     pub hosts: usize,
-    /// How many events each stream has.
+    /// The number of events of each stream.
     pub events: u32,
     /// The pause before each event.
     pub gap: Duration,
-    /// How many streams an engine runs at once.
+    /// The maximum number of concurrent streams of an engine.
     pub slots: u32,
-    /// By when an answer should begin.
+    /// The target latency until an answer begins.
     pub target_latency: Duration,
-    /// How long the operator lets a call wait for the end of its answer.
+    /// The operator's timeout of a route, until the end of the answer.
     pub timeout: Duration,
-    /// How long after SIGTERM a host is killed.
+    /// The grace period: the time from SIGTERM until a host is killed.
     pub grace: Duration,
 }
 
@@ -75,7 +75,7 @@
     }
 }
 
-/// One host of a site and its addresses.
+/// A `HostProcess` is a running host of a site, with its addresses.
 pub struct HostProcess {
     pub link: SocketAddr,
     pub callers: SocketAddr,
@@ -93,7 +93,7 @@
             if let Some(status) = self.child.exit_status() {
                 return status;
             }
-            assert!(Instant::now() < deadline, "the host does not end");
+            assert!(Instant::now() < deadline, "the host did not exit");
             pause().await;
         }
     }
@@ -102,9 +102,8 @@
         is_ready(self.readiness).await
     }
 
-    /// Get what can be seen of the host from outside. To a test that waits for
-    /// it, one that has ended, one that is not ready and one that lacks another
-    /// look alike.
+    /// Get the host's observable state for a failure message. It shows whether the
+    /// host has ended, is not ready or does not know another host.
     async fn diagnostics(&mut self) -> String {
         let process = match self.child.exit_status() {
             Some(status) => format!("ended with {status}"),
@@ -123,7 +122,8 @@
         )
     }
 
-    /// Get the addresses that the host names.
+    /// Get the addresses that the host returns from an address lookup; none if it
+    /// does not answer.
     pub async fn resolved_addresses(&self) -> Vec<String> {
         let path = format!("/resolve?name={HOST}&region=r&zone=hall-1");
         let Ok(answer) = Call::get(&path).send(self.directory).await else {
@@ -139,7 +139,7 @@
     }
 }
 
-/// A whole site.
+/// A `Site` is a store, targets and hosts.
 pub struct Site {
     pub store: UsersStore,
     pub engines: Vec<UsersTarget>,
@@ -150,8 +150,8 @@
 }
 
 impl Site {
-    /// Start a site of so many hosts, two engines and two desks, and wait
-    /// until all hosts are ready.
+    /// Start a site with this number of hosts, two engines and two desks (targets of
+    /// plain calls), and wait until all hosts are ready.
     pub async fn start(hosts: usize) -> Self {
         Site::start_with(SiteOptions {
             hosts,
@@ -160,7 +160,7 @@
         .await
     }
 
-    /// Start a site made otherwise.
+    /// Start a site with these options.
     pub async fn start_with(options: SiteOptions) -> Self {
         let store = UsersStore::start().await.expect("store");
         let SiteOptions { events, gap, .. } = options;
@@ -192,7 +192,7 @@
         site
     }
 
-    /// Publish the routes with these keys, and further ones to the desk.
+    /// Publish the routes with these API keys, and additional routes to the desks.
     pub fn publish(&mut self, keys: &[&str], extra_prefixes: &[&str]) {
         self.version += 3;
         publish_with(
@@ -204,7 +204,7 @@
         );
     }
 
-    /// Register a target as it does itself.
+    /// Write a target's own registration to the store.
     pub fn register(&self, service: &str, target: &UsersTarget, state: &str) {
         let mut entry = target.registration(service, target.address(), state);
         entry["slots"] = self.options.slots.into();
@@ -239,22 +239,22 @@
         for host in &mut self.hosts {
             diagnostics.push(host.diagnostics().await);
         }
-        panic!("a host does not get ready:\n{}", diagnostics.join("\n"));
+        panic!("a host did not become ready:\n{}", diagnostics.join("\n"));
     }
 
-    /// Get the first host's address for callers.
+    /// Get the address at which the first host serves callers.
     pub fn address(&self) -> SocketAddr {
         self.hosts[0].callers
     }
 }
 
-/// Ask a host that may not answer.
+/// Send a call to a host that may not answer.
 async fn probe(call: Call, address: SocketAddr) -> io::Result<Answer> {
     let answer = timeout(PROBE_TIMEOUT, call.send(address)).await;
     answer.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
 
-/// Get how often a host wrote each numbered line, from its metrics.
+/// Get how often a host has logged each numbered event, from its metrics page.
 fn incident_counts(page: &str) -> Vec<(u32, u64)> {
     let counts = page.lines().filter_map(|line| {
         let (series, count) = line.split_once("{number=\"")?;
@@ -265,14 +265,14 @@
     counts.collect()
 }
 
-/// Get whether the host that says so at this address is ready.
+/// Get whether the host with this readiness address is ready.
 pub async fn is_ready(address: SocketAddr) -> bool {
     let answer = Call::get("/readyz").send(address).await;
     answer.is_ok_and(|answer| answer.status == StatusCode::OK)
 }
 
-/// Publish a version of the routes with these keys, and further routes to the
-/// desk.
+/// Publish a version of the routes with these API keys, and additional routes to the
+/// desks.
 pub fn publish(store: &UsersStore, version: u64, keys: &[&str], extra_prefixes: &[&str]) {
     publish_with(
         store,
@@ -283,7 +283,7 @@
     );
 }
 
-/// Publish a version of the routes with the times of a site.
+/// Publish a version of the routes with the timeouts of these options.
 pub fn publish_with(
     store: &UsersStore,
     version: u64,
@@ -329,7 +329,7 @@
     store.put("op/config", &config);
 }
 
-/// Register a target at an address, which may be that of a relay before it.
+/// Register a target at an address, which may be that of a relay in front of it.
 pub fn register(
     store: &UsersStore,
     service: &str,
@@ -345,13 +345,12 @@
     store.put(&format!("servers/{}", target.name()), entry);
 }
 
-/// Start a host. A port that was free a moment ago may be taken by another test
-/// by now; then others are tried.
+/// Start a host. If a port is no longer free, retry with other ports.
 pub fn start_host(number: usize, seed: Option<SocketAddr>, store: SocketAddr) -> HostProcess {
     start_host_with(number, seed, store, SiteOptions::default().grace)
 }
 
-/// Start a host with this grace.
+/// Start a host with this grace period.
 pub fn start_host_with(
     number: usize,
     seed: Option<SocketAddr>,
@@ -368,7 +367,7 @@
     panic!("no host started on free ports: {errors:#?}");
 }
 
-/// The addresses on which a host is to listen.
+/// A `HostAddresses` is the addresses on which a host is to listen.
 #[derive(Clone, Copy, Debug)]
 pub struct HostAddresses {
     pub link: SocketAddr,
@@ -390,11 +389,11 @@
     }
 }
 
-/// Try to start a host; where a port is taken its process ends at once.
+/// Try to start a host. Its process ends at once if a port is taken.
 ///
 /// # Errors
 ///
-/// Returns what a host wrote that has ended.
+/// Returns the last output of the host if its process ends.
 pub fn try_start_at(
     addresses: HostAddresses,
     number: usize,
@@ -439,18 +438,18 @@
         settings: path,
     };
     let deadline = Instant::now() + WAIT_TIMEOUT;
-    // Its own word: on a port that it did not get somebody else answers.
+    // The host's own output: on a port that is taken, another process would answer.
     while !host.child.has_started() {
         if host.child.exit_status().is_some() {
             return Err(host.child.last_lines());
         }
-        assert!(Instant::now() < deadline, "the host does not start");
+        assert!(Instant::now() < deadline, "the host did not start");
         std::thread::sleep(Duration::from_millis(20));
     }
     Ok(host)
 }
 
-/// Change the grace in a settings file.
+/// Change the grace period in a settings file.
 pub fn write_grace(path: &Path, grace: Duration) {
     let text = std::fs::read_to_string(path).expect("settings file");
     let mut settings: Value = serde_json::from_str(&text).expect("JSON");
@@ -458,18 +457,18 @@
     write_settings(path, &settings);
 }
 
-/// Wait until the host with these metrics has written a numbered line.
+/// Wait until the host with this metrics address has logged a numbered event.
 pub async fn wait_logged(metrics: SocketAddr, number: u32) {
     let series = format!("{{number=\"{number}\"}} ");
     let counts = |line: &str| line.contains(&series) && !line.ends_with(" 0");
-    until(&format!("log line {number}"), async || {
+    until(&format!("log event {number}"), async || {
         let page = Call::get("/metrics").send(metrics).await;
         page.is_ok_and(|page| page.text().lines().any(counts))
     })
     .await;
 }
 
-/// Write a settings file, whole at any moment for a host that watches it.
+/// Write a settings file atomically, since a host may be watching it.
 fn write_settings(path: &Path, settings: &Value) {
     let draft = path.with_extension("draft");
     std::fs::write(&draft, settings.to_string()).expect("settings file");
@@ -480,16 +479,16 @@
     tokio::time::sleep(Duration::from_millis(20)).await;
 }
 
-/// Wait until something holds.
+/// Wait until a condition is true.
 pub async fn until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
     let deadline = Instant::now() + WAIT_TIMEOUT;
     while !condition().await {
-        assert!(Instant::now() < deadline, "never: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting: {what}");
         pause().await;
     }
 }
 
-/// One caller's call.
+/// A `Call` is one request of a caller.
 #[derive(Clone, Debug)]
 pub struct Call {
     method: &'static str,
@@ -498,14 +497,14 @@
     body: Bytes,
 }
 
-/// What came back.
+/// An `Answer` is the part of an answer that a caller has received.
 #[derive(Debug)]
 pub struct Answer {
     pub status: StatusCode,
     pub headers: HeaderMap,
-    /// What came of the body.
+    /// The received part of the body.
     pub body: Bytes,
-    /// Whether the body came to its end.
+    /// Whether the body was received to its end.
     pub whole: bool,
 }
 
@@ -532,7 +531,7 @@
         }
     }
 
-    /// Get a call as the users' callers make it.
+    /// Get a call with the header fields that the users' callers send.
     pub fn new(method: &'static str, path: &str, id: &str) -> Self {
         let call = Call {
             method,
@@ -544,7 +543,7 @@
             .with("authorization", &format!("Bearer {KEY}"))
     }
 
-    /// Get a call whose answer is a stream.
+    /// Get a call that is answered with a stream.
     pub fn stream(path: &str, id: &str) -> Self {
         Call::new("POST", path, id)
             .with("model", "m")
@@ -573,7 +572,7 @@
         KeptConnection::open(address).await?.send(self).await
     }
 
-    /// Send the call and get the answer's head; the body follows.
+    /// Send the call and get the answer's head, with the body still open.
     pub async fn open(self, address: SocketAddr) -> io::Result<http::Response<Incoming>> {
         KeptConnection::open(address).await?.begin(self).await
     }
@@ -588,7 +587,7 @@
     }
 }
 
-/// A caller's connection, for one call after the other.
+/// A `KeptConnection` is a caller's connection that is reused for several calls.
 pub struct KeptConnection(http1::SendRequest<Full<Bytes>>);
 
 impl KeptConnection {
--- a/bergamotswitch/tests/users/ports.rs
+++ b/bergamotswitch/tests/users/ports.rs
@@ -1,4 +1,4 @@
-//! Ports for the hosts of tests that no other test program draws as well.
+//! Provides ports for the hosts of tests that no other test program uses.
 
 use std::fs::{File, TryLockError};
 use std::net::SocketAddr;
@@ -7,23 +7,23 @@
 
 use tokio::net::TcpSocket;
 
-/// Below the ports that the system picks for outgoing connections: a host that is
-/// down for a moment would find its port taken by one of these.
+/// Below the ephemeral ports: an outgoing connection could otherwise take the port of
+/// a host that is restarting.
 const PORTS: Range<u16> = 10_000..32_000;
-/// The ports that are claimed together.
+/// The number of ports that are claimed together.
 const BLOCK_SIZE: u16 = 100;
-/// The most blocks of one program; beyond, it goes through its own again, whose
-/// first hosts have ended by then.
+/// The maximum number of blocks of one program. After that it reuses its own ports
+/// from the first one on, whose hosts have ended by then.
 const MAX_BLOCKS: usize = 40;
 
-/// A `PortBlock` is ports that this program alone draws from until it ends. A host
-/// that is down for a moment finds them free when it starts again.
+/// A `PortBlock` is a range of ports that is reserved for this program by a file lock
+/// until it ends, so that a restarting host finds its ports free.
 struct PortBlock {
     _lock: File,
     first: u16,
 }
 
-/// A `PortPool` is the ports of one program.
+/// A `PortPool` is the ports that one program uses.
 pub struct PortPool {
     blocks: Vec<PortBlock>,
     drawn: usize,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Get the next port that nobody listens on.
+    /// Get the next address that is not in use.
     pub fn draw(&mut self) -> SocketAddr {
         loop {
             let address = SocketAddr::from(([127, 0, 0, 1], self.next_port()));
@@ -61,7 +61,7 @@
     }
 }
 
-/// Claim a block that no other program has.
+/// Reserve a block that no other program has reserved.
 fn reserve_block() -> PortBlock {
     let mut firsts = PORTS.step_by(usize::from(BLOCK_SIZE));
     let block = firsts.find_map(|first| {
@@ -70,29 +70,28 @@
             .create(true)
             .append(true)
             .open(path)
-            .expect("claim of ports");
+            .expect("port lock file");
         match lock.try_lock() {
             Ok(()) => Some(PortBlock { _lock: lock, first }),
             Err(TryLockError::WouldBlock) => None,
-            Err(TryLockError::Error(error)) => panic!("claim of ports: {error}"),
+            Err(TryLockError::Error(error)) => panic!("port lock file: {error}"),
         }
     });
-    block.expect("ports that no other test program has")
+    block.expect("ports that no other test program has reserved")
 }
 
-/// Get whether nobody listens on an address.
+/// Get whether no socket listens on an address.
 ///
-/// To listen on it to see that would take it: a process that another test starts
-/// at that moment has a copy of the socket until it runs its own program, and the
-/// host finds somebody listening. A socket that is bound alone, and may be shared,
-/// keeps nobody from listening.
+/// The check binds a shared socket but does not listen: a child process that another
+/// test forks index that moment inherits the socket until it calls exec, and an inherited
+/// listening socket would keep the port taken.
 fn is_free(address: SocketAddr) -> bool {
     let socket = TcpSocket::new_v4().expect("socket");
     socket.set_reuseaddr(true).expect("shared socket");
     socket.bind(address).is_ok()
 }
 
-/// Get an address that is free now, and that no other test program takes.
+/// Get an address that is free and that no other test program uses.
 pub fn free_address() -> SocketAddr {
     static POOL: Mutex<PortPool> = Mutex::new(PortPool::new());
     let mut pool = POOL.lock().unwrap_or_else(PoisonError::into_inner);
