--- a/bergamotswitch/tests/gateway_updates.rs
+++ b/bergamotswitch/tests/gateway_updates.rs
@@ -146,7 +146,7 @@
     }
     assert!(stray.seen().is_empty());
     assert_eq!(site.desks[0].seen().len(), before);
-    // Its own target writes again.
+    // The target of the overwritten entry registers itself again.
     site.register("desk", &site.desks[0], "ready");
     site.store.remove("servers/desk-2");
     until("the first target is used again", async || {
