--- a/bergamotswitch/tests/gateway_news.rs
+++ b/bergamotswitch/tests/gateway_updates.rs
@@ -1,4 +1,4 @@
-//! What hosts hear of each other, of targets and of keys.
+//! Tests of updates at the gateway: members, routes, keys and target registrations.
 
 #[path = "fleet/relay.rs"]
 mod relay;
@@ -15,22 +15,22 @@
 
 async fn status(site: &Site, path: &str, id: &str, key: &str) -> StatusCode {
     let call = Call::new("GET", path, id).with("authorization", &format!("Bearer {key}"));
-    call.send(site.door()).await.expect("answer").status
+    call.send(site.address()).await.expect("answer").status
 }
 
 #[tokio::test]
-async fn found_members() {
+async fn membership_changes() {
     let mut site = Site::start(3).await;
-    // One that dies is not named any more, and one that stops at once.
+    // A host that goes down is removed after a timeout, and one that stops at once.
     site.hosts[2].child.kill();
-    until("the dead host is dropped", async || {
-        site.hosts[0].named().await.len() == 2
+    until("the killed host is removed", async || {
+        site.hosts[0].resolved_addresses().await.len() == 2
     })
     .await;
     site.hosts[1].child.signal("TERM");
-    until("the stopping host is not named", async || {
+    until("the stopping host is removed", async || {
         let own = site.hosts[0].callers.to_string();
-        site.hosts[0].named().await == [own]
+        site.hosts[0].resolved_addresses().await == [own]
     })
     .await;
     assert!(!site.hosts[1].is_ready().await);
@@ -65,11 +65,11 @@
     );
 }
 
-// Symptom: a key works that was taken away long ago. Sequence: the store falls
-// silent, the key is revoked, and the host hears nothing of it. Cause: what was
-// last heard was relied on for ever.
+// Guards against a revoked key that is accepted indefinitely: the store does not
+// answer, so the host cannot learn of a revocation and must not rely on the last
+// known keys.
 #[tokio::test]
-async fn silent_store() {
+async fn unresponsive_store() {
     let site = Site::start(2).await;
     site.store.set_mode(StoreMode::NoResponse);
     tokio::time::sleep(Duration::from_millis(REVOKE_MS + 100)).await;
@@ -78,19 +78,19 @@
         assert_eq!(found, StatusCode::SERVICE_UNAVAILABLE, "{path}");
     }
     let public = Call::new("GET", "/open/1", "r-2").without("authorization");
-    let answer = public.send(site.door()).await.expect("answer");
+    let answer = public.send(site.address()).await.expect("answer");
     assert_eq!(answer.status, StatusCode::OK);
     site.store.set_mode(StoreMode::Normal);
-    until("keys are relied on again", async || {
+    until("keys are accepted again", async || {
         status(&site, "/status/1", "r-3", KEY).await == StatusCode::OK
     })
     .await;
 }
 
-// Symptom: hosts act by old routes for good. Sequence: the store drops its
-// history while routes change. Cause: a watch from before the gap was repeated.
+// Guards against hosts that keep old routes for good, because they repeat a watch
+// from a revision that the store has compacted away.
 #[tokio::test]
-async fn lost_history() {
+async fn compacted_history() {
     let mut site = Site::start(1).await;
     site.store.set_mode(StoreMode::Unavailable);
     site.publish(&[KEY], &["/new/"]);
@@ -102,10 +102,10 @@
     .await;
 }
 
-// Symptom: a target that leaves still gets work. Sequence: it registers as
-// draining, then its entry goes. Cause: the change was not followed.
+// Guards against new calls for a target that registers as draining, or whose entry
+// is removed.
 #[tokio::test]
-async fn leaving_target() {
+async fn draining_target() {
     let site = Site::start(2).await;
     site.register("desk", &site.desks[0], "draining");
     tokio::time::sleep(Duration::from_millis(1_000)).await;
@@ -122,9 +122,9 @@
     .await;
 }
 
-// Symptom: calls go to what is no target, or no target is known any more.
-// Sequence: another writer writes over the entry of one target and adds others.
-// Cause: half a registration was filled in, or the entry from before stayed.
+// Guards against calls to an address that is no valid target, after another writer
+// overwrites one target's entry and adds malformed ones, and against the loss of the
+// valid targets.
 #[tokio::test]
 async fn foreign_entries() {
     let site = Site::start(2).await;
@@ -146,22 +146,22 @@
     }
     assert!(stray.calls().is_empty());
     assert_eq!(site.desks[0].calls().len(), before);
-    // Its own target writes again.
+    // The target of the overwritten entry registers itself again.
     site.register("desk", &site.desks[0], "ready");
     site.store.remove("servers/desk-2");
-    until("the first target is back", async || {
+    until("the first target is used again", async || {
         status(&site, "/status/1", "r-last", KEY).await == StatusCode::OK
             && site.desks[0].calls().len() > before
     })
     .await;
 }
 
-/// Start a site whose one desk stands behind a relay.
+/// Start a site whose only desk is behind a relay.
 async fn site_behind_relay() -> (Site, GatewayTargetStandin, Relay, SocketAddr) {
     let site = Site::start(2).await;
     let desk = GatewayTargetStandin::start("desk-3", 0, Duration::ZERO).await;
     let desk = desk.expect("target");
-    let (relay, address) = Relay::start_anywhere(desk.address());
+    let (relay, address) = Relay::start_on_free_port(desk.address());
     let entry = desk.registration("desk", address, "ready");
     site.store.put("servers/desk-3", &entry);
     for name in ["servers/desk-1", "servers/desk-2"] {
@@ -175,9 +175,14 @@
     (site, desk, relay, address)
 }
 
-/// Let the target die behind a cut and start again under its name.
-async fn start_again(site: &Site, desk: &GatewayTargetStandin, relay: &Relay, address: SocketAddr) {
-    relay.silence_open();
+/// Restart the target under its name, with its open connections stalled.
+async fn restart_target(
+    site: &Site,
+    desk: &GatewayTargetStandin,
+    relay: &Relay,
+    address: SocketAddr,
+) {
+    relay.stall_open_connections();
     desk.replace_responses(&[]);
     desk.restart();
     let entry = desk.registration("desk", address, "ready");
@@ -185,7 +190,7 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
 }
 
-async fn assert_quick(site: &Site) {
+async fn assert_answered_quickly(site: &Site) {
     for number in 0..4 {
         let id = format!("r-{number}");
         let begun = Instant::now();
@@ -194,44 +199,42 @@
     }
 }
 
-// Symptom: calls wait for seconds although their target is up. Sequence: a
-// target dies behind a cut with its places taken and starts again under its
-// name. Cause: the places of the former run stood taken.
+// Guards against calls that wait although their target is up: the slots of calls to
+// its previous run must be released when the target restarts behind a network fault.
 #[tokio::test]
-async fn born_again() {
+async fn restarted_target() {
     let (site, desk, relay, address) = site_behind_relay().await;
-    // Calls that nobody answers fill its places.
+    // Calls without an answer occupy all of its slots.
     desk.queue_responses(&vec![ResponseMode::NoResponse; 16]);
-    let door = site.door();
+    let site_address = site.address();
     let stuck: Vec<_> = (0..16)
         .map(|number| {
             let call = Call::new("GET", "/status/1", &format!("stuck-{number}"));
-            tokio::spawn(async move { call.send(door).await })
+            tokio::spawn(async move { call.send(site_address).await })
         })
         .collect();
     tokio::time::sleep(Duration::from_millis(300)).await;
-    start_again(&site, &desk, &relay, address).await;
-    assert_quick(&site).await;
+    restart_target(&site, &desk, &relay, address).await;
+    assert_answered_quickly(&site).await;
     for call in stuck {
         call.abort();
     }
 }
 
-// Symptom: the first calls to a target that has started again wait until it
-// counts as silent. Sequence: it dies behind a cut while connections to it are
-// idle. Cause: these never say that they are dead, and were used again.
+// Guards against the reuse of idle connections to a target that has restarted behind
+// a network fault. Nothing closes them, so that calls on them would time out.
 #[tokio::test]
 async fn idle_connections() {
     let (site, desk, relay, address) = site_behind_relay().await;
     let calls = (0..4).map(|number| {
         let call = Call::new("GET", "/status/1", &format!("idle-{number}"));
-        let door = site.door();
-        tokio::spawn(async move { call.send(door).await })
+        let site_address = site.address();
+        tokio::spawn(async move { call.send(site_address).await })
     });
     for call in calls.collect::<Vec<_>>() {
         let answer = call.await.expect("no panic").expect("answer");
         assert_eq!(answer.status, StatusCode::OK);
     }
-    start_again(&site, &desk, &relay, address).await;
-    assert_quick(&site).await;
+    restart_target(&site, &desk, &relay, address).await;
+    assert_answered_quickly(&site).await;
 }
--- a/bergamotswitch/tests/metrics_updated.rs
+++ b/bergamotswitch/tests/metrics_updated.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use fleet::caller::{Call, pause, send_all};
-use fleet::{ALL_HOSTS, ENGINES, Fleet, PATIENCE};
+use fleet::{ALL_HOSTS, ENGINES, Fleet, WAIT_TIMEOUT};
 use serde_json::json;
 
 /// Metrics that a fleet of three hosts, all candidates for ownership, does not
@@ -60,7 +60,11 @@
     // request.
     let report = Call::report("fall", 50);
     let run = report.send(user).await.incarnation();
-    let again = report.again().with_incarnation(&run).send(other).await;
+    let again = report
+        .as_resubmission()
+        .with_incarnation(&run)
+        .send(other)
+        .await;
     assert!(again.is_whole(), "{again:?}");
     // Some engines fail, so requests are retried on other targets.
     for number in 1..=6 {
@@ -72,7 +76,7 @@
     fleet.set_engines(json!({ "error": false })).await;
     // A truncated answer wastes its prompt tokens. Requests above the targets'
     // capacity are queued, and shed above the queue limit.
-    fleet.publish_small_targets(600).await;
+    fleet.publish_token_limit(600).await;
     let revision = fleet
         .publish("limits", |limits| {
             limits["queue_limit_requests"] = 20.into();
@@ -90,7 +94,7 @@
     // key.
     let started_at = Instant::now();
     let mut killed = false;
-    while !missing.is_empty() && started_at.elapsed() < PATIENCE {
+    while !missing.is_empty() && started_at.elapsed() < WAIT_TIMEOUT {
         for number in ALL_HOSTS {
             if killed && number == owner {
                 continue;
--- a/bergamotswitch/tests/partition.rs
+++ b/bergamotswitch/tests/partition.rs
@@ -1,4 +1,5 @@
-//! Hosts that lose each other while callers and targets still reach all.
+//! Tests of network partitions between hosts while callers and targets can reach all
+//! of them.
 
 mod fleet;
 
@@ -10,7 +11,7 @@
 };
 use serde_json::Value;
 
-/// Start a fleet whose links all go through relays.
+/// Start a fleet in which all links between hosts go through relays.
 async fn start() -> (Fleet, Vec<Relay>) {
     Fleet::start_with("red-austral", |stage| {
         let at = |port: u16| (stage.address(), port).into();
@@ -25,10 +26,10 @@
     .await
 }
 
-async fn part(fleet: &Fleet, relays: &[Relay], flow: Flow) {
+async fn partition(fleet: &Fleet, relays: &[Relay], flow: Flow) {
     let watch = RevisionWatch::start(fleet, "rules");
     let owner = fleet.wait_owner(ENGINES, &ALL_HOSTS).await;
-    fleet.publish_small_targets(1_200).await;
+    fleet.publish_token_limit(1_200).await;
     let send = |prefix: &str| {
         let call = |n: usize| {
             let host = fleet.hosts[n % 3].address();
@@ -43,18 +44,20 @@
     for relay in relays {
         relay.set(flow);
     }
-    // Each host goes on alone, with a fraction of the targets or as owner.
+    // Each host continues on its own, in degraded mode or as owner.
     for number in fleet.others(owner) {
         let host = fleet.hosts[number].address();
         let alone = |view: &Value| owns(view, ENGINES) || view["degraded"].as_u64() > Some(0);
         assert!(wait_view(host, alone).await.is_some(), "host {number}");
     }
-    let parted = send("parted");
-    // A caller that names the holder is served through any host.
+    let partitioned = send("parted");
+    // A caller that names the incarnation of the holder is served through any host.
     let call = Call::report("named", 400);
     let mut open = call.begin(fleet.hosts[0].address()).await.expect("head");
     open.read_output().await;
-    let again = call.again().with_incarnation(&open.answer.incarnation());
+    let again = call
+        .as_resubmission()
+        .with_incarnation(&open.answer.incarnation());
     let named = again.send(fleet.hosts[1].address()).await;
     let revision = fleet.publish("rules", |_| ()).await;
     for host in &fleet.hosts {
@@ -66,14 +69,14 @@
     let healed = fleet.wait_owner(ENGINES, &ALL_HOSTS).await;
     assert_eq!(healed, owner);
     let after = send("after");
-    for sent in [burst, parted, after] {
+    for sent in [burst, partitioned, after] {
         for answer in sent.await.expect("calls") {
             let answer = answer.expect("answer");
             assert!(answer.is_whole(), "{answer:?}");
         }
     }
     let runs = fleet.runs().await;
-    open.finish().await.assert_own(&runs, 400);
+    open.finish().await.assert_own_output(&runs, 400);
     assert!(named.is_whole());
     assert_eq!(runs.len(), 181);
     assert_ran_once(&runs);
@@ -85,20 +88,18 @@
     watch.check().await;
 }
 
-// Symptom: requests hang, or run twice, when hosts lose each other. Sequence:
-// all links go silent in a burst, rules are published meanwhile, the links
-// come back. Cause: asks and permits on their way at the cut, owners on both
-// sides of it, and values that only links would spread.
+// Guards against requests that hang or run twice while all links between hosts are
+// blocked, and against published values that spread through links only.
 #[tokio::test]
-async fn links_silent() {
+async fn links_blocked() {
     let (fleet, relays) = start().await;
-    part(&fleet, &relays, Flow::Cut).await;
+    partition(&fleet, &relays, Flow::Blocked).await;
 }
 
-// Symptom: as above. Sequence: the links go silent in one direction only.
-// Cause: a host that hears its peer takes the path for whole.
+// Guards against the same failures when links are blocked in one direction only,
+// where a host still receives from its peer.
 #[tokio::test]
-async fn one_way() {
+async fn one_way_links() {
     let (fleet, relays) = start().await;
-    part(&fleet, &relays, Flow::Forth).await;
+    partition(&fleet, &relays, Flow::ToTarget).await;
 }
--- a/bergamotswitch/tests/resubmission.rs
+++ b/bergamotswitch/tests/resubmission.rs
@@ -1,4 +1,4 @@
-//! Requests that callers send again.
+//! Tests of requests that callers submit again.
 
 mod fleet;
 
@@ -6,10 +6,9 @@
 use fleet::{ALL_HOSTS, ENGINES, Fleet, wait_view};
 use serde_json::Value;
 
-// Symptom: a report ran twice, or its caller never got the whole. Sequence:
-// the caller's connection breaks in the middle of the stream; it sends the
-// report again, at the same host, at others, several times at once. Cause:
-// hosts that know only their own requests.
+// Guards against a second run, or an incomplete answer, when a caller's connection
+// breaks in the middle of a stream and the caller resubmits the report to all hosts
+// concurrently.
 #[tokio::test]
 async fn broken_caller() {
     let fleet = Fleet::start("red-austral").await;
@@ -18,7 +17,7 @@
     open.read_output().await;
     let run = open.answer.incarnation();
     drop(open);
-    let again = call.again().with_incarnation(&run);
+    let again = call.as_resubmission().with_incarnation(&run);
     let resent = fleet.hosts.iter().flat_map(|host| {
         let calls = [again.clone(), again.clone(), call.clone()];
         calls.map(|call| (call, host.address()))
@@ -27,21 +26,20 @@
     let runs = fleet.runs().await;
     for answer in answers {
         let answer = answer.expect("answer");
-        answer.assert_of(&runs[0], 1_500);
+        answer.assert_output_of(&runs[0], 1_500);
         assert_eq!(answer.incarnation(), run);
     }
     assert_eq!(runs.len(), 1, "{runs:?}");
-    // The answer is kept: it comes again when all is over.
+    // The answer is retained and sent again after the request has ended.
     let kept = again.send(fleet.hosts[1].address()).await;
-    kept.assert_of(&runs[0], 1_500);
+    kept.assert_output_of(&runs[0], 1_500);
     assert_eq!(fleet.runs().await.len(), 1);
 }
 
-// Symptom: one alert, two crews. Sequence: a caller that knows no run sends
-// the same alert to all hosts at the same time. Cause: each host takes it for
-// new.
+// Guards against duplicate runs when a caller submits the same request to all hosts
+// concurrently, without naming an incarnation.
 #[tokio::test]
-async fn same_moment() {
+async fn concurrent_submissions() {
     let fleet = Fleet::start("red-austral").await;
     for round in 0..10 {
         let calls = fleet.hosts.iter().flat_map(|host| {
@@ -59,10 +57,8 @@
     fleet::assert_ran_once(&runs);
 }
 
-// Symptom: a report runs a second time after the shard's owner died. Sequence:
-// it is answered; the owner, which alone knew the key besides the holder,
-// dies; the caller sends it again at the third host, unmarked. Cause: a new
-// owner that was not told the keys.
+// Guards against a second run after the shard's owner dies: the new owner must learn
+// the request keys from the hosts that hold the requests.
 #[tokio::test]
 async fn owner_forgets() {
     let mut fleet = Fleet::start("red-austral").await;
@@ -71,18 +67,18 @@
     let call = Call::report("fall-1", 50);
     let first = call.send(fleet.hosts[others[0]].address()).await;
     let runs = fleet.runs().await;
-    first.assert_of(&runs[0], 50);
+    first.assert_output_of(&runs[0], 50);
     fleet.hosts[owner].kill();
-    // The next owner knows the key once the holder has told it.
+    // The next owner knows the key once the holder has reported it.
     let knows = |view: &Value| {
         let shards = view["shards"].as_array().expect("shards");
         let engines = shards.iter().find(|s| s["shard"]["pool"] == ENGINES);
         engines.is_some_and(|shard| shard["keys"] == 1)
     };
     let next = fleet.wait_owner(ENGINES, &others).await;
-    let told = wait_view(fleet.hosts[next].address(), knows).await;
-    assert!(told.is_some());
+    let reported = wait_view(fleet.hosts[next].address(), knows).await;
+    assert!(reported.is_some());
     let second = call.send(fleet.hosts[others[1]].address()).await;
     assert_eq!(fleet.runs().await.len(), 1, "{second:?}");
-    second.assert_of(&runs[0], 50);
+    second.assert_output_of(&runs[0], 50);
 }
--- a/bergamotswitch/tests/silent_targets.rs
+++ b/bergamotswitch/tests/silent_targets.rs
@@ -1,4 +1,4 @@
-//! Targets whose connections go silent, break or carry wrong answers.
+//! Tests of targets whose connections stall, break or carry wrong answers.
 
 mod fleet;
 
@@ -6,9 +6,13 @@
 use fleet::{Fleet, Run, assert_ran_once};
 use serde_json::json;
 
-/// Begin reports at all hosts, change switches of every engine while the streams
-/// run, and read them to their ends.
-async fn disturb(fleet: &Fleet, max_tokens: u32, switches: serde_json::Value) -> Vec<Answer> {
+/// Begin reports at all hosts, set fault switches of every engine during the streams,
+/// and read the streams to their ends.
+async fn run_with_faults(
+    fleet: &Fleet,
+    max_tokens: u32,
+    switches: serde_json::Value,
+) -> Vec<Answer> {
     let mut open = Vec::new();
     for n in 0..12 {
         let host = fleet.hosts[n % 3].address();
@@ -30,35 +34,31 @@
 
 fn assert_resumed(answers: &[Answer], runs: &[Run], max_tokens: u32) {
     for answer in answers {
-        answer.assert_own(runs, max_tokens);
+        answer.assert_own_output(runs, max_tokens);
     }
     assert_eq!(runs.len(), answers.len());
     assert_ran_once(runs);
 }
 
-// Symptom: a report hangs for ever, or ran a second time. Sequence: the open
-// connections to all engines go silent in the middle of the streams; new ones
-// work. Cause: silence taken for slowness, or a new submission in place of a
-// resumption.
+// Guards against a report that hangs or runs twice when its connection stalls: the
+// stream has to be resumed, not submitted again.
 #[tokio::test]
-async fn silent_streams() {
+async fn stalled_streams() {
     let fleet = Fleet::start("red-austral").await;
-    let answers = disturb(&fleet, 1_500, json!([{ "silent": "open" }])).await;
+    let answers = run_with_faults(&fleet, 1_500, json!([{ "silent": "open" }])).await;
     assert_resumed(&answers, &fleet.runs().await, 1_500);
 }
 
-// Symptom: as above. Sequence: the connections break instead.
+// Guards against the same failures when the connections break.
 #[tokio::test]
 async fn broken_streams() {
     let fleet = Fleet::start("red-austral").await;
-    let answers = disturb(&fleet, 1_500, json!([{ "drop": 0 }, { "drop": null }])).await;
+    let answers = run_with_faults(&fleet, 1_500, json!([{ "drop": 0 }, { "drop": null }])).await;
     assert_resumed(&answers, &fleet.runs().await, 1_500);
 }
 
-// Symptom: a caller takes half an answer, or another caller's, for its own
-// whole one. Sequence: engines end streams in their middle, or answer with
-// another request's id and text. Cause: an answer passed on unmatched, or
-// ended by the end of the connection alone.
+// Guards against a truncated answer, or that of another request, that its caller
+// accepts as whole.
 #[tokio::test]
 async fn wrong_answers() {
     let fleet = Fleet::start("red-austral").await;
@@ -81,10 +81,8 @@
     }
 }
 
-// Symptom: a crew alert goes out twice. Sequence: the service cuts the
-// connection in the middle of its answer, answers 500, or goes silent with
-// the connection; the caller sends the alert again at all hosts. Cause: an
-// alert that may have run is sent again.
+// Guards against a crew alert that goes out twice when the service fails during its
+// answer and the caller resubmits the alert to all hosts.
 #[tokio::test]
 async fn broken_alerts() {
     let fleet = Fleet::start("red-austral").await;
@@ -99,7 +97,9 @@
         let call = Call::alert(&format!("alert-{number}"));
         let first = call.send(fleet.hosts[0].address()).await;
         assert!(!first.is_whole(), "{first:?}");
-        let again = call.again().with_incarnation(&first.incarnation());
+        let again = call
+            .as_resubmission()
+            .with_incarnation(&first.incarnation());
         for service in services {
             fleet
                 .set(service, json!({ "drop": null, "error": false }))
--- a/bergamotswitch/tests/soak_world/mod.rs
+++ b/bergamotswitch/tests/soak_world/mod.rs
@@ -152,7 +152,7 @@
             let name = format!("{service}-{number}");
             let target = GatewayTargetStandin::start(&name, events, EVENT_GAP).await;
             let target = target.expect("target");
-            let (relay, address) = Relay::start_anywhere(target.address());
+            let (relay, address) = Relay::start_on_free_port(target.address());
             targets.push(WorldTarget {
                 relay,
                 target,
@@ -164,7 +164,7 @@
         let mut hosts: Vec<WorldHost> = Vec::new();
         let options = plan.grace.map(work::site_options).unwrap_or_default();
         for number in 0..count {
-            let (store_relay, store_address) = Relay::start_anywhere(store.address());
+            let (store_relay, store_address) = Relay::start_on_free_port(store.address());
             let seed = hosts.first().map(|host| host.process.borrow().link);
             hosts.push(WorldHost {
                 process: RefCell::new(start_host_with(number, seed, store_address, options.grace)),
@@ -263,7 +263,7 @@
 
     /// Wait until all hosts report readiness; record a problem on timeout.
     async fn wait_all_ready(&self, when: &str) {
-        let until = Instant::now() + users::PATIENCE;
+        let until = Instant::now() + users::WAIT_TIMEOUT;
         loop {
             let mut ready = true;
             for host in &self.hosts {
@@ -498,7 +498,7 @@
         let host = &self.hosts[index];
         while !self.supervisors_stopped.get() {
             sleep(Duration::from_millis(20)).await;
-            let Some(status) = host.process.borrow_mut().child.end() else {
+            let Some(status) = host.process.borrow_mut().child.exit_status() else {
                 continue;
             };
             let _guard = DisturbanceGuard::new(&host.disturbances);
--- a/bergamotswitch/tests/stop_overdue.rs
+++ b/bergamotswitch/tests/stop_overdue.rs
@@ -1,4 +1,4 @@
-//! What callers are told of work that does not end in the grace.
+//! Tests of the answers to calls that do not end within the grace period.
 
 mod stop_support;
 mod users;
@@ -9,15 +9,12 @@
 use users::Call;
 use users::host_child::PlannedStop;
 
-// Symptom: a caller hangs until the host is killed, and gets no answer.
-// Sequence: SIGTERM with a call under way; 1 s before the end of the grace its
-// target closes the connection; the call goes to a second target, which does
-// not answer in time. Cause: what was sent once more was not held against what
-// is left of the grace.
+// Guards against a retry during a planned stop that cannot end within the rest of
+// the grace period.
 #[tokio::test]
-async fn sent_again() {
+async fn late_retry() {
     let grace = seconds(3.0);
-    let mut site = site_of(8, grace).await;
+    let mut site = start_site(8, grace).await;
     for desk in &site.desks {
         desk.queue_responses(&[
             ResponseMode::CloseAfter(seconds(2.0)),
@@ -25,54 +22,51 @@
         ]);
     }
     let call = Call::new("GET", "/status/1", "").with("deadline-ms", "12000");
-    let asked = ask_and_reach(&site, call, "again").await;
+    let result = send_until_running(&site, call, "again").await;
     let stop = PlannedStop::begin(site.hosts.remove(0).child, grace);
-    let asked = asked.await.expect("call");
-    assert!(asked.is_failure(), "{asked:?}");
+    let result = result.await.expect("call");
+    assert!(result.is_failure(), "{result:?}");
     assert!(stop.end().await.is_clean());
     assert_eq!(runs_of(&site, "again"), 1);
 }
 
-// Symptom: a stream hangs until the host is killed. Sequence: SIGTERM with a
-// stream under way; 1 s before the end of the grace its target breaks off, and
-// another one is to make the 2 s that are missing. Cause: as above.
+// Guards against a stream that is resumed during a planned stop although it cannot
+// end within the rest of the grace period.
 #[tokio::test]
-async fn not_resumed() {
+async fn late_resumption() {
     let grace = seconds(3.0);
     let events = 40;
-    let mut site = site_of(events, grace).await;
-    run_before(&site, "/draft/1", TELLING_RUNS).await;
+    let mut site = start_site(events, grace).await;
+    warm_up(&site, "/draft/1", WARM_UP_RUNS).await;
     for engine in &site.engines {
         engine.queue_responses(&[ResponseMode::TruncateAfter(20)]);
     }
     let call = stream_call("/draft/1", seconds(12.0));
-    let asked = ask_and_reach(&site, call, "broken").await;
+    let result = send_until_running(&site, call, "broken").await;
     let stop = PlannedStop::begin(site.hosts.remove(0).child, grace);
-    let asked = asked.await.expect("call");
-    asked.assert_cut(events);
+    let result = result.await.expect("call");
+    result.assert_cut(events);
     assert!(stop.end().await.is_clean());
     assert_eq!(runs_of(&site, "broken"), 1);
 }
 
-// Symptom: callers whose calls came before the signal get no answer at all when
-// the grace is over. Sequence: SIGTERM with a stream of 6 s and a call that its
-// target does not answer under way; the grace is 3 s. Cause: the process was
-// killed with both; nothing ended them while it could still tell the callers.
+// Guards against callers without an answer when the grace period ends during their
+// calls: the host has to end the calls before it is killed.
 #[tokio::test]
 async fn overdue_told() {
     let grace = seconds(3.0);
     let events = 60;
-    let mut site = site_of(events, grace).await;
+    let mut site = start_site(events, grace).await;
     for desk in &site.desks {
         desk.queue_responses(&[ResponseMode::NoResponse]);
     }
     let stream = stream_call("/once/1", seconds(12.0));
-    let stream = ask_and_reach(&site, stream, "stream").await;
-    let call = ask_and_reach(&site, receipt_call(seconds(12.0)), "mute").await;
+    let stream = send_until_running(&site, stream, "stream").await;
+    let call = send_until_running(&site, receipt_call(seconds(12.0)), "mute").await;
     let stop = PlannedStop::begin(site.hosts.remove(0).child, grace);
     let (stream, call) = (stream.await.expect("call"), call.await.expect("call"));
     stream.assert_cut(events);
-    // It may have run, which 503 would deny.
+    // The call may have run, so 503 would be wrong.
     assert!(call.has_status(StatusCode::BAD_GATEWAY), "{call:?}");
     assert!(stop.end().await.is_clean());
     assert_eq!(runs_of(&site, "mute"), 1);
--- a/bergamotswitch/tests/stop_reload.rs
+++ b/bergamotswitch/tests/stop_reload.rs
@@ -1,4 +1,4 @@
-//! Planned stops whose grace is changed in the settings file.
+//! Tests of planned stops whose grace period is changed in the settings file.
 
 mod stop_support;
 mod users;
@@ -8,54 +8,52 @@
 use stop_support::*;
 use users::host_child::PlannedStop;
 
-/// The numbers of the log lines about a planned stop and reloaded settings.
+/// The event numbers of the log lines about a planned stop and reloaded settings.
 const STOP_BEGUN: u32 = 101;
 const SETTINGS_RELOADED: u32 = 105;
 
-/// A host whose settings file is changed before or during its stop.
+/// A `Reload` is a change of a host's grace period before or during its stop.
 struct Reload {
     started_with: Duration,
     reloaded_to: Duration,
-    /// Whether the signal to stop comes first.
+    /// Whether SIGTERM comes first.
     during: bool,
-    /// When it is killed.
+    /// The time from SIGTERM until the host is killed.
     killed_after: Duration,
 }
 
-/// Ask for a stream that is longer than what is left of the grace in force.
-async fn ask_reloaded(reload: Reload) {
+/// Call for a stream that is longer than the rest of the grace period in force.
+async fn call_after_reload(reload: Reload) {
     let events = 40;
-    let mut site = site_of(events, reload.started_with).await;
-    run_before(&site, "/once/1", TELLING_RUNS).await;
+    let mut site = start_site(events, reload.started_with).await;
+    warm_up(&site, "/once/1", WARM_UP_RUNS).await;
     let host = site.hosts.remove(0);
-    let (door, metrics) = (host.callers, host.metrics);
+    let (address, metrics) = (host.callers, host.metrics);
     if !reload.during {
         users::write_grace(&host.settings, reload.reloaded_to);
         host.child.signal("HUP");
-        users::noted(metrics, SETTINGS_RELOADED).await;
+        users::wait_logged(metrics, SETTINGS_RELOADED).await;
     }
     let stop = PlannedStop::begin(host.child, reload.killed_after);
     if reload.during {
-        // The host looks at the file without a signal, too.
-        users::noted(metrics, STOP_BEGUN).await;
+        // The host also watches the file. Change it only once the stop has begun.
+        users::wait_logged(metrics, STOP_BEGUN).await;
         users::write_grace(&host.settings, reload.reloaded_to);
         stop.signal("HUP");
-        users::noted(metrics, SETTINGS_RELOADED).await;
+        users::wait_logged(metrics, SETTINGS_RELOADED).await;
     }
-    stop.at(seconds(1.0)).await;
-    let asked = ask(door, stream_call("/once/1", seconds(12.0)), "late").await;
+    stop.wait_until(seconds(1.0)).await;
+    let result = send_call(address, stream_call("/once/1", seconds(12.0)), "late").await;
     stop.end().await;
-    asked.assert_kept(&site, events);
-    assert!(asked.is_served() || asked.took < AT_ONCE, "{asked:?}");
+    result.assert_whole_or_refused(&site, events);
+    assert!(result.is_served() || result.took < IMMEDIATE, "{result:?}");
 }
 
-// Symptom: a stream is cut by a planned stop that is shorter than the host
-// thinks. Sequence: the settings file names a shorter grace; SIGHUP, SIGTERM; a
-// stream that fits in the old grace is taken. Cause: only the settings of the
-// start were looked at.
+// Guards against a stream that is cut off because the host ignores a shorter grace
+// period that was reloaded before the stop.
 #[tokio::test]
 async fn reload_before() {
-    ask_reloaded(Reload {
+    call_after_reload(Reload {
         started_with: seconds(8.0),
         reloaded_to: seconds(3.0),
         during: false,
@@ -64,10 +62,10 @@
     .await;
 }
 
-// Symptom, sequence and cause: as above, where SIGTERM comes first.
+// Guards against the same failure when the settings are reloaded after SIGTERM.
 #[tokio::test]
 async fn reload_during() {
-    ask_reloaded(Reload {
+    call_after_reload(Reload {
         started_with: seconds(8.0),
         reloaded_to: seconds(3.0),
         during: true,
@@ -76,13 +74,11 @@
     .await;
 }
 
-// Symptom: a stream is cut that was taken after the grace had been made longer.
-// Sequence: SIGTERM; the settings file names a longer grace, for the next start;
-// the kill comes when it was due at the signal. Cause: a stop that was under way
-// took the longer grace for its own.
+// Guards against a stream that is cut off because a stop in progress adopts a longer
+// grace period, which applies only from the next start.
 #[tokio::test]
-async fn reload_later() {
-    ask_reloaded(Reload {
+async fn longer_grace() {
+    call_after_reload(Reload {
         started_with: seconds(3.0),
         reloaded_to: seconds(20.0),
         during: true,
